--- a/internal/version/mgconfig/action.go
+++ b/internal/version/mgconfig/action.go
@@ -16,23 +16,23 @@
 	Fetch                    // fetch values from a peer
 	Read                     // read a value of the platform
 	Watch                    // watch a value of the platform
-	Listen                   // wait at a peer for a newer list of VMs
+	LongPoll                 // wait at a peer for a newer list of VMs
 	Gossip                   // tell a peer of processes that are known, and be told
 )
 
 // An Action is what a machine wants done. Every action gets one Result.
 type Action struct {
-	kind    Kind
-	pull    int // the pull it is for, or 0
-	peer    string
-	addr    string
-	summary *mgrpc.Summary
-	fetch   *mgrpc.FetchRequest
-	key     string
-	after   uint64
-	wait    mgclock.Millis
-	answer  mgclock.Millis // longest time for the answer, beyond wait
-	gossip  []mgmember.Gossip
+	kind          Kind
+	pullID        int // the pull it is for, or 0
+	peer          string
+	addr          string
+	summary       *mgrpc.Summary
+	fetch         *mgrpc.FetchRequest
+	key           string
+	after         uint64
+	wait          mgclock.Millis
+	answerTimeout mgclock.Millis // longest time for the answer, beyond wait
+	gossip        []mgmember.Gossip
 }
 
 // Kind returns what to do.
@@ -70,7 +70,7 @@
 	Summary *mgrpc.Summary // of an exchange
 	Values  [][]byte       // of a fetch, decompressed
 	List    []byte         // of a fetch or what was listened for, decompressed
-	Word    Word           // of whom was listened at
+	Report  Word           // of whom was listened at
 	Gossip  []mgmember.Gossip
 	Value   mgplatform.Value // of a read or watch
 }
--- a/internal/version/mgconfig/cordon_test.go
+++ b/internal/version/mgconfig/cordon_test.go
@@ -12,43 +12,43 @@
 )
 
 // cordonAim is within which every process must know a cordon, as operators are told.
-const cordonAim = sec
+const maxCordonDelay = sec
 
 // cordon has the platform show cordoned availability zones, and returns after how long
 // each live member goes by that, in order.
-func (f *fleet) cordon(zones ...string) []mgclock.Millis {
+func (f *fleet) setCordons(zones ...string) []mgclock.Millis {
 	began := f.net.Now()
 	f.cordoned = zones
 	f.platform.cordons++
 	f.list(0)
-	spans := map[string]mgclock.Millis{}
+	delays := map[string]mgclock.Millis{}
 	alive := 0
 	for _, n := range f.nodes {
 		if !f.dead[n.name] {
 			alive++
 		}
 	}
-	for len(spans) < alive && f.net.Now() < began+10*sec {
+	for len(delays) < alive && f.net.Now() < began+10*sec {
 		f.net.Run(f.net.Now() + 5)
 		for _, n := range f.nodes {
 			known := slices.Sorted(maps.Keys(n.members.View().Cordoned()))
-			if _, counted := spans[n.name]; !counted && !f.dead[n.name] && slices.Equal(known, zones) {
-				spans[n.name] = f.net.Now() - began
+			if _, counted := delays[n.name]; !counted && !f.dead[n.name] && slices.Equal(known, zones) {
+				delays[n.name] = f.net.Now() - began
 			}
 		}
 	}
 	for _, n := range f.nodes {
-		if _, counted := spans[n.name]; !counted && !f.dead[n.name] {
-			spans[n.name] = never
+		if _, counted := delays[n.name]; !counted && !f.dead[n.name] {
+			delays[n.name] = never
 		}
 	}
-	return slices.Sorted(maps.Values(spans))
+	return slices.Sorted(maps.Values(delays))
 }
 
 // Operators empty a hall and are told that it is empty after a second. An entry that
 // hears of it later, as who reads the platform for it has just died, goes on sending
 // reports there, and they are cut when the power goes.
-func TestCordonSpreads(t *testing.T) {
+func TestCordonLearnedLate(t *testing.T) {
 	all := []int{31, 100, 300}
 	for _, c := range []struct {
 		name   string
@@ -102,12 +102,12 @@
 					f.startAll()
 					f.net.Run(15 * sec)
 					c.fault(f)
-					spans := f.cordon("hall")
-					t.Logf("a cordon was known after %d ms in the median, %d at most", spans[len(spans)/2], spans[len(spans)-1])
-					So(spans[len(spans)-1], ShouldBeLessThanOrEqualTo, cordonAim)
+					delays := f.setCordons("hall")
+					t.Logf("a cordon was known after %d ms in the median, %d at most", delays[len(delays)/2], delays[len(delays)-1])
+					So(delays[len(delays)-1], ShouldBeLessThanOrEqualTo, maxCordonDelay)
 					f.net.Run(f.net.Now() + sec)
-					spans = f.cordon()
-					So(spans[len(spans)-1], ShouldBeLessThanOrEqualTo, cordonAim)
+					delays = f.setCordons()
+					So(delays[len(delays)-1], ShouldBeLessThanOrEqualTo, maxCordonDelay)
 				})
 			})
 		}
@@ -116,18 +116,18 @@
 
 // All entries are killed and start again while a hall is being emptied. None knows the
 // past, and a report goes to the hall.
-func TestCordonAtStart(t *testing.T) {
+func TestCordonUnknownAtStart(t *testing.T) {
 	Convey("Processes that start while a cordon stands know it before they are ready", t, func() {
 		f := newListening(5, 31)
 		f.startAll()
 		f.net.Run(15 * sec)
-		f.cordon("hall")
+		f.setCordons("hall")
 		f.startAll()
 		serving, unaware := map[string]bool{}, 0
 		for f.net.Now() < 25*sec {
 			f.net.Run(f.net.Now() + 5)
 			for _, n := range f.nodes {
-				if n.ready == never || n.members.View().Version() == 0 {
+				if n.readyAt == never || n.members.View().Version() == 0 {
 					continue
 				}
 				serving[n.name] = true
--- a/internal/version/mgconfig/departure_test.go
+++ b/internal/version/mgconfig/departure_test.go
@@ -15,14 +15,14 @@
 
 // alone returns a machine on a platform that lists one upstream and no process,
 // and its members.
-func alone() (*Machine, *mgmember.Members) {
+func machineWithoutPeers() (*Machine, *mgmember.Members) {
 	members := mgmember.New("entry-1")
 	m := NewMachine(0, MachineSpec{
 		Name: "entry-1",
 		Zone: "a",
 	}, members)
-	m.vms.done(0, ResultSpec{Value: mgplatform.NewValue(5, nil)}, m)
-	m.takeList(0, upstreamList(5, mgplatform.Live))
+	m.listSource.finishRead(0, ResultSpec{Value: mgplatform.NewValue(5, nil)}, m)
+	m.adoptList(0, upstreamList(5, mgplatform.Live))
 	return m, members
 }
 
@@ -47,13 +47,13 @@
 // said that it leaves. The entry's watch hung on a connection that a partition
 // had cut, the other entries knew, and the entry had fetched their list less
 // than five seconds before.
-func TestDepartureFromPeers(t *testing.T) {
+func TestDepartureMissedWhileWatchHangs(t *testing.T) {
 	Convey("A list that peers have is fetched while the own watch hangs", t, func() {
-		m, members := alone()
+		m, members := machineWithoutPeers()
 		So(m.readPlatform(sec), ShouldNotBeEmpty) // the watch that never ends
 		fetches := 0
 		for at := sec; at < 3*sec; at += 200 {
-			for _, action := range m.take(at, &mgrpc.Summary{
+			for _, action := range m.applySummary(at, &mgrpc.Summary{
 				Name:        "entry-2",
 				Incarnation: "life",
 				Addr:        "10.0.0.2:1",
@@ -63,7 +63,7 @@
 					continue
 				}
 				fetches++
-				m.Done(at, ResultSpec{
+				m.HandleResult(at, ResultSpec{
 					Action: action,
 					List:   upstreamList(5+uint64(at), mgplatform.Leaving),
 				})
@@ -77,17 +77,17 @@
 // Requests reach no entry for half a minute after a start: the platform lists
 // upstreams only, each entry took another process for the watcher, and waited
 // for the poll.
-func TestUnlistedWatches(t *testing.T) {
+func TestUnlistedProcessWaitsForPoll(t *testing.T) {
 	Convey("A process that the list doesn't name", t, func() {
-		m, members := alone()
+		m, members := machineWithoutPeers()
 		Convey("watches the platform itself", func() {
-			So(m.watching(), ShouldBeTrue)
+			So(m.isWatcher(), ShouldBeTrue)
 		})
 		Convey("is ready without peers, as upstreams are none", func() {
-			So(m.others(), ShouldEqual, 0)
+			So(m.countLiveOthers(), ShouldEqual, 0)
 		})
 		Convey("knows another by its own word, and tells it what is new", func() {
-			m.take(sec, &mgrpc.Summary{
+			m.applySummary(sec, &mgrpc.Summary{
 				Name:        "entry-2",
 				Incarnation: "life",
 				Addr:        "10.0.0.2:1",
@@ -105,31 +105,31 @@
 
 // An operator of a platform that loses answers sets short waits; without them
 // a lost answer hides a change for twenty-five seconds.
-func TestWatchSettings(t *testing.T) {
+func TestWatchIgnoresSettings(t *testing.T) {
 	Convey("Waits follow the settings", t, func() {
-		m, _ := alone()
+		m, _ := machineWithoutPeers()
 		m.spec.Watch = 2 * sec
 		m.spec.Answer = 500
 		for _, action := range m.readPlatform(sec) {
 			if action.Kind() == Watch {
-				So(timeout(action), ShouldEqual, 2500)
+				So(actionTimeout(action), ShouldEqual, 2500)
 			}
 		}
 		m.spec.Backoff = sec
 		for n := range 20 {
-			m.vms.done(mgclock.Millis(n)*sec, ResultSpec{Err: mgplatform.ErrDown}, m)
-			So(m.vms.next, ShouldBeLessThanOrEqualTo, mgclock.Millis(n)*sec+1500)
+			m.listSource.finishRead(mgclock.Millis(n)*sec, ResultSpec{Err: mgplatform.ErrDown}, m)
+			So(m.listSource.next, ShouldBeLessThanOrEqualTo, mgclock.Millis(n)*sec+1500)
 		}
 	})
 }
 
 // Two entries know only the same seed. Each takes itself for the one that gives
 // turns, their copies share a link, and the callers of both see a pause.
-func TestKnownToEachOther(t *testing.T) {
+func TestSeedPeersNeverMeet(t *testing.T) {
 	Convey("A summary names those that were heard lately", t, func() {
-		m, members := alone()
+		m, members := machineWithoutPeers()
 		hear := func(at mgclock.Millis, name string, known ...*mgrpc.Known) *mgrpc.Summary {
-			reply, _ := m.Heard(at, &mgrpc.Summary{
+			reply, _ := m.HandleExchange(at, &mgrpc.Summary{
 				Name:        name,
 				Incarnation: "life",
 				Addr:        name + ":1",
@@ -168,24 +168,24 @@
 // The store loses a third of its answers and keeps the connections. Every
 // entry's watch hangs for six seconds, and engines that were given notice are
 // reclaimed with all that runs there.
-func TestLostAnswers(t *testing.T) {
+func TestLostAnswerHidesChange(t *testing.T) {
 	Convey("A list whose changes must be known soon", t, func() {
-		m, _ := alone()
+		m, _ := machineWithoutPeers()
 		m.spec.Quick = 60
 		m.spec.Watch = 5 * sec
 		m.spec.Answer = sec
 		Convey("is watched for a second at most, answer included", func() {
 			for _, action := range m.readPlatform(sec) {
 				if action.Key() == mgplatform.ListKey {
-					So(timeout(action), ShouldBeLessThanOrEqualTo, sec)
+					So(actionTimeout(action), ShouldBeLessThanOrEqualTo, sec)
 				}
 			}
 		})
 		Convey("is asked for again at once", func() {
-			m.vms.failures = 0
-			m.vms.done(sec, ResultSpec{Err: mgplatform.ErrDown}, m)
-			So(m.vms.next-sec, ShouldBeLessThanOrEqualTo, 3*firstRetry)
-			So(m.Stale(sec), ShouldBeTrue)
+			m.listSource.failures = 0
+			m.listSource.finishRead(sec, ResultSpec{Err: mgplatform.ErrDown}, m)
+			So(m.listSource.next-sec, ShouldBeLessThanOrEqualTo, 3*firstRetryDelay)
+			So(m.IsListStale(sec), ShouldBeTrue)
 		})
 	})
 }
@@ -193,9 +193,9 @@
 // A new route answers 404 at one entry for three seconds after it was accepted.
 // The entry's watch hung; it had heard of the version from a peer, and the peer
 // lost power before it answered with the pages.
-func TestPeerFallsDark(t *testing.T) {
+func TestFetchWaitsForDeadPeer(t *testing.T) {
 	Convey("A version is fetched from another peer while the first is dark", t, func() {
-		m, _ := alone()
+		m, _ := machineWithoutPeers()
 		m.spec.Fetch = 600
 		summary := func(name string) *mgrpc.Summary {
 			return &mgrpc.Summary{
@@ -206,12 +206,12 @@
 				Digest:      "d",
 			}
 		}
-		first := m.take(sec, summary("dark"))
+		first := m.applySummary(sec, summary("dark"))
 		So(len(first), ShouldEqual, 1)
 		So(first[0].Kind(), ShouldEqual, Fetch)
-		So(timeout(first[0]), ShouldEqual, 600)
-		So(m.take(sec, summary("other")), ShouldBeEmpty)
-		second := m.Done(sec+600, ResultSpec{
+		So(actionTimeout(first[0]), ShouldEqual, 600)
+		So(m.applySummary(sec, summary("other")), ShouldBeEmpty)
+		second := m.HandleResult(sec+600, ResultSpec{
 			Action: first[0],
 			Err:    context.DeadlineExceeded,
 		})
@@ -222,31 +222,31 @@
 
 // One entry asks an engine and learns that it leaves. The others ask a second
 // later, and what runs there for them is cut.
-func TestDepartedTold(t *testing.T) {
+func TestDepartureNotForwarded(t *testing.T) {
 	Convey("An upstream's own word reaches the peers", t, func() {
-		m, members := alone()
-		m.take(sec, &mgrpc.Summary{
+		m, members := machineWithoutPeers()
+		m.applySummary(sec, &mgrpc.Summary{
 			Name:        "entry-2",
 			Incarnation: "life",
 			Addr:        "10.0.0.2:1",
 		})
-		actions := m.Departed(sec, "engine-1")
+		actions := m.HandleDeparture(sec, "engine-1")
 		So(members.View().Hosts("reports"), ShouldBeEmpty)
 		So(actions, ShouldNotBeEmpty)
 		So(actions[0].Summary().GetDeparted(), ShouldResemble, []string{"engine-1 0"})
-		So(m.Departed(sec, "engine-1"), ShouldBeEmpty)
+		So(m.HandleDeparture(sec, "engine-1"), ShouldBeEmpty)
 		Convey("who take it", func() {
-			other, known := alone()
-			told := actions[0].Summary()
-			told.Name = "entry-9" // both machines of this test have one name
-			on := other.take(sec, told)
+			other, known := machineWithoutPeers()
+			summary := actions[0].Summary()
+			summary.Name = "entry-9" // both machines of this test have one name
+			forwarded := other.applySummary(sec, summary)
 			So(known.View().Hosts("reports"), ShouldBeEmpty)
-			So(on, ShouldNotBeEmpty)
-			So(on[0].Summary().GetDeparted(), ShouldResemble, []string{"engine-1 0"})
-			So(other.take(sec, told), ShouldBeEmpty)
+			So(forwarded, ShouldNotBeEmpty)
+			So(forwarded[0].Summary().GetDeparted(), ShouldResemble, []string{"engine-1 0"})
+			So(other.applySummary(sec, summary), ShouldBeEmpty)
 		})
 		Convey("and is told for a while only", func() {
-			m.now = sec + departedSpan
+			m.now = sec + departureTTL
 			So(m.departures(), ShouldBeEmpty)
 		})
 	})
@@ -254,7 +254,7 @@
 
 // All entries were killed while the store was away for two seconds more. It
 // answers again, and they still wait out the pause of a process that serves.
-func TestFirstRetry(t *testing.T) {
+func TestFirstReadBacksOffTooLong(t *testing.T) {
 	Convey("A process without a table asks again soon, and ever more rarely", t, func() {
 		m := NewMachine(0, MachineSpec{
 			Name:    "entry-1",
@@ -262,12 +262,12 @@
 		}, mgmember.New("entry-1"))
 		at, asked := mgclock.Millis(0), 0
 		for at < 10*sec {
-			m.vms.done(at, ResultSpec{Err: mgplatform.ErrDown}, m)
+			m.listSource.finishRead(at, ResultSpec{Err: mgplatform.ErrDown}, m)
 			if at < sec {
 				asked++
 			}
-			So(m.vms.next-at, ShouldBeBetweenOrEqual, firstRetry/2, sec+firstRetry)
-			at = m.vms.next
+			So(m.listSource.next-at, ShouldBeBetweenOrEqual, firstRetryDelay/2, sec+firstRetryDelay)
+			at = m.listSource.next
 		}
 		So(asked, ShouldBeGreaterThanOrEqualTo, 4)
 	})
@@ -275,14 +275,14 @@
 
 // All entries start before the operators' first table. Each reads it again and again,
 // and the platform bills three hundred reads that found nothing.
-func TestMissingTable(t *testing.T) {
+func TestMissingTableReadTooOften(t *testing.T) {
 	Convey("A value that isn't published yet is read each second or so", t, func() {
-		m, _ := alone()
+		m, _ := machineWithoutPeers()
 		m.spec.Quick = 60
 		for n := range 20 {
 			at := mgclock.Millis(n) * sec
-			m.manifest.done(at, ResultSpec{Err: mgplatform.ErrMissing}, m)
-			So(m.manifest.next-at, ShouldBeBetweenOrEqual, sec/2, 3*sec/2)
+			m.manifestSource.finishRead(at, ResultSpec{Err: mgplatform.ErrMissing}, m)
+			So(m.manifestSource.next-at, ShouldBeBetweenOrEqual, sec/2, 3*sec/2)
 		}
 	})
 }
@@ -290,10 +290,10 @@
 // Every entry of a region watches the list as often as the one that needs its
 // changes at once, and the platform counts each call; or none does, and an
 // engine's notice of two seconds is half over when it is seen.
-func TestQuickWatcher(t *testing.T) {
+func TestMoreThanOneQuickWatcher(t *testing.T) {
 	Convey("Of the processes of a region one watches quickly", t, func() {
 		names := []string{"entry-1", "entry-2", "entry-3"}
-		leaders := 0
+		quickWatchers := 0
 		for _, name := range names {
 			members := mgmember.New(name)
 			m := NewMachine(0, MachineSpec{
@@ -301,7 +301,7 @@
 				Region: "south",
 				Quick:  60,
 			}, members)
-			m.takeList(0, upstreamList(5, mgplatform.Live))
+			m.adoptList(0, upstreamList(5, mgplatform.Live))
 			for _, other := range names {
 				if other == name {
 					continue
@@ -314,32 +314,32 @@
 				})
 			}
 			// Before that a process that nobody listens at may only not know the others.
-			span := m.after(meetSpan, &m.vms) - meetSpan
-			if span == 60 {
-				leaders++
+			interval := m.nextReadAt(discoveryWindow, &m.listSource) - discoveryWindow
+			if interval == 60 {
+				quickWatchers++
 			} else {
-				So(span, ShouldEqual, slowPause)
+				So(interval, ShouldEqual, slowWatchInterval)
 			}
-			So(m.after(0, &m.manifest), ShouldEqual, watchPause)
+			So(m.nextReadAt(0, &m.manifestSource), ShouldEqual, watchInterval)
 		}
-		So(leaders, ShouldEqual, 1)
+		So(quickWatchers, ShouldEqual, 1)
 	})
 	Convey("A process that knows no other watches quickly", t, func() {
-		m, _ := alone()
+		m, _ := machineWithoutPeers()
 		m.spec.Quick = 60
-		So(m.after(0, &m.vms), ShouldEqual, 60)
+		So(m.nextReadAt(0, &m.listSource), ShouldEqual, 60)
 	})
 }
 
 // The platform falls silent without a word and an engine gives notice in the same
 // second. Its reports are cut 1.7 s later: the engine would have said so itself, and
 // was asked only once the list was 1.5 s old.
-func TestSilentPlatform(t *testing.T) {
+func TestSilentPlatformHidesNotice(t *testing.T) {
 	Convey("The one that watches quickly asks upstreams once two watches are overdue", t, func() {
-		m, _ := alone()
+		m, _ := machineWithoutPeers()
 		m.spec.Quick = 60
-		m.vms.heard = 1000
-		So(m.Stale(1000+quickStale-1), ShouldBeFalse)
-		So(m.Stale(1000+quickStale), ShouldBeTrue)
+		m.listSource.confirmedAt = 1000
+		So(m.IsListStale(1000+quickStaleTimeout-1), ShouldBeFalse)
+		So(m.IsListStale(1000+quickStaleTimeout), ShouldBeTrue)
 	})
 }
--- a/internal/version/mgconfig/spread.go
+++ b/internal/version/mgconfig/exchange.go
@@ -13,7 +13,7 @@
 	// and exchanges reach the rest.
 	fanout = 4
 	// farShare is one in how many peers is chosen outside of the own zone.
-	farShare = 4
+	otherZoneOneIn = 4
 )
 
 // peer is a process that can be asked.
@@ -23,17 +23,17 @@
 }
 
 // choose returns a random peer, most often of the own zone, or none.
-func (m *Machine) choose() peer {
+func (m *Machine) choosePeer() peer {
 	peers := m.members.View().Peers()
 	if len(peers) == 0 {
 		return m.seed()
 	}
-	far := m.rng.IntN(farShare) == 0
+	otherZone := m.rng.IntN(otherZoneOneIn) == 0
 	var chosen *mgmember.Member
 	// A few draws find a peer on the wanted side where there is one.
-	for range 2 * farShare {
+	for range 2 * otherZoneOneIn {
 		chosen = peers[m.rng.IntN(len(peers))]
-		if (chosen.Zone() != m.spec.Zone) == far {
+		if (chosen.Zone() != m.spec.Zone) == otherZone {
 			break
 		}
 	}
@@ -58,20 +58,20 @@
 }
 
 // named returns the peer of a name, or a random one when it isn't known.
-func (m *Machine) named(name string) peer {
+func (m *Machine) peerNamed(name string) peer {
 	if member, ok := m.members.View().Member(name); ok && name != m.spec.Name {
 		return peerOf(member)
 	}
-	return m.choose()
+	return m.choosePeer()
 }
 
 // ask exchanges summaries with a peer, unless one exchange with it is under
 // way: version numbers on many calls at once make for one exchange.
-func (m *Machine) ask(p peer) []Action {
-	if p.addr == "" || m.asked[p.addr] {
+func (m *Machine) exchangeWith(p peer) []Action {
+	if p.addr == "" || m.exchanging[p.addr] {
 		return nil
 	}
-	m.asked[p.addr] = true
+	m.exchanging[p.addr] = true
 	m.counts.Exchanges++
 	return []Action{{
 		kind:    Exchange,
@@ -82,10 +82,10 @@
 }
 
 // push tells a few peers what is new here.
-func (m *Machine) push(mgclock.Millis) []Action {
+func (m *Machine) pushToPeers(mgclock.Millis) []Action {
 	var actions []Action
 	for range fanout {
-		actions = append(actions, m.ask(m.choose())...)
+		actions = append(actions, m.exchangeWith(m.choosePeer())...)
 	}
 	return actions
 }
@@ -93,58 +93,58 @@
 // pushList tells a few peers of a newer list, unless those that need it are told
 // otherwise.
 func (m *Machine) pushList(now mgclock.Millis) []Action {
-	if m.listening.well(now) {
+	if m.longPoll.isFresh(now) {
 		return nil
 	}
-	return m.push(now)
+	return m.pushToPeers(now)
 }
 
 // Heard takes a peer's summary and returns the own one as it was before.
-func (m *Machine) Heard(now mgclock.Millis, s *mgrpc.Summary) (*mgrpc.Summary, []Action) {
+func (m *Machine) HandleExchange(now mgclock.Millis, s *mgrpc.Summary) (*mgrpc.Summary, []Action) {
 	m.now = now
 	reply := m.summary()
-	return reply, m.take(now, s)
+	return reply, m.applySummary(now, s)
 }
 
 // Seen takes a version number that came with another call.
-func (m *Machine) Seen(now mgclock.Millis, version uint64, from string) []Action {
+func (m *Machine) ObserveVersion(now mgclock.Millis, version uint64, from string) []Action {
 	m.now = now
-	if version <= m.Current().Version() || m.pull != nil && m.pull.mark.version >= version {
+	if version <= m.Current().Version() || m.pull != nil && m.pull.key.version >= version {
 		return nil
 	}
-	return m.ask(m.named(from))
+	return m.exchangeWith(m.peerNamed(from))
 }
 
 // exchanged takes the answer to an exchange.
-func (m *Machine) exchanged(now mgclock.Millis, result ResultSpec) []Action {
-	delete(m.asked, result.Action.addr)
+func (m *Machine) handleExchangeResult(now mgclock.Millis, result ResultSpec) []Action {
+	delete(m.exchanging, result.Action.addr)
 	if result.Err != nil {
 		if result.Action.peer != "" {
 			m.members.Failed(now, result.Action.peer)
 		}
-		m.noteDark(now, result.Action.addr)
+		m.recordUnreachable(now, result.Action.addr)
 		return nil
 	}
-	m.join.heard(result.Summary)
-	return m.take(now, result.Summary)
+	m.join.recordAnswer(result.Summary)
+	return m.applySummary(now, result.Summary)
 }
 
 // take learns from a summary.
-func (m *Machine) take(now mgclock.Millis, s *mgrpc.Summary) []Action {
+func (m *Machine) applySummary(now mgclock.Millis, s *mgrpc.Summary) []Action {
 	if s.GetName() == m.spec.Name {
 		return nil
 	}
 	m.members.Heard(now, s.GetName(), s.GetIncarnation(), s.GetLeaving())
-	m.meet(now, s)
-	actions := m.takeDepartures(now, s.GetDeparted())
+	m.introduceAll(now, s)
+	actions := m.applyDepartures(now, s.GetDeparted())
 	from := peer{
 		name: s.GetName(),
 		addr: s.GetAddr(),
 	}
-	if s.GetList() > m.members.View().Version() && !m.listening.well(now) {
+	if s.GetList() > m.members.View().Version() && !m.longPoll.isFresh(now) {
 		actions = append(actions, m.fetchList(now, from)...)
 	}
-	m.learn(now, mark{
+	m.learnVersion(now, versionKey{
 		version: s.GetVersion(),
 		digest:  s.GetDigest(),
 	}, from)
@@ -152,7 +152,7 @@
 }
 
 // listPull is a fetch of the list of VMs from a peer.
-type listPull struct {
+type listFetchState struct {
 	busy bool
 	next mgclock.Millis
 }
@@ -160,15 +160,15 @@
 // knownLimit is how many other processes a summary names. With eight, two
 // processes that know only the same seed know of each other after one exchange
 // with it in a fleet of nine, and after a few in one of hundreds.
-const knownLimit = 8
+const maxKnown = 8
 
 // knownSpan is how lately a process was heard that a summary names: what others
 // say of a dead one must not keep it known.
-const knownSpan = 10 * mgclock.Second
+const knownMaxAge = 10 * mgclock.Second
 
 // acquainted returns processes that the list doesn't name and that were heard lately.
 // On a platform that lists all of them there are none.
-func (m *Machine) acquainted() []*mgrpc.Known {
+func (m *Machine) unlistedPeers() []*mgrpc.Known {
 	var known []*mgrpc.Known
 	peers := m.members.View().Peers()
 	if len(peers) == 0 {
@@ -177,7 +177,7 @@
 	first := m.rng.IntN(len(peers))
 	for i := range peers {
 		peer := peers[(first+i)%len(peers)]
-		if peer.Listed() || !m.members.Recent(m.now, peer.Name(), knownSpan) {
+		if peer.Listed() || !m.members.Recent(m.now, peer.Name(), knownMaxAge) {
 			continue
 		}
 		known = append(known, &mgrpc.Known{
@@ -187,7 +187,7 @@
 			Region: peer.Region(),
 			Power:  int64(peer.Power()),
 		})
-		if len(known) == knownLimit {
+		if len(known) == maxKnown {
 			break
 		}
 	}
@@ -196,33 +196,33 @@
 
 // departedSpan is how long peers are told of an upstream that said itself that
 // it leaves: longer than a notice and the time until the list shows it.
-const departedSpan = 5 * mgclock.Second
+const departureTTL = 5 * mgclock.Second
 
 // Departed takes an upstream's own word that it leaves, and tells peers: each
 // would else find out by itself, up to a second later of a notice of two.
-func (m *Machine) Departed(now mgclock.Millis, upstream string) []Action {
+func (m *Machine) HandleDeparture(now mgclock.Millis, upstream string) []Action {
 	m.now = now
-	if !m.depart(now, m.members.DepartureOf(upstream)) {
+	if !m.applyDeparture(now, m.members.DepartureOf(upstream)) {
 		return nil
 	}
-	return m.push(now)
+	return m.pushToPeers(now)
 }
 
 // takeDepartures takes what a peer tells of upstreams that leave. What is news is told
 // on: the first to know tells a few peers only.
-func (m *Machine) takeDepartures(now mgclock.Millis, told []string) []Action {
-	news := false
-	for _, text := range told {
-		news = m.depart(now, m.members.ReadDeparture(text)) || news
+func (m *Machine) applyDepartures(now mgclock.Millis, texts []string) []Action {
+	isNew := false
+	for _, text := range texts {
+		isNew = m.applyDeparture(now, m.members.ReadDeparture(text)) || isNew
 	}
-	if !news {
+	if !isNew {
 		return nil
 	}
-	return m.push(now)
+	return m.pushToPeers(now)
 }
 
 // depart takes a departure and reports whether peers should hear of it.
-func (m *Machine) depart(now mgclock.Millis, departure mgmember.Departure) bool {
+func (m *Machine) applyDeparture(now mgclock.Millis, departure mgmember.Departure) bool {
 	if !m.members.Depart(now, departure) {
 		return false
 	}
@@ -237,7 +237,7 @@
 func (m *Machine) departures() []string {
 	var all []string
 	for departure, at := range m.departed {
-		if m.now >= at+departedSpan {
+		if m.now >= at+departureTTL {
 			delete(m.departed, departure)
 			continue
 		}
@@ -247,7 +247,7 @@
 }
 
 // meet makes the sender of a summary known, and those it names.
-func (m *Machine) meet(now mgclock.Millis, s *mgrpc.Summary) {
+func (m *Machine) introduceAll(now mgclock.Millis, s *mgrpc.Summary) {
 	m.introduce(now, &mgrpc.Known{
 		Name:   s.GetName(),
 		Addr:   s.GetAddr(),
@@ -256,16 +256,16 @@
 		Power:  s.GetPower(),
 	})
 	for _, k := range s.GetKnown() {
-		m.introduce(now-knownSpan, k)
+		m.introduce(now-knownMaxAge, k)
 	}
 }
 
 // introduce makes a process known that was heard at a time.
-func (m *Machine) introduce(heard mgclock.Millis, k *mgrpc.Known) {
+func (m *Machine) introduce(lastSeen mgclock.Millis, k *mgrpc.Known) {
 	if k.GetAddr() == "" {
 		return
 	}
-	m.members.Introduce(heard, mgplatform.VM{
+	m.members.Introduce(lastSeen, mgplatform.VM{
 		Name:   k.GetName(),
 		Kind:   mgplatform.EntryKind,
 		Addr:   k.GetAddr(),
@@ -281,33 +281,33 @@
 // budget on them: it takes one in five seconds. A list of 15 rows is taken at
 // once, so that a member that the platform doesn't answer learns from its peers
 // of an upstream that leaves within the two seconds that it may be given.
-const listPullRow = 4 * mgclock.Millis(1)
+const listFetchDelayPerRow = 4 * mgclock.Millis(1)
 
 // listPullMost bounds that interval where a member that lacks the newest list
 // watches the platform by itself: the heartbeats of some thousand upstreams take its link
 // many times as much as a list of as many rows.
-const listPullMost = 1500 * mgclock.Millis(1)
+const maxListFetchInterval = 1500 * mgclock.Millis(1)
 
 // listPullSpan returns the shortest interval of fetches of the list.
-func (m *Machine) listPullSpan() mgclock.Millis {
-	span := listPullRow * mgclock.Millis(len(m.members.View().All()))
+func (m *Machine) listFetchInterval() mgclock.Millis {
+	interval := listFetchDelayPerRow * mgclock.Millis(len(m.members.View().All()))
 	if m.spec.Quick > 0 {
-		return min(span, listPullMost)
+		return min(interval, maxListFetchInterval)
 	}
-	return span
+	return interval
 }
 
 func (m *Machine) fetchList(now mgclock.Millis, from peer) []Action {
-	if m.listPull.busy || now < m.listPull.next || from.addr == "" {
+	if m.listFetch.busy || now < m.listFetch.next || from.addr == "" {
 		return nil
 	}
-	m.listPull.busy = true
+	m.listFetch.busy = true
 	m.counts.Fetches++
 	return []Action{{
-		kind:   Fetch,
-		peer:   from.name,
-		addr:   from.addr,
-		answer: m.spec.Fetch,
+		kind:          Fetch,
+		peer:          from.name,
+		addr:          from.addr,
+		answerTimeout: m.spec.Fetch,
 		fetch: &mgrpc.FetchRequest{
 			List: true,
 		},
@@ -315,16 +315,16 @@
 }
 
 // takeList adopts a list of VMs that is newer. It reports whether it was.
-func (m *Machine) takeList(now mgclock.Millis, data []byte) bool {
+func (m *Machine) adoptList(now mgclock.Millis, data []byte) bool {
 	list, err := mgplatform.ReadList(data)
 	if err != nil {
-		m.refused.add(0, mgplatform.ListKey, err)
+		m.rejections.add(0, mgplatform.ListKey, err)
 		return false
 	}
 	if !m.members.List(now, list) {
 		return false
 	}
-	m.enterEra(now, list.Era)
+	m.setEra(now, list.Era)
 	m.list = data
 	m.counts.Lists++
 	return true
--- a/internal/version/mgconfig/spread_bench_test.go
+++ b/internal/version/mgconfig/exchange_bench_test.go
@@ -39,20 +39,20 @@
 	b.ReportMetric(float64(idleBytes-bytes)/100/float64(count), "idle-B/s")
 	b.ReportMetric(float64(f.readsFrom(60*sec)-reads)/100, "idle-reads/s")
 
-	var spans []mgclock.Millis
+	var delays []mgclock.Millis
 	for edit := range edits {
-		spans = append(spans, f.edit(uint64(edit+2))...)
+		delays = append(delays, f.edit(uint64(edit+2))...)
 	}
-	sort.Slice(spans, func(i, j int) bool { return spans[i] < spans[j] })
+	sort.Slice(delays, func(i, j int) bool { return delays[i] < delays[j] })
 	editMessages, editBytes := f.traffic()
 	seconds := float64(f.net.Now()-160*sec) / 1000
 	extra := float64(editMessages-idleMessages) - float64(idleMessages-messages)*seconds/100
 	extraBytes := float64(editBytes-idleBytes) - float64(idleBytes-bytes)*seconds/100
 	b.ReportMetric(extra/float64(count)/edits, "edit-msg")
 	b.ReportMetric(extraBytes/float64(count)/edits, "edit-B")
-	b.ReportMetric(float64(spans[len(spans)/2]), "p50-ms")
-	b.ReportMetric(float64(spans[len(spans)*99/100]), "p99-ms")
-	b.ReportMetric(float64(spans[len(spans)-1]), "max-ms")
+	b.ReportMetric(float64(delays[len(delays)/2]), "p50-ms")
+	b.ReportMetric(float64(delays[len(delays)*99/100]), "p99-ms")
+	b.ReportMetric(float64(delays[len(delays)-1]), "max-ms")
 }
 
 // edit publishes a version and returns how long each member took.
@@ -60,15 +60,15 @@
 	begin := f.net.Now()
 	f.publish(version, int(version))
 	f.net.Run(begin + 15*sec)
-	var spans []mgclock.Millis
+	var delays []mgclock.Millis
 	for _, n := range f.nodes {
-		at, ok := n.since[version]
+		at, ok := n.inForceAt[version]
 		if !ok {
 			at = f.net.Now()
 		}
-		spans = append(spans, at-begin)
+		delays = append(delays, at-begin)
 	}
-	return spans
+	return delays
 }
 
 // traffic returns the messages and bytes that all members sent and received.
--- a/internal/version/mgconfig/fleet_test.go
+++ b/internal/version/mgconfig/fleet_test.go
@@ -23,38 +23,38 @@
 
 // node is a member of a fleet.
 type node struct {
-	name    string
-	machine *Machine
-	members *mgmember.Members
-	asked   bool // the platform was asked for its first list
-	life    int  // restarts, so that timers of a former life do nothing
-	high    mark
-	since   map[uint64]mgclock.Millis // when a version came in force
-	ready   mgclock.Millis
+	name             string
+	machine          *Machine
+	members          *mgmember.Members
+	hasAskedPlatform bool // the platform was asked for its first list
+	incarnation      int  // restarts, so that timers of a former life do nothing
+	highest          versionKey
+	inForceAt        map[uint64]mgclock.Millis // when a version came in force
+	readyAt          mgclock.Millis
 }
 
 // fleet is a few members over a net.
 type fleet struct {
-	net      *mgnet.Net
-	platform *platform
-	nodes    []*node
-	byName   map[string]*node
-	spread   mgclock.Millis
-	back     string // how a member went back, or ""
+	net        *mgnet.Net
+	platform   *platform
+	nodes      []*node
+	byName     map[string]*node
+	spread     mgclock.Millis
+	regression string // how a member went back, or ""
 
 	// Where quick is set, the platform lists upstreams alone, whose heartbeats end
 	// each watch of the list within beat, and members of one region are told the
 	// list by one another.
-	quick    mgclock.Millis
-	beat     mgclock.Millis
-	dead     map[string]bool
-	cordoned []string // availability zones on the platform's list
+	quick     mgclock.Millis
+	heartbeat mgclock.Millis
+	dead      map[string]bool
+	cordoned  []string // availability zones on the platform's list
 
 	// Where upstreams is set, the platform gives the list in the pages of so many rows,
 	// and allows pageRate reads a second of all members together. The list itself stays
 	// short: its pages are what counts.
-	upstreams int
-	listed    int // upstreams that the list itself shows, 48 where it is 0
+	upstreams       int
+	listedUpstreams int // upstreams that the list itself shows, 48 where it is 0
 }
 
 func newFleet(seed uint64, count int, spread mgclock.Millis) *fleet {
@@ -95,89 +95,89 @@
 func zoneOf(i int) string { return fmt.Sprintf("z%d", i%zoneCount) }
 
 // start begins a new life of a member.
-func (f *fleet) start(i int) {
+func (f *fleet) startNode(i int) {
 	n := f.nodes[i]
-	n.life++
+	n.incarnation++
 	n.members = mgmember.New(n.name)
-	n.high = mark{}
-	n.ready = never
-	n.since = make(map[uint64]mgclock.Millis)
+	n.highest = versionKey{}
+	n.readyAt = never
+	n.inForceAt = make(map[uint64]mgclock.Millis)
 	n.machine = NewMachine(f.net.Now(), MachineSpec{
 		Name:        n.name,
 		Zone:        zoneOf(i),
-		Incarnation: fmt.Sprintf("%08d", n.life),
+		Incarnation: fmt.Sprintf("%08d", n.incarnation),
 		Addr:        n.name,
-		Seed:        uint64(i*1000 + n.life),
+		Seed:        uint64(i*1000 + n.incarnation),
 		Spread:      f.spread,
 		Quick:       f.quick,
 		Seeds:       f.seeds(),
 	}, n.members)
-	f.tick(n, n.life)
+	f.scheduleTick(n, n.incarnation)
 	if f.quick > 0 {
-		f.report(n, n.life)
+		f.scheduleLoadReports(n, n.incarnation)
 	}
 }
 
 func (f *fleet) startAll() {
 	for i := range f.nodes {
-		f.start(i)
+		f.startNode(i)
 	}
 }
 
-func (f *fleet) tick(n *node, life int) {
-	f.net.At(max(f.net.Now(), n.machine.Wake()), n.name, func() {
-		if n.life != life {
+func (f *fleet) scheduleTick(n *node, incarnation int) {
+	f.net.At(max(f.net.Now(), n.machine.NextTick()), n.name, func() {
+		if n.incarnation != incarnation {
 			return
 		}
 		f.perform(n, n.machine.Tick(f.net.Now()))
-		f.tick(n, life)
+		f.scheduleTick(n, incarnation)
 	})
 }
 
 // perform carries out actions and checks that the member didn't go back.
 func (f *fleet) perform(n *node, actions []Action) {
 	now := f.net.Now()
-	current := n.machine.Current().mark()
-	if n.high.above(current) {
-		f.back = fmt.Sprintf("%s went from %v back to %v at %d", n.name, n.high, current, now)
+	current := n.machine.Current().key()
+	if n.highest.isAfter(current) {
+		f.regression = fmt.Sprintf("%s went from %v back to %v at %d", n.name, n.highest, current, now)
 	}
-	if current.above(n.high) {
-		n.since[current.version] = now
+	if current.isAfter(n.highest) {
+		n.inForceAt[current.version] = now
 	}
-	n.high = current
-	if n.ready == never && n.machine.Ready(now) {
-		n.ready = now
-		if n.machine.join.high.above(current) {
-			f.back = n.name + " is ready below what it heard"
+	n.highest = current
+	if n.readyAt == never && n.machine.Ready(now) {
+		n.readyAt = now
+		if n.machine.join.highest.isAfter(current) {
+			f.regression = n.name + " is ready below what it heard"
 		}
 	}
 	for _, a := range actions {
-		f.carry(n, a)
+		f.start(n, a)
 	}
 }
 
 // carry sends one action and returns its result, once.
-func (f *fleet) carry(n *node, a Action) {
-	life, over := n.life, false
+func (f *fleet) start(n *node, a Action) {
+	incarnation, finished := n.incarnation, false
 	finish := func(result ResultSpec) {
-		if over || n.life != life {
+		if finished || n.incarnation != incarnation {
 			return
 		}
-		over = true
+		finished = true
 		result.Action = a
-		f.perform(n, n.machine.Done(f.net.Now(), result))
+		f.perform(n, n.machine.HandleResult(f.net.Now(), result))
 		if f.quick > 0 {
-			f.kick(n, life)
+			f.tickNow(n, incarnation)
 		}
 	}
-	f.net.At(f.net.Now()+timeout(a), n.name, func() {
+	f.net.At(f.net.Now()+actionTimeout(a), n.name, func() {
 		finish(ResultSpec{
 			Err: mgplatform.ErrDown,
 		})
 	})
 	switch a.Kind() {
-	case Listen:
-		f.listen(n, a, finish)
+	case LongPoll:
+		f.longPoll(n, a, finish)
 	case Gossip:
 		f.gossip(n, a, finish)
 	case Exchange, Fetch:
@@ -197,7 +197,7 @@
 			if f.dead[to.name] {
 				return
 			}
-			reply, actions := to.machine.Heard(f.net.Now(), a.Summary())
+			reply, actions := to.machine.HandleExchange(f.net.Now(), a.Summary())
 			f.perform(to, actions)
 			f.net.Send(to.name, n.name, proto.Size(reply)+callBytes/2, func() {
 				finish(ResultSpec{
@@ -213,7 +213,7 @@
 		}
 		reply := Serve(to.machine.Current(), compress(to.machine.List()), a.Fetch())
 		f.net.Send(to.name, n.name, proto.Size(reply)+callBytes/2, func() {
-			values, list, err := unpack(reply)
+			values, list, err := decompressReply(reply)
 			finish(ResultSpec{
 				Values: values,
 				List:   list,
@@ -230,7 +230,7 @@
 	// firstPages is how many a process reads before it asks peers.
 	firstPages = 4
 	// pageSpan is the time of one page, ms.
-	pageSpan = 4
+	pageDelay = 4
 )
 
 // tableText returns a table of some accounts whose weights follow from edit.
--- a/internal/version/mgconfig/gossip.go
+++ b/internal/version/mgconfig/gossip.go
@@ -18,21 +18,21 @@
 	// gossipSpan is the mean interval at which a process does so. What it is told is
 	// four ways old at most, 12 s of the 30 s that a process stays known; a hundred
 	// rows are 1.3 KB on the wire, a thousand 11 KB.
-	gossipSpan = 3 * mgclock.Second
+	gossipInterval = 3 * mgclock.Second
 	// gossipFirst is the same while that brings processes that were not known: just
 	// after a start, whom others take for the hub changes with each that is.
-	gossipFirst = 500 * mgclock.Millis(1)
+	gossipStartInterval = 500 * mgclock.Millis(1)
 	// gossipAnswer bounds an answer.
-	gossipAnswer = mgclock.Second
+	gossipTimeout = mgclock.Second
 )
 
 // gossiping is the state of a process that tells of others and is told.
-type gossiping struct {
+type gossipState struct {
 	busy bool
 	next mgclock.Millis
 }
 
-func (g *gossiping) wake() mgclock.Millis {
+func (g *gossipState) nextDue() mgclock.Millis {
 	if g.busy {
 		return never
 	}
@@ -40,37 +40,37 @@
 }
 
 // gossip tells the process that gathers for this one, when that is due.
-func (m *Machine) gossip(now mgclock.Millis) []Action {
-	g := &m.gossiping
+func (m *Machine) startGossip(now mgclock.Millis) []Action {
+	g := &m.gossipState
 	if g.busy || now < g.next {
 		return nil
 	}
-	g.next = now + gossipSpan
+	g.next = now + gossipInterval
 	known := m.members.Gossip(now)
 	if len(known) == 0 {
 		return nil
 	}
-	to := m.gossipPeer()
+	to := m.gossipTarget()
 	if m.roles().hub != nil {
 		known = nil // the hub has heard of them before
 	}
 	g.busy = true
 	return []Action{{
-		kind:   Gossip,
-		peer:   to.name,
-		addr:   to.addr,
-		gossip: append(known, m.self()),
-		answer: gossipAnswer,
+		kind:          Gossip,
+		peer:          to.name,
+		addr:          to.addr,
+		gossip:        append(known, m.self()),
+		answerTimeout: gossipTimeout,
 	}}
 }
 
 // gossipPeer returns whom this process tells. Who takes itself for the reader may only
 // not know the one that is, and tells anyone.
-func (m *Machine) gossipPeer() peer {
+func (m *Machine) gossipTarget() peer {
 	r := m.roles()
 	switch {
 	case r.reader == nil:
-		return m.choose()
+		return m.choosePeer()
 	case r.hub == nil:
 		return peerOf(r.reader)
 	default:
@@ -90,23 +90,23 @@
 }
 
 // gossiped takes the answer to what was told.
-func (m *Machine) gossiped(now mgclock.Millis, result ResultSpec) []Action {
-	g := &m.gossiping
+func (m *Machine) handleGossipResult(now mgclock.Millis, result ResultSpec) []Action {
+	g := &m.gossipState
 	g.busy = false
 	if result.Err != nil {
-		g.next = now + gossipFirst + m.jitter(gossipFirst)
+		g.next = now + gossipStartInterval + m.jitter(gossipStartInterval)
 		return nil
 	}
-	span := gossipSpan
+	interval := gossipInterval
 	if m.members.TakeGossip(now, result.Gossip) {
-		span = gossipFirst
+		interval = gossipStartInterval
 	}
-	g.next = now + span*3/4 + m.jitter(span/2)
+	g.next = now + interval*3/4 + m.jitter(interval/2)
 	return nil
 }
 
 // Gossiped takes what a peer tells and returns what is known here.
-func (m *Machine) Gossiped(now mgclock.Millis, all []mgmember.Gossip) []mgmember.Gossip {
+func (m *Machine) HandleGossip(now mgclock.Millis, all []mgmember.Gossip) []mgmember.Gossip {
 	m.members.TakeGossip(now, all)
 	return append(m.members.Gossip(now), m.self())
 }
--- a/internal/version/mgconfig/gossip_test.go
+++ b/internal/version/mgconfig/gossip_test.go
@@ -13,21 +13,21 @@
 // forgets those that it hasn't heard for 30 s, and an exchange with one of a hundred
 // each two seconds hears few. Those that know fewer make fewer cells, and two of four
 // hubs are asked by all.
-func TestManyKnowEachOther(t *testing.T) {
+func TestUnlistedEntriesForgetEachOther(t *testing.T) {
 	Convey("A hundred entries that the platform doesn't list, and a list that doesn't change", t, func() {
 		const count = 100
 		f := newListening(3, count)
 		f.startAll()
 		for at := 12 * sec; at <= 75*sec; at += 9 * sec {
 			f.net.Run(at)
-			least, cells := count, map[int]int{}
+			minKnown, cells := count, map[int]int{}
 			for _, n := range f.nodes {
 				cell := n.members.View().Cell(n.name, "")
 				cells[cell.Of]++
-				least = min(least, 1+len(n.members.View().Able("")))
+				minKnown = min(minKnown, 1+len(n.members.View().Able("")))
 			}
-			t.Logf("at %d ms: each knows %d of %d at least; entries by the cells that they see: %v", at, least, count, cells)
-			So(least, ShouldBeGreaterThanOrEqualTo, count-1)
+			t.Logf("at %d ms: each knows %d of %d at least; entries by the cells that they see: %v", at, minKnown, count, cells)
+			So(minKnown, ShouldBeGreaterThanOrEqualTo, count-1)
 			So(cells[mgmember.Cells(count)], ShouldEqual, count)
 		}
 		Convey("forget one that died, and the dead are not kept by word of mouth", func() {
--- a/internal/version/mgconfig/listen_fleet_test.go
+++ b/internal/version/mgconfig/longpoll_fleet_test.go
@@ -14,7 +14,7 @@
 func newListening(seed uint64, count int) *fleet {
 	f := newFleet(seed, count, 0)
 	f.quick = 60
-	f.beat = 10
+	f.heartbeat = 10
 	f.dead = map[string]bool{}
 	f.list(0)
 	f.publish(1, 1)
@@ -33,8 +33,8 @@
 // and returns its version.
 func (f *fleet) list(change int) uint64 {
 	upstreams := 48
-	if f.listed > 0 {
-		upstreams = f.listed
+	if f.listedUpstreams > 0 {
+		upstreams = f.listedUpstreams
 	}
 	list := mgplatform.List{
 		Version:  f.platform.values[mgplatform.ListKey].Version() + 1,
@@ -60,51 +60,51 @@
 }
 
 // kick has a member that changed its mind look when it is due, as a Loop does.
-func (f *fleet) kick(n *node, life int) {
-	f.net.At(max(f.net.Now(), n.machine.Wake()), n.name, func() {
-		if n.life == life {
+func (f *fleet) tickNow(n *node, incarnation int) {
+	f.net.At(max(f.net.Now(), n.machine.NextTick()), n.name, func() {
+		if n.incarnation == incarnation {
 			f.perform(n, n.machine.Tick(f.net.Now()))
 		}
 	})
 }
 
 // listenStep is how late a held question is answered at most, ms.
-const listenStep = 5
+const longPollCheckInterval = 5
 
 // listen carries a question for the list to a member, which answers once it has what
 // is newer or the wait is over.
-func (f *fleet) listen(n *node, a Action, finish func(ResultSpec)) {
+func (f *fleet) longPoll(n *node, a Action, finish func(ResultSpec)) {
 	to := f.byName[a.Addr()]
-	life := to.life
+	incarnation := to.incarnation
 	f.net.Send(n.name, to.name, callBytes/2, func() {
 		if f.dead[to.name] {
 			return
 		}
-		to.machine.Asked(f.net.Now())
-		f.kick(to, life)
+		to.machine.HandleLongPoll(f.net.Now())
+		f.tickNow(to, incarnation)
 		end := f.net.Now() + a.Wait()
-		var look func()
-		look = func() {
-			if f.dead[to.name] || to.life != life {
+		var check func()
+		check = func() {
+			if f.dead[to.name] || to.incarnation != incarnation {
 				return
 			}
-			word := to.machine.Word(f.net.Now())
-			if word.List <= a.After() && f.net.Now() < end {
-				f.net.At(f.net.Now()+listenStep, to.name, look)
+			report := to.machine.Report(f.net.Now())
+			if report.List <= a.After() && f.net.Now() < end {
+				f.net.At(f.net.Now()+longPollCheckInterval, to.name, check)
 				return
 			}
 			var list []byte
-			if word.List > a.After() {
+			if report.List > a.After() {
 				list = to.machine.List()
 			}
 			f.net.Send(to.name, n.name, len(list)+callBytes/2, func() {
 				finish(ResultSpec{
-					List: list,
-					Word: word,
+					List:   list,
+					Report: report,
 				})
 			})
 		}
-		look()
+		check()
 	})
 }
 
@@ -115,10 +115,10 @@
 		if f.dead[to.name] {
 			return
 		}
-		told := to.machine.Gossiped(f.net.Now(), a.Gossip())
+		reply := to.machine.HandleGossip(f.net.Now(), a.Gossip())
 		f.net.Send(to.name, n.name, callBytes/2, func() {
 			finish(ResultSpec{
-				Gossip: told,
+				Gossip: reply,
 			})
 		})
 	})
@@ -126,28 +126,28 @@
 
 // Intervals of the reports of load, which carry a hub's word; see mgnode.
 const (
-	reportSpan = 200
-	reportWait = 150
+	loadReportInterval = 200
+	loadReportTimeout  = 150
 )
 
 // report has a member tell its hub of its load, again and again.
-func (f *fleet) report(n *node, life int) {
-	f.net.At(f.net.Now()+reportSpan, n.name, func() {
-		if n.life != life || f.dead[n.name] {
+func (f *fleet) scheduleLoadReports(n *node, incarnation int) {
+	f.net.At(f.net.Now()+loadReportInterval, n.name, func() {
+		if n.incarnation != incarnation || f.dead[n.name] {
 			return
 		}
-		f.report(n, life)
+		f.scheduleLoadReports(n, incarnation)
 		if hub := n.machine.roles().hub; hub != nil {
-			f.tell(n, hub)
+			f.sendLoadReport(n, hub)
 		}
 	})
 }
 
-func (f *fleet) tell(n *node, hub *mgmember.Member) {
-	life, over := n.life, false
-	f.net.At(f.net.Now()+reportWait, n.name, func() {
-		if !over && n.life == life {
-			over = true
+func (f *fleet) sendLoadReport(n *node, hub *mgmember.Member) {
+	incarnation, finished := n.incarnation, false
+	f.net.At(f.net.Now()+loadReportTimeout, n.name, func() {
+		if !finished && n.incarnation == incarnation {
+			finished = true
 			n.members.Failed(f.net.Now(), hub.Name())
 		}
 	})
@@ -155,14 +155,14 @@
 		if f.dead[hub.Name()] {
 			return
 		}
-		word := f.byName[hub.Name()].machine.Word(f.net.Now())
+		report := f.byName[hub.Name()].machine.Report(f.net.Now())
 		f.net.Send(hub.Name(), n.name, callBytes/2, func() {
-			if over || n.life != life {
+			if finished || n.incarnation != incarnation {
 				return
 			}
-			over = true
+			finished = true
 			n.members.Answered(f.net.Now(), hub.Name())
-			f.perform(n, n.machine.Take(f.net.Now(), word, hub.Name()))
+			f.perform(n, n.machine.ApplyReport(f.net.Now(), report, hub.Name()))
 		})
 	})
 }
@@ -170,7 +170,7 @@
 // kill ends a member for good.
 func (f *fleet) kill(name string) {
 	f.dead[name] = true
-	f.byName[name].life++
+	f.byName[name].incarnation++
 }
 
 // reader returns the member that reads the list for all others, by what most take
@@ -203,7 +203,7 @@
 }
 
 // lag returns how many live members have a list older than a version.
-func (f *fleet) lag(version uint64) int {
+func (f *fleet) countOutdated(version uint64) int {
 	count := 0
 	for _, n := range f.nodes {
 		if !f.dead[n.name] && n.members.View().Version() < version {
@@ -215,12 +215,12 @@
 
 // known changes the list and returns how long it takes until a share of the members
 // has it.
-func (f *fleet) known(change int, share float64) mgclock.Millis {
+func (f *fleet) timeUntilKnown(change int, share float64) mgclock.Millis {
 	began := f.net.Now()
 	version := f.list(change)
 	for f.net.Now() < began+10*mgclock.Second {
 		f.net.Run(f.net.Now() + 5)
-		if float64(f.lag(version)) <= (1-share)*float64(len(f.nodes)) {
+		if float64(f.countOutdated(version)) <= (1-share)*float64(len(f.nodes)) {
 			break
 		}
 	}
--- a/internal/version/mgconfig/listen_test.go
+++ b/internal/version/mgconfig/longpoll_test.go
@@ -12,33 +12,33 @@
 // The platform bills a hundred entries 4,000 reads in 48 s. Engines come and go by the
 // dozen; each entry that hears of a newer list asks for it and reads it as well, since
 // its own watch ends with the next heartbeat of any engine.
-func TestReadsOfMany(t *testing.T) {
+func TestPlatformReadsGrowWithEntries(t *testing.T) {
 	Convey("While the list changes thrice a second", t, func() {
 		const (
-			warm = 15 * sec
-			day  = 12 * sec
+			warmUp = 15 * sec
+			period = 12 * sec
 			// half of an engine's notice of 1.5 s
-			soon = 750 * mgclock.Millis(1)
+			maxDelay = 750 * mgclock.Millis(1)
 			// a thousand reads on a calm day of 48 s
-			most = 1000 * int(day) / int(48*sec)
+			maxReads = 1000 * int(period) / int(48*sec)
 		)
 		reads := map[int]int{}
 		for _, count := range []int{25, 100} {
 			f := newListening(uint64(count), count)
 			f.startAll()
-			f.net.Run(warm)
-			var spans []mgclock.Millis
-			for change := 0; f.net.Now() < warm+day; change++ {
+			f.net.Run(warmUp)
+			var delays []mgclock.Millis
+			for change := 0; f.net.Now() < warmUp+period; change++ {
 				began := f.net.Now()
-				spans = append(spans, f.known(change, 1))
+				delays = append(delays, f.timeUntilKnown(change, 1))
 				f.net.Run(max(f.net.Now(), began+300))
 			}
-			reads[count] = f.readsFrom(warm)
-			slices.Sort(spans)
+			reads[count] = f.readsFrom(warmUp)
+			slices.Sort(delays)
 			t.Logf("%d entries: %d reads, %d changes known everywhere after %d ms in the median, %d at most",
-				count, reads[count], len(spans), spans[len(spans)/2], spans[len(spans)-1])
-			So(spans[len(spans)-1], ShouldBeLessThanOrEqualTo, soon)
-			So(reads[count], ShouldBeLessThanOrEqualTo, most)
+				count, reads[count], len(delays), delays[len(delays)/2], delays[len(delays)-1])
+			So(delays[len(delays)-1], ShouldBeLessThanOrEqualTo, maxDelay)
+			So(reads[count], ShouldBeLessThanOrEqualTo, maxReads)
 		}
 		// Three in each of the four cells watch for versions of the table.
 		So(reads[100], ShouldBeLessThanOrEqualTo, reads[25]*3/2)
@@ -58,10 +58,10 @@
 // The entry that reads the list for all others, or one that tells it to a cell, dies or
 // stands still. An engine gives notice of two seconds in that moment, and its answers are
 // cut unless the others see it by other ways.
-func TestTellerFails(t *testing.T) {
+func TestListDelayedWhenReaderOrHubFails(t *testing.T) {
 	const freeze = 4 * sec
 	die := func(f *fleet, name string) { f.kill(name) }
-	stand := func(f *fleet, name string) { f.net.Pause(name, freeze) }
+	pause := func(f *fleet, name string) { f.net.Pause(name, freeze) }
 	for _, c := range []struct {
 		name   string
 		victim func(*fleet) string
@@ -83,13 +83,13 @@
 		{
 			name:   "the reader of a region stands still",
 			victim: (*fleet).reader,
-			fail:   stand,
+			fail:   pause,
 			share:  0.99,
 		},
 		{
 			name:   "the hub of a cell stands still",
 			victim: otherHub,
-			fail:   stand,
+			fail:   pause,
 			share:  0.99,
 		},
 	} {
@@ -100,19 +100,19 @@
 			victim := c.victim(f)
 			So(victim, ShouldNotBeEmpty)
 			c.fail(f, victim)
-			span := f.known(1, c.share)
-			t.Logf("the next change was known after %d ms", span)
-			So(span, ShouldBeLessThanOrEqualTo, 1500)
+			delay := f.timeUntilKnown(1, c.share)
+			t.Logf("the next change was known after %d ms", delay)
+			So(delay, ShouldBeLessThanOrEqualTo, 1500)
 			// Later, also once who stood still goes on, changes are known as before.
 			f.net.Run(f.net.Now() + freeze + sec)
-			So(f.known(2, 1), ShouldBeLessThanOrEqualTo, 750)
+			So(f.timeUntilKnown(2, 1), ShouldBeLessThanOrEqualTo, 750)
 		})
 	}
 }
 
 // Half of a region's entries are cut off from the entry that reads the list, and not
 // from the platform. What leaves meanwhile is not seen by that half.
-func TestReaderCutOff(t *testing.T) {
+func TestListDelayedWhenReaderUnreachable(t *testing.T) {
 	Convey("A reader that half of the entries can't reach", t, func() {
 		f := newListening(9, 100)
 		f.startAll()
@@ -125,46 +125,46 @@
 		f.net.Cut(0, func(from, to string) bool {
 			return from == reader && half[to] || to == reader && half[from]
 		})
-		So(f.known(1, 1), ShouldBeLessThanOrEqualTo, 1500)
+		So(f.timeUntilKnown(1, 1), ShouldBeLessThanOrEqualTo, 1500)
 	})
 }
 
 // The platform turns all away for eight seconds. A hundred entries ask it again and
 // again, twice a second each, 3,300 times; or they ask so rarely that an engine's notice
 // just after its return is not seen.
-func TestReadsWhileAway(t *testing.T) {
+func TestRetryStormWhilePlatformDown(t *testing.T) {
 	Convey("While the platform turns all away", t, func() {
-		const away = 8 * sec
+		const outage = 8 * sec
 		f := newListening(11, 100)
 		f.startAll()
 		f.net.Run(15 * sec)
 		before := f.readsFrom(0)
 		f.platform.down = true
-		f.net.Run(15*sec + away)
+		f.net.Run(15*sec + outage)
 		reads := f.readsFrom(0) - before
-		t.Logf("100 entries made %d reads in %d ms", reads, away)
+		t.Logf("100 entries made %d reads in %d ms", reads, outage)
 		So(reads, ShouldBeLessThanOrEqualTo, 1000)
 		f.platform.down = false
-		span := f.known(1, 1)
-		t.Logf("the next change was known everywhere after %d ms", span)
-		So(span, ShouldBeLessThanOrEqualTo, 1500)
+		delay := f.timeUntilKnown(1, 1)
+		t.Logf("the next change was known everywhere after %d ms", delay)
+		So(delay, ShouldBeLessThanOrEqualTo, 1500)
 	})
 }
 
 // The entry that reads the list for all others is turned away by the platform. The
 // others take its old word for the platform's.
-func TestReaderTurnedAway(t *testing.T) {
+func TestOldReportTakenAsFresh(t *testing.T) {
 	Convey("A word without the platform's is not told on", t, func() {
-		m, _ := alone()
+		m, _ := machineWithoutPeers()
 		m.spec.Quick = 60
-		m.vms.heard = 1000
-		m.vms.failures = 1
-		So(m.Word(1200).Age, ShouldBeLessThan, 0)
+		m.listSource.confirmedAt = 1000
+		m.listSource.failures = 1
+		So(m.Report(1200).Age, ShouldBeLessThan, 0)
 		Convey("unless another's is as fresh", func() {
-			m.confirmed = 1100
-			m.vms.heard = 1100
-			So(m.Word(1200).Age, ShouldEqual, 100)
-			So(m.Word(1100+wordAge).Age, ShouldBeLessThan, 0)
+			m.peerConfirmedAt = 1100
+			m.listSource.confirmedAt = 1100
+			So(m.Report(1200).Age, ShouldEqual, 100)
+			So(m.Report(1100+maxReportAge).Age, ShouldBeLessThan, 0)
 		})
 	})
 }
--- a/internal/version/mgconfig/loop.go
+++ b/internal/version/mgconfig/loop.go
@@ -58,27 +58,27 @@
 	spec    LoopSpec
 	machine *Machine
 
-	mu      sync.Mutex
-	told    *Snapshot     // the last snapshot that was reported
-	refused error         // the last refusal that was reported
-	cordons []string      // the cordoned availability zones that were reported
-	changed chan struct{} // closed and replaced at each adoption
-	listed  chan struct{} // the same at each newer list of VMs
-	packed  Listing       // the list that was packed last, and its version
-	kick    chan struct{} // wakes Run after the machine changed its mind
-	ctx     context.Context
-	stopped bool
-	running sync.WaitGroup
+	mu                sync.Mutex
+	reported          *Snapshot     // the last snapshot that was reported
+	reportedRejection error         // the last refusal that was reported
+	reportedCordons   []string      // the cordoned availability zones that were reported
+	tableChanged      chan struct{} // closed and replaced at each adoption
+	listChanged       chan struct{} // the same at each newer list of VMs
+	compressed        Listing       // the list that was packed last, and its version
+	wakeRun           chan struct{} // wakes Run after the machine changed its mind
+	ctx               context.Context
+	stopped           bool
+	actionsRunning    sync.WaitGroup
 }
 
 // NewLoop returns a loop. It does nothing until Run.
 func NewLoop(spec LoopSpec) *Loop {
 	return &Loop{
-		spec:    spec,
-		machine: NewMachine(spec.Clock.Now(), spec.Machine, spec.Members),
-		changed: make(chan struct{}),
-		listed:  make(chan struct{}),
-		kick:    make(chan struct{}, 1),
+		spec:         spec,
+		machine:      NewMachine(spec.Clock.Now(), spec.Machine, spec.Members),
+		tableChanged: make(chan struct{}),
+		listChanged:  make(chan struct{}),
+		wakeRun:      make(chan struct{}, 1),
 	}
 }
 
@@ -96,7 +96,7 @@
 func (l *Loop) Stale() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.machine.Stale(l.spec.Clock.Now())
+	return l.machine.IsListStale(l.spec.Clock.Now())
 }
 
 // Certain reports whether the table in force was the newest a moment ago, so that what it
@@ -104,7 +104,7 @@
 func (l *Loop) Certain() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.machine.Certain(l.spec.Clock.Now())
+	return l.machine.TableConfirmed(l.spec.Clock.Now())
 }
 
 // Status returns the state for the dump.
@@ -122,25 +122,25 @@
 	l.mu.Unlock()
 	for ctx.Err() == nil {
 		l.step((*Machine).Tick)
-		l.rest(ctx)
+		l.waitUntilDue(ctx)
 	}
 	l.mu.Lock()
 	l.stopped = true
 	l.mu.Unlock()
-	l.running.Wait()
+	l.actionsRunning.Wait()
 }
 
 // rest waits until the machine is due or was changed by a call.
-func (l *Loop) rest(ctx context.Context) {
+func (l *Loop) waitUntilDue(ctx context.Context) {
 	l.mu.Lock()
-	span := l.machine.Wake() - l.spec.Clock.Now()
+	delay := l.machine.NextTick() - l.spec.Clock.Now()
 	l.mu.Unlock()
-	if span <= 0 {
+	if delay <= 0 {
 		return
 	}
 	select {
-	case <-l.spec.Clock.After(span):
-	case <-l.kick:
+	case <-l.spec.Clock.After(delay):
+	case <-l.wakeRun:
 	case <-ctx.Done():
 	}
 }
@@ -151,8 +151,8 @@
 	if version <= l.Current().Version() {
 		return
 	}
-	l.act(func(m *Machine, now mgclock.Millis) []Action {
-		return m.Seen(now, version, from)
+	l.stepAndWakeRun(func(m *Machine, now mgclock.Millis) []Action {
+		return m.ObserveVersion(now, version, from)
 	})
 }
 
@@ -161,7 +161,7 @@
 func (l *Loop) Await(ctx context.Context, version uint64) error {
 	for {
 		l.mu.Lock()
-		changed := l.changed
+		changed := l.tableChanged
 		l.mu.Unlock()
 		if l.Current().Version() >= version {
 			return nil
@@ -176,39 +176,39 @@
 
 // Departed takes an upstream's own word that it leaves, and tells peers.
 func (l *Loop) Departed(upstream string) {
-	l.act(func(m *Machine, now mgclock.Millis) []Action { return m.Departed(now, upstream) })
+	l.stepAndWakeRun(func(m *Machine, now mgclock.Millis) []Action { return m.HandleDeparture(now, upstream) })
 }
 
 // LookForTable has the table read from the platform at once, where another call to it has
 // shown that there is a newer one.
-func (l *Loop) LookForTable() { l.act((*Machine).LookForTable) }
+func (l *Loop) LookForTable() { l.stepAndWakeRun((*Machine).ReadTableNow) }
 
 // Take takes another process's word of the platform.
 func (l *Loop) Take(word Word, from string) {
-	l.step(func(m *Machine, now mgclock.Millis) []Action { return m.Take(now, word, from) })
+	l.step(func(m *Machine, now mgclock.Millis) []Action { return m.ApplyReport(now, word, from) })
 }
 
 // Reseed replaces the addresses of peers to ask while no other is known.
 func (l *Loop) Reseed(seeds []string) {
-	l.act(func(m *Machine, _ mgclock.Millis) []Action {
+	l.stepAndWakeRun(func(m *Machine, _ mgclock.Millis) []Action {
 		m.spec.Seeds = seeds
 		return nil
 	})
 }
 
 // Leave tells a few peers that this process leaves, and all that ask later.
-func (l *Loop) Leave() { l.act((*Machine).Leave) }
+func (l *Loop) Leave() { l.stepAndWakeRun((*Machine).Leave) }
 
 // act lets the machine decide and has Run look when it is due next.
-func (l *Loop) act(decide func(*Machine, mgclock.Millis) []Action) {
+func (l *Loop) stepAndWakeRun(decide func(*Machine, mgclock.Millis) []Action) {
 	l.step(decide)
-	l.kickRun()
+	l.signalRun()
 }
 
 // kickRun has Run look when the machine is due next.
-func (l *Loop) kickRun() {
+func (l *Loop) signalRun() {
 	select {
-	case l.kick <- struct{}{}:
+	case l.wakeRun <- struct{}{}:
 	default:
 	}
 }
@@ -223,59 +223,59 @@
 	before := l.machine.members.View().Version()
 	actions := decide(l.machine, l.spec.Clock.Now())
 	if view := l.machine.members.View(); view.Version() != before {
-		close(l.listed)
-		l.listed = make(chan struct{})
+		close(l.listChanged)
+		l.listChanged = make(chan struct{})
 		l.reportCordons(view)
 	}
-	l.report()
+	l.reportTable()
 	for _, action := range actions {
-		l.running.Add(1)
+		l.actionsRunning.Add(1)
 		go l.perform(action)
 	}
 }
 
 // report logs and hands on what the machine adopted or refused.
-func (l *Loop) report() {
-	if version, err := l.machine.Refused(); err != nil && err != l.refused {
-		l.refused = err
+func (l *Loop) reportTable() {
+	if version, err := l.machine.LastRejection(); err != nil && err != l.reportedRejection {
+		l.reportedRejection = err
 		l.spec.Log.Error(err, "a version of the table was refused, the last good one stays",
 			"version", version, "inforce", l.Current().Version())
 	}
 	current := l.Current()
-	if current == l.told {
+	if current == l.reported {
 		return
 	}
-	l.told = current
+	l.reported = current
 	l.spec.Log.Info("a version of the table is in force",
 		"version", current.Version(), "accounts", current.Table().Len(), "digest", current.Digest())
 	if l.spec.Adopted != nil {
 		l.spec.Adopted(current)
 	}
-	close(l.changed)
-	l.changed = make(chan struct{})
+	close(l.tableChanged)
+	l.tableChanged = make(chan struct{})
 }
 
 // reportCordons logs each change of the availability zones that get no new work.
 func (l *Loop) reportCordons(view *mgmember.View) {
 	cordons := slices.Sorted(maps.Keys(view.Cordoned()))
-	if slices.Equal(cordons, l.cordons) {
+	if slices.Equal(cordons, l.reportedCordons) {
 		return
 	}
-	l.cordons = cordons
+	l.reportedCordons = cordons
 	l.spec.Log.Info("the availability zones that get no new work have changed",
 		"cordoned", cordons, "list", view.Version())
 }
 
 // perform carries out one action.
 func (l *Loop) perform(action Action) {
-	defer l.running.Done()
+	defer l.actionsRunning.Done()
 	result := l.call(action)
 	if result.Err != nil && action.kind != Read && action.kind != Watch && l.ctx.Err() == nil {
 		l.spec.Log.Info("a peer gave no answer", "peer", action.peer, "address", action.addr,
 			"pages", action.kind == Fetch, "why", result.Err.Error())
 	}
-	l.act(func(m *Machine, now mgclock.Millis) []Action {
-		return m.Done(now, result)
+	l.stepAndWakeRun(func(m *Machine, now mgclock.Millis) []Action {
+		return m.HandleResult(now, result)
 	})
 }
 
@@ -283,7 +283,7 @@
 	result := ResultSpec{
 		Action: action,
 	}
-	ctx, cancel := context.WithTimeout(l.ctx, timeout(action).Duration())
+	ctx, cancel := context.WithTimeout(l.ctx, actionTimeout(action).Duration())
 	defer cancel()
 	switch action.kind {
 	case Exchange:
@@ -292,12 +292,12 @@
 		var reply *mgrpc.FetchReply
 		reply, result.Err = l.spec.Fetch(ctx, action.addr, action.fetch)
 		if result.Err == nil {
-			result.Values, result.List, result.Err = unpack(reply)
+			result.Values, result.List, result.Err = decompressReply(reply)
 		}
-	case Listen:
+	case LongPoll:
 		var listing Listing
 		listing, result.Err = l.spec.Listen(ctx, action.addr, action.after, action.wait)
-		result.Word = listing.Word
+		result.Report = listing.Word
 		if result.Err == nil && listing.Packed != nil {
 			result.List, result.Err = decompress(listing.Packed)
 		}
@@ -311,13 +311,13 @@
 	return result
 }
 
-func timeout(action Action) mgclock.Millis {
+func actionTimeout(action Action) mgclock.Millis {
 	switch action.kind {
 	case Exchange:
 		return exchangeTimeout
 	case Fetch:
-		return or(action.answer, fetchTimeout)
+		return orDefault(action.answerTimeout, fetchTimeout)
 	default:
-		return action.wait + or(action.answer, readTimeout)
+		return action.wait + orDefault(action.answerTimeout, readTimeout)
 	}
 }
--- a/internal/version/mgconfig/machine.go
+++ b/internal/version/mgconfig/machine.go
@@ -63,70 +63,70 @@
 	rng     *rand.Rand
 	current atomic.Pointer[Snapshot]
 
-	now        mgclock.Millis // of the last call
-	list       []byte         // the text of the list of VMs in use
-	leaving    bool
-	departed   map[mgmember.Departure]mgclock.Millis // when that was learned
-	exchange   mgclock.Millis                        // next exchange
-	tick       mgclock.Millis                        // next tick of the members
-	manifest   source
-	looking    bool           // the platform has a newer table, which is being read
-	tableHeard bool           // it has been said once that there is no newer table
-	tableAsOf  mgclock.Millis // when that was so last
-	era        uint64         // of the list in use; see mgplatform.List
-	copied     bool           // the platform has come back from a copy
-	copiedAt   mgclock.Millis // when that was learned
-	confirmed  mgclock.Millis // when another's word of the list was last the platform's
-	vms        source
-	budget     budget
-	pull       *pull
-	pulls      int // number of pulls begun
-	listPull   listPull
-	listening  listening
-	listeners  mgclock.Millis // when another listened at this process last
-	gossiping  gossiping
-	assigned   roles           // as of the last view; see the method roles
-	asked      map[string]bool // peers with an exchange under way
-	join       join
-	refused    refused
-	counts     Counts
+	now              mgclock.Millis // of the last call
+	list             []byte         // the text of the list of VMs in use
+	leaving          bool
+	departed         map[mgmember.Departure]mgclock.Millis // when that was learned
+	nextExchange     mgclock.Millis                        // next exchange
+	nextTick         mgclock.Millis                        // next tick of the members
+	manifestSource   source
+	tableReadPending bool           // the platform has a newer table, which is being read
+	tableConfirmed   bool           // it has been said once that there is no newer table
+	tableConfirmedAt mgclock.Millis // when that was so last
+	era              uint64         // of the list in use; see mgplatform.List
+	restored         bool           // the platform has come back from a copy
+	restoredAt       mgclock.Millis // when that was learned
+	peerConfirmedAt  mgclock.Millis // when another's word of the list was last the platform's
+	listSource       source
+	budget           budget
+	pull             *pull
+	pullCount        int // number of pulls begun
+	listFetch        listFetchState
+	longPoll         longPollState
+	lastPolledAt     mgclock.Millis // when another listened at this process last
+	gossipState      gossipState
+	cachedRoles      roles           // as of the last view; see the method roles
+	exchanging       map[string]bool // peers with an exchange under way
+	join             join
+	rejections       rejections
+	counts           Counts
 }
 
 // exchangeSpan is the mean interval of exchanges. Together with the push it
 // brings a version to all members in a few rounds; at two seconds the messages
 // of an idle member stay under one and a half a second, sent and received.
-const exchangeSpan = 2 * mgclock.Second
+const exchangeInterval = 2 * mgclock.Second
 
 // tickSpan is the interval at which suspicions of members end.
-const tickSpan = mgclock.Second
+const tickInterval = mgclock.Second
 
 // NewMachine returns a machine that starts at a time.
 func NewMachine(now mgclock.Millis, spec MachineSpec, members *mgmember.Members) *Machine {
 	m := &Machine{
-		spec:    spec,
-		members: members,
-		rng:     rand.New(rand.NewPCG(spec.Seed, 0)),
-		asked:   make(map[string]bool),
+		spec:       spec,
+		members:    members,
+		rng:        rand.New(rand.NewPCG(spec.Seed, 0)),
+		exchanging: make(map[string]bool),
 	}
-	m.confirmed = now - wordAge
-	m.listeners = now - listenersLife
-	m.manifest.key = mgplatform.ManifestKey
-	m.vms.key = mgplatform.ListKey
-	m.exchange = now + m.jitter(exchangeSpan)
-	m.gossiping.next = now + m.jitter(gossipFirst)
-	m.tick = now + tickSpan
-	m.vms.next = now + m.jitter(spec.Spread)
-	m.manifest.next = m.vms.next
+	m.peerConfirmedAt = now - maxReportAge
+	m.lastPolledAt = now - pollersTTL
+	m.manifestSource.key = mgplatform.ManifestKey
+	m.listSource.key = mgplatform.ListKey
+	m.nextExchange = now + m.jitter(exchangeInterval)
+	m.gossipState.next = now + m.jitter(gossipStartInterval)
+	m.nextTick = now + tickInterval
+	m.listSource.next = now + m.jitter(spec.Spread)
+	m.manifestSource.next = m.listSource.next
 	m.join.begin(now)
 	return m
 }
 
 // or returns span, or standard where span is 0.
-func or(span, standard mgclock.Millis) mgclock.Millis {
-	if span > 0 {
-		return span
+func orDefault(value, fallback mgclock.Millis) mgclock.Millis {
+	if value > 0 {
+		return value
 	}
-	return standard
+	return fallback
 }
 
 // Current returns the snapshot in force, or nil. It takes no lock.
@@ -136,69 +136,69 @@
 func (m *Machine) Leave(now mgclock.Millis) []Action {
 	m.now = now
 	m.leaving = true
-	return m.push(now)
+	return m.pushToPeers(now)
 }
 
 // Tick does what is due.
 func (m *Machine) Tick(now mgclock.Millis) []Action {
 	m.now = now
 	var actions []Action
-	if now >= m.tick {
-		m.tick = now + tickSpan
+	if now >= m.nextTick {
+		m.nextTick = now + tickInterval
 		m.members.Tick(now)
 	}
 	actions = append(actions, m.readPlatform(now)...)
-	actions = append(actions, m.listen(now)...)
-	actions = append(actions, m.gossip(now)...)
-	if now >= m.exchange {
-		span := m.exchangePause(now)
-		m.exchange = now + span*3/4 + m.jitter(span/2)
-		actions = append(actions, m.ask(m.choose())...)
+	actions = append(actions, m.startLongPoll(now)...)
+	actions = append(actions, m.startGossip(now)...)
+	if now >= m.nextExchange {
+		interval := m.currentExchangeInterval(now)
+		m.nextExchange = now + interval*3/4 + m.jitter(interval/2)
+		actions = append(actions, m.exchangeWith(m.choosePeer())...)
 	}
-	actions = append(actions, m.askFirst(now)...)
+	actions = append(actions, m.askPeersForJoin(now)...)
 	actions = append(actions, m.stepPull(now)...)
 	return actions
 }
 
 // Wake returns when Tick is due next.
-func (m *Machine) Wake() mgclock.Millis {
-	wake := min(m.tick, m.exchange, m.join.wake(), m.gossiping.wake())
-	if m.listless() {
-		wake = min(wake, m.join.next)
+func (m *Machine) NextTick() mgclock.Millis {
+	next := min(m.nextTick, m.nextExchange, m.join.nextDue(), m.gossipState.nextDue())
+	if m.lacksFirstList() {
+		next = min(next, m.join.next)
 	}
-	wake = min(wake, m.manifest.wake(), m.vms.wake())
+	next = min(next, m.manifestSource.nextDue(), m.listSource.nextDue())
 	if m.spec.Quick > 0 {
-		wake = min(wake, m.listening.wake())
+		next = min(next, m.longPoll.nextDue())
 	}
 	if m.pull != nil && !m.pull.busy {
-		wake = min(wake, m.pull.next)
+		next = min(next, m.pull.next)
 	}
-	return wake
+	return next
 }
 
 // Done takes the result of an action.
-func (m *Machine) Done(now mgclock.Millis, result ResultSpec) []Action {
+func (m *Machine) HandleResult(now mgclock.Millis, result ResultSpec) []Action {
 	m.now = now
 	switch result.Action.kind {
 	case Exchange:
-		return m.exchanged(now, result)
+		return m.handleExchangeResult(now, result)
 	case Fetch:
-		return m.fetched(now, result)
-	case Listen:
-		return m.listened(now, result)
+		return m.handleFetchResult(now, result)
+	case LongPoll:
+		return m.handleListReply(now, result)
 	case Gossip:
-		return m.gossiped(now, result)
+		return m.handleGossipResult(now, result)
 	default:
-		return m.answered(now, result)
+		return m.handlePlatformResult(now, result)
 	}
 }
 
 // jitter returns a random span up to most.
-func (m *Machine) jitter(most mgclock.Millis) mgclock.Millis {
-	if most <= 0 {
+func (m *Machine) jitter(maxDelay mgclock.Millis) mgclock.Millis {
+	if maxDelay <= 0 {
 		return 0
 	}
-	return mgclock.Millis(m.rng.Int64N(int64(most)))
+	return mgclock.Millis(m.rng.Int64N(int64(maxDelay)))
 }
 
 // summary returns what the process tells its peers.
@@ -215,7 +215,7 @@
 		Zone:        m.spec.Zone,
 		Region:      m.spec.Region,
 		Power:       int64(m.spec.Power),
-		Known:       m.acquainted(),
+		Known:       m.unlistedPeers(),
 		Departed:    m.departures(),
 	}
 }
--- a/internal/version/mgconfig/machine_test.go
+++ b/internal/version/mgconfig/machine_test.go
@@ -20,7 +20,7 @@
 var schedules = flag.Int("schedules", 100, "number of seeded schedules of faults")
 
 // running returns a fleet with version 1 in force.
-func running(seed uint64, count int) *fleet {
+func startedFleet(seed uint64, count int) *fleet {
 	f := newFleet(seed, count, 0)
 	f.publish(1, 0)
 	f.startAll()
@@ -31,7 +31,7 @@
 
 func TestSpread(t *testing.T) {
 	Convey("A fleet with a version in force", t, func() {
-		f := running(1, 14)
+		f := startedFleet(1, 14)
 		all := func(version uint64) map[uint64]int { return map[uint64]int{version: 14} }
 
 		Convey("has the next one within seconds", func() {
@@ -49,14 +49,14 @@
 			f.platform.stale = false
 			f.net.Run(28 * sec)
 			f.platform.stale = true
-			f.start(3)
+			f.startNode(3)
 			f.net.Run(60 * sec)
 			So(f.versions(), ShouldResemble, all(2))
-			So(f.nodes[3].ready, ShouldBeLessThan, 34*sec)
+			So(f.nodes[3].readyAt, ShouldBeLessThan, 34*sec)
 		})
 		Convey("starts a new process while the platform is down, from its peers", func() {
 			f.platform.down = true
-			f.start(3)
+			f.startNode(3)
 			f.nodes[3].machine.spec.Seeds = []string{"vm-0001", "vm-0002"}
 			f.net.Run(30 * sec)
 			So(f.nodes[3].machine.Ready(f.net.Now()), ShouldBeTrue)
@@ -69,7 +69,7 @@
 			f.net.Cut(0, func(from, to string) bool {
 				return (from == "vm-0003" || to == "vm-0003") && from != "platform" && to != "platform"
 			})
-			f.start(3)
+			f.startNode(3)
 			f.net.Run(80 * sec)
 			So(f.nodes[3].machine.Current().Version(), ShouldEqual, 1)
 			So(f.nodes[3].machine.Ready(f.net.Now()), ShouldBeFalse)
@@ -81,7 +81,7 @@
 			f.publishFaulty(2)
 			f.net.Run(30 * sec)
 			So(f.versions(), ShouldResemble, all(1))
-			version, err := f.nodes[0].machine.Refused()
+			version, err := f.nodes[0].machine.LastRejection()
 			So(version, ShouldEqual, 2)
 			So(err.Error(), ShouldContainSubstring, "column weight")
 			f.publish(3, 1)
@@ -122,38 +122,38 @@
 		})
 		Convey("pulls what a call's version number tells of", func() {
 			n := f.nodes[0]
-			So(n.machine.Seen(f.net.Now(), 1, "vm-0001"), ShouldBeEmpty)
-			actions := n.machine.Seen(f.net.Now(), 2, "vm-0001")
+			So(n.machine.ObserveVersion(f.net.Now(), 1, "vm-0001"), ShouldBeEmpty)
+			actions := n.machine.ObserveVersion(f.net.Now(), 2, "vm-0001")
 			So(actions, ShouldHaveLength, 1)
 			So(actions[0].Peer(), ShouldEqual, "vm-0001")
-			So(n.machine.Seen(f.net.Now(), 2, "vm-0001"), ShouldBeEmpty)
+			So(n.machine.ObserveVersion(f.net.Now(), 2, "vm-0001"), ShouldBeEmpty)
 		})
 		Convey("doesn't take a manifest under another version than its own", func() {
 			n := f.nodes[0]
 			old := n.machine.Current().manifest
-			n.machine.learn(f.net.Now(), mark{
+			n.machine.learnVersion(f.net.Now(), versionKey{
 				version: 9,
 				digest:  mgtable.DigestOf(old).String(),
 			}, peer{
 				name: "vm-0001",
 				addr: "vm-0001",
 			})
-			n.machine.takeManifest(f.net.Now(), old)
+			n.machine.applyManifest(f.net.Now(), old)
 			So(n.machine.pull, ShouldBeNil)
-			n.machine.takeManifest(f.net.Now(), []byte("{}"))
+			n.machine.applyManifest(f.net.Now(), []byte("{}"))
 			So(n.machine.Status(f.net.Now()).Faults, ShouldContainSubstring, "manifest")
 		})
-		So(f.back, ShouldBeEmpty)
+		So(f.regression, ShouldBeEmpty)
 	})
 }
 
 // TestOutage: the platform is down for an hour in which an operator publishes an
 // edit to it. When it comes back, every process that had been retrying could read
 // at once and take it down again.
-func TestOutage(t *testing.T) {
+func TestRetryStormAfterOutage(t *testing.T) {
 	Convey("After an hour's outage the platform is read as before, and the edit is in force", t, func() {
 		const count = 42
-		f := running(2, count)
+		f := startedFleet(2, count)
 		f.platform.down = true
 		f.net.Run(3600 * sec)
 		retries := f.readsFrom(3000 * sec)
@@ -165,7 +165,7 @@
 		// Twenty-one watchers read a manifest and nine new pages each at most.
 		So(f.platform.peak(3600*sec), ShouldBeLessThan, 60)
 		So(f.versions(), ShouldResemble, map[uint64]int{2: count})
-		So(f.back, ShouldBeEmpty)
+		So(f.regression, ShouldBeEmpty)
 	})
 }
 
@@ -173,23 +173,23 @@
 // and from the platform, loss, pauses, restarts, a platform that is down or
 // stale, versions that are faulty. A user would see an edit undone by itself.
 func TestSchedules(t *testing.T) {
-	reverted, apart := 0, 0
+	reverted, diverged := 0, 0
 	for seed := range *schedules {
 		f := schedule(uint64(seed))
-		if f.back != "" {
+		if f.regression != "" {
 			reverted++
-			t.Errorf("seed %d: %s", seed, f.back)
+			t.Errorf("seed %d: %s", seed, f.regression)
 		}
-		last := f.nodes[0].machine.Current().mark()
+		last := f.nodes[0].machine.Current().key()
 		for _, n := range f.nodes {
-			if n.machine.Current().mark() != last || last.version%4 == 0 {
-				apart++
-				t.Errorf("seed %d: %s has %v, not %v", seed, n.name, n.machine.Current().mark(), last)
+			if n.machine.Current().key() != last || last.version%4 == 0 {
+				diverged++
+				t.Errorf("seed %d: %s has %v, not %v", seed, n.name, n.machine.Current().key(), last)
 				break
 			}
 		}
 	}
-	t.Logf("%d schedules: %d with a member that went back, %d without agreement after the heal", *schedules, reverted, apart)
+	t.Logf("%d schedules: %d with a member that went back, %d without agreement after the heal", *schedules, reverted, diverged)
 }
 
 // schedule runs a minute of faults and half a minute of heal. Every fourth
@@ -213,7 +213,7 @@
 		case 4:
 			f.net.Pause(f.nodes[rng.IntN(8)].name, mgclock.Millis(rng.IntN(15_000)))
 		case 5:
-			f.start(rng.IntN(8))
+			f.startNode(rng.IntN(8))
 		case 6:
 			f.platform.down = rng.IntN(2) == 0
 			f.platform.freeze(rng.IntN(2) == 0)
@@ -243,13 +243,13 @@
 
 func TestServe(t *testing.T) {
 	Convey("A damaged value of a peer is an error", t, func() {
-		_, _, err := unpack(&mgrpc.FetchReply{
+		_, _, err := decompressReply(&mgrpc.FetchReply{
 			Values: [][]byte{{1, 2, 3}},
 		})
-		So(err, ShouldWrap, errValue)
-		_, _, err = unpack(&mgrpc.FetchReply{
-			List: compress(make([]byte, valueBytes+1)),
+		So(err, ShouldWrap, errDamagedValue)
+		_, _, err = decompressReply(&mgrpc.FetchReply{
+			List: compress(make([]byte, maxValueBytes+1)),
 		})
-		So(err, ShouldWrap, errValue)
+		So(err, ShouldWrap, errDamagedValue)
 	})
 }
--- a/internal/version/mgconfig/platform_fleet_test.go
+++ b/internal/version/mgconfig/platform_fleet_test.go
@@ -15,7 +15,7 @@
 	frozen  map[string]mgplatform.Value // what is shown while stale
 	stale   bool
 	down    bool
-	waiting []func() bool // watches; true when answered
+	watches []func() bool // watches; true when answered
 	cordons int           // changes of the cordons
 	reads   map[mgclock.Millis]int
 }
@@ -34,13 +34,13 @@
 
 func (p *platform) put(key string, data []byte) {
 	p.values[key] = mgplatform.NewValue(p.values[key].Version()+1, data)
-	kept := p.waiting[:0]
-	for _, look := range p.waiting {
-		if !look() {
-			kept = append(kept, look)
+	kept := p.watches[:0]
+	for _, answered := range p.watches {
+		if !answered() {
+			kept = append(kept, answered)
 		}
 	}
-	p.waiting = kept
+	p.watches = kept
 }
 
 func (p *platform) freeze(stale bool) {
@@ -53,19 +53,19 @@
 
 // peak returns the most reads in a second from one time on.
 func (p *platform) peak(from mgclock.Millis) int {
-	most := 0
+	peak := 0
 	for second, count := range p.reads {
 		if second >= from/mgclock.Second {
-			most = max(most, count)
+			peak = max(peak, count)
 		}
 	}
-	return most
+	return peak
 }
 
 func (f *fleet) read(n *node, a Action, finish func(ResultSpec)) {
 	p := f.platform
-	if f.beat > 0 && a.Key() == mgplatform.ListKey {
-		a.wait = min(a.wait, f.beat)
+	if f.heartbeat > 0 && a.Key() == mgplatform.ListKey {
+		a.wait = min(a.wait, f.heartbeat)
 	}
 	answer := func(v mgplatform.Value, err error) {
 		f.net.Send("platform", n.name, len(v.Bytes())+callBytes/2, func() {
@@ -77,8 +77,8 @@
 	}
 	if f.upstreams > 0 && a.Kind() == Read && a.Key() == mgplatform.ListKey {
 		pages := f.upstreams / pageRows
-		if pages > firstPages && !n.asked && !slices.Contains(f.seeds(), n.name) {
-			n.asked = true
+		if pages > firstPages && !n.hasAskedPlatform && !slices.Contains(f.seeds(), n.name) {
+			n.hasAskedPlatform = true
 			f.readPages(n, firstPages, func(_ mgplatform.Value, err error) {
 				if err == nil {
 					err = mgplatform.ErrLong
@@ -101,7 +101,7 @@
 			answer(v, err)
 			return
 		}
-		f.await(a, answer)
+		f.holdWatch(a, answer)
 	})
 }
 
@@ -119,7 +119,7 @@
 		case pages <= 1:
 			answer(p.get(mgplatform.ListKey))
 		default:
-			f.net.At(f.net.Now()+pageSpan, "platform", func() {
+			f.net.At(f.net.Now()+pageDelay, "platform", func() {
 				f.net.Send("platform", n.name, callBytes/2, func() { f.readPages(n, pages-1, answer) })
 			})
 		}
@@ -127,29 +127,29 @@
 }
 
 // await holds a watch until the value changes or the wait is over.
-func (f *fleet) await(a Action, answer func(mgplatform.Value, error)) {
-	over := false
+func (f *fleet) holdWatch(a Action, answer func(mgplatform.Value, error)) {
+	answered := false
 	cordons := f.platform.cordons
-	f.platform.waiting = append(f.platform.waiting, func() bool {
+	f.platform.watches = append(f.platform.watches, func() bool {
 		v, err := f.platform.get(a.Key())
-		if over {
+		if answered {
 			return true
 		}
 		if a.Key() == mgplatform.ManifestKey && f.platform.cordons > cordons && !f.platform.down {
-			over = true
+			answered = true
 			answer(mgplatform.Value{}, mgplatform.ErrCordons)
 			return true
 		}
 		if f.platform.down || err != nil || v.Version() <= a.After() {
 			return false
 		}
-		over = true
+		answered = true
 		answer(v, nil)
 		return true
 	})
 	f.net.At(f.net.Now()+a.Wait(), "platform", func() {
-		if !over {
-			over = true
+		if !answered {
+			answered = true
 			answer(mgplatform.Value{}, mgplatform.ErrUnchanged)
 		}
 	})
--- a/internal/version/mgconfig/pull.go
+++ b/internal/version/mgconfig/pull.go
@@ -16,43 +16,43 @@
 	// it asks a peer for a version that the peer has. Both at once cost twice:
 	// the text of 400 routes takes 1.1 ms of a core to pack and unpack, and some ms
 	// more to read.
-	ownWatch = 250 * mgclock.Millis(1)
+	ownWatchDelay = 250 * mgclock.Millis(1)
 	// budgetSpan is the pause of a watcher whose budget of reads is used up.
-	budgetSpan = mgclock.Second / watcherRate
+	budgetDelay = mgclock.Second / watcherRate
 	// peerRounds is the number of rounds over peers, about eight seconds, before
 	// a member that is no watcher turns to the platform. In a mass restart the
 	// watchers need that long to read all pages, and what a peer has doesn't
 	// cost a read.
-	peerRounds = 6
+	maxPeerRounds = 6
 )
 
 // pull is the way to a version that was heard of and is not yet in force.
 type pull struct {
-	id       int // tells the answers to its fetches from those to an earlier pull
-	mark     mark
-	manifest mgtable.Manifest
-	text     []byte                   // of the manifest, nil until fetched
-	pages    map[string]*mgtable.Page // by digest
-	sources  []peer
-	at       int            // the next source
-	rounds   int            // over all sources since the last progress
-	busy     bool           // a fetch is under way
-	next     mgclock.Millis // when to fetch again
+	id           int // tells the answers to its fetches from those to an earlier pull
+	key          versionKey
+	manifest     mgtable.Manifest
+	manifestText []byte                   // of the manifest, nil until fetched
+	pages        map[string]*mgtable.Page // by digest
+	sources      []peer
+	sourceIndex  int            // the next source
+	rounds       int            // over all sources since the last progress
+	busy         bool           // a fetch is under way
+	next         mgclock.Millis // when to fetch again
 }
 
 // learn takes that a peer, or nobody in particular, has a version.
-func (m *Machine) learn(now mgclock.Millis, k mark, from peer) {
-	if k.version == 0 || !k.above(m.Current().mark()) || m.refused.has(k.digest) {
+func (m *Machine) learnVersion(now mgclock.Millis, key versionKey, from peer) {
+	if key.version == 0 || !key.isAfter(m.Current().key()) || m.rejections.has(key.digest) {
 		return
 	}
-	if m.pull == nil || k.above(m.pull.mark) {
-		m.beginPull(now, k)
-		if from.addr != "" && m.watching() && m.join.ready && m.manifest.failures == 0 {
+	if m.pull == nil || key.isAfter(m.pull.key) {
+		m.beginPull(now, key)
+		if from.addr != "" && m.isWatcher() && m.join.ready && m.manifestSource.failures == 0 {
 			// The own watch brings it, too.
-			m.pull.next = now + ownWatch
+			m.pull.next = now + ownWatchDelay
 		}
 	}
-	if k != m.pull.mark || from.addr == "" {
+	if key != m.pull.key || from.addr == "" {
 		return
 	}
 	for _, p := range m.pull.sources {
@@ -64,48 +64,48 @@
 }
 
 // beginPull turns to a version. Pages fetched for an older one are kept.
-func (m *Machine) beginPull(now mgclock.Millis, k mark) {
+func (m *Machine) beginPull(now mgclock.Millis, key versionKey) {
 	pages := make(map[string]*mgtable.Page)
 	if m.pull != nil {
 		pages = m.pull.pages
 	}
-	m.pulls++
+	m.pullCount++
 	m.pull = &pull{
-		id:    m.pulls,
-		mark:  k,
+		id:    m.pullCount,
+		key:   key,
 		pages: pages,
 		next:  now,
 	}
 }
 
 // takeManifest takes a manifest's text from wherever it came.
-func (m *Machine) takeManifest(now mgclock.Millis, text []byte) {
+func (m *Machine) applyManifest(now mgclock.Millis, text []byte) {
 	digest := mgtable.DigestOf(text).String()
 	manifest, err := mgtable.ReadManifest(text)
-	k := mark{
+	key := versionKey{
 		version: manifest.Version,
 		digest:  digest,
 	}
-	if m.pull != nil && m.pull.mark.digest == digest && m.pull.mark != k {
+	if m.pull != nil && m.pull.key.digest == digest && m.pull.key != key {
 		// It can't be read, or a peer gave it another version than it has.
 		// Adopting it under the peer's word could mean going back.
 		m.pull = nil
 	}
 	if err != nil {
-		m.refused.add(0, digest, err)
+		m.rejections.add(0, digest, err)
 		return
 	}
-	if current := m.Current(); k.version == current.Version() && current.mark().above(k) {
+	if current := m.Current(); key.version == current.Version() && current.key().isAfter(key) {
 		// An edit whose version was not raised: the order of versions keeps the
 		// one in force everywhere, and without a word nobody would know why.
-		m.refused.add(k.version, digest, errTwice)
+		m.rejections.add(key.version, digest, errVersionReused)
 		return
 	}
-	m.learn(now, k, peer{})
-	if m.pull == nil || m.pull.mark != k || m.pull.text != nil {
+	m.learnVersion(now, key, peer{})
+	if m.pull == nil || m.pull.key != key || m.pull.manifestText != nil {
 		return
 	}
-	m.pull.text = text
+	m.pull.manifestText = text
 	m.pull.manifest = manifest
 	m.pull.next = now
 }
@@ -116,25 +116,25 @@
 	if p == nil || p.busy || now < p.next {
 		return nil
 	}
-	if !p.mark.above(m.Current().mark()) {
+	if !p.key.isAfter(m.Current().key()) {
 		m.pull = nil
 		return nil
 	}
-	missing := m.missing()
+	missing := m.missingDigests()
 	if len(missing) == 0 {
 		return m.adopt(now)
 	}
-	if p.at < len(p.sources) {
-		return m.fetchFrom(p.sources[p.at], missing)
+	if p.sourceIndex < len(p.sources) {
+		return m.fetchFrom(p.sources[p.sourceIndex], missing)
 	}
-	return m.fetchElsewhere(now, missing[0])
+	return m.continueWithoutSource(now, missing[0])
 }
 
 // missing returns the digests of the values still to fetch.
-func (m *Machine) missing() []string {
+func (m *Machine) missingDigests() []string {
 	p := m.pull
-	if p.text == nil {
-		return []string{p.mark.digest}
+	if p.manifestText == nil {
+		return []string{p.key.digest}
 	}
 	var missing []string
 	for _, digest := range p.manifest.Pages {
@@ -163,11 +163,11 @@
 	m.pull.busy = true
 	m.counts.Fetches++
 	return []Action{{
-		kind:   Fetch,
-		pull:   m.pull.id,
-		peer:   p.name,
-		addr:   p.addr,
-		answer: m.spec.Fetch,
+		kind:          Fetch,
+		pullID:        m.pull.id,
+		peer:          p.name,
+		addr:          p.addr,
+		answerTimeout: m.spec.Fetch,
 		fetch: &mgrpc.FetchRequest{
 			Digests: missing,
 		},
@@ -177,39 +177,39 @@
 // fetchElsewhere follows a round over all sources. A watcher, and a member that
 // has tried its peers often enough, reads one value of the platform. The others
 // look for a peer that has it and begin another round after a pause.
-func (m *Machine) fetchElsewhere(now mgclock.Millis, digest string) []Action {
+func (m *Machine) continueWithoutSource(now mgclock.Millis, digest string) []Action {
 	p := m.pull
-	watching := m.watching()
-	if p.text != nil && (watching || p.rounds >= peerRounds) {
-		if m.budget.allow(now, watching) {
+	isWatcher := m.isWatcher()
+	if p.manifestText != nil && (isWatcher || p.rounds >= maxPeerRounds) {
+		if m.budget.allow(now, isWatcher) {
 			return m.readPage(digest)
 		}
-		if watching {
-			p.next = now + budgetSpan
+		if isWatcher {
+			p.next = now + budgetDelay
 			return nil
 		}
 	}
-	m.nextRound(now)
+	m.startNextRound(now)
 	if len(p.sources) == 0 {
-		return m.ask(m.choose())
+		return m.exchangeWith(m.choosePeer())
 	}
 	return nil
 }
 
 func (m *Machine) readPage(digest string) []Action {
 	m.pull.busy = true
-	m.counts.read(&m.counts.Pages)
+	m.counts.countRead(&m.counts.Pages)
 	return []Action{{
-		kind: Read,
-		pull: m.pull.id,
-		key:  mgplatform.PageKey(digest),
+		kind:   Read,
+		pullID: m.pull.id,
+		key:    mgplatform.PageKey(digest),
 	}}
 }
 
-func (m *Machine) nextRound(now mgclock.Millis) {
+func (m *Machine) startNextRound(now mgclock.Millis) {
 	p := m.pull
 	p.rounds++
-	p.at = 0
+	p.sourceIndex = 0
 	p.next = now + m.backoff(p.rounds)
 }
 
@@ -223,7 +223,7 @@
 }
 
 // fetched takes the answer to a fetch.
-func (m *Machine) fetched(now mgclock.Millis, result ResultSpec) []Action {
+func (m *Machine) handleFetchResult(now mgclock.Millis, result ResultSpec) []Action {
 	switch {
 	case result.Action.peer == "":
 	case result.Err != nil:
@@ -232,20 +232,20 @@
 		m.members.Answered(now, result.Action.peer)
 	}
 	if result.Action.fetch.GetList() {
-		m.listPull.busy = false
-		m.listPull.next = now + m.listPullSpan()
-		if result.Err == nil && m.takeList(now, result.List) {
-			m.restFirst(now)
+		m.listFetch.busy = false
+		m.listFetch.next = now + m.listFetchInterval()
+		if result.Err == nil && m.adoptList(now, result.List) {
+			m.postponeFirstListRead(now)
 			return m.pushList(now)
 		}
 		return nil
 	}
-	if m.pull == nil || m.pull.id != result.Action.pull {
+	if m.pull == nil || m.pull.id != result.Action.pullID {
 		return nil
 	}
 	progress := false
 	for _, value := range result.Values {
-		if m.takeValue(now, value) {
+		if m.applyValue(now, value) {
 			progress = true
 		}
 	}
@@ -256,7 +256,7 @@
 	if progress {
 		m.pull.rounds = 0
 	} else {
-		m.pull.at++
+		m.pull.sourceIndex++
 	}
 	return m.stepPull(now)
 }
@@ -264,22 +264,22 @@
 // takeValue takes a fetched manifest or page. What it is follows from its
 // digest alone, so that it doesn't matter who sent it. It reports whether it was
 // wanted.
-func (m *Machine) takeValue(now mgclock.Millis, value []byte) bool {
+func (m *Machine) applyValue(now mgclock.Millis, value []byte) bool {
 	p := m.pull
 	if p == nil {
 		return false
 	}
 	digest := mgtable.DigestOf(value).String()
-	if p.text == nil {
-		if digest != p.mark.digest {
+	if p.manifestText == nil {
+		if digest != p.key.digest {
 			return false
 		}
-		m.takeManifest(now, value)
+		m.applyManifest(now, value)
 		return true
 	}
-	for _, wanted := range m.missing() {
+	for _, wanted := range m.missingDigests() {
 		if wanted == digest {
-			m.takePage(digest, value)
+			m.applyPage(digest, value)
 			return true
 		}
 	}
@@ -288,10 +288,10 @@
 
 // takePage reads a page that belongs to the pulled version. A faulty page makes
 // the version faulty.
-func (m *Machine) takePage(digest string, value []byte) {
+func (m *Machine) applyPage(digest string, value []byte) {
 	page, err := mgtable.ReadPage(value)
 	if err != nil {
-		m.refuse(err)
+		m.rejectPull(err)
 		return
 	}
 	m.pull.pages[digest] = page
@@ -309,22 +309,22 @@
 	}
 	table, err := mgtable.Join(p.manifest, pages)
 	if err != nil {
-		m.refuse(err)
+		m.rejectPull(err)
 		return nil
 	}
 	m.pull = nil
 	m.current.Store(&Snapshot{
 		table:    table,
-		digest:   p.mark.digest,
-		manifest: p.text,
+		digest:   p.key.digest,
+		manifest: p.manifestText,
 		pages:    byDigest,
 	})
 	m.counts.Adoptions++
-	return m.push(now)
+	return m.pushToPeers(now)
 }
 
 // refuse drops the pulled version for good. The one in force stays.
-func (m *Machine) refuse(err error) {
-	m.refused.add(m.pull.mark.version, m.pull.mark.digest, err)
+func (m *Machine) rejectPull(err error) {
+	m.rejections.add(m.pull.key.version, m.pull.key.digest, err)
 	m.pull = nil
 }
--- a/internal/version/mgconfig/refused.go
+++ b/internal/version/mgconfig/rejections.go
@@ -3,31 +3,31 @@
 import "errors"
 
 // errTwice refuses another table under the version in force.
-var errTwice = errors.New("mgconfig: another table was published under the version in force: raise the table's version and publish it again")
+var errVersionReused = errors.New("mgconfig: another table was published under the version in force: raise the table's version and publish it again")
 
 // refused remembers faulty values, so that they are not fetched again.
-type refused struct {
+type rejections struct {
 	version uint64
 	err     error
 	digests []string
 }
 
 // refusedMost bounds the memory of refusals. Only the newest are still offered.
-const refusedMost = 32
+const maxRejections = 32
 
-func (r *refused) add(version uint64, digest string, err error) {
+func (r *rejections) add(version uint64, digest string, err error) {
 	r.version = version
 	r.err = err
 	if r.has(digest) {
 		return
 	}
 	r.digests = append(r.digests, digest)
-	if len(r.digests) > refusedMost {
+	if len(r.digests) > maxRejections {
 		r.digests = r.digests[1:]
 	}
 }
 
-func (r *refused) has(digest string) bool {
+func (r *rejections) has(digest string) bool {
 	for _, d := range r.digests {
 		if d == digest {
 			return true
--- a/internal/version/mgconfig/roles.go
+++ b/internal/version/mgconfig/roles.go
@@ -19,41 +19,41 @@
 // of a millisecond, and the view changes far more rarely than it is asked for.
 func (m *Machine) roles() *roles {
 	view := m.members.View()
-	if m.assigned.view == view && m.assigned.leaving == m.leaving {
-		return &m.assigned
+	if m.cachedRoles.view == view && m.cachedRoles.leaving == m.leaving {
+		return &m.cachedRoles
 	}
 	cell := view.Cell(m.spec.Name, m.spec.Region).Peers
-	m.assigned = roles{
+	m.cachedRoles = roles{
 		view:    view,
 		leaving: m.leaving,
-		reader:  m.first(view.Able(m.spec.Region)),
-		hub:     m.first(cell),
-		rank:    m.rankAmong(cell),
+		reader:  m.topRanked(view.Able(m.spec.Region)),
+		hub:     m.topRanked(cell),
+		rank:    m.rankInCell(cell),
 	}
-	return &m.assigned
+	return &m.cachedRoles
 }
 
 // rankAmong returns the place of this process among its peers and itself, keepers at
 // most.
-func (m *Machine) rankAmong(peers []*mgmember.Member) int {
+func (m *Machine) rankInCell(peers []*mgmember.Member) int {
 	self := mgmember.Self(m.spec.Name, m.spec.Zone, m.spec.Power)
-	for i, member := range mgmember.RankHub(append(slices.Clone(peers), self), keepers) {
+	for i, member := range mgmember.RankHub(append(slices.Clone(peers), self), watchersPerCell) {
 		if member == self {
 			return i
 		}
 	}
-	return keepers
+	return watchersPerCell
 }
 
 // first returns which of some peers and this process works for the others, or nil
 // where it is this one. A process that leaves is passed over by its peers, too.
-func (m *Machine) first(peers []*mgmember.Member) *mgmember.Member {
+func (m *Machine) topRanked(peers []*mgmember.Member) *mgmember.Member {
 	self := mgmember.Self(m.spec.Name, m.spec.Zone, m.spec.Power)
 	if !m.leaving || len(peers) == 0 {
 		peers = append(slices.Clone(peers), self)
 	}
-	if first := mgmember.RankHub(peers, 1)[0]; first != self {
-		return first
+	if top := mgmember.RankHub(peers, 1)[0]; top != self {
+		return top
 	}
 	return nil
 }
--- a/internal/version/mgconfig/serve.go
+++ b/internal/version/mgconfig/serve.go
@@ -14,19 +14,19 @@
 const (
 	// replyBytes bounds the values of one reply before compression. Whoever
 	// lacks more asks again.
-	replyBytes = 1 << 20
+	maxReplyBytes = 1 << 20
 	// valueBytes bounds one decompressed value: the platform's own limit.
-	valueBytes = 1 << 20
+	maxValueBytes = 1 << 20
 )
 
 // errValue is the error of a value that can't be decompressed.
-var errValue = errors.New("mgconfig: a peer's value is damaged: ask another peer")
+var errDamagedValue = errors.New("mgconfig: a peer's value is damaged: ask another peer")
 
 // Serve answers a fetch out of a snapshot and the compressed list of VMs.
-func Serve(s *Snapshot, packed []byte, request *mgrpc.FetchRequest) *mgrpc.FetchReply {
+func Serve(s *Snapshot, compressedList []byte, request *mgrpc.FetchRequest) *mgrpc.FetchReply {
 	reply := &mgrpc.FetchReply{}
 	if request.GetList() {
-		reply.List = packed
+		reply.List = compressedList
 	}
 	size := 0
 	for _, digest := range request.GetDigests() {
@@ -35,7 +35,7 @@
 			continue
 		}
 		size += len(value)
-		if size > replyBytes && len(reply.Values) > 0 {
+		if size > maxReplyBytes && len(reply.Values) > 0 {
 			break
 		}
 		reply.Values = append(reply.Values, compress(value))
@@ -44,15 +44,15 @@
 }
 
 // unpack decompresses a reply.
-func unpack(reply *mgrpc.FetchReply) (values [][]byte, list []byte, err error) {
-	if packed := reply.GetList(); packed != nil {
-		list, err = decompress(packed)
+func decompressReply(reply *mgrpc.FetchReply) (values [][]byte, list []byte, err error) {
+	if compressed := reply.GetList(); compressed != nil {
+		list, err = decompress(compressed)
 		if err != nil {
 			return nil, nil, err
 		}
 	}
-	for _, packed := range reply.GetValues() {
-		value, err := decompress(packed)
+	for _, compressed := range reply.GetValues() {
+		value, err := decompress(compressed)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -81,12 +81,12 @@
 }
 
 func decompress(data []byte) ([]byte, error) {
-	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), valueBytes+1))
+	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxValueBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errValue, err)
+		return nil, fmt.Errorf("%w: %w", errDamagedValue, err)
 	}
-	if len(value) > valueBytes {
-		return nil, fmt.Errorf("%w: it exceeds %d bytes", errValue, valueBytes)
+	if len(value) > maxValueBytes {
+		return nil, fmt.Errorf("%w: it exceeds %d bytes", errDamagedValue, maxValueBytes)
 	}
 	return value, nil
 }
--- a/internal/version/mgconfig/snapshot.go
+++ b/internal/version/mgconfig/snapshot.go
@@ -47,13 +47,13 @@
 }
 
 // mark is a place in the order of versions.
-type mark struct {
+type versionKey struct {
 	version uint64
 	digest  string
 }
 
 // above reports whether m is a later version than n.
-func (m mark) above(n mark) bool {
+func (m versionKey) isAfter(n versionKey) bool {
 	if m.version != n.version {
 		return m.version > n.version
 	}
@@ -61,8 +61,8 @@
 }
 
 // mark returns the snapshot's place in the order of versions.
-func (s *Snapshot) mark() mark {
-	return mark{
+func (s *Snapshot) key() versionKey {
+	return versionKey{
 		version: s.Version(),
 		digest:  s.Digest(),
 	}
--- a/internal/version/mgconfig/start_test.go
+++ b/internal/version/mgconfig/start_test.go
@@ -14,9 +14,9 @@
 // All entries lose their power and come back at once, before ten engines each. Callers
 // are refused for seconds: each entry reads the engines for itself, in sixty pages where
 // there are 3,000, the platform turns most of the reads away and they begin anew.
-func TestStartOfMany(t *testing.T) {
+func TestMassRestartOverloadsPlatform(t *testing.T) {
 	const (
-		aim      = 1500 * mgclock.Millis(1) // of the two seconds until callers are served again
+		maxDelay = 1500 * mgclock.Millis(1) // of the two seconds until callers are served again
 		perEntry = 10
 	)
 	for _, c := range []struct {
@@ -53,18 +53,18 @@
 				began := f.net.Now()
 				for i, n := range f.nodes {
 					if !f.dead[n.name] {
-						f.start(i)
+						f.startNode(i)
 					}
 				}
-				spans := map[string]mgclock.Millis{}
+				delays := map[string]mgclock.Millis{}
 				for f.net.Now() < began+10*sec {
 					f.net.Run(f.net.Now() + 10)
 					for _, n := range f.nodes {
 						if n.members == nil || f.dead[n.name] {
 							continue
 						}
-						if _, known := spans[n.name]; !known && n.members.View().Version() > 0 && n.machine.Ready(f.net.Now()) {
-							spans[n.name] = f.net.Now() - began
+						if _, known := delays[n.name]; !known && n.members.View().Version() > 0 && n.machine.Ready(f.net.Now()) {
+							delays[n.name] = f.net.Now() - began
 						}
 					}
 				}
@@ -73,19 +73,19 @@
 					if f.dead[n.name] {
 						continue
 					}
-					if _, known := spans[n.name]; !known {
-						spans[n.name] = never
+					if _, known := delays[n.name]; !known {
+						delays[n.name] = never
 					}
-					all = append(all, spans[n.name])
+					all = append(all, delays[n.name])
 				}
 				slices.Sort(all)
 				t.Logf("a list after %d ms in the median, %d at most; %d reads of the platform",
 					all[len(all)/2], all[len(all)-1], f.readsFrom(0))
 				if !c.seeds {
-					So(all[len(all)-1], ShouldBeLessThanOrEqualTo, exchangeTimeout+aim) // until a dead peer shows
+					So(all[len(all)-1], ShouldBeLessThanOrEqualTo, exchangeTimeout+maxDelay) // until a dead peer shows
 					return
 				}
-				So(all[len(all)-1], ShouldBeLessThanOrEqualTo, aim)
+				So(all[len(all)-1], ShouldBeLessThanOrEqualTo, maxDelay)
 				So(f.platform.peak(0), ShouldBeLessThan, pageRate)
 			})
 		})
@@ -96,13 +96,13 @@
 // the list of 3,000 engines and hubs of cells. Each of the others reads the whole list for
 // itself: the platform turns them away, their links are full for seconds, and callers'
 // streams pause.
-func TestThirdOfMany(t *testing.T) {
+func TestListDelayedWhenThirdDies(t *testing.T) {
 	t.Parallel()
 	Convey("Where a third of the entries dies, the others", t, func() {
 		const count = 200
 		f := newListening(2, count)
 		f.upstreams = 3000
-		f.listed = longList // its pages are what counts
+		f.listedUpstreams = longListRows // its pages are what counts
 		f.list(0)
 		f.startAll()
 		f.net.Run(15 * sec)
@@ -115,15 +115,15 @@
 		from := f.net.Now() + sec
 		before := f.readsFrom(0)
 		f.net.Run(f.net.Now() + 500)
-		span := f.known(1, 1)
+		delay := f.timeUntilKnown(1, 1)
 		f.net.Run(f.net.Now() + 4*sec)
-		t.Logf("the next change was known everywhere after %d ms; %d reads of the platform", span, f.readsFrom(0)-before)
+		t.Logf("the next change was known everywhere after %d ms; %d reads of the platform", delay, f.readsFrom(0)-before)
 		Convey("know what changes soon", func() {
-			So(span, ShouldBeLessThanOrEqualTo, 2000)
+			So(delay, ShouldBeLessThanOrEqualTo, 2000)
 		})
 		Convey("leave the list to the keepers of their cells, who may read it twice", func() {
 			So(f.platform.peak(from), ShouldBeLessThan, pageRate)
-			So(f.readsFrom(0)-before, ShouldBeLessThan, 2*keepers*mgmember.Cells(count)*f.upstreams/pageRows)
+			So(f.readsFrom(0)-before, ShouldBeLessThan, 2*watchersPerCell*mgmember.Cells(count)*f.upstreams/pageRows)
 		})
 	})
 }
--- a/internal/version/mgconfig/status.go
+++ b/internal/version/mgconfig/status.go
@@ -22,9 +22,9 @@
 }
 
 // read counts a read of the platform and its reason.
-func (c *Counts) read(reason *int) {
+func (c *Counts) countRead(counter *int) {
 	c.Reads++
-	*reason++
+	*counter++
 }
 
 // Status is a machine's state for the dump.
@@ -50,26 +50,26 @@
 		Version:  m.Current().Version(),
 		Digest:   m.Current().Digest(),
 		Ready:    m.Ready(now),
-		Watcher:  m.watching(),
+		Watcher:  m.isWatcher(),
 		List:     m.members.View().Version(),
 		Members:  len(m.members.View().All()),
 		Heard:    len(m.join.peers),
-		Refused:  m.refused.version,
-		Failures: m.manifest.failures,
+		Refused:  m.rejections.version,
+		Failures: m.manifestSource.failures,
 		Counts:   m.counts,
 	}
 	if current := m.Current(); current != nil {
 		s.Accounts = current.table.Len()
 	}
 	if m.pull != nil {
-		s.Pulling = m.pull.mark.version
+		s.Pulling = m.pull.key.version
 	}
-	if m.refused.err != nil {
-		s.Faults = m.refused.err.Error()
+	if m.rejections.err != nil {
+		s.Faults = m.rejections.err.Error()
 	}
 	return s
 }
 
 // Refused returns the version refused last and why, or nil. Version 0 stands
 // for a value that could not be read at all.
-func (m *Machine) Refused() (uint64, error) { return m.refused.version, m.refused.err }
+func (m *Machine) LastRejection() (uint64, error) { return m.rejections.version, m.rejections.err }
--- a/internal/version/mgconfig/word.go
+++ b/internal/version/mgconfig/version_report.go
@@ -19,49 +19,49 @@
 const (
 	// wordAge is the age up to which another's word of the list is taken for the
 	// platform's own: the quick watcher hears each 60 to 100 ms.
-	wordAge = 500 * mgclock.Millis(1)
+	maxReportAge = 500 * mgclock.Millis(1)
 	// keepers is how many processes of a region watch for versions of the table
 	// whatever others say: a watch whose answer was lost hides a version for
 	// seconds.
-	keepers = 3
+	watchersPerCell = 3
 )
 
 // Word returns what this process can tell others.
-func (m *Machine) Word(now mgclock.Millis) Word {
-	word := Word{
+func (m *Machine) Report(now mgclock.Millis) Word {
+	report := Word{
 		List:     m.members.View().Version(),
 		Age:      -1,
 		Table:    m.Current().Version(),
 		TableAge: m.tableAge(now),
 	}
-	if (m.vms.answered || m.vms.told) && (m.vms.failures == 0 || now < m.confirmed+wordAge) {
-		word.Age = now - m.vms.heard
+	if (m.listSource.hasAnswered || m.listSource.confirmedByPeer) && (m.listSource.failures == 0 || now < m.peerConfirmedAt+maxReportAge) {
+		report.Age = now - m.listSource.confirmedAt
 	}
-	return word
+	return report
 }
 
 // fresh reports whether a word is as good as the platform's own.
-func (w Word) fresh() bool { return w.Age >= 0 && w.Age <= wordAge }
+func (r Word) isFresh() bool { return r.Age >= 0 && r.Age <= maxReportAge }
 
 // Take takes another's word. A newer list is asked for at once, unless it comes by
 // listening. Where the word is fresh, the own watches wait for as long as they rest
 // between two. Of 1,875 calls to the platform that 24 processes made in 47 s they were
 // more than half; those that hear no such word watch as before within a second.
-func (m *Machine) Take(now mgclock.Millis, word Word, from string) []Action {
+func (m *Machine) ApplyReport(now mgclock.Millis, report Word, from string) []Action {
 	m.now = now
-	behind := word.List > m.members.View().Version()
-	if behind && !m.listening.well(now) {
-		return m.ask(m.named(from))
+	behind := report.List > m.members.View().Version()
+	if behind && !m.longPoll.isFresh(now) {
+		return m.exchangeWith(m.peerNamed(from))
 	}
-	if !word.fresh() {
+	if !report.isFresh() {
 		return nil
 	}
 	if behind {
-		m.restWatch(now - word.Age)
+		m.postponeListRead(now - report.Age)
 	}
-	m.confirm(now, word)
-	if word.Table == m.Current().Version() && m.roles().rank >= keepers {
-		m.manifest.next = max(m.manifest.next, now+slowPause)
+	m.confirmList(now, report)
+	if report.Table == m.Current().Version() && m.roles().rank >= watchersPerCell {
+		m.manifestSource.next = max(m.manifestSource.next, now+slowWatchInterval)
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/version/mgconfig/version_report_test.go
@@ -0,0 +1,93 @@
+package mgconfig
+
+import (
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgplatform"
+	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
+)
+
+// Two dozen entries each watch the list of VMs and the table, and the platform
+// counts every call; or all but one stop watching, that one is cut off, and a
+// leaving engine's reports are cut because nobody saw its notice.
+func TestWatchesNotShared(t *testing.T) {
+	Convey("A process of a region of six", t, func() {
+		m, last := machineOfSix()
+		m.listSource.confirmedAt = 0
+		m.adoptList(0, upstreamList(5, mgplatform.Live))
+		m.listSource.next, m.manifestSource.next = 100, 100
+		list := m.members.View().Version()
+		Convey("rests while another has the platform's word of the same list and table", func() {
+			m.ApplyReport(1000, Word{List: list, Age: 60}, "entry-2")
+			So(m.listSource.next, ShouldEqual, 940+slowWatchInterval)
+			So(m.IsListStale(940+quickStaleTimeout-1), ShouldBeFalse)
+			So(m.IsListStale(940+quickStaleTimeout), ShouldBeTrue)
+			So(m.manifestSource.next == 1000+slowWatchInterval, ShouldEqual, last)
+		})
+		Convey("watches as before where that one has", func() {
+			for name, word := range map[string]Word{
+				"another list":                 {List: list + 1, Age: 60},
+				"an old word":                  {List: list, Age: maxReportAge + 1},
+				"no word":                      {List: list, Age: -1},
+				"another list and an old word": {List: list + 1, Age: maxReportAge + 1},
+			} {
+				Convey(name, func() {
+					m.ApplyReport(1000, word, "entry-2")
+					So(m.listSource.next, ShouldEqual, 100)
+				})
+			}
+			Convey("another table", func() {
+				m.ApplyReport(1000, Word{List: list, Age: 60, Table: 7}, "entry-2")
+				So(m.manifestSource.next, ShouldEqual, 100)
+			})
+		})
+		Convey("isn't stale for a failed read of its own while it has another's word", func() {
+			m.listSource.failures = 1
+			So(m.IsListStale(1000), ShouldBeTrue)
+			m.ApplyReport(1000, Word{List: list, Age: 60}, "entry-2")
+			So(m.IsListStale(1100), ShouldBeFalse)
+			So(m.IsListStale(1000+maxReportAge), ShouldBeTrue)
+		})
+	})
+	Convey("A hub that has the reader's word alone tells it on", t, func() {
+		m, _ := machineOfSix()
+		m.adoptList(0, upstreamList(5, mgplatform.Live))
+		m.listSource.hasAnswered = false
+		So(m.Report(1000).Age, ShouldBeLessThan, 0)
+		m.ApplyReport(1000, Word{List: m.members.View().Version(), Age: 60}, "entry-2")
+		So(m.Report(1010).Age, ShouldEqual, 70)
+	})
+	Convey("Who has no word of the platform says so", t, func() {
+		m, _ := machineWithoutPeers()
+		m.listSource.hasAnswered = false
+		So(m.Report(1000).Age, ShouldBeLessThan, 0)
+		m.listSource.hasAnswered = true
+		m.listSource.confirmedAt = 940
+		So(m.Report(1000).Age, ShouldEqual, 60)
+		m.listSource.failures = 1
+		So(m.Report(1000).Age, ShouldBeLessThan, 0)
+	})
+}
+
+// sixth returns a process that knows five others of its region, and whether it
+// ranks behind those that watch for versions of the table.
+func machineOfSix() (m *Machine, isLast bool) {
+	names := []string{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5", "entry-6"}
+	members := mgmember.New(names[0])
+	m = NewMachine(0, MachineSpec{
+		Name:   names[0],
+		Region: "south",
+		Quick:  60,
+	}, members)
+	for _, other := range names[1:] {
+		members.Introduce(0, mgplatform.VM{
+			Name:   other,
+			Kind:   mgplatform.EntryKind,
+			Addr:   other,
+			Region: "south",
+		})
+	}
+	return m, m.roles().rank >= watchersPerCell
+}
