--- a/internal/version/mgconfig/action.go
+++ b/internal/version/mgconfig/action.go
@@ -7,23 +7,23 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Kind is what an action does.
+// Kind is the type of an action.
 type Kind int
 
 // The kinds of actions.
 const (
-	Exchange Kind = iota + 1 // send the summary to a peer
+	Exchange Kind = iota + 1 // exchange summaries with a peer (anti-entropy)
 	Fetch                    // fetch values from a peer
-	Read                     // read a value of the platform
-	Watch                    // watch a value of the platform
-	LongPoll                 // wait at a peer for a newer list of VMs
-	Gossip                   // tell a peer of processes that are known, and be told
+	Read                     // read a value from the platform
+	Watch                    // watch a value of the platform (long poll)
+	LongPoll                 // long-poll a peer for a newer list of VMs
+	Gossip                   // exchange records of unlisted processes with a peer
 )
 
-// An Action is what a machine wants done. Every action gets one Result.
+// An Action is an I/O request of a Machine. Every action gets exactly one ResultSpec.
 type Action struct {
 	kind          Kind
-	pullID        int // the pull it is for, or 0
+	pullID        int // the pull that it belongs to, or 0
 	peer          string
 	addr          string
 	summary       *mgrpc.Summary
@@ -31,11 +31,11 @@
 	key           string
 	after         uint64
 	wait          mgclock.Millis
-	answerTimeout mgclock.Millis // longest time for the answer, beyond wait
+	answerTimeout mgclock.Millis // timeout of the answer, in addition to wait
 	gossip        []mgmember.Gossip
 }
 
-// Kind returns what to do.
+// Kind returns the type of the action.
 func (a Action) Kind() Kind { return a.kind }
 
 // Peer returns the name of the peer, or "" when only its address is known.
@@ -44,33 +44,33 @@
 // Addr returns the peer's address.
 func (a Action) Addr() string { return a.addr }
 
-// Summary returns what an exchange sends.
+// Summary returns the summary that an exchange sends.
 func (a Action) Summary() *mgrpc.Summary { return a.summary }
 
-// Fetch returns what a fetch asks for.
+// Fetch returns the request that a fetch sends.
 func (a Action) Fetch() *mgrpc.FetchRequest { return a.fetch }
 
 // Key returns the key to read or watch.
 func (a Action) Key() string { return a.key }
 
-// After returns the version that a watch has.
+// After returns the version that the caller has; a watch or long poll waits for a newer
+// one.
 func (a Action) After() uint64 { return a.after }
 
-// Wait returns how long a watch waits.
+// Wait returns how long the other side may hold a watch or long poll.
 func (a Action) Wait() mgclock.Millis { return a.wait }
 
-// Gossip returns what a peer is told of processes.
+// Gossip returns the records of processes that are sent to the peer.
 func (a Action) Gossip() []mgmember.Gossip { return a.gossip }
 
-// A ResultSpec is what came of an action: Err, or what the kind of action
-// brings.
+// A ResultSpec is the result of an action: Err, or the fields of the action's kind.
 type ResultSpec struct {
 	Action  Action
 	Err     error
 	Summary *mgrpc.Summary // of an exchange
 	Values  [][]byte       // of a fetch, decompressed
-	List    []byte         // of a fetch or what was listened for, decompressed
-	Report  Word           // of whom was listened at
+	List    []byte         // of a fetch or long poll, decompressed
+	Report  Word           // of a long poll
 	Gossip  []mgmember.Gossip
 	Value   mgplatform.Value // of a read or watch
 }
--- a/internal/version/mgconfig/cordon_test.go
+++ b/internal/version/mgconfig/cordon_test.go
@@ -11,11 +11,11 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// cordonAim is within which every process must know a cordon, as operators are told.
+// maxCordonDelay is the documented time within which every process must know a cordon.
 const maxCordonDelay = sec
 
-// cordon has the platform show cordoned availability zones, and returns after how long
-// each live member goes by that, in order.
+// setCordons changes the cordoned availability zones on the platform's list and returns
+// the sorted delays after which each live member applies the change.
 func (f *fleet) setCordons(zones ...string) []mgclock.Millis {
 	began := f.net.Now()
 	f.cordoned = zones
@@ -45,9 +45,9 @@
 	return slices.Sorted(maps.Values(delays))
 }
 
-// Operators empty a hall and are told that it is empty after a second. An entry that
-// hears of it later, as who reads the platform for it has just died, goes on sending
-// reports there, and they are cut when the power goes.
+// Operators cordon a zone and expect it to be empty after a second. An entry learns of
+// the cordon late, because the region's reader has just died, and sends reports there
+// that are cut off with the power.
 func TestCordonLearnedLate(t *testing.T) {
 	all := []int{31, 100, 300}
 	for _, c := range []struct {
@@ -114,8 +114,8 @@
 	}
 }
 
-// All entries are killed and start again while a hall is being emptied. None knows the
-// past, and a report goes to the hall.
+// All entries restart while a zone is cordoned. None has the cordon in memory, and a
+// report is sent to the zone.
 func TestCordonUnknownAtStart(t *testing.T) {
 	Convey("Processes that start while a cordon stands know it before they are ready", t, func() {
 		f := newListening(5, 31)
--- a/internal/version/mgconfig/departure_test.go
+++ b/internal/version/mgconfig/departure_test.go
@@ -13,8 +13,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// alone returns a machine on a platform that lists one upstream and no process,
-// and its members.
+// machineWithoutPeers returns a machine on a platform that lists one upstream and no
+// process, and its members.
 func machineWithoutPeers() (*Machine, *mgmember.Members) {
 	members := mgmember.New("entry-1")
 	m := NewMachine(0, MachineSpec{
@@ -43,14 +43,13 @@
 	return data
 }
 
-// A report is cut: it was sent to an engine two seconds after the engine had
-// said that it leaves. The entry's watch hung on a connection that a partition
-// had cut, the other entries knew, and the entry had fetched their list less
-// than five seconds before.
+// A report is cut off: an entry sends it to an engine two seconds after the engine
+// announced that it leaves. The entry's watch hangs on a partitioned connection; its
+// peers know, and it fetched their list less than five seconds before.
 func TestDepartureMissedWhileWatchHangs(t *testing.T) {
 	Convey("A list that peers have is fetched while the own watch hangs", t, func() {
 		m, members := machineWithoutPeers()
-		So(m.readPlatform(sec), ShouldNotBeEmpty) // the watch that never ends
+		So(m.readPlatform(sec), ShouldNotBeEmpty) // a watch that never returns
 		fetches := 0
 		for at := sec; at < 3*sec; at += 200 {
 			for _, action := range m.applySummary(at, &mgrpc.Summary{
@@ -74,9 +73,8 @@
 	})
 }
 
-// Requests reach no entry for half a minute after a start: the platform lists
-// upstreams only, each entry took another process for the watcher, and waited
-// for the poll.
+// No entry is ready for half a minute after a start: the platform lists upstreams only,
+// each entry takes another process for the watcher, and waits for its poll.
 func TestUnlistedProcessWaitsForPoll(t *testing.T) {
 	Convey("A process that the list doesn't name", t, func() {
 		m, members := machineWithoutPeers()
@@ -103,8 +101,8 @@
 	})
 }
 
-// An operator of a platform that loses answers sets short waits; without them
-// a lost answer hides a change for twenty-five seconds.
+// A platform loses answers, and the operator sets short waits. Without them a lost
+// answer hides a change for twenty-five seconds.
 func TestWatchIgnoresSettings(t *testing.T) {
 	Convey("Waits follow the settings", t, func() {
 		m, _ := machineWithoutPeers()
@@ -123,8 +121,8 @@
 	})
 }
 
-// Two entries know only the same seed. Each takes itself for the one that gives
-// turns, their copies share a link, and the callers of both see a pause.
+// Two entries know only the same seed. Each takes itself for the one that grants
+// migration slots; their copies share a link, and the callers of both see a pause.
 func TestSeedPeersNeverMeet(t *testing.T) {
 	Convey("A summary names those that were heard lately", t, func() {
 		m, members := machineWithoutPeers()
@@ -165,9 +163,9 @@
 	})
 }
 
-// The store loses a third of its answers and keeps the connections. Every
-// entry's watch hangs for six seconds, and engines that were given notice are
-// reclaimed with all that runs there.
+// The store loses a third of its answers and keeps the connections open. Every entry's
+// watch hangs for six seconds, and engines that were given notice are reclaimed with
+// all running work.
 func TestLostAnswerHidesChange(t *testing.T) {
 	Convey("A list whose changes must be known soon", t, func() {
 		m, _ := machineWithoutPeers()
@@ -190,9 +188,9 @@
 	})
 }
 
-// A new route answers 404 at one entry for three seconds after it was accepted.
-// The entry's watch hung; it had heard of the version from a peer, and the peer
-// lost power before it answered with the pages.
+// A new route answers 404 at one entry for three seconds after it was accepted: the
+// entry's watch hangs, and the peer from which it fetches the version loses power
+// before it answers.
 func TestFetchWaitsForDeadPeer(t *testing.T) {
 	Convey("A version is fetched from another peer while the first is dark", t, func() {
 		m, _ := machineWithoutPeers()
@@ -220,8 +218,8 @@
 	})
 }
 
-// One entry asks an engine and learns that it leaves. The others ask a second
-// later, and what runs there for them is cut.
+// One entry asks an engine and learns that it is leaving. The others ask a second
+// later, and what runs there for them is cut off.
 func TestDepartureNotForwarded(t *testing.T) {
 	Convey("An upstream's own word reaches the peers", t, func() {
 		m, members := machineWithoutPeers()
@@ -238,7 +236,7 @@
 		Convey("who take it", func() {
 			other, known := machineWithoutPeers()
 			summary := actions[0].Summary()
-			summary.Name = "entry-9" // both machines of this test have one name
+			summary.Name = "entry-9" // both machines of this test have the same name
 			forwarded := other.applySummary(sec, summary)
 			So(known.View().Hosts("reports"), ShouldBeEmpty)
 			So(forwarded, ShouldNotBeEmpty)
@@ -252,8 +250,8 @@
 	})
 }
 
-// All entries were killed while the store was away for two seconds more. It
-// answers again, and they still wait out the pause of a process that serves.
+// All entries restart while the store is down for two more seconds. When it answers
+// again, they still wait out the long backoff of a process that serves.
 func TestFirstReadBacksOffTooLong(t *testing.T) {
 	Convey("A process without a table asks again soon, and ever more rarely", t, func() {
 		m := NewMachine(0, MachineSpec{
@@ -273,8 +271,8 @@
 	})
 }
 
-// All entries start before the operators' first table. Each reads it again and again,
-// and the platform bills three hundred reads that found nothing.
+// All entries start before the operators publish the first table. Each reads it again
+// and again, and the platform bills three hundred reads that found nothing.
 func TestMissingTableReadTooOften(t *testing.T) {
 	Convey("A value that isn't published yet is read each second or so", t, func() {
 		m, _ := machineWithoutPeers()
@@ -287,9 +285,9 @@
 	})
 }
 
-// Every entry of a region watches the list as often as the one that needs its
-// changes at once, and the platform counts each call; or none does, and an
-// engine's notice of two seconds is half over when it is seen.
+// Every entry of a region watches the list as often as the one that needs its changes
+// at once, and the platform counts each call; or none does, and an engine's notice of
+// two seconds is half over when it is seen.
 func TestMoreThanOneQuickWatcher(t *testing.T) {
 	Convey("Of the processes of a region one watches quickly", t, func() {
 		names := []string{"entry-1", "entry-2", "entry-3"}
@@ -313,7 +311,7 @@
 					Region: "south",
 				})
 			}
-			// Before that a process that nobody listens at may only not know the others.
+			// Before that, a process that nobody polls may merely not know the others.
 			interval := m.nextReadAt(discoveryWindow, &m.listSource) - discoveryWindow
 			if interval == 60 {
 				quickWatchers++
@@ -331,9 +329,9 @@
 	})
 }
 
-// The platform falls silent without a word and an engine gives notice in the same
-// second. Its reports are cut 1.7 s later: the engine would have said so itself, and
-// was asked only once the list was 1.5 s old.
+// The platform stops answering without an error, and an engine gives notice in the same
+// second. Its reports are cut off 1.7 s later: the engine would have announced its
+// departure, but was asked only once the list was 1.5 s old.
 func TestSilentPlatformHidesNotice(t *testing.T) {
 	Convey("The one that watches quickly asks upstreams once two watches are overdue", t, func() {
 		m, _ := machineWithoutPeers()
--- a/internal/version/mgconfig/exchange.go
+++ b/internal/version/mgconfig/exchange.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// fanout is the number of peers that are told of a new version. With four
-	// the push reaches all but about 2 % of a large fleet (Karp et al. 2000),
-	// and exchanges reach the rest.
+	// fanout is the number of peers to which a new version is pushed. With four, the
+	// push reaches all but about 2 % of a large fleet (Karp et al. 2000), and exchanges
+	// reach the rest.
 	fanout = 4
-	// farShare is one in how many peers is chosen outside of the own zone.
+	// otherZoneOneIn is the share of peers chosen outside of the own zone: one in four.
 	otherZoneOneIn = 4
 )
 
-// peer is a process that can be asked.
+// peer is the name, if known, and address of another process.
 type peer struct {
 	name string
 	addr string
 }
 
-// choose returns a random peer, most often of the own zone, or none.
+// choosePeer returns a random peer, usually of the own zone, or an empty peer where
+// none is known.
 func (m *Machine) choosePeer() peer {
 	peers := m.members.View().Peers()
 	if len(peers) == 0 {
@@ -30,7 +31,7 @@
 	}
 	otherZone := m.rng.IntN(otherZoneOneIn) == 0
 	var chosen *mgmember.Member
-	// A few draws find a peer on the wanted side where there is one.
+	// A few draws suffice to find a peer on the wanted side, where there is one.
 	for range 2 * otherZoneOneIn {
 		chosen = peers[m.rng.IntN(len(peers))]
 		if (chosen.Zone() != m.spec.Zone) == otherZone {
@@ -47,7 +48,7 @@
 	}
 }
 
-// seed returns a random peer of the settings, or none.
+// seed returns a random configured peer, or an empty one.
 func (m *Machine) seed() peer {
 	if len(m.spec.Seeds) == 0 {
 		return peer{}
@@ -57,7 +58,7 @@
 	}
 }
 
-// named returns the peer of a name, or a random one when it isn't known.
+// peerNamed returns the peer with a name, or a random one when the name is unknown.
 func (m *Machine) peerNamed(name string) peer {
 	if member, ok := m.members.View().Member(name); ok && name != m.spec.Name {
 		return peerOf(member)
@@ -65,8 +66,8 @@
 	return m.choosePeer()
 }
 
-// ask exchanges summaries with a peer, unless one exchange with it is under
-// way: version numbers on many calls at once make for one exchange.
+// exchangeWith starts an exchange of summaries with a peer, unless one is in progress:
+// version numbers on many concurrent calls must cause only one exchange.
 func (m *Machine) exchangeWith(p peer) []Action {
 	if p.addr == "" || m.exchanging[p.addr] {
 		return nil
@@ -81,7 +82,7 @@
 	}}
 }
 
-// push tells a few peers what is new here.
+// pushToPeers exchanges with a few random peers after this process's state has changed.
 func (m *Machine) pushToPeers(mgclock.Millis) []Action {
 	var actions []Action
 	for range fanout {
@@ -90,8 +91,8 @@
 	return actions
 }
 
-// pushList tells a few peers of a newer list, unless those that need it are told
-// otherwise.
+// pushList pushes a newer list to a few peers, unless the processes that need it get it
+// by long polls.
 func (m *Machine) pushList(now mgclock.Millis) []Action {
 	if m.longPoll.isFresh(now) {
 		return nil
@@ -99,14 +100,15 @@
 	return m.pushToPeers(now)
 }
 
-// Heard takes a peer's summary and returns the own one as it was before.
+// HandleExchange merges a peer's summary and returns this process's summary from before
+// the merge.
 func (m *Machine) HandleExchange(now mgclock.Millis, s *mgrpc.Summary) (*mgrpc.Summary, []Action) {
 	m.now = now
 	reply := m.summary()
 	return reply, m.applySummary(now, s)
 }
 
-// Seen takes a version number that came with another call.
+// ObserveVersion handles a version number that another call carried.
 func (m *Machine) ObserveVersion(now mgclock.Millis, version uint64, from string) []Action {
 	m.now = now
 	if version <= m.Current().Version() || m.pull != nil && m.pull.key.version >= version {
@@ -115,7 +117,7 @@
 	return m.exchangeWith(m.peerNamed(from))
 }
 
-// exchanged takes the answer to an exchange.
+// handleExchangeResult handles the answer to an exchange.
 func (m *Machine) handleExchangeResult(now mgclock.Millis, result ResultSpec) []Action {
 	delete(m.exchanging, result.Action.addr)
 	if result.Err != nil {
@@ -129,7 +131,7 @@
 	return m.applySummary(now, result.Summary)
 }
 
-// take learns from a summary.
+// applySummary merges a peer's summary.
 func (m *Machine) applySummary(now mgclock.Millis, s *mgrpc.Summary) []Action {
 	if s.GetName() == m.spec.Name {
 		return nil
@@ -151,23 +153,23 @@
 	return append(actions, m.stepPull(now)...)
 }
 
-// listPull is a fetch of the list of VMs from a peer.
+// listFetchState is the state of fetching the list of VMs from a peer.
 type listFetchState struct {
 	busy bool
 	next mgclock.Millis
 }
 
-// knownLimit is how many other processes a summary names. With eight, two
-// processes that know only the same seed know of each other after one exchange
-// with it in a fleet of nine, and after a few in one of hundreds.
+// maxKnown is the maximum number of other processes that a summary names. With eight,
+// two processes that know only the same seed know each other after one exchange with it
+// in a fleet of nine, and after a few in one of hundreds.
 const maxKnown = 8
 
-// knownSpan is how lately a process was heard that a summary names: what others
-// say of a dead one must not keep it known.
+// knownMaxAge is the maximum time since a process named in a summary was last seen:
+// other processes' records of a dead process must not keep it known.
 const knownMaxAge = 10 * mgclock.Second
 
-// acquainted returns processes that the list doesn't name and that were heard lately.
-// On a platform that lists all of them there are none.
+// unlistedPeers returns recently seen processes that the list doesn't name. On a
+// platform that lists all processes there are none.
 func (m *Machine) unlistedPeers() []*mgrpc.Known {
 	var known []*mgrpc.Known
 	peers := m.members.View().Peers()
@@ -194,12 +196,13 @@
 	return known
 }
 
-// departedSpan is how long peers are told of an upstream that said itself that
-// it leaves: longer than a notice and the time until the list shows it.
+// departureTTL is how long summaries carry the announcement of an upstream that is
+// leaving: longer than a notice and the time until the list shows it.
 const departureTTL = 5 * mgclock.Second
 
-// Departed takes an upstream's own word that it leaves, and tells peers: each
-// would else find out by itself, up to a second later of a notice of two.
+// HandleDeparture records an upstream's own announcement that it is leaving, and pushes
+// it to peers. Otherwise each peer would find out by itself, up to a second later of a
+// notice of two.
 func (m *Machine) HandleDeparture(now mgclock.Millis, upstream string) []Action {
 	m.now = now
 	if !m.applyDeparture(now, m.members.DepartureOf(upstream)) {
@@ -208,8 +211,8 @@
 	return m.pushToPeers(now)
 }
 
-// takeDepartures takes what a peer tells of upstreams that leave. What is news is told
-// on: the first to know tells a few peers only.
+// applyDepartures merges departures that a peer reports. New ones are forwarded,
+// because the first process that learns of one pushes it to a few peers only.
 func (m *Machine) applyDepartures(now mgclock.Millis, texts []string) []Action {
 	isNew := false
 	for _, text := range texts {
@@ -221,7 +224,7 @@
 	return m.pushToPeers(now)
 }
 
-// depart takes a departure and reports whether peers should hear of it.
+// applyDeparture records a departure and reports whether it must be forwarded to peers.
 func (m *Machine) applyDeparture(now mgclock.Millis, departure mgmember.Departure) bool {
 	if !m.members.Depart(now, departure) {
 		return false
@@ -233,7 +236,7 @@
 	return true
 }
 
-// departures returns the upstreams that peers are told of.
+// departures returns the departures that summaries carry.
 func (m *Machine) departures() []string {
 	var all []string
 	for departure, at := range m.departed {
@@ -246,7 +249,8 @@
 	return all
 }
 
-// meet makes the sender of a summary known, and those it names.
+// introduceAll adds the sender of a summary, and the processes that it names, to the
+// members.
 func (m *Machine) introduceAll(now mgclock.Millis, s *mgrpc.Summary) {
 	m.introduce(now, &mgrpc.Known{
 		Name:   s.GetName(),
@@ -260,7 +264,7 @@
 	}
 }
 
-// introduce makes a process known that was heard at a time.
+// introduce adds a process that was last seen at a given time to the members.
 func (m *Machine) introduce(lastSeen mgclock.Millis, k *mgrpc.Known) {
 	if k.GetAddr() == "" {
 		return
@@ -275,20 +279,20 @@
 	})
 }
 
-// listPullRow makes the shortest interval of fetches of the list grow with its
-// rows. While VMs are replaced by the hundred the list changes every few
-// seconds, and a member that took each change of 1,260 rows would spend its
-// budget on them: it takes one in five seconds. A list of 15 rows is taken at
-// once, so that a member that the platform doesn't answer learns from its peers
-// of an upstream that leaves within the two seconds that it may be given.
+// listFetchDelayPerRow makes the minimum interval of fetches of the list grow with its
+// rows. While VMs are replaced by the hundred, the list changes every few seconds, and
+// a member that fetched each change of 1,260 rows would spend its budget on them: it
+// fetches one in five seconds. A list of 15 rows is fetched at once, so that a member
+// without an answer from the platform learns from its peers of an upstream that leaves,
+// within the two seconds of notice that it may have.
 const listFetchDelayPerRow = 4 * mgclock.Millis(1)
 
-// listPullMost bounds that interval where a member that lacks the newest list
-// watches the platform by itself: the heartbeats of some thousand upstreams take its link
+// maxListFetchInterval limits that interval where a member that lacks the newest list
+// watches the platform itself: the heartbeats of some thousand upstreams load its link
 // many times as much as a list of as many rows.
 const maxListFetchInterval = 1500 * mgclock.Millis(1)
 
-// listPullSpan returns the shortest interval of fetches of the list.
+// listFetchInterval returns the minimum interval between fetches of the list.
 func (m *Machine) listFetchInterval() mgclock.Millis {
 	interval := listFetchDelayPerRow * mgclock.Millis(len(m.members.View().All()))
 	if m.spec.Quick > 0 {
@@ -314,7 +318,7 @@
 	}}
 }
 
-// takeList adopts a list of VMs that is newer. It reports whether it was.
+// adoptList adopts a list of VMs and reports whether it was newer.
 func (m *Machine) adoptList(now mgclock.Millis, data []byte) bool {
 	list, err := mgplatform.ReadList(data)
 	if err != nil {
@@ -330,5 +334,5 @@
 	return true
 }
 
-// List returns the text of the list of VMs in use, for peers that ask.
+// List returns the encoded list of VMs in use, for peers that ask.
 func (m *Machine) List() []byte { return m.list }
--- a/internal/version/mgconfig/exchange_bench_test.go
+++ b/internal/version/mgconfig/exchange_bench_test.go
@@ -8,10 +8,10 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// BenchmarkSpread reports, for fleets of several sizes over seven zones: the
-// time until an edit is in force (over all members and 20 edits), what an idle
-// member sends and receives, what an edit adds to that, and the reads of the
-// platform, idle and at their peak in a mass restart.
+// BenchmarkSpread reports, for fleets of several sizes over seven zones: the time until
+// an edit is in force (over all members and 20 edits), the traffic of an idle member,
+// the additional traffic of an edit, and the reads of the platform, idle and at the
+// peak of a mass restart.
 func BenchmarkSpread(b *testing.B) {
 	for _, count := range []int{8, 32, 128} {
 		b.Run(fmt.Sprintf("members=%d", count), func(b *testing.B) {
@@ -55,7 +55,7 @@
 	b.ReportMetric(float64(delays[len(delays)-1]), "max-ms")
 }
 
-// edit publishes a version and returns how long each member took.
+// edit publishes a version and returns the delay until it is in force at each member.
 func (f *fleet) edit(version uint64) []mgclock.Millis {
 	begin := f.net.Now()
 	f.publish(version, int(version))
--- a/internal/version/mgconfig/fleet_test.go
+++ b/internal/version/mgconfig/fleet_test.go
@@ -14,47 +14,47 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// callBytes is what HTTP adds to a message and its reply together, as
+// callBytes is the size of HTTP's overhead for a message and its reply together, as
 // BenchmarkExchangeBytes measures it on a connection that is kept open.
 const callBytes = 353
 
-// zones and regions of a fleet: seven zones in three regions.
+// zoneCount is the number of zones of a fleet, in three regions.
 const zoneCount = 7
 
-// node is a member of a fleet.
+// node is a simulated member of a fleet.
 type node struct {
 	name             string
 	machine          *Machine
 	members          *mgmember.Members
-	hasAskedPlatform bool // the platform was asked for its first list
-	incarnation      int  // restarts, so that timers of a former life do nothing
+	hasAskedPlatform bool // it has asked the platform for its first list
+	incarnation      int  // number of starts, so that timers of an earlier incarnation do nothing
 	highest          versionKey
-	inForceAt        map[uint64]mgclock.Millis // when a version came in force
+	inForceAt        map[uint64]mgclock.Millis // when each version came into force
 	readyAt          mgclock.Millis
 }
 
-// fleet is a few members over a net.
+// fleet is a set of members on a simulated network.
 type fleet struct {
 	net        *mgnet.Net
 	platform   *platform
 	nodes      []*node
 	byName     map[string]*node
 	spread     mgclock.Millis
-	regression string // how a member went back, or ""
+	regression string // description of a member that went back to an older version, or ""
 
-	// Where quick is set, the platform lists upstreams alone, whose heartbeats end
-	// each watch of the list within beat, and members of one region are told the
-	// list by one another.
+	// Where quick is set, the platform lists only upstreams, whose heartbeats end each
+	// watch of the list within heartbeat, and the members of one region get the list
+	// from one another.
 	quick     mgclock.Millis
 	heartbeat mgclock.Millis
 	dead      map[string]bool
 	cordoned  []string // availability zones on the platform's list
 
-	// Where upstreams is set, the platform gives the list in the pages of so many rows,
-	// and allows pageRate reads a second of all members together. The list itself stays
-	// short: its pages are what counts.
+	// Where upstreams is set, the platform returns the list in the pages that this many
+	// rows take, and allows pageRate reads a second of all members together. The
+	// encoded list itself stays short, because only its number of pages matters.
 	upstreams       int
-	listedUpstreams int // upstreams that the list itself shows, 48 where it is 0
+	listedUpstreams int // upstreams in the encoded list, 48 where it is 0
 }
 
 func newFleet(seed uint64, count int, spread mgclock.Millis) *fleet {
@@ -94,7 +94,7 @@
 
 func zoneOf(i int) string { return fmt.Sprintf("z%d", i%zoneCount) }
 
-// start begins a new life of a member.
+// startNode starts a new incarnation of a member.
 func (f *fleet) startNode(i int) {
 	n := f.nodes[i]
 	n.incarnation++
@@ -134,7 +134,7 @@
 	})
 }
 
-// perform carries out actions and checks that the member didn't go back.
+// perform starts actions and records a member that went back to an older version.
 func (f *fleet) perform(n *node, actions []Action) {
 	now := f.net.Now()
 	current := n.machine.Current().key()
@@ -156,7 +156,7 @@
 	}
 }
 
-// carry sends one action and returns its result, once.
+// start sends one action and delivers its result or a timeout, once.
 func (f *fleet) start(n *node, a Action) {
 	incarnation, finished := n.incarnation, false
 	finish := func(result ResultSpec) {
@@ -224,16 +224,16 @@
 }
 
 const (
-	// pageRows and pageRate are those of a platform of some hundred entries.
+	// pageRows and pageRate are the settings of a platform of some hundred entries.
 	pageRows = 50
 	pageRate = 6000
-	// firstPages is how many a process reads before it asks peers.
+	// firstPages is the number of pages that a process reads before it asks peers.
 	firstPages = 4
-	// pageSpan is the time of one page, ms.
+	// pageDelay is the time between two pages, ms.
 	pageDelay = 4
 )
 
-// tableText returns a table of some accounts whose weights follow from edit.
+// tableText returns a table of some accounts whose weights depend on edit.
 func tableText(version uint64, edit int) []byte {
 	text := fmt.Sprintf("version = %d\n[[model]]\nname = \"m\"\ncontext = 9\nmax = 9\n", version)
 	text += "[[service]]\nname = \"s\"\nmodel = \"m\"\n"
@@ -243,7 +243,7 @@
 	return []byte(text)
 }
 
-// publish puts a version on the platform, its pages first.
+// publish writes a version to the platform, its pages first.
 func (f *fleet) publish(version uint64, edit int) {
 	table, err := mgtable.Parse(tableText(version, edit))
 	if err != nil {
@@ -259,7 +259,7 @@
 	f.platform.put(mgplatform.ManifestKey, m.Bytes())
 }
 
-// publishFaulty puts a version on the platform whose page doesn't hold.
+// publishFaulty writes a version with an invalid page to the platform.
 func (f *fleet) publishFaulty(version uint64) {
 	page := []byte("[[account]]\nname = \"a\"\nweight = -1\n")
 	m := mgtable.Manifest{
@@ -270,7 +270,7 @@
 	f.platform.put(mgplatform.ManifestKey, m.Bytes())
 }
 
-// versions returns how many members have a version in force.
+// versions returns the number of members by the version in force.
 func (f *fleet) versions() map[uint64]int {
 	counts := make(map[uint64]int)
 	for _, n := range f.nodes {
--- a/internal/version/mgconfig/gossip.go
+++ b/internal/version/mgconfig/gossip.go
@@ -5,28 +5,28 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Where the platform lists no processes, each is known by others' word of it. An
-// exchange with one peer at a time hears each of a hundred peers once in a hundred
-// seconds, and one that isn't heard for half a minute is forgotten. Half a minute after
-// the start each would know too few others, divide into too few cells, and have two hubs
-// asked by all while half of the engines have nothing to do.
+// Where the platform lists no processes, each process learns of the others by gossip.
+// An exchange with one peer at a time reaches each of a hundred peers once in a hundred
+// seconds, but a process that wasn't seen for half a minute is forgotten. Half a minute
+// after the start each process would know too few others and compute too few cells: all
+// would use the same two hubs, and half of the engines would be idle.
 //
-// So the processes of a cell tell their hub of themselves, the hubs tell the reader of
-// their cells, and each is told of all.
+// So the processes of a cell report themselves to their hub, the hubs report their
+// cells to the reader, and each reply carries all known processes.
 
 const (
-	// gossipSpan is the mean interval at which a process does so. What it is told is
-	// four ways old at most, 12 s of the 30 s that a process stays known; a hundred
-	// rows are 1.3 KB on the wire, a thousand 11 KB.
+	// gossipInterval is the mean interval of gossip. A record has made four hops at
+	// most when it arrives, which takes 12 s of the 30 s for which a process stays
+	// known. A hundred records take 1.3 KB on the wire, a thousand 11 KB.
 	gossipInterval = 3 * mgclock.Second
-	// gossipFirst is the same while that brings processes that were not known: just
-	// after a start, whom others take for the hub changes with each that is.
+	// gossipStartInterval applies while replies bring unknown processes: just after a
+	// start, the process that others compute as the hub changes with each new one.
 	gossipStartInterval = 500 * mgclock.Millis(1)
-	// gossipAnswer bounds an answer.
+	// gossipTimeout is the timeout of the reply.
 	gossipTimeout = mgclock.Second
 )
 
-// gossiping is the state of a process that tells of others and is told.
+// gossipState is the state of the periodic gossip.
 type gossipState struct {
 	busy bool
 	next mgclock.Millis
@@ -39,7 +39,8 @@
 	return g.next
 }
 
-// gossip tells the process that gathers for this one, when that is due.
+// startGossip sends the known processes to the hub or reader that collects them, when
+// that is due.
 func (m *Machine) startGossip(now mgclock.Millis) []Action {
 	g := &m.gossipState
 	if g.busy || now < g.next {
@@ -52,7 +53,7 @@
 	}
 	to := m.gossipTarget()
 	if m.roles().hub != nil {
-		known = nil // the hub has heard of them before
+		known = nil // the hub has received these records already
 	}
 	g.busy = true
 	return []Action{{
@@ -64,8 +65,8 @@
 	}}
 }
 
-// gossipPeer returns whom this process tells. Who takes itself for the reader may only
-// not know the one that is, and tells anyone.
+// gossipTarget returns the peer to gossip with. A process that computes itself as the
+// reader may merely not know the actual one, so it gossips with a random peer.
 func (m *Machine) gossipTarget() peer {
 	r := m.roles()
 	switch {
@@ -78,7 +79,7 @@
 	}
 }
 
-// self returns this process as it tells others of itself.
+// self returns the record of this process.
 func (m *Machine) self() mgmember.Gossip {
 	return mgmember.Gossip{
 		Name:   m.spec.Name,
@@ -89,7 +90,7 @@
 	}
 }
 
-// gossiped takes the answer to what was told.
+// handleGossipResult merges the reply and schedules the next gossip.
 func (m *Machine) handleGossipResult(now mgclock.Millis, result ResultSpec) []Action {
 	g := &m.gossipState
 	g.busy = false
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// Gossiped takes what a peer tells and returns what is known here.
+// HandleGossip merges a peer's records and returns the records known here.
 func (m *Machine) HandleGossip(now mgclock.Millis, all []mgmember.Gossip) []mgmember.Gossip {
 	m.members.TakeGossip(now, all)
 	return append(m.members.Gossip(now), m.self())
--- a/internal/version/mgconfig/gossip_test.go
+++ b/internal/version/mgconfig/gossip_test.go
@@ -8,11 +8,10 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
 )
 
-// Reports of a calm day begin 8 s late from half a minute after the start on, while
-// half of the engines have nothing to do. The platform lists no entries; each entry
-// forgets those that it hasn't heard for 30 s, and an exchange with one of a hundred
-// each two seconds hears few. Those that know fewer make fewer cells, and two of four
-// hubs are asked by all.
+// From half a minute after the start, reports start 8 s late at low load while half of
+// the engines are idle. The platform lists no entries; each entry forgets those that it
+// hasn't seen for 30 s, and exchanges with one of a hundred every two seconds reach
+// few. Entries that know fewer compute fewer cells, so all use two of four hubs.
 func TestUnlistedEntriesForgetEachOther(t *testing.T) {
 	Convey("A hundred entries that the platform doesn't list, and a list that doesn't change", t, func() {
 		const count = 100
--- a/internal/version/mgconfig/join.go
+++ b/internal/version/mgconfig/join.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// joinPeers is the number of peers that a new process wants to hear from.
-	// One may be as new as itself, or cut off with a stale platform.
+	// joinPeers is the number of peers from which a new process wants an answer. One
+	// alone may be as new as itself, or cut off with a stale platform.
 	joinPeers = 2
-	// joinPatience is how long one peer's answer is not enough.
+	// secondPeerTimeout is the time after which one peer's answer suffices.
 	secondPeerTimeout = 5 * mgclock.Second
-	// joinPlatform is how long the platform's answer is waited for.
+	// joinPlatformTimeout is the maximum wait for the platform's answer.
 	joinPlatformTimeout = 2 * mgclock.Second
-	// joinSpan is the interval at which a new process asks further peers.
+	// joinInterval is the interval at which a new process asks further peers.
 	joinInterval = 500 * mgclock.Millis(1)
-	// listSpan is the same while it has no list of VMs, which the peers that read it
-	// have after some pages of it.
+	// firstListInterval applies while the process has no list of VMs. The peers that
+	// read the list have it after some pages.
 	firstListInterval = 150 * mgclock.Millis(1)
-	// firstListWait and firstListSpan bound when a process that may ask peers for its
-	// first list reads the platform for itself, at a time drawn between: long enough
-	// for a list of some thousand rows to be read and told.
+	// firstListMinDelay and firstListJitter give the random delay after which a process
+	// that may ask peers for its first list reads the platform itself: long enough for
+	// a list of some thousand rows to be read and passed on.
 	firstListMinDelay = 700 * mgclock.Millis(1)
 	firstListJitter   = 2 * mgclock.Second
 )
 
-// join is the state of a process that is not ready yet.
+// join is the state of a process that isn't ready yet.
 type join struct {
 	startedAt   mgclock.Millis
 	next        mgclock.Millis
 	peers       map[string]bool
-	highest     versionKey // the highest version heard of
+	highest     versionKey // the highest version that a peer has reported
 	ready       bool
-	isListLong  bool            // the list of VMs takes many calls of the platform
-	unreachable map[string]bool // addresses of the settings' peers that gave no answer
+	isListLong  bool            // reading the list of VMs takes many calls to the platform
+	unreachable map[string]bool // configured peer addresses that gave no answer
 }
 
 func (j *join) begin(now mgclock.Millis) {
@@ -52,7 +52,7 @@
 	return j.next
 }
 
-// heard takes a peer's answer.
+// recordAnswer records a peer's answer.
 func (j *join) recordAnswer(s *mgrpc.Summary) {
 	if j.ready {
 		return
@@ -67,8 +67,8 @@
 	}
 }
 
-// askFirst asks peers until the process is ready, in other zones as well: the
-// own one may be cut off.
+// askPeersForJoin exchanges summaries with random peers until the process is ready. The
+// peers may be in other zones, because the own zone may be cut off.
 func (m *Machine) askPeersForJoin(now mgclock.Millis) []Action {
 	lacksFirstList := m.lacksFirstList()
 	if m.Ready(now) && !lacksFirstList || now < m.join.next {
@@ -85,30 +85,32 @@
 	return actions
 }
 
-// askFor takes that the first read of the list of VMs takes many calls: peers are asked
-// for it, and only later the platform. Where each of 300 processes that start together
-// before 3,000 upstreams read it, they would make 18,000 calls of fifty rows each and be
-// turned away again and again; none would have a list for seconds, and callers would be
-// refused.
+// deferFirstListRead handles the answer that reading the list of VMs takes many calls:
+// the process asks peers for the list first, and the platform only later. Where each of
+// 300 processes that start together before 3,000 upstreams reads it, they make 18,000
+// calls of fifty rows each and are rate-limited again and again. None would have a list
+// for seconds, and callers would be refused.
 func (m *Machine) deferFirstListRead(now mgclock.Millis) {
 	m.join.isListLong = true
 	m.join.next = now
 	m.listSource.next = now + firstListMinDelay + m.jitter(firstListJitter)
 }
 
-// listless reports whether peers are asked for the first list.
+// lacksFirstList reports whether the process asks its peers for the first list.
 func (m *Machine) lacksFirstList() bool { return m.join.isListLong && m.members.View().Version() == 0 }
 
-// restFirst takes that a peer gave a list: just after a start, before it is known who
-// reads for whom, that peer's next ones do in place of an own read, too.
+// postponeFirstListRead is called when a peer has sent a list. Just after a start,
+// before the reader of the region is known, that peer's next lists replace the
+// process's own read as well.
 func (m *Machine) postponeFirstListRead(now mgclock.Millis) {
 	if m.join.isListLong && now < m.join.startedAt+discoveryWindow && m.listSource.version == 0 {
 		m.listSource.next = max(m.listSource.next, now+firstListMinDelay+m.jitter(firstListJitter))
 	}
 }
 
-// noteDark takes that a peer gave no answer. Where all peers of the settings are gone,
-// nobody else tells the list.
+// recordUnreachable records that a peer gave no answer. Where all configured peers are
+// unreachable, the process reads the platform, because no other process can send the
+// list.
 func (m *Machine) recordUnreachable(now mgclock.Millis, addr string) {
 	if !m.lacksFirstList() || !slices.Contains(m.spec.Seeds, addr) {
 		return
@@ -119,7 +121,7 @@
 	}
 }
 
-// Ready reports whether the process may serve. Once it is ready it stays so.
+// Ready reports whether the process may serve. A process that is ready stays ready.
 func (m *Machine) Ready(now mgclock.Millis) bool {
 	if !m.join.ready && m.hasJoined(now) {
 		m.join.ready = true
@@ -148,7 +150,7 @@
 	return answered >= wanted
 }
 
-// others returns the number of other processes that the list shows live.
+// countLiveOthers returns the number of other processes that the list shows as live.
 func (m *Machine) countLiveOthers() int {
 	count := 0
 	for _, member := range m.members.View().All() {
--- a/internal/version/mgconfig/longpoll.go
+++ b/internal/version/mgconfig/longpoll.go
@@ -6,67 +6,71 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Where changes of the list must be known soon, one process of a region reads it
-// from the platform, the hub of each cell listens at that reader, and the other
-// processes of a cell listen at their hub. A change then costs the platform one read
-// and not one for each process, whose own watch would return at once as upstreams'
-// heartbeats end it.
+// Where changes of the list must be known soon, one process of a region, the reader,
+// reads it from the platform. The hub of each cell long-polls the reader, and the other
+// processes of a cell long-poll their hub. So a change costs the platform one read, not
+// one per process: upstreams' heartbeats end every watch, so each process's own watch
+// would return at once.
 //
-// What each tells carries its age since the platform's own word, so that whoever
-// hears nothing, or nothing recent, reads for itself: a hub quickly and for its cell,
-// any other process once a second.
+// Each reply carries the time since the platform confirmed the list. A process that
+// receives no reply, or only old ones, reads the platform itself: a hub quickly and on
+// behalf of its cell, any other process once a second.
 
 const (
-	// hubHold is how long a hub's question is held while there is nothing new: what the
-	// way over the hub adds to the age of the reader's word.
+	// hubPollWait is how long the reader holds a hub's long poll while there is nothing
+	// new. It is the delay that the path over the hub adds to the age of the reader's
+	// report.
 	hubPollWait = 150 * mgclock.Millis(1)
-	// hubRest is how old the reader's word is when a hub reads for its cell. Engines
-	// that started together beat together, and the reader's own watch takes up to
-	// quickWatch then: sooner, each hub would read beside the reader.
+	// hubReadDelay is the age of the reader's report at which a hub reads for its cell.
+	// Engines that started together send heartbeats together, and the reader's own
+	// watch then takes up to quickWatchWait: with a shorter delay each hub would read
+	// in parallel with the reader.
 	hubReadDelay = quickWatchWait + 200
-	// cellHold is the same for the other processes, which hear of the hub's life by
-	// their reports of load as well.
+	// cellPollWait is the same for the other processes, which also see from the replies
+	// to their load reports that the hub is alive.
 	cellPollWait = 500 * mgclock.Millis(1)
-	// listenAnswer bounds the answer beyond that: the reply of a busy VM with a
-	// seventh of a core.
+	// longPollTimeout is the timeout of the reply after the wait: the reply time of a
+	// busy VM with a seventh of a core.
 	longPollTimeout = 300 * mgclock.Millis(1)
-	// listenLife is how long an answer shows that listening works.
+	// longPollTTL is how long a reply proves that the long poll works.
 	longPollTTL = cellPollWait + longPollTimeout
-	// listenRetry is the first pause after a question without an answer, which
-	// doubles up to listenRetryMost: the own watch stands in meanwhile. listenLook is
-	// the pause of a process that has nobody to listen to before it looks again.
+	// longPollRetryMin is the first delay after a failed long poll. It doubles up to
+	// longPollRetryMax; meanwhile the process's own watch replaces the long poll.
+	// noTargetInterval is the interval at which a process without a target looks for
+	// one.
 	longPollRetryMin = 100 * mgclock.Millis(1)
 	longPollRetryMax = mgclock.Second
 	noTargetInterval = 250 * mgclock.Millis(1)
-	// listenersLife is how long a question shows that others listen here: two of
-	// theirs and some.
+	// pollersTTL is how long after a long poll others count as polling this process:
+	// two of their polls and a margin.
 	pollersTTL = 3 * cellPollWait
-	// meetSpan is how long after a start a process that nobody listens at doesn't read
-	// for others: until some hundred processes know one another several take
-	// themselves for the reader.
+	// discoveryWindow is the time after a start in which a process that nobody polls
+	// doesn't read for others: until some hundred processes know one another, several
+	// compute themselves as the reader.
 	discoveryWindow = 6 * mgclock.Second
-	// awayPause is the mean pause of a process whose hub answers, and has no word of
-	// the platform, between two reads of its own. The hub asks often, and who else is
-	// answered tells the others; a platform that turns all away is spared.
+	// platformDownInterval is the mean interval of a process's own reads while its hub
+	// answers but has no confirmation by the platform. The hub reads often, and any
+	// process that gets an answer passes it on, so a platform that refuses all calls is
+	// spared.
 	platformDownInterval = 3 * mgclock.Second
-	// listenRow makes the pause after a list grow with its rows, in ms. A row takes
-	// some 24 bytes on the wire: 60 KB/s while the list never rests.
+	// longPollDelayPerRow is the part of the delay after a received list that is due to
+	// each row, in ms. A row takes some 24 bytes on the wire: 60 KB/s if every list
+	// changes at once.
 	longPollDelayPerRow = 0.4
-	// listenMost bounds that pause, as listPullMost does for fetches.
+	// maxLongPollDelay limits that delay, as maxListFetchInterval does for fetches.
 	maxLongPollDelay = maxListFetchInterval
 )
 
-// A Listing is what a process tells those that listen at it.
+// A Listing is the reply to a long poll for the list of VMs.
 type Listing struct {
 	Word Word
-	// Packed is the text of the list, compressed, or nil where the listener's is as
-	// new.
+	// Packed is the compressed list, or nil where the caller's list is as new.
 	Packed []byte
 }
 
-// leads reports whether this process reads the list quickly: for all others of its
-// region, or for its cell while it hears nothing of the reader. A new process that
-// others don't listen at may only not know the reader yet.
+// readsForOthers reports whether this process reads the list quickly: as the reader of
+// its region, or as a hub on behalf of its cell while the reader's reports are missing
+// or old. A new process that others don't poll may merely not know the reader yet.
 func (m *Machine) readsForOthers(now mgclock.Millis) bool {
 	r := m.roles()
 	if now < m.join.startedAt+discoveryWindow && now >= m.lastPolledAt+pollersTTL && len(r.view.Able(m.spec.Region)) > 0 {
@@ -75,8 +79,8 @@
 	return r.reader == nil || r.hub == nil && now >= m.peerConfirmedAt+hubReadDelay
 }
 
-// Asked takes that another process listens at this one, and reports whether that
-// changed when the machine is due.
+// HandleLongPoll records that another process polls this one, and reports whether that
+// changed the time of the next tick.
 func (m *Machine) HandleLongPoll(now mgclock.Millis) bool {
 	first := now >= m.lastPolledAt+pollersTTL
 	m.lastPolledAt = now
@@ -87,8 +91,8 @@
 	return false
 }
 
-// to returns at whom this process listens, and how long a question is held, or
-// nil where it listens at nobody.
+// longPollTarget returns the member that this process polls and the wait of a poll, or
+// nil where it polls none.
 func (m *Machine) longPollTarget() (to *mgmember.Member, wait mgclock.Millis) {
 	r := m.roles()
 	switch {
@@ -101,14 +105,14 @@
 	}
 }
 
-// listening is the state of a process that listens at another.
+// longPollState is the state of the long poll to the reader or hub.
 type longPollState struct {
 	busy          bool
 	next          mgclock.Millis
 	failures      int            // in a row
-	answeredAt    mgclock.Millis // when an answer came last
-	hasAnswered   bool           // one has come
-	isReportFresh bool           // its word was the platform's
+	answeredAt    mgclock.Millis // time of the last reply
+	hasAnswered   bool           // a reply has arrived
+	isReportFresh bool           // its last report was as good as the platform's own answer
 }
 
 func (l *longPollState) nextDue() mgclock.Millis {
@@ -118,18 +122,18 @@
 	return l.next
 }
 
-// heard reports whether whom this process listens at answers.
+// isAnswering reports whether the polled member answers.
 func (l *longPollState) isAnswering(now mgclock.Millis) bool {
 	return l.hasAnswered && l.failures == 0 && now < l.answeredAt+longPollTTL
 }
 
-// well reports whether it has the platform's word as well, so that what is new needs
-// no other way.
+// isFresh reports whether the polled member also has a fresh confirmation by the
+// platform, so that updates need no other path.
 func (l *longPollState) isFresh(now mgclock.Millis) bool {
 	return l.isReportFresh && l.isAnswering(now)
 }
 
-// listen asks for what is newer than the own list, when that is due.
+// startLongPoll polls for a list newer than the own one, when that is due.
 func (m *Machine) startLongPoll(now mgclock.Millis) []Action {
 	l := &m.longPoll
 	if m.spec.Quick == 0 || l.busy || now < l.next {
@@ -154,7 +158,7 @@
 	}}
 }
 
-// listened takes the answer.
+// handleListReply adopts the list and the report of a reply, or schedules a retry.
 func (m *Machine) handleListReply(now mgclock.Millis, result ResultSpec) []Action {
 	l := &m.longPoll
 	l.busy = false
@@ -163,7 +167,8 @@
 		l.failures++
 		l.next = now + longPollRetryMin/2 + m.jitter(min(longPollRetryMin<<min(l.failures, maxDoublings), longPollRetryMax))
 		if m.roles().hub == nil {
-			// Only a hub has no other calls to the reader that would show it dead.
+			// A hub makes no other calls to the reader that would show the reader's
+			// failure.
 			m.members.Failed(now, from)
 			m.listSource.next = min(m.listSource.next, now)
 		}
@@ -190,14 +195,14 @@
 	return append(actions, m.ObserveVersion(now, result.Report.Table, from)...)
 }
 
-// listenPause returns the shortest interval between two lists.
+// longPollDelay returns the minimum interval between two lists.
 func (m *Machine) longPollDelay() mgclock.Millis {
 	rows := float64(len(m.members.View().All()))
 	return min(mgclock.Millis(longPollDelayPerRow*rows), maxLongPollDelay)
 }
 
-// confirm takes a word of a list that this process has, or one still older: the own
-// watch rests.
+// confirmList records the confirmation in a report of the own list, or of an older one,
+// and postpones the own watch.
 func (m *Machine) confirmList(now mgclock.Millis, report Word) {
 	if !report.isFresh() || report.List > m.members.View().Version() {
 		return
@@ -209,15 +214,15 @@
 	m.postponeListRead(at)
 }
 
-// waitsForHub reports whether another asks the platform for this process, which gives
-// no answer now.
+// hubAnswers reports whether another process reads the platform for this one, which
+// itself gets no answer now.
 func (m *Machine) hubAnswers(now mgclock.Millis) bool {
 	return m.spec.Quick > 0 && m.Current() != nil && m.roles().rank >= watchersPerCell && m.longPoll.isAnswering(now)
 }
 
-// restWatch has the own watch rest from the time of another's word, unless others
-// take theirs from here. A hub reads for its cell as soon as the word is too old to be
-// told on.
+// postponeListRead postpones the own watch, counted from the time of another process's
+// confirmation, unless others depend on this process's reads. A hub reads for its cell
+// as soon as the report is too old to be passed on.
 func (m *Machine) postponeListRead(at mgclock.Millis) {
 	r := m.roles()
 	switch {
@@ -230,25 +235,27 @@
 }
 
 const (
-	// longList is the number of members from which a process that others don't listen
-	// at leaves the list to them: thousands of upstreams are some dozen calls and a
-	// megabyte and more, which take seconds on the link of a thin VM. Where a third of
-	// the processes die, each of the others would read them at once, and be turned away.
+	// longListRows is the list size from which a process that others don't poll leaves
+	// reading the list to them: thousands of upstreams take some dozen calls and over a
+	// megabyte, which takes seconds on the link of a small VM. Where a third of the
+	// processes die, each of the others would read the list at once, and be
+	// rate-limited.
 	longListRows = 500
-	// longPause is the pause between such a process's own reads while it hears nothing.
+	// longListReadInterval is the interval of such a process's own reads while it
+	// receives no reports.
 	longListReadInterval = 5 * mgclock.Second
-	// longExchange is the interval at which it asks peers meanwhile, which have the list
-	// packed in a twentieth.
+	// longListExchangeInterval is the interval at which it asks peers meanwhile, which
+	// have the list compressed to a twentieth.
 	longListExchangeInterval = 300 * mgclock.Millis(1)
 )
 
-// spared reports whether this process leaves a long list to its hub and the keepers of
-// its cell.
+// leavesListToOthers reports whether this process leaves reading a long list to its hub
+// and the watchers of its cell.
 func (m *Machine) leavesListToOthers() bool {
 	return m.spec.Quick > 0 && len(m.members.View().All()) > longListRows && m.roles().rank >= watchersPerCell
 }
 
-// ownPause returns the pause between two reads of the list by a process that doesn't
+// ownReadInterval returns the interval of reads of the list by a process that doesn't
 // read it for others.
 func (m *Machine) ownReadInterval() mgclock.Millis {
 	if m.leavesListToOthers() {
@@ -257,7 +264,7 @@
 	return slowWatchInterval
 }
 
-// exchangePause returns the mean interval of exchanges.
+// currentExchangeInterval returns the mean interval of exchanges.
 func (m *Machine) currentExchangeInterval(now mgclock.Millis) mgclock.Millis {
 	if m.leavesListToOthers() && !m.longPoll.isFresh(now) {
 		return longListExchangeInterval
--- a/internal/version/mgconfig/longpoll_fleet_test.go
+++ b/internal/version/mgconfig/longpoll_fleet_test.go
@@ -10,7 +10,7 @@
 )
 
 // newListening returns a fleet of one region on a platform that lists upstreams only.
-// Members tell one another the list.
+// Members get the list from one another.
 func newListening(seed uint64, count int) *fleet {
 	f := newFleet(seed, count, 0)
 	f.quick = 60
@@ -21,7 +21,7 @@
 	return f
 }
 
-// seeds returns the members that a new one asks first.
+// seeds returns the configured peers of a new member.
 func (f *fleet) seeds() []string {
 	if f.quick == 0 {
 		return nil
@@ -29,8 +29,8 @@
 	return []string{f.nodes[0].name, f.nodes[1].name, f.nodes[2].name}
 }
 
-// list puts a list of upstreams on the platform, of which one after the other leaves,
-// and returns its version.
+// list writes a list of upstreams to the platform, in which the one selected by change
+// is leaving, and returns its version.
 func (f *fleet) list(change int) uint64 {
 	upstreams := 48
 	if f.listedUpstreams > 0 {
@@ -59,7 +59,7 @@
 	return list.Version
 }
 
-// kick has a member that changed its mind look when it is due, as a Loop does.
+// tickNow schedules a tick of a member whose next tick may have moved, as a Loop does.
 func (f *fleet) tickNow(n *node, incarnation int) {
 	f.net.At(max(f.net.Now(), n.machine.NextTick()), n.name, func() {
 		if n.incarnation == incarnation {
@@ -68,11 +68,11 @@
 	})
 }
 
-// listenStep is how late a held question is answered at most, ms.
+// longPollCheckInterval is the maximum delay of the reply to a held long poll, ms.
 const longPollCheckInterval = 5
 
-// listen carries a question for the list to a member, which answers once it has what
-// is newer or the wait is over.
+// longPoll sends a long poll to a member, which replies once it has a newer list or the
+// wait is over.
 func (f *fleet) longPoll(n *node, a Action, finish func(ResultSpec)) {
 	to := f.byName[a.Addr()]
 	incarnation := to.incarnation
@@ -108,7 +108,7 @@
 	})
 }
 
-// gossip carries what a member tells another of processes.
+// gossip sends a member's records to another one and returns the reply.
 func (f *fleet) gossip(n *node, a Action, finish func(ResultSpec)) {
 	to := f.byName[a.Addr()]
 	f.net.Send(n.name, to.name, callBytes/2, func() {
@@ -124,13 +124,14 @@
 	})
 }
 
-// Intervals of the reports of load, which carry a hub's word; see mgnode.
+// Interval and timeout of the load reports, whose replies carry a hub's report; see
+// mgnode.
 const (
 	loadReportInterval = 200
 	loadReportTimeout  = 150
 )
 
-// report has a member tell its hub of its load, again and again.
+// scheduleLoadReports makes a member send load reports to its hub periodically.
 func (f *fleet) scheduleLoadReports(n *node, incarnation int) {
 	f.net.At(f.net.Now()+loadReportInterval, n.name, func() {
 		if n.incarnation != incarnation || f.dead[n.name] {
@@ -167,14 +168,13 @@
 	})
 }
 
-// kill ends a member for good.
+// kill stops a member permanently.
 func (f *fleet) kill(name string) {
 	f.dead[name] = true
 	f.byName[name].incarnation++
 }
 
-// reader returns the member that reads the list for all others, by what most take
-// for it.
+// reader returns the member that most members compute as the region's reader.
 func (f *fleet) reader() string {
 	votes := map[string]int{}
 	first := ""
@@ -202,7 +202,7 @@
 	return n.name
 }
 
-// lag returns how many live members have a list older than a version.
+// countOutdated returns how many live members have a list older than a version.
 func (f *fleet) countOutdated(version uint64) int {
 	count := 0
 	for _, n := range f.nodes {
@@ -213,8 +213,8 @@
 	return count
 }
 
-// known changes the list and returns how long it takes until a share of the members
-// has it.
+// timeUntilKnown changes the list and returns the time until a share of the members has
+// it.
 func (f *fleet) timeUntilKnown(change int, share float64) mgclock.Millis {
 	began := f.net.Now()
 	version := f.list(change)
--- a/internal/version/mgconfig/longpoll_test.go
+++ b/internal/version/mgconfig/longpoll_test.go
@@ -9,9 +9,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// The platform bills a hundred entries 4,000 reads in 48 s. Engines come and go by the
-// dozen; each entry that hears of a newer list asks for it and reads it as well, since
-// its own watch ends with the next heartbeat of any engine.
+// The platform bills a hundred entries 4,000 reads in 48 s. Dozens of engines come and
+// go; each entry that learns of a newer list requests it from a peer and reads it as
+// well, because its own watch ends with the next heartbeat of any engine.
 func TestPlatformReadsGrowWithEntries(t *testing.T) {
 	Convey("While the list changes thrice a second", t, func() {
 		const (
@@ -19,7 +19,7 @@
 			period = 12 * sec
 			// half of an engine's notice of 1.5 s
 			maxDelay = 750 * mgclock.Millis(1)
-			// a thousand reads on a calm day of 48 s
+			// a thousand reads in 48 s at low load
 			maxReads = 1000 * int(period) / int(48*sec)
 		)
 		reads := map[int]int{}
@@ -40,12 +40,12 @@
 			So(delays[len(delays)-1], ShouldBeLessThanOrEqualTo, maxDelay)
 			So(reads[count], ShouldBeLessThanOrEqualTo, maxReads)
 		}
-		// Three in each of the four cells watch for versions of the table.
+		// Three processes in each of the four cells watch for versions of the table.
 		So(reads[100], ShouldBeLessThanOrEqualTo, reads[25]*3/2)
 	})
 }
 
-// otherHub returns the hub of a cell that isn't the reader.
+// otherHub returns a hub that isn't the reader.
 func otherHub(f *fleet) string {
 	for _, n := range f.nodes {
 		if hub := f.hubOf(n); hub != f.reader() {
@@ -55,9 +55,9 @@
 	return ""
 }
 
-// The entry that reads the list for all others, or one that tells it to a cell, dies or
-// stands still. An engine gives notice of two seconds in that moment, and its answers are
-// cut unless the others see it by other ways.
+// The region's reader or the hub of a cell dies or stalls. An engine gives notice of
+// two seconds at that moment, and its answers are cut off unless the others learn of it
+// on another path.
 func TestListDelayedWhenReaderOrHubFails(t *testing.T) {
 	const freeze = 4 * sec
 	die := func(f *fleet, name string) { f.kill(name) }
@@ -66,7 +66,7 @@
 		name   string
 		victim func(*fleet) string
 		fail   func(*fleet, string)
-		share  float64 // of the entries that must know: one that stands still can't
+		share  float64 // share of the entries that must know: a stalled one can't
 	}{
 		{
 			name:   "the reader of a region dies",
@@ -103,15 +103,16 @@
 			delay := f.timeUntilKnown(1, c.share)
 			t.Logf("the next change was known after %d ms", delay)
 			So(delay, ShouldBeLessThanOrEqualTo, 1500)
-			// Later, also once who stood still goes on, changes are known as before.
+			// Later, even after a stalled one resumes, changes are known as fast as
+			// before.
 			f.net.Run(f.net.Now() + freeze + sec)
 			So(f.timeUntilKnown(2, 1), ShouldBeLessThanOrEqualTo, 750)
 		})
 	}
 }
 
-// Half of a region's entries are cut off from the entry that reads the list, and not
-// from the platform. What leaves meanwhile is not seen by that half.
+// Half of a region's entries are cut off from the region's reader, but not from the
+// platform. That half misses a departure.
 func TestListDelayedWhenReaderUnreachable(t *testing.T) {
 	Convey("A reader that half of the entries can't reach", t, func() {
 		f := newListening(9, 100)
@@ -129,9 +130,9 @@
 	})
 }
 
-// The platform turns all away for eight seconds. A hundred entries ask it again and
-// again, twice a second each, 3,300 times; or they ask so rarely that an engine's notice
-// just after its return is not seen.
+// The platform refuses all calls for eight seconds. A hundred entries retry twice a
+// second each, 3,300 times in all; or they retry so rarely that they miss an engine's
+// notice just after the platform is back.
 func TestRetryStormWhilePlatformDown(t *testing.T) {
 	Convey("While the platform turns all away", t, func() {
 		const outage = 8 * sec
@@ -151,8 +152,8 @@
 	})
 }
 
-// The entry that reads the list for all others is turned away by the platform. The
-// others take its old word for the platform's.
+// The platform refuses the calls of the region's reader. The others take its old report
+// for the platform's answer.
 func TestOldReportTakenAsFresh(t *testing.T) {
 	Convey("A word without the platform's is not told on", t, func() {
 		m, _ := machineWithoutPeers()
--- a/internal/version/mgconfig/loop.go
+++ b/internal/version/mgconfig/loop.go
@@ -16,19 +16,19 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Timeouts of actions. A peer answers an exchange from memory; a fetch may carry
-// a megabyte. fetchTimeout is the default of MachineSpec.Fetch, readTimeout that
-// of Answer.
+// Timeouts of actions. A peer answers an exchange from memory; a fetch may carry a
+// megabyte. fetchTimeout is the default of MachineSpec.Fetch, and readTimeout of
+// MachineSpec.Answer.
 const (
 	exchangeTimeout = mgclock.Second
 	fetchTimeout    = 5 * mgclock.Second
 	readTimeout     = 5 * mgclock.Second
 )
 
-// errStopped is the error of a loop that doesn't run.
+// errStopped is returned by a loop that isn't running.
 var errStopped = errors.New("mgconfig: this process is starting or stopping: ask another peer")
 
-// A LoopSpec joins a machine to the outside.
+// A LoopSpec connects a machine to its clock, its peers and the platform.
 type LoopSpec struct {
 	Machine  MachineSpec
 	Clock    mgclock.Clock
@@ -40,16 +40,17 @@
 	Exchange func(ctx context.Context, addr string, s *mgrpc.Summary) (*mgrpc.Summary, error)
 	Fetch    func(ctx context.Context, addr string, r *mgrpc.FetchRequest) (*mgrpc.FetchReply, error)
 
-	// Listen waits at the peer at an address for a list of VMs newer than a version.
-	// It is needed where MachineSpec.Quick is set.
+	// Listen long-polls the peer at an address for a list of VMs newer than a version.
+	// It is required where MachineSpec.Quick is set.
 	Listen func(ctx context.Context, addr string, after uint64, wait mgclock.Millis) (Listing, error)
 
-	// Gossip tells the peer at an address of processes, and returns what it knows.
+	// Gossip sends records of processes to the peer at an address and returns the
+	// peer's records.
 	Gossip func(ctx context.Context, addr string, all []mgmember.Gossip) ([]mgmember.Gossip, error)
 
-	// Adopted is told of each snapshot put in force, in order. It may be nil.
-	// It must not call the loop and return soon: a control event is the right
-	// size.
+	// Adopted is called with each snapshot put in force, in order. It may be nil. It
+	// must not call the loop and must return soon, such as after emitting a control
+	// event.
 	Adopted func(*Snapshot)
 }
 
@@ -59,19 +60,19 @@
 	machine *Machine
 
 	mu                sync.Mutex
-	reported          *Snapshot     // the last snapshot that was reported
-	reportedRejection error         // the last refusal that was reported
-	reportedCordons   []string      // the cordoned availability zones that were reported
+	reported          *Snapshot     // the last snapshot passed to Adopted
+	reportedRejection error         // the last rejection that was logged
+	reportedCordons   []string      // the cordoned availability zones that were logged last
 	tableChanged      chan struct{} // closed and replaced at each adoption
-	listChanged       chan struct{} // the same at each newer list of VMs
-	compressed        Listing       // the list that was packed last, and its version
-	wakeRun           chan struct{} // wakes Run after the machine changed its mind
+	listChanged       chan struct{} // closed and replaced at each newer list of VMs
+	compressed        Listing       // the list that was compressed last, and its version
+	wakeRun           chan struct{} // wakes Run after the machine's next tick may have moved
 	ctx               context.Context
 	stopped           bool
 	actionsRunning    sync.WaitGroup
 }
 
-// NewLoop returns a loop. It does nothing until Run.
+// NewLoop returns a loop. It does nothing until Run is called.
 func NewLoop(spec LoopSpec) *Loop {
 	return &Loop{
 		spec:         spec,
@@ -92,15 +93,15 @@
 	return l.machine.Ready(l.spec.Clock.Now())
 }
 
-// Stale reports whether the platform gives no word of the list of VMs now.
+// Stale reports whether the list of VMs is unconfirmed by the platform.
 func (l *Loop) Stale() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machine.IsListStale(l.spec.Clock.Now())
 }
 
-// Certain reports whether the table in force was the newest a moment ago, so that what it
-// doesn't name isn't there.
+// Certain reports whether the table in force was recently confirmed as the newest, so
+// that a route or key that it lacks doesn't exist.
 func (l *Loop) Certain() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,7 +131,7 @@
 	l.actionsRunning.Wait()
 }
 
-// rest waits until the machine is due or was changed by a call.
+// waitUntilDue waits until the machine's next tick or a call that may have moved it.
 func (l *Loop) waitUntilDue(ctx context.Context) {
 	l.mu.Lock()
 	delay := l.machine.NextTick() - l.spec.Clock.Now()
@@ -145,7 +146,7 @@
 	}
 }
 
-// Seen takes a version number that came with a call from a peer. It costs two
+// Seen handles a version number that a call from a peer carried. It costs two atomic
 // loads where the peer isn't ahead.
 func (l *Loop) Seen(version uint64, from string) {
 	if version <= l.Current().Version() {
@@ -156,8 +157,8 @@
 	})
 }
 
-// Await returns once a version, or a later one, is in force. Whoever learns in
-// a call that it is behind waits here before it decides.
+// Await returns once a version, or a later one, is in force. A request that carries a
+// newer version than this process has waits here before it is decided.
 func (l *Loop) Await(ctx context.Context, version uint64) error {
 	for {
 		l.mu.Lock()
@@ -174,21 +175,22 @@
 	}
 }
 
-// Departed takes an upstream's own word that it leaves, and tells peers.
+// Departed records an upstream's own announcement that it is leaving, and forwards it
+// to peers.
 func (l *Loop) Departed(upstream string) {
 	l.stepAndWakeRun(func(m *Machine, now mgclock.Millis) []Action { return m.HandleDeparture(now, upstream) })
 }
 
-// LookForTable has the table read from the platform at once, where another call to it has
-// shown that there is a newer one.
+// LookForTable reads the table from the platform at once, after another call to the
+// platform has shown that there is a newer one.
 func (l *Loop) LookForTable() { l.stepAndWakeRun((*Machine).ReadTableNow) }
 
-// Take takes another process's word of the platform.
+// Take applies another process's report of the platform's state.
 func (l *Loop) Take(word Word, from string) {
 	l.step(func(m *Machine, now mgclock.Millis) []Action { return m.ApplyReport(now, word, from) })
 }
 
-// Reseed replaces the addresses of peers to ask while no other is known.
+// Reseed replaces the peer addresses that are used while no other peer is known.
 func (l *Loop) Reseed(seeds []string) {
 	l.stepAndWakeRun(func(m *Machine, _ mgclock.Millis) []Action {
 		m.spec.Seeds = seeds
@@ -196,16 +198,16 @@
 	})
 }
 
-// Leave tells a few peers that this process leaves, and all that ask later.
+// Leave announces to a few peers, and in all later summaries, that this process leaves.
 func (l *Loop) Leave() { l.stepAndWakeRun((*Machine).Leave) }
 
-// act lets the machine decide and has Run look when it is due next.
+// stepAndWakeRun runs step and has Run recompute the machine's next tick.
 func (l *Loop) stepAndWakeRun(decide func(*Machine, mgclock.Millis) []Action) {
 	l.step(decide)
 	l.signalRun()
 }
 
-// kickRun has Run look when the machine is due next.
+// signalRun has Run recompute the machine's next tick.
 func (l *Loop) signalRun() {
 	select {
 	case l.wakeRun <- struct{}{}:
@@ -213,7 +215,7 @@
 	}
 }
 
-// step lets the machine decide and starts what it decided.
+// step runs decide and starts the actions that it returns.
 func (l *Loop) step(decide func(*Machine, mgclock.Millis) []Action) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -234,7 +236,8 @@
 	}
 }
 
-// report logs and hands on what the machine adopted or refused.
+// reportTable logs what the machine adopted or rejected, and publishes an adopted
+// snapshot.
 func (l *Loop) reportTable() {
 	if version, err := l.machine.LastRejection(); err != nil && err != l.reportedRejection {
 		l.reportedRejection = err
@@ -255,7 +258,7 @@
 	l.tableChanged = make(chan struct{})
 }
 
-// reportCordons logs each change of the availability zones that get no new work.
+// reportCordons logs each change of the cordoned availability zones.
 func (l *Loop) reportCordons(view *mgmember.View) {
 	cordons := slices.Sorted(maps.Keys(view.Cordoned()))
 	if slices.Equal(cordons, l.reportedCordons) {
--- a/internal/version/mgconfig/loop_serve.go
+++ b/internal/version/mgconfig/loop_serve.go
@@ -8,7 +8,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Exchange serves a peer's exchange.
+// Exchange answers a peer's summary with the summary of this process.
 func (l *Loop) Exchange(_ context.Context, s *mgrpc.Summary) (*mgrpc.Summary, error) {
 	var reply *mgrpc.Summary
 	l.stepAndWakeRun(func(m *Machine, now mgclock.Millis) []Action {
@@ -22,7 +22,7 @@
 	return reply, nil
 }
 
-// Fetch serves a peer's fetch.
+// Fetch answers a peer's request for values.
 func (l *Loop) Fetch(_ context.Context, r *mgrpc.FetchRequest) (*mgrpc.FetchReply, error) {
 	var compressedList []byte
 	if r.GetList() {
@@ -33,8 +33,8 @@
 	return Serve(l.Current(), compressedList, r), nil
 }
 
-// packedList returns the list of VMs compressed, once for all that ask, or nil before
-// the first. It is called with mu held.
+// compressedList returns the compressed list of VMs, or nil before the first list. The
+// list is compressed once per version, for all callers. mu must be held.
 func (l *Loop) compressedList() []byte {
 	version := l.machine.members.View().Version()
 	if version == 0 {
@@ -47,22 +47,22 @@
 	return l.compressed.Packed
 }
 
-// Word returns what this process can tell others of the platform.
+// Word returns the report of versions that this process sends to its peers.
 func (l *Loop) Word() Word {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machine.Report(l.spec.Clock.Now())
 }
 
-// Gossiped serves a peer that tells of processes.
+// Gossiped merges a peer's records of processes and returns the records known here.
 func (l *Loop) Gossiped(all []mgmember.Gossip) []mgmember.Gossip {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machine.HandleGossip(l.spec.Clock.Now(), all)
 }
 
-// Listing returns this process's word, and the list of VMs as soon as it is newer than
-// a version, or nil after a wait.
+// Listing answers a long poll: it returns this process's report, with the list of VMs
+// as soon as that is newer than the given version, or without it once wait is over.
 func (l *Loop) Listing(ctx context.Context, after uint64, wait mgclock.Millis) Listing {
 	expired := l.spec.Clock.After(wait)
 	for done := false; ; {
@@ -80,8 +80,8 @@
 	}
 }
 
-// listing returns what there is now, and a channel that is closed once the list is
-// newer.
+// listReply returns the reply as of now, and a channel that is closed at the next newer
+// list.
 func (l *Loop) listReply(after uint64) (Listing, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/version/mgconfig/machine.go
+++ b/internal/version/mgconfig/machine.go
@@ -11,96 +11,96 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// A MachineSpec says which process a machine is part of.
+// A MachineSpec identifies the process that a machine belongs to and sets its
+// intervals.
 type MachineSpec struct {
 	Name        string
 	Zone        string
 	Region      string
 	Incarnation string
-	Addr        string // where peers reach this process
+	Addr        string // address at which peers reach this process
 	Power       int    // see mgplatform.VM
-	Seed        uint64 // of the jitter and the choice of peers
+	Seed        uint64 // seed of the jitter and the choice of peers
 
-	// Seeds are addresses of peers to ask while no list of VMs is known, such
-	// as when the platform is down at the start.
+	// Seeds are peer addresses that are used while no list of VMs is known, such as
+	// when the platform is down at the start.
 	Seeds []string
 
-	// Known returns a page that the process has read already, or nil: where the
-	// table is made here out of another format, reading its pages again would
-	// cost half of an adoption. Nil knows none.
+	// Known returns a page that the process has parsed already, or nil. Where the table
+	// is converted here from another format, parsing its pages again would cost half of
+	// an adoption. Known may be nil.
 	Known func(digest string) *mgtable.Page
 
-	// Quick is the shortest interval between two watches of the list by the one
-	// process that watches it for its region, where changes must be known within
-	// tens of ms; the others watch once a second. 0: all watch alike.
+	// Quick is the minimum interval between two watches of the list by the one process
+	// that watches it for its region, where changes must be known within tens of ms;
+	// the others watch once a second. With 0 all watch alike.
 	Quick mgclock.Millis
 
-	// Joint says that an answer of the platform about the list shows, too, that there is
-	// no newer table than the one that the platform's client has.
+	// Joint is set where an answer of the platform about the list also confirms that
+	// there is no table newer than the one that the platform's client has.
 	Joint bool
 
-	// Watch is the longest wait of one watch, Answer the longest time for the
-	// platform's answer beyond it and Backoff the longest pause after failed
-	// reads; 0 stands for the defaults.
+	// Watch is the maximum wait of one watch, Answer the timeout of the platform's
+	// answer in addition to it, and Backoff the maximum delay after failed reads; 0
+	// stands for the defaults.
 	Watch   mgclock.Millis
 	Answer  mgclock.Millis
 	Backoff mgclock.Millis
 
-	// Fetch is the longest time for a peer's answer to a fetch; 0 stands for the
-	// default.
+	// Fetch is the timeout of a peer's answer to a fetch; 0 stands for the default.
 	Fetch mgclock.Millis
 
-	// Spread is the span over which first reads are spread. In a mass restart
-	// all processes make their first reads within it.
+	// Spread is the window over which first reads are spread: in a mass restart all
+	// processes make their first reads within it.
 	Spread mgclock.Millis
 }
 
-// A Machine decides what a process does to have the newest table in force. Its
-// methods are called by one goroutine at a time, but for Current.
+// A Machine decides which actions keep the newest table in force. Its methods must not
+// be called concurrently, except Current.
 type Machine struct {
 	spec    MachineSpec
 	members *mgmember.Members
 	rng     *rand.Rand
 	current atomic.Pointer[Snapshot]
 
-	now              mgclock.Millis // of the last call
-	list             []byte         // the text of the list of VMs in use
+	now              mgclock.Millis // time of the last call
+	list             []byte         // the encoded list of VMs in use
 	leaving          bool
-	departed         map[mgmember.Departure]mgclock.Millis // when that was learned
-	nextExchange     mgclock.Millis                        // next exchange
-	nextTick         mgclock.Millis                        // next tick of the members
+	departed         map[mgmember.Departure]mgclock.Millis // time when a departure was learned
+	nextExchange     mgclock.Millis
+	nextTick         mgclock.Millis // next tick of members
 	manifestSource   source
-	tableReadPending bool           // the platform has a newer table, which is being read
-	tableConfirmed   bool           // it has been said once that there is no newer table
-	tableConfirmedAt mgclock.Millis // when that was so last
+	tableReadPending bool           // the platform has a newer table that is being read
+	tableConfirmed   bool           // the table in force has been confirmed as the newest at least once
+	tableConfirmedAt mgclock.Millis // time of the last such confirmation
 	era              uint64         // of the list in use; see mgplatform.List
-	restored         bool           // the platform has come back from a copy
-	restoredAt       mgclock.Millis // when that was learned
-	peerConfirmedAt  mgclock.Millis // when another's word of the list was last the platform's
+	restored         bool           // the platform was restored from a copy
+	restoredAt       mgclock.Millis // time when the restore was noticed
+	peerConfirmedAt  mgclock.Millis // time of the last confirmation of the list that another process reported
 	listSource       source
 	budget           budget
 	pull             *pull
-	pullCount        int // number of pulls begun
+	pullCount        int // number of pulls started
 	listFetch        listFetchState
 	longPoll         longPollState
-	lastPolledAt     mgclock.Millis // when another listened at this process last
+	lastPolledAt     mgclock.Millis // time of the last long poll received
 	gossipState      gossipState
-	cachedRoles      roles           // as of the last view; see the method roles
-	exchanging       map[string]bool // peers with an exchange under way
+	cachedRoles      roles           // for the last view; see the method roles
+	exchanging       map[string]bool // addresses of peers with an exchange in progress
 	join             join
 	rejections       rejections
 	counts           Counts
 }
 
-// exchangeSpan is the mean interval of exchanges. Together with the push it
-// brings a version to all members in a few rounds; at two seconds the messages
-// of an idle member stay under one and a half a second, sent and received.
+// exchangeInterval is the mean interval of exchanges. Together with the push it brings
+// a version to all members in a few rounds; at two seconds an idle member sends and
+// receives fewer than one and a half messages a second.
 const exchangeInterval = 2 * mgclock.Second
 
-// tickSpan is the interval at which suspicions of members end.
+// tickInterval is the interval at which expired suspicions of members are ended.
 const tickInterval = mgclock.Second
 
-// NewMachine returns a machine that starts at a time.
+// NewMachine returns a machine that starts at the time now.
 func NewMachine(now mgclock.Millis, spec MachineSpec, members *mgmember.Members) *Machine {
 	m := &Machine{
 		spec:       spec,
@@ -121,7 +121,7 @@
 	return m
 }
 
-// or returns span, or standard where span is 0.
+// orDefault returns value, or fallback where value is 0.
 func orDefault(value, fallback mgclock.Millis) mgclock.Millis {
 	if value > 0 {
 		return value
@@ -132,14 +132,14 @@
 // Current returns the snapshot in force, or nil. It takes no lock.
 func (m *Machine) Current() *Snapshot { return m.current.Load() }
 
-// Leave makes the machine tell its peers that the process leaves.
+// Leave announces to peers that the process leaves.
 func (m *Machine) Leave(now mgclock.Millis) []Action {
 	m.now = now
 	m.leaving = true
 	return m.pushToPeers(now)
 }
 
-// Tick does what is due.
+// Tick returns the actions that are due.
 func (m *Machine) Tick(now mgclock.Millis) []Action {
 	m.now = now
 	var actions []Action
@@ -160,7 +160,7 @@
 	return actions
 }
 
-// Wake returns when Tick is due next.
+// NextTick returns the time when Tick is due next.
 func (m *Machine) NextTick() mgclock.Millis {
 	next := min(m.nextTick, m.nextExchange, m.join.nextDue(), m.gossipState.nextDue())
 	if m.lacksFirstList() {
@@ -176,7 +176,7 @@
 	return next
 }
 
-// Done takes the result of an action.
+// HandleResult handles the result of an action.
 func (m *Machine) HandleResult(now mgclock.Millis, result ResultSpec) []Action {
 	m.now = now
 	switch result.Action.kind {
@@ -193,7 +193,7 @@
 	}
 }
 
-// jitter returns a random span up to most.
+// jitter returns a random delay below maxDelay.
 func (m *Machine) jitter(maxDelay mgclock.Millis) mgclock.Millis {
 	if maxDelay <= 0 {
 		return 0
@@ -201,7 +201,7 @@
 	return mgclock.Millis(m.rng.Int64N(int64(maxDelay)))
 }
 
-// summary returns what the process tells its peers.
+// summary returns the summary that the process sends to its peers.
 func (m *Machine) summary() *mgrpc.Summary {
 	current := m.Current()
 	return &mgrpc.Summary{
--- a/internal/version/mgconfig/machine_test.go
+++ b/internal/version/mgconfig/machine_test.go
@@ -16,10 +16,10 @@
 
 const sec = mgclock.Second
 
-// schedules is how many schedules of faults TestSchedules drives.
+// schedules is the number of fault schedules that TestSchedules runs.
 var schedules = flag.Int("schedules", 100, "number of seeded schedules of faults")
 
-// running returns a fleet with version 1 in force.
+// startedFleet returns a fleet with version 1 in force.
 func startedFleet(seed uint64, count int) *fleet {
 	f := newFleet(seed, count, 0)
 	f.publish(1, 0)
@@ -40,9 +40,9 @@
 			So(f.versions(), ShouldResemble, all(2))
 		})
 		Convey("keeps the newest while the platform is stale", func() {
-			// An operator lowers a cap, and an hour later one entry lets the old
-			// rate through. The platform lost a replica and shows what was
-			// published before; the entry's VM had just been replaced.
+			// An operator lowers a cap, and an hour later one entry still allows the
+			// old rate: the platform lost a replica and shows an older version, and the
+			// entry's VM has just been replaced.
 			f.platform.freeze(true)
 			f.platform.frozen[mgplatform.ManifestKey] = f.platform.values[mgplatform.ManifestKey]
 			f.publish(2, 1)
@@ -63,9 +63,9 @@
 			So(f.versions(), ShouldResemble, all(1))
 		})
 		Convey("keeps a new process that hears nobody from serving", func() {
-			// A user's request is let in under a table from last week. The only
-			// process that let it in had started in a partition, alone with a
-			// stale platform, while the list named thirteen others.
+			// A request is accepted under a table from last week: the process that
+			// accepted it started in a partition, alone with a stale platform, while
+			// the list named thirteen others.
 			f.net.Cut(0, func(from, to string) bool {
 				return (from == "vm-0003" || to == "vm-0003") && from != "platform" && to != "platform"
 			})
@@ -105,7 +105,8 @@
 			So(f.versions(), ShouldResemble, all(2))
 		})
 		Convey("settles two manifests under one version alike", func() {
-			// Two operators publish at once, and half of the fleet sees either.
+			// Two operators publish at once, and each half of the fleet sees another
+			// manifest.
 			table, err := mgtable.Parse(tableText(2, 5))
 			So(err, ShouldBeNil)
 			f.publish(2, 1)
@@ -147,9 +148,8 @@
 	})
 }
 
-// TestOutage: the platform is down for an hour in which an operator publishes an
-// edit to it. When it comes back, every process that had been retrying could read
-// at once and take it down again.
+// The platform is down for an hour, in which an operator publishes an edit to it. When
+// it comes back, all processes that kept retrying read at once and overload it again.
 func TestRetryStormAfterOutage(t *testing.T) {
 	Convey("After an hour's outage the platform is read as before, and the edit is in force", t, func() {
 		const count = 42
@@ -162,16 +162,16 @@
 		f.net.Run(3640 * sec)
 		Printf("%.2f reads a second while down, %d at most in a second after ", float64(retries)/600, f.platform.peak(3600*sec))
 		So(float64(retries)/600, ShouldBeLessThan, 4.5)
-		// Twenty-one watchers read a manifest and nine new pages each at most.
+		// Twenty-one watchers read at most a manifest and nine new pages each.
 		So(f.platform.peak(3600*sec), ShouldBeLessThan, 60)
 		So(f.versions(), ShouldResemble, map[uint64]int{2: count})
 		So(f.regression, ShouldBeEmpty)
 	})
 }
 
-// TestSchedules drives seeded schedules of faults: partitions between members
-// and from the platform, loss, pauses, restarts, a platform that is down or
-// stale, versions that are faulty. A user would see an edit undone by itself.
+// TestSchedules runs seeded schedules of faults: partitions between members and from
+// the platform, loss, pauses, restarts, a platform that is down or stale, faulty
+// versions. A member that goes back would undo an edit.
 func TestSchedules(t *testing.T) {
 	reverted, diverged := 0, 0
 	for seed := range *schedules {
@@ -192,8 +192,8 @@
 	t.Logf("%d schedules: %d with a member that went back, %d without agreement after the heal", *schedules, reverted, diverged)
 }
 
-// schedule runs a minute of faults and half a minute of heal. Every fourth
-// version is faulty, but for the last.
+// schedule runs a minute of faults and then 90 s without faults. Every fourth version is
+// faulty, but not the last.
 func schedule(seed uint64) *fleet {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	f := newFleet(seed, 8, sec)
@@ -234,7 +234,7 @@
 	return f
 }
 
-// half puts a member, or the platform, on one side of a partition.
+// half returns the side of a partition on which a member, or the platform, is.
 func half(side uint64, name string) bool {
 	bit := 63
 	_, _ = fmt.Sscanf(name, "vm-%d", &bit)
--- a/internal/version/mgconfig/platform.go
+++ b/internal/version/mgconfig/platform.go
@@ -14,59 +14,62 @@
 )
 
 const (
-	// watchers is the number of members that watch the platform in each zone.
-	// With three a zone keeps a watcher while one is replaced and one has died.
+	// watchersPerZone is the number of members that watch the platform in each zone.
+	// With three, a zone keeps a watcher while one is being replaced and one has died.
 	watchersPerZone = 3
-	// watchWait is how long a watch waits by default. The platform counts it as
-	// one read, and a stale answer can hide for no longer.
+	// watchWait is the default wait of a watch. The platform counts a watch as one
+	// read, and a stale answer can't stay hidden for longer.
 	watchWait = 20 * mgclock.Second
-	// watchPause is the shortest interval between two watches of a key, against
-	// a platform that answers at once over and over.
+	// watchInterval is the minimum interval between two watches of a key, against a
+	// platform that keeps answering at once.
 	watchInterval = 500 * mgclock.Millis(1)
-	// slowPause is the interval between watches of the list by those that
-	// another watches for. Should it die, its peers see a change within this
-	// span and what is left of the two seconds that a change may take is theirs.
+	// slowWatchInterval is the interval between watches of the list by processes for
+	// which another one watches. If that one dies, its peers still see a change within
+	// this interval, and the rest of the two seconds that a change may take remains for
+	// them.
 	slowWatchInterval = mgclock.Second
-	// quickWatch and quickAnswer bound a watch of a list whose changes must be
-	// known soon. Upstreams' heartbeats end each watch within 100 ms or so; one
-	// whose answer was lost must not hide a notice of 1.5 s. A store that is slow
-	// sixtyfold answers in 240 ms.
+	// quickWatchWait and quickWatchTimeout limit the wait and the reply time of a watch
+	// of a list whose changes must be known soon. Upstreams' heartbeats end each watch
+	// within 100 ms or so; a watch whose answer was lost must not hide a notice of 1.5
+	// s. A store that is sixty times slower answers in 240 ms.
 	quickWatchWait    = 600 * mgclock.Millis(1)
 	quickWatchTimeout = 400 * mgclock.Millis(1)
-	// plainEvery makes every so manieth watch a plain read. A platform that was
-	// set up anew counts its versions from 1, and a watch for more than the old
-	// count would never see a change.
+	// readEvery replaces every tenth watch by a plain read. A platform that was set up
+	// anew counts its versions from 1, and a watch for more than the old version would
+	// never see a change.
 	readEvery = 10
-	// plainQuick is the same for a list whose changes must be known soon: at least
-	// 18 s of watches that end with the next heartbeat. A read of some thousand
-	// upstreams is a dozen calls and more.
+	// quickReadEvery is the same for a list whose changes must be known soon: one read
+	// per at least 18 s of watches that end with the next heartbeat. A read of some
+	// thousand upstreams takes a dozen calls or more.
 	quickReadEvery = 300
-	// restedSpan is how long a watch may have rested before a read takes its place:
-	// upstreams write about each 1.2 s.
+	// maxWatchIdle is the time without a watch after which a read replaces it:
+	// upstreams write about every 1.2 s.
 	maxWatchIdle = 2 * mgclock.Second
-	// pollPerMember makes the poll's interval grow with the fleet, so that all
+	// pollIntervalPerMember makes the poll interval grow with the fleet, so that all
 	// polls together make two reads a second at any size.
 	pollIntervalPerMember = 500 * mgclock.Millis(1)
 	pollIntervalMin       = 30 * mgclock.Second
-	// missingPause is the mean pause after the answer that there is no value yet, where
-	// the platform is young: all processes start before the first table is published,
-	// and the first that reads it tells the others.
+	// missingRetryInterval is the mean interval of reads of a key that has no value
+	// yet, on a platform that was just set up: all processes start before the first
+	// table is published, and the first that reads it forwards it to the others.
 	missingRetryInterval = mgclock.Second
-	// backoffMin and backoffMax bound the pause after a failed read by default.
-	// Half a minute is the longest that a change waits once the platform is back.
+	// backoffMin and backoffMax are the default bounds of the delay after a failed
+	// read. Half a minute is the longest that a change waits once the platform is back.
 	backoffMin = mgclock.Second
-	// firstRetry is the first pause of a process that has no table yet, or watches
-	// a list whose changes must be known soon: it asks soon, and ever more rarely.
+	// firstRetryDelay is the first delay after a failed read of a process that has no
+	// table yet or watches a list whose changes must be known soon. It doubles with
+	// each failure.
 	firstRetryDelay = 100 * mgclock.Millis(1)
 	backoffMax      = 30 * mgclock.Second
-	// maxShift bounds the doublings of a pause; the bounds above end them sooner.
+	// maxDoublings avoids an overflow of the shift; the bounds above are reached
+	// sooner.
 	maxDoublings = 10
 )
 
-// Budgets of pages read from the platform. Twenty-one watchers (three in each of
-// seven zones) with 25 reads a second each make 525 of the platform's 2,000, beside
-// the 630 first reads a second of 1,260 processes that restart over four seconds.
-// The other members read a page in ten seconds at most, 126 a second in all.
+// Rate limits of reads of pages from the platform. Twenty-one watchers (three in each
+// of seven zones) with 25 reads a second each make 525 of the platform's 2,000, in
+// addition to the 630 first reads a second of 1,260 processes that restart over four
+// seconds. The other members read at most one page in ten seconds, 126 a second in all.
 const (
 	watcherRate  = 25
 	watcherBurst = 10
@@ -74,7 +77,7 @@
 	memberBurst  = 2
 )
 
-// budget bounds the reads of pages.
+// budget limits the rate of reads of pages.
 type budget struct {
 	watcher *rate.Limiter
 	member  *rate.Limiter
@@ -92,21 +95,21 @@
 	return b.member.AllowN(at, 1)
 }
 
-// source is a key of the platform that is kept up to date.
+// source is the state of a key of the platform that is kept up to date.
 type source struct {
 	key             string
-	busy            bool           // a read is under way
-	next            mgclock.Millis // when to read again
+	busy            bool           // a read is in progress
+	next            mgclock.Millis // time of the next read
 	failures        int            // in a row
-	readCount       int            // reads begun
-	readAt          mgclock.Millis // when one of them brought an answer last
-	version         uint64         // the platform's, not a table's
-	hasAnswered     bool           // the platform has answered once
-	confirmedByPeer bool           // another's word of it was fresh once
-	confirmedAt     mgclock.Millis // when it last answered
+	readCount       int            // reads started
+	readAt          mgclock.Millis // time of the last answer to an own read
+	version         uint64         // the platform's version of the key, not the table's
+	hasAnswered     bool           // the platform has answered at least once
+	confirmedByPeer bool           // another process has reported a fresh confirmation at least once
+	confirmedAt     mgclock.Millis // time of the last answer or reported confirmation
 }
 
-// never is a time that doesn't come.
+// never is a time that is never reached.
 const never = mgclock.Millis(math.MaxInt64)
 
 func (s *source) nextDue() mgclock.Millis {
@@ -116,11 +119,11 @@
 	return s.next
 }
 
-// readPlatform begins the reads that are due.
+// readPlatform starts the reads that are due.
 func (m *Machine) readPlatform(now mgclock.Millis) []Action {
 	var actions []Action
 	if m.join.isListLong && m.listSource.version == 0 && m.listSource.failures == 0 && now < m.lastPolledAt+pollersTTL && m.readsForOthers(now) {
-		m.listSource.next = min(m.listSource.next, now) // those that listen here wait for it
+		m.listSource.next = min(m.listSource.next, now) // processes that poll this one wait for the list
 	}
 	for _, s := range []*source{&m.listSource, &m.manifestSource} {
 		if s.busy || now < s.next {
@@ -132,7 +135,7 @@
 	return actions
 }
 
-// LookForTable reads the table at once.
+// ReadTableNow reads the table at once.
 func (m *Machine) ReadTableNow(now mgclock.Millis) []Action {
 	m.now = now
 	m.tableReadPending = true
@@ -140,7 +143,7 @@
 	return m.readPlatform(now)
 }
 
-// readSource watches as a watcher that has the value, and reads otherwise.
+// nextRead returns a watch for a watcher that has a value, and else a read.
 func (m *Machine) nextRead(s *source) Action {
 	s.readCount++
 	every := readEvery
@@ -155,7 +158,7 @@
 			answerTimeout: m.spec.Answer,
 		}
 		if m.isQuick(s) {
-			// It may be some dozen calls, each of which is bounded by itself.
+			// A read may take some dozen calls, each of which has its own timeout.
 			action.answerTimeout = max(action.answerTimeout, readTimeout)
 		}
 		return action
@@ -175,14 +178,14 @@
 	return action
 }
 
-// rested reports whether a watch would bring more than a read: all heartbeats since,
-// where every upstream has had one meanwhile. After 20 s of 144 upstreams that is a
-// megabyte, and 0.4 s on a link of 20 Mbit/s.
+// isWatchOverdue reports whether a watch would return more than a read: it returns all
+// heartbeats since the last one, and every upstream has sent one meanwhile. After 20 s,
+// that is a megabyte for 144 upstreams, and 0.4 s on a link of 20 Mbit/s.
 func (m *Machine) isWatchOverdue(s *source) bool {
 	return m.isQuick(s) && m.now >= s.readAt+maxWatchIdle
 }
 
-// plainReason returns the count of a plain read.
+// readCounter returns the counter for a plain read.
 func (m *Machine) readCounter(s *source) *int {
 	if s.version == 0 || !m.isWatcher() {
 		return &m.counts.First
@@ -190,7 +193,7 @@
 	return &m.counts.Plain
 }
 
-// watchReason returns the count of a watch.
+// watchCounter returns the counter for a watch.
 func (m *Machine) watchCounter(s *source) *int {
 	switch {
 	case s == &m.manifestSource:
@@ -202,15 +205,15 @@
 	}
 }
 
-// quick reports whether a source's changes must be known within tens of ms.
+// isQuick reports whether a source's changes must be known within tens of ms.
 func (m *Machine) isQuick(s *source) bool { return s == &m.listSource && m.spec.Quick > 0 }
 
-// watching reports whether this process watches the platform for its zone.
-// Suspects are passed over, so that the next in the ranking takes over from
-// watchers that died before the list shows it.
+// isWatcher reports whether this process watches the platform for its zone. Suspects
+// are skipped, so that the next member in the ranking takes over from a watcher that
+// died before the list shows it.
 func (m *Machine) isWatcher() bool {
 	if _, listed := m.members.View().Member(m.spec.Name); !listed {
-		// No list says who else could watch for this process.
+		// No list names another process that could watch for this one.
 		return true
 	}
 	var candidates []*mgmember.Member
@@ -231,7 +234,7 @@
 	return false
 }
 
-// answered takes the answer to a read or a watch.
+// handlePlatformResult handles the answer to a read or a watch.
 func (m *Machine) handlePlatformResult(now mgclock.Millis, result ResultSpec) []Action {
 	switch result.Action.key {
 	case mgplatform.ListKey:
@@ -261,16 +264,16 @@
 	if !maps.Equal(before.Cordoned(), m.members.View().Cordoned()) {
 		actions = m.notifyHubs()
 	}
-	// The list says who watches: a watcher begins at once, the others wait for
-	// their poll.
+	// The list determines the watchers: a new watcher starts at once, the others wait
+	// for their poll.
 	m.manifestSource.next = min(m.manifestSource.next, m.nextReadAt(now, &m.manifestSource))
 	actions = append(actions, m.pushList(now)...)
 	return append(actions, m.askPeersForJoin(now)...)
 }
 
-// tellHubs tells the hub of the own cell and the region's reader of cordons that this
-// process has read by itself. One of them that is cut off from the platform would have
-// those that listen at it wait until its word is too old.
+// notifyHubs exchanges with the hub of the own cell and the region's reader after this
+// process has read new cordons itself. If one of them is cut off from the platform, the
+// processes that poll it would otherwise wait until its report is too old.
 func (m *Machine) notifyHubs() []Action {
 	var actions []Action
 	r := m.roles()
@@ -291,8 +294,8 @@
 		m.confirmTable(now)
 	}
 	if errors.Is(result.Err, mgplatform.ErrCordons) {
-		// Each hub and two more of its cell hear of a cordon here, also where the
-		// process that reads the list for all has just died or is cut off.
+		// Each hub and two more processes of its cell learn of a cordon here, even
+		// where the region's reader has just died or is cut off.
 		m.listSource.next = min(m.listSource.next, now)
 		return append(m.stepPull(now), m.readPlatform(now)...)
 	}
@@ -312,18 +315,18 @@
 	return nil
 }
 
-// staleSpan is how long the list may be unconfirmed before other evidence is
-// asked for: longer than a watch takes to bring the next heartbeat.
+// staleTimeout is the time without a confirmation of the list after which other
+// evidence is requested: longer than a watch takes to return the next heartbeat.
 const staleTimeout = 1500 * mgclock.Millis(1)
 
-// quickStale is the same where one process watches the list quickly: heartbeats of a
-// dozen upstreams end its watches each 100 ms or so, and it tells the others each
-// 200 ms. A platform that falls silent without a refusal hides a notice of 1.7 s, of
-// which some must be left to move what runs there; sooner, upstreams would be asked all
-// the time.
+// quickStaleTimeout is the same where one process watches the list quickly: heartbeats
+// of a dozen upstreams end its watches every 100 ms or so, and it reports to the others
+// every 200 ms. A platform that stops answering without an error hides a notice of 1.7
+// s, of which enough must remain to move running work; with a shorter timeout,
+// upstreams would be queried all the time.
 const quickStaleTimeout = 800 * mgclock.Millis(1)
 
-// Stale reports whether the platform gives no word of the list now.
+// IsListStale reports whether the list is unconfirmed by the platform.
 func (m *Machine) IsListStale(now mgclock.Millis) bool {
 	failed := m.listSource.failures > 0 && now >= m.peerConfirmedAt+maxReportAge
 	timeout := staleTimeout
@@ -333,8 +336,8 @@
 	return failed || now >= m.listSource.confirmedAt+timeout
 }
 
-// done notes the end of a read and when the next is due. It reports whether a
-// value came.
+// finishRead records the end of a read and schedules the next one. It reports whether
+// the read returned a value.
 func (s *source) finishRead(now mgclock.Millis, result ResultSpec, m *Machine) bool {
 	s.busy = false
 	unchanged := errors.Is(result.Err, mgplatform.ErrUnchanged) || errors.Is(result.Err, mgplatform.ErrCordons)
@@ -359,8 +362,8 @@
 		}
 		s.next = now + backoffMin/2 + m.jitter(min(orDefault(m.spec.Backoff, backoffMax), backoffMin<<min(s.failures, maxDoublings)))
 		if m.join.ready && !m.isWatcher() {
-			// A poll that failed waits for its turn again. Otherwise every
-			// member would be retrying after an hour's outage.
+			// A failed poll waits for the next poll interval. Otherwise every member
+			// would be retrying after an hour's outage.
 			s.next = m.nextReadAt(now, s)
 		}
 		return false
@@ -377,7 +380,7 @@
 	return true
 }
 
-// after returns when a source is read next after now.
+// nextReadAt returns the time of the next read of a source.
 func (m *Machine) nextReadAt(now mgclock.Millis, s *source) mgclock.Millis {
 	switch {
 	case !m.isWatcher():
--- a/internal/version/mgconfig/platform_fleet_test.go
+++ b/internal/version/mgconfig/platform_fleet_test.go
@@ -8,15 +8,15 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// platform is a stand-in for the configuration service in virtual time.
+// platform simulates the configuration service in virtual time.
 type platform struct {
 	net     *mgnet.Net
 	values  map[string]mgplatform.Value
-	frozen  map[string]mgplatform.Value // what is shown while stale
+	frozen  map[string]mgplatform.Value // values returned while stale
 	stale   bool
 	down    bool
-	watches []func() bool // watches; true when answered
-	cordons int           // changes of the cordons
+	watches []func() bool // held watches; each returns true once answered
+	cordons int           // number of changes of the cordons
 	reads   map[mgclock.Millis]int
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// peak returns the most reads in a second from one time on.
+// peak returns the maximum number of reads in a second from a given time on.
 func (p *platform) peak(from mgclock.Millis) int {
 	peak := 0
 	for second, count := range p.reads {
@@ -105,7 +105,7 @@
 	})
 }
 
-// readPages reads the list page after page, each a read of the platform.
+// readPages reads the list page by page; each page is a read of the platform.
 func (f *fleet) readPages(n *node, pages int, answer func(mgplatform.Value, error)) {
 	f.net.Send(n.name, "platform", callBytes/2, func() {
 		p := f.platform
@@ -126,7 +126,7 @@
 	})
 }
 
-// await holds a watch until the value changes or the wait is over.
+// holdWatch holds a watch until the value changes or the wait is over.
 func (f *fleet) holdWatch(a Action, answer func(mgplatform.Value, error)) {
 	answered := false
 	cordons := f.platform.cordons
--- a/internal/version/mgconfig/pull.go
+++ b/internal/version/mgconfig/pull.go
@@ -8,39 +8,40 @@
 )
 
 const (
-	// retryMin and retryMax bound the pause between two rounds over the peers
-	// that are known to have a version.
+	// retryMin and retryMax are the bounds of the delay between two rounds over the
+	// peers that are known to have a version.
 	retryMin = 200 * mgclock.Millis(1)
 	retryMax = 5 * mgclock.Second
-	// ownWatch is how long a process whose own watch works waits for it before
-	// it asks a peer for a version that the peer has. Both at once cost twice:
-	// the text of 400 routes takes 1.1 ms of a core to pack and unpack, and some ms
-	// more to read.
+	// ownWatchDelay is how long a process whose own watch works waits for it before it
+	// fetches a version from a peer. Doing both at once costs twice: the text of 400
+	// routes takes 1.1 ms of a core to compress and decompress, and some ms more to
+	// parse.
 	ownWatchDelay = 250 * mgclock.Millis(1)
-	// budgetSpan is the pause of a watcher whose budget of reads is used up.
+	// budgetDelay is the delay of a watcher whose read budget is used up.
 	budgetDelay = mgclock.Second / watcherRate
-	// peerRounds is the number of rounds over peers, about eight seconds, before
-	// a member that is no watcher turns to the platform. In a mass restart the
-	// watchers need that long to read all pages, and what a peer has doesn't
-	// cost a read.
+	// maxPeerRounds is the number of rounds over peers, about eight seconds, before a
+	// member that is no watcher reads from the platform. In a mass restart the watchers
+	// need that long to read all pages, and values that a peer has don't cost a read.
 	maxPeerRounds = 6
 )
 
-// pull is the way to a version that was heard of and is not yet in force.
+// pull is the state of fetching a version that a peer or the platform has and that
+// isn't in force yet.
 type pull struct {
-	id           int // tells the answers to its fetches from those to an earlier pull
+	id           int // distinguishes the answers to its fetches from those of an earlier pull
 	key          versionKey
 	manifest     mgtable.Manifest
 	manifestText []byte                   // of the manifest, nil until fetched
 	pages        map[string]*mgtable.Page // by digest
 	sources      []peer
-	sourceIndex  int            // the next source
-	rounds       int            // over all sources since the last progress
-	busy         bool           // a fetch is under way
-	next         mgclock.Millis // when to fetch again
+	sourceIndex  int            // index of the next source
+	rounds       int            // rounds over all sources since the last progress
+	busy         bool           // a fetch is in progress
+	next         mgclock.Millis // time of the next fetch
 }
 
-// learn takes that a peer, or nobody in particular, has a version.
+// learnVersion records that a version exists, and that the peer from has it, unless
+// from is empty.
 func (m *Machine) learnVersion(now mgclock.Millis, key versionKey, from peer) {
 	if key.version == 0 || !key.isAfter(m.Current().key()) || m.rejections.has(key.digest) {
 		return
@@ -48,7 +49,7 @@
 	if m.pull == nil || key.isAfter(m.pull.key) {
 		m.beginPull(now, key)
 		if from.addr != "" && m.isWatcher() && m.join.ready && m.manifestSource.failures == 0 {
-			// The own watch brings it, too.
+			// The own watch will return it as well.
 			m.pull.next = now + ownWatchDelay
 		}
 	}
@@ -63,7 +64,7 @@
 	m.pull.sources = append(m.pull.sources, from)
 }
 
-// beginPull turns to a version. Pages fetched for an older one are kept.
+// beginPull starts fetching a version. Pages fetched for an older one are kept.
 func (m *Machine) beginPull(now mgclock.Millis, key versionKey) {
 	pages := make(map[string]*mgtable.Page)
 	if m.pull != nil {
@@ -78,7 +79,7 @@
 	}
 }
 
-// takeManifest takes a manifest's text from wherever it came.
+// applyManifest handles a manifest's text from any source.
 func (m *Machine) applyManifest(now mgclock.Millis, text []byte) {
 	digest := mgtable.DigestOf(text).String()
 	manifest, err := mgtable.ReadManifest(text)
@@ -87,8 +88,9 @@
 		digest:  digest,
 	}
 	if m.pull != nil && m.pull.key.digest == digest && m.pull.key != key {
-		// It can't be read, or a peer gave it another version than it has.
-		// Adopting it under the peer's word could mean going back.
+		// The manifest can't be parsed, or a peer reported it under another version
+		// than it contains. Adopting it under the reported version could mean going
+		// back.
 		m.pull = nil
 	}
 	if err != nil {
@@ -96,8 +98,8 @@
 		return
 	}
 	if current := m.Current(); key.version == current.Version() && current.key().isAfter(key) {
-		// An edit whose version was not raised: the order of versions keeps the
-		// one in force everywhere, and without a word nobody would know why.
+		// An edit whose version was not raised: the order of versions keeps the one in
+		// force everywhere, and without a rejection nobody would know why.
 		m.rejections.add(key.version, digest, errVersionReused)
 		return
 	}
@@ -110,7 +112,7 @@
 	m.pull.next = now
 }
 
-// stepPull does the next step towards the version that is pulled.
+// stepPull performs the next step of the current pull.
 func (m *Machine) stepPull(now mgclock.Millis) []Action {
 	p := m.pull
 	if p == nil || p.busy || now < p.next {
@@ -130,7 +132,7 @@
 	return m.continueWithoutSource(now, missing[0])
 }
 
-// missing returns the digests of the values still to fetch.
+// missingDigests returns the digests of the values still to fetch.
 func (m *Machine) missingDigests() []string {
 	p := m.pull
 	if p.manifestText == nil {
@@ -145,7 +147,8 @@
 	return missing
 }
 
-// page returns a page that was fetched or that the present snapshot has.
+// page returns a page that was fetched, that the current snapshot has, or that
+// MachineSpec.Known returns; else nil.
 func (m *Machine) page(digest string) *mgtable.Page {
 	if page := m.pull.pages[digest]; page != nil {
 		return page
@@ -174,9 +177,9 @@
 	}}
 }
 
-// fetchElsewhere follows a round over all sources. A watcher, and a member that
-// has tried its peers often enough, reads one value of the platform. The others
-// look for a peer that has it and begin another round after a pause.
+// continueWithoutSource is called after a round over all sources. A watcher, and a
+// member that has tried its peers often enough, reads one value from the platform. The
+// others look for a peer that has the version and start another round after a delay.
 func (m *Machine) continueWithoutSource(now mgclock.Millis, digest string) []Action {
 	p := m.pull
 	isWatcher := m.isWatcher()
@@ -213,7 +216,7 @@
 	p.next = now + m.backoff(p.rounds)
 }
 
-// backoff returns a random pause whose bound doubles with each round.
+// backoff returns a random delay whose bound doubles with each round.
 func (m *Machine) backoff(rounds int) mgclock.Millis {
 	bound := retryMax
 	if rounds < 5 {
@@ -222,7 +225,7 @@
 	return retryMin/2 + m.jitter(bound)
 }
 
-// fetched takes the answer to a fetch.
+// handleFetchResult handles the answer to a fetch.
 func (m *Machine) handleFetchResult(now mgclock.Millis, result ResultSpec) []Action {
 	switch {
 	case result.Action.peer == "":
@@ -261,9 +264,8 @@
 	return m.stepPull(now)
 }
 
-// takeValue takes a fetched manifest or page. What it is follows from its
-// digest alone, so that it doesn't matter who sent it. It reports whether it was
-// wanted.
+// applyValue handles a fetched manifest or page. The digest alone identifies the value,
+// so it doesn't matter who sent it. applyValue reports whether the value was missing.
 func (m *Machine) applyValue(now mgclock.Millis, value []byte) bool {
 	p := m.pull
 	if p == nil {
@@ -286,8 +288,8 @@
 	return false
 }
 
-// takePage reads a page that belongs to the pulled version. A faulty page makes
-// the version faulty.
+// applyPage parses a page of the pulled version. A faulty page makes the whole version
+// faulty.
 func (m *Machine) applyPage(digest string, value []byte) {
 	page, err := mgtable.ReadPage(value)
 	if err != nil {
@@ -297,7 +299,7 @@
 	m.pull.pages[digest] = page
 }
 
-// adopt puts the pulled version in force, or refuses it.
+// adopt puts the pulled version in force, or rejects it.
 func (m *Machine) adopt(now mgclock.Millis) []Action {
 	p := m.pull
 	pages := make([]*mgtable.Page, 0, len(p.manifest.Pages))
@@ -323,7 +325,7 @@
 	return m.pushToPeers(now)
 }
 
-// refuse drops the pulled version for good. The one in force stays.
+// rejectPull drops the pulled version permanently. The one in force stays.
 func (m *Machine) rejectPull(err error) {
 	m.rejections.add(m.pull.key.version, m.pull.key.digest, err)
 	m.pull = nil
--- a/internal/version/mgconfig/rejections.go
+++ b/internal/version/mgconfig/rejections.go
@@ -2,17 +2,19 @@
 
 import "errors"
 
-// errTwice refuses another table under the version in force.
+// errVersionReused is the reason for rejecting another table under the version in
+// force.
 var errVersionReused = errors.New("mgconfig: another table was published under the version in force: raise the table's version and publish it again")
 
-// refused remembers faulty values, so that they are not fetched again.
+// rejections holds the digests of faulty values, so that they are not fetched again.
 type rejections struct {
 	version uint64
 	err     error
 	digests []string
 }
 
-// refusedMost bounds the memory of refusals. Only the newest are still offered.
+// maxRejections is the maximum number of digests kept. Only the newest are still
+// offered by peers.
 const maxRejections = 32
 
 func (r *rejections) add(version uint64, digest string, err error) {
--- a/internal/version/mgconfig/roles.go
+++ b/internal/version/mgconfig/roles.go
@@ -6,17 +6,19 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
 )
 
-// roles says who reads and tells the list in a region, as one view shows it.
+// roles holds which processes read the list and distribute it in a region, according to
+// one view.
 type roles struct {
 	view    *mgmember.View
 	leaving bool
 	reader  *mgmember.Member // nil where it is this process
 	hub     *mgmember.Member // of the own cell, nil where it is this process
-	rank    int              // of this process in its cell; see keepers
+	rank    int              // rank of this process in its cell, at most watchersPerCell
 }
 
-// roles returns them for the present view. Ranking some hundred members takes a tenth
-// of a millisecond, and the view changes far more rarely than it is asked for.
+// roles returns the roles for the current view. Ranking some hundred members takes a
+// tenth of a millisecond, and the view changes far more rarely than roles is called, so
+// the result is cached.
 func (m *Machine) roles() *roles {
 	view := m.members.View()
 	if m.cachedRoles.view == view && m.cachedRoles.leaving == m.leaving {
@@ -33,8 +35,8 @@
 	return &m.cachedRoles
 }
 
-// rankAmong returns the place of this process among its peers and itself, keepers at
-// most.
+// rankInCell returns the rank of this process among itself and its peers, at most
+// watchersPerCell.
 func (m *Machine) rankInCell(peers []*mgmember.Member) int {
 	self := mgmember.Self(m.spec.Name, m.spec.Zone, m.spec.Power)
 	for i, member := range mgmember.RankHub(append(slices.Clone(peers), self), watchersPerCell) {
@@ -45,8 +47,9 @@
 	return watchersPerCell
 }
 
-// first returns which of some peers and this process works for the others, or nil
-// where it is this one. A process that leaves is passed over by its peers, too.
+// topRanked returns the top-ranked process for the hub's work among the given peers and
+// this process, or nil where that is this one. A process that is leaving is skipped
+// here and by its peers.
 func (m *Machine) topRanked(peers []*mgmember.Member) *mgmember.Member {
 	self := mgmember.Self(m.spec.Name, m.spec.Zone, m.spec.Power)
 	if !m.leaving || len(peers) == 0 {
--- a/internal/version/mgconfig/serve.go
+++ b/internal/version/mgconfig/serve.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// replyBytes bounds the values of one reply before compression. Whoever
-	// lacks more asks again.
+	// maxReplyBytes limits the size of the values of one reply before compression. A
+	// peer that lacks more asks again.
 	maxReplyBytes = 1 << 20
-	// valueBytes bounds one decompressed value: the platform's own limit.
+	// maxValueBytes limits the size of one decompressed value: the platform's own
+	// limit.
 	maxValueBytes = 1 << 20
 )
 
-// errValue is the error of a value that can't be decompressed.
+// errDamagedValue is the error of a value that can't be decompressed.
 var errDamagedValue = errors.New("mgconfig: a peer's value is damaged: ask another peer")
 
-// Serve answers a fetch out of a snapshot and the compressed list of VMs.
+// Serve answers a fetch from a snapshot and the compressed list of VMs.
 func Serve(s *Snapshot, compressedList []byte, request *mgrpc.FetchRequest) *mgrpc.FetchReply {
 	reply := &mgrpc.FetchReply{}
 	if request.GetList() {
@@ -43,7 +44,7 @@
 	return reply
 }
 
-// unpack decompresses a reply.
+// decompressReply decompresses the values and the list of a reply.
 func decompressReply(reply *mgrpc.FetchReply) (values [][]byte, list []byte, err error) {
 	if compressed := reply.GetList(); compressed != nil {
 		list, err = decompress(compressed)
@@ -61,7 +62,7 @@
 	return values, list, nil
 }
 
-// writers keeps the state of compressions, which takes over a megabyte each.
+// writers pools compressors, because the state of each takes over a megabyte.
 var writers sync.Pool
 
 func compress(data []byte) []byte {
--- a/internal/version/mgconfig/snapshot.go
+++ b/internal/version/mgconfig/snapshot.go
@@ -4,7 +4,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// A Snapshot is a version of the table in force. It never changes.
+// A Snapshot is a version of the table, with its manifest and pages. It is immutable.
 type Snapshot struct {
 	table    *mgtable.Table
 	digest   string
@@ -31,7 +31,7 @@
 	return s.digest
 }
 
-// value returns the text of the manifest or of a page, which may be empty.
+// value returns the encoded manifest or page with a digest. A page may be empty.
 func (s *Snapshot) value(digest string) ([]byte, bool) {
 	if s == nil {
 		return nil, false
@@ -46,13 +46,13 @@
 	return page.Bytes(), true
 }
 
-// mark is a place in the order of versions.
+// versionKey orders versions of the table: by version, then by manifest digest.
 type versionKey struct {
 	version uint64
 	digest  string
 }
 
-// above reports whether m is a later version than n.
+// isAfter reports whether m is a later version than n.
 func (m versionKey) isAfter(n versionKey) bool {
 	if m.version != n.version {
 		return m.version > n.version
@@ -60,7 +60,7 @@
 	return m.digest > n.digest
 }
 
-// mark returns the snapshot's place in the order of versions.
+// key returns the snapshot's position in the order of versions.
 func (s *Snapshot) key() versionKey {
 	return versionKey{
 		version: s.Version(),
--- a/internal/version/mgconfig/start_test.go
+++ b/internal/version/mgconfig/start_test.go
@@ -11,9 +11,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// All entries lose their power and come back at once, before ten engines each. Callers
-// are refused for seconds: each entry reads the engines for itself, in sixty pages where
-// there are 3,000, the platform turns most of the reads away and they begin anew.
+// All entries restart at once, before ten engines each, and callers are refused for
+// seconds: each entry reads the list itself, in sixty pages for 3,000 engines, the
+// platform rate-limits most of the reads, and the entries start over.
 func TestMassRestartOverloadsPlatform(t *testing.T) {
 	const (
 		maxDelay = 1500 * mgclock.Millis(1) // of the two seconds until callers are served again
@@ -21,7 +21,7 @@
 	)
 	for _, c := range []struct {
 		count int
-		seeds bool // they answer
+		seeds bool // the configured peers answer
 	}{
 		{
 			count: 30,
@@ -82,7 +82,7 @@
 				t.Logf("a list after %d ms in the median, %d at most; %d reads of the platform",
 					all[len(all)/2], all[len(all)-1], f.readsFrom(0))
 				if !c.seeds {
-					So(all[len(all)-1], ShouldBeLessThanOrEqualTo, exchangeTimeout+maxDelay) // until a dead peer shows
+					So(all[len(all)-1], ShouldBeLessThanOrEqualTo, exchangeTimeout+maxDelay) // until a dead peer times out
 					return
 				}
 				So(all[len(all)-1], ShouldBeLessThanOrEqualTo, maxDelay)
@@ -92,17 +92,17 @@
 	}
 }
 
-// A hall loses its power, a third of 200 entries with it, among them the one that reads
-// the list of 3,000 engines and hubs of cells. Each of the others reads the whole list for
-// itself: the platform turns them away, their links are full for seconds, and callers'
-// streams pause.
+// A third of 200 entries loses power, among them the reader of the list of 3,000
+// engines and hubs of cells. Each of the others reads the whole list itself: the
+// platform rate-limits them, their links are full for seconds, and callers' streams
+// pause.
 func TestListDelayedWhenThirdDies(t *testing.T) {
 	t.Parallel()
 	Convey("Where a third of the entries dies, the others", t, func() {
 		const count = 200
 		f := newListening(2, count)
 		f.upstreams = 3000
-		f.listedUpstreams = longListRows // its pages are what counts
+		f.listedUpstreams = longListRows // only the number of pages matters
 		f.list(0)
 		f.startAll()
 		f.net.Run(15 * sec)
--- a/internal/version/mgconfig/status.go
+++ b/internal/version/mgconfig/status.go
@@ -2,32 +2,33 @@
 
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 
-// Counts are the numbers of what a machine has done since it began.
+// Counts holds counters of a machine's actions since its start.
 type Counts struct {
 	Exchanges int `json:"exchanges"` // sent
 	Fetches   int `json:"fetches"`   // sent
-	Reads     int `json:"reads"`     // of the platform, watches included
-	Listens   int `json:"listens"`   // questions to the process that this one listens at
+	Reads     int `json:"reads"`     // reads of the platform, watches included
+	Listens   int `json:"listens"`   // long polls sent
 	Adoptions int `json:"adoptions"`
 	Lists     int `json:"lists"` // lists of VMs adopted
 
-	// Reads by reason, which are those of Reads and no others.
-	First  int `json:"first"`  // of a key without a value yet, or polled
-	Plain  int `json:"plain"`  // in place of each so manieth watch
-	Quick  int `json:"quick"`  // watches of the list for others
+	// Reads by reason. They add up to Reads, except Failed, which counts those without
+	// an answer.
+	First  int `json:"first"`  // of a key without a value yet, or by the rare poll of a member that is no watcher
+	Plain  int `json:"plain"`  // plain reads in place of watches
+	Quick  int `json:"quick"`  // watches of the list on behalf of others
 	Slow   int `json:"slow"`   // watches of the list for this process alone
-	Table  int `json:"table"`  // watches for versions of the table
-	Pages  int `json:"pages"`  // of the table
-	Failed int `json:"failed"` // of all reads, those that brought no answer
+	Table  int `json:"table"`  // watches of the table's manifest
+	Pages  int `json:"pages"`  // of pages of the table
+	Failed int `json:"failed"` // reads that got no answer
 }
 
-// read counts a read of the platform and its reason.
+// countRead counts a read and its reason.
 func (c *Counts) countRead(counter *int) {
 	c.Reads++
 	*counter++
 }
 
-// Status is a machine's state for the dump.
+// Status is a machine's state for the debug dump.
 type Status struct {
 	Version  uint64 `json:"version"`
 	Digest   string `json:"digest"`
@@ -36,11 +37,11 @@
 	Watcher  bool   `json:"watcher"`
 	List     uint64 `json:"list"`
 	Members  int    `json:"members"`
-	Heard    int    `json:"heard"`             // peers that answered while it joined
-	Pulling  uint64 `json:"pulling,omitempty"` // version on its way
-	Refused  uint64 `json:"refused,omitempty"` // version refused last
-	Faults   string `json:"faults,omitempty"`  // why, one fault a line
-	Failures int    `json:"failures"`          // reads of the platform failed in a row
+	Heard    int    `json:"heard"`             // peers that answered before it was ready
+	Pulling  uint64 `json:"pulling,omitempty"` // version that is being fetched
+	Refused  uint64 `json:"refused,omitempty"` // last rejected version
+	Faults   string `json:"faults,omitempty"`  // reasons of the rejection, one per line
+	Failures int    `json:"failures"`          // consecutive failed reads of the platform
 	Counts   Counts `json:"counts"`
 }
 
@@ -70,6 +71,6 @@
 	return s
 }
 
-// Refused returns the version refused last and why, or nil. Version 0 stands
-// for a value that could not be read at all.
+// LastRejection returns the version that was rejected last and the reason, or nil.
+// Version 0 stands for a value that couldn't be parsed at all.
 func (m *Machine) LastRejection() (uint64, error) { return m.rejections.version, m.rejections.err }
--- a/internal/version/mgconfig/table_age_test.go
+++ b/internal/version/mgconfig/table_age_test.go
@@ -10,7 +10,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A route or key of a newer table must not be denied by an entry that can't know it.
+// An entry denies a route or key of a newer table that it can't know, because it takes
+// its old table for the newest.
 func TestRouteDeniedByOutdatedTable(t *testing.T) {
 	Convey("A process whose list and table one watch covers", t, func() {
 		m, _ := machineOfSix()
--- a/internal/version/mgconfig/version_report.go
+++ b/internal/version/mgconfig/version_report.go
@@ -4,29 +4,28 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Word is what a process that reads the platform tells others of a region, so
-// that they need not: which versions it has, and how long ago the platform
-// confirmed the list.
+// A Word is the report that a process that reads the platform sends to others of its
+// region, so that they need not read it: which versions it has, and how long ago the
+// platform confirmed the list.
 type Word struct {
 	List  uint64
-	Age   mgclock.Millis // negative where it has no word of the platform
+	Age   mgclock.Millis // negative without a confirmation by the platform
 	Table uint64
-	// TableAge is how long ago the platform had no newer table, negative where that
-	// isn't known.
+	// TableAge is the time since the platform confirmed that it has no newer table,
+	// negative where that is unknown.
 	TableAge mgclock.Millis
 }
 
 const (
-	// wordAge is the age up to which another's word of the list is taken for the
-	// platform's own: the quick watcher hears each 60 to 100 ms.
+	// maxReportAge is the age up to which a reported confirmation of the list counts as
+	// the platform's own: the quick watcher gets one every 60 to 100 ms.
 	maxReportAge = 500 * mgclock.Millis(1)
-	// keepers is how many processes of a region watch for versions of the table
-	// whatever others say: a watch whose answer was lost hides a version for
-	// seconds.
+	// watchersPerCell is how many processes of a cell watch for versions of the table
+	// regardless of reports: a watch whose answer was lost hides a version for seconds.
 	watchersPerCell = 3
 )
 
-// Word returns what this process can tell others.
+// Report returns the report that this process sends to others.
 func (m *Machine) Report(now mgclock.Millis) Word {
 	report := Word{
 		List:     m.members.View().Version(),
@@ -40,13 +39,14 @@
 	return report
 }
 
-// fresh reports whether a word is as good as the platform's own.
+// isFresh reports whether a report is as good as the platform's own answer.
 func (r Word) isFresh() bool { return r.Age >= 0 && r.Age <= maxReportAge }
 
-// Take takes another's word. A newer list is asked for at once, unless it comes by
-// listening. Where the word is fresh, the own watches wait for as long as they rest
-// between two. Of 1,875 calls to the platform that 24 processes made in 47 s they were
-// more than half; those that hear no such word watch as before within a second.
+// ApplyReport applies another process's report. A newer list is requested at once,
+// unless long polls deliver it. Where the report is fresh, the own watches are
+// postponed by the interval between two of them. Of 1,875 calls to the platform that 24
+// processes made in 47 s, these watches were more than half; processes without such a
+// report still watch within a second, as before.
 func (m *Machine) ApplyReport(now mgclock.Millis, report Word, from string) []Action {
 	m.now = now
 	behind := report.List > m.members.View().Version()
--- a/internal/version/mgconfig/version_report_test.go
+++ b/internal/version/mgconfig/version_report_test.go
@@ -9,9 +9,9 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
 )
 
-// Two dozen entries each watch the list of VMs and the table, and the platform
-// counts every call; or all but one stop watching, that one is cut off, and a
-// leaving engine's reports are cut because nobody saw its notice.
+// Two dozen entries each watch the list of VMs and the table, and the platform counts
+// every call; or all but one stop watching, that one is cut off, and a leaving engine's
+// reports are cut off because no entry saw its notice.
 func TestWatchesNotShared(t *testing.T) {
 	Convey("A process of a region of six", t, func() {
 		m, last := machineOfSix()
@@ -71,7 +71,7 @@
 	})
 }
 
-// sixth returns a process that knows five others of its region, and whether it
+// machineOfSix returns a process that knows five others of its region, and whether it
 // ranks behind those that watch for versions of the table.
 func machineOfSix() (m *Machine, isLast bool) {
 	names := []string{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5", "entry-6"}
--- a/internal/version/mgconfig/version_reused_test.go
+++ b/internal/version/mgconfig/version_reused_test.go
@@ -9,7 +9,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// snapshotOf returns a version of the table with an edit.
+// newSnapshot returns a version of the table with an edit.
 func newSnapshot(version uint64, edit int) *Snapshot {
 	table, err := mgtable.Parse(tableText(version, edit))
 	So(err, ShouldBeNil)
@@ -22,9 +22,9 @@
 	}
 }
 
-// An operator edits a weight, forgets to raise the version, and the fleet goes on
-// by the old weight: of two tables under one version all keep the same one. The
-// dump and the log must say so.
+// An operator edits a weight without raising the version, and the fleet keeps the old
+// weight: of two tables under one version all keep the same one. The debug dump and the
+// log must say so.
 func TestVersionReused(t *testing.T) {
 	Convey("Another table under the version in force", t, func() {
 		first, second := newSnapshot(5, 0), newSnapshot(5, 1)
--- a/internal/version/mgconfig/wire_bench_test.go
+++ b/internal/version/mgconfig/wire_bench_test.go
@@ -19,7 +19,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// counted counts the bytes that pass a connection.
+// countingConn counts the bytes read from and written to a connection.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -37,14 +37,14 @@
 	return n, err
 }
 
-// echo is a peer that answers an exchange with its own summary.
+// echoPeer is a peer that answers an exchange with the received summary.
 type echoPeer struct{ mgrpc.Peer }
 
 func (echoPeer) Exchange(_ context.Context, s *mgrpc.Summary) (*mgrpc.Summary, error) { return s, nil }
 
-// BenchmarkExchangeBytes measures an exchange over twirp on a connection that is
-// kept open: bytes in both directions, what HTTP adds to the two messages, and
-// processor time of both ends together.
+// BenchmarkExchangeBytes measures an exchange over twirp on a connection that is kept
+// open: bytes in both directions, HTTP's overhead for the two messages, and the CPU
+// time of both ends together.
 func BenchmarkExchangeBytes(b *testing.B) {
 	server := httptest.NewServer(mgrpc.NewPeerServer(echoPeer{}))
 	defer server.Close()
@@ -81,15 +81,15 @@
 	b.ReportMetric(float64((cpuTime()-before).Nanoseconds())/float64(b.N), "cpu-ns")
 }
 
-// processor returns the processor time that the process has used.
+// cpuTime returns the CPU time that the process has used.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkPage measures the compression of a page of about 270 accounts, which a
-// member serves once an edit, and what it takes on the wire.
+// BenchmarkPage measures the compression and the wire size of a page of about 270
+// accounts, which a member serves once per edit.
 func BenchmarkPage(b *testing.B) {
 	var text strings.Builder
 	for i := range 270 {
