--- a/internal/version/mgconfig/cordon_test.go
+++ b/internal/version/mgconfig/cordon_test.go
@@ -81,7 +81,7 @@
 			},
 		},
 		{
-			name:   "a third is cut off from the platform",
+			name:   "a third of the entries is cut off from the platform",
 			counts: []int{31, 100},
 			fault: func(f *fleet) {
 				cut := map[string]bool{}
@@ -97,13 +97,13 @@
 		for _, count := range c.counts {
 			t.Run(fmt.Sprintf("%d entries, %s", count, c.name), func(t *testing.T) {
 				t.Parallel()
-				Convey("A cordon is known and lifted everywhere in time", t, func() {
+				Convey("A cordon, and its removal, is known everywhere in time", t, func() {
 					f := newListening(uint64(count), count)
 					f.startAll()
 					f.net.Run(15 * sec)
 					c.fault(f)
 					delays := f.setCordons("hall")
-					t.Logf("a cordon was known after %d ms in the median, %d at most", delays[len(delays)/2], delays[len(delays)-1])
+					t.Logf("a cordon was known after %d ms (median) and %d ms (maximum)", delays[len(delays)/2], delays[len(delays)-1])
 					So(delays[len(delays)-1], ShouldBeLessThanOrEqualTo, maxCordonDelay)
 					f.net.Run(f.net.Now() + sec)
 					delays = f.setCordons()
@@ -117,7 +117,7 @@
 // All entries restart while a zone is cordoned. None has the cordon in memory, and a
 // report is sent to the zone.
 func TestCordonUnknownAtStart(t *testing.T) {
-	Convey("Processes that start while a cordon stands know it before they are ready", t, func() {
+	Convey("Processes that start while a zone is cordoned know it before they are ready", t, func() {
 		f := newListening(5, 31)
 		f.startAll()
 		f.net.Run(15 * sec)
--- a/internal/version/mgconfig/departure_test.go
+++ b/internal/version/mgconfig/departure_test.go
@@ -47,7 +47,7 @@
 // announced that it leaves. The entry's watch hangs on a partitioned connection; its
 // peers know, and it fetched their list less than five seconds before.
 func TestDepartureMissedWhileWatchHangs(t *testing.T) {
-	Convey("A list that peers have is fetched while the own watch hangs", t, func() {
+	Convey("A newer list is fetched from peers while the own watch hangs", t, func() {
 		m, members := machineWithoutPeers()
 		So(m.readPlatform(sec), ShouldNotBeEmpty) // a watch that never returns
 		fetches := 0
@@ -81,10 +81,10 @@
 		Convey("watches the platform itself", func() {
 			So(m.isWatcher(), ShouldBeTrue)
 		})
-		Convey("is ready without peers, as upstreams are none", func() {
+		Convey("is ready without peers, because upstreams aren't peers", func() {
 			So(m.countLiveOthers(), ShouldEqual, 0)
 		})
-		Convey("knows another by its own word, and tells it what is new", func() {
+		Convey("learns of another process from its summary", func() {
 			m.applySummary(sec, &mgrpc.Summary{
 				Name:        "entry-2",
 				Incarnation: "life",
@@ -93,7 +93,7 @@
 			peers := members.View().Peers()
 			So(len(peers), ShouldEqual, 1)
 			So(peers[0].PeerAddr(), ShouldEqual, "10.0.0.2:1")
-			Convey("until it has not been heard for a while", func() {
+			Convey("and forgets it when it was not seen for a while", func() {
 				members.Tick(sec + mgclock.Minute)
 				So(members.View().Peers(), ShouldBeEmpty)
 			})
@@ -104,7 +104,7 @@
 // A platform loses answers, and the operator sets short waits. Without them a lost
 // answer hides a change for twenty-five seconds.
 func TestWatchIgnoresSettings(t *testing.T) {
-	Convey("Waits follow the settings", t, func() {
+	Convey("Timeouts and backoff follow the settings", t, func() {
 		m, _ := machineWithoutPeers()
 		m.spec.Watch = 2 * sec
 		m.spec.Answer = 500
@@ -124,7 +124,7 @@
 // Two entries know only the same seed. Each takes itself for the one that grants
 // migration slots; their copies share a link, and the callers of both see a pause.
 func TestSeedPeersNeverMeet(t *testing.T) {
-	Convey("A summary names those that were heard lately", t, func() {
+	Convey("A summary names processes that were seen recently", t, func() {
 		m, members := machineWithoutPeers()
 		hear := func(at mgclock.Millis, name string, known ...*mgrpc.Known) *mgrpc.Summary {
 			reply, _ := m.HandleExchange(at, &mgrpc.Summary{
@@ -141,7 +141,7 @@
 		So(len(reply.GetKnown()), ShouldEqual, 1)
 		So(reply.GetKnown()[0].GetName(), ShouldEqual, "entry-2")
 		So(reply.GetKnown()[0].GetZone(), ShouldEqual, "b")
-		Convey("and who is named becomes known, by another's word only", func() {
+		Convey("and a process that it names becomes known, but isn't named to others", func() {
 			reply := hear(3*sec, "entry-3", &mgrpc.Known{
 				Name: "entry-4",
 				Addr: "entry-4:1",
@@ -152,7 +152,7 @@
 				So(k.GetName(), ShouldNotEqual, "entry-4")
 			}
 		})
-		Convey("and a dead one is forgotten though others had named it", func() {
+		Convey("and a dead process is forgotten although others named it", func() {
 			for at := 3 * sec; at < 60*sec; at += 2 * sec {
 				hear(at, "entry-3")
 				members.Tick(at)
@@ -172,14 +172,14 @@
 		m.spec.Quick = 60
 		m.spec.Watch = 5 * sec
 		m.spec.Answer = sec
-		Convey("is watched for a second at most, answer included", func() {
+		Convey("is watched for at most a second, including the answer", func() {
 			for _, action := range m.readPlatform(sec) {
 				if action.Key() == mgplatform.ListKey {
 					So(actionTimeout(action), ShouldBeLessThanOrEqualTo, sec)
 				}
 			}
 		})
-		Convey("is asked for again at once", func() {
+		Convey("is read again at once after a failure", func() {
 			m.listSource.failures = 0
 			m.listSource.finishRead(sec, ResultSpec{Err: mgplatform.ErrDown}, m)
 			So(m.listSource.next-sec, ShouldBeLessThanOrEqualTo, 3*firstRetryDelay)
@@ -192,7 +192,7 @@
 // entry's watch hangs, and the peer from which it fetches the version loses power
 // before it answers.
 func TestFetchWaitsForDeadPeer(t *testing.T) {
-	Convey("A version is fetched from another peer while the first is dark", t, func() {
+	Convey("A version is fetched from another peer when the first doesn't answer", t, func() {
 		m, _ := machineWithoutPeers()
 		m.spec.Fetch = 600
 		summary := func(name string) *mgrpc.Summary {
@@ -221,7 +221,7 @@
 // One entry asks an engine and learns that it is leaving. The others ask a second
 // later, and what runs there for them is cut off.
 func TestDepartureNotForwarded(t *testing.T) {
-	Convey("An upstream's own word reaches the peers", t, func() {
+	Convey("An upstream's announcement that it leaves reaches the peers", t, func() {
 		m, members := machineWithoutPeers()
 		m.applySummary(sec, &mgrpc.Summary{
 			Name:        "entry-2",
@@ -233,7 +233,7 @@
 		So(actions, ShouldNotBeEmpty)
 		So(actions[0].Summary().GetDeparted(), ShouldResemble, []string{"engine-1 0"})
 		So(m.HandleDeparture(sec, "engine-1"), ShouldBeEmpty)
-		Convey("who take it", func() {
+		Convey("which apply and forward it", func() {
 			other, known := machineWithoutPeers()
 			summary := actions[0].Summary()
 			summary.Name = "entry-9" // both machines of this test have the same name
@@ -243,7 +243,7 @@
 			So(forwarded[0].Summary().GetDeparted(), ShouldResemble, []string{"engine-1 0"})
 			So(other.applySummary(sec, summary), ShouldBeEmpty)
 		})
-		Convey("and is told for a while only", func() {
+		Convey("and is forwarded for a limited time only", func() {
 			m.now = sec + departureTTL
 			So(m.departures(), ShouldBeEmpty)
 		})
@@ -253,7 +253,7 @@
 // All entries restart while the store is down for two more seconds. When it answers
 // again, they still wait out the long backoff of a process that serves.
 func TestFirstReadBacksOffTooLong(t *testing.T) {
-	Convey("A process without a table asks again soon, and ever more rarely", t, func() {
+	Convey("A process without a table retries soon, with increasing delays", t, func() {
 		m := NewMachine(0, MachineSpec{
 			Name:    "entry-1",
 			Backoff: sec,
@@ -274,7 +274,7 @@
 // All entries start before the operators publish the first table. Each reads it again
 // and again, and the platform bills three hundred reads that found nothing.
 func TestMissingTableReadTooOften(t *testing.T) {
-	Convey("A value that isn't published yet is read each second or so", t, func() {
+	Convey("A value that isn't published yet is read about once a second", t, func() {
 		m, _ := machineWithoutPeers()
 		m.spec.Quick = 60
 		for n := range 20 {
@@ -289,7 +289,7 @@
 // at once, and the platform counts each call; or none does, and an engine's notice of
 // two seconds is half over when it is seen.
 func TestMoreThanOneQuickWatcher(t *testing.T) {
-	Convey("Of the processes of a region one watches quickly", t, func() {
+	Convey("Exactly one process of a region watches quickly", t, func() {
 		names := []string{"entry-1", "entry-2", "entry-3"}
 		quickWatchers := 0
 		for _, name := range names {
@@ -322,7 +322,7 @@
 		}
 		So(quickWatchers, ShouldEqual, 1)
 	})
-	Convey("A process that knows no other watches quickly", t, func() {
+	Convey("A process that knows no other one watches quickly", t, func() {
 		m, _ := machineWithoutPeers()
 		m.spec.Quick = 60
 		So(m.nextReadAt(0, &m.listSource), ShouldEqual, 60)
@@ -333,7 +333,7 @@
 // second. Its reports are cut off 1.7 s later: the engine would have announced its
 // departure, but was asked only once the list was 1.5 s old.
 func TestSilentPlatformHidesNotice(t *testing.T) {
-	Convey("The one that watches quickly asks upstreams once two watches are overdue", t, func() {
+	Convey("The quick watcher treats its list as stale once two watches are overdue", t, func() {
 		m, _ := machineWithoutPeers()
 		m.spec.Quick = 60
 		m.listSource.confirmedAt = 1000
--- a/internal/version/mgconfig/gossip_test.go
+++ b/internal/version/mgconfig/gossip_test.go
@@ -25,11 +25,11 @@
 				cells[cell.Of]++
 				minKnown = min(minKnown, 1+len(n.members.View().Able("")))
 			}
-			t.Logf("at %d ms: each knows %d of %d at least; entries by the cells that they see: %v", at, minKnown, count, cells)
+			t.Logf("at %d ms: each knows at least %d of %d; entries by the number of cells that they compute: %v", at, minKnown, count, cells)
 			So(minKnown, ShouldBeGreaterThanOrEqualTo, count-1)
 			So(cells[mgmember.Cells(count)], ShouldEqual, count)
 		}
-		Convey("forget one that died, and the dead are not kept by word of mouth", func() {
+		Convey("forget one that died, although others still have records of it", func() {
 			dead := f.nodes[50].name
 			f.kill(dead)
 			f.net.Run(f.net.Now() + 60*sec)
--- a/internal/version/mgconfig/longpoll_test.go
+++ b/internal/version/mgconfig/longpoll_test.go
@@ -13,7 +13,7 @@
 // go; each entry that learns of a newer list requests it from a peer and reads it as
 // well, because its own watch ends with the next heartbeat of any engine.
 func TestPlatformReadsGrowWithEntries(t *testing.T) {
-	Convey("While the list changes thrice a second", t, func() {
+	Convey("While the list changes three times a second", t, func() {
 		const (
 			warmUp = 15 * sec
 			period = 12 * sec
@@ -35,7 +35,7 @@
 			}
 			reads[count] = f.readsFrom(warmUp)
 			slices.Sort(delays)
-			t.Logf("%d entries: %d reads, %d changes known everywhere after %d ms in the median, %d at most",
+			t.Logf("%d entries: %d reads, %d changes known everywhere after %d ms (median) and %d ms (maximum)",
 				count, reads[count], len(delays), delays[len(delays)/2], delays[len(delays)-1])
 			So(delays[len(delays)-1], ShouldBeLessThanOrEqualTo, maxDelay)
 			So(reads[count], ShouldBeLessThanOrEqualTo, maxReads)
@@ -81,13 +81,13 @@
 			share:  1,
 		},
 		{
-			name:   "the reader of a region stands still",
+			name:   "the reader of a region stalls",
 			victim: (*fleet).reader,
 			fail:   pause,
 			share:  0.99,
 		},
 		{
-			name:   "the hub of a cell stands still",
+			name:   "the hub of a cell stalls",
 			victim: otherHub,
 			fail:   pause,
 			share:  0.99,
@@ -114,7 +114,7 @@
 // Half of a region's entries are cut off from the region's reader, but not from the
 // platform. That half misses a departure.
 func TestListDelayedWhenReaderUnreachable(t *testing.T) {
-	Convey("A reader that half of the entries can't reach", t, func() {
+	Convey("A change is known although half of the entries can't reach the reader", t, func() {
 		f := newListening(9, 100)
 		f.startAll()
 		f.net.Run(15 * sec)
@@ -134,7 +134,7 @@
 // second each, 3,300 times in all; or they retry so rarely that they miss an engine's
 // notice just after the platform is back.
 func TestRetryStormWhilePlatformDown(t *testing.T) {
-	Convey("While the platform turns all away", t, func() {
+	Convey("While the platform refuses all calls", t, func() {
 		const outage = 8 * sec
 		f := newListening(11, 100)
 		f.startAll()
@@ -155,13 +155,13 @@
 // The platform refuses the calls of the region's reader. The others take its old report
 // for the platform's answer.
 func TestOldReportTakenAsFresh(t *testing.T) {
-	Convey("A word without the platform's is not told on", t, func() {
+	Convey("A list without the platform's confirmation is not reported as fresh", t, func() {
 		m, _ := machineWithoutPeers()
 		m.spec.Quick = 60
 		m.listSource.confirmedAt = 1000
 		m.listSource.failures = 1
 		So(m.Report(1200).Age, ShouldBeLessThan, 0)
-		Convey("unless another's is as fresh", func() {
+		Convey("unless another process's report confirms it", func() {
 			m.peerConfirmedAt = 1100
 			m.listSource.confirmedAt = 1100
 			So(m.Report(1200).Age, ShouldEqual, 100)
--- a/internal/version/mgconfig/loop_test.go
+++ b/internal/version/mgconfig/loop_test.go
@@ -18,7 +18,7 @@
 
 func TestLoop(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	Convey("A loop alone on the list gets the table from the platform", t, func() {
+	Convey("A loop whose list names no other process gets the table from the platform", t, func() {
 		table, err := mgtable.Parse(tableText(5, 0))
 		So(err, ShouldBeNil)
 		m, pages, err := table.Pages(1 << 20)
--- a/internal/version/mgconfig/machine_test.go
+++ b/internal/version/mgconfig/machine_test.go
@@ -34,12 +34,12 @@
 		f := startedFleet(1, 14)
 		all := func(version uint64) map[uint64]int { return map[uint64]int{version: 14} }
 
-		Convey("has the next one within seconds", func() {
+		Convey("has the next version within seconds", func() {
 			f.publish(2, 1)
 			f.net.Run(28 * sec)
 			So(f.versions(), ShouldResemble, all(2))
 		})
-		Convey("keeps the newest while the platform is stale", func() {
+		Convey("keeps the newest version while the platform is stale", func() {
 			// An operator lowers a cap, and an hour later one entry still allows the
 			// old rate: the platform lost a replica and shows an older version, and the
 			// entry's VM has just been replaced.
@@ -62,7 +62,7 @@
 			So(f.nodes[3].machine.Ready(f.net.Now()), ShouldBeTrue)
 			So(f.versions(), ShouldResemble, all(1))
 		})
-		Convey("keeps a new process that hears nobody from serving", func() {
+		Convey("doesn't let a new process serve that gets no peer's answer", func() {
 			// A request is accepted under a table from last week: the process that
 			// accepted it started in a partition, alone with a stale platform, while
 			// the list named thirteen others.
@@ -77,7 +77,7 @@
 			f.net.Run(120 * sec)
 			So(f.nodes[3].machine.Ready(f.net.Now()), ShouldBeTrue)
 		})
-		Convey("refuses a faulty version alike and goes on with the next", func() {
+		Convey("rejects a faulty version everywhere and adopts the next", func() {
 			f.publishFaulty(2)
 			f.net.Run(30 * sec)
 			So(f.versions(), ShouldResemble, all(1))
@@ -88,7 +88,7 @@
 			f.net.Run(40 * sec)
 			So(f.versions(), ShouldResemble, all(3))
 		})
-		Convey("waits for pages that come after their manifest", func() {
+		Convey("waits for pages that are published after their manifest", func() {
 			// The platform's values change one after another: a watcher reads a
 			// manifest whose page isn't there yet.
 			table, err := mgtable.Parse(tableText(2, 1))
@@ -104,7 +104,7 @@
 			f.net.Run(40 * sec)
 			So(f.versions(), ShouldResemble, all(2))
 		})
-		Convey("settles two manifests under one version alike", func() {
+		Convey("chooses the same one of two manifests under one version everywhere", func() {
 			// Two operators publish at once, and each half of the fleet sees another
 			// manifest.
 			table, err := mgtable.Parse(tableText(2, 5))
@@ -121,7 +121,7 @@
 				So(n.machine.Current().Digest(), ShouldEqual, f.nodes[0].machine.Current().Digest())
 			}
 		})
-		Convey("pulls what a call's version number tells of", func() {
+		Convey("exchanges with the sender of a call that carries a newer version", func() {
 			n := f.nodes[0]
 			So(n.machine.ObserveVersion(f.net.Now(), 1, "vm-0001"), ShouldBeEmpty)
 			actions := n.machine.ObserveVersion(f.net.Now(), 2, "vm-0001")
@@ -129,7 +129,7 @@
 			So(actions[0].Peer(), ShouldEqual, "vm-0001")
 			So(n.machine.ObserveVersion(f.net.Now(), 2, "vm-0001"), ShouldBeEmpty)
 		})
-		Convey("doesn't take a manifest under another version than its own", func() {
+		Convey("doesn't adopt a manifest under another version than its own", func() {
 			n := f.nodes[0]
 			old := n.machine.Current().manifest
 			n.machine.learnVersion(f.net.Now(), versionKey{
@@ -151,7 +151,7 @@
 // The platform is down for an hour, in which an operator publishes an edit to it. When
 // it comes back, all processes that kept retrying read at once and overload it again.
 func TestRetryStormAfterOutage(t *testing.T) {
-	Convey("After an hour's outage the platform is read as before, and the edit is in force", t, func() {
+	Convey("After an hour's outage the platform isn't overloaded, and the edit is in force", t, func() {
 		const count = 42
 		f := startedFleet(2, count)
 		f.platform.down = true
@@ -160,7 +160,7 @@
 		f.publish(2, 1)
 		f.platform.down = false
 		f.net.Run(3640 * sec)
-		Printf("%.2f reads a second while down, %d at most in a second after ", float64(retries)/600, f.platform.peak(3600*sec))
+		Printf("%.2f reads a second while down, a peak of %d in a second after ", float64(retries)/600, f.platform.peak(3600*sec))
 		So(float64(retries)/600, ShouldBeLessThan, 4.5)
 		// Twenty-one watchers read at most a manifest and nine new pages each.
 		So(f.platform.peak(3600*sec), ShouldBeLessThan, 60)
@@ -189,7 +189,7 @@
 			}
 		}
 	}
-	t.Logf("%d schedules: %d with a member that went back, %d without agreement after the heal", *schedules, reverted, diverged)
+	t.Logf("%d schedules: %d with a member that went back, %d without agreement after the faults ended", *schedules, reverted, diverged)
 }
 
 // schedule runs a minute of faults and then 90 s without faults. Every fourth version is
@@ -242,7 +242,7 @@
 }
 
 func TestServe(t *testing.T) {
-	Convey("A damaged value of a peer is an error", t, func() {
+	Convey("A damaged value from a peer is an error", t, func() {
 		_, _, err := decompressReply(&mgrpc.FetchReply{
 			Values: [][]byte{{1, 2, 3}},
 		})
--- a/internal/version/mgconfig/start_test.go
+++ b/internal/version/mgconfig/start_test.go
@@ -39,9 +39,9 @@
 			count: 100,
 		},
 	} {
-		t.Run(fmt.Sprintf("%d entries, named peers answer: %v", c.count, c.seeds), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d entries, configured peers answer: %v", c.count, c.seeds), func(t *testing.T) {
 			t.Parallel()
-			Convey("All that start at once have a list soon", t, func() {
+			Convey("All processes that start at once have a list soon", t, func() {
 				f := newListening(uint64(c.count), c.count)
 				f.upstreams = perEntry * c.count
 				f.list(0)
@@ -79,7 +79,7 @@
 					all = append(all, delays[n.name])
 				}
 				slices.Sort(all)
-				t.Logf("a list after %d ms in the median, %d at most; %d reads of the platform",
+				t.Logf("a list after %d ms (median) and %d ms (maximum); %d reads of the platform",
 					all[len(all)/2], all[len(all)-1], f.readsFrom(0))
 				if !c.seeds {
 					So(all[len(all)-1], ShouldBeLessThanOrEqualTo, exchangeTimeout+maxDelay) // until a dead peer times out
@@ -98,7 +98,7 @@
 // pause.
 func TestListDelayedWhenThirdDies(t *testing.T) {
 	t.Parallel()
-	Convey("Where a third of the entries dies, the others", t, func() {
+	Convey("After a third of the entries has died, the others", t, func() {
 		const count = 200
 		f := newListening(2, count)
 		f.upstreams = 3000
@@ -118,10 +118,10 @@
 		delay := f.timeUntilKnown(1, 1)
 		f.net.Run(f.net.Now() + 4*sec)
 		t.Logf("the next change was known everywhere after %d ms; %d reads of the platform", delay, f.readsFrom(0)-before)
-		Convey("know what changes soon", func() {
+		Convey("learn of the next change soon", func() {
 			So(delay, ShouldBeLessThanOrEqualTo, 2000)
 		})
-		Convey("leave the list to the keepers of their cells, who may read it twice", func() {
+		Convey("leave the list to the watchers of their cells, which may read it twice", func() {
 			So(f.platform.peak(from), ShouldBeLessThan, pageRate)
 			So(f.readsFrom(0)-before, ShouldBeLessThan, 2*watchersPerCell*mgmember.Cells(count)*f.upstreams/pageRows)
 		})
--- a/internal/version/mgconfig/table_age_test.go
+++ b/internal/version/mgconfig/table_age_test.go
@@ -13,7 +13,7 @@
 // An entry denies a route or key of a newer table that it can't know, because it takes
 // its old table for the newest.
 func TestRouteDeniedByOutdatedTable(t *testing.T) {
-	Convey("A process whose list and table one watch covers", t, func() {
+	Convey("For a process where one watch covers list and table, the table is confirmed", t, func() {
 		m, _ := machineOfSix()
 		m.spec.Joint = true
 		m.current.Store(newSnapshot(7, 0))
@@ -35,19 +35,19 @@
 				Report: report,
 			})
 		}
-		Convey("is certain for a while after the platform's answer about the table", func() {
+		Convey("for a limited time after the platform's answer about the table", func() {
 			So(m.TableConfirmed(1000), ShouldBeTrue)
 			So(m.TableConfirmed(1000+tableMaxAge), ShouldBeTrue)
 			So(m.TableConfirmed(1000+tableMaxAge+1), ShouldBeFalse)
 		})
-		Convey("or about the list", func() {
+		Convey("and after its answer about the list", func() {
 			m.handleListResult(4000, ResultSpec{
 				Err: mgplatform.ErrUnchanged,
 			})
 			So(m.TableConfirmed(4000+tableMaxAge), ShouldBeTrue)
 			So(m.TableConfirmed(4000+tableMaxAge+1), ShouldBeFalse)
 		})
-		Convey("not for a while after the platform has come back from a copy", func() {
+		Convey("not just after the platform was restored from a copy", func() {
 			list := func(era uint64) []byte {
 				data, err := json.Marshal(mgplatform.List{
 					Version: 1000 + era,
@@ -69,19 +69,19 @@
 			So(answers(3000+restoreWindow-1), ShouldBeFalse)
 			So(answers(3000+restoreWindow), ShouldBeTrue)
 		})
-		Convey("not after a failed one", func() {
+		Convey("not after a failed read of the list", func() {
 			m.handleListResult(4000, ResultSpec{
 				Err: mgplatform.ErrDown,
 			})
 			So(m.TableConfirmed(4000), ShouldBeFalse)
 		})
-		Convey("and after another's word of the same table, by its age", func() {
+		Convey("after another process's report of the same table, counted from its age", func() {
 			listen(4000, report)
 			So(m.TableConfirmed(3900+tableMaxAge), ShouldBeTrue)
 			So(m.TableConfirmed(3900+tableMaxAge+1), ShouldBeFalse)
 			So(m.Report(4050).TableAge, ShouldEqual, 150)
 		})
-		Convey("not by a word of another table, or one without an age", func() {
+		Convey("not by a report of another table, or one without an age", func() {
 			for _, report := range []Word{
 				{
 					List:     report.List,
@@ -111,7 +111,7 @@
 			So(m.TableConfirmed(1100), ShouldBeFalse)
 			So(m.Report(1100).TableAge, ShouldBeLessThan, 0)
 		})
-		Convey("not while the platform has one that is being read", func() {
+		Convey("not while a newer table of the platform is being read", func() {
 			m.ReadTableNow(1100)
 			So(m.TableConfirmed(1100), ShouldBeFalse)
 			m.handleManifestResult(1200, ResultSpec{
@@ -120,7 +120,7 @@
 			So(m.TableConfirmed(1200), ShouldBeTrue)
 		})
 	})
-	Convey("Where nobody tells how old the table is, it is taken for the newest", t, func() {
+	Convey("Where the table's age is unknown, it counts as the newest", t, func() {
 		m, _ := machineOfSix()
 		So(m.TableConfirmed(mgclock.Minute), ShouldBeTrue)
 	})
--- a/internal/version/mgconfig/version_report_test.go
+++ b/internal/version/mgconfig/version_report_test.go
@@ -19,19 +19,19 @@
 		m.adoptList(0, upstreamList(5, mgplatform.Live))
 		m.listSource.next, m.manifestSource.next = 100, 100
 		list := m.members.View().Version()
-		Convey("rests while another has the platform's word of the same list and table", func() {
+		Convey("postpones its watches while another has a fresh confirmation of the same list and table", func() {
 			m.ApplyReport(1000, Word{List: list, Age: 60}, "entry-2")
 			So(m.listSource.next, ShouldEqual, 940+slowWatchInterval)
 			So(m.IsListStale(940+quickStaleTimeout-1), ShouldBeFalse)
 			So(m.IsListStale(940+quickStaleTimeout), ShouldBeTrue)
 			So(m.manifestSource.next == 1000+slowWatchInterval, ShouldEqual, last)
 		})
-		Convey("watches as before where that one has", func() {
+		Convey("doesn't postpone its watches where the other one reports", func() {
 			for name, word := range map[string]Word{
-				"another list":                 {List: list + 1, Age: 60},
-				"an old word":                  {List: list, Age: maxReportAge + 1},
-				"no word":                      {List: list, Age: -1},
-				"another list and an old word": {List: list + 1, Age: maxReportAge + 1},
+				"another list":                         {List: list + 1, Age: 60},
+				"an old confirmation":                  {List: list, Age: maxReportAge + 1},
+				"no confirmation":                      {List: list, Age: -1},
+				"another list and an old confirmation": {List: list + 1, Age: maxReportAge + 1},
 			} {
 				Convey(name, func() {
 					m.ApplyReport(1000, word, "entry-2")
@@ -43,7 +43,7 @@
 				So(m.manifestSource.next, ShouldEqual, 100)
 			})
 		})
-		Convey("isn't stale for a failed read of its own while it has another's word", func() {
+		Convey("isn't stale after a failed read while it has another's fresh report", func() {
 			m.listSource.failures = 1
 			So(m.IsListStale(1000), ShouldBeTrue)
 			m.ApplyReport(1000, Word{List: list, Age: 60}, "entry-2")
@@ -51,7 +51,7 @@
 			So(m.IsListStale(1000+maxReportAge), ShouldBeTrue)
 		})
 	})
-	Convey("A hub that has the reader's word alone tells it on", t, func() {
+	Convey("A hub that has only the reader's report forwards its age", t, func() {
 		m, _ := machineOfSix()
 		m.adoptList(0, upstreamList(5, mgplatform.Live))
 		m.listSource.hasAnswered = false
@@ -59,7 +59,7 @@
 		m.ApplyReport(1000, Word{List: m.members.View().Version(), Age: 60}, "entry-2")
 		So(m.Report(1010).Age, ShouldEqual, 70)
 	})
-	Convey("Who has no word of the platform says so", t, func() {
+	Convey("A process without a confirmation by the platform reports that", t, func() {
 		m, _ := machineWithoutPeers()
 		m.listSource.hasAnswered = false
 		So(m.Report(1000).Age, ShouldBeLessThan, 0)
--- a/internal/version/mgconfig/version_reused_test.go
+++ b/internal/version/mgconfig/version_reused_test.go
@@ -33,7 +33,7 @@
 		}
 		m := NewMachine(0, MachineSpec{Name: "a"}, mgmember.New("a"))
 		m.current.Store(first)
-		Convey("is refused with its remedy, and nothing else changes", func() {
+		Convey("is rejected with a remedy, and nothing else changes", func() {
 			m.applyManifest(1, second.manifest)
 			version, err := m.LastRejection()
 			So(version, ShouldEqual, 5)
@@ -41,7 +41,7 @@
 			So(m.Current(), ShouldEqual, first)
 			So(m.pull, ShouldBeNil)
 		})
-		Convey("is no reason to refuse the one in force, or an older one", func() {
+		Convey("doesn't make the one in force, or an older one, be rejected", func() {
 			m.applyManifest(1, first.manifest)
 			m.applyManifest(1, newSnapshot(4, 1).manifest)
 			_, err := m.LastRejection()
