--- a/internal/version/mgconfig/exchange.go
+++ b/internal/version/mgconfig/exchange.go
@@ -205,7 +205,7 @@
 // notice of two.
 func (m *Machine) HandleDeparture(now mgclock.Millis, upstream string) []Action {
 	m.now = now
-	if !m.applyDeparture(now, m.members.DepartureOf(upstream)) {
+	if !m.applyDeparture(now, m.members.CurrentDeparture(upstream)) {
 		return nil
 	}
 	return m.pushToPeers(now)
@@ -216,7 +216,7 @@
 func (m *Machine) applyDepartures(now mgclock.Millis, texts []string) []Action {
 	isNew := false
 	for _, text := range texts {
-		isNew = m.applyDeparture(now, m.members.ReadDeparture(text)) || isNew
+		isNew = m.applyDeparture(now, m.members.ParseDeparture(text)) || isNew
 	}
 	if !isNew {
 		return nil
@@ -226,7 +226,7 @@
 
 // applyDeparture records a departure and reports whether it must be forwarded to peers.
 func (m *Machine) applyDeparture(now mgclock.Millis, departure mgmember.Departure) bool {
-	if !m.members.Depart(now, departure) {
+	if !m.members.RecordDeparture(now, departure) {
 		return false
 	}
 	if m.departed == nil {
--- a/internal/version/mgconfig/gossip_test.go
+++ b/internal/version/mgconfig/gossip_test.go
@@ -23,7 +23,7 @@
 			for _, n := range f.nodes {
 				cell := n.members.View().Cell(n.name, "")
 				cells[cell.Of]++
-				minKnown = min(minKnown, 1+len(n.members.View().Able("")))
+				minKnown = min(minKnown, 1+len(n.members.View().HealthyPeers("")))
 			}
 			t.Logf("at %d ms: each knows at least %d of %d; entries by the number of cells that they compute: %v", at, minKnown, count, cells)
 			So(minKnown, ShouldBeGreaterThanOrEqualTo, count-1)
--- a/internal/version/mgconfig/longpoll.go
+++ b/internal/version/mgconfig/longpoll.go
@@ -73,7 +73,7 @@
 // or old. A new process that others don't poll may merely not know the reader yet.
 func (m *Machine) readsForOthers(now mgclock.Millis) bool {
 	r := m.roles()
-	if now < m.join.startedAt+discoveryWindow && now >= m.lastPolledAt+pollersTTL && len(r.view.Able(m.spec.Region)) > 0 {
+	if now < m.join.startedAt+discoveryWindow && now >= m.lastPolledAt+pollersTTL && len(r.view.HealthyPeers(m.spec.Region)) > 0 {
 		return false
 	}
 	return r.reader == nil || r.hub == nil && now >= m.peerConfirmedAt+hubReadDelay
--- a/internal/version/mgconfig/roles.go
+++ b/internal/version/mgconfig/roles.go
@@ -28,7 +28,7 @@
 	m.cachedRoles = roles{
 		view:    view,
 		leaving: m.leaving,
-		reader:  m.topRanked(view.Able(m.spec.Region)),
+		reader:  m.topRanked(view.HealthyPeers(m.spec.Region)),
 		hub:     m.topRanked(cell),
 		rank:    m.rankInCell(cell),
 	}
--- a/internal/version/mgmember/cell_test.go
+++ b/internal/version/mgmember/cell_test.go
@@ -13,7 +13,7 @@
 // has no time for its own callers, and none of them gets an answer in time; or a
 // cell has a third more entries than another, and its engines are full while the
 // other's are not.
-func TestCells(t *testing.T) {
+func TestCellsOfUnequalSize(t *testing.T) {
 	Convey("A region divides as it grows", t, func() {
 		for processes, cells := range map[int]int{1: 1, 24: 1, 40: 1, 41: 2, 100: 4, 120: 4, 300: 8, 360: 16} {
 			So(Cells(processes), ShouldEqual, cells)
@@ -79,7 +79,7 @@
 
 // The hub falls to an entry with a link of 10 Mbit/s while others have 200. Engines'
 // heartbeats alone fill its link, and every generation of its cell waits for it.
-func TestRankHub(t *testing.T) {
+func TestWeakProcessBecomesHub(t *testing.T) {
 	Convey("The hub is one of the strongest", t, func() {
 		var members []*Member
 		for n, power := range []int{100, 800, 144, 700, 300} {
--- a/internal/version/mgmember/cordon_test.go
+++ b/internal/version/mgmember/cordon_test.go
@@ -11,7 +11,7 @@
 
 // A hall is emptied, and half a second later one of its engines is heard again or its
 // list is sent once more: the engine is given work as if nothing had been said.
-func TestCordoned(t *testing.T) {
+func TestCordonedUpstreamGetsWork(t *testing.T) {
 	Convey("The upstreams of a cordoned availability zone", t, func() {
 		upstream := func(name, zone string) mgplatform.VM {
 			return mgplatform.VM{
@@ -69,8 +69,8 @@
 
 // An engine crashes while the platform is away and starts again cold. No list shows its
 // start, it looks like the emptiest of all, and what is sent there has it crash again.
-func TestCold(t *testing.T) {
-	const span = 1000 * mgclock.Millis(1) // for which engines are cold after a start
+func TestRestartedUpstreamCountsAsWarm(t *testing.T) {
+	const coldPeriod = 1000 * mgclock.Millis(1) // for which engines are cold after a start
 	Convey("An upstream is cold", t, func() {
 		m := New("entry-1")
 		list := func(now mgclock.Millis, version uint64, cold int64) {
@@ -90,7 +90,7 @@
 		}
 		cold := func(now mgclock.Millis) bool {
 			member, _ := m.View().Member("a")
-			return member.Cold(now, span)
+			return member.Cold(now, coldPeriod)
 		}
 		list(1000, 1, 700)
 		Convey("for as long as the list says", func() {
@@ -108,8 +108,8 @@
 			m.Tick(20_000)
 			So(cold(20_000), ShouldBeTrue)
 			m.Answered(20_100, "a")
-			So(cold(20_100+span-1), ShouldBeTrue)
-			So(cold(20_100+span), ShouldBeFalse)
+			So(cold(20_100+coldPeriod-1), ShouldBeTrue)
+			So(cold(20_100+coldPeriod), ShouldBeFalse)
 		})
 		Convey("by the list alone where its service has no such span", func() {
 			m.Failed(10_000, "a")
--- a/internal/version/mgmember/departure_test.go
+++ b/internal/version/mgmember/departure_test.go
@@ -11,7 +11,7 @@
 )
 
 // An upstream that said that it leaves must not be brought back by a list.
-func TestDeparture(t *testing.T) {
+func TestListBringsBackDepartedUpstream(t *testing.T) {
 	row := func(born int64) []mgplatform.VM {
 		return []mgplatform.VM{{
 			Name:     "engine-1",
@@ -29,9 +29,9 @@
 			VMs:     vms,
 		}
 	}
-	word := mgmember.Departure{
-		Upstream: "engine-1",
-		Born:     7,
+	departure := mgmember.Departure{
+		Upstream:  "engine-1",
+		StartedAt: 7,
 	}
 	cases := []struct {
 		name  string
@@ -74,7 +74,7 @@
 			name: "and starts again, and a late word of its last life comes",
 			after: func(m *mgmember.Members) {
 				m.List(200, list(2, row(8)))
-				So(m.Depart(300, m.ReadDeparture("engine-1 7")), ShouldBeFalse)
+				So(m.RecordDeparture(300, m.ParseDeparture("engine-1 7")), ShouldBeFalse)
 			},
 			used: true,
 		},
@@ -82,7 +82,7 @@
 			name: "and starts again, and leaves again",
 			after: func(m *mgmember.Members) {
 				m.List(200, list(2, row(8)))
-				m.Depart(300, m.ReadDeparture("engine-1"))
+				m.RecordDeparture(300, m.ParseDeparture("engine-1"))
 			},
 		},
 		{
@@ -100,25 +100,25 @@
 				m := mgmember.New("entry")
 				m.List(0, list(1, row(7)))
 				So(len(m.View().Hosts("report")), ShouldEqual, 1)
-				So(m.Depart(100, m.DepartureOf("engine-1")), ShouldBeTrue)
-				So(m.Depart(100, m.DepartureOf("engine-1")), ShouldBeFalse)
+				So(m.RecordDeparture(100, m.CurrentDeparture("engine-1")), ShouldBeTrue)
+				So(m.RecordDeparture(100, m.CurrentDeparture("engine-1")), ShouldBeFalse)
 				c.after(m)
 				So(len(m.View().Hosts("report")) == 1, ShouldEqual, c.used)
 			})
 		}
 		Convey("before any list names it", func() {
 			m := mgmember.New("entry")
-			m.Depart(100, word)
+			m.RecordDeparture(100, departure)
 			m.List(200, list(1, row(7)))
 			So(m.View().Hosts("report"), ShouldBeEmpty)
 		})
 		Convey("and is forgotten once it has long been gone", func() {
 			m := mgmember.New("entry")
 			m.List(0, list(1, row(7)))
-			m.Depart(100, m.DepartureOf("engine-1"))
+			m.RecordDeparture(100, m.CurrentDeparture("engine-1"))
 			m.List(200, list(2, nil))
 			m.Tick(3 * mgclock.Minute)
-			So(m.Depart(4*mgclock.Minute, word), ShouldBeTrue)
+			So(m.RecordDeparture(4*mgclock.Minute, departure), ShouldBeTrue)
 		})
 	})
 }
--- a/internal/version/mgmember/gossip.go
+++ b/internal/version/mgmember/gossip.go
@@ -27,7 +27,7 @@
 	var all []Gossip
 	for _, member := range view.All() {
 		e := m.evidence[member.Name()]
-		if member.Listed() || !member.Peer() || e == nil || !e.everHeard || now >= e.heard+heardLife {
+		if member.Listed() || !member.Peer() || e == nil || !e.wasSeen || now >= e.lastSeen+lastSeenTTL {
 			continue
 		}
 		all = append(all, Gossip{
@@ -36,7 +36,7 @@
 			Zone:   member.Zone(),
 			Region: member.Region(),
 			Power:  member.Power(),
-			Age:    now - e.heard,
+			Age:    now - e.lastSeen,
 		})
 	}
 	return all
@@ -47,29 +47,29 @@
 func (m *Members) TakeGossip(now mgclock.Millis, all []Gossip) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	fresh := false
+	foundNew := false
 	for _, g := range all {
-		if g.Age < 0 || g.Age >= heardLife || g.Addr == "" {
+		if g.Age < 0 || g.Age >= lastSeenTTL || g.Addr == "" {
 			continue
 		}
-		fresh = m.introduce(now-g.Age, mgplatform.VM{
+		foundNew = m.introduce(now-g.Age, mgplatform.VM{
 			Name:   g.Name,
 			Kind:   mgplatform.EntryKind,
 			Addr:   g.Addr,
 			Zone:   g.Zone,
 			Region: g.Region,
 			Power:  g.Power,
-		}) || fresh
+		}) || foundNew
 	}
-	if fresh {
+	if foundNew {
 		m.rebuild(now)
 	}
-	return fresh
+	return foundNew
 }
 
 // introduce notes that a process was heard at a time, and reports whether it is new.
 // It is called with mu held.
-func (m *Members) introduce(heard mgclock.Millis, vm mgplatform.VM) bool {
+func (m *Members) introduce(lastSeen mgclock.Millis, vm mgplatform.VM) bool {
 	if vm.Name == "" || vm.Name == m.self {
 		return false
 	}
@@ -80,10 +80,10 @@
 	if !known {
 		m.known[vm.Name] = vm
 	}
-	e := m.of(vm.Name)
-	if !e.everHeard || heard > e.heard {
-		e.heard = heard
+	e := m.evidenceOf(vm.Name)
+	if !e.wasSeen || lastSeen > e.lastSeen {
+		e.lastSeen = lastSeen
 	}
-	e.everHeard = true
+	e.wasSeen = true
 	return !known
 }
--- a/internal/version/mgmember/member.go
+++ b/internal/version/mgmember/member.go
@@ -11,16 +11,16 @@
 
 // A Member is a process as it was seen when a view was made.
 type Member struct {
-	vm          mgplatform.VM
-	hash        uint64 // of the name
-	incarnation string
-	leaving     bool
-	suspect     bool
-	listed      bool
-	cordoned    bool
-	cold        mgclock.Millis // until then, by the list
-	lapsed      bool
-	revived     mgclock.Millis // when it last answered after a suspicion
+	vm           mgplatform.VM
+	nameHash     uint64 // of the name
+	incarnation  string
+	leaving      bool
+	suspect      bool
+	listed       bool
+	cordoned     bool
+	coldUntil    mgclock.Millis // until then, by the list
+	awaitsAnswer bool
+	recoveredAt  mgclock.Millis // when it last answered after a suspicion
 }
 
 // Name returns the name of the VM that the process runs on.
@@ -77,11 +77,11 @@
 // Cold reports whether an upstream is cold, by the list or because it may have started
 // anew: it failed, and has answered for less than a span since, for which upstreams
 // are cold after a start. The list shows no start while the platform is away.
-func (m *Member) Cold(now, span mgclock.Millis) bool {
-	if now < m.cold {
+func (m *Member) Cold(now, coldPeriod mgclock.Millis) bool {
+	if now < m.coldUntil {
 		return true
 	}
-	return span > 0 && (m.suspect || m.lapsed || m.revived > 0 && now < m.revived+span)
+	return coldPeriod > 0 && (m.suspect || m.awaitsAnswer || m.recoveredAt > 0 && now < m.recoveredAt+coldPeriod)
 }
 
 // Cordoned reports whether its availability zone gets no new work. Where a process
@@ -91,7 +91,7 @@
 // Self returns this process as a member, to rank it among others.
 func Self(name, zone string, power int) *Member {
 	return &Member{
-		hash: xxhash.Sum64String(name),
+		nameHash: xxhash.Sum64String(name),
 		vm: mgplatform.VM{
 			Name:  name,
 			Zone:  zone,
--- a/internal/version/mgmember/member_test.go
+++ b/internal/version/mgmember/member_test.go
@@ -51,30 +51,30 @@
 func TestMembers(t *testing.T) {
 	Convey("The members that get work", t, func() {
 		m := mgmember.New("e")
-		up := func() string { return names(m.View().Upstreams("m")) }
-		So(up(), ShouldEqual, "")
+		upstreams := func() string { return names(m.View().Upstreams("m")) }
+		So(upstreams(), ShouldEqual, "")
 		So(m.List(0, list(2, "a b c")), ShouldBeTrue)
-		So(up(), ShouldEqual, "a b c")
+		So(upstreams(), ShouldEqual, "a b c")
 
 		Convey("are without one that the list shows leaving", func() {
 			m.List(0, list(3, "a -b c"))
-			So(up(), ShouldEqual, "a c")
+			So(upstreams(), ShouldEqual, "a c")
 			_, there := m.View().Agent("u-b")
 			So(there, ShouldBeTrue)
 		})
 		Convey("don't go back to an older list", func() {
 			So(m.List(0, list(1, "a")), ShouldBeFalse)
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 		})
 		Convey("are without one that says it leaves, though the list lags", func() {
 			// A user's request goes to an engine that is about to be reclaimed.
 			// The agent says so at once; the list shows it live for a minute
 			// more and is published again meanwhile.
 			m.Heard(10, "b", "1", true)
-			So(up(), ShouldEqual, "a c")
+			So(upstreams(), ShouldEqual, "a c")
 			m.List(20, list(3, "a b c d"))
 			m.Heard(30, "b", "1", false)
-			So(up(), ShouldEqual, "a c d")
+			So(upstreams(), ShouldEqual, "a c d")
 		})
 		Convey("are with its successor again", func() {
 			// The VM's name comes back with another incarnation. A delayed reply
@@ -82,37 +82,37 @@
 			m.Heard(10, "b", "1", true)
 			m.Heard(20, "b", "2", false)
 			m.Heard(30, "b", "1", true)
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 		})
 		Convey("are with it again when the word has outlived every lag", func() {
 			m.Heard(10, "b", "1", true)
 			m.Tick(2*mgclock.Minute - 1)
-			So(up(), ShouldEqual, "a c")
+			So(upstreams(), ShouldEqual, "a c")
 			m.Tick(2*mgclock.Minute + 10)
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 		})
 		Convey("are without one that failed twice, until it is tried again", func() {
 			m.Failed(10, "b")
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 			m.Failed(20, "b")
-			So(up(), ShouldEqual, "a c")
+			So(upstreams(), ShouldEqual, "a c")
 			m.Tick(1020)
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 			m.Failed(1030, "b")
 			m.Tick(2030)
-			So(up(), ShouldEqual, "a c")
+			So(upstreams(), ShouldEqual, "a c")
 			m.Heard(2040, "b", "1", false)
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 		})
 		Convey("keep one whose failures don't follow one another", func() {
 			m.Failed(10, "b")
 			m.Answered(20, "b")
 			m.Failed(30, "b")
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 			m.Failed(40, "b")
-			So(up(), ShouldEqual, "a c")
+			So(upstreams(), ShouldEqual, "a c")
 			m.Answered(50, "b")
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 		})
 		Convey("are all of them when all are suspects", func() {
 			// An entry is cut off for a minute and suspects every agent. With
@@ -122,14 +122,14 @@
 				m.Failed(10, name)
 				m.Failed(20, name)
 			}
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 		})
 		Convey("are with those that a broken list lost but that are heard", func() {
 			m.Heard(10, "a", "1", false)
 			m.List(20, list(3, ""))
-			So(up(), ShouldEqual, "a")
+			So(upstreams(), ShouldEqual, "a")
 			m.Tick(10 + 30*mgclock.Second)
-			So(up(), ShouldEqual, "")
+			So(upstreams(), ShouldEqual, "")
 			So(m.Recent(40, "a", mgclock.Second), ShouldBeFalse)
 		})
 	})
@@ -137,7 +137,7 @@
 
 // TestHeal: during a partition every entry comes to suspect the far half. Once
 // it heals, no instant may see a large part of the entries try one agent anew.
-func TestHeal(t *testing.T) {
+func TestHealCausesRetryBurst(t *testing.T) {
 	Convey("A heal is spread over the last span of suspicion", t, func() {
 		const entries = 360
 		ends := map[mgclock.Millis]int{}
@@ -155,11 +155,11 @@
 			}
 			ends[now/mgclock.Second]++
 		}
-		most := 0
+		peak := 0
 		for _, count := range ends {
-			most = max(most, count)
+			peak = max(peak, count)
 		}
-		So(most, ShouldBeLessThan, entries/4)
+		So(peak, ShouldBeLessThan, entries/4)
 	})
 }
 
@@ -189,17 +189,17 @@
 		p := mgmember.NewPause(clock.Clock(), wall.Now)
 		var gaps []mgclock.Millis
 		p.On(func(gap mgclock.Millis) { gaps = append(gaps, gap) })
-		both := func(span mgclock.Millis) {
+		advanceBoth := func(span mgclock.Millis) {
 			clock.Advance(span)
 			wall.Advance(span)
 		}
 		p.Step()
-		both(100)
+		advanceBoth(100)
 		So(p.Check(), ShouldEqual, 0)
 		p.Step()
 
 		Convey("drops what it believed before it acts", func() {
-			both(5 * mgclock.Second)
+			advanceBoth(5 * mgclock.Second)
 			So(p.Check(), ShouldEqual, 5*mgclock.Second)
 			So(gaps, ShouldHaveLength, 1)
 			So(p.Check(), ShouldEqual, 0)
@@ -268,7 +268,7 @@
 
 // An engine says that it leaves, crashes, and starts again under its name. It
 // stands idle for two minutes beside crowded ones, as its word still counts.
-func TestBornAgain(t *testing.T) {
+func TestRestartedUpstreamStaysIdle(t *testing.T) {
 	Convey("An upstream that started again begins anew", t, func() {
 		m := mgmember.New("entry-1")
 		list := func(version uint64, born int64) mgplatform.List {
--- a/internal/version/mgmember/members.go
+++ b/internal/version/mgmember/members.go
@@ -13,33 +13,33 @@
 const (
 	// failLimit is how many calls in a row fail before a member is suspected.
 	// One lost reply on a crowded link is no sign; two in a row are.
-	failLimit = 2
+	suspectAfterFailures = 2
 	// suspectMin is the first span of suspicion and suspectMax the longest.
 	// A second is long against a restart of a connection, and half a minute
 	// bounds the time until a healed member is used again.
-	suspectMin = mgclock.Second
-	suspectMax = 30 * mgclock.Second
+	suspicionMin = mgclock.Second
+	suspicionMax = 30 * mgclock.Second
 	// wordLife is how long a process's word that it leaves outweighs a list
 	// that shows it live. It must exceed the lag of the list; past it the VM
 	// has been replaced and its name may be in use again.
-	wordLife = 2 * mgclock.Minute
+	leavingTTL = 2 * mgclock.Minute
 	// heardLife is how long a member stays known that is not on the list: a
 	// new VM that the list doesn't show yet, or a list that lost its rows.
-	heardLife = 30 * mgclock.Second
+	lastSeenTTL = 30 * mgclock.Second
 )
 
 // evidence is what was seen of one member directly.
 type evidence struct {
-	incarnation string         // the newest that was heard
-	heard       mgclock.Millis // when it last answered or spoke
-	everHeard   bool
-	left        mgclock.Millis // when it said that it leaves
-	leaving     bool
-	failures    int            // in a row
-	until       mgclock.Millis // end of the suspicion
-	suspect     bool
-	lapsed      bool           // a suspicion ran out, and it hasn't answered since
-	revived     mgclock.Millis // when it last answered after a suspicion
+	incarnation  string         // the newest that was heard
+	lastSeen     mgclock.Millis // when it last answered or spoke
+	wasSeen      bool
+	leavingSince mgclock.Millis // when it said that it leaves
+	leaving      bool
+	failures     int            // in a row
+	suspectUntil mgclock.Millis // end of the suspicion
+	suspect      bool
+	awaitsAnswer bool           // a suspicion ran out, and it hasn't answered since
+	recoveredAt  mgclock.Millis // when it last answered after a suspicion
 }
 
 // Members holds the members. The zero Members is empty and ready for use by
@@ -48,16 +48,16 @@
 	self string
 	view atomic.Pointer[View]
 
-	mu         sync.Mutex
-	list       mgplatform.List
-	known      map[string]mgplatform.VM // the last listed row of each member
-	evidence   map[string]*evidence
-	cold       map[string]mgclock.Millis // until when listed upstreams are cold, by name
-	cordons    map[string]mgclock.Millis // cordoned availability zones, and since when that is known
-	departures map[string]departed       // of upstreams, by name
-	gone       map[string]gone           // rows that have left the list lately, by name
-	stale      bool                      // the view lacks an incarnation until the next Tick
-	changed    chan struct{}             // closed when the view is replaced
+	mu            sync.Mutex
+	list          mgplatform.List
+	known         map[string]mgplatform.VM // the last listed row of each member
+	evidence      map[string]*evidence
+	coldUntil     map[string]mgclock.Millis  // until when listed upstreams are cold, by name
+	cordonedSince map[string]mgclock.Millis  // cordoned availability zones, and since when that is known
+	departures    map[string]departureRecord // of upstreams, by name
+	removedRows   map[string]removedRow      // rows that have left the list lately, by name
+	viewOutdated  bool                       // the view lacks an incarnation until the next Tick
+	viewChanged   chan struct{}              // closed when the view is replaced
 }
 
 // New returns the members as the process named self sees them.
@@ -83,10 +83,10 @@
 func (m *Members) Changed() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.changed == nil {
-		m.changed = make(chan struct{})
+	if m.viewChanged == nil {
+		m.viewChanged = make(chan struct{})
 	}
-	return m.changed
+	return m.viewChanged
 }
 
 // List takes a list of VMs and reports whether it was newer than the last.
@@ -96,8 +96,8 @@
 	if list.Version <= m.list.Version {
 		return false
 	}
-	m.noteGone(now, list)
-	m.enterEra(now, list)
+	m.recordRemovedRows(now, list)
+	m.keepDepartures(now, list)
 	m.list = list
 	if m.known == nil {
 		m.known = make(map[string]mgplatform.VM)
@@ -110,30 +110,30 @@
 		}
 		m.known[vm.Name] = vm
 	}
-	m.cordon(now, list.Cordoned)
-	m.chill(now, list.VMs)
+	m.setCordons(now, list.Cordoned)
+	m.setColdUntil(now, list.VMs)
 	m.rebuild(now)
 	return true
 }
 
 // cordon takes which availability zones get no new work.
-func (m *Members) cordon(now mgclock.Millis, zones []string) {
+func (m *Members) setCordons(now mgclock.Millis, zones []string) {
 	cordons := make(map[string]mgclock.Millis, len(zones))
 	for _, zone := range zones {
 		cordons[zone] = now
-		if since, known := m.cordons[zone]; known {
+		if since, known := m.cordonedSince[zone]; known {
 			cordons[zone] = since
 		}
 	}
-	m.cordons = cordons
+	m.cordonedSince = cordons
 }
 
 // chill takes until when upstreams are cold.
-func (m *Members) chill(now mgclock.Millis, vms []mgplatform.VM) {
-	m.cold = make(map[string]mgclock.Millis)
+func (m *Members) setColdUntil(now mgclock.Millis, vms []mgplatform.VM) {
+	m.coldUntil = make(map[string]mgclock.Millis)
 	for _, vm := range vms {
 		if vm.Cold > 0 {
-			m.cold[vm.Name] = now + mgclock.Millis(vm.Cold)
+			m.coldUntil[vm.Name] = now + mgclock.Millis(vm.Cold)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 func (m *Members) Heard(now mgclock.Millis, name, incarnation string, leaving bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	e := m.of(name)
+	e := m.evidenceOf(name)
 	if incarnation < e.incarnation {
 		return
 	}
@@ -153,13 +153,13 @@
 			incarnation: incarnation,
 		}
 	}
-	e.heard = now
-	e.everHeard = true
+	e.lastSeen = now
+	e.wasSeen = true
 	e.failures = 0
 	e.suspect = false
 	if leaving && !e.leaving {
 		e.leaving = true
-		e.left = now
+		e.leavingSince = now
 	}
 	if before.leaving != e.leaving || before.suspect {
 		m.rebuild(now)
@@ -167,17 +167,17 @@
 	}
 	// Who gets work is the same. In a mass restart every member is heard under a
 	// new incarnation once, and a view of 1,260 takes two milliseconds.
-	m.stale = m.stale || before.incarnation != e.incarnation
+	m.viewOutdated = m.viewOutdated || before.incarnation != e.incarnation
 }
 
 // Introduce makes known a process that the list doesn't name, by its own word or
 // another's: a platform may list the upstreams alone. It counts as heard at a
 // time, and stays known while it is heard.
-func (m *Members) Introduce(heard mgclock.Millis, vm mgplatform.VM) {
+func (m *Members) Introduce(lastSeen mgclock.Millis, vm mgplatform.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.introduce(heard, vm) {
-		m.rebuild(heard)
+	if m.introduce(lastSeen, vm) {
+		m.rebuild(lastSeen)
 	}
 }
 
@@ -186,14 +186,14 @@
 func (m *Members) Answered(now mgclock.Millis, name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	e := m.of(name)
-	e.heard = now
-	e.everHeard = true
+	e := m.evidenceOf(name)
+	e.lastSeen = now
+	e.wasSeen = true
 	e.failures = 0
-	if e.suspect || e.lapsed {
+	if e.suspect || e.awaitsAnswer {
 		e.suspect = false
-		e.lapsed = false
-		e.revived = now
+		e.awaitsAnswer = false
+		e.recoveredAt = now
 		m.rebuild(now)
 	}
 }
@@ -202,12 +202,12 @@
 func (m *Members) Failed(now mgclock.Millis, name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	e := m.of(name)
+	e := m.evidenceOf(name)
 	e.failures++
-	if e.failures < failLimit || now < e.until {
+	if e.failures < suspectAfterFailures || now < e.suspectUntil {
 		return
 	}
-	e.until = now + m.suspicion(name, e.failures)
+	e.suspectUntil = now + m.suspicionDuration(name, e.failures)
 	if !e.suspect {
 		e.suspect = true
 		m.rebuild(now)
@@ -217,27 +217,27 @@
 // suspicion returns a span that doubles with each failure past the limit, less
 // up to a quarter that differs between observers: after a partition heals, its
 // two halves must not call each other all in one instant.
-func (m *Members) suspicion(name string, failures int) mgclock.Millis {
-	span := suspectMax
-	if shift := failures - failLimit; shift < 5 {
-		span = min(suspectMax, suspectMin<<shift)
+func (m *Members) suspicionDuration(name string, failures int) mgclock.Millis {
+	duration := suspicionMax
+	if shift := failures - suspectAfterFailures; shift < 5 {
+		duration = min(suspicionMax, suspicionMin<<shift)
 	}
-	spread := xxhash.Sum64String(m.self+"\x00"+name) % uint64(span/4)
-	return span - mgclock.Millis(spread)
+	jitter := xxhash.Sum64String(m.self+"\x00"+name) % uint64(duration/4)
+	return duration - mgclock.Millis(jitter)
 }
 
 // Tick ends the suspicions and words that ran out. Call it about once a second.
 func (m *Members) Tick(now mgclock.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	changed := m.stale
+	changed := m.viewOutdated
 	for name, e := range m.evidence {
-		if e.suspect && now >= e.until {
+		if e.suspect && now >= e.suspectUntil {
 			e.suspect = false
-			e.lapsed = true
+			e.awaitsAnswer = true
 			changed = true
 		}
-		if e.leaving && now >= e.left+wordLife {
+		if e.leaving && now >= e.leavingSince+leavingTTL {
 			e.leaving = false
 			changed = true
 		}
@@ -245,7 +245,7 @@
 			changed = true
 		}
 	}
-	changed = m.endDepartures(now) || changed
+	changed = m.expireDepartures(now) || changed
 	if changed {
 		m.rebuild(now)
 	}
@@ -255,7 +255,7 @@
 // one was dropped.
 func (m *Members) forget(now mgclock.Millis, name string, e *evidence) bool {
 	v, ok := m.View().Member(name)
-	if ok && v.listed || now < e.heard+heardLife || e.suspect || e.leaving {
+	if ok && v.listed || now < e.lastSeen+lastSeenTTL || e.suspect || e.leaving {
 		return false
 	}
 	if !ok {
@@ -268,14 +268,14 @@
 }
 
 // Recent reports whether a member was heard within a span.
-func (m *Members) Recent(now mgclock.Millis, name string, span mgclock.Millis) bool {
+func (m *Members) Recent(now mgclock.Millis, name string, maxAge mgclock.Millis) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e := m.evidence[name]
-	return e != nil && e.everHeard && now-e.heard <= span
+	return e != nil && e.wasSeen && now-e.lastSeen <= maxAge
 }
 
-func (m *Members) of(name string) *evidence {
+func (m *Members) evidenceOf(name string) *evidence {
 	if m.evidence == nil {
 		m.evidence = make(map[string]*evidence)
 	}
@@ -289,7 +289,7 @@
 
 // rebuild replaces the view.
 func (m *Members) rebuild(now mgclock.Millis) {
-	m.stale = false
+	m.viewOutdated = false
 	all := make([]*Member, 0, len(m.list.VMs))
 	listed := make(map[string]bool, len(m.list.VMs))
 	for _, vm := range m.list.VMs {
@@ -301,40 +301,40 @@
 			continue
 		}
 		e := m.evidence[name]
-		if e == nil || !e.everHeard || now >= e.heard+heardLife {
+		if e == nil || !e.wasSeen || now >= e.lastSeen+lastSeenTTL {
 			delete(m.known, name)
 			continue
 		}
 		all = append(all, m.member(vm, false))
 	}
 	m.view.Store(newView(viewSpec{
-		version: m.list.Version,
-		self:    m.self,
-		all:     all,
-		cordons: m.cordons,
+		version:       m.list.Version,
+		self:          m.self,
+		all:           all,
+		cordonedSince: m.cordonedSince,
 	}))
-	if m.changed != nil {
-		close(m.changed)
-		m.changed = nil
+	if m.viewChanged != nil {
+		close(m.viewChanged)
+		m.viewChanged = nil
 	}
 }
 
 // member joins a row of the list and the evidence.
 func (m *Members) member(vm mgplatform.VM, listed bool) *Member {
 	member := &Member{
-		vm:      vm,
-		hash:    xxhash.Sum64String(vm.Name),
-		listed:  listed,
-		leaving: vm.State == mgplatform.Leaving || m.leaves(vm.Name, vm.Born),
+		vm:       vm,
+		nameHash: xxhash.Sum64String(vm.Name),
+		listed:   listed,
+		leaving:  vm.State == mgplatform.Leaving || m.hasDeparted(vm.Name, vm.Born),
 	}
-	member.cold = m.cold[vm.Name]
-	_, member.cordoned = m.cordons[vm.Zone]
+	member.coldUntil = m.coldUntil[vm.Name]
+	_, member.cordoned = m.cordonedSince[vm.Zone]
 	if e := m.evidence[vm.Name]; e != nil {
 		member.incarnation = e.incarnation
 		member.leaving = member.leaving || e.leaving
 		member.suspect = e.suspect
-		member.lapsed = e.lapsed
-		member.revived = e.revived
+		member.awaitsAnswer = e.awaitsAnswer
+		member.recoveredAt = e.recoveredAt
 	}
 	return member
 }
--- a/internal/version/mgmember/pause.go
+++ b/internal/version/mgmember/pause.go
@@ -11,11 +11,11 @@
 
 const (
 	// pauseStep is the interval of the detector's own looks at the clock.
-	pauseStep = 50 * mgclock.Millis(1)
+	checkInterval = 50 * mgclock.Millis(1)
 	// pauseLimit is how far two looks may lie apart before the process counts
 	// as paused. It is four steps above a crowded scheduler's delays, and far
 	// below the lives of leases (seconds) that a pause outlives.
-	pauseLimit = 250 * mgclock.Millis(1)
+	pauseThreshold = 250 * mgclock.Millis(1)
 )
 
 // A Pause notices that the process didn't run for a while. A process that was
@@ -30,9 +30,9 @@
 	callbacks []func(gap mgclock.Millis)
 
 	// seen and seenWall are the last looks at the clocks plus one, 0 for none.
-	seen     atomic.Int64
-	seenWall atomic.Int64
-	count    atomic.Int64
+	lastMonotonic atomic.Int64
+	lastWall      atomic.Int64
+	count         atomic.Int64
 }
 
 // NewPause returns a detector on a clock. Wall returns the time of day and may
@@ -62,42 +62,42 @@
 // lock. The looks are stored after the callbacks ran, so that no goroutine finds
 // the pause over before what it made worthless is dropped.
 func (p *Pause) Check() mgclock.Millis {
-	if p.gap() < pauseLimit {
+	if p.gap() < pauseThreshold {
 		return 0
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	gap := p.gap()
-	if gap < pauseLimit {
+	if gap < pauseThreshold {
 		return 0
 	}
 	p.count.Add(1)
 	for _, f := range p.callbacks {
 		f(gap)
 	}
-	p.look()
+	p.recordClocks()
 	return gap
 }
 
 // gap returns how far back the last look lies, on the clock that says more.
 func (p *Pause) gap() mgclock.Millis {
-	return max(since(&p.seen, p.clock.Now()), since(&p.seenWall, p.wallNow()))
+	return max(since(&p.lastMonotonic, p.clock.Now()), since(&p.lastWall, p.wallNow()))
 }
 
 // since returns how far a reading lies after a stored one. A reading that went
 // backwards, as the time of day may, counts as none.
-func since(seen *atomic.Int64, now mgclock.Millis) mgclock.Millis {
-	before := seen.Load()
-	if before == 0 {
+func since(last *atomic.Int64, now mgclock.Millis) mgclock.Millis {
+	previous := last.Load()
+	if previous == 0 {
 		return 0
 	}
-	return max(0, now+1-mgclock.Millis(before))
+	return max(0, now+1-mgclock.Millis(previous))
 }
 
 // look stores the readings of both clocks.
-func (p *Pause) look() {
-	p.seen.Store(int64(p.clock.Now()) + 1)
-	p.seenWall.Store(int64(p.wallNow()) + 1)
+func (p *Pause) recordClocks() {
+	p.lastMonotonic.Store(int64(p.clock.Now()) + 1)
+	p.lastWall.Store(int64(p.wallNow()) + 1)
 }
 
 func (p *Pause) wallNow() mgclock.Millis {
@@ -111,7 +111,7 @@
 // between two requests for a pause.
 func (p *Pause) Run(ctx context.Context) {
 	p.Step()
-	for p.clock.Sleep(ctx, pauseStep) {
+	for p.clock.Sleep(ctx, checkInterval) {
 		p.Step()
 	}
 }
@@ -121,5 +121,5 @@
 	p.Check()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.look()
+	p.recordClocks()
 }
--- a/internal/version/mgmember/era_test.go
+++ b/internal/version/mgmember/restore_test.go
@@ -11,7 +11,7 @@
 )
 
 // A list out of an older copy must not bring back an upstream that leaves or has left.
-func TestListFromCopyTakesNothingBack(t *testing.T) {
+func TestRestoredListBringsBackDepartedUpstream(t *testing.T) {
 	list := func(version, era uint64, born int64, states ...string) mgplatform.List {
 		l := mgplatform.List{
 			Version: version,
@@ -33,7 +33,7 @@
 		return l
 	}
 	// stays lists the upstreams that get work.
-	stays := func(m *mgmember.Members) string {
+	working := func(m *mgmember.Members) string {
 		text := ""
 		for _, member := range m.View().All() {
 			if member.Listed() && !member.Leaving() {
@@ -48,33 +48,33 @@
 			var m mgmember.Members
 			m.List(0, list(1, 1, born, live, live, absent))
 			m.List(1000, list(2, 1, born, leaving, absent, live))
-			So(stays(&m), ShouldEqual, "c")
+			So(working(&m), ShouldEqual, "c")
 			Convey("a copy doesn't bring a and b back", func() {
 				m.List(2000, list(3, 2, born, live, live, live))
-				So(stays(&m), ShouldEqual, "c")
+				So(working(&m), ShouldEqual, "c")
 				Convey("nor do the lists that follow it, for a", func() {
 					m.List(2500, list(4, 2, born, live, live, live))
-					So(stays(&m), ShouldEqual, "c")
+					So(working(&m), ShouldEqual, "c")
 					m.Tick(2000 + 10*mgclock.Second)
-					So(stays(&m), ShouldEqual, "bc")
+					So(working(&m), ShouldEqual, "bc")
 				})
 				Convey("nor does another copy", func() {
 					m.List(2500, list(5, 3, born, live, live, live))
-					So(stays(&m), ShouldEqual, "c")
+					So(working(&m), ShouldEqual, "c")
 				})
 				Convey("a later life comes back at once", func() {
 					m.List(2500, list(4, 2, born+1, live, live, live))
-					So(stays(&m), ShouldEqual, "abc")
+					So(working(&m), ShouldEqual, "abc")
 				})
 				Convey("the own word of b keeps it away", func() {
-					m.Depart(2500, m.DepartureOf("b"))
+					m.RecordDeparture(2500, m.CurrentDeparture("b"))
 					m.Tick(2000 + 10*mgclock.Second)
-					So(stays(&m), ShouldEqual, "c")
+					So(working(&m), ShouldEqual, "c")
 				})
 			})
 			Convey("what the same era's lists say is so", func() {
 				m.List(2000, list(3, 1, born, live, live, live))
-				So(stays(&m), ShouldEqual, "abc")
+				So(working(&m), ShouldEqual, "abc")
 			})
 			Convey("a list of before the copy is old", func() {
 				m.List(2000, list(3, 2, born, leaving, absent, live))
