--- a/internal/version/mgmember/cell.go
+++ b/internal/version/mgmember/cell.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// cellSize is the most processes that share one hub. A hub sums what each tells it
-// five times a second: with a few hundred its processor and its link are taken up by
-// that, and its answers come late.
+// maxCellSize is the maximum number of processes that share one hub. A hub sums the
+// reports that each process sends it five times a second: with a few hundred processes
+// this takes up its CPU and its link, and its replies come late.
 const maxCellSize = 40
 
-// Cells returns into how many cells a number of processes divides: a power of two,
-// so that processes that count a few more or fewer mostly agree.
+// Cells returns the number of cells for a number of processes: a power of two, so that
+// processes with slightly different counts mostly agree.
 func Cells(processes int) int {
 	cells := 1
 	for processes > maxCellSize*cells {
@@ -20,10 +20,11 @@
 	return cells
 }
 
-// byHash orders members by a hash of their names. Cells are equal runs of this
-// order: who comes or goes moves the borders between them by one, and no cell has
-// more processes, or fewer upstreams, than another. Cells by the hash itself differ
-// by a third among 300 processes, and full engines bear no such part more.
+// compareByHash orders members by a hash of their names. Cells are runs of equal length
+// of this order: a process that joins or leaves moves the borders between them by one,
+// and no cell has more processes, or fewer upstreams, than another. Cells by the hash
+// value itself would differ by a third among 300 processes, which full engines can't
+// absorb.
 func compareByHash(a, b *Member) int {
 	if c := cmp.Compare(a.nameHash, b.nameHash); c != 0 {
 		return c
@@ -31,7 +32,7 @@
 	return cmp.Compare(a.Name(), b.Name())
 }
 
-// Part returns a cell's part of some upstreams.
+// Part returns the part of the upstreams that belongs to a cell.
 func Part(all []*Member, cell, cells int) []*Member {
 	sorted := slices.Clone(all)
 	slices.SortFunc(sorted, compareByHash)
@@ -40,12 +41,13 @@
 
 // A Cell is the part of a region's processes that share a hub.
 type Cell struct {
-	Peers  []*Member // that are known and well, without this process
-	Number int       // from 0
-	Of     int       // cells in the region
+	Peers  []*Member // healthy known processes, without this one
+	Number int       // index of the cell, from 0
+	Of     int       // number of cells in the region
 }
 
-// HealthyPeers returns the processes of a region that are known and well, without this one.
+// HealthyPeers returns the processes of a region that are neither leaving nor suspect,
+// without this one.
 func (v *View) HealthyPeers(region string) []*Member {
 	var able []*Member
 	for _, m := range v.regionPeers[region] {
@@ -56,10 +58,10 @@
 	return able
 }
 
-// Cell returns the cell of a process of a region. All that are known make the
-// cells, suspects and those that leave, too.
+// Cell returns the cell of a process of a region. All known processes count for the
+// division into cells, including suspects and those that are leaving.
 func (v *View) Cell(self, region string) Cell {
-	peers := v.regionPeers[region] // by hash
+	peers := v.regionPeers[region] // in the order of compareByHash
 	c := Cell{
 		Of: Cells(1 + len(peers)),
 	}
@@ -73,7 +75,7 @@
 	c.Number = rank * c.Of / (1 + len(peers))
 	for i, m := range peers {
 		if i >= rank {
-			i++ // this process comes before
+			i++ // this process comes before m in the order
 		}
 		if !m.Leaving() && !m.Suspect() && i*c.Of/(1+len(peers)) == c.Number {
 			c.Peers = append(c.Peers, m)
@@ -82,12 +84,13 @@
 	return c
 }
 
-// strongPart is the part of the greatest power from which on a process may be hub.
+// minHubPowerShare is the share of the greatest power that a process needs to be
+// preferred as hub.
 const minHubPowerShare = 0.7
 
-// RankHub returns the first count processes for the hub's work, of those whose VMs
-// bear the most: the hub hears each engine's heartbeat, and thin VMs have a
-// twentieth of the link and a fifth of the processor of others.
+// RankHub returns the first count processes for the hub's work, preferring those on the
+// most powerful VMs: the hub receives every engine's heartbeat, and small VMs have a
+// twentieth of the link and a fifth of the CPU of others.
 func RankHub(members []*Member, count int) []*Member {
 	maxPower := 0
 	for _, m := range members {
--- a/internal/version/mgmember/cell_test.go
+++ b/internal/version/mgmember/cell_test.go
@@ -9,10 +9,9 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgplatform"
 )
 
-// Three hundred entries tell one of them five times a second what they sent. It
-// has no time for its own callers, and none of them gets an answer in time; or a
-// cell has a third more entries than another, and its engines are full while the
-// other's are not.
+// Three hundred entries send load reports to one hub five times a second, which leaves
+// it no time for its own callers; or a cell has a third more entries than another, and
+// its engines are full while the other's are not.
 func TestCellsOfUnequalSize(t *testing.T) {
 	Convey("A region divides as it grows", t, func() {
 		for processes, cells := range map[int]int{1: 1, 24: 1, 40: 1, 41: 2, 100: 4, 120: 4, 300: 8, 360: 16} {
@@ -77,7 +76,7 @@
 	})
 }
 
-// The hub falls to an entry with a link of 10 Mbit/s while others have 200. Engines'
+// An entry with a link of 10 Mbit/s becomes the hub while others have 200. Engines'
 // heartbeats alone fill its link, and every generation of its cell waits for it.
 func TestWeakProcessBecomesHub(t *testing.T) {
 	Convey("The hub is one of the strongest", t, func() {
--- a/internal/version/mgmember/cordon_test.go
+++ b/internal/version/mgmember/cordon_test.go
@@ -9,8 +9,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A hall is emptied, and half a second later one of its engines is heard again or its
-// list is sent once more: the engine is given work as if nothing had been said.
+// A zone is cordoned, and half a second later one of its engines is seen again or its
+// list is sent once more: the engine gets work as if there were no cordon.
 func TestCordonedUpstreamGetsWork(t *testing.T) {
 	Convey("The upstreams of a cordoned availability zone", t, func() {
 		upstream := func(name, zone string) mgplatform.VM {
@@ -67,10 +67,11 @@
 	})
 }
 
-// An engine crashes while the platform is away and starts again cold. No list shows its
-// start, it looks like the emptiest of all, and what is sent there has it crash again.
+// An engine crashes while the platform is down and restarts cold. No list shows the
+// restart, the engine looks like the emptiest of all, and the work that is sent there
+// makes it crash again.
 func TestRestartedUpstreamCountsAsWarm(t *testing.T) {
-	const coldPeriod = 1000 * mgclock.Millis(1) // for which engines are cold after a start
+	const coldPeriod = 1000 * mgclock.Millis(1) // time for which engines are cold after a start
 	Convey("An upstream is cold", t, func() {
 		m := New("entry-1")
 		list := func(now mgclock.Millis, version uint64, cold int64) {
@@ -102,7 +103,7 @@
 		})
 		Convey("from its failure until it has answered for as long as a start takes", func() {
 			m.Failed(10_000, "a")
-			So(cold(10_000), ShouldBeFalse) // one lost answer is no sign
+			So(cold(10_000), ShouldBeFalse) // one lost answer is no evidence
 			m.Failed(10_100, "a")
 			So(cold(10_100), ShouldBeTrue)
 			m.Tick(20_000)
--- a/internal/version/mgmember/departure.go
+++ b/internal/version/mgmember/departure.go
@@ -8,18 +8,19 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Departure is an upstream's own word that it leaves. It holds for one life of the
-// upstream: a list that is older, or lacks the word, doesn't bring it back.
+// A Departure is an upstream's own announcement that it is leaving. It holds for one
+// incarnation of the upstream: a list that is older, or doesn't show the departure,
+// doesn't undo it.
 type Departure struct {
 	Upstream  string
-	StartedAt int64 // start of that life by the list, 0 where it tells none
+	StartedAt int64 // start of that incarnation according to the list, 0 where the list has none
 }
 
-// String returns the departure as processes tell it.
+// String returns the departure in the format that processes exchange.
 func (d Departure) String() string { return d.Upstream + " " + strconv.FormatInt(d.StartedAt, 10) }
 
-// ParseDeparture reads what String returns. A process of an earlier release tells the name
-// alone, which is taken for the present life.
+// ParseDeparture parses the format of String. A process of an earlier release sends the
+// name alone, which stands for the current incarnation.
 func (m *Members) ParseDeparture(text string) Departure {
 	name, startedAt, _ := strings.Cut(text, " ")
 	n, err := strconv.ParseInt(startedAt, 10, 64)
@@ -32,19 +33,20 @@
 	}
 }
 
-// departed is a departure and when it was learned.
+// departureRecord is a departure with the time when it was recorded.
 type departureRecord struct {
 	startedAt  int64
 	recordedAt mgclock.Millis
-	expiresAt  mgclock.Millis // 0 where it doesn't end by itself
+	expiresAt  mgclock.Millis // 0 where it doesn't expire
 }
 
-// holds reports whether a departure hasn't ended by itself.
+// isActive reports whether a departure hasn't expired.
 func (d departureRecord) isActive(now mgclock.Millis) bool {
 	return d.expiresAt == 0 || now < d.expiresAt
 }
 
-// CurrentDeparture returns the departure of an upstream's present life, as the list shows it.
+// CurrentDeparture returns the departure of an upstream's current incarnation according
+// to the list.
 func (m *Members) CurrentDeparture(upstream string) Departure {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -54,14 +56,14 @@
 	}
 }
 
-// RecordDeparture takes an upstream's word that it leaves, and reports whether that is news: it
-// was not known, and the list shows the upstream as staying.
+// RecordDeparture records that an upstream is leaving, and reports whether that is new:
+// the departure was unknown, and the list doesn't show it.
 func (m *Members) RecordDeparture(now mgclock.Millis, d Departure) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	vm, listed := m.known[d.Upstream]
 	if listed && vm.Born > d.StartedAt {
-		return false // it has started again since
+		return false // it has restarted since
 	}
 	before, known := m.departures[d.Upstream]
 	if known && before.startedAt >= d.StartedAt && before.expiresAt == 0 {
@@ -78,15 +80,16 @@
 	return !listed || vm.State != mgplatform.Leaving
 }
 
-// leaves reports whether an upstream has said in its present life that it leaves.
+// hasDeparted reports whether the given incarnation of an upstream has announced that
+// it is leaving.
 func (m *Members) hasDeparted(name string, startedAt int64) bool {
 	d, known := m.departures[name]
 	return known && startedAt <= d.startedAt
 }
 
-// endDepartures drops the words that nothing depends on any more, and reports whether
-// there were any: those of upstreams that have long been gone, or whose lives the list
-// doesn't tell apart.
+// expireDepartures drops the departures that no longer matter, and reports whether
+// there were any: those of upstreams that have long been gone, have restarted, or whose
+// incarnations the list doesn't distinguish.
 func (m *Members) expireDepartures(now mgclock.Millis) bool {
 	changed := false
 	for name, d := range m.departures {
--- a/internal/version/mgmember/departure_test.go
+++ b/internal/version/mgmember/departure_test.go
@@ -10,7 +10,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// An upstream that said that it leaves must not be brought back by a list.
+// A list shows an upstream as live that has announced that it is leaving, and the
+// upstream gets work again.
 func TestListBringsBackDepartedUpstream(t *testing.T) {
 	row := func(born int64) []mgplatform.VM {
 		return []mgplatform.VM{{
--- a/internal/version/mgmember/gossip.go
+++ b/internal/version/mgmember/gossip.go
@@ -5,21 +5,21 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Gossip is what one process tells another of a third that the platform's list
-// doesn't name: where it is, and how long ago anyone heard it directly. The age is told
-// on and grows with the time, so that no two processes keep a third alive by each
-// other's word (gossip-style failure detection).
+// A Gossip is a record of a process that the platform's list doesn't name: its address,
+// and the time since any process last saw it directly. The age is forwarded and grows
+// with time, so that no two processes keep a third one alive by each other's records
+// (gossip-style failure detection).
 type Gossip struct {
 	Name   string         `json:"name"`
-	Addr   string         `json:"addr"` // where other processes reach it
+	Addr   string         `json:"addr"` // address at which other processes reach it
 	Zone   string         `json:"zone"`
 	Region string         `json:"region"`
 	Power  int            `json:"power,omitempty"`
 	Age    mgclock.Millis `json:"age"`
 }
 
-// Gossip returns what is known of processes that the list doesn't name.
-// On a platform that lists all processes there are none.
+// Gossip returns the records of the processes that the list doesn't name. On a platform
+// that lists all processes there are none.
 func (m *Members) Gossip(now mgclock.Millis) []Gossip {
 	view := m.View()
 	m.mu.Lock()
@@ -42,8 +42,8 @@
 	return all
 }
 
-// TakeGossip takes what another process tells, and reports whether any process in it
-// was not known. One rebuild of the view serves all that are new.
+// TakeGossip merges another process's records, and reports whether they named an
+// unknown process. The view is rebuilt once for all new processes.
 func (m *Members) TakeGossip(now mgclock.Millis, all []Gossip) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,8 +67,8 @@
 	return foundNew
 }
 
-// introduce notes that a process was heard at a time, and reports whether it is new.
-// It is called with mu held.
+// introduce records that a process was last seen at a given time, and reports whether
+// it is new. mu must be held.
 func (m *Members) introduce(lastSeen mgclock.Millis, vm mgplatform.VM) bool {
 	if vm.Name == "" || vm.Name == m.self {
 		return false
--- a/internal/version/mgmember/member.go
+++ b/internal/version/mgmember/member.go
@@ -9,18 +9,18 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Member is a process as it was seen when a view was made.
+// A Member is the state of a process in a view.
 type Member struct {
 	vm           mgplatform.VM
-	nameHash     uint64 // of the name
+	nameHash     uint64 // hash of the name
 	incarnation  string
 	leaving      bool
 	suspect      bool
 	listed       bool
 	cordoned     bool
-	coldUntil    mgclock.Millis // until then, by the list
+	coldUntil    mgclock.Millis // cold until then, according to the list
 	awaitsAnswer bool
-	recoveredAt  mgclock.Millis // when it last answered after a suspicion
+	recoveredAt  mgclock.Millis // time of the first answer after the last suspicion
 }
 
 // Name returns the name of the VM that the process runs on.
@@ -29,13 +29,13 @@
 // Kind returns mgplatform.EntryKind, AgentKind or UpstreamKind.
 func (m *Member) Kind() string { return m.vm.Kind }
 
-// Addr returns where callers reach an entry and entries an agent.
+// Addr returns the address at which callers reach an entry, and entries an agent.
 func (m *Member) Addr() string { return m.vm.Addr }
 
-// Peer reports whether a process of the system runs there.
+// Peer reports whether a process of this system runs there, not a plain upstream.
 func (m *Member) Peer() bool { return m.vm.Kind != mgplatform.UpstreamKind }
 
-// PeerAddr returns where other processes reach it.
+// PeerAddr returns the address at which other processes reach it.
 func (m *Member) PeerAddr() string { return m.vm.PeerAddr() }
 
 // Zone returns the availability zone.
@@ -44,39 +44,40 @@
 // Region returns the region.
 func (m *Member) Region() string { return m.vm.Region }
 
-// Upstream returns the name of the upstream beside an agent, or "".
+// Upstream returns the name of the upstream served by an agent, or "".
 func (m *Member) Upstream() string { return m.vm.Upstream }
 
-// Models returns the models that the list gives an agent's engine. Callers
-// don't change it.
+// Models returns the models of an agent's engine according to the list. The caller must
+// not modify the slice.
 func (m *Member) Models() []string { return m.vm.Models }
 
-// Services returns the plain services of an agent's upstream. Callers don't
-// change it.
+// Services returns the plain services of an agent's upstream. The caller must not
+// modify the slice.
 func (m *Member) Services() []string { return m.vm.Services }
 
-// Incarnation returns the last incarnation heard, up to a tick late, or "".
+// Incarnation returns the last known incarnation, up to a tick late, or "".
 func (m *Member) Incarnation() string { return m.incarnation }
 
-// Leaving reports whether the process, or the list, says that it leaves.
+// Leaving reports whether the process announced, or the list shows, that it is leaving.
 func (m *Member) Leaving() bool { return m.leaving }
 
-// Suspect reports whether it failed lately.
+// Suspect reports whether it is suspected after recent failures.
 func (m *Member) Suspect() bool { return m.suspect }
 
-// Born returns when its present life began by the list, 0 where the list tells none. It
-// orders the lives of one upstream.
+// Born returns the start time of its current incarnation according to the list, 0 where
+// the list has none. It orders the incarnations of one upstream.
 func (m *Member) Born() int64 { return m.vm.Born }
 
-// Power returns how much its VM bears, relative to others, or 0.
+// Power returns the relative capacity of its VM, or 0.
 func (m *Member) Power() int { return m.vm.Power }
 
 // Listed reports whether it is on the list of VMs.
 func (m *Member) Listed() bool { return m.listed }
 
-// Cold reports whether an upstream is cold, by the list or because it may have started
-// anew: it failed, and has answered for less than a span since, for which upstreams
-// are cold after a start. The list shows no start while the platform is away.
+// Cold reports whether an upstream is cold, according to the list or because it may
+// have restarted: it failed, and the time since it answered again is less than
+// coldPeriod, for which upstreams are cold after a start. The list shows no restart
+// while the platform is down.
 func (m *Member) Cold(now, coldPeriod mgclock.Millis) bool {
 	if now < m.coldUntil {
 		return true
@@ -84,11 +85,11 @@
 	return coldPeriod > 0 && (m.suspect || m.awaitsAnswer || m.recoveredAt > 0 && now < m.recoveredAt+coldPeriod)
 }
 
-// Cordoned reports whether its availability zone gets no new work. Where a process
-// of the system runs there, that one goes on.
+// Cordoned reports whether its availability zone gets no new work. A process of this
+// system that runs there continues.
 func (m *Member) Cordoned() bool { return m.cordoned }
 
-// Self returns this process as a member, to rank it among others.
+// Self returns a process as a member, so that it can be ranked among others.
 func Self(name, zone string, power int) *Member {
 	return &Member{
 		nameHash: xxhash.Sum64String(name),
@@ -100,12 +101,12 @@
 	}
 }
 
-// Hub is the key by which the processes of a region rank for the work that one of
-// them does for all: the first reads the platform, sums loads and gives places.
+// Hub is the rendezvous key of the work that one process of a region does for all: the
+// top-ranked one reads the platform, sums loads and grants placements.
 const Hub = "hub"
 
-// Rank returns the first count members in rendezvous order for a key. Removing
-// a member moves only the keys for which it was among them.
+// Rank returns the first count members in rendezvous order for a key. Removing a member
+// moves only the keys for which it was among them.
 func Rank(key string, members []*Member, count int) []*Member {
 	type scored struct {
 		score uint64
--- a/internal/version/mgmember/member_test.go
+++ b/internal/version/mgmember/member_test.go
@@ -16,8 +16,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// list returns a list of agents with a model, given as names, with "-" before
-// those that leave.
+// list returns a list of agents with a model, given as names, with "-" before those
+// that are leaving.
 func list(version uint64, names string) mgplatform.List {
 	l := mgplatform.List{
 		Version: version,
@@ -67,9 +67,9 @@
 			So(upstreams(), ShouldEqual, "a b c")
 		})
 		Convey("are without one that says it leaves, though the list lags", func() {
-			// A user's request goes to an engine that is about to be reclaimed.
-			// The agent says so at once; the list shows it live for a minute
-			// more and is published again meanwhile.
+			// A request goes to an engine that is about to be reclaimed: the agent
+			// announces at once that it leaves, but the list shows it as live for
+			// another minute and is published again meanwhile.
 			m.Heard(10, "b", "1", true)
 			So(upstreams(), ShouldEqual, "a c")
 			m.List(20, list(3, "a b c d"))
@@ -77,8 +77,8 @@
 			So(upstreams(), ShouldEqual, "a c d")
 		})
 		Convey("are with its successor again", func() {
-			// The VM's name comes back with another incarnation. A delayed reply
-			// of the old one, "I leave", arrives after the new one was heard.
+			// The VM's name is reused with another incarnation. A delayed reply of the
+			// old one, which says that it leaves, arrives after the new one was seen.
 			m.Heard(10, "b", "1", true)
 			m.Heard(20, "b", "2", false)
 			m.Heard(30, "b", "1", true)
@@ -115,9 +115,9 @@
 			So(upstreams(), ShouldEqual, "a b c")
 		})
 		Convey("are all of them when all are suspects", func() {
-			// An entry is cut off for a minute and suspects every agent. With
-			// nobody left to ask it would answer "no upstream" long after the
-			// heal; the link was at fault, not every agent.
+			// An entry is cut off for a minute and suspects every agent. Without any
+			// agent to call it would answer "no upstream" long after the partition
+			// healed.
 			for _, name := range []string{"a", "b", "c"} {
 				m.Failed(10, name)
 				m.Failed(20, name)
@@ -135,8 +135,8 @@
 	})
 }
 
-// TestHeal: during a partition every entry comes to suspect the far half. Once
-// it heals, no instant may see a large part of the entries try one agent anew.
+// During a partition every entry comes to suspect the other half. When it heals, many
+// of the entries retry the same agent in the same instant.
 func TestHealCausesRetryBurst(t *testing.T) {
 	Convey("A heal is spread over the last span of suspicion", t, func() {
 		const entries = 360
@@ -235,7 +235,7 @@
 	}
 }
 
-// BenchmarkList takes a list of the target's 1,260 VMs.
+// BenchmarkList measures the adoption of a list of the target's 1,260 VMs.
 func BenchmarkList(b *testing.B) {
 	var all []string
 	for i := range 1260 {
@@ -249,7 +249,7 @@
 	}
 }
 
-// BenchmarkTick looks through the evidence of the target's 1,260 members.
+// BenchmarkTick measures a tick over the evidence of the target's 1,260 members.
 func BenchmarkTick(b *testing.B) {
 	var all []string
 	for i := range 1260 {
@@ -266,8 +266,8 @@
 	}
 }
 
-// An engine says that it leaves, crashes, and starts again under its name. It
-// stands idle for two minutes beside crowded ones, as its word still counts.
+// An engine announces that it is leaving, crashes, and restarts under its name. It is
+// idle for two minutes beside overloaded ones, because its announcement still counts.
 func TestRestartedUpstreamStaysIdle(t *testing.T) {
 	Convey("An upstream that started again begins anew", t, func() {
 		m := mgmember.New("entry-1")
--- a/internal/version/mgmember/members.go
+++ b/internal/version/mgmember/members.go
@@ -11,52 +11,54 @@
 )
 
 const (
-	// failLimit is how many calls in a row fail before a member is suspected.
-	// One lost reply on a crowded link is no sign; two in a row are.
+	// suspectAfterFailures is the number of consecutive failed calls after which a
+	// member is suspected. One lost reply on a congested link is no evidence; two in a
+	// row are.
 	suspectAfterFailures = 2
-	// suspectMin is the first span of suspicion and suspectMax the longest.
-	// A second is long against a restart of a connection, and half a minute
-	// bounds the time until a healed member is used again.
+	// suspicionMin is the first timeout of a suspicion and suspicionMax the maximum. A
+	// second is long compared with the time to re-establish a connection, and half a
+	// minute limits the time until a recovered member is used again.
 	suspicionMin = mgclock.Second
 	suspicionMax = 30 * mgclock.Second
-	// wordLife is how long a process's word that it leaves outweighs a list
-	// that shows it live. It must exceed the lag of the list; past it the VM
+	// leavingTTL is how long a process's announcement that it is leaving overrides a
+	// list that shows it as live. It must exceed the lag of the list; after that the VM
 	// has been replaced and its name may be in use again.
 	leavingTTL = 2 * mgclock.Minute
-	// heardLife is how long a member stays known that is not on the list: a
-	// new VM that the list doesn't show yet, or a list that lost its rows.
+	// lastSeenTTL is how long a member that isn't on the list stays known after it was
+	// last seen: a new VM that the list doesn't show yet, or a row that a faulty list
+	// lost.
 	lastSeenTTL = 30 * mgclock.Second
 )
 
-// evidence is what was seen of one member directly.
+// evidence holds the direct observations of one member.
 type evidence struct {
-	incarnation  string         // the newest that was heard
-	lastSeen     mgclock.Millis // when it last answered or spoke
+	incarnation  string         // the newest one seen
+	lastSeen     mgclock.Millis // time of the last answer or message
 	wasSeen      bool
-	leavingSince mgclock.Millis // when it said that it leaves
+	leavingSince mgclock.Millis // time of the announcement that it is leaving
 	leaving      bool
-	failures     int            // in a row
+	failures     int            // consecutive failures
 	suspectUntil mgclock.Millis // end of the suspicion
 	suspect      bool
-	awaitsAnswer bool           // a suspicion ran out, and it hasn't answered since
-	recoveredAt  mgclock.Millis // when it last answered after a suspicion
+	awaitsAnswer bool           // a suspicion expired, and it hasn't answered since
+	recoveredAt  mgclock.Millis // time of the first answer after the last suspicion
 }
 
-// Members holds the members. The zero Members is empty and ready for use by
-// several goroutines.
+// Members holds the members. The zero Members is empty. Its methods are safe for
+// concurrent use.
 type Members struct {
 	self string
 	view atomic.Pointer[View]
 
 	mu            sync.Mutex
 	list          mgplatform.List
-	known         map[string]mgplatform.VM // the last listed row of each member
+	known         map[string]mgplatform.VM // last listed row of each member
 	evidence      map[string]*evidence
-	coldUntil     map[string]mgclock.Millis  // until when listed upstreams are cold, by name
-	cordonedSince map[string]mgclock.Millis  // cordoned availability zones, and since when that is known
-	departures    map[string]departureRecord // of upstreams, by name
-	removedRows   map[string]removedRow      // rows that have left the list lately, by name
-	viewOutdated  bool                       // the view lacks an incarnation until the next Tick
+	coldUntil     map[string]mgclock.Millis  // by name, the time until which a listed upstream is cold
+	cordonedSince map[string]mgclock.Millis  // by availability zone, the time when the cordon became known here
+	departures    map[string]departureRecord // by upstream
+	removedRows   map[string]removedRow      // rows recently removed from the list, by name
+	viewOutdated  bool                       // the view lacks a new incarnation until the next Tick
 	viewChanged   chan struct{}              // closed when the view is replaced
 }
 
@@ -70,7 +72,7 @@
 // Self returns the name of this process.
 func (m *Members) Self() string { return m.self }
 
-// View returns the present view. It takes no lock.
+// View returns the current view. It takes no lock.
 func (m *Members) View() *View {
 	if v := m.view.Load(); v != nil {
 		return v
@@ -78,8 +80,8 @@
 	return &View{}
 }
 
-// Changed returns a channel that is closed when the view is next replaced. Ask
-// for it before View, so that no change is missed.
+// Changed returns a channel that is closed when the view is next replaced. Call it
+// before View, so that no change is missed.
 func (m *Members) Changed() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -89,7 +91,7 @@
 	return m.viewChanged
 }
 
-// List takes a list of VMs and reports whether it was newer than the last.
+// List adopts a list of VMs and reports whether it was newer than the last.
 func (m *Members) List(now mgclock.Millis, list mgplatform.List) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -104,8 +106,9 @@
 	}
 	for _, vm := range list.VMs {
 		if vm.Born > m.known[vm.Name].Born {
-			// It has started again: what was seen of its last life, such as its
-			// word that it leaves, would keep work from it for two minutes.
+			// The upstream has restarted. Evidence about its last incarnation, such as
+			// its announcement that it is leaving, would keep work from it for two
+			// minutes.
 			delete(m.evidence, vm.Name)
 		}
 		m.known[vm.Name] = vm
@@ -116,7 +119,7 @@
 	return true
 }
 
-// cordon takes which availability zones get no new work.
+// setCordons records which availability zones get no new work.
 func (m *Members) setCordons(now mgclock.Millis, zones []string) {
 	cordons := make(map[string]mgclock.Millis, len(zones))
 	for _, zone := range zones {
@@ -128,7 +131,7 @@
 	m.cordonedSince = cordons
 }
 
-// chill takes until when upstreams are cold.
+// setColdUntil records until when upstreams are cold.
 func (m *Members) setColdUntil(now mgclock.Millis, vms []mgplatform.VM) {
 	m.coldUntil = make(map[string]mgclock.Millis)
 	for _, vm := range vms {
@@ -138,8 +141,8 @@
 	}
 }
 
-// Heard takes a process's word of itself. The word of an older incarnation is
-// dropped: a late reply must not bring back, or send away, its successor.
+// Heard records a message of a process about itself. A message of an older incarnation
+// is dropped: a late reply must not change the state of its successor.
 func (m *Members) Heard(now mgclock.Millis, name, incarnation string, leaving bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -165,14 +168,15 @@
 		m.rebuild(now)
 		return
 	}
-	// Who gets work is the same. In a mass restart every member is heard under a
-	// new incarnation once, and a view of 1,260 takes two milliseconds.
+	// The set of members that get work hasn't changed. In a mass restart every member
+	// is seen with a new incarnation once, and building a view of 1,260 takes two
+	// milliseconds.
 	m.viewOutdated = m.viewOutdated || before.incarnation != e.incarnation
 }
 
-// Introduce makes known a process that the list doesn't name, by its own word or
-// another's: a platform may list the upstreams alone. It counts as heard at a
-// time, and stays known while it is heard.
+// Introduce adds a process that the list doesn't name, because of its own message or
+// another process's record: a platform may list only the upstreams. The process counts
+// as last seen at the given time, and stays known while it is seen.
 func (m *Members) Introduce(lastSeen mgclock.Millis, vm mgplatform.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -181,8 +185,8 @@
 	}
 }
 
-// Answered takes a call to a member that brought an answer, but no word of itself.
-// Without it two failures that lie hours apart would count as two in a row.
+// Answered records an answer of a member that carried no message about itself. Without
+// it two failures that are hours apart would count as consecutive.
 func (m *Members) Answered(now mgclock.Millis, name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -198,7 +202,7 @@
 	}
 }
 
-// Failed takes a call to a member that brought no answer.
+// Failed records a call to a member that got no answer.
 func (m *Members) Failed(now mgclock.Millis, name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -214,9 +218,9 @@
 	}
 }
 
-// suspicion returns a span that doubles with each failure past the limit, less
-// up to a quarter that differs between observers: after a partition heals, its
-// two halves must not call each other all in one instant.
+// suspicionDuration returns a duration that doubles with each failure past the
+// threshold, less up to a quarter that depends on the observer: after a partition
+// heals, its two halves must not all call each other in the same instant.
 func (m *Members) suspicionDuration(name string, failures int) mgclock.Millis {
 	duration := suspicionMax
 	if shift := failures - suspectAfterFailures; shift < 5 {
@@ -226,7 +230,8 @@
 	return duration - mgclock.Millis(jitter)
 }
 
-// Tick ends the suspicions and words that ran out. Call it about once a second.
+// Tick ends the suspicions and announcements that have expired. It must be called about
+// once a second.
 func (m *Members) Tick(now mgclock.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -251,8 +256,8 @@
 	}
 }
 
-// forget drops a member that is neither listed nor heard. It reports whether
-// one was dropped.
+// forget drops a member that is neither listed nor recently seen, and reports whether
+// the view changes.
 func (m *Members) forget(now mgclock.Millis, name string, e *evidence) bool {
 	v, ok := m.View().Member(name)
 	if ok && v.listed || now < e.lastSeen+lastSeenTTL || e.suspect || e.leaving {
@@ -267,7 +272,7 @@
 	return true
 }
 
-// Recent reports whether a member was heard within a span.
+// Recent reports whether a member was last seen at most maxAge ago.
 func (m *Members) Recent(now mgclock.Millis, name string, maxAge mgclock.Millis) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -287,7 +292,7 @@
 	return e
 }
 
-// rebuild replaces the view.
+// rebuild replaces the view. mu must be held.
 func (m *Members) rebuild(now mgclock.Millis) {
 	m.viewOutdated = false
 	all := make([]*Member, 0, len(m.list.VMs))
@@ -319,7 +324,7 @@
 	}
 }
 
-// member joins a row of the list and the evidence.
+// member combines a row of the list with the evidence.
 func (m *Members) member(vm mgplatform.VM, listed bool) *Member {
 	member := &Member{
 		vm:       vm,
--- a/internal/version/mgmember/pause.go
+++ b/internal/version/mgmember/pause.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// pauseStep is the interval of the detector's own looks at the clock.
+	// checkInterval is the interval of the detector's own checks.
 	checkInterval = 50 * mgclock.Millis(1)
-	// pauseLimit is how far two looks may lie apart before the process counts
-	// as paused. It is four steps above a crowded scheduler's delays, and far
-	// below the lives of leases (seconds) that a pause outlives.
+	// pauseThreshold is the time between two checks from which the process counts as
+	// paused. It is four intervals more than the delays of a loaded scheduler, and far
+	// below the leases (seconds) that a pause outlasts.
 	pauseThreshold = 250 * mgclock.Millis(1)
 )
 
-// A Pause notices that the process didn't run for a while. A process that was
-// stopped goes on in the middle of an instruction with state that is out of
-// date: an expired lease, an old offer, an order that is no longer the newest.
-// Check compares clocks before such state is used, and the callbacks drop it. The zero Pause reads the system's clocks.
+// A Pause detects that the process didn't run for a while. A stopped process resumes in
+// the middle of an instruction with state that is out of date: an expired lease, an old
+// offer, an order that is no longer the newest. Check compares clocks before such state
+// is used, and the callbacks drop it. The zero Pause reads the system's clocks.
 type Pause struct {
 	clock mgclock.Clock
 	wall  func() mgclock.Millis
@@ -29,15 +29,16 @@
 	mu        sync.Mutex
 	callbacks []func(gap mgclock.Millis)
 
-	// seen and seenWall are the last looks at the clocks plus one, 0 for none.
+	// lastMonotonic and lastWall are the last readings of the clocks plus one, 0 for
+	// none.
 	lastMonotonic atomic.Int64
 	lastWall      atomic.Int64
 	count         atomic.Int64
 }
 
-// NewPause returns a detector on a clock. Wall returns the time of day and may
-// be nil for the system's: the monotonic clock stands still while a VM is
-// suspended, the time of day is set right after it. A step of the time of day
+// NewPause returns a detector on a clock. wall returns the time of day; nil stands for
+// the system's. Both clocks are needed: the monotonic clock stops while a VM is
+// suspended, and the time of day is corrected right after it. A step of the time of day
 // counts as a pause, which costs a few leases.
 func NewPause(clock mgclock.Clock, wall func() mgclock.Millis) *Pause {
 	return &Pause{
@@ -46,21 +47,21 @@
 	}
 }
 
-// On adds a callback that drops what a pause makes worthless. It runs before
-// Check returns, on whichever goroutine finds the pause.
+// On adds a callback that drops state invalidated by a pause. It runs before Check
+// returns, on the goroutine that detects the pause.
 func (p *Pause) On(f func(gap mgclock.Millis)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.callbacks = append(p.callbacks, f)
 }
 
-// Count returns the number of pauses noticed.
+// Count returns the number of detected pauses.
 func (p *Pause) Count() int { return int(p.count.Load()) }
 
-// Check looks at the clocks, and runs the callbacks when the last look lies too
-// far back. It returns the length of the pause, or 0. Between pauses it takes no
-// lock. The looks are stored after the callbacks ran, so that no goroutine finds
-// the pause over before what it made worthless is dropped.
+// Check reads the clocks, and runs the callbacks if the last check was too long ago. It
+// returns the length of the pause, or 0. Between pauses it takes no lock. The readings
+// are stored after the callbacks ran, so that no goroutine sees the pause as over
+// before invalid state is dropped.
 func (p *Pause) Check() mgclock.Millis {
 	if p.gap() < pauseThreshold {
 		return 0
@@ -79,13 +80,13 @@
 	return gap
 }
 
-// gap returns how far back the last look lies, on the clock that says more.
+// gap returns the time since the last check, on the clock that shows the longer one.
 func (p *Pause) gap() mgclock.Millis {
 	return max(since(&p.lastMonotonic, p.clock.Now()), since(&p.lastWall, p.wallNow()))
 }
 
-// since returns how far a reading lies after a stored one. A reading that went
-// backwards, as the time of day may, counts as none.
+// since returns the time from a stored reading to now. A reading that went backwards,
+// as the time of day may, counts as 0.
 func since(last *atomic.Int64, now mgclock.Millis) mgclock.Millis {
 	previous := last.Load()
 	if previous == 0 {
@@ -94,7 +95,7 @@
 	return max(0, now+1-mgclock.Millis(previous))
 }
 
-// look stores the readings of both clocks.
+// recordClocks stores the readings of both clocks.
 func (p *Pause) recordClocks() {
 	p.lastMonotonic.Store(int64(p.clock.Now()) + 1)
 	p.lastWall.Store(int64(p.wallNow()) + 1)
@@ -107,8 +108,8 @@
 	return mgclock.Millis(time.Now().UnixMilli())
 }
 
-// Run looks at the clocks until ctx ends. Without it Check would take the time
-// between two requests for a pause.
+// Run checks the clocks periodically until ctx ends. Without it Check would treat the
+// time between two requests as a pause.
 func (p *Pause) Run(ctx context.Context) {
 	p.Step()
 	for p.clock.Sleep(ctx, checkInterval) {
@@ -116,7 +117,7 @@
 	}
 }
 
-// Step is one look of Run, for loops that have a wait of their own.
+// Step performs one check of Run, for loops that have their own wait.
 func (p *Pause) Step() {
 	p.Check()
 	p.mu.Lock()
--- a/internal/version/mgmember/restore.go
+++ b/internal/version/mgmember/restore.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// goneLife is how long a row that has left the list is remembered: a platform comes back
-	// from a copy that is some seconds old.
+	// removedRowTTL is how long a row that was removed from the list is remembered: a
+	// platform may be restored from a copy that is some seconds old.
 	removedRowTTL = 30 * mgclock.Second
-	// returnGrace is how long a row that had left the list gets no work after a copy has
-	// brought it back: by then what the copy lacks has been written again.
+	// returnedRowDelay is how long a removed row that a restored copy has brought back
+	// gets no work: by then the writes that the copy lacks have been repeated.
 	returnedRowDelay = 3200 * mgclock.Millis(1)
 )
 
-// gone is a row that has left the list.
+// removedRow is a row that was removed from the list.
 type removedRow struct {
 	startedAt int64
 	removedAt mgclock.Millis
 }
 
-// noteGone remembers the rows of the last list that a newer one lacks. It is called with mu
-// held.
+// recordRemovedRows records the rows of the last list that a newer one lacks. mu must
+// be held.
 func (m *Members) recordRemovedRows(now mgclock.Millis, list mgplatform.List) {
 	listed := make(map[string]bool, len(list.VMs))
 	for _, vm := range list.VMs {
@@ -46,8 +46,9 @@
 	}
 }
 
-// enterEra keeps what a list of a new era takes back: upstreams that were leaving, or had
-// left, stay so in the same life. It is called with mu held, before the list is taken.
+// keepDepartures keeps the departures that a list of a new era undoes: upstreams that
+// were leaving, or had left, stay so in the same incarnation. It must be called with mu
+// held, before the list is adopted.
 func (m *Members) keepDepartures(now mgclock.Millis, list mgplatform.List) {
 	if m.list.Version == 0 || list.Era <= m.list.Era {
 		return
@@ -79,7 +80,8 @@
 	}
 }
 
-// keepAway takes that an upstream leaves, unless its own word says so already.
+// markDeparted records that an upstream is leaving, unless its own announcement is
+// recorded already.
 func (m *Members) markDeparted(now mgclock.Millis, name string, d departureRecord) {
 	if before, known := m.departures[name]; known && before.startedAt >= d.startedAt && before.isActive(now) {
 		return
--- a/internal/version/mgmember/restore_test.go
+++ b/internal/version/mgmember/restore_test.go
@@ -10,7 +10,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A list out of an older copy must not bring back an upstream that leaves or has left.
+// The platform is restored from an older copy, and its list brings back an upstream
+// that is leaving or has left.
 func TestRestoredListBringsBackDepartedUpstream(t *testing.T) {
 	list := func(version, era uint64, born int64, states ...string) mgplatform.List {
 		l := mgplatform.List{
@@ -32,7 +33,7 @@
 		}
 		return l
 	}
-	// stays lists the upstreams that get work.
+	// working returns the upstreams that get work.
 	working := func(m *mgmember.Members) string {
 		text := ""
 		for _, member := range m.View().All() {
--- a/internal/version/mgmember/view.go
+++ b/internal/version/mgmember/view.go
@@ -8,28 +8,28 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A View is a picture of the members. It never changes; the zero View is empty.
-// Callers don't change the slices that it returns.
+// A View is a snapshot of the members. It is immutable; the zero View is empty. Callers
+// must not modify the slices and maps that it returns.
 type View struct {
 	version       uint64 // of the list
 	all           []*Member
-	indexByName   map[string]int            // place in all
+	indexByName   map[string]int            // index in all
 	upstreams     map[string][]*Member      // by model
 	hosts         map[string][]*Member      // by service
 	agents        map[string]*Member        // by upstream
 	entries       map[string][]*Member      // by region
 	zones         map[string][]*Member      // by availability zone
 	cordonedSince map[string]mgclock.Millis // by availability zone; see Cordoned
-	hasUpstream   bool                      // any upstream stays
-	peers         []*Member                 // all but this process
-	otherEntries  int                       // of these, entries, suspects too
-	regionPeers   map[string][]*Member      // of these, by region, suspects too, in the order of byHash
+	hasUpstream   bool                      // an upstream exists that isn't leaving
+	peers         []*Member                 // all processes except this one
+	otherEntries  int                       // number of entries among these, including suspects
+	regionPeers   map[string][]*Member      // these by region, including suspects, in the order of compareByHash
 }
 
-// viewSpec is what a view is made of.
+// viewSpec holds the input of newView.
 type viewSpec struct {
 	version       uint64 // of the list
-	self          string // is not among the peers
+	self          string // name of this process, which isn't one of the peers
 	all           []*Member
 	cordonedSince map[string]mgclock.Millis
 }
@@ -97,9 +97,9 @@
 	}
 }
 
-// trusted leaves out suspects, unless nobody else is left. When all are
-// suspected it is likelier that this process was cut off than that all the
-// others died, and giving up on them would keep it from noticing the heal.
+// withoutSuspects drops suspects, unless there are no others. When all are suspected,
+// it is likelier that this process was cut off than that all others died, and giving up
+// on them would keep it from noticing that the partition has healed.
 func withoutSuspects(list []*Member) []*Member {
 	trusted := make([]*Member, 0, len(list))
 	for _, m := range list {
@@ -113,13 +113,13 @@
 	return trusted
 }
 
-// Version returns the version of the list of VMs, or 0 before the first.
+// Version returns the version of the list of VMs, or 0 before the first list.
 func (v *View) Version() uint64 { return v.version }
 
-// All returns all members by name, this process included.
+// All returns all members sorted by name, including this process.
 func (v *View) All() []*Member { return v.all }
 
-// Member returns the member of a name.
+// Member returns the member with a name.
 func (v *View) Member(name string) (*Member, bool) {
 	i, ok := v.indexByName[name]
 	if !ok {
@@ -128,39 +128,40 @@
 	return v.all[i], true
 }
 
-// Upstreams returns the agents whose engines may hold a model, without those that
-// leave or whose availability zone is cordoned and, unless nobody else is left,
+// Upstreams returns the agents whose engines may serve a model, without those that are
+// leaving or whose availability zone is cordoned and, unless there are no others,
 // without suspects.
 func (v *View) Upstreams(model string) []*Member { return v.upstreams[model] }
 
-// Hosts returns the agents whose upstreams run a plain service, like Upstreams.
+// Hosts returns the agents whose upstreams run a plain service, with the same
+// exclusions as Upstreams.
 func (v *View) Hosts(service string) []*Member { return v.hosts[service] }
 
-// Served reports whether any upstream stays. Those of cordoned availability zones
-// count: a process that refuses for that reason tells its callers when to come back,
-// where one that isn't ready has them try others that can't serve them either.
+// Served reports whether an upstream exists that isn't leaving. Those of cordoned
+// availability zones count: a process that refuses requests for that reason tells its
+// callers when to come back, whereas an unready process makes them try others, which
+// can't serve them either.
 func (v *View) Served() bool { return v.hasUpstream }
 
-// Cordoned returns the availability zones whose upstreams get no new work, and since
-// when that is known here. Callers don't change it.
+// Cordoned returns the availability zones whose upstreams get no new work, with the
+// time when the cordon became known here. The caller must not modify the map.
 func (v *View) Cordoned() map[string]mgclock.Millis { return v.cordonedSince }
 
-// Agent returns the agent beside an upstream, also when it leaves.
+// Agent returns the agent of an upstream, also when it is leaving.
 func (v *View) Agent(upstream string) (*Member, bool) {
 	m, ok := v.agents[upstream]
 	return m, ok
 }
 
-// Entries returns the entries of a region, leaving and suspect ones included.
+// Entries returns the entries of a region, including leaving and suspect ones.
 func (v *View) Entries(region string) []*Member { return v.entries[region] }
 
-// Zone returns the members of an availability zone, leaving and suspect ones
-// included, so that those with the same list get the same answer.
+// Zone returns the members of an availability zone, including leaving and suspect ones,
+// so that processes with the same list get the same result.
 func (v *View) Zone(zone string) []*Member { return v.zones[zone] }
 
-// Peers returns the other processes, without suspects unless nobody else is
-// left.
+// Peers returns the other processes, without suspects unless there are no others.
 func (v *View) Peers() []*Member { return v.peers }
 
-// Others returns how many other entries are known, those that leave and suspects included.
+// Others returns the number of other known entries, including leaving and suspect ones.
 func (v *View) Others() int { return v.otherEntries }
