--- a/internal/version/mgmember/cell_test.go
+++ b/internal/version/mgmember/cell_test.go
@@ -42,7 +42,7 @@
 			m.List(0, list)
 			views[name(self)] = m.View()
 		}
-		Convey("each cell has as many as another, and they know one another", func() {
+		Convey("cells are of equal size, and their members agree on them", func() {
 			of := map[string]int{}
 			for self, view := range views {
 				c := view.Cell(self, "south")
@@ -58,7 +58,7 @@
 				}
 			}
 		})
-		Convey("each cell has its part of the upstreams, and each upstream one cell", func() {
+		Convey("each cell has an equal part of the upstreams, and each upstream one cell", func() {
 			var all []*Member
 			for n := range 3000 {
 				all = append(all, Self(fmt.Sprint("engine-", n), "a", 0))
@@ -79,7 +79,7 @@
 // An entry with a link of 10 Mbit/s becomes the hub while others have 200. Engines'
 // heartbeats alone fill its link, and every generation of its cell waits for it.
 func TestWeakProcessBecomesHub(t *testing.T) {
-	Convey("The hub is one of the strongest", t, func() {
+	Convey("The hub is one of the most powerful processes", t, func() {
 		var members []*Member
 		for n, power := range []int{100, 800, 144, 700, 300} {
 			members = append(members, Self(fmt.Sprint("entry-", n), "a", power))
@@ -90,7 +90,7 @@
 		So(ranked[1].Power(), ShouldBeGreaterThanOrEqualTo, 700)
 		So(RankHub(members, 1)[0], ShouldEqual, ranked[0])
 	})
-	Convey("Where nobody says, all are alike", t, func() {
+	Convey("Where no power is known, all processes rank alike", t, func() {
 		members := []*Member{Self("a", "a", 0), Self("b", "a", 0), Self("c", "a", 0)}
 		So(RankHub(members, 3), ShouldResemble, Rank(Hub, members, 3))
 	})
--- a/internal/version/mgmember/cordon_test.go
+++ b/internal/version/mgmember/cordon_test.go
@@ -40,27 +40,27 @@
 		list(1000, 5, "hall-1")
 		So(hosts(), ShouldResemble, []string{"b"})
 		So(m.View().Cordoned()["hall-1"], ShouldEqual, 1000)
-		Convey("get none whatever is heard of them", func() {
+		Convey("get no work whatever is seen of them", func() {
 			m.Heard(1100, "a", "life", true)
 			m.Heard(1200, "a", "later life", false)
 			m.Failed(1300, "b")
 			m.Failed(1300, "b")
 			So(hosts(), ShouldResemble, []string{"b"})
 		})
-		Convey("get none by an older list", func() {
+		Convey("get no work because of an older list", func() {
 			list(1100, 4)
 			So(hosts(), ShouldResemble, []string{"b"})
 		})
-		Convey("count from the first list that shows the cordon", func() {
+		Convey("keep the time of the first list that shows the cordon", func() {
 			list(3000, 6, "hall-1")
 			So(m.View().Cordoned()["hall-1"], ShouldEqual, 1000)
 		})
-		Convey("are all there is, and the process still counts as one that serves", func() {
+		Convey("count as served even when all zones are cordoned", func() {
 			list(1100, 6, "hall-1", "hall-2")
 			So(hosts(), ShouldBeEmpty)
 			So(m.View().Served(), ShouldBeTrue)
 		})
-		Convey("are used again once that is taken back", func() {
+		Convey("are used again once the cordon is lifted", func() {
 			list(1100, 6)
 			So(hosts(), ShouldResemble, []string{"a", "b"})
 		})
@@ -101,7 +101,7 @@
 			So(cold(5399), ShouldBeTrue)
 			So(cold(5400), ShouldBeFalse)
 		})
-		Convey("from its failure until it has answered for as long as a start takes", func() {
+		Convey("from its failure until the cold period after its next answer is over", func() {
 			m.Failed(10_000, "a")
 			So(cold(10_000), ShouldBeFalse) // one lost answer is no evidence
 			m.Failed(10_100, "a")
@@ -112,7 +112,7 @@
 			So(cold(20_100+coldPeriod-1), ShouldBeTrue)
 			So(cold(20_100+coldPeriod), ShouldBeFalse)
 		})
-		Convey("by the list alone where its service has no such span", func() {
+		Convey("according to the list alone where its service has no cold period", func() {
 			m.Failed(10_000, "a")
 			m.Failed(10_100, "a")
 			member, _ := m.View().Member("a")
--- a/internal/version/mgmember/departure_test.go
+++ b/internal/version/mgmember/departure_test.go
@@ -57,7 +57,7 @@
 			},
 		},
 		{
-			name: "and the platform is silent for minutes",
+			name: "and the platform doesn't answer for minutes",
 			after: func(m *mgmember.Members) {
 				for at := mgclock.Second; at < 10*mgclock.Minute; at += mgclock.Second {
 					m.Tick(at)
@@ -65,14 +65,14 @@
 			},
 		},
 		{
-			name: "and it starts again under its name",
+			name: "and it restarts under its name",
 			after: func(m *mgmember.Members) {
 				m.List(200, list(2, row(8)))
 			},
 			used: true,
 		},
 		{
-			name: "and starts again, and a late word of its last life comes",
+			name: "and restarts, and a late departure of its last incarnation arrives",
 			after: func(m *mgmember.Members) {
 				m.List(200, list(2, row(8)))
 				So(m.RecordDeparture(300, m.ParseDeparture("engine-1 7")), ShouldBeFalse)
@@ -80,7 +80,7 @@
 			used: true,
 		},
 		{
-			name: "and starts again, and leaves again",
+			name: "and restarts, and leaves again",
 			after: func(m *mgmember.Members) {
 				m.List(200, list(2, row(8)))
 				m.RecordDeparture(300, m.ParseDeparture("engine-1"))
@@ -95,7 +95,7 @@
 			},
 		},
 	}
-	Convey("An upstream has said that it leaves,", t, func() {
+	Convey("An upstream has announced that it is leaving,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				m := mgmember.New("entry")
--- a/internal/version/mgmember/member_test.go
+++ b/internal/version/mgmember/member_test.go
@@ -66,7 +66,7 @@
 			So(m.List(0, list(1, "a")), ShouldBeFalse)
 			So(upstreams(), ShouldEqual, "a b c")
 		})
-		Convey("are without one that says it leaves, though the list lags", func() {
+		Convey("are without one that announces that it leaves, although the list lags", func() {
 			// A request goes to an engine that is about to be reclaimed: the agent
 			// announces at once that it leaves, but the list shows it as live for
 			// another minute and is published again meanwhile.
@@ -76,7 +76,7 @@
 			m.Heard(30, "b", "1", false)
 			So(upstreams(), ShouldEqual, "a c d")
 		})
-		Convey("are with its successor again", func() {
+		Convey("include its next incarnation", func() {
 			// The VM's name is reused with another incarnation. A delayed reply of the
 			// old one, which says that it leaves, arrives after the new one was seen.
 			m.Heard(10, "b", "1", true)
@@ -84,14 +84,14 @@
 			m.Heard(30, "b", "1", true)
 			So(upstreams(), ShouldEqual, "a b c")
 		})
-		Convey("are with it again when the word has outlived every lag", func() {
+		Convey("include it again when its announcement has expired", func() {
 			m.Heard(10, "b", "1", true)
 			m.Tick(2*mgclock.Minute - 1)
 			So(upstreams(), ShouldEqual, "a c")
 			m.Tick(2*mgclock.Minute + 10)
 			So(upstreams(), ShouldEqual, "a b c")
 		})
-		Convey("are without one that failed twice, until it is tried again", func() {
+		Convey("exclude one that failed twice, until it is tried again", func() {
 			m.Failed(10, "b")
 			So(upstreams(), ShouldEqual, "a b c")
 			m.Failed(20, "b")
@@ -104,7 +104,7 @@
 			m.Heard(2040, "b", "1", false)
 			So(upstreams(), ShouldEqual, "a b c")
 		})
-		Convey("keep one whose failures don't follow one another", func() {
+		Convey("keep one whose failures aren't consecutive", func() {
 			m.Failed(10, "b")
 			m.Answered(20, "b")
 			m.Failed(30, "b")
@@ -124,7 +124,7 @@
 			}
 			So(upstreams(), ShouldEqual, "a b c")
 		})
-		Convey("are with those that a broken list lost but that are heard", func() {
+		Convey("include those that a faulty list lost but that were seen recently", func() {
 			m.Heard(10, "a", "1", false)
 			m.List(20, list(3, ""))
 			So(upstreams(), ShouldEqual, "a")
@@ -138,7 +138,7 @@
 // During a partition every entry comes to suspect the other half. When it heals, many
 // of the entries retry the same agent in the same instant.
 func TestHealCausesRetryBurst(t *testing.T) {
-	Convey("A heal is spread over the last span of suspicion", t, func() {
+	Convey("After a partition heals, retries are spread over the last suspicion timeout", t, func() {
 		const entries = 360
 		ends := map[mgclock.Millis]int{}
 		for i := range entries {
@@ -164,7 +164,7 @@
 }
 
 func TestRank(t *testing.T) {
-	Convey("Rendezvous moves only the keys of the member that went", t, func() {
+	Convey("Rendezvous hashing moves only the keys of the removed member", t, func() {
 		m := mgmember.New("")
 		m.List(0, list(1, "a b c d e"))
 		before := m.View().All()
@@ -184,7 +184,7 @@
 }
 
 func TestPause(t *testing.T) {
-	Convey("A process that overslept", t, func() {
+	Convey("A process that was paused", t, func() {
 		var clock, wall mgclock.Manual
 		p := mgmember.NewPause(clock.Clock(), wall.Now)
 		var gaps []mgclock.Millis
@@ -198,22 +198,22 @@
 		So(p.Check(), ShouldEqual, 0)
 		p.Step()
 
-		Convey("drops what it believed before it acts", func() {
+		Convey("drops its invalid state before it acts", func() {
 			advanceBoth(5 * mgclock.Second)
 			So(p.Check(), ShouldEqual, 5*mgclock.Second)
 			So(gaps, ShouldHaveLength, 1)
 			So(p.Check(), ShouldEqual, 0)
 			So(p.Count(), ShouldEqual, 1)
 		})
-		Convey("notices a suspended VM, whose monotonic clock stood still", func() {
+		Convey("detects a suspended VM, whose monotonic clock stopped", func() {
 			wall.Advance(5 * mgclock.Second)
 			So(p.Check(), ShouldEqual, 5*mgclock.Second)
 		})
-		Convey("isn't misled by a time of day that is set back", func() {
+		Convey("doesn't count a time of day that is set back", func() {
 			wall.Advance(-3 * mgclock.Second)
 			So(p.Check(), ShouldEqual, 0)
 		})
-		Convey("takes no idle time for a pause while Run looks", func() {
+		Convey("doesn't count idle time as a pause while Run checks", func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			go func() {
@@ -269,7 +269,7 @@
 // An engine announces that it is leaving, crashes, and restarts under its name. It is
 // idle for two minutes beside overloaded ones, because its announcement still counts.
 func TestRestartedUpstreamStaysIdle(t *testing.T) {
-	Convey("An upstream that started again begins anew", t, func() {
+	Convey("An upstream that restarted gets work again", t, func() {
 		m := mgmember.New("entry-1")
 		list := func(version uint64, born int64) mgplatform.List {
 			return mgplatform.List{
--- a/internal/version/mgmember/restore_test.go
+++ b/internal/version/mgmember/restore_test.go
@@ -50,7 +50,7 @@
 			m.List(0, list(1, 1, born, live, live, absent))
 			m.List(1000, list(2, 1, born, leaving, absent, live))
 			So(working(&m), ShouldEqual, "c")
-			Convey("a copy doesn't bring a and b back", func() {
+			Convey("a restored copy doesn't bring a and b back", func() {
 				m.List(2000, list(3, 2, born, live, live, live))
 				So(working(&m), ShouldEqual, "c")
 				Convey("nor do the lists that follow it, for a", func() {
@@ -59,25 +59,25 @@
 					m.Tick(2000 + 10*mgclock.Second)
 					So(working(&m), ShouldEqual, "bc")
 				})
-				Convey("nor does another copy", func() {
+				Convey("nor does another restored copy", func() {
 					m.List(2500, list(5, 3, born, live, live, live))
 					So(working(&m), ShouldEqual, "c")
 				})
-				Convey("a later life comes back at once", func() {
+				Convey("a later incarnation comes back at once", func() {
 					m.List(2500, list(4, 2, born+1, live, live, live))
 					So(working(&m), ShouldEqual, "abc")
 				})
-				Convey("the own word of b keeps it away", func() {
+				Convey("b stays away after its own announcement", func() {
 					m.RecordDeparture(2500, m.CurrentDeparture("b"))
 					m.Tick(2000 + 10*mgclock.Second)
 					So(working(&m), ShouldEqual, "c")
 				})
 			})
-			Convey("what the same era's lists say is so", func() {
+			Convey("a list of the same era is applied as it is", func() {
 				m.List(2000, list(3, 1, born, live, live, live))
 				So(working(&m), ShouldEqual, "abc")
 			})
-			Convey("a list of before the copy is old", func() {
+			Convey("a list from before the restore is old", func() {
 				m.List(2000, list(3, 2, born, leaving, absent, live))
 				So(m.List(2100, list(2, 1, born, live, live, live)), ShouldBeFalse)
 			})
