--- a/internal/version/mgshare/home.go
+++ b/internal/version/mgshare/home.go
@@ -11,16 +11,16 @@
 	// leaseShort is the life of a lease while an account's demand comes near its
 	// cap, so that slices follow the demand; leaseLong while it doesn't, so that
 	// the many accounts that are far from their caps cost few messages.
-	leaseShort = 2 * mgclock.Second
-	leaseLong  = 10 * mgclock.Second
+	contendedLeaseTTL   = 2 * mgclock.Second
+	uncontendedLeaseTTL = 10 * mgclock.Second
 	// leaseScarce is the life of a lease that is less than the entry's fair part,
 	// so that it asks again as soon as the rest is free.
-	leaseScarce = 600 * mgclock.Millis(1)
+	scarceLeaseTTL = 600 * mgclock.Millis(1)
 	// reserve is the part of a cap that entries may use without a lease, all of
 	// them together. It is what remains to an account whose home is lost.
-	reserve = 0.1
+	reservedShare = 0.1
 	// forgetSpan is how long an account without demand is remembered.
-	forgetSpan = 10 * mgclock.Second
+	idleAccountTTL = 10 * mgclock.Second
 )
 
 // Caps are an account's caps in the table; 0 stands for none.
@@ -46,31 +46,31 @@
 // A Home leases the caps of the slots of which it is home. The zero Home has
 // leased nothing.
 type Home struct {
-	slots    [slots]homeSlot
-	accounts map[string]*leased
+	slots    [slotCount]homeSlot
+	accounts map[string]*accountLeases
 }
 
 // homeSlot is what the witnesses of a slot said.
 type homeSlot struct {
-	set     []string
-	hash    uint64
-	before  []string       // the witnesses before the last change
-	changed mgclock.Millis // when the set changed
-	said    map[string]said
+	witnesses         []string
+	witnessHash       uint64
+	previousWitnesses []string       // the witnesses before the last change
+	changedAt         mgclock.Millis // when the set changed
+	votes             map[string]voteState
 }
 
 // said is a witness's word, by the time at which it was asked for.
-type said struct {
-	sent  mgclock.Millis
-	yes   bool
-	asked mgclock.Millis
-	ever  bool
+type voteState struct {
+	sentAt       mgclock.Millis
+	granted      bool
+	requestedAt  mgclock.Millis
+	wasRequested bool
 }
 
 // leased is what entries hold of an account.
-type leased struct {
-	holders map[string]*grant
-	seen    mgclock.Millis
+type accountLeases struct {
+	holders       map[string]*grant
+	lastRequestAt mgclock.Millis
 }
 
 // grant is what one entry holds: one of the slices that have not ended. Which of
@@ -81,16 +81,16 @@
 }
 
 // Ask is a question of a home to a witness.
-type Ask struct {
-	Witness string
-	Addr    string
-	Slots   []int
-	Sets    []uint64
+type VoteRequest struct {
+	Witness       string
+	Addr          string
+	Slots         []int
+	WitnessHashes []uint64
 }
 
 // Asks returns the questions that are due before the accounts can be leased.
-func (h *Home) Asks(now mgclock.Millis, ring *Ring, accounts []string) []Ask {
-	byWitness := make(map[string]*Ask)
+func (h *Home) VoteRequests(now mgclock.Millis, ring *Ring, accounts []string) []VoteRequest {
+	byWitness := make(map[string]*VoteRequest)
 	var order []string
 	done := make(map[int]bool)
 	for _, account := range accounts {
@@ -100,13 +100,13 @@
 		}
 		done[slot] = true
 		s := h.slot(now, ring, slot)
-		for _, m := range ring.sets[slot] {
-			if !s.due(now, m.Name()) {
+		for _, m := range ring.witnesses[slot] {
+			if !s.shouldRequestVote(now, m.Name()) {
 				continue
 			}
 			a := byWitness[m.Name()]
 			if a == nil {
-				a = &Ask{
+				a = &VoteRequest{
 					Witness: m.Name(),
 					Addr:    m.PeerAddr(),
 				}
@@ -114,83 +114,83 @@
 				order = append(order, m.Name())
 			}
 			a.Slots = append(a.Slots, slot)
-			a.Sets = append(a.Sets, ring.hashes[slot])
+			a.WitnessHashes = append(a.WitnessHashes, ring.witnessHashes[slot])
 		}
 	}
-	asks := make([]Ask, 0, len(order))
+	requests := make([]VoteRequest, 0, len(order))
 	for _, name := range order {
-		asks = append(asks, *byWitness[name])
+		requests = append(requests, *byWitness[name])
 	}
-	return asks
+	return requests
 }
 
 // due reports whether a witness is to be asked now, and notes that it is.
-func (s *homeSlot) due(now mgclock.Millis, witness string) bool {
-	w := s.said[witness]
-	fresh := w.yes && now < w.sent+wordSpan
-	if fresh || w.ever && now < w.asked+wordRetry {
+func (s *homeSlot) shouldRequestVote(now mgclock.Millis, witness string) bool {
+	v := s.votes[witness]
+	isFresh := v.granted && now < v.sentAt+voteRenewAge
+	if isFresh || v.wasRequested && now < v.requestedAt+voteRetryInterval {
 		return false
 	}
-	w.asked = now
-	w.ever = true
-	s.said[witness] = w
+	v.requestedAt = now
+	v.wasRequested = true
+	s.votes[witness] = v
 	return true
 }
 
 // slot returns a slot with the witnesses that the ring has for it.
 func (h *Home) slot(now mgclock.Millis, ring *Ring, slot int) *homeSlot {
 	s := &h.slots[slot]
-	if s.said == nil {
-		s.said = make(map[string]said)
+	if s.votes == nil {
+		s.votes = make(map[string]voteState)
 	}
-	if s.hash != ring.hashes[slot] {
-		s.before = s.set
-		s.set = names(ring.sets[slot])
-		s.hash = ring.hashes[slot]
-		s.changed = now
+	if s.witnessHash != ring.witnessHashes[slot] {
+		s.previousWitnesses = s.witnesses
+		s.witnesses = memberNames(ring.witnesses[slot])
+		s.witnessHash = ring.witnessHashes[slot]
+		s.changedAt = now
 	}
 	return s
 }
 
 // Said takes a witness's answer to a question sent at a time.
-func (h *Home) Said(sent mgclock.Millis, witness string, asked, yes []int) {
-	for _, slot := range asked {
+func (h *Home) RecordVotes(sent mgclock.Millis, witness string, requested, granted []int) {
+	for _, slot := range requested {
 		s := &h.slots[slot]
-		if s.said == nil {
+		if s.votes == nil {
 			continue
 		}
-		w := s.said[witness]
-		for _, y := range yes {
+		v := s.votes[witness]
+		for _, y := range granted {
 			if y == slot {
-				w.yes = true
-				w.sent = max(w.sent, sent)
+				v.granted = true
+				v.sentAt = max(v.sentAt, sent)
 			}
 		}
-		s.said[witness] = w
+		s.votes[witness] = v
 	}
 }
 
 // fraction returns the part of the caps that leases may add up to which end at a
 // time. While the witnesses change, the lesser of both sets counts.
-func (s *homeSlot) fraction(now, end mgclock.Millis) float64 {
-	part := s.part(s.set, end)
-	if len(s.before) > 0 && now < s.changed+wordLife {
-		part = min(part, s.part(s.before, end))
+func (s *homeSlot) voteFraction(now, end mgclock.Millis) float64 {
+	fraction := s.fractionOf(s.witnesses, end)
+	if len(s.previousWitnesses) > 0 && now < s.changedAt+voteTTL {
+		fraction = min(fraction, s.fractionOf(s.previousWitnesses, end))
 	}
-	return part
+	return fraction
 }
 
-func (s *homeSlot) part(set []string, end mgclock.Millis) float64 {
-	if len(set) == 0 {
+func (s *homeSlot) fractionOf(witnesses []string, end mgclock.Millis) float64 {
+	if len(witnesses) == 0 {
 		return 0
 	}
 	count := 0
-	for _, name := range set {
-		if w := s.said[name]; w.yes && end <= w.sent+wordLife {
+	for _, name := range witnesses {
+		if v := s.votes[name]; v.granted && end <= v.sentAt+voteTTL {
 			count++
 		}
 	}
-	return float64(count) / float64(len(set))
+	return float64(count) / float64(len(witnesses))
 }
 
 // Grant leases a slice to an entry. The slice's End is a span from now.
@@ -204,32 +204,32 @@
 	}
 	g.demand = demand
 	ttl := a.ttl(caps)
-	part := s.fraction(now, now+ttl)
-	rate, streams := a.free(now, entry, caps, part, ring.entries)
-	fairRate := a.fairRate(entry, caps.Rate*(1-reserve)*part)
-	fairStreams := a.fairStreams(entry, leasable(caps.Streams, part, ring.entries))
+	fraction := s.voteFraction(now, now+ttl)
+	rate, streams := a.available(now, entry, caps, fraction, ring.entryCount)
+	fairRate := a.maxMinRate(entry, caps.Rate*(1-reservedShare)*fraction)
+	fairStreams := a.maxMinStreams(entry, leasable(caps.Streams, fraction, ring.entryCount))
 	slice := Slice{
 		Rate:    min(rate, fairRate),
 		Streams: min(streams, max(demand.Running, fairStreams)),
 		End:     ttl,
 	}
-	if part < 1 || slice.Rate < fairRate || slice.Streams < fairStreams {
+	if fraction < 1 || slice.Rate < fairRate || slice.Streams < fairStreams {
 		// What others still hold comes free as their leases end.
-		slice.End = leaseScarce
+		slice.End = scarceLeaseTTL
 	}
-	g.hold(now, slice)
+	g.addSlice(now, slice)
 	return slice
 }
 
 // hold notes a slice that the entry may hold from now on.
-func (g *grant) hold(now mgclock.Millis, slice Slice) {
-	g.prune(now)
+func (g *grant) addSlice(now mgclock.Millis, slice Slice) {
+	g.dropExpired(now)
 	slice.End += now
 	g.slices = append(g.slices, slice)
 }
 
 // prune drops the slices that have ended.
-func (g *grant) prune(now mgclock.Millis) {
+func (g *grant) dropExpired(now mgclock.Millis) {
 	kept := g.slices[:0]
 	for _, s := range g.slices {
 		if now < s.End {
@@ -240,7 +240,7 @@
 }
 
 // most returns the most that the entry may hold.
-func (g *grant) most(now mgclock.Millis) (rate float64, streams int) {
+func (g *grant) maxHeld(now mgclock.Millis) (rate float64, streams int) {
 	for _, s := range g.slices {
 		if now < s.End {
 			rate = max(rate, s.Rate)
@@ -251,14 +251,14 @@
 }
 
 // free returns what is left of the caps beside what other entries hold.
-func (a *leased) free(now mgclock.Millis, entry string, caps Caps, part float64, entries int) (float64, int) {
-	rate := caps.Rate * (1 - reserve) * part
-	streams := leasable(caps.Streams, part, entries)
+func (a *accountLeases) available(now mgclock.Millis, entry string, caps Caps, fraction float64, entries int) (float64, int) {
+	rate := caps.Rate * (1 - reservedShare) * fraction
+	streams := leasable(caps.Streams, fraction, entries)
 	for name, g := range a.holders {
 		if name == entry {
 			continue
 		}
-		heldRate, heldStreams := g.most(now)
+		heldRate, heldStreams := g.maxHeld(now)
 		rate -= heldRate
 		streams -= heldStreams
 	}
@@ -267,34 +267,36 @@
 
 // leasable returns the streams that may be leased: what the fixed parts of all
 // entries leave.
-func leasable(streams int, part float64, entries int) int {
+func leasable(streams int, fraction float64, entries int) int {
 	left := streams - entries*fixedStreams(streams, entries)
-	return int(math.Floor(float64(left)*part + 1e-9))
+	return int(math.Floor(float64(left)*fraction + 1e-9))
 }
 
 // fixedStreams returns the streams that an entry may use without a lease.
 func fixedStreams(streams, entries int) int {
-	return int(float64(streams) * reserve / float64(max(1, entries)))
+	return int(float64(streams) * reservedShare / float64(max(1, entries)))
 }
 
 // fixedRate returns the rate that an entry may use without a lease.
-func fixedRate(rate float64, entries int) float64 { return rate * reserve / float64(max(1, entries)) }
+func fixedRate(rate float64, entries int) float64 {
+	return rate * reservedShare / float64(max(1, entries))
+}
 
 // account returns an account without the holders that went away.
-func (h *Home) account(now mgclock.Millis, name string) *leased {
+func (h *Home) account(now mgclock.Millis, name string) *accountLeases {
 	if h.accounts == nil {
-		h.accounts = make(map[string]*leased)
+		h.accounts = make(map[string]*accountLeases)
 	}
 	a := h.accounts[name]
 	if a == nil {
-		a = &leased{
+		a = &accountLeases{
 			holders: make(map[string]*grant),
 		}
 		h.accounts[name] = a
 	}
-	a.seen = now
+	a.lastRequestAt = now
 	for entry, g := range a.holders {
-		g.prune(now)
+		g.dropExpired(now)
 		if len(g.slices) == 0 {
 			delete(a.holders, entry)
 		}
@@ -303,39 +305,39 @@
 }
 
 // ttl returns the life of the account's leases.
-func (a *leased) ttl(caps Caps) mgclock.Millis {
+func (a *accountLeases) ttl(caps Caps) mgclock.Millis {
 	rate, streams := 0.0, 0
 	for _, g := range a.holders {
 		rate += g.demand.Rate
 		streams += g.demand.Streams
 	}
 	if rate > caps.Rate/2 || streams > caps.Streams/2 {
-		return leaseShort
+		return contendedLeaseTTL
 	}
-	return leaseLong
+	return uncontendedLeaseTTL
 }
 
 // fairRate returns an entry's max-min fair part of a total. What nobody asks
 // for is spread over all, so that a burst finds room before the next renewal.
-func (a *leased) fairRate(entry string, total float64) float64 {
+func (a *accountLeases) maxMinRate(entry string, total float64) float64 {
 	demands := make(map[string]float64, len(a.holders))
 	for name, g := range a.holders {
 		demands[name] = g.demand.Rate
 	}
-	return fair(entry, demands, total)
+	return maxMinShare(entry, demands, total)
 }
 
-func (a *leased) fairStreams(entry string, total int) int {
+func (a *accountLeases) maxMinStreams(entry string, total int) int {
 	demands := make(map[string]float64, len(a.holders))
 	for name, g := range a.holders {
 		demands[name] = float64(g.demand.Streams)
 	}
-	return int(math.Ceil(fair(entry, demands, float64(total)) - 1e-9))
+	return int(math.Ceil(maxMinShare(entry, demands, float64(total)) - 1e-9))
 }
 
 // fair fills the smallest demands first and shares out what is left evenly, with
 // one part kept for an entry that comes next.
-func fair(entry string, demands map[string]float64, total float64) float64 {
+func maxMinShare(entry string, demands map[string]float64, total float64) float64 {
 	order := make([]string, 0, len(demands))
 	for name := range demands {
 		order = append(order, name)
@@ -346,22 +348,22 @@
 		}
 		return order[i] < order[j]
 	})
-	part := 0.0
+	share := 0.0
 	left := total
 	for i, name := range order {
 		got := min(demands[name], left/float64(len(order)-i))
 		left -= got
 		if name == entry {
-			part = got
+			share = got
 		}
 	}
-	return part + max(0, left)/float64(len(order)+1)
+	return share + max(0, left)/float64(len(order)+1)
 }
 
 // Forget drops accounts without demand. It returns how many are left.
 func (h *Home) Forget(now mgclock.Millis) int {
 	for name, a := range h.accounts {
-		if now >= a.seen+forgetSpan {
+		if now >= a.lastRequestAt+idleAccountTTL {
 			delete(h.accounts, name)
 		}
 	}
@@ -372,6 +374,6 @@
 // kept: it ends by the clock.
 func (h *Home) Drop() {
 	for i := range h.slots {
-		h.slots[i].said = nil
+		h.slots[i].votes = nil
 	}
 }
--- a/internal/version/mgshare/loop.go
+++ b/internal/version/mgshare/loop.go
@@ -10,7 +10,7 @@
 
 const (
 	// stepSpan is the interval at which leases that are due are asked for.
-	stepSpan = 100 * mgclock.Millis(1)
+	stepInterval = 100 * mgclock.Millis(1)
 	// leaseTimeout and supportTimeout bound the calls. A home waits for its
 	// witnesses inside of a lease call.
 	leaseTimeout   = 500 * mgclock.Millis(1)
@@ -31,46 +31,46 @@
 type Loop struct {
 	spec LoopSpec
 
-	mu      sync.Mutex
-	shares  *Shares
-	drops   int           // answers to calls made before a drop are not taken
-	changed chan struct{} // closed and replaced with each answer
-	running sync.WaitGroup
+	mu           sync.Mutex
+	shares       *Shares
+	dropCount    int           // answers to calls made before a drop are not taken
+	answered     chan struct{} // closed and replaced with each answer
+	callsRunning sync.WaitGroup
 }
 
 // NewLoop returns a loop. It asks for nothing until Run.
 func NewLoop(spec LoopSpec) *Loop {
 	return &Loop{
-		spec:    spec,
-		shares:  NewShares(spec.Clock.Now(), spec.Shares),
-		changed: make(chan struct{}),
+		spec:     spec,
+		shares:   NewShares(spec.Clock.Now(), spec.Shares),
+		answered: make(chan struct{}),
 	}
 }
 
 // Run asks for leases until ctx ends, and returns once its calls have.
 func (l *Loop) Run(ctx context.Context) {
-	for l.spec.Clock.Sleep(ctx, stepSpan) {
-		l.step(ctx)
+	for l.spec.Clock.Sleep(ctx, stepInterval) {
+		l.startDueCalls(ctx)
 	}
-	l.running.Wait()
+	l.callsRunning.Wait()
 }
 
 // step makes the calls that are due.
-func (l *Loop) step(ctx context.Context) {
+func (l *Loop) startDueCalls(ctx context.Context) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	drops := l.drops
-	for _, call := range l.shares.Due(l.spec.Clock.Now()) {
-		l.running.Add(1)
+	dropCount := l.dropCount
+	for _, call := range l.shares.DueCalls(l.spec.Clock.Now()) {
+		l.callsRunning.Add(1)
 		go func() {
-			defer l.running.Done()
-			l.ask(ctx, call, drops)
+			defer l.callsRunning.Done()
+			l.callHome(ctx, call, dropCount)
 		}()
 	}
 }
 
 // ask makes one call and takes its answer.
-func (l *Loop) ask(ctx context.Context, call LeaseCall, drops int) {
+func (l *Loop) callHome(ctx context.Context, call LeaseCall, dropCount int) {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout.Duration())
 	defer cancel()
 	var reply *mgrpc.LeaseReply
@@ -91,12 +91,12 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if drops != l.drops {
+	if dropCount != l.dropCount {
 		reply = nil
 	}
-	l.shares.Answered(now, call, reply)
-	close(l.changed)
-	l.changed = make(chan struct{})
+	l.shares.HandleReply(now, call, reply)
+	close(l.answered)
+	l.answered = make(chan struct{})
 }
 
 // Acquire notes a caller's wish for a start that is expected to cost tokens, and
@@ -108,16 +108,16 @@
 		return Slice{}, false
 	}
 	l.mu.Lock()
-	l.shares.Want(l.spec.Clock.Now(), account, tokens)
+	l.shares.RecordDemand(l.spec.Clock.Now(), account, tokens)
 	l.mu.Unlock()
 	for {
-		slice, leased, changed := l.look(account)
+		slice, leased, answered := l.currentSlice(account)
 		if leased || ctx.Err() != nil {
 			return slice, true
 		}
-		l.step(context.WithoutCancel(ctx))
+		l.startDueCalls(context.WithoutCancel(ctx))
 		select {
-		case <-changed:
+		case <-answered:
 		case <-ctx.Done():
 		}
 	}
@@ -125,11 +125,11 @@
 
 // look returns the slice of an account, whether it is a valid lease, and the
 // channel of the next answer.
-func (l *Loop) look(account string) (Slice, bool, <-chan struct{}) {
+func (l *Loop) currentSlice(account string) (Slice, bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.spec.Clock.Now()
-	return l.shares.Slice(now, account), l.shares.holder.Leased(now, account), l.changed
+	return l.shares.Slice(now, account), l.shares.holder.HasLease(now, account), l.answered
 }
 
 // Slice returns what this entry may use of an account now.
@@ -143,14 +143,14 @@
 func (l *Loop) Running(account string, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.shares.Running(account, count)
+	l.shares.SetRunning(account, count)
 }
 
 // Drop gives up all leases, as after a pause.
 func (l *Loop) Drop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drops++
+	l.dropCount++
 	l.shares.Drop()
 }
 
@@ -172,14 +172,14 @@
 // are old.
 func (l *Loop) Lease(ctx context.Context, r *mgrpc.LeaseRequest) (*mgrpc.LeaseReply, error) {
 	l.mu.Lock()
-	asks := l.shares.Asks(l.spec.Clock.Now(), r)
+	requests := l.shares.VoteRequests(l.spec.Clock.Now(), r)
 	l.mu.Unlock()
 	var all sync.WaitGroup
-	for _, a := range asks {
+	for _, a := range requests {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			l.askWitness(ctx, a)
+			l.requestVotes(ctx, a)
 		}()
 	}
 	all.Wait()
@@ -189,26 +189,26 @@
 }
 
 // askWitness asks one witness, itself included, and takes its answer.
-func (l *Loop) askWitness(ctx context.Context, a Ask) {
+func (l *Loop) requestVotes(ctx context.Context, v VoteRequest) {
 	ctx, cancel := context.WithTimeout(ctx, supportTimeout.Duration())
 	defer cancel()
 	sent := l.spec.Clock.Now()
 	l.mu.Lock()
-	request := l.shares.SupportRequest(a)
+	request := l.shares.SupportRequest(v)
 	l.mu.Unlock()
 	var reply *mgrpc.SupportReply
 	var err error
-	if a.Witness == l.spec.Shares.Name {
+	if v.Witness == l.spec.Shares.Name {
 		reply, err = l.Support(ctx, request)
 	} else {
-		reply, err = l.spec.Support(ctx, a.Addr, request)
+		reply, err = l.spec.Support(ctx, v.Addr, request)
 	}
 	if err != nil {
-		l.spec.Shares.Members.Failed(l.spec.Clock.Now(), a.Witness)
+		l.spec.Shares.Members.Failed(l.spec.Clock.Now(), v.Witness)
 		return
 	}
-	l.spec.Shares.Members.Answered(l.spec.Clock.Now(), a.Witness)
+	l.spec.Shares.Members.Answered(l.spec.Clock.Now(), v.Witness)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.shares.Said(sent, a, reply)
+	l.shares.RecordVotes(sent, v, reply)
 }
--- a/internal/version/mgshare/ring.go
+++ b/internal/version/mgshare/ring.go
@@ -13,19 +13,19 @@
 	// slots is the number of groups of accounts. With 128 an entry of 120 is home
 	// of about one, so that its words cost a few messages a second. Fewer slots
 	// would load a few homes with most leases, more would split the calls.
-	slots = 128
+	slotCount = 128
 	// witnesses is the number of entries that stand by the home of a slot. With
 	// five the loss of one costs a fifth of the caps until the list drops it.
-	witnesses = 5
+	witnessesPerSlot = 5
 )
 
 // A Ring says who is home of an account, as far as this process knows.
 type Ring struct {
-	version uint64
-	region  string
-	sets    [slots][]*mgmember.Member
-	hashes  [slots]uint64
-	entries int
+	version       uint64
+	region        string
+	witnesses     [slotCount][]*mgmember.Member
+	witnessHashes [slotCount]uint64
+	entryCount    int
 }
 
 // NewRing ranks the listed entries of a region.
@@ -40,15 +40,15 @@
 			listed = append(listed, m)
 		}
 	}
-	r.entries = len(listed)
-	for slot := range r.sets {
-		r.sets[slot] = mgmember.Rank(fmt.Sprintf("slot %d", slot), listed, witnesses)
-		r.hashes[slot] = xxhash.Sum64String(strings.Join(names(r.sets[slot]), " "))
+	r.entryCount = len(listed)
+	for slot := range r.witnesses {
+		r.witnesses[slot] = mgmember.Rank(fmt.Sprintf("slot %d", slot), listed, witnessesPerSlot)
+		r.witnessHashes[slot] = xxhash.Sum64String(strings.Join(memberNames(r.witnesses[slot]), " "))
 	}
 	return r
 }
 
-func names(members []*mgmember.Member) []string {
+func memberNames(members []*mgmember.Member) []string {
 	list := make([]string, 0, len(members))
 	for _, m := range members {
 		list = append(list, m.Name())
@@ -57,12 +57,12 @@
 }
 
 // slotOf returns the slot of an account.
-func slotOf(account string) int { return int(xxhash.Sum64String(account) % slots) }
+func slotOf(account string) int { return int(xxhash.Sum64String(account) % slotCount) }
 
 // Home returns the member that this process takes for the home of an account,
 // or nil. The ring holds who is listed, the view who is dead or leaving now.
 func (r *Ring) Home(view *mgmember.View, account string) *mgmember.Member {
-	for _, m := range r.sets[slotOf(account)] {
+	for _, m := range r.witnesses[slotOf(account)] {
 		now, ok := view.Member(m.Name())
 		if ok && !now.Suspect() && !now.Leaving() {
 			return now
--- a/internal/version/mgshare/shares.go
+++ b/internal/version/mgshare/shares.go
@@ -40,7 +40,7 @@
 		spec: spec,
 	}
 	if !spec.Fresh {
-		s.witness.Begin(now)
+		s.witness.RefuseAtStart(now)
 	}
 	return s
 }
@@ -57,7 +57,7 @@
 }
 
 // rank returns the ring of the present list.
-func (s *Shares) rank() *Ring {
+func (s *Shares) currentRing() *Ring {
 	view := s.spec.Members.View()
 	if s.ring == nil || s.ring.version != view.Version() {
 		s.ring = NewRing(view, s.spec.Region)
@@ -75,14 +75,14 @@
 }
 
 // Want notes that a caller asks for a start that is expected to cost tokens.
-func (s *Shares) Want(now mgclock.Millis, account string, tokens float64) {
+func (s *Shares) RecordDemand(now mgclock.Millis, account string, tokens float64) {
 	if caps, ok := s.spec.Account(account); ok {
-		s.holder.Want(now, account, caps, tokens)
+		s.holder.RecordDemand(now, account, caps, tokens)
 	}
 }
 
 // Running notes how many streams of an account run.
-func (s *Shares) Running(account string, count int) { s.holder.Running(account, count) }
+func (s *Shares) SetRunning(account string, count int) { s.holder.SetRunning(account, count) }
 
 // Slice returns what this entry may use of an account.
 func (s *Shares) Slice(now mgclock.Millis, account string) Slice {
@@ -90,25 +90,25 @@
 	if !ok {
 		return Slice{}
 	}
-	return s.holder.Slice(now, account, caps, s.rank().entries)
+	return s.holder.Slice(now, account, caps, s.currentRing().entryCount)
 }
 
 // Due returns the calls to make now, one a home.
-func (s *Shares) Due(now mgclock.Millis) []LeaseCall {
+func (s *Shares) DueCalls(now mgclock.Millis) []LeaseCall {
 	s.home.Forget(now)
-	ring := s.rank()
+	ring := s.currentRing()
 	calls := make(map[string]*LeaseCall)
-	for _, account := range s.holder.Due(now) {
+	for _, account := range s.holder.DueAccounts(now) {
 		home := ring.Home(s.spec.Members.View(), account)
 		if home == nil {
 			continue
 		}
 		c := calls[home.Name()]
 		if c == nil {
-			c = s.call(now, home)
+			c = s.newCall(now, home)
 			calls[home.Name()] = c
 		}
-		demand := s.holder.Ask(now, account)
+		demand := s.holder.StartRequest(now, account)
 		c.Accounts = append(c.Accounts, account)
 		c.Request.Demands = append(c.Request.Demands, &mgrpc.Demand{
 			Account: account,
@@ -125,7 +125,7 @@
 	return list
 }
 
-func (s *Shares) call(now mgclock.Millis, home *mgmember.Member) *LeaseCall {
+func (s *Shares) newCall(now mgclock.Millis, home *mgmember.Member) *LeaseCall {
 	return &LeaseCall{
 		Home: home.Name(),
 		Addr: home.PeerAddr(),
@@ -138,7 +138,7 @@
 }
 
 // Answered takes the answer to a call, or nil for none.
-func (s *Shares) Answered(now mgclock.Millis, call LeaseCall, reply *mgrpc.LeaseReply) {
+func (s *Shares) HandleReply(now mgclock.Millis, call LeaseCall, reply *mgrpc.LeaseReply) {
 	leases := make(map[string]*mgrpc.Lease)
 	for _, l := range reply.GetLeases() {
 		leases[l.GetAccount()] = l
@@ -146,10 +146,10 @@
 	for _, account := range call.Accounts {
 		l := leases[account]
 		if l == nil {
-			s.holder.Granted(now, call.Sent, account, nil)
+			s.holder.HandleGrant(now, call.Sent, account, nil)
 			continue
 		}
-		s.holder.Granted(now, call.Sent, account, &Slice{
+		s.holder.HandleGrant(now, call.Sent, account, &Slice{
 			Rate:    l.GetRate(),
 			Streams: int(l.GetStreams()),
 			End:     mgclock.Millis(l.GetTtl()),
@@ -158,37 +158,37 @@
 }
 
 // id names this incarnation as a home.
-func (s *Shares) id() string { return s.spec.Name + "/" + s.spec.Incarnation }
+func (s *Shares) homeID() string { return s.spec.Name + "/" + s.spec.Incarnation }
 
 // Asks returns the questions to witnesses that a request makes due. Their
 // answers are waited for, briefly, before Lease.
-func (s *Shares) Asks(now mgclock.Millis, request *mgrpc.LeaseRequest) []Ask {
+func (s *Shares) VoteRequests(now mgclock.Millis, request *mgrpc.LeaseRequest) []VoteRequest {
 	accounts := make([]string, 0, len(request.GetDemands()))
 	for _, d := range request.GetDemands() {
 		accounts = append(accounts, d.GetAccount())
 	}
-	return s.home.Asks(now, s.rank(), accounts)
+	return s.home.VoteRequests(now, s.currentRing(), accounts)
 }
 
 // SupportRequest returns the message for a question.
-func (s *Shares) SupportRequest(a Ask) *mgrpc.SupportRequest {
+func (s *Shares) SupportRequest(v VoteRequest) *mgrpc.SupportRequest {
 	r := &mgrpc.SupportRequest{
-		Home: s.id(),
-		Sets: a.Sets,
+		Home: s.homeID(),
+		Sets: v.WitnessHashes,
 	}
-	for _, slot := range a.Slots {
+	for _, slot := range v.Slots {
 		r.Slots = append(r.Slots, uint32(slot))
 	}
 	return r
 }
 
 // Said takes a witness's answer to a question sent at a time.
-func (s *Shares) Said(sent mgclock.Millis, a Ask, reply *mgrpc.SupportReply) {
-	yes := make([]int, 0, len(reply.GetSlots()))
+func (s *Shares) RecordVotes(sent mgclock.Millis, v VoteRequest, reply *mgrpc.SupportReply) {
+	granted := make([]int, 0, len(reply.GetSlots()))
 	for _, slot := range reply.GetSlots() {
-		yes = append(yes, int(slot))
+		granted = append(granted, int(slot))
 	}
-	s.home.Said(sent, a.Witness, a.Slots, yes)
+	s.home.RecordVotes(sent, v.Witness, v.Slots, granted)
 }
 
 // Support answers a home as a witness.
@@ -198,7 +198,7 @@
 		if i >= len(request.GetSets()) {
 			break
 		}
-		if s.witness.Stand(now, s.rank(), request.GetHome(), int(slot), request.GetSets()[i]) {
+		if s.witness.Vote(now, s.currentRing(), request.GetHome(), int(slot), request.GetSets()[i]) {
 			reply.Slots = append(reply.Slots, slot)
 		}
 	}
@@ -214,7 +214,7 @@
 		if !ok {
 			continue
 		}
-		slice := s.home.Grant(now, s.rank(), request.GetEntry(), d.GetAccount(), caps, Demand{
+		slice := s.home.Grant(now, s.currentRing(), request.GetEntry(), d.GetAccount(), caps, Demand{
 			Rate:    d.GetRate(),
 			Streams: int(d.GetStreams()),
 			Running: int(d.GetRunning()),
@@ -231,7 +231,7 @@
 
 // Drop gives up what a pause made worthless.
 func (s *Shares) Drop() {
-	s.holder.Drop()
+	s.holder.DropLeases()
 	s.home.Drop()
 }
 
--- a/internal/version/mgshare/shares_bench_test.go
+++ b/internal/version/mgshare/shares_bench_test.go
@@ -23,29 +23,29 @@
 	r.caps.Streams = 1000
 	r.caps.Rate = 1e6
 	for i, e := range r.entries {
-		e.wants = 5
+		e.tokensPerStep = 5
 		e.accounts = nil
 		for j := range accounts {
 			e.accounts = append(e.accounts, fmt.Sprint("account-", (i*37+j*19)%1000))
 		}
 	}
 	r.net.Run(20 * sec)
-	messages, bytes, most := r.traffic()
+	messages, bytes, maxBefore := r.traffic()
 	r.net.Run(60 * sec)
-	after, afterBytes, afterMost := r.traffic()
+	after, afterBytes, maxAfter := r.traffic()
 	per := 40 * float64(count)
 	b.ReportMetric(float64(after-messages)/per, "msg/s")
 	b.ReportMetric(float64(afterBytes-bytes)/per, "B/s")
-	b.ReportMetric(float64(afterMost-most)/40, "busiest-B/s")
+	b.ReportMetric(float64(maxAfter-maxBefore)/40, "busiest-B/s")
 }
 
 // traffic returns what all entries sent and received, and the most of one.
-func (r *region) traffic() (messages, bytes, most int) {
+func (r *region) traffic() (messages, bytes, maxBytes int) {
 	for _, e := range r.entries {
 		m, n := r.net.Traffic(e.name)
 		messages += m
 		bytes += n
-		most = max(most, n)
+		maxBytes = max(maxBytes, n)
 	}
-	return messages, bytes, most
+	return messages, bytes, maxBytes
 }
--- a/internal/version/mgshare/shares_test.go
+++ b/internal/version/mgshare/shares_test.go
@@ -29,23 +29,23 @@
 
 // entry is an entry of a region.
 type entry struct {
-	name    string
-	shares  *Shares
-	members *mgmember.Members
-	life    int
-	wants   float64 // tokens a step
+	name          string
+	shares        *Shares
+	members       *mgmember.Members
+	incarnation   int
+	tokensPerStep float64 // tokens a step
 	// accounts are those with demand
 	accounts []string
 }
 
 // region is a few entries over a net, with the accounts "a" to "d".
 type region struct {
-	net     *mgnet.Net
-	entries []*entry
-	byName  map[string]*entry
-	caps    Caps
-	worst   float64 // highest sum of slices over a cap, as a part of it
-	streams float64
+	net            *mgnet.Net
+	entries        []*entry
+	byName         map[string]*entry
+	caps           Caps
+	maxRateShare   float64 // highest sum of slices over a cap, as a part of it
+	maxStreamShare float64
 }
 
 func newRegion(seed uint64, count int) *region {
@@ -60,9 +60,9 @@
 	}
 	for i := range count {
 		e := &entry{
-			name:     fmt.Sprintf("e%03d", i),
-			wants:    50,
-			accounts: []string{"a", "b", "c", "d"},
+			name:          fmt.Sprintf("e%03d", i),
+			tokensPerStep: 50,
+			accounts:      []string{"a", "b", "c", "d"},
 		}
 		r.entries = append(r.entries, e)
 		r.byName[e.name] = e
@@ -91,63 +91,63 @@
 
 // start begins a new life of an entry.
 func (r *region) start(e *entry, fresh bool) {
-	e.life++
+	e.incarnation++
 	e.members = mgmember.New(e.name)
 	e.members.List(r.net.Now(), listOf(1, r.entries))
 	e.shares = NewShares(r.net.Now(), SharesSpec{
 		Name:        e.name,
-		Incarnation: fmt.Sprint(e.life),
+		Incarnation: fmt.Sprint(e.incarnation),
 		Region:      "r",
 		Members:     e.members,
 		Account:     func(string) (Caps, bool) { return r.caps, true },
 		Fresh:       fresh,
 	})
-	r.step(e, e.life)
+	r.step(e, e.incarnation)
 }
 
 // step is what the loop does every tenth of a second.
-func (r *region) step(e *entry, life int) {
-	if e.life != life {
+func (r *region) step(e *entry, incarnation int) {
+	if e.incarnation != incarnation {
 		return
 	}
 	now := r.net.Now()
 	e.members.Tick(now)
-	if e.wants > 0 {
+	if e.tokensPerStep > 0 {
 		for _, account := range e.accounts {
-			e.shares.Want(now, account, e.wants)
+			e.shares.RecordDemand(now, account, e.tokensPerStep)
 		}
 	}
-	for _, call := range e.shares.Due(now) {
-		r.ask(e, life, call)
+	for _, call := range e.shares.DueCalls(now) {
+		r.sendLeaseCall(e, incarnation, call)
 	}
-	r.net.At(now+stepSpan, e.name, func() { r.step(e, life) })
+	r.net.At(now+stepInterval, e.name, func() { r.step(e, incarnation) })
 }
 
 // ask carries a call to its home and back.
-func (r *region) ask(e *entry, life int, call LeaseCall) {
+func (r *region) sendLeaseCall(e *entry, incarnation int, call LeaseCall) {
 	home := r.byName[call.Home]
-	over := false
+	finished := false
 	finish := func(reply *mgrpc.LeaseReply) {
-		if over || e.life != life {
+		if finished || e.incarnation != incarnation {
 			return
 		}
-		over = true
+		finished = true
 		if reply == nil {
 			e.members.Failed(r.net.Now(), call.Home)
 		} else {
 			e.members.Answered(r.net.Now(), call.Home)
 		}
-		e.shares.Answered(r.net.Now(), call, reply)
+		e.shares.HandleReply(r.net.Now(), call, reply)
 		r.check()
 	}
 	r.net.At(r.net.Now()+leaseTimeout, e.name, func() { finish(nil) })
 	r.net.Send(e.name, home.name, proto.Size(call.Request)+httpBytes, func() {
-		serving := home.life
-		for _, a := range home.shares.Asks(r.net.Now(), call.Request) {
-			r.askWitness(home, a)
+		homeIncarnation := home.incarnation
+		for _, a := range home.shares.VoteRequests(r.net.Now(), call.Request) {
+			r.sendVoteRequest(home, a)
 		}
 		r.net.At(r.net.Now()+supportTimeout, home.name, func() {
-			if home.life != serving {
+			if home.incarnation != homeIncarnation {
 				return
 			}
 			reply := home.shares.Lease(r.net.Now(), call.Request)
@@ -156,14 +156,14 @@
 	})
 }
 
-func (r *region) askWitness(home *entry, a Ask) {
-	w, life, sent := r.byName[a.Witness], home.life, r.net.Now()
+func (r *region) sendVoteRequest(home *entry, a VoteRequest) {
+	w, incarnation, sent := r.byName[a.Witness], home.incarnation, r.net.Now()
 	request := home.shares.SupportRequest(a)
 	r.net.Send(home.name, w.name, proto.Size(request)+httpBytes, func() {
 		reply := w.shares.Support(r.net.Now(), request)
 		r.net.Send(w.name, home.name, proto.Size(reply)+httpBytes, func() {
-			if home.life == life {
-				home.shares.Said(sent, a, reply)
+			if home.incarnation == incarnation {
+				home.shares.RecordVotes(sent, a, reply)
 			}
 		})
 	})
@@ -178,13 +178,13 @@
 			rate += s.Rate
 			streams += s.Streams
 		}
-		r.worst = max(r.worst, rate/r.caps.Rate)
-		r.streams = max(r.streams, float64(streams)/float64(r.caps.Streams))
+		r.maxRateShare = max(r.maxRateShare, rate/r.caps.Rate)
+		r.maxStreamShare = max(r.maxStreamShare, float64(streams)/float64(r.caps.Streams))
 	}
 }
 
 // rate returns what the entries may use of account "a" together.
-func (r *region) rate() float64 {
+func (r *region) totalRate() float64 {
 	total := 0.0
 	for _, e := range r.entries {
 		total += e.shares.Slice(r.net.Now(), "a").Rate
@@ -193,35 +193,35 @@
 }
 
 // mean returns the mean of rate over a span to come.
-func (r *region) mean(span mgclock.Millis) float64 {
+func (r *region) meanRate(duration mgclock.Millis) float64 {
 	total := 0.0
-	const looks = 50
-	for range looks {
-		r.net.Run(r.net.Now() + span/looks)
-		total += r.rate()
+	const samples = 50
+	for range samples {
+		r.net.Run(r.net.Now() + duration/samples)
+		total += r.totalRate()
 	}
-	return total / looks
+	return total / samples
 }
 
 func TestLeases(t *testing.T) {
 	Convey("A region of six entries", t, func() {
 		r := newRegion(1, 6)
 		r.net.Run(10 * sec)
-		home := r.entries[0].shares.rank().Home(r.entries[0].members.View(), "a").Name()
+		home := r.entries[0].shares.currentRing().Home(r.entries[0].members.View(), "a").Name()
 
 		Convey("uses the whole cap where there is demand", func() {
-			So(r.mean(5*sec), ShouldBeBetween, 950, 1000.1)
+			So(r.meanRate(5*sec), ShouldBeBetween, 950, 1000.1)
 		})
 		Convey("gives one busy entry its 500 and half of what nobody asks for", func() {
 			for _, e := range r.entries[1:] {
-				e.wants = 0
+				e.tokensPerStep = 0
 			}
 			r.net.Run(30 * sec)
 			So(r.entries[0].shares.Slice(r.net.Now(), "a").Rate, ShouldBeBetween, 700, 750)
 		})
 		Convey("costs nothing for accounts without demand", func() {
 			for _, e := range r.entries {
-				e.wants = 0
+				e.tokensPerStep = 0
 			}
 			r.net.Run(40 * sec)
 			for _, e := range r.entries {
@@ -234,14 +234,14 @@
 			// next in the ranking takes over once the words to it have run out.
 			r.net.Pause(home, 60*sec)
 			r.net.Run(30 * sec)
-			So(r.mean(5*sec), ShouldBeGreaterThan, 600)
+			So(r.meanRate(5*sec), ShouldBeGreaterThan, 600)
 		})
 		Convey("gives up its leases on a pause by the clock", func() {
 			r.net.Pause("e003", 6*sec)
 			r.net.Run(15 * sec)
-			So(r.entries[3].shares.Slice(r.net.Now(), "a").Rate, ShouldAlmostEqual, 1000*reserve/6, 1)
+			So(r.entries[3].shares.Slice(r.net.Now(), "a").Rate, ShouldAlmostEqual, 1000*reservedShare/6, 1)
 			r.entries[0].shares.Drop()
-			So(r.entries[0].shares.Slice(r.net.Now(), "a").Rate, ShouldAlmostEqual, 1000*reserve/6, 1)
+			So(r.entries[0].shares.Slice(r.net.Now(), "a").Rate, ShouldAlmostEqual, 1000*reservedShare/6, 1)
 		})
 		Convey("serves less, but never nothing, on both sides of a partition", func() {
 			left := map[string]bool{"e000": true, "e001": true, "e002": true}
@@ -250,13 +250,13 @@
 			for _, e := range r.entries {
 				So(e.shares.Slice(r.net.Now(), "a").Rate, ShouldBeGreaterThan, 0)
 			}
-			So(r.mean(5*sec), ShouldBeBetween, 600, 1000.1)
+			So(r.meanRate(5*sec), ShouldBeBetween, 600, 1000.1)
 			r.net.Cut(0, nil)
 			// Suspicions of 30 s and words of 16 s run out first.
 			r.net.Run(85 * sec)
-			So(r.mean(5*sec), ShouldBeGreaterThan, 950)
+			So(r.meanRate(5*sec), ShouldBeGreaterThan, 950)
 		})
-		So(r.worst, ShouldBeLessThanOrEqualTo, 1+1e-9)
+		So(r.maxRateShare, ShouldBeLessThanOrEqualTo, 1+1e-9)
 	})
 }
 
@@ -264,39 +264,39 @@
 // restart. An account's leases must never add up to more than its cap: a customer
 // would pay for what it didn't buy, at the cost of the others.
 func TestOverAdmission(t *testing.T) {
-	worst, streams, mean := 0.0, 0.0, 0.0
+	maxRateShare, maxStreamShare, mean := 0.0, 0.0, 0.0
 	for seed := range *schedules {
 		r := leaseSchedule(uint64(seed), false)
-		worst = max(worst, r.worst)
-		streams = max(streams, r.streams)
-		mean += r.rate() / r.caps.Rate / float64(*schedules)
-		if r.worst > 1+1e-9 || r.streams > 1 {
-			t.Errorf("seed %d: rate %.4f and streams %.4f of the cap", seed, r.worst, r.streams)
+		maxRateShare = max(maxRateShare, r.maxRateShare)
+		maxStreamShare = max(maxStreamShare, r.maxStreamShare)
+		mean += r.totalRate() / r.caps.Rate / float64(*schedules)
+		if r.maxRateShare > 1+1e-9 || r.maxStreamShare > 1 {
+			t.Errorf("seed %d: rate %.4f and streams %.4f of the cap", seed, r.maxRateShare, r.maxStreamShare)
 		}
 	}
 	t.Logf("%d schedules: highest sum %.4f of the rate, %.4f of the streams; after the heal %.3f in use",
-		*schedules, worst, streams, mean)
+		*schedules, maxRateShare, maxStreamShare, mean)
 }
 
 // TestListChanges measures the known bound: the list loses entries on one side of
 // a partition only. The sum may exceed the cap by the witnesses that differ.
-func TestListChanges(t *testing.T) {
-	worst, over := 0.0, 0
+func TestDifferentListsExceedCap(t *testing.T) {
+	maxRateShare, exceeded := 0.0, 0
 	for seed := range *schedules {
 		r := leaseSchedule(uint64(seed), true)
-		worst = max(worst, r.worst)
-		if r.worst > 1+1e-9 {
-			over++
+		maxRateShare = max(maxRateShare, r.maxRateShare)
+		if r.maxRateShare > 1+1e-9 {
+			exceeded++
 		}
 	}
-	t.Logf("%d schedules with lists that differ: highest sum %.4f of the rate, over the cap in %d", *schedules, worst, over)
-	if worst > 2 {
-		t.Errorf("the sum reached %.4f of the cap", worst)
+	t.Logf("%d schedules with lists that differ: highest sum %.4f of the rate, over the cap in %d", *schedules, maxRateShare, exceeded)
+	if maxRateShare > 2 {
+		t.Errorf("the sum reached %.4f of the cap", maxRateShare)
 	}
 }
 
 // leaseSchedule runs forty seconds of faults and twenty of heal.
-func leaseSchedule(seed uint64, lists bool) *region {
+func leaseSchedule(seed uint64, changeLists bool) *region {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	r := newRegion(seed, 6)
 	version := uint64(1)
@@ -316,8 +316,8 @@
 		case 5:
 			r.start(e, false)
 		case 6:
-			e.wants = float64(rng.IntN(100))
-			if lists {
+			e.tokensPerStep = float64(rng.IntN(100))
+			if changeLists {
 				version++
 				e.members.List(r.net.Now(), listOf(version, r.entries[:3+rng.IntN(4)]))
 			}
@@ -325,7 +325,7 @@
 	}
 	r.net.Cut(0, nil)
 	for _, e := range r.entries {
-		e.wants = 50
+		e.tokensPerStep = 50
 		e.members.List(r.net.Now(), listOf(version+1, r.entries))
 	}
 	r.net.Run(r.net.Now() + 40*sec)
@@ -361,7 +361,7 @@
 		slice, capped := loop.Acquire(ctx, "a", 50)
 		So(capped, ShouldBeTrue)
 		So(slice.Rate, ShouldBeGreaterThan, 400)
-		So(slice.Streams, ShouldEqual, openStreams)
+		So(slice.Streams, ShouldEqual, unlimitedStreams)
 		_, capped = loop.Acquire(ctx, "b", 50)
 		So(capped, ShouldBeFalse)
 		loop.Drop()
--- a/internal/version/mgshare/witness.go
+++ b/internal/version/mgshare/witness.go
@@ -6,43 +6,43 @@
 	// wordLife is how long a witness stands by a home. It must exceed the longest
 	// lease by the age at which a home renews a word, and it bounds how long the
 	// accounts of a home that crashed have no new leases.
-	wordLife = 16 * mgclock.Second
+	voteTTL = 16 * mgclock.Second
 	// wordSpan is the age at which a home renews a word. It leaves a second for
 	// another try before long leases would have to be refused.
-	wordSpan = 5 * mgclock.Second
+	voteRenewAge = 5 * mgclock.Second
 	// wordRetry is the interval of tries.
-	wordRetry = mgclock.Second
+	voteRetryInterval = mgclock.Second
 )
 
 // A Witness stands by homes. The zero Witness has never promised anything.
 type Witness struct {
-	words [slots]word
-	quiet mgclock.Millis // until when it says no
+	votes        [slotCount]vote
+	refusesUntil mgclock.Millis // until when it says no
 }
 
 // word is a promise to stand by one home.
-type word struct {
-	home  string
-	until mgclock.Millis
+type vote struct {
+	home      string
+	expiresAt mgclock.Millis
 }
 
 // Begin makes a witness say no for the life of a word. A process that has just
 // started may have been a witness before and doesn't know what it promised; two
 // homes would count it.
-func (w *Witness) Begin(now mgclock.Millis) { w.quiet = now + wordLife }
+func (w *Witness) RefuseAtStart(now mgclock.Millis) { w.refusesUntil = now + voteTTL }
 
 // Stand answers a home and reports whether the witness stands by it. Set is the
 // hash of the slot's witnesses as the home ranks them: where the two disagree,
 // one of them has an old list, and the shares of two homes might not add up.
-func (w *Witness) Stand(now mgclock.Millis, ring *Ring, home string, slot int, set uint64) bool {
-	if now < w.quiet || slot < 0 || slot >= slots || ring.hashes[slot] != set {
+func (w *Witness) Vote(now mgclock.Millis, ring *Ring, home string, slot int, witnessHash uint64) bool {
+	if now < w.refusesUntil || slot < 0 || slot >= slotCount || ring.witnessHashes[slot] != witnessHash {
 		return false
 	}
-	p := &w.words[slot]
-	if p.home != home && now < p.until {
+	v := &w.votes[slot]
+	if v.home != home && now < v.expiresAt {
 		return false
 	}
-	p.home = home
-	p.until = now + wordLife
+	v.home = home
+	v.expiresAt = now + voteTTL
 	return true
 }
