--- a/internal/version/mgshare/doc.go
+++ b/internal/version/mgshare/doc.go
@@ -1,48 +1,49 @@
 // Package mgshare divides an account's caps among the entries of a region.
 //
-// Caps are leased for a few seconds by the account's home, one of the entries.
-// Nobody is elected and nothing is stored: who is home follows from the list of
-// VMs, and what a home may hand out follows from how many of a few witnesses
-// stand by it at present.
+// Caps are leased for a few seconds by the account's home, one of the entries. No
+// leader is elected and nothing is stored: the home follows from the list of VMs, and
+// the amount that a home may lease follows from the number of witnesses that currently
+// vote for it.
 //
 // # How the sum stays under the cap
 //
-// Accounts hash to slots. The first five listed entries of a rendezvous ranking
-// are a slot's witnesses; its home is the first of them that is not known to be
-// dead or leaving. A witness stands by one home at a time and by the next only
-// when its word to the last has run out. A home with f of k witnesses hands out
-// at most f/k of the cap, in leases that end before the words that carry them.
-// So two homes that believe in themselves, on two sides of a partition, hand out
-// no more than the cap together. Each entry may use a fixed small part of the
-// cap without a lease, which is set aside beforehand.
+// Accounts hash to slots. The first five listed entries of a rendezvous ranking are a
+// slot's witnesses; its home is the first of them that is not known to be dead or
+// leaving. A witness votes for one home at a time, and for the next only when its vote
+// for the last has expired. A home with f of k votes leases at most f/k of the cap, in
+// leases that end before the votes that they depend on. So two processes that both
+// compute themselves as the home, on two sides of a partition, never lease more than
+// the cap together. Each entry may use a fixed small part of the cap without a lease,
+// which is set aside beforehand.
 //
-// A heartbeat of every entry with every other would carry the same at 120 entries
-// a region, for 24 messages a second; witnesses cost a few.
+// Heartbeats between all pairs of entries would serve the same purpose for 24 messages
+// a second at 120 entries a region; votes cost a few.
 //
-// Every span counts from when a request was sent, on the clock of whoever sent
-// it, and to when it was answered on the clock of whoever answers, so that delay
-// only shortens what is granted. A paused process finds its leases and words run
-// out by its clock, or drops them through mgmember's Pause.
+// Every TTL counts from when a request was sent, on the clock of the sender, and until
+// it was answered on the clock of the receiver, so that delay only shortens what is
+// granted. A paused process finds its leases and votes expired by its clock, or drops
+// them through mgmember's Pause.
 //
 // # Known bounds
 //
 //   - A list of VMs that differs between two sides of a partition can differ in
 //     a slot's witnesses; the sum may then exceed the cap by the share of the
-//     witnesses that differ, until the heal.
-//   - After a crash of a home its accounts have no new leases for the life of a
-//     word, and after the heal of a partition less than the cap until the last
-//     suspicion and then the last word to the lesser home have run out: 16 s and
-//     46 s at most. What is given up is capacity, not the bound.
-//   - Streams that run when a lease ends run on; a home counts those reported.
-//   - A witness that restarts says no for the length of a word, as it can't know
-//     what it promised. After a mass restart leases begin after that span.
+//     witnesses that differ, until the partition heals.
+//   - After a crash of a home its accounts get no new leases for the TTL of a
+//     vote, and after a partition has healed less than the cap until the last
+//     suspicion and then the last vote for the lesser home have expired: at most 16 s
+//     and 46 s. The cost is capacity; the sum stays under the cap.
+//   - Streams that run when a lease ends continue; a home counts those reported.
+//   - A witness that restarts refuses its vote for the TTL of a vote, because it can't know
+//     its earlier votes. After a mass restart leases start after that time.
 //
 // # Terms
 //
 //   - lease: a slice of an account's caps, for one entry, for a short time.
 //   - home: the entry that leases the caps of a slot's accounts.
-//   - witness, word: an entry that stands by a home, and for how long.
-//   - demand: what an entry's callers asked for lately.
+//   - witness, vote: an entry whose votes, each valid for a TTL, entitle a home to
+//     lease. A request for votes is a Support call.
+//   - demand: what an entry's callers asked for recently.
 //
 // # References
 //
--- a/internal/version/mgshare/holder.go
+++ b/internal/version/mgshare/holder.go
@@ -4,40 +4,40 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// demandSpan is the window over which demand is counted.
+// demandWindow is the window over which demand is counted.
 const demandWindow = contendedLeaseTTL
 
-// openRate and openStreams stand for a cap that an account doesn't have: the
-// table's bounds, finite so that sums stay numbers.
+// unlimitedRate and unlimitedStreams replace a cap that an account doesn't have: the
+// table's bounds, finite so that sums stay finite.
 const (
 	unlimitedRate    = 1e9
 	unlimitedStreams = 1_000_000
 )
 
-// renewPart is the part of a lease's life, one in three, that is left when it is
-// renewed. With one in four the slices of a contended account lapsed for a
-// twentieth of the time between the end of a lease and its renewal.
+// renewDivisor gives the remaining part of a lease's TTL, one in three, at which it is
+// renewed. With one in four, the slices of a contended account lapsed for a twentieth
+// of the time between the end of a lease and its renewal.
 const renewDivisor = 3
 
-// A Holder keeps the leases of one entry. The zero Holder has none.
+// A Holder holds the leases of one entry. The zero Holder has none.
 type Holder struct {
 	accounts map[string]*heldLease
 }
 
-// held is the lease of one account, and what its callers ask for.
+// heldLease is the lease of one account and the demand of its callers.
 type heldLease struct {
 	caps           Caps
 	slice          Slice
-	ttl            mgclock.Millis // of the lease, to tell when to renew it
-	requestPending bool           // a request is under way
-	retryAt        mgclock.Millis // not before
+	ttl            mgclock.Millis // of the lease, to compute when to renew it
+	requestPending bool           // a request is in progress
+	retryAt        mgclock.Millis // earliest time of the next request
 	running        int
 	starts         window
 	tokens         window
 	lastDemandAt   mgclock.Millis
 }
 
-// window counts over the present and the last span.
+// window counts over the current and the previous demandWindow.
 type window struct {
 	since             mgclock.Millis
 	current, previous float64
@@ -48,7 +48,7 @@
 	w.current += x
 }
 
-// turn begins a new span when the present one is over.
+// advance starts a new window when the current one is over.
 func (w *window) advance(now mgclock.Millis) {
 	elapsed := (now - w.since) / demandWindow
 	if elapsed <= 0 {
@@ -62,13 +62,13 @@
 	w.since += elapsed * demandWindow
 }
 
-// sum returns the greater of the two spans' counts.
+// count returns the greater count of the two windows.
 func (w *window) count(now mgclock.Millis) float64 {
 	w.advance(now)
 	return max(w.current, w.previous)
 }
 
-// Want notes that a caller of an account asks for a start that is expected to
+// RecordDemand records that a caller of an account requests a start that is expected to
 // cost some tokens.
 func (h *Holder) RecordDemand(now mgclock.Millis, account string, caps Caps, tokens float64) {
 	if h.accounts == nil {
@@ -85,15 +85,15 @@
 	a.tokens.add(now, tokens)
 }
 
-// Running notes how many streams of an account run.
+// SetRunning records how many streams of an account run.
 func (h *Holder) SetRunning(account string, count int) {
 	if a := h.accounts[account]; a != nil {
 		a.running = count
 	}
 }
 
-// Slice returns what the entry may use of an account: its lease while it lasts,
-// and the fixed part. A cap of 0 stands for none and is not limited.
+// Slice returns what the entry may use of an account: its lease while that is valid,
+// plus the fixed part. A cap of 0 means no limit.
 func (h *Holder) Slice(now mgclock.Millis, account string, caps Caps, entries int) Slice {
 	slice := Slice{
 		Rate:    fixedRate(caps.Rate, entries),
@@ -114,14 +114,14 @@
 	return slice
 }
 
-// Leased reports whether a lease of the account is valid.
+// HasLease reports whether a lease of the account is valid.
 func (h *Holder) HasLease(now mgclock.Millis, account string) bool {
 	a := h.accounts[account]
 	return a != nil && now < a.slice.End
 }
 
-// Due returns the accounts whose leases are to be asked for now. Accounts
-// without demand are forgotten and cost nothing more.
+// DueAccounts returns the accounts whose leases must be requested now. Accounts without
+// demand are dropped and cost nothing more.
 func (h *Holder) DueAccounts(now mgclock.Millis) []string {
 	var due []string
 	for name, a := range h.accounts {
@@ -136,7 +136,8 @@
 	return due
 }
 
-// Ask returns the demand to send for an account, which counts as asked for.
+// StartRequest returns the demand to send for an account and marks its request as in
+// progress.
 func (h *Holder) StartRequest(now mgclock.Millis, account string) Demand {
 	a := h.accounts[account]
 	if a == nil {
@@ -151,8 +152,8 @@
 	}
 }
 
-// Granted takes the answer to a request sent at a time. The slice's End is a
-// span. A nil slice stands for no answer.
+// HandleGrant handles the answer to a request that was sent at a given time. The
+// slice's End is a duration. A nil slice means no answer.
 func (h *Holder) HandleGrant(now, sent mgclock.Millis, account string, slice *Slice) {
 	a := h.accounts[account]
 	if a == nil {
@@ -171,8 +172,8 @@
 	}
 }
 
-// Drop gives up all leases, as after a pause: by the clock that stood still they
-// would seem valid.
+// DropLeases gives up all leases, as after a pause: by a clock that stopped they would
+// seem valid.
 func (h *Holder) DropLeases() {
 	for _, a := range h.accounts {
 		a.slice = Slice{}
@@ -180,5 +181,5 @@
 	}
 }
 
-// Len returns the number of accounts that cost memory.
+// Len returns the number of accounts held in memory.
 func (h *Holder) Len() int { return len(h.accounts) }
--- a/internal/version/mgshare/home.go
+++ b/internal/version/mgshare/home.go
@@ -8,58 +8,58 @@
 )
 
 const (
-	// leaseShort is the life of a lease while an account's demand comes near its
-	// cap, so that slices follow the demand; leaseLong while it doesn't, so that
-	// the many accounts that are far from their caps cost few messages.
+	// contendedLeaseTTL is the TTL of a lease while an account's demand is near its
+	// cap, so that slices follow the demand; uncontendedLeaseTTL applies otherwise, so
+	// that the many accounts that are far from their caps cost few messages.
 	contendedLeaseTTL   = 2 * mgclock.Second
 	uncontendedLeaseTTL = 10 * mgclock.Second
-	// leaseScarce is the life of a lease that is less than the entry's fair part,
-	// so that it asks again as soon as the rest is free.
+	// scarceLeaseTTL is the TTL of a lease of less than the entry's fair share, so that
+	// the entry requests again as soon as the rest is free.
 	scarceLeaseTTL = 600 * mgclock.Millis(1)
-	// reserve is the part of a cap that entries may use without a lease, all of
-	// them together. It is what remains to an account whose home is lost.
+	// reservedShare is the share of a cap that all entries together may use without a
+	// lease. It is what remains to an account whose home is lost.
 	reservedShare = 0.1
-	// forgetSpan is how long an account without demand is remembered.
+	// idleAccountTTL is how long an account without demand is kept.
 	idleAccountTTL = 10 * mgclock.Second
 )
 
-// Caps are an account's caps in the table; 0 stands for none.
+// Caps are an account's caps in the table; 0 means no cap.
 type Caps struct {
 	Rate    float64 // tokens/s
-	Streams int     // at once
+	Streams int     // concurrent
 }
 
-// Demand is what an entry's callers asked for lately.
+// Demand is what an entry's callers asked for recently.
 type Demand struct {
 	Rate    float64 // tokens/s
-	Streams int     // wanted, those that run included
-	Running int     // streams
+	Streams int     // wanted, including running ones
+	Running int     // running streams
 }
 
 // Slice is a part of an account's caps until a time.
 type Slice struct {
 	Rate    float64 // tokens/s
-	Streams int     // at once
+	Streams int     // concurrent
 	End     mgclock.Millis
 }
 
-// A Home leases the caps of the slots of which it is home. The zero Home has
-// leased nothing.
+// A Home leases the caps of the slots of which it is home. The zero Home has leased
+// nothing.
 type Home struct {
 	slots    [slotCount]homeSlot
 	accounts map[string]*accountLeases
 }
 
-// homeSlot is what the witnesses of a slot said.
+// homeSlot holds a slot's witnesses and their votes.
 type homeSlot struct {
 	witnesses         []string
 	witnessHash       uint64
 	previousWitnesses []string       // the witnesses before the last change
-	changedAt         mgclock.Millis // when the set changed
+	changedAt         mgclock.Millis // time when the witnesses changed
 	votes             map[string]voteState
 }
 
-// said is a witness's word, by the time at which it was asked for.
+// voteState is a witness's last vote, dated by when it was requested.
 type voteState struct {
 	sentAt       mgclock.Millis
 	granted      bool
@@ -67,20 +67,20 @@
 	wasRequested bool
 }
 
-// leased is what entries hold of an account.
+// accountLeases holds the leases of an account, by entry.
 type accountLeases struct {
 	holders       map[string]*grant
 	lastRequestAt mgclock.Millis
 }
 
-// grant is what one entry holds: one of the slices that have not ended. Which of
-// them can't be told, as replies get lost and overtake each other.
+// grant holds what one entry may hold: one of the slices that have not ended. Which of
+// them is unknown, because replies get lost and overtake each other.
 type grant struct {
 	demand Demand
-	slices []Slice // End is a time here
+	slices []Slice // End is an absolute time here
 }
 
-// Ask is a question of a home to a witness.
+// VoteRequest is a request of a home for a witness's votes.
 type VoteRequest struct {
 	Witness       string
 	Addr          string
@@ -88,7 +88,7 @@
 	WitnessHashes []uint64
 }
 
-// Asks returns the questions that are due before the accounts can be leased.
+// VoteRequests returns the requests that are due before the accounts can be leased.
 func (h *Home) VoteRequests(now mgclock.Millis, ring *Ring, accounts []string) []VoteRequest {
 	byWitness := make(map[string]*VoteRequest)
 	var order []string
@@ -124,7 +124,8 @@
 	return requests
 }
 
-// due reports whether a witness is to be asked now, and notes that it is.
+// shouldRequestVote reports whether a vote of a witness must be requested now, and
+// records that it is.
 func (s *homeSlot) shouldRequestVote(now mgclock.Millis, witness string) bool {
 	v := s.votes[witness]
 	isFresh := v.granted && now < v.sentAt+voteRenewAge
@@ -137,7 +138,7 @@
 	return true
 }
 
-// slot returns a slot with the witnesses that the ring has for it.
+// slot returns a slot, updated to the witnesses in the ring.
 func (h *Home) slot(now mgclock.Millis, ring *Ring, slot int) *homeSlot {
 	s := &h.slots[slot]
 	if s.votes == nil {
@@ -152,7 +153,7 @@
 	return s
 }
 
-// Said takes a witness's answer to a question sent at a time.
+// RecordVotes records a witness's answer to a request that was sent at a given time.
 func (h *Home) RecordVotes(sent mgclock.Millis, witness string, requested, granted []int) {
 	for _, slot := range requested {
 		s := &h.slots[slot]
@@ -170,8 +171,9 @@
 	}
 }
 
-// fraction returns the part of the caps that leases may add up to which end at a
-// time. While the witnesses change, the lesser of both sets counts.
+// voteFraction returns the fraction of the caps up to which leases that end at a given
+// time may be granted. While the witnesses change, the lesser fraction of both sets
+// counts.
 func (s *homeSlot) voteFraction(now, end mgclock.Millis) float64 {
 	fraction := s.fractionOf(s.witnesses, end)
 	if len(s.previousWitnesses) > 0 && now < s.changedAt+voteTTL {
@@ -193,7 +195,7 @@
 	return float64(count) / float64(len(witnesses))
 }
 
-// Grant leases a slice to an entry. The slice's End is a span from now.
+// Grant leases a slice to an entry. The slice's End is a duration from now.
 func (h *Home) Grant(now mgclock.Millis, ring *Ring, entry, account string, caps Caps, demand Demand) Slice {
 	s := h.slot(now, ring, slotOf(account))
 	a := h.account(now, account)
@@ -214,21 +216,21 @@
 		End:     ttl,
 	}
 	if fraction < 1 || slice.Rate < fairRate || slice.Streams < fairStreams {
-		// What others still hold comes free as their leases end.
+		// The slices that others still hold become free as their leases end.
 		slice.End = scarceLeaseTTL
 	}
 	g.addSlice(now, slice)
 	return slice
 }
 
-// hold notes a slice that the entry may hold from now on.
+// addSlice records a slice that the entry may hold from now on.
 func (g *grant) addSlice(now mgclock.Millis, slice Slice) {
 	g.dropExpired(now)
 	slice.End += now
 	g.slices = append(g.slices, slice)
 }
 
-// prune drops the slices that have ended.
+// dropExpired drops the slices that have ended.
 func (g *grant) dropExpired(now mgclock.Millis) {
 	kept := g.slices[:0]
 	for _, s := range g.slices {
@@ -239,7 +241,7 @@
 	g.slices = kept
 }
 
-// most returns the most that the entry may hold.
+// maxHeld returns the maximum that the entry may hold.
 func (g *grant) maxHeld(now mgclock.Millis) (rate float64, streams int) {
 	for _, s := range g.slices {
 		if now < s.End {
@@ -250,7 +252,7 @@
 	return rate, streams
 }
 
-// free returns what is left of the caps beside what other entries hold.
+// available returns what the slices that other entries may hold leave of the caps.
 func (a *accountLeases) available(now mgclock.Millis, entry string, caps Caps, fraction float64, entries int) (float64, int) {
 	rate := caps.Rate * (1 - reservedShare) * fraction
 	streams := leasable(caps.Streams, fraction, entries)
@@ -265,8 +267,8 @@
 	return max(0, rate), max(0, streams)
 }
 
-// leasable returns the streams that may be leased: what the fixed parts of all
-// entries leave.
+// leasable returns the streams that may be leased: what the fixed parts of all entries
+// leave.
 func leasable(streams int, fraction float64, entries int) int {
 	left := streams - entries*fixedStreams(streams, entries)
 	return int(math.Floor(float64(left)*fraction + 1e-9))
@@ -282,7 +284,7 @@
 	return rate * reservedShare / float64(max(1, entries))
 }
 
-// account returns an account without the holders that went away.
+// account returns an account without the entries whose leases have ended.
 func (h *Home) account(now mgclock.Millis, name string) *accountLeases {
 	if h.accounts == nil {
 		h.accounts = make(map[string]*accountLeases)
@@ -304,7 +306,7 @@
 	return a
 }
 
-// ttl returns the life of the account's leases.
+// ttl returns the TTL of the account's leases.
 func (a *accountLeases) ttl(caps Caps) mgclock.Millis {
 	rate, streams := 0.0, 0
 	for _, g := range a.holders {
@@ -317,8 +319,8 @@
 	return uncontendedLeaseTTL
 }
 
-// fairRate returns an entry's max-min fair part of a total. What nobody asks
-// for is spread over all, so that a burst finds room before the next renewal.
+// maxMinRate returns an entry's max-min fair share of a total. Unrequested capacity is
+// spread over all, so that a burst can use it before the next renewal.
 func (a *accountLeases) maxMinRate(entry string, total float64) float64 {
 	demands := make(map[string]float64, len(a.holders))
 	for name, g := range a.holders {
@@ -335,8 +337,8 @@
 	return int(math.Ceil(maxMinShare(entry, demands, float64(total)) - 1e-9))
 }
 
-// fair fills the smallest demands first and shares out what is left evenly, with
-// one part kept for an entry that comes next.
+// maxMinShare fills the smallest demands first and splits the rest evenly, with one
+// part kept for an entry that comes next.
 func maxMinShare(entry string, demands map[string]float64, total float64) float64 {
 	order := make([]string, 0, len(demands))
 	for name := range demands {
@@ -360,7 +362,7 @@
 	return share + max(0, left)/float64(len(order)+1)
 }
 
-// Forget drops accounts without demand. It returns how many are left.
+// Forget drops accounts without demand and returns the number of those left.
 func (h *Home) Forget(now mgclock.Millis) int {
 	for name, a := range h.accounts {
 		if now >= a.lastRequestAt+idleAccountTTL {
@@ -370,8 +372,8 @@
 	return len(h.accounts)
 }
 
-// Drop forgets what the witnesses said, as after a pause. What entries hold is
-// kept: it ends by the clock.
+// Drop drops the witnesses' votes, as after a pause. The entries' slices are kept,
+// because they end by the clock.
 func (h *Home) Drop() {
 	for i := range h.slots {
 		h.slots[i].votes = nil
--- a/internal/version/mgshare/loop.go
+++ b/internal/version/mgshare/loop.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// stepSpan is the interval at which leases that are due are asked for.
+	// stepInterval is the interval at which due leases are requested.
 	stepInterval = 100 * mgclock.Millis(1)
-	// leaseTimeout and supportTimeout bound the calls. A home waits for its
-	// witnesses inside of a lease call.
+	// leaseTimeout and supportTimeout are the timeouts of the calls. A home waits for
+	// its witnesses during a lease call.
 	leaseTimeout   = 500 * mgclock.Millis(1)
 	supportTimeout = 150 * mgclock.Millis(1)
 )
 
-// A LoopSpec joins shares to the outside.
+// A LoopSpec connects shares to the clock and to peers.
 type LoopSpec struct {
 	Shares SharesSpec
 	Clock  mgclock.Clock
@@ -27,18 +27,18 @@
 	Support func(ctx context.Context, addr string, r *mgrpc.SupportRequest) (*mgrpc.SupportReply, error)
 }
 
-// A Loop keeps an entry's leases and serves its peers.
+// A Loop renews an entry's leases and serves its peers.
 type Loop struct {
 	spec LoopSpec
 
 	mu           sync.Mutex
 	shares       *Shares
-	dropCount    int           // answers to calls made before a drop are not taken
+	dropCount    int           // number of calls to Drop; answers to calls made before one are discarded
 	answered     chan struct{} // closed and replaced with each answer
 	callsRunning sync.WaitGroup
 }
 
-// NewLoop returns a loop. It asks for nothing until Run.
+// NewLoop returns a loop. It requests nothing until Run.
 func NewLoop(spec LoopSpec) *Loop {
 	return &Loop{
 		spec:     spec,
@@ -47,7 +47,7 @@
 	}
 }
 
-// Run asks for leases until ctx ends, and returns once its calls have.
+// Run requests leases until ctx ends, and returns once its calls have returned.
 func (l *Loop) Run(ctx context.Context) {
 	for l.spec.Clock.Sleep(ctx, stepInterval) {
 		l.startDueCalls(ctx)
@@ -55,7 +55,7 @@
 	l.callsRunning.Wait()
 }
 
-// step makes the calls that are due.
+// startDueCalls starts the calls that are due.
 func (l *Loop) startDueCalls(ctx context.Context) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,7 +69,7 @@
 	}
 }
 
-// ask makes one call and takes its answer.
+// callHome makes one call and handles its answer.
 func (l *Loop) callHome(ctx context.Context, call LeaseCall, dropCount int) {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout.Duration())
 	defer cancel()
@@ -99,10 +99,10 @@
 	l.answered = make(chan struct{})
 }
 
-// Acquire notes a caller's wish for a start that is expected to cost tokens, and
-// returns the slice of the account once a lease is valid, or the fixed part when
-// ctx ends before. It returns false for an account without caps. An account that
-// was idle waits for one call to its home.
+// Acquire records a caller's request for a start that is expected to cost tokens, and
+// returns the slice of the account once a lease is valid, or the fixed part if ctx ends
+// before. It returns false for an account without caps. An account that was idle waits
+// for one call to its home.
 func (l *Loop) Acquire(ctx context.Context, account string, tokens float64) (Slice, bool) {
 	if _, capped := l.spec.Shares.Account(account); !capped {
 		return Slice{}, false
@@ -123,8 +123,8 @@
 	}
 }
 
-// look returns the slice of an account, whether it is a valid lease, and the
-// channel of the next answer.
+// currentSlice returns the slice of an account, whether it is a valid lease, and a
+// channel that is closed at the next answer.
 func (l *Loop) currentSlice(account string) (Slice, bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,7 +139,7 @@
 	return l.shares.Slice(l.spec.Clock.Now(), account)
 }
 
-// Running notes how many streams of an account run.
+// Running records how many streams of an account run.
 func (l *Loop) Running(account string, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,22 +154,22 @@
 	l.shares.Drop()
 }
 
-// Status returns the state for the dump.
+// Status returns the state for the debug dump.
 func (l *Loop) Status() Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.shares.Status()
 }
 
-// Support serves a home's question.
+// Support answers a home's request for votes.
 func (l *Loop) Support(_ context.Context, r *mgrpc.SupportRequest) (*mgrpc.SupportReply, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.shares.Support(l.spec.Clock.Now(), r), nil
 }
 
-// Lease serves an entry's request. It asks the witnesses first where their words
-// are old.
+// Lease answers an entry's request for leases. It first requests the witnesses' votes
+// that have to be renewed.
 func (l *Loop) Lease(ctx context.Context, r *mgrpc.LeaseRequest) (*mgrpc.LeaseReply, error) {
 	l.mu.Lock()
 	requests := l.shares.VoteRequests(l.spec.Clock.Now(), r)
@@ -188,7 +188,8 @@
 	return l.shares.Lease(l.spec.Clock.Now(), r), nil
 }
 
-// askWitness asks one witness, itself included, and takes its answer.
+// requestVotes requests the votes of one witness, which may be this process, and
+// records the answer.
 func (l *Loop) requestVotes(ctx context.Context, v VoteRequest) {
 	ctx, cancel := context.WithTimeout(ctx, supportTimeout.Duration())
 	defer cancel()
--- a/internal/version/mgshare/ring.go
+++ b/internal/version/mgshare/ring.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// slots is the number of groups of accounts. With 128 an entry of 120 is home
-	// of about one, so that its words cost a few messages a second. Fewer slots
-	// would load a few homes with most leases, more would split the calls.
+	// slotCount is the number of groups of accounts. With 128, an entry of 120 is home
+	// of about one, so that its requests for votes cost a few messages a second. Fewer
+	// slots would load a few homes with most leases, more would split the calls.
 	slotCount = 128
-	// witnesses is the number of entries that stand by the home of a slot. With
-	// five the loss of one costs a fifth of the caps until the list drops it.
+	// witnessesPerSlot is the number of entries that vote for the home of a slot. With
+	// five, the loss of one costs a fifth of the caps until the list drops it.
 	witnessesPerSlot = 5
 )
 
-// A Ring says who is home of an account, as far as this process knows.
+// A Ring maps accounts to their homes and witnesses, according to this process's list.
 type Ring struct {
 	version       uint64
 	region        string
@@ -28,7 +28,7 @@
 	entryCount    int
 }
 
-// NewRing ranks the listed entries of a region.
+// NewRing ranks the listed entries of a region for each slot.
 func NewRing(view *mgmember.View, region string) *Ring {
 	r := &Ring{
 		version: view.Version(),
@@ -59,8 +59,8 @@
 // slotOf returns the slot of an account.
 func slotOf(account string) int { return int(xxhash.Sum64String(account) % slotCount) }
 
-// Home returns the member that this process takes for the home of an account,
-// or nil. The ring holds who is listed, the view who is dead or leaving now.
+// Home returns the member that this process computes as the home of an account, or nil.
+// The ring holds the listed entries, the view shows which are dead or leaving now.
 func (r *Ring) Home(view *mgmember.View, account string) *mgmember.Member {
 	for _, m := range r.witnesses[slotOf(account)] {
 		now, ok := view.Member(m.Name())
--- a/internal/version/mgshare/shares.go
+++ b/internal/version/mgshare/shares.go
@@ -9,7 +9,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// A SharesSpec says which entry shares are of.
+// A SharesSpec identifies the entry that shares belong to.
 type SharesSpec struct {
 	Name        string
 	Incarnation string
@@ -19,13 +19,13 @@
 	// Account returns the caps of an account, and false when it has none.
 	Account func(name string) (Caps, bool)
 
-	// Fresh says that no process ran under this name lately, as in a demo: its
-	// witness answers from the start.
+	// Fresh is set if no process ran under this name recently, as in a demo: its
+	// witness votes from the start.
 	Fresh bool
 }
 
-// Shares are an entry's part in leasing caps: as holder, home and witness. Its
-// methods are called by one goroutine at a time.
+// Shares hold an entry's state as holder, home and witness of leases. Their methods
+// must not be called concurrently.
 type Shares struct {
 	spec    SharesSpec
 	ring    *Ring
@@ -34,7 +34,7 @@
 	witness Witness
 }
 
-// NewShares returns the shares of an entry that starts at a time.
+// NewShares returns the shares of an entry that starts at the time now.
 func NewShares(now mgclock.Millis, spec SharesSpec) *Shares {
 	s := &Shares{
 		spec: spec,
@@ -56,7 +56,7 @@
 	}, true
 }
 
-// rank returns the ring of the present list.
+// currentRing returns the ring of the current list.
 func (s *Shares) currentRing() *Ring {
 	view := s.spec.Members.View()
 	if s.ring == nil || s.ring.version != view.Version() {
@@ -74,14 +74,14 @@
 	Request  *mgrpc.LeaseRequest
 }
 
-// Want notes that a caller asks for a start that is expected to cost tokens.
+// RecordDemand records that a caller requests a start that is expected to cost tokens.
 func (s *Shares) RecordDemand(now mgclock.Millis, account string, tokens float64) {
 	if caps, ok := s.spec.Account(account); ok {
 		s.holder.RecordDemand(now, account, caps, tokens)
 	}
 }
 
-// Running notes how many streams of an account run.
+// SetRunning records how many streams of an account run.
 func (s *Shares) SetRunning(account string, count int) { s.holder.SetRunning(account, count) }
 
 // Slice returns what this entry may use of an account.
@@ -93,7 +93,7 @@
 	return s.holder.Slice(now, account, caps, s.currentRing().entryCount)
 }
 
-// Due returns the calls to make now, one a home.
+// DueCalls returns the calls to make now, one per home.
 func (s *Shares) DueCalls(now mgclock.Millis) []LeaseCall {
 	s.home.Forget(now)
 	ring := s.currentRing()
@@ -137,7 +137,7 @@
 	}
 }
 
-// Answered takes the answer to a call, or nil for none.
+// HandleReply handles the answer to a call, nil for none.
 func (s *Shares) HandleReply(now mgclock.Millis, call LeaseCall, reply *mgrpc.LeaseReply) {
 	leases := make(map[string]*mgrpc.Lease)
 	for _, l := range reply.GetLeases() {
@@ -157,11 +157,11 @@
 	}
 }
 
-// id names this incarnation as a home.
+// homeID returns the name of this incarnation as a home.
 func (s *Shares) homeID() string { return s.spec.Name + "/" + s.spec.Incarnation }
 
-// Asks returns the questions to witnesses that a request makes due. Their
-// answers are waited for, briefly, before Lease.
+// VoteRequests returns the requests to witnesses that a lease request makes due. The
+// caller waits briefly for their answers before it calls Lease.
 func (s *Shares) VoteRequests(now mgclock.Millis, request *mgrpc.LeaseRequest) []VoteRequest {
 	accounts := make([]string, 0, len(request.GetDemands()))
 	for _, d := range request.GetDemands() {
@@ -170,7 +170,7 @@
 	return s.home.VoteRequests(now, s.currentRing(), accounts)
 }
 
-// SupportRequest returns the message for a question.
+// SupportRequest returns the message of a vote request.
 func (s *Shares) SupportRequest(v VoteRequest) *mgrpc.SupportRequest {
 	r := &mgrpc.SupportRequest{
 		Home: s.homeID(),
@@ -182,7 +182,7 @@
 	return r
 }
 
-// Said takes a witness's answer to a question sent at a time.
+// RecordVotes records a witness's answer to a request that was sent at a given time.
 func (s *Shares) RecordVotes(sent mgclock.Millis, v VoteRequest, reply *mgrpc.SupportReply) {
 	granted := make([]int, 0, len(reply.GetSlots()))
 	for _, slot := range reply.GetSlots() {
@@ -205,8 +205,8 @@
 	return reply
 }
 
-// Lease answers an entry as a home. Whoever isn't an account's home leases as
-// little as the witnesses let it: it needs no check of its own.
+// Lease answers an entry as a home. A process that isn't an account's home needs no
+// check of its own, because it can lease no more than its votes allow.
 func (s *Shares) Lease(now mgclock.Millis, request *mgrpc.LeaseRequest) *mgrpc.LeaseReply {
 	reply := &mgrpc.LeaseReply{}
 	for _, d := range request.GetDemands() {
@@ -229,13 +229,13 @@
 	return reply
 }
 
-// Drop gives up what a pause made worthless.
+// Drop gives up the state that a pause invalidates.
 func (s *Shares) Drop() {
 	s.holder.DropLeases()
 	s.home.Drop()
 }
 
-// Status is the state for the dump.
+// Status is the state for the debug dump.
 type Status struct {
 	Held   int `json:"held"`   // accounts with a lease or demand here
 	Leased int `json:"leased"` // accounts leased as their home
--- a/internal/version/mgshare/shares_bench_test.go
+++ b/internal/version/mgshare/shares_bench_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// BenchmarkLeases reports what an entry sends and receives for leases, in a
-// region of several sizes with busy accounts: each entry has callers of some of
-// 1,000 accounts, and asks for little of their caps.
+// BenchmarkLeases reports an entry's traffic for leases, in regions of several sizes
+// with busy accounts: each entry has callers of some of 1,000 accounts, and requests
+// little of their caps.
 func BenchmarkLeases(b *testing.B) {
 	for _, size := range []struct{ entries, accounts int }{{8, 50}, {32, 50}, {128, 25}, {128, 50}, {128, 100}} {
 		b.Run(fmt.Sprintf("entries=%d,accounts=%d", size.entries, size.accounts), func(b *testing.B) {
@@ -39,7 +39,7 @@
 	b.ReportMetric(float64(maxAfter-maxBefore)/40, "busiest-B/s")
 }
 
-// traffic returns what all entries sent and received, and the most of one.
+// traffic returns the messages and bytes of all entries, and the maximum bytes of one.
 func (r *region) traffic() (messages, bytes, maxBytes int) {
 	for _, e := range r.entries {
 		m, n := r.net.Traffic(e.name)
--- a/internal/version/mgshare/shares_test.go
+++ b/internal/version/mgshare/shares_test.go
@@ -20,31 +20,31 @@
 
 const sec = mgclock.Second
 
-// httpBytes is what HTTP adds to a message: half of what mgconfig's
+// httpBytes is HTTP's overhead for a message: half of what mgconfig's
 // BenchmarkExchangeBytes measures for two.
 const httpBytes = 176
 
-// schedules is how many schedules of faults the tests of caps drive.
+// schedules is the number of fault schedules that the tests of caps run.
 var schedules = flag.Int("schedules", 40, "number of seeded schedules of faults")
 
-// entry is an entry of a region.
+// entry is a simulated entry of a region.
 type entry struct {
 	name          string
 	shares        *Shares
 	members       *mgmember.Members
 	incarnation   int
-	tokensPerStep float64 // tokens a step
-	// accounts are those with demand
+	tokensPerStep float64 // tokens requested per step
+	// accounts are those with demand.
 	accounts []string
 }
 
-// region is a few entries over a net, with the accounts "a" to "d".
+// region is a set of entries on a simulated network, with the accounts "a" to "d".
 type region struct {
 	net            *mgnet.Net
 	entries        []*entry
 	byName         map[string]*entry
 	caps           Caps
-	maxRateShare   float64 // highest sum of slices over a cap, as a part of it
+	maxRateShare   float64 // highest sum of slices as a share of the cap
 	maxStreamShare float64
 }
 
@@ -89,7 +89,7 @@
 	return list
 }
 
-// start begins a new life of an entry.
+// start starts a new incarnation of an entry.
 func (r *region) start(e *entry, fresh bool) {
 	e.incarnation++
 	e.members = mgmember.New(e.name)
@@ -105,7 +105,7 @@
 	r.step(e, e.incarnation)
 }
 
-// step is what the loop does every tenth of a second.
+// step does what a Loop does every tenth of a second.
 func (r *region) step(e *entry, incarnation int) {
 	if e.incarnation != incarnation {
 		return
@@ -123,7 +123,7 @@
 	r.net.At(now+stepInterval, e.name, func() { r.step(e, incarnation) })
 }
 
-// ask carries a call to its home and back.
+// sendLeaseCall sends a call to its home and delivers the answer.
 func (r *region) sendLeaseCall(e *entry, incarnation int, call LeaseCall) {
 	home := r.byName[call.Home]
 	finished := false
@@ -169,7 +169,7 @@
 	})
 }
 
-// check adds up what all entries may use of each account at this instant.
+// check sums what all entries may use of each account now, and records the maximum.
 func (r *region) check() {
 	for _, account := range []string{"a", "b", "c", "d"} {
 		rate, streams := 0.0, 0
@@ -183,7 +183,7 @@
 	}
 }
 
-// rate returns what the entries may use of account "a" together.
+// totalRate returns the rate of account "a" that the entries may use together.
 func (r *region) totalRate() float64 {
 	total := 0.0
 	for _, e := range r.entries {
@@ -192,7 +192,7 @@
 	return total
 }
 
-// mean returns the mean of rate over a span to come.
+// meanRate returns the mean of totalRate over the next duration.
 func (r *region) meanRate(duration mgclock.Millis) float64 {
 	total := 0.0
 	const samples = 50
@@ -229,9 +229,9 @@
 			}
 		})
 		Convey("has leases again soon after the home died", func() {
-			// A tank farm's lookups are turned away as capped, though nobody uses
-			// the account: its home entry's VM was reclaimed without notice. The
-			// next in the ranking takes over once the words to it have run out.
+			// Requests are refused as over the cap although the account isn't in use:
+			// its home's VM was reclaimed without notice. The next in the ranking takes
+			// over once the votes for the old home have expired.
 			r.net.Pause(home, 60*sec)
 			r.net.Run(30 * sec)
 			So(r.meanRate(5*sec), ShouldBeGreaterThan, 600)
@@ -252,7 +252,7 @@
 			}
 			So(r.meanRate(5*sec), ShouldBeBetween, 600, 1000.1)
 			r.net.Cut(0, nil)
-			// Suspicions of 30 s and words of 16 s run out first.
+			// Suspicions of 30 s and votes of 16 s expire first.
 			r.net.Run(85 * sec)
 			So(r.meanRate(5*sec), ShouldBeGreaterThan, 950)
 		})
@@ -260,9 +260,9 @@
 	})
 }
 
-// TestOverAdmission drives seeded schedules of partition, loss, pause and
-// restart. An account's leases must never add up to more than its cap: a customer
-// would pay for what it didn't buy, at the cost of the others.
+// TestOverAdmission runs seeded schedules of partition, loss, pause and restart. If an
+// account's leases added up to more than its cap, a customer would use more than it
+// paid for, at the cost of the others.
 func TestOverAdmission(t *testing.T) {
 	maxRateShare, maxStreamShare, mean := 0.0, 0.0, 0.0
 	for seed := range *schedules {
@@ -278,8 +278,8 @@
 		*schedules, maxRateShare, maxStreamShare, mean)
 }
 
-// TestListChanges measures the known bound: the list loses entries on one side of
-// a partition only. The sum may exceed the cap by the witnesses that differ.
+// The list loses entries on one side of a partition only, so the sum exceeds the cap by
+// up to the share of the witnesses that differ. The test measures this known bound.
 func TestDifferentListsExceedCap(t *testing.T) {
 	maxRateShare, exceeded := 0.0, 0
 	for seed := range *schedules {
@@ -295,7 +295,7 @@
 	}
 }
 
-// leaseSchedule runs forty seconds of faults and twenty of heal.
+// leaseSchedule runs forty seconds of faults and then forty without faults.
 func leaseSchedule(seed uint64, changeLists bool) *region {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	r := newRegion(seed, 6)
@@ -332,8 +332,8 @@
 	return r
 }
 
-// TestLoop runs a region of one entry, which is home, witness and holder, on the
-// real clock: Acquire returns once the lease is there.
+// TestLoop runs a region of one entry, which is home, witness and holder, on the real
+// clock: Acquire returns once a lease is granted.
 func TestLoop(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	Convey("A loop acquires a lease from itself", t, func() {
--- a/internal/version/mgshare/witness.go
+++ b/internal/version/mgshare/witness.go
@@ -3,37 +3,37 @@
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 
 const (
-	// wordLife is how long a witness stands by a home. It must exceed the longest
-	// lease by the age at which a home renews a word, and it bounds how long the
-	// accounts of a home that crashed have no new leases.
+	// voteTTL is how long a witness's vote for a home is valid. It must exceed the
+	// longest lease by the age at which a home renews a vote, and it is the maximum
+	// time for which the accounts of a crashed home get no new leases.
 	voteTTL = 16 * mgclock.Second
-	// wordSpan is the age at which a home renews a word. It leaves a second for
+	// voteRenewAge is the age at which a home renews a vote. It leaves a second for
 	// another try before long leases would have to be refused.
 	voteRenewAge = 5 * mgclock.Second
-	// wordRetry is the interval of tries.
+	// voteRetryInterval is the interval of requests to a witness without a fresh vote.
 	voteRetryInterval = mgclock.Second
 )
 
-// A Witness stands by homes. The zero Witness has never promised anything.
+// A Witness votes for homes. The zero Witness has never voted.
 type Witness struct {
 	votes        [slotCount]vote
-	refusesUntil mgclock.Millis // until when it says no
+	refusesUntil mgclock.Millis // it refuses all votes until then
 }
 
-// word is a promise to stand by one home.
+// vote is a vote for one home.
 type vote struct {
 	home      string
 	expiresAt mgclock.Millis
 }
 
-// Begin makes a witness say no for the life of a word. A process that has just
-// started may have been a witness before and doesn't know what it promised; two
-// homes would count it.
+// RefuseAtStart makes a witness refuse its votes for the TTL of a vote. A process that
+// has just started may have been a witness before and doesn't know its earlier votes;
+// two homes would count it.
 func (w *Witness) RefuseAtStart(now mgclock.Millis) { w.refusesUntil = now + voteTTL }
 
-// Stand answers a home and reports whether the witness stands by it. Set is the
-// hash of the slot's witnesses as the home ranks them: where the two disagree,
-// one of them has an old list, and the shares of two homes might not add up.
+// Vote reports whether the witness votes for a home. witnessHash is the hash of the
+// slot's witnesses as the home ranks them: if the two disagree, one of them has an old
+// list, and the shares of two homes might add up to more than the cap.
 func (w *Witness) Vote(now mgclock.Millis, ring *Ring, home string, slot int, witnessHash uint64) bool {
 	if now < w.refusesUntil || slot < 0 || slot >= slotCount || ring.witnessHashes[slot] != witnessHash {
 		return false
