--- a/internal/version/mgshare/shares_test.go
+++ b/internal/version/mgshare/shares_test.go
@@ -212,7 +212,7 @@
 		Convey("uses the whole cap where there is demand", func() {
 			So(r.meanRate(5*sec), ShouldBeBetween, 950, 1000.1)
 		})
-		Convey("gives one busy entry its 500 and half of what nobody asks for", func() {
+		Convey("gives one busy entry its demand of 500 and half of the unrequested rest", func() {
 			for _, e := range r.entries[1:] {
 				e.tokensPerStep = 0
 			}
@@ -228,7 +228,7 @@
 				So(e.shares.Status(), ShouldResemble, Status{})
 			}
 		})
-		Convey("has leases again soon after the home died", func() {
+		Convey("has leases again soon after its home died", func() {
 			// Requests are refused as over the cap although the account isn't in use:
 			// its home's VM was reclaimed without notice. The next in the ranking takes
 			// over once the votes for the old home have expired.
@@ -236,7 +236,7 @@
 			r.net.Run(30 * sec)
 			So(r.meanRate(5*sec), ShouldBeGreaterThan, 600)
 		})
-		Convey("gives up its leases on a pause by the clock", func() {
+		Convey("gives up its leases after a pause", func() {
 			r.net.Pause("e003", 6*sec)
 			r.net.Run(15 * sec)
 			So(r.entries[3].shares.Slice(r.net.Now(), "a").Rate, ShouldAlmostEqual, 1000*reservedShare/6, 1)
@@ -274,7 +274,7 @@
 			t.Errorf("seed %d: rate %.4f and streams %.4f of the cap", seed, r.maxRateShare, r.maxStreamShare)
 		}
 	}
-	t.Logf("%d schedules: highest sum %.4f of the rate, %.4f of the streams; after the heal %.3f in use",
+	t.Logf("%d schedules: highest sum %.4f of the rate, %.4f of the streams; after the faults %.3f in use",
 		*schedules, maxRateShare, maxStreamShare, mean)
 }
 
