--- a/internal/version/mgplacement/pacer.go
+++ b/internal/version/mgplacement/pacer.go
@@ -9,19 +9,19 @@
 const (
 	// settleSpan is how long a change of plan must hold still. It exceeds the
 	// flaps of a list while VMs are replaced.
-	settleSpan = 30 * mgclock.Second
+	settleDelay = 30 * mgclock.Second
 	// urgentSpan stands in for it where the engine holds nothing, so that there
 	// is nothing to lose but a load.
-	urgentSpan = 2 * mgclock.Second
+	emptySettleDelay = 2 * mgclock.Second
 	// dwellSpan is how long an engine keeps a model that it was ordered to load:
 	// many times what a change costs, some ten seconds and its caches.
-	dwellSpan = 2 * mgclock.Minute
+	dwellTime = 2 * mgclock.Minute
 	// coldSpan is the span within which an agent that has just started begins.
 	// It can't tell a lone replacement, which should be quick, from a cold start
 	// of all, which the store's refusals then spread.
-	coldSpan = 10 * mgclock.Second
+	startWindow = 10 * mgclock.Second
 	// defaultRate is how many loads a second the store is taken to admit.
-	defaultRate = 5
+	defaultLoadRate = 5
 )
 
 // A Pacer tells one agent when to load a model. The zero Pacer wants nothing.
@@ -30,21 +30,21 @@
 	rate     float64
 	rng      *rand.Rand
 
-	plan   *Plan
-	wanted string
-	loaded string
-	at     mgclock.Millis // not before
-	due    string         // what Due returned last
-	dwells bool           // the model that is held was ordered, and stays
-	kept   mgclock.Millis // until then
-	tries  int
+	plan       *Plan
+	wanted     string
+	loaded     string
+	notBefore  mgclock.Millis // not before
+	lastDue    string         // what Due returned last
+	wasOrdered bool           // the model that is held was ordered, and stays
+	keepUntil  mgclock.Millis // until then
+	attempts   int
 }
 
 // NewPacer returns a pacer for an upstream. Rate is how many loads a second the
 // weight store admits from the whole fleet, 0 for the default.
 func NewPacer(upstream string, rate float64, seed uint64) *Pacer {
 	if rate <= 0 {
-		rate = defaultRate
+		rate = defaultLoadRate
 	}
 	return &Pacer{
 		upstream: upstream,
@@ -61,12 +61,12 @@
 		return
 	}
 	if model == "" {
-		p.at = max(p.at, now+p.jitter(coldSpan))
+		p.notBefore = max(p.notBefore, now+p.jitter(startWindow))
 	}
-	p.dwells = model != "" && model == p.due
-	p.kept = now + dwellSpan
+	p.wasOrdered = model != "" && model == p.lastDue
+	p.keepUntil = now + dwellTime
 	p.loaded = model
-	p.tries = 0
+	p.attempts = 0
 }
 
 // Plan takes a new plan.
@@ -78,20 +78,20 @@
 		return
 	}
 	p.wanted = wanted
-	p.tries = 0
+	p.attempts = 0
 	if before == nil {
-		p.at = now + p.jitter(coldSpan)
+		p.notBefore = now + p.jitter(startWindow)
 		return
 	}
-	settle := settleSpan
+	delay := settleDelay
 	if p.loaded == "" {
-		settle = urgentSpan
+		delay = emptySettleDelay
 	}
-	p.at = now + settle + p.slot(before)
+	p.notBefore = now + delay + p.slotDelay(before)
 }
 
 // slot returns how long the engines before this one take to load.
-func (p *Pacer) slot(before *Plan) mgclock.Millis {
+func (p *Pacer) slotDelay(before *Plan) mgclock.Millis {
 	for i, upstream := range Changes(before, p.plan) {
 		if upstream == p.upstream {
 			return mgclock.Millis(float64(i) * 1000 / p.rate)
@@ -103,13 +103,13 @@
 // Due returns the model to load now, or "". The caller loads it and calls Loaded
 // or Refused.
 func (p *Pacer) Due(now mgclock.Millis) string {
-	if p.wanted == "" || p.wanted == p.loaded || now < p.at {
+	if p.wanted == "" || p.wanted == p.loaded || now < p.notBefore {
 		return ""
 	}
-	if p.dwells && now < p.kept {
+	if p.wasOrdered && now < p.keepUntil {
 		return ""
 	}
-	p.due = p.wanted
+	p.lastDue = p.wanted
 	return p.wanted
 }
 
@@ -117,12 +117,12 @@
 // comes at a random time in a span that doubles up to twice what the loads of all
 // engines take: from then on their tries come no faster than the store admits.
 func (p *Pacer) Refused(now mgclock.Millis) {
-	all := mgclock.Millis(float64(max(1, p.plan.Len())) * 2000 / p.rate)
-	span := min(all, coldSpan<<min(p.tries, 16))
-	p.tries++
-	p.at = now + mgclock.Second + p.jitter(span)
+	allLoads := mgclock.Millis(float64(max(1, p.plan.Len())) * 2000 / p.rate)
+	window := min(allLoads, startWindow<<min(p.attempts, 16))
+	p.attempts++
+	p.notBefore = now + mgclock.Second + p.jitter(window)
 }
 
-func (p *Pacer) jitter(span mgclock.Millis) mgclock.Millis {
-	return mgclock.Millis(p.rng.Int64N(int64(span) + 1))
+func (p *Pacer) jitter(maxDelay mgclock.Millis) mgclock.Millis {
+	return mgclock.Millis(p.rng.Int64N(int64(maxDelay) + 1))
 }
--- a/internal/version/mgplacement/plan.go
+++ b/internal/version/mgplacement/plan.go
@@ -12,28 +12,28 @@
 // A Plan holds the model of each live engine. It never changes; the zero Plan is
 // empty.
 type Plan struct {
-	models  map[string]string // by upstream
-	engines map[string]int    // by model
+	models       map[string]string // by upstream
+	engineCounts map[string]int    // by model
 }
 
 // Assign makes the plan for a table and the members on the list. Suspicions don't
 // count: they differ between observers, and the plan must not.
 func Assign(table *mgtable.Table, view *mgmember.View) *Plan {
 	p := &Plan{
-		models:  make(map[string]string),
-		engines: make(map[string]int),
+		models:       make(map[string]string),
+		engineCounts: make(map[string]int),
 	}
 	var live []*mgtable.Upstream
 	for u := range table.Upstreams() {
 		agent, ok := view.Agent(u.Name())
 		if u.Kind() == mgtable.Engine && ok && agent.Listed() && !agent.Leaving() {
 			live = append(live, u)
-			p.set(u.Name(), first(u))
+			p.set(u.Name(), topModel(u))
 		}
 	}
 	for m := range table.Models() {
-		if p.engines[m.Name()] == 0 {
-			p.cover(m.Name(), live)
+		if p.engineCounts[m.Name()] == 0 {
+			p.coverModel(m.Name(), live)
 		}
 	}
 	return p
@@ -41,14 +41,14 @@
 
 func (p *Plan) set(upstream, model string) {
 	if before, ok := p.models[upstream]; ok {
-		p.engines[before]--
+		p.engineCounts[before]--
 	}
 	p.models[upstream] = model
-	p.engines[model]++
+	p.engineCounts[model]++
 }
 
 // first returns the model that ranks first among those an engine may hold.
-func first(u *mgtable.Upstream) string {
+func topModel(u *mgtable.Upstream) string {
 	best := ""
 	for _, model := range u.Models() {
 		if best == "" || score(u.Name(), model) > score(u.Name(), best) {
@@ -62,10 +62,10 @@
 
 // cover gives a model without an engine the one that ranks first for it among
 // those whose own model has others.
-func (p *Plan) cover(model string, live []*mgtable.Upstream) {
+func (p *Plan) coverModel(model string, live []*mgtable.Upstream) {
 	best := ""
 	for _, u := range live {
-		if !u.Holds(model) || p.engines[p.models[u.Name()]] < 2 {
+		if !u.Holds(model) || p.engineCounts[p.models[u.Name()]] < 2 {
 			continue
 		}
 		if best == "" || score(u.Name(), model) > score(best, model) {
@@ -81,7 +81,7 @@
 func (p *Plan) Model(upstream string) string { return p.models[upstream] }
 
 // Engines returns the number of engines that hold a model.
-func (p *Plan) Engines(model string) int { return p.engines[model] }
+func (p *Plan) Engines(model string) int { return p.engineCounts[model] }
 
 // Len returns the number of engines.
 func (p *Plan) Len() int { return len(p.models) }
--- a/internal/version/mgplacement/plan_test.go
+++ b/internal/version/mgplacement/plan_test.go
@@ -37,16 +37,16 @@
 }
 
 // view returns a view of the agents beside some upstreams.
-func view(engines int, without ...int) *mgmember.View {
+func view(engines int, removed ...int) *mgmember.View {
 	list := mgplatform.List{
 		Version: 1,
 	}
-	gone := make(map[int]bool)
-	for _, i := range without {
-		gone[i] = true
+	isRemoved := make(map[int]bool)
+	for _, i := range removed {
+		isRemoved[i] = true
 	}
 	for i := range engines {
-		if gone[i] {
+		if isRemoved[i] {
 			continue
 		}
 		list.VMs = append(list.VMs, mgplatform.VM{
@@ -117,7 +117,7 @@
 
 // An engine loads another model each time a list flaps, each second or each
 // minute, loses its caches each time, and is slow until nobody asks any more.
-func TestFlapping(t *testing.T) {
+func TestFlappingListReloadsModels(t *testing.T) {
 	some := mgplacement.Assign(table(4, 3), view(4))
 	all := mgplacement.Assign(table(4, 1), view(4)) // m0 everywhere
 	upstream := ""
@@ -209,7 +209,7 @@
 // TestColdStart: a region comes back after a power cut and 900 agents start with
 // empty engines. Requests for all models fail for an hour when the agents retry
 // in step and the weight store refuses most of them over and over.
-func TestColdStart(t *testing.T) {
+func TestColdStartOverloadsStore(t *testing.T) {
 	Convey("A cold start of 900 engines stays near the store's rate", t, func() {
 		const engines, rate = 900, 5
 		plan := mgplacement.Assign(table(engines, 9), view(engines))
@@ -218,17 +218,17 @@
 			pacers[i] = mgplacement.NewPacer(fmt.Sprintf("u%03d", i), rate, uint64(i))
 			pacers[i].Plan(0, plan)
 		}
-		loaded, tries, latePeak := 0, 0, 0
+		loaded, attempts, latePeak := 0, 0, 0
 		now := mgclock.Millis(0)
 		for loaded < engines && now < 3600*sec {
 			now += sec
-			admitted, asked := 0, 0
+			admitted, requested := 0, 0
 			for _, p := range pacers {
 				model := p.Due(now)
 				if model == "" {
 					continue
 				}
-				asked++
+				requested++
 				if admitted == rate {
 					p.Refused(now)
 					continue
@@ -237,15 +237,15 @@
 				p.Loaded(now, model)
 				loaded++
 			}
-			tries += asked
+			attempts += requested
 			if now > 120*sec {
-				latePeak = max(latePeak, asked)
+				latePeak = max(latePeak, requested)
 			}
 		}
 		Printf("all loaded after %d s with %.1f tries each, %d a second at most after two minutes ",
-			now/sec, float64(tries)/engines, latePeak)
+			now/sec, float64(attempts)/engines, latePeak)
 		So(now, ShouldBeLessThan, 900*sec)
-		So(float64(tries)/engines, ShouldBeLessThan, 8)
+		So(float64(attempts)/engines, ShouldBeLessThan, 8)
 		So(latePeak, ShouldBeLessThan, 4*rate)
 	})
 }
