--- a/internal/version/mgplacement/doc.go
+++ b/internal/version/mgplacement/doc.go
@@ -1,21 +1,20 @@
-// Package mgplacement decides which engine holds which model, and when an agent
-// may load it.
+// Package mgplacement decides which engine holds which model, and when an agent may
+// load it.
 //
-// Every agent works out the same plan from the table and the list of VMs, and
-// carries out its own part; nobody is in charge. An engine that may hold several
-// models takes the one that ranks first by rendezvous, so that one engine more or
-// less moves nothing else, and a model that would be left without an engine gets
-// the one that can best be spared.
+// Every agent computes the same plan from the table and the list of VMs, and carries
+// out its own part; there is no coordinator. An engine that may hold several models
+// gets the one that ranks first by rendezvous hashing, so that adding or removing an
+// engine moves nothing else, and a model that would be left without an engine gets the
+// one that can best be spared.
 //
-// Loads are paced by the Pacer alone, because the weight store admits few at a
-// time and 900 engines may want to load at once. A change of plan must hold still
-// before it is acted upon, so that a list that flaps moves nothing; an engine that
-// has changed its model keeps it for some minutes, so that a list that flaps
-// slowly doesn't cost it its caches each time. Engines that change
-// together load in the order of their ranks, as many a second as the store
-// admits. An engine that can't know how many others load begins within seconds,
-// and when the store refuses it comes back at a random time within the span that
-// all engines would need.
+// Loads are paced by the Pacer alone, because the weight store admits few at a time and
+// 900 engines may want to load at once. A change of plan must be stable for a while
+// before it is acted upon, so that a flapping list moves nothing; an engine that has
+// changed its model keeps it for some minutes, so that a slowly flapping list doesn't
+// cost the engine its caches each time. Engines that change together load in the order
+// of their ranks, as many a second as the store admits. An engine that can't know how
+// many others load starts within seconds, and when the store refuses it retries at a
+// random time within the time that all engines would need.
 //
 // # Terms
 //
--- a/internal/version/mgplacement/pacer.go
+++ b/internal/version/mgplacement/pacer.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// settleSpan is how long a change of plan must hold still. It exceeds the
-	// flaps of a list while VMs are replaced.
+	// settleDelay is how long a change of plan must be stable. It exceeds the flaps of
+	// a list while VMs are replaced.
 	settleDelay = 30 * mgclock.Second
-	// urgentSpan stands in for it where the engine holds nothing, so that there
-	// is nothing to lose but a load.
+	// emptySettleDelay replaces settleDelay where the engine holds no model, so that a
+	// wrong change costs only a load.
 	emptySettleDelay = 2 * mgclock.Second
-	// dwellSpan is how long an engine keeps a model that it was ordered to load:
-	// many times what a change costs, some ten seconds and its caches.
+	// dwellTime is how long an engine keeps a model that it was ordered to load: many
+	// times the cost of a change, which is some ten seconds and the engine's caches.
 	dwellTime = 2 * mgclock.Minute
-	// coldSpan is the span within which an agent that has just started begins.
-	// It can't tell a lone replacement, which should be quick, from a cold start
-	// of all, which the store's refusals then spread.
+	// startWindow is the time within which an agent that has just started loads. It
+	// can't distinguish a single replacement, which should be quick, from a cold start
+	// of all agents, which the store's refusals then spread.
 	startWindow = 10 * mgclock.Second
-	// defaultRate is how many loads a second the store is taken to admit.
+	// defaultLoadRate is the default of the loads a second that the store admits.
 	defaultLoadRate = 5
 )
 
-// A Pacer tells one agent when to load a model. The zero Pacer wants nothing.
+// A Pacer determines when one agent loads a model. The zero Pacer loads none.
 type Pacer struct {
 	upstream string
 	rate     float64
@@ -33,15 +33,15 @@
 	plan       *Plan
 	wanted     string
 	loaded     string
-	notBefore  mgclock.Millis // not before
-	lastDue    string         // what Due returned last
-	wasOrdered bool           // the model that is held was ordered, and stays
-	keepUntil  mgclock.Millis // until then
+	notBefore  mgclock.Millis // earliest time of the next load
+	lastDue    string         // last result of Due
+	wasOrdered bool           // the model that the engine holds was ordered by Due
+	keepUntil  mgclock.Millis // the engine keeps such a model until then
 	attempts   int
 }
 
-// NewPacer returns a pacer for an upstream. Rate is how many loads a second the
-// weight store admits from the whole fleet, 0 for the default.
+// NewPacer returns a pacer for an upstream. rate is the number of loads a second that
+// the weight store admits from the whole fleet, 0 for the default.
 func NewPacer(upstream string, rate float64, seed uint64) *Pacer {
 	if rate <= 0 {
 		rate = defaultLoadRate
@@ -53,9 +53,9 @@
 	}
 }
 
-// Loaded notes which model the engine holds, "" for none. It may be called as
-// often as the engine is looked at. An engine that has lost its model, as one
-// that restarted, loads again within coldSpan: others may have restarted with it.
+// Loaded records which model the engine holds, "" for none. It may be called with an
+// unchanged model. An engine that has lost its model, such as one that restarted, loads
+// again within startWindow, because others may have restarted with it.
 func (p *Pacer) Loaded(now mgclock.Millis, model string) {
 	if model == p.loaded {
 		return
@@ -69,7 +69,7 @@
 	p.attempts = 0
 }
 
-// Plan takes a new plan.
+// Plan applies a new plan.
 func (p *Pacer) Plan(now mgclock.Millis, plan *Plan) {
 	before := p.plan
 	p.plan = plan
@@ -90,7 +90,7 @@
 	p.notBefore = now + delay + p.slotDelay(before)
 }
 
-// slot returns how long the engines before this one take to load.
+// slotDelay returns the time that the engines before this one take to load.
 func (p *Pacer) slotDelay(before *Plan) mgclock.Millis {
 	for i, upstream := range Changes(before, p.plan) {
 		if upstream == p.upstream {
@@ -100,7 +100,7 @@
 	return 0
 }
 
-// Due returns the model to load now, or "". The caller loads it and calls Loaded
+// Due returns the model to load now, or "". The caller loads it and then calls Loaded
 // or Refused.
 func (p *Pacer) Due(now mgclock.Millis) string {
 	if p.wanted == "" || p.wanted == p.loaded || now < p.notBefore {
@@ -113,9 +113,10 @@
 	return p.wanted
 }
 
-// Refused notes that the store refused a load, or that it failed. The next try
-// comes at a random time in a span that doubles up to twice what the loads of all
-// engines take: from then on their tries come no faster than the store admits.
+// Refused records that the store refused a load, or that a load failed. The next
+// attempt comes at a random time in a window that doubles up to twice the time that the
+// loads of all engines take: from then on their attempts come no faster than the store
+// admits.
 func (p *Pacer) Refused(now mgclock.Millis) {
 	allLoads := mgclock.Millis(float64(max(1, p.plan.Len())) * 2000 / p.rate)
 	window := min(allLoads, startWindow<<min(p.attempts, 16))
--- a/internal/version/mgplacement/plan.go
+++ b/internal/version/mgplacement/plan.go
@@ -9,15 +9,14 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// A Plan holds the model of each live engine. It never changes; the zero Plan is
-// empty.
+// A Plan holds the model of each live engine. It is immutable; the zero Plan is empty.
 type Plan struct {
 	models       map[string]string // by upstream
 	engineCounts map[string]int    // by model
 }
 
-// Assign makes the plan for a table and the members on the list. Suspicions don't
-// count: they differ between observers, and the plan must not.
+// Assign computes the plan for a table and the members on the list. Suspicions are
+// ignored: they differ between observers, and the plan must not.
 func Assign(table *mgtable.Table, view *mgmember.View) *Plan {
 	p := &Plan{
 		models:       make(map[string]string),
@@ -47,7 +46,7 @@
 	p.engineCounts[model]++
 }
 
-// first returns the model that ranks first among those an engine may hold.
+// topModel returns the model that ranks first among those an engine may hold.
 func topModel(u *mgtable.Upstream) string {
 	best := ""
 	for _, model := range u.Models() {
@@ -60,7 +59,7 @@
 
 func score(upstream, model string) uint64 { return xxhash.Sum64String(upstream + "\x00" + model) }
 
-// cover gives a model without an engine the one that ranks first for it among
+// coverModel assigns to a model without an engine the one that ranks first for it among
 // those whose own model has others.
 func (p *Plan) coverModel(model string, live []*mgtable.Upstream) {
 	best := ""
@@ -86,9 +85,8 @@
 // Len returns the number of engines.
 func (p *Plan) Len() int { return len(p.models) }
 
-// Changes returns the upstreams that load between two plans, in the order of
-// their slots. The order differs from plan to plan, so that no engine is always
-// the last.
+// Changes returns the upstreams that load between two plans, in the order of their
+// slots. The order differs from plan to plan, so that no engine is always last.
 func Changes(older, newer *Plan) []string {
 	var changed []string
 	for upstream, model := range newer.models {
--- a/internal/version/mgplacement/plan_test.go
+++ b/internal/version/mgplacement/plan_test.go
@@ -36,7 +36,7 @@
 	return t
 }
 
-// view returns a view of the agents beside some upstreams.
+// view returns a view of the agents of some upstreams, without the removed ones.
 func view(engines int, removed ...int) *mgmember.View {
 	list := mgplatform.List{
 		Version: 1,
@@ -115,8 +115,8 @@
 	})
 }
 
-// An engine loads another model each time a list flaps, each second or each
-// minute, loses its caches each time, and is slow until nobody asks any more.
+// An engine loads another model each time a list flaps, every second or every minute,
+// loses its caches each time, and is slow all the time.
 func TestFlappingListReloadsModels(t *testing.T) {
 	some := mgplacement.Assign(table(4, 3), view(4))
 	all := mgplacement.Assign(table(4, 1), view(4)) // m0 everywhere
@@ -129,7 +129,7 @@
 	cases := []struct {
 		name  string
 		every mgclock.Millis
-		most  int // loads in ten minutes
+		most  int // maximum loads in ten minutes
 	}{
 		{
 			name:  "each second",
@@ -169,8 +169,8 @@
 	})
 }
 
-// Whatever the list does and the store says, no load begins before a refusal's
-// second is over, and an engine's changes are two minutes apart.
+// A load starts less than a second after a refusal, or an engine changes its model
+// twice within two minutes, for some sequence of lists and store replies.
 func TestPacerProperties(t *testing.T) {
 	plans := []*mgplacement.Plan{
 		mgplacement.Assign(table(4, 3), view(4)),
@@ -206,9 +206,9 @@
 	})
 }
 
-// TestColdStart: a region comes back after a power cut and 900 agents start with
-// empty engines. Requests for all models fail for an hour when the agents retry
-// in step and the weight store refuses most of them over and over.
+// A region restarts after a power cut, and 900 agents start with empty engines.
+// Requests for all models fail for an hour if the agents retry in step and the weight
+// store refuses most of them again and again.
 func TestColdStartOverloadsStore(t *testing.T) {
 	Convey("A cold start of 900 engines stays near the store's rate", t, func() {
 		const engines, rate = 900, 5
