--- a/internal/version/mgplacement/plan_test.go
+++ b/internal/version/mgplacement/plan_test.go
@@ -70,7 +70,7 @@
 				So(plan.Engines(fmt.Sprintf("m%d", i)), ShouldBeBetween, 60, 140)
 			}
 		})
-		Convey("moves nothing when an engine goes", func() {
+		Convey("moves nothing when an engine is removed", func() {
 			So(mgplacement.Changes(plan, mgplacement.Assign(big, view(900, 5))), ShouldBeEmpty)
 		})
 	})
@@ -105,7 +105,7 @@
 			p.Plan(2*sec, plan)
 			So(p.Due(100*sec), ShouldEqual, "")
 		})
-		Convey("is acted upon once it has held still", func() {
+		Convey("is acted upon once it has been stable", func() {
 			p.Plan(sec, other)
 			So(p.Due(30*sec), ShouldEqual, "")
 			So(p.Due(32*sec), ShouldEqual, "m0")
@@ -140,7 +140,7 @@
 			every: 20 * sec,
 		},
 		{
-			name:  "each minute: once in the dwell at most",
+			name:  "each minute: at most once per dwell time",
 			every: 60 * sec,
 			most:  5,
 		},
@@ -242,7 +242,7 @@
 				latePeak = max(latePeak, requested)
 			}
 		}
-		Printf("all loaded after %d s with %.1f tries each, %d a second at most after two minutes ",
+		Printf("all loaded after %d s with %.1f attempts each, at most %d a second after two minutes ",
 			now/sec, float64(attempts)/engines, latePeak)
 		So(now, ShouldBeLessThan, 900*sec)
 		So(float64(attempts)/engines, ShouldBeLessThan, 8)
