--- a/internal/version/mgconfig/departure_test.go
+++ b/internal/version/mgconfig/departure_test.go
@@ -74,7 +74,7 @@
 }
 
 // No entry is ready for half a minute after a start: the platform lists upstreams only,
-// each entry takes another process for the watcher, and waits for its poll.
+// each entry treats another process as the watcher, and waits for its poll.
 func TestUnlistedProcessWaitsForPoll(t *testing.T) {
 	Convey("A process that the list doesn't name", t, func() {
 		m, members := machineWithoutPeers()
@@ -121,12 +121,12 @@
 	})
 }
 
-// Two entries know only the same seed. Each takes itself for the one that grants
+// Two entries know only the same seed. Each computes itself as the one that grants
 // migration slots; their copies share a link, and the callers of both see a pause.
 func TestSeedPeersNeverMeet(t *testing.T) {
 	Convey("A summary names processes that were seen recently", t, func() {
 		m, members := machineWithoutPeers()
-		hear := func(at mgclock.Millis, name string, known ...*mgrpc.Known) *mgrpc.Summary {
+		exchange := func(at mgclock.Millis, name string, known ...*mgrpc.Known) *mgrpc.Summary {
 			reply, _ := m.HandleExchange(at, &mgrpc.Summary{
 				Name:        name,
 				Incarnation: "life",
@@ -136,13 +136,13 @@
 			})
 			return reply
 		}
-		hear(sec, "entry-2")
-		reply := hear(2*sec, "entry-3")
+		exchange(sec, "entry-2")
+		reply := exchange(2*sec, "entry-3")
 		So(len(reply.GetKnown()), ShouldEqual, 1)
 		So(reply.GetKnown()[0].GetName(), ShouldEqual, "entry-2")
 		So(reply.GetKnown()[0].GetZone(), ShouldEqual, "b")
 		Convey("and a process that it names becomes known, but isn't named to others", func() {
-			reply := hear(3*sec, "entry-3", &mgrpc.Known{
+			reply := exchange(3*sec, "entry-3", &mgrpc.Known{
 				Name: "entry-4",
 				Addr: "entry-4:1",
 			})
@@ -154,7 +154,7 @@
 		})
 		Convey("and a dead process is forgotten although others named it", func() {
 			for at := 3 * sec; at < 60*sec; at += 2 * sec {
-				hear(at, "entry-3")
+				exchange(at, "entry-3")
 				members.Tick(at)
 			}
 			_, ok := members.View().Member("entry-2")
@@ -258,16 +258,16 @@
 			Name:    "entry-1",
 			Backoff: sec,
 		}, mgmember.New("entry-1"))
-		at, asked := mgclock.Millis(0), 0
+		at, readCount := mgclock.Millis(0), 0
 		for at < 10*sec {
 			m.listSource.finishRead(at, ResultSpec{Err: mgplatform.ErrDown}, m)
 			if at < sec {
-				asked++
+				readCount++
 			}
 			So(m.listSource.next-at, ShouldBeBetweenOrEqual, firstRetryDelay/2, sec+firstRetryDelay)
 			at = m.listSource.next
 		}
-		So(asked, ShouldBeGreaterThanOrEqualTo, 4)
+		So(readCount, ShouldBeGreaterThanOrEqualTo, 4)
 	})
 }
 
--- a/internal/version/mgconfig/fleet_test.go
+++ b/internal/version/mgconfig/fleet_test.go
@@ -148,7 +148,7 @@
 	if n.readyAt == never && n.machine.Ready(now) {
 		n.readyAt = now
 		if n.machine.join.highest.isAfter(current) {
-			f.regression = n.name + " is ready below what it heard"
+			f.regression = n.name + " is ready with an older version than its peers reported"
 		}
 	}
 	for _, a := range actions {
--- a/internal/version/mgconfig/longpoll.go
+++ b/internal/version/mgconfig/longpoll.go
@@ -54,8 +54,8 @@
 	// spared.
 	platformDownInterval = 3 * mgclock.Second
 	// longPollDelayPerRow is the part of the delay after a received list that is due to
-	// each row, in ms. A row takes some 24 bytes on the wire: 60 KB/s if every list
-	// changes at once.
+	// each row, in ms. A row takes some 24 bytes on the wire: 60 KB/s while the
+	// list keeps changing.
 	longPollDelayPerRow = 0.4
 	// maxLongPollDelay limits that delay, as maxListFetchInterval does for fetches.
 	maxLongPollDelay = maxListFetchInterval
--- a/internal/version/mgconfig/loop.go
+++ b/internal/version/mgconfig/loop.go
@@ -186,8 +186,8 @@
 func (l *Loop) LookForTable() { l.stepAndWakeRun((*Machine).ReadTableNow) }
 
 // Take applies another process's report of the platform's state.
-func (l *Loop) Take(word Word, from string) {
-	l.step(func(m *Machine, now mgclock.Millis) []Action { return m.ApplyReport(now, word, from) })
+func (l *Loop) Take(report Word, from string) {
+	l.step(func(m *Machine, now mgclock.Millis) []Action { return m.ApplyReport(now, report, from) })
 }
 
 // Reseed replaces the peer addresses that are used while no other peer is known.
--- a/internal/version/mgconfig/platform.go
+++ b/internal/version/mgconfig/platform.go
@@ -30,8 +30,8 @@
 	slowWatchInterval = mgclock.Second
 	// quickWatchWait and quickWatchTimeout limit the wait and the reply time of a watch
 	// of a list whose changes must be known soon. Upstreams' heartbeats end each watch
-	// within 100 ms or so; a watch whose answer was lost must not hide a notice of 1.5
-	// s. A store that is sixty times slower answers in 240 ms.
+	// within 100 ms or so; a watch whose answer was lost must not hide a notice of
+	// 1.5 s. A store that is sixty times slower answers in 240 ms.
 	quickWatchWait    = 600 * mgclock.Millis(1)
 	quickWatchTimeout = 400 * mgclock.Millis(1)
 	// readEvery replaces every tenth watch by a plain read. A platform that was set up
@@ -321,8 +321,8 @@
 
 // quickStaleTimeout is the same where one process watches the list quickly: heartbeats
 // of a dozen upstreams end its watches every 100 ms or so, and it reports to the others
-// every 200 ms. A platform that stops answering without an error hides a notice of 1.7
-// s, of which enough must remain to move running work; with a shorter timeout,
+// every 200 ms. A platform that stops answering without an error hides a notice of
+// 1.7 s, of which enough must remain to move running work; with a shorter timeout,
 // upstreams would be queried all the time.
 const quickStaleTimeout = 800 * mgclock.Millis(1)
 
--- a/internal/version/mgconfig/table_age.go
+++ b/internal/version/mgconfig/table_age.go
@@ -13,7 +13,7 @@
 const tableMaxAge = 1500 * mgclock.Millis(1)
 
 // TableConfirmed reports whether the table in force was confirmed as the newest within
-// tableMaxAge.
+// tableMaxAge. It is always true without MachineSpec.Joint.
 func (m *Machine) TableConfirmed(now mgclock.Millis) bool {
 	if !m.spec.Joint {
 		return true // the age of the table is unknown
--- a/internal/version/mgconfig/table_age_test.go
+++ b/internal/version/mgconfig/table_age_test.go
@@ -10,8 +10,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// An entry denies a route or key of a newer table that it can't know, because it takes
-// its old table for the newest.
+// An entry denies a route or key of a newer table that it can't know, because it treats
+// its old table as the newest.
 func TestRouteDeniedByOutdatedTable(t *testing.T) {
 	Convey("For a process where one watch covers list and table, the table is confirmed", t, func() {
 		m, _ := machineOfSix()
--- a/internal/version/mgconfig/version_report.go
+++ b/internal/version/mgconfig/version_report.go
@@ -45,8 +45,8 @@
 // ApplyReport applies another process's report. A newer list is requested at once,
 // unless long polls deliver it. Where the report is fresh, the own watches are
 // postponed by the interval between two of them. Of 1,875 calls to the platform that 24
-// processes made in 47 s, these watches were more than half; processes without such a
-// report still watch within a second, as before.
+// processes made in 47 s, these watches were more than half. Processes without such a
+// report watch within a second.
 func (m *Machine) ApplyReport(now mgclock.Millis, report Word, from string) []Action {
 	m.now = now
 	behind := report.List > m.members.View().Version()
--- a/internal/version/mgconfig/version_report_test.go
+++ b/internal/version/mgconfig/version_report_test.go
@@ -27,14 +27,14 @@
 			So(m.manifestSource.next == 1000+slowWatchInterval, ShouldEqual, last)
 		})
 		Convey("doesn't postpone its watches where the other one reports", func() {
-			for name, word := range map[string]Word{
+			for name, report := range map[string]Word{
 				"another list":                         {List: list + 1, Age: 60},
 				"an old confirmation":                  {List: list, Age: maxReportAge + 1},
 				"no confirmation":                      {List: list, Age: -1},
 				"another list and an old confirmation": {List: list + 1, Age: maxReportAge + 1},
 			} {
 				Convey(name, func() {
-					m.ApplyReport(1000, word, "entry-2")
+					m.ApplyReport(1000, report, "entry-2")
 					So(m.listSource.next, ShouldEqual, 100)
 				})
 			}
--- a/internal/version/mgmember/departure_test.go
+++ b/internal/version/mgmember/departure_test.go
@@ -44,7 +44,7 @@
 			after: func(*mgmember.Members) {},
 		},
 		{
-			name: "and a newer list shows the same life",
+			name: "and a newer list shows the same incarnation",
 			after: func(m *mgmember.Members) {
 				m.List(200, list(2, row(7)))
 			},
--- a/internal/version/mgmember/member_test.go
+++ b/internal/version/mgmember/member_test.go
@@ -189,9 +189,9 @@
 		p := mgmember.NewPause(clock.Clock(), wall.Now)
 		var gaps []mgclock.Millis
 		p.On(func(gap mgclock.Millis) { gaps = append(gaps, gap) })
-		advanceBoth := func(span mgclock.Millis) {
-			clock.Advance(span)
-			wall.Advance(span)
+		advanceBoth := func(duration mgclock.Millis) {
+			clock.Advance(duration)
+			wall.Advance(duration)
 		}
 		p.Step()
 		advanceBoth(100)
--- a/internal/version/mgplacement/plan_test.go
+++ b/internal/version/mgplacement/plan_test.go
@@ -127,9 +127,9 @@
 		}
 	}
 	cases := []struct {
-		name  string
-		every mgclock.Millis
-		most  int // maximum loads in ten minutes
+		name     string
+		every    mgclock.Millis
+		maxLoads int // in ten minutes
 	}{
 		{
 			name:  "each second",
@@ -140,9 +140,9 @@
 			every: 20 * sec,
 		},
 		{
-			name:  "each minute: at most once per dwell time",
-			every: 60 * sec,
-			most:  5,
+			name:     "each minute: at most once per dwell time",
+			every:    60 * sec,
+			maxLoads: 5,
 		},
 	}
 	Convey("A list that flaps", t, func() {
@@ -163,7 +163,7 @@
 						loads++
 					}
 				}
-				So(loads, ShouldBeLessThanOrEqualTo, c.most)
+				So(loads, ShouldBeLessThanOrEqualTo, c.maxLoads)
 			})
 		}
 	})
--- a/internal/version/mgshare/home.go
+++ b/internal/version/mgshare/home.go
@@ -372,7 +372,7 @@
 	return len(h.accounts)
 }
 
-// Drop drops the witnesses' votes, as after a pause. The entries' slices are kept,
+// Drop discards the witnesses' votes, as after a pause. The entries' slices are kept,
 // because they end by the clock.
 func (h *Home) Drop() {
 	for i := range h.slots {
