--- a/internal/version/mgconfig/departure_test.go
+++ b/internal/version/mgconfig/departure_test.go
@@ -13,16 +13,16 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// alone returns a machine on a platform that lists one upstream and no process,
-// and its members.
-func alone() (*Machine, *mgmember.Members) {
+// machineWithoutPeers returns a machine on a platform that lists one upstream and no
+// process, and its members.
+func machineWithoutPeers() (*Machine, *mgmember.Members) {
 	members := mgmember.New("entry-1")
 	m := NewMachine(0, MachineSpec{
 		Name: "entry-1",
 		Zone: "a",
 	}, members)
-	m.vms.done(0, ResultSpec{Value: mgplatform.NewValue(5, nil)}, m)
-	m.takeList(0, upstreamList(5, mgplatform.Live))
+	m.listSource.finishRead(0, ResultSpec{Value: mgplatform.NewValue(5, nil)}, m)
+	m.adoptList(0, upstreamList(5, mgplatform.Live))
 	return m, members
 }
 
@@ -43,17 +43,16 @@
 	return data
 }
 
-// A report is cut: it was sent to an engine two seconds after the engine had
-// said that it leaves. The entry's watch hung on a connection that a partition
-// had cut, the other entries knew, and the entry had fetched their list less
-// than five seconds before.
-func TestDepartureFromPeers(t *testing.T) {
-	Convey("A list that peers have is fetched while the own watch hangs", t, func() {
-		m, members := alone()
-		So(m.readPlatform(sec), ShouldNotBeEmpty) // the watch that never ends
+// A report is cut off: an entry sends it to an engine two seconds after the engine
+// announced that it leaves. The entry's watch hangs on a partitioned connection; its
+// peers know, and it fetched their list less than five seconds before.
+func TestDepartureMissedWhileWatchHangs(t *testing.T) {
+	Convey("A newer list is fetched from peers while the own watch hangs", t, func() {
+		m, members := machineWithoutPeers()
+		So(m.readPlatform(sec), ShouldNotBeEmpty) // a watch that never returns
 		fetches := 0
 		for at := sec; at < 3*sec; at += 200 {
-			for _, action := range m.take(at, &mgrpc.Summary{
+			for _, action := range m.applySummary(at, &mgrpc.Summary{
 				Name:        "entry-2",
 				Incarnation: "life",
 				Addr:        "10.0.0.2:1",
@@ -63,7 +62,7 @@
 					continue
 				}
 				fetches++
-				m.Done(at, ResultSpec{
+				m.HandleResult(at, ResultSpec{
 					Action: action,
 					List:   upstreamList(5+uint64(at), mgplatform.Leaving),
 				})
@@ -74,20 +73,19 @@
 	})
 }
 
-// Requests reach no entry for half a minute after a start: the platform lists
-// upstreams only, each entry took another process for the watcher, and waited
-// for the poll.
-func TestUnlistedWatches(t *testing.T) {
+// No entry is ready for half a minute after a start: the platform lists upstreams only,
+// each entry treats another process as the watcher, and waits for its poll.
+func TestUnlistedProcessWaitsForPoll(t *testing.T) {
 	Convey("A process that the list doesn't name", t, func() {
-		m, members := alone()
+		m, members := machineWithoutPeers()
 		Convey("watches the platform itself", func() {
-			So(m.watching(), ShouldBeTrue)
+			So(m.isWatcher(), ShouldBeTrue)
 		})
-		Convey("is ready without peers, as upstreams are none", func() {
-			So(m.others(), ShouldEqual, 0)
+		Convey("is ready without peers, because upstreams aren't peers", func() {
+			So(m.countLiveOthers(), ShouldEqual, 0)
 		})
-		Convey("knows another by its own word, and tells it what is new", func() {
-			m.take(sec, &mgrpc.Summary{
+		Convey("learns of another process from its summary", func() {
+			m.applySummary(sec, &mgrpc.Summary{
 				Name:        "entry-2",
 				Incarnation: "life",
 				Addr:        "10.0.0.2:1",
@@ -95,7 +93,7 @@
 			peers := members.View().Peers()
 			So(len(peers), ShouldEqual, 1)
 			So(peers[0].PeerAddr(), ShouldEqual, "10.0.0.2:1")
-			Convey("until it has not been heard for a while", func() {
+			Convey("and forgets it when it was not seen for a while", func() {
 				members.Tick(sec + mgclock.Minute)
 				So(members.View().Peers(), ShouldBeEmpty)
 			})
@@ -103,33 +101,33 @@
 	})
 }
 
-// An operator of a platform that loses answers sets short waits; without them
-// a lost answer hides a change for twenty-five seconds.
-func TestWatchSettings(t *testing.T) {
-	Convey("Waits follow the settings", t, func() {
-		m, _ := alone()
+// A platform loses answers, and the operator sets short waits. Without them a lost
+// answer hides a change for twenty-five seconds.
+func TestWatchIgnoresSettings(t *testing.T) {
+	Convey("Timeouts and backoff follow the settings", t, func() {
+		m, _ := machineWithoutPeers()
 		m.spec.Watch = 2 * sec
 		m.spec.Answer = 500
 		for _, action := range m.readPlatform(sec) {
 			if action.Kind() == Watch {
-				So(timeout(action), ShouldEqual, 2500)
+				So(actionTimeout(action), ShouldEqual, 2500)
 			}
 		}
 		m.spec.Backoff = sec
 		for n := range 20 {
-			m.vms.done(mgclock.Millis(n)*sec, ResultSpec{Err: mgplatform.ErrDown}, m)
-			So(m.vms.next, ShouldBeLessThanOrEqualTo, mgclock.Millis(n)*sec+1500)
+			m.listSource.finishRead(mgclock.Millis(n)*sec, ResultSpec{Err: mgplatform.ErrDown}, m)
+			So(m.listSource.next, ShouldBeLessThanOrEqualTo, mgclock.Millis(n)*sec+1500)
 		}
 	})
 }
 
-// Two entries know only the same seed. Each takes itself for the one that gives
-// turns, their copies share a link, and the callers of both see a pause.
-func TestKnownToEachOther(t *testing.T) {
-	Convey("A summary names those that were heard lately", t, func() {
-		m, members := alone()
-		hear := func(at mgclock.Millis, name string, known ...*mgrpc.Known) *mgrpc.Summary {
-			reply, _ := m.Heard(at, &mgrpc.Summary{
+// Two entries know only the same seed. Each computes itself as the one that grants
+// migration slots; their copies share a link, and the callers of both see a pause.
+func TestSeedPeersNeverMeet(t *testing.T) {
+	Convey("A summary names processes that were seen recently", t, func() {
+		m, members := machineWithoutPeers()
+		exchange := func(at mgclock.Millis, name string, known ...*mgrpc.Known) *mgrpc.Summary {
+			reply, _ := m.HandleExchange(at, &mgrpc.Summary{
 				Name:        name,
 				Incarnation: "life",
 				Addr:        name + ":1",
@@ -138,13 +136,13 @@
 			})
 			return reply
 		}
-		hear(sec, "entry-2")
-		reply := hear(2*sec, "entry-3")
+		exchange(sec, "entry-2")
+		reply := exchange(2*sec, "entry-3")
 		So(len(reply.GetKnown()), ShouldEqual, 1)
 		So(reply.GetKnown()[0].GetName(), ShouldEqual, "entry-2")
 		So(reply.GetKnown()[0].GetZone(), ShouldEqual, "b")
-		Convey("and who is named becomes known, by another's word only", func() {
-			reply := hear(3*sec, "entry-3", &mgrpc.Known{
+		Convey("and a process that it names becomes known, but isn't named to others", func() {
+			reply := exchange(3*sec, "entry-3", &mgrpc.Known{
 				Name: "entry-4",
 				Addr: "entry-4:1",
 			})
@@ -154,9 +152,9 @@
 				So(k.GetName(), ShouldNotEqual, "entry-4")
 			}
 		})
-		Convey("and a dead one is forgotten though others had named it", func() {
+		Convey("and a dead process is forgotten although others named it", func() {
 			for at := 3 * sec; at < 60*sec; at += 2 * sec {
-				hear(at, "entry-3")
+				exchange(at, "entry-3")
 				members.Tick(at)
 			}
 			_, ok := members.View().Member("entry-2")
@@ -165,37 +163,37 @@
 	})
 }
 
-// The store loses a third of its answers and keeps the connections. Every
-// entry's watch hangs for six seconds, and engines that were given notice are
-// reclaimed with all that runs there.
-func TestLostAnswers(t *testing.T) {
+// The store loses a third of its answers and keeps the connections open. Every entry's
+// watch hangs for six seconds, and engines that were given notice are reclaimed with
+// all running work.
+func TestLostAnswerHidesChange(t *testing.T) {
 	Convey("A list whose changes must be known soon", t, func() {
-		m, _ := alone()
+		m, _ := machineWithoutPeers()
 		m.spec.Quick = 60
 		m.spec.Watch = 5 * sec
 		m.spec.Answer = sec
-		Convey("is watched for a second at most, answer included", func() {
+		Convey("is watched for at most a second, including the answer", func() {
 			for _, action := range m.readPlatform(sec) {
 				if action.Key() == mgplatform.ListKey {
-					So(timeout(action), ShouldBeLessThanOrEqualTo, sec)
+					So(actionTimeout(action), ShouldBeLessThanOrEqualTo, sec)
 				}
 			}
 		})
-		Convey("is asked for again at once", func() {
-			m.vms.failures = 0
-			m.vms.done(sec, ResultSpec{Err: mgplatform.ErrDown}, m)
-			So(m.vms.next-sec, ShouldBeLessThanOrEqualTo, 3*firstRetry)
-			So(m.Stale(sec), ShouldBeTrue)
+		Convey("is read again at once after a failure", func() {
+			m.listSource.failures = 0
+			m.listSource.finishRead(sec, ResultSpec{Err: mgplatform.ErrDown}, m)
+			So(m.listSource.next-sec, ShouldBeLessThanOrEqualTo, 3*firstRetryDelay)
+			So(m.IsListStale(sec), ShouldBeTrue)
 		})
 	})
 }
 
-// A new route answers 404 at one entry for three seconds after it was accepted.
-// The entry's watch hung; it had heard of the version from a peer, and the peer
-// lost power before it answered with the pages.
-func TestPeerFallsDark(t *testing.T) {
-	Convey("A version is fetched from another peer while the first is dark", t, func() {
-		m, _ := alone()
+// A new route answers 404 at one entry for three seconds after it was accepted: the
+// entry's watch hangs, and the peer from which it fetches the version loses power
+// before it answers.
+func TestFetchWaitsForDeadPeer(t *testing.T) {
+	Convey("A version is fetched from another peer when the first doesn't answer", t, func() {
+		m, _ := machineWithoutPeers()
 		m.spec.Fetch = 600
 		summary := func(name string) *mgrpc.Summary {
 			return &mgrpc.Summary{
@@ -206,12 +204,12 @@
 				Digest:      "d",
 			}
 		}
-		first := m.take(sec, summary("dark"))
+		first := m.applySummary(sec, summary("dark"))
 		So(len(first), ShouldEqual, 1)
 		So(first[0].Kind(), ShouldEqual, Fetch)
-		So(timeout(first[0]), ShouldEqual, 600)
-		So(m.take(sec, summary("other")), ShouldBeEmpty)
-		second := m.Done(sec+600, ResultSpec{
+		So(actionTimeout(first[0]), ShouldEqual, 600)
+		So(m.applySummary(sec, summary("other")), ShouldBeEmpty)
+		second := m.HandleResult(sec+600, ResultSpec{
 			Action: first[0],
 			Err:    context.DeadlineExceeded,
 		})
@@ -220,80 +218,80 @@
 	})
 }
 
-// One entry asks an engine and learns that it leaves. The others ask a second
-// later, and what runs there for them is cut.
-func TestDepartedTold(t *testing.T) {
-	Convey("An upstream's own word reaches the peers", t, func() {
-		m, members := alone()
-		m.take(sec, &mgrpc.Summary{
+// One entry asks an engine and learns that it is leaving. The others ask a second
+// later, and what runs there for them is cut off.
+func TestDepartureNotForwarded(t *testing.T) {
+	Convey("An upstream's announcement that it leaves reaches the peers", t, func() {
+		m, members := machineWithoutPeers()
+		m.applySummary(sec, &mgrpc.Summary{
 			Name:        "entry-2",
 			Incarnation: "life",
 			Addr:        "10.0.0.2:1",
 		})
-		actions := m.Departed(sec, "engine-1")
+		actions := m.HandleDeparture(sec, "engine-1")
 		So(members.View().Hosts("reports"), ShouldBeEmpty)
 		So(actions, ShouldNotBeEmpty)
 		So(actions[0].Summary().GetDeparted(), ShouldResemble, []string{"engine-1 0"})
-		So(m.Departed(sec, "engine-1"), ShouldBeEmpty)
-		Convey("who take it", func() {
-			other, known := alone()
-			told := actions[0].Summary()
-			told.Name = "entry-9" // both machines of this test have one name
-			on := other.take(sec, told)
+		So(m.HandleDeparture(sec, "engine-1"), ShouldBeEmpty)
+		Convey("which apply and forward it", func() {
+			other, known := machineWithoutPeers()
+			summary := actions[0].Summary()
+			summary.Name = "entry-9" // both machines of this test have the same name
+			forwarded := other.applySummary(sec, summary)
 			So(known.View().Hosts("reports"), ShouldBeEmpty)
-			So(on, ShouldNotBeEmpty)
-			So(on[0].Summary().GetDeparted(), ShouldResemble, []string{"engine-1 0"})
-			So(other.take(sec, told), ShouldBeEmpty)
+			So(forwarded, ShouldNotBeEmpty)
+			So(forwarded[0].Summary().GetDeparted(), ShouldResemble, []string{"engine-1 0"})
+			So(other.applySummary(sec, summary), ShouldBeEmpty)
 		})
-		Convey("and is told for a while only", func() {
-			m.now = sec + departedSpan
+		Convey("and is forwarded for a limited time only", func() {
+			m.now = sec + departureTTL
 			So(m.departures(), ShouldBeEmpty)
 		})
 	})
 }
 
-// All entries were killed while the store was away for two seconds more. It
-// answers again, and they still wait out the pause of a process that serves.
-func TestFirstRetry(t *testing.T) {
-	Convey("A process without a table asks again soon, and ever more rarely", t, func() {
+// All entries restart while the store is down for two more seconds. When it answers
+// again, they still wait out the long backoff of a process that serves.
+func TestFirstReadBacksOffTooLong(t *testing.T) {
+	Convey("A process without a table retries soon, with increasing delays", t, func() {
 		m := NewMachine(0, MachineSpec{
 			Name:    "entry-1",
 			Backoff: sec,
 		}, mgmember.New("entry-1"))
-		at, asked := mgclock.Millis(0), 0
+		at, readCount := mgclock.Millis(0), 0
 		for at < 10*sec {
-			m.vms.done(at, ResultSpec{Err: mgplatform.ErrDown}, m)
+			m.listSource.finishRead(at, ResultSpec{Err: mgplatform.ErrDown}, m)
 			if at < sec {
-				asked++
+				readCount++
 			}
-			So(m.vms.next-at, ShouldBeBetweenOrEqual, firstRetry/2, sec+firstRetry)
-			at = m.vms.next
+			So(m.listSource.next-at, ShouldBeBetweenOrEqual, firstRetryDelay/2, sec+firstRetryDelay)
+			at = m.listSource.next
 		}
-		So(asked, ShouldBeGreaterThanOrEqualTo, 4)
+		So(readCount, ShouldBeGreaterThanOrEqualTo, 4)
 	})
 }
 
-// All entries start before the operators' first table. Each reads it again and again,
-// and the platform bills three hundred reads that found nothing.
-func TestMissingTable(t *testing.T) {
-	Convey("A value that isn't published yet is read each second or so", t, func() {
-		m, _ := alone()
+// All entries start before the operators publish the first table. Each reads it again
+// and again, and the platform bills three hundred reads that found nothing.
+func TestMissingTableReadTooOften(t *testing.T) {
+	Convey("A value that isn't published yet is read about once a second", t, func() {
+		m, _ := machineWithoutPeers()
 		m.spec.Quick = 60
 		for n := range 20 {
 			at := mgclock.Millis(n) * sec
-			m.manifest.done(at, ResultSpec{Err: mgplatform.ErrMissing}, m)
-			So(m.manifest.next-at, ShouldBeBetweenOrEqual, sec/2, 3*sec/2)
+			m.manifestSource.finishRead(at, ResultSpec{Err: mgplatform.ErrMissing}, m)
+			So(m.manifestSource.next-at, ShouldBeBetweenOrEqual, sec/2, 3*sec/2)
 		}
 	})
 }
 
-// Every entry of a region watches the list as often as the one that needs its
-// changes at once, and the platform counts each call; or none does, and an
-// engine's notice of two seconds is half over when it is seen.
-func TestQuickWatcher(t *testing.T) {
-	Convey("Of the processes of a region one watches quickly", t, func() {
+// Every entry of a region watches the list as often as the one that needs its changes
+// at once, and the platform counts each call; or none does, and an engine's notice of
+// two seconds is half over when it is seen.
+func TestMoreThanOneQuickWatcher(t *testing.T) {
+	Convey("Exactly one process of a region watches quickly", t, func() {
 		names := []string{"entry-1", "entry-2", "entry-3"}
-		leaders := 0
+		quickWatchers := 0
 		for _, name := range names {
 			members := mgmember.New(name)
 			m := NewMachine(0, MachineSpec{
@@ -301,7 +299,7 @@
 				Region: "south",
 				Quick:  60,
 			}, members)
-			m.takeList(0, upstreamList(5, mgplatform.Live))
+			m.adoptList(0, upstreamList(5, mgplatform.Live))
 			for _, other := range names {
 				if other == name {
 					continue
@@ -313,33 +311,33 @@
 					Region: "south",
 				})
 			}
-			// Before that a process that nobody listens at may only not know the others.
-			span := m.after(meetSpan, &m.vms) - meetSpan
-			if span == 60 {
-				leaders++
+			// Before that, a process that nobody polls may merely not know the others.
+			interval := m.nextReadAt(discoveryWindow, &m.listSource) - discoveryWindow
+			if interval == 60 {
+				quickWatchers++
 			} else {
-				So(span, ShouldEqual, slowPause)
+				So(interval, ShouldEqual, slowWatchInterval)
 			}
-			So(m.after(0, &m.manifest), ShouldEqual, watchPause)
+			So(m.nextReadAt(0, &m.manifestSource), ShouldEqual, watchInterval)
 		}
-		So(leaders, ShouldEqual, 1)
+		So(quickWatchers, ShouldEqual, 1)
 	})
-	Convey("A process that knows no other watches quickly", t, func() {
-		m, _ := alone()
+	Convey("A process that knows no other one watches quickly", t, func() {
+		m, _ := machineWithoutPeers()
 		m.spec.Quick = 60
-		So(m.after(0, &m.vms), ShouldEqual, 60)
+		So(m.nextReadAt(0, &m.listSource), ShouldEqual, 60)
 	})
 }
 
-// The platform falls silent without a word and an engine gives notice in the same
-// second. Its reports are cut 1.7 s later: the engine would have said so itself, and
-// was asked only once the list was 1.5 s old.
-func TestSilentPlatform(t *testing.T) {
-	Convey("The one that watches quickly asks upstreams once two watches are overdue", t, func() {
-		m, _ := alone()
+// The platform stops answering without an error, and an engine gives notice in the same
+// second. Its reports are cut off 1.7 s later: the engine would have announced its
+// departure, but was asked only once the list was 1.5 s old.
+func TestSilentPlatformHidesNotice(t *testing.T) {
+	Convey("The quick watcher treats its list as stale once two watches are overdue", t, func() {
+		m, _ := machineWithoutPeers()
 		m.spec.Quick = 60
-		m.vms.heard = 1000
-		So(m.Stale(1000+quickStale-1), ShouldBeFalse)
-		So(m.Stale(1000+quickStale), ShouldBeTrue)
+		m.listSource.confirmedAt = 1000
+		So(m.IsListStale(1000+quickStaleTimeout-1), ShouldBeFalse)
+		So(m.IsListStale(1000+quickStaleTimeout), ShouldBeTrue)
 	})
 }
--- /dev/null
+++ b/internal/version/mgconfig/longpoll.go
@@ -0,0 +1,273 @@
+package mgconfig
+
+import (
+	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgplatform"
+	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
+	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
+)
+
+// Where changes of the list must be known soon, one process of a region, the reader,
+// reads it from the platform. The hub of each cell long-polls the reader, and the other
+// processes of a cell long-poll their hub. So a change costs the platform one read, not
+// one per process: upstreams' heartbeats end every watch, so each process's own watch
+// would return at once.
+//
+// Each reply carries the time since the platform confirmed the list. A process that
+// receives no reply, or only old ones, reads the platform itself: a hub quickly and on
+// behalf of its cell, any other process once a second.
+
+const (
+	// hubPollWait is how long the reader holds a hub's long poll while there is nothing
+	// new. It is the delay that the path over the hub adds to the age of the reader's
+	// report.
+	hubPollWait = 150 * mgclock.Millis(1)
+	// hubReadDelay is the age of the reader's report at which a hub reads for its cell.
+	// Engines that started together send heartbeats together, and the reader's own
+	// watch then takes up to quickWatchWait: with a shorter delay each hub would read
+	// in parallel with the reader.
+	hubReadDelay = quickWatchWait + 200
+	// cellPollWait is the same for the other processes, which also see from the replies
+	// to their load reports that the hub is alive.
+	cellPollWait = 500 * mgclock.Millis(1)
+	// longPollTimeout is the timeout of the reply after the wait: the reply time of a
+	// busy VM with a seventh of a core.
+	longPollTimeout = 300 * mgclock.Millis(1)
+	// longPollTTL is how long a reply proves that the long poll works.
+	longPollTTL = cellPollWait + longPollTimeout
+	// longPollRetryMin is the first delay after a failed long poll. It doubles up to
+	// longPollRetryMax; meanwhile the process's own watch replaces the long poll.
+	// noTargetInterval is the interval at which a process without a target looks for
+	// one.
+	longPollRetryMin = 100 * mgclock.Millis(1)
+	longPollRetryMax = mgclock.Second
+	noTargetInterval = 250 * mgclock.Millis(1)
+	// pollersTTL is how long after a long poll others count as polling this process:
+	// two of their polls and a margin.
+	pollersTTL = 3 * cellPollWait
+	// discoveryWindow is the time after a start in which a process that nobody polls
+	// doesn't read for others: until some hundred processes know one another, several
+	// compute themselves as the reader.
+	discoveryWindow = 6 * mgclock.Second
+	// platformDownInterval is the mean interval of a process's own reads while its hub
+	// answers but has no confirmation by the platform. The hub reads often, and any
+	// process that gets an answer passes it on, so a platform that refuses all calls is
+	// spared.
+	platformDownInterval = 3 * mgclock.Second
+	// longPollDelayPerRow is the part of the delay after a received list that is due to
+	// each row, in ms. A row takes some 24 bytes on the wire: 60 KB/s while the
+	// list keeps changing.
+	longPollDelayPerRow = 0.4
+	// maxLongPollDelay limits that delay, as maxListFetchInterval does for fetches.
+	maxLongPollDelay = maxListFetchInterval
+)
+
+// A Listing is the reply to a long poll for the list of VMs.
+type Listing struct {
+	Word Word
+	// Packed is the compressed list, or nil where the caller's list is as new.
+	Packed []byte
+}
+
+// readsForOthers reports whether this process reads the list quickly: as the reader of
+// its region, or as a hub on behalf of its cell while the reader's reports are missing
+// or old. A new process that others don't poll may merely not know the reader yet.
+func (m *Machine) readsForOthers(now mgclock.Millis) bool {
+	r := m.roles()
+	if now < m.join.startedAt+discoveryWindow && now >= m.lastPolledAt+pollersTTL && len(r.view.HealthyPeers(m.spec.Region)) > 0 {
+		return false
+	}
+	return r.reader == nil || r.hub == nil && now >= m.peerConfirmedAt+hubReadDelay
+}
+
+// HandleLongPoll records that another process polls this one, and reports whether that
+// changed the time of the next tick.
+func (m *Machine) HandleLongPoll(now mgclock.Millis) bool {
+	first := now >= m.lastPolledAt+pollersTTL
+	m.lastPolledAt = now
+	if first && m.roles().reader == nil {
+		m.listSource.next = min(m.listSource.next, now)
+		return true
+	}
+	return false
+}
+
+// longPollTarget returns the member that this process polls and the wait of a poll, or
+// nil where it polls none.
+func (m *Machine) longPollTarget() (to *mgmember.Member, wait mgclock.Millis) {
+	r := m.roles()
+	switch {
+	case r.reader == nil:
+		return nil, 0
+	case r.hub == nil:
+		return r.reader, hubPollWait
+	default:
+		return r.hub, cellPollWait
+	}
+}
+
+// longPollState is the state of the long poll to the reader or hub.
+type longPollState struct {
+	busy          bool
+	next          mgclock.Millis
+	failures      int            // in a row
+	answeredAt    mgclock.Millis // time of the last reply
+	hasAnswered   bool           // a reply has arrived
+	isReportFresh bool           // its last report was as good as the platform's own answer
+}
+
+func (l *longPollState) nextDue() mgclock.Millis {
+	if l.busy {
+		return never
+	}
+	return l.next
+}
+
+// isAnswering reports whether the polled member answers.
+func (l *longPollState) isAnswering(now mgclock.Millis) bool {
+	return l.hasAnswered && l.failures == 0 && now < l.answeredAt+longPollTTL
+}
+
+// isFresh reports whether the polled member also has a fresh confirmation by the
+// platform, so that updates need no other path.
+func (l *longPollState) isFresh(now mgclock.Millis) bool {
+	return l.isReportFresh && l.isAnswering(now)
+}
+
+// startLongPoll polls for a list newer than the own one, when that is due.
+func (m *Machine) startLongPoll(now mgclock.Millis) []Action {
+	l := &m.longPoll
+	if m.spec.Quick == 0 || l.busy || now < l.next {
+		return nil
+	}
+	to, wait := m.longPollTarget()
+	if to == nil {
+		l.hasAnswered = false
+		l.next = now + noTargetInterval
+		return nil
+	}
+	l.busy = true
+	m.counts.Listens++
+	return []Action{{
+		kind:          LongPoll,
+		peer:          to.Name(),
+		addr:          to.PeerAddr(),
+		key:           mgplatform.ListKey,
+		after:         m.members.View().Version(),
+		wait:          wait,
+		answerTimeout: longPollTimeout,
+	}}
+}
+
+// handleListReply adopts the list and the report of a reply, or schedules a retry.
+func (m *Machine) handleListReply(now mgclock.Millis, result ResultSpec) []Action {
+	l := &m.longPoll
+	l.busy = false
+	from := result.Action.peer
+	if result.Err != nil {
+		l.failures++
+		l.next = now + longPollRetryMin/2 + m.jitter(min(longPollRetryMin<<min(l.failures, maxDoublings), longPollRetryMax))
+		if m.roles().hub == nil {
+			// A hub makes no other calls to the reader that would show the reader's
+			// failure.
+			m.members.Failed(now, from)
+			m.listSource.next = min(m.listSource.next, now)
+		}
+		if m.leavesListToOthers() {
+			m.nextExchange = min(m.nextExchange, now+m.jitter(longListExchangeInterval))
+		}
+		return nil
+	}
+	m.members.Answered(now, from)
+	l.failures = 0
+	l.hasAnswered = true
+	l.answeredAt = now
+	l.isReportFresh = result.Report.isFresh()
+	l.next = now
+	var actions []Action
+	if len(result.List) > 0 {
+		l.next = now + m.longPollDelay()
+		if m.adoptList(now, result.List) {
+			actions = m.askPeersForJoin(now)
+		}
+	}
+	m.confirmList(now, result.Report)
+	m.confirmTableFrom(now, result.Report)
+	return append(actions, m.ObserveVersion(now, result.Report.Table, from)...)
+}
+
+// longPollDelay returns the minimum interval between two lists.
+func (m *Machine) longPollDelay() mgclock.Millis {
+	rows := float64(len(m.members.View().All()))
+	return min(mgclock.Millis(longPollDelayPerRow*rows), maxLongPollDelay)
+}
+
+// confirmList records the confirmation in a report of the own list, or of an older one,
+// and postpones the own watch.
+func (m *Machine) confirmList(now mgclock.Millis, report Word) {
+	if !report.isFresh() || report.List > m.members.View().Version() {
+		return
+	}
+	at := now - report.Age
+	m.listSource.confirmedByPeer = true
+	m.listSource.confirmedAt = max(m.listSource.confirmedAt, at)
+	m.peerConfirmedAt = max(m.peerConfirmedAt, at)
+	m.postponeListRead(at)
+}
+
+// hubAnswers reports whether another process reads the platform for this one, which
+// itself gets no answer now.
+func (m *Machine) hubAnswers(now mgclock.Millis) bool {
+	return m.spec.Quick > 0 && m.Current() != nil && m.roles().rank >= watchersPerCell && m.longPoll.isAnswering(now)
+}
+
+// postponeListRead postpones the own watch, counted from the time of another process's
+// confirmation, unless others depend on this process's reads. A hub reads for its cell
+// as soon as the report is too old to be passed on.
+func (m *Machine) postponeListRead(at mgclock.Millis) {
+	r := m.roles()
+	switch {
+	case r.reader == nil:
+	case r.hub == nil:
+		m.listSource.next = max(m.listSource.next, at+hubReadDelay)
+	default:
+		m.listSource.next = max(m.listSource.next, at+m.ownReadInterval())
+	}
+}
+
+const (
+	// longListRows is the list size from which a process that others don't poll leaves
+	// reading the list to them: thousands of upstreams take some dozen calls and over a
+	// megabyte, which takes seconds on the link of a small VM. Where a third of the
+	// processes die, each of the others would read the list at once, and be
+	// rate-limited.
+	longListRows = 500
+	// longListReadInterval is the interval of such a process's own reads while it
+	// receives no reports.
+	longListReadInterval = 5 * mgclock.Second
+	// longListExchangeInterval is the interval at which it asks peers meanwhile, which
+	// have the list compressed to a twentieth.
+	longListExchangeInterval = 300 * mgclock.Millis(1)
+)
+
+// leavesListToOthers reports whether this process leaves reading a long list to its hub
+// and the watchers of its cell.
+func (m *Machine) leavesListToOthers() bool {
+	return m.spec.Quick > 0 && len(m.members.View().All()) > longListRows && m.roles().rank >= watchersPerCell
+}
+
+// ownReadInterval returns the interval of reads of the list by a process that doesn't
+// read it for others.
+func (m *Machine) ownReadInterval() mgclock.Millis {
+	if m.leavesListToOthers() {
+		return longListReadInterval
+	}
+	return slowWatchInterval
+}
+
+// currentExchangeInterval returns the mean interval of exchanges.
+func (m *Machine) currentExchangeInterval(now mgclock.Millis) mgclock.Millis {
+	if m.leavesListToOthers() && !m.longPoll.isFresh(now) {
+		return longListExchangeInterval
+	}
+	return exchangeInterval
+}
--- a/internal/version/mgconfig/listen_fleet_test.go
+++ b/internal/version/mgconfig/longpoll_fleet_test.go
@@ -10,18 +10,18 @@
 )
 
 // newListening returns a fleet of one region on a platform that lists upstreams only.
-// Members tell one another the list.
+// Members get the list from one another.
 func newListening(seed uint64, count int) *fleet {
 	f := newFleet(seed, count, 0)
 	f.quick = 60
-	f.beat = 10
+	f.heartbeat = 10
 	f.dead = map[string]bool{}
 	f.list(0)
 	f.publish(1, 1)
 	return f
 }
 
-// seeds returns the members that a new one asks first.
+// seeds returns the configured peers of a new member.
 func (f *fleet) seeds() []string {
 	if f.quick == 0 {
 		return nil
@@ -29,12 +29,12 @@
 	return []string{f.nodes[0].name, f.nodes[1].name, f.nodes[2].name}
 }
 
-// list puts a list of upstreams on the platform, of which one after the other leaves,
-// and returns its version.
+// list writes a list of upstreams to the platform, in which the one selected by change
+// is leaving, and returns its version.
 func (f *fleet) list(change int) uint64 {
 	upstreams := 48
-	if f.listed > 0 {
-		upstreams = f.listed
+	if f.listedUpstreams > 0 {
+		upstreams = f.listedUpstreams
 	}
 	list := mgplatform.List{
 		Version:  f.platform.values[mgplatform.ListKey].Version() + 1,
@@ -59,95 +59,96 @@
 	return list.Version
 }
 
-// kick has a member that changed its mind look when it is due, as a Loop does.
-func (f *fleet) kick(n *node, life int) {
-	f.net.At(max(f.net.Now(), n.machine.Wake()), n.name, func() {
-		if n.life == life {
+// tickNow schedules a tick of a member whose next tick may have moved, as a Loop does.
+func (f *fleet) tickNow(n *node, incarnation int) {
+	f.net.At(max(f.net.Now(), n.machine.NextTick()), n.name, func() {
+		if n.incarnation == incarnation {
 			f.perform(n, n.machine.Tick(f.net.Now()))
 		}
 	})
 }
 
-// listenStep is how late a held question is answered at most, ms.
-const listenStep = 5
+// longPollCheckInterval is the maximum delay of the reply to a held long poll, ms.
+const longPollCheckInterval = 5
 
-// listen carries a question for the list to a member, which answers once it has what
-// is newer or the wait is over.
-func (f *fleet) listen(n *node, a Action, finish func(ResultSpec)) {
+// longPoll sends a long poll to a member, which replies once it has a newer list or the
+// wait is over.
+func (f *fleet) longPoll(n *node, a Action, finish func(ResultSpec)) {
 	to := f.byName[a.Addr()]
-	life := to.life
+	incarnation := to.incarnation
 	f.net.Send(n.name, to.name, callBytes/2, func() {
 		if f.dead[to.name] {
 			return
 		}
-		to.machine.Asked(f.net.Now())
-		f.kick(to, life)
+		to.machine.HandleLongPoll(f.net.Now())
+		f.tickNow(to, incarnation)
 		end := f.net.Now() + a.Wait()
-		var look func()
-		look = func() {
-			if f.dead[to.name] || to.life != life {
+		var check func()
+		check = func() {
+			if f.dead[to.name] || to.incarnation != incarnation {
 				return
 			}
-			word := to.machine.Word(f.net.Now())
-			if word.List <= a.After() && f.net.Now() < end {
-				f.net.At(f.net.Now()+listenStep, to.name, look)
+			report := to.machine.Report(f.net.Now())
+			if report.List <= a.After() && f.net.Now() < end {
+				f.net.At(f.net.Now()+longPollCheckInterval, to.name, check)
 				return
 			}
 			var list []byte
-			if word.List > a.After() {
+			if report.List > a.After() {
 				list = to.machine.List()
 			}
 			f.net.Send(to.name, n.name, len(list)+callBytes/2, func() {
 				finish(ResultSpec{
-					List: list,
-					Word: word,
+					List:   list,
+					Report: report,
 				})
 			})
 		}
-		look()
+		check()
 	})
 }
 
-// gossip carries what a member tells another of processes.
+// gossip sends a member's records to another one and returns the reply.
 func (f *fleet) gossip(n *node, a Action, finish func(ResultSpec)) {
 	to := f.byName[a.Addr()]
 	f.net.Send(n.name, to.name, callBytes/2, func() {
 		if f.dead[to.name] {
 			return
 		}
-		told := to.machine.Gossiped(f.net.Now(), a.Gossip())
+		reply := to.machine.HandleGossip(f.net.Now(), a.Gossip())
 		f.net.Send(to.name, n.name, callBytes/2, func() {
 			finish(ResultSpec{
-				Gossip: told,
+				Gossip: reply,
 			})
 		})
 	})
 }
 
-// Intervals of the reports of load, which carry a hub's word; see mgnode.
+// Interval and timeout of the load reports, whose replies carry a hub's report; see
+// mgnode.
 const (
-	reportSpan = 200
-	reportWait = 150
+	loadReportInterval = 200
+	loadReportTimeout  = 150
 )
 
-// report has a member tell its hub of its load, again and again.
-func (f *fleet) report(n *node, life int) {
-	f.net.At(f.net.Now()+reportSpan, n.name, func() {
-		if n.life != life || f.dead[n.name] {
+// scheduleLoadReports makes a member send load reports to its hub periodically.
+func (f *fleet) scheduleLoadReports(n *node, incarnation int) {
+	f.net.At(f.net.Now()+loadReportInterval, n.name, func() {
+		if n.incarnation != incarnation || f.dead[n.name] {
 			return
 		}
-		f.report(n, life)
+		f.scheduleLoadReports(n, incarnation)
 		if hub := n.machine.roles().hub; hub != nil {
-			f.tell(n, hub)
+			f.sendLoadReport(n, hub)
 		}
 	})
 }
 
-func (f *fleet) tell(n *node, hub *mgmember.Member) {
-	life, over := n.life, false
-	f.net.At(f.net.Now()+reportWait, n.name, func() {
-		if !over && n.life == life {
-			over = true
+func (f *fleet) sendLoadReport(n *node, hub *mgmember.Member) {
+	incarnation, finished := n.incarnation, false
+	f.net.At(f.net.Now()+loadReportTimeout, n.name, func() {
+		if !finished && n.incarnation == incarnation {
+			finished = true
 			n.members.Failed(f.net.Now(), hub.Name())
 		}
 	})
@@ -155,26 +156,25 @@
 		if f.dead[hub.Name()] {
 			return
 		}
-		word := f.byName[hub.Name()].machine.Word(f.net.Now())
+		report := f.byName[hub.Name()].machine.Report(f.net.Now())
 		f.net.Send(hub.Name(), n.name, callBytes/2, func() {
-			if over || n.life != life {
+			if finished || n.incarnation != incarnation {
 				return
 			}
-			over = true
+			finished = true
 			n.members.Answered(f.net.Now(), hub.Name())
-			f.perform(n, n.machine.Take(f.net.Now(), word, hub.Name()))
+			f.perform(n, n.machine.ApplyReport(f.net.Now(), report, hub.Name()))
 		})
 	})
 }
 
-// kill ends a member for good.
+// kill stops a member permanently.
 func (f *fleet) kill(name string) {
 	f.dead[name] = true
-	f.byName[name].life++
+	f.byName[name].incarnation++
 }
 
-// reader returns the member that reads the list for all others, by what most take
-// for it.
+// reader returns the member that most members compute as the region's reader.
 func (f *fleet) reader() string {
 	votes := map[string]int{}
 	first := ""
@@ -202,8 +202,8 @@
 	return n.name
 }
 
-// lag returns how many live members have a list older than a version.
-func (f *fleet) lag(version uint64) int {
+// countOutdated returns how many live members have a list older than a version.
+func (f *fleet) countOutdated(version uint64) int {
 	count := 0
 	for _, n := range f.nodes {
 		if !f.dead[n.name] && n.members.View().Version() < version {
@@ -213,14 +213,14 @@
 	return count
 }
 
-// known changes the list and returns how long it takes until a share of the members
-// has it.
-func (f *fleet) known(change int, share float64) mgclock.Millis {
+// timeUntilKnown changes the list and returns the time until a share of the members has
+// it.
+func (f *fleet) timeUntilKnown(change int, share float64) mgclock.Millis {
 	began := f.net.Now()
 	version := f.list(change)
 	for f.net.Now() < began+10*mgclock.Second {
 		f.net.Run(f.net.Now() + 5)
-		if float64(f.lag(version)) <= (1-share)*float64(len(f.nodes)) {
+		if float64(f.countOutdated(version)) <= (1-share)*float64(len(f.nodes)) {
 			break
 		}
 	}
--- a/internal/version/mgconfig/loop.go
+++ b/internal/version/mgconfig/loop.go
@@ -16,19 +16,19 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Timeouts of actions. A peer answers an exchange from memory; a fetch may carry
-// a megabyte. fetchTimeout is the default of MachineSpec.Fetch, readTimeout that
-// of Answer.
+// Timeouts of actions. A peer answers an exchange from memory; a fetch may carry a
+// megabyte. fetchTimeout is the default of MachineSpec.Fetch, and readTimeout of
+// MachineSpec.Answer.
 const (
 	exchangeTimeout = mgclock.Second
 	fetchTimeout    = 5 * mgclock.Second
 	readTimeout     = 5 * mgclock.Second
 )
 
-// errStopped is the error of a loop that doesn't run.
+// errStopped is returned by a loop that isn't running.
 var errStopped = errors.New("mgconfig: this process is starting or stopping: ask another peer")
 
-// A LoopSpec joins a machine to the outside.
+// A LoopSpec connects a machine to its clock, its peers and the platform.
 type LoopSpec struct {
 	Machine  MachineSpec
 	Clock    mgclock.Clock
@@ -40,16 +40,17 @@
 	Exchange func(ctx context.Context, addr string, s *mgrpc.Summary) (*mgrpc.Summary, error)
 	Fetch    func(ctx context.Context, addr string, r *mgrpc.FetchRequest) (*mgrpc.FetchReply, error)
 
-	// Listen waits at the peer at an address for a list of VMs newer than a version.
-	// It is needed where MachineSpec.Quick is set.
+	// Listen long-polls the peer at an address for a list of VMs newer than a version.
+	// It is required where MachineSpec.Quick is set.
 	Listen func(ctx context.Context, addr string, after uint64, wait mgclock.Millis) (Listing, error)
 
-	// Gossip tells the peer at an address of processes, and returns what it knows.
+	// Gossip sends records of processes to the peer at an address and returns the
+	// peer's records.
 	Gossip func(ctx context.Context, addr string, all []mgmember.Gossip) ([]mgmember.Gossip, error)
 
-	// Adopted is told of each snapshot put in force, in order. It may be nil.
-	// It must not call the loop and return soon: a control event is the right
-	// size.
+	// Adopted is called with each snapshot put in force, in order. It may be nil. It
+	// must not call the loop and must return soon, such as after emitting a control
+	// event.
 	Adopted func(*Snapshot)
 }
 
@@ -58,27 +59,27 @@
 	spec    LoopSpec
 	machine *Machine
 
-	mu      sync.Mutex
-	told    *Snapshot     // the last snapshot that was reported
-	refused error         // the last refusal that was reported
-	cordons []string      // the cordoned availability zones that were reported
-	changed chan struct{} // closed and replaced at each adoption
-	listed  chan struct{} // the same at each newer list of VMs
-	packed  Listing       // the list that was packed last, and its version
-	kick    chan struct{} // wakes Run after the machine changed its mind
-	ctx     context.Context
-	stopped bool
-	running sync.WaitGroup
+	mu                sync.Mutex
+	reported          *Snapshot     // the last snapshot passed to Adopted
+	reportedRejection error         // the last rejection that was logged
+	reportedCordons   []string      // the cordoned availability zones that were logged last
+	tableChanged      chan struct{} // closed and replaced at each adoption
+	listChanged       chan struct{} // closed and replaced at each newer list of VMs
+	compressed        Listing       // the list that was compressed last, and its version
+	wakeRun           chan struct{} // wakes Run after the machine's next tick may have moved
+	ctx               context.Context
+	stopped           bool
+	actionsRunning    sync.WaitGroup
 }
 
-// NewLoop returns a loop. It does nothing until Run.
+// NewLoop returns a loop. It does nothing until Run is called.
 func NewLoop(spec LoopSpec) *Loop {
 	return &Loop{
-		spec:    spec,
-		machine: NewMachine(spec.Clock.Now(), spec.Machine, spec.Members),
-		changed: make(chan struct{}),
-		listed:  make(chan struct{}),
-		kick:    make(chan struct{}, 1),
+		spec:         spec,
+		machine:      NewMachine(spec.Clock.Now(), spec.Machine, spec.Members),
+		tableChanged: make(chan struct{}),
+		listChanged:  make(chan struct{}),
+		wakeRun:      make(chan struct{}, 1),
 	}
 }
 
@@ -92,19 +93,19 @@
 	return l.machine.Ready(l.spec.Clock.Now())
 }
 
-// Stale reports whether the platform gives no word of the list of VMs now.
+// Stale reports whether the list of VMs is unconfirmed by the platform.
 func (l *Loop) Stale() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.machine.Stale(l.spec.Clock.Now())
+	return l.machine.IsListStale(l.spec.Clock.Now())
 }
 
-// Certain reports whether the table in force was the newest a moment ago, so that what it
-// doesn't name isn't there.
+// Certain reports whether the table in force was recently confirmed as the newest, so
+// that a route or key that it lacks doesn't exist.
 func (l *Loop) Certain() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.machine.Certain(l.spec.Clock.Now())
+	return l.machine.TableConfirmed(l.spec.Clock.Now())
 }
 
 // Status returns the state for the dump.
@@ -122,46 +123,46 @@
 	l.mu.Unlock()
 	for ctx.Err() == nil {
 		l.step((*Machine).Tick)
-		l.rest(ctx)
+		l.waitUntilDue(ctx)
 	}
 	l.mu.Lock()
 	l.stopped = true
 	l.mu.Unlock()
-	l.running.Wait()
+	l.actionsRunning.Wait()
 }
 
-// rest waits until the machine is due or was changed by a call.
-func (l *Loop) rest(ctx context.Context) {
+// waitUntilDue waits until the machine's next tick or a call that may have moved it.
+func (l *Loop) waitUntilDue(ctx context.Context) {
 	l.mu.Lock()
-	span := l.machine.Wake() - l.spec.Clock.Now()
+	delay := l.machine.NextTick() - l.spec.Clock.Now()
 	l.mu.Unlock()
-	if span <= 0 {
+	if delay <= 0 {
 		return
 	}
 	select {
-	case <-l.spec.Clock.After(span):
-	case <-l.kick:
+	case <-l.spec.Clock.After(delay):
+	case <-l.wakeRun:
 	case <-ctx.Done():
 	}
 }
 
-// Seen takes a version number that came with a call from a peer. It costs two
+// Seen handles a version number that a call from a peer carried. It costs two atomic
 // loads where the peer isn't ahead.
 func (l *Loop) Seen(version uint64, from string) {
 	if version <= l.Current().Version() {
 		return
 	}
-	l.act(func(m *Machine, now mgclock.Millis) []Action {
-		return m.Seen(now, version, from)
+	l.stepAndWakeRun(func(m *Machine, now mgclock.Millis) []Action {
+		return m.ObserveVersion(now, version, from)
 	})
 }
 
-// Await returns once a version, or a later one, is in force. Whoever learns in
-// a call that it is behind waits here before it decides.
+// Await returns once a version, or a later one, is in force. A request that carries a
+// newer version than this process has waits here before it is decided.
 func (l *Loop) Await(ctx context.Context, version uint64) error {
 	for {
 		l.mu.Lock()
-		changed := l.changed
+		changed := l.tableChanged
 		l.mu.Unlock()
 		if l.Current().Version() >= version {
 			return nil
@@ -174,46 +175,47 @@
 	}
 }
 
-// Departed takes an upstream's own word that it leaves, and tells peers.
+// Departed records an upstream's own announcement that it is leaving, and forwards it
+// to peers.
 func (l *Loop) Departed(upstream string) {
-	l.act(func(m *Machine, now mgclock.Millis) []Action { return m.Departed(now, upstream) })
+	l.stepAndWakeRun(func(m *Machine, now mgclock.Millis) []Action { return m.HandleDeparture(now, upstream) })
 }
 
-// LookForTable has the table read from the platform at once, where another call to it has
-// shown that there is a newer one.
-func (l *Loop) LookForTable() { l.act((*Machine).LookForTable) }
+// LookForTable reads the table from the platform at once, after another call to the
+// platform has shown that there is a newer one.
+func (l *Loop) LookForTable() { l.stepAndWakeRun((*Machine).ReadTableNow) }
 
-// Take takes another process's word of the platform.
-func (l *Loop) Take(word Word, from string) {
-	l.step(func(m *Machine, now mgclock.Millis) []Action { return m.Take(now, word, from) })
+// Take applies another process's report of the platform's state.
+func (l *Loop) Take(report Word, from string) {
+	l.step(func(m *Machine, now mgclock.Millis) []Action { return m.ApplyReport(now, report, from) })
 }
 
-// Reseed replaces the addresses of peers to ask while no other is known.
+// Reseed replaces the peer addresses that are used while no other peer is known.
 func (l *Loop) Reseed(seeds []string) {
-	l.act(func(m *Machine, _ mgclock.Millis) []Action {
+	l.stepAndWakeRun(func(m *Machine, _ mgclock.Millis) []Action {
 		m.spec.Seeds = seeds
 		return nil
 	})
 }
 
-// Leave tells a few peers that this process leaves, and all that ask later.
-func (l *Loop) Leave() { l.act((*Machine).Leave) }
+// Leave announces to a few peers, and in all later summaries, that this process leaves.
+func (l *Loop) Leave() { l.stepAndWakeRun((*Machine).Leave) }
 
-// act lets the machine decide and has Run look when it is due next.
-func (l *Loop) act(decide func(*Machine, mgclock.Millis) []Action) {
+// stepAndWakeRun runs step and has Run recompute the machine's next tick.
+func (l *Loop) stepAndWakeRun(decide func(*Machine, mgclock.Millis) []Action) {
 	l.step(decide)
-	l.kickRun()
+	l.signalRun()
 }
 
-// kickRun has Run look when the machine is due next.
-func (l *Loop) kickRun() {
+// signalRun has Run recompute the machine's next tick.
+func (l *Loop) signalRun() {
 	select {
-	case l.kick <- struct{}{}:
+	case l.wakeRun <- struct{}{}:
 	default:
 	}
 }
 
-// step lets the machine decide and starts what it decided.
+// step runs decide and starts the actions that it returns.
 func (l *Loop) step(decide func(*Machine, mgclock.Millis) []Action) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -223,59 +225,60 @@
 	before := l.machine.members.View().Version()
 	actions := decide(l.machine, l.spec.Clock.Now())
 	if view := l.machine.members.View(); view.Version() != before {
-		close(l.listed)
-		l.listed = make(chan struct{})
+		close(l.listChanged)
+		l.listChanged = make(chan struct{})
 		l.reportCordons(view)
 	}
-	l.report()
+	l.reportTable()
 	for _, action := range actions {
-		l.running.Add(1)
+		l.actionsRunning.Add(1)
 		go l.perform(action)
 	}
 }
 
-// report logs and hands on what the machine adopted or refused.
-func (l *Loop) report() {
-	if version, err := l.machine.Refused(); err != nil && err != l.refused {
-		l.refused = err
+// reportTable logs what the machine adopted or rejected, and publishes an adopted
+// snapshot.
+func (l *Loop) reportTable() {
+	if version, err := l.machine.LastRejection(); err != nil && err != l.reportedRejection {
+		l.reportedRejection = err
 		l.spec.Log.Error(err, "a version of the table was refused, the last good one stays",
 			"version", version, "inforce", l.Current().Version())
 	}
 	current := l.Current()
-	if current == l.told {
+	if current == l.reported {
 		return
 	}
-	l.told = current
+	l.reported = current
 	l.spec.Log.Info("a version of the table is in force",
 		"version", current.Version(), "accounts", current.Table().Len(), "digest", current.Digest())
 	if l.spec.Adopted != nil {
 		l.spec.Adopted(current)
 	}
-	close(l.changed)
-	l.changed = make(chan struct{})
+	close(l.tableChanged)
+	l.tableChanged = make(chan struct{})
 }
 
-// reportCordons logs each change of the availability zones that get no new work.
+// reportCordons logs each change of the cordoned availability zones.
 func (l *Loop) reportCordons(view *mgmember.View) {
 	cordons := slices.Sorted(maps.Keys(view.Cordoned()))
-	if slices.Equal(cordons, l.cordons) {
+	if slices.Equal(cordons, l.reportedCordons) {
 		return
 	}
-	l.cordons = cordons
+	l.reportedCordons = cordons
 	l.spec.Log.Info("the availability zones that get no new work have changed",
 		"cordoned", cordons, "list", view.Version())
 }
 
 // perform carries out one action.
 func (l *Loop) perform(action Action) {
-	defer l.running.Done()
+	defer l.actionsRunning.Done()
 	result := l.call(action)
 	if result.Err != nil && action.kind != Read && action.kind != Watch && l.ctx.Err() == nil {
 		l.spec.Log.Info("a peer gave no answer", "peer", action.peer, "address", action.addr,
 			"pages", action.kind == Fetch, "why", result.Err.Error())
 	}
-	l.act(func(m *Machine, now mgclock.Millis) []Action {
-		return m.Done(now, result)
+	l.stepAndWakeRun(func(m *Machine, now mgclock.Millis) []Action {
+		return m.HandleResult(now, result)
 	})
 }
 
@@ -283,7 +286,7 @@
 	result := ResultSpec{
 		Action: action,
 	}
-	ctx, cancel := context.WithTimeout(l.ctx, timeout(action).Duration())
+	ctx, cancel := context.WithTimeout(l.ctx, actionTimeout(action).Duration())
 	defer cancel()
 	switch action.kind {
 	case Exchange:
@@ -292,12 +295,12 @@
 		var reply *mgrpc.FetchReply
 		reply, result.Err = l.spec.Fetch(ctx, action.addr, action.fetch)
 		if result.Err == nil {
-			result.Values, result.List, result.Err = unpack(reply)
+			result.Values, result.List, result.Err = decompressReply(reply)
 		}
-	case Listen:
+	case LongPoll:
 		var listing Listing
 		listing, result.Err = l.spec.Listen(ctx, action.addr, action.after, action.wait)
-		result.Word = listing.Word
+		result.Report = listing.Word
 		if result.Err == nil && listing.Packed != nil {
 			result.List, result.Err = decompress(listing.Packed)
 		}
@@ -311,13 +314,13 @@
 	return result
 }
 
-func timeout(action Action) mgclock.Millis {
+func actionTimeout(action Action) mgclock.Millis {
 	switch action.kind {
 	case Exchange:
 		return exchangeTimeout
 	case Fetch:
-		return or(action.answer, fetchTimeout)
+		return orDefault(action.answerTimeout, fetchTimeout)
 	default:
-		return action.wait + or(action.answer, readTimeout)
+		return action.wait + orDefault(action.answerTimeout, readTimeout)
 	}
 }
--- /dev/null
+++ b/internal/version/mgconfig/loop_serve.go
@@ -0,0 +1,99 @@
+package mgconfig
+
+import (
+	"context"
+
+	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgrpc"
+	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
+	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
+)
+
+// Exchange answers a peer's summary with the summary of this process.
+func (l *Loop) Exchange(_ context.Context, s *mgrpc.Summary) (*mgrpc.Summary, error) {
+	var reply *mgrpc.Summary
+	l.stepAndWakeRun(func(m *Machine, now mgclock.Millis) []Action {
+		var actions []Action
+		reply, actions = m.HandleExchange(now, s)
+		return actions
+	})
+	if reply == nil {
+		return nil, errStopped
+	}
+	return reply, nil
+}
+
+// Fetch answers a peer's request for values.
+func (l *Loop) Fetch(_ context.Context, r *mgrpc.FetchRequest) (*mgrpc.FetchReply, error) {
+	var compressedList []byte
+	if r.GetList() {
+		l.mu.Lock()
+		compressedList = l.compressedList()
+		l.mu.Unlock()
+	}
+	return Serve(l.Current(), compressedList, r), nil
+}
+
+// compressedList returns the compressed list of VMs, or nil before the first list. The
+// list is compressed once per version, for all callers. mu must be held.
+func (l *Loop) compressedList() []byte {
+	version := l.machine.members.View().Version()
+	if version == 0 {
+		return nil
+	}
+	if l.compressed.Word.List != version {
+		l.compressed.Word.List = version
+		l.compressed.Packed = compress(l.machine.List())
+	}
+	return l.compressed.Packed
+}
+
+// Word returns the report of versions that this process sends to its peers.
+func (l *Loop) Word() Word {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.machine.Report(l.spec.Clock.Now())
+}
+
+// Gossiped merges a peer's records of processes and returns the records known here.
+func (l *Loop) Gossiped(all []mgmember.Gossip) []mgmember.Gossip {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.machine.HandleGossip(l.spec.Clock.Now(), all)
+}
+
+// Listing answers a long poll: it returns this process's report, with the list of VMs
+// as soon as that is newer than the given version, or without it once wait is over.
+func (l *Loop) Listing(ctx context.Context, after uint64, wait mgclock.Millis) Listing {
+	expired := l.spec.Clock.After(wait)
+	for done := false; ; {
+		listing, changed := l.listReply(after)
+		if listing.Packed != nil || done {
+			return listing
+		}
+		select {
+		case <-changed:
+		case <-expired:
+			done = true
+		case <-ctx.Done():
+			done = true
+		}
+	}
+}
+
+// listReply returns the reply as of now, and a channel that is closed at the next newer
+// list.
+func (l *Loop) listReply(after uint64) (Listing, <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.machine.HandleLongPoll(l.spec.Clock.Now()) {
+		l.signalRun()
+	}
+	listing := Listing{
+		Word: l.machine.Report(l.spec.Clock.Now()),
+	}
+	if listing.Word.List <= after {
+		return listing, l.listChanged
+	}
+	listing.Packed = l.compressedList()
+	return listing, l.listChanged
+}
--- a/internal/version/mgconfig/machine_test.go
+++ b/internal/version/mgconfig/machine_test.go
@@ -16,11 +16,11 @@
 
 const sec = mgclock.Second
 
-// schedules is how many schedules of faults TestSchedules drives.
+// schedules is the number of fault schedules that TestSchedules runs.
 var schedules = flag.Int("schedules", 100, "number of seeded schedules of faults")
 
-// running returns a fleet with version 1 in force.
-func running(seed uint64, count int) *fleet {
+// startedFleet returns a fleet with version 1 in force.
+func startedFleet(seed uint64, count int) *fleet {
 	f := newFleet(seed, count, 0)
 	f.publish(1, 0)
 	f.startAll()
@@ -31,45 +31,45 @@
 
 func TestSpread(t *testing.T) {
 	Convey("A fleet with a version in force", t, func() {
-		f := running(1, 14)
+		f := startedFleet(1, 14)
 		all := func(version uint64) map[uint64]int { return map[uint64]int{version: 14} }
 
-		Convey("has the next one within seconds", func() {
+		Convey("has the next version within seconds", func() {
 			f.publish(2, 1)
 			f.net.Run(28 * sec)
 			So(f.versions(), ShouldResemble, all(2))
 		})
-		Convey("keeps the newest while the platform is stale", func() {
-			// An operator lowers a cap, and an hour later one entry lets the old
-			// rate through. The platform lost a replica and shows what was
-			// published before; the entry's VM had just been replaced.
+		Convey("keeps the newest version while the platform is stale", func() {
+			// An operator lowers a cap, and an hour later one entry still allows the
+			// old rate: the platform lost a replica and shows an older version, and the
+			// entry's VM has just been replaced.
 			f.platform.freeze(true)
 			f.platform.frozen[mgplatform.ManifestKey] = f.platform.values[mgplatform.ManifestKey]
 			f.publish(2, 1)
 			f.platform.stale = false
 			f.net.Run(28 * sec)
 			f.platform.stale = true
-			f.start(3)
+			f.startNode(3)
 			f.net.Run(60 * sec)
 			So(f.versions(), ShouldResemble, all(2))
-			So(f.nodes[3].ready, ShouldBeLessThan, 34*sec)
+			So(f.nodes[3].readyAt, ShouldBeLessThan, 34*sec)
 		})
 		Convey("starts a new process while the platform is down, from its peers", func() {
 			f.platform.down = true
-			f.start(3)
+			f.startNode(3)
 			f.nodes[3].machine.spec.Seeds = []string{"vm-0001", "vm-0002"}
 			f.net.Run(30 * sec)
 			So(f.nodes[3].machine.Ready(f.net.Now()), ShouldBeTrue)
 			So(f.versions(), ShouldResemble, all(1))
 		})
-		Convey("keeps a new process that hears nobody from serving", func() {
-			// A user's request is let in under a table from last week. The only
-			// process that let it in had started in a partition, alone with a
-			// stale platform, while the list named thirteen others.
+		Convey("doesn't let a new process serve that gets no peer's answer", func() {
+			// A request is accepted under a table from last week: the process that
+			// accepted it started in a partition, alone with a stale platform, while
+			// the list named thirteen others.
 			f.net.Cut(0, func(from, to string) bool {
 				return (from == "vm-0003" || to == "vm-0003") && from != "platform" && to != "platform"
 			})
-			f.start(3)
+			f.startNode(3)
 			f.net.Run(80 * sec)
 			So(f.nodes[3].machine.Current().Version(), ShouldEqual, 1)
 			So(f.nodes[3].machine.Ready(f.net.Now()), ShouldBeFalse)
@@ -77,18 +77,18 @@
 			f.net.Run(120 * sec)
 			So(f.nodes[3].machine.Ready(f.net.Now()), ShouldBeTrue)
 		})
-		Convey("refuses a faulty version alike and goes on with the next", func() {
+		Convey("rejects a faulty version everywhere and adopts the next", func() {
 			f.publishFaulty(2)
 			f.net.Run(30 * sec)
 			So(f.versions(), ShouldResemble, all(1))
-			version, err := f.nodes[0].machine.Refused()
+			version, err := f.nodes[0].machine.LastRejection()
 			So(version, ShouldEqual, 2)
 			So(err.Error(), ShouldContainSubstring, "column weight")
 			f.publish(3, 1)
 			f.net.Run(40 * sec)
 			So(f.versions(), ShouldResemble, all(3))
 		})
-		Convey("waits for pages that come after their manifest", func() {
+		Convey("waits for pages that are published after their manifest", func() {
 			// The platform's values change one after another: a watcher reads a
 			// manifest whose page isn't there yet.
 			table, err := mgtable.Parse(tableText(2, 1))
@@ -104,8 +104,9 @@
 			f.net.Run(40 * sec)
 			So(f.versions(), ShouldResemble, all(2))
 		})
-		Convey("settles two manifests under one version alike", func() {
-			// Two operators publish at once, and half of the fleet sees either.
+		Convey("chooses the same one of two manifests under one version everywhere", func() {
+			// Two operators publish at once, and each half of the fleet sees another
+			// manifest.
 			table, err := mgtable.Parse(tableText(2, 5))
 			So(err, ShouldBeNil)
 			f.publish(2, 1)
@@ -120,80 +121,79 @@
 				So(n.machine.Current().Digest(), ShouldEqual, f.nodes[0].machine.Current().Digest())
 			}
 		})
-		Convey("pulls what a call's version number tells of", func() {
+		Convey("exchanges with the sender of a call that carries a newer version", func() {
 			n := f.nodes[0]
-			So(n.machine.Seen(f.net.Now(), 1, "vm-0001"), ShouldBeEmpty)
-			actions := n.machine.Seen(f.net.Now(), 2, "vm-0001")
+			So(n.machine.ObserveVersion(f.net.Now(), 1, "vm-0001"), ShouldBeEmpty)
+			actions := n.machine.ObserveVersion(f.net.Now(), 2, "vm-0001")
 			So(actions, ShouldHaveLength, 1)
 			So(actions[0].Peer(), ShouldEqual, "vm-0001")
-			So(n.machine.Seen(f.net.Now(), 2, "vm-0001"), ShouldBeEmpty)
+			So(n.machine.ObserveVersion(f.net.Now(), 2, "vm-0001"), ShouldBeEmpty)
 		})
-		Convey("doesn't take a manifest under another version than its own", func() {
+		Convey("doesn't adopt a manifest under another version than its own", func() {
 			n := f.nodes[0]
 			old := n.machine.Current().manifest
-			n.machine.learn(f.net.Now(), mark{
+			n.machine.learnVersion(f.net.Now(), versionKey{
 				version: 9,
 				digest:  mgtable.DigestOf(old).String(),
 			}, peer{
 				name: "vm-0001",
 				addr: "vm-0001",
 			})
-			n.machine.takeManifest(f.net.Now(), old)
+			n.machine.applyManifest(f.net.Now(), old)
 			So(n.machine.pull, ShouldBeNil)
-			n.machine.takeManifest(f.net.Now(), []byte("{}"))
+			n.machine.applyManifest(f.net.Now(), []byte("{}"))
 			So(n.machine.Status(f.net.Now()).Faults, ShouldContainSubstring, "manifest")
 		})
-		So(f.back, ShouldBeEmpty)
+		So(f.regression, ShouldBeEmpty)
 	})
 }
 
-// TestOutage: the platform is down for an hour in which an operator publishes an
-// edit to it. When it comes back, every process that had been retrying could read
-// at once and take it down again.
-func TestOutage(t *testing.T) {
-	Convey("After an hour's outage the platform is read as before, and the edit is in force", t, func() {
+// The platform is down for an hour, in which an operator publishes an edit to it. When
+// it comes back, all processes that kept retrying read at once and overload it again.
+func TestRetryStormAfterOutage(t *testing.T) {
+	Convey("After an hour's outage the platform isn't overloaded, and the edit is in force", t, func() {
 		const count = 42
-		f := running(2, count)
+		f := startedFleet(2, count)
 		f.platform.down = true
 		f.net.Run(3600 * sec)
 		retries := f.readsFrom(3000 * sec)
 		f.publish(2, 1)
 		f.platform.down = false
 		f.net.Run(3640 * sec)
-		Printf("%.2f reads a second while down, %d at most in a second after ", float64(retries)/600, f.platform.peak(3600*sec))
+		Printf("%.2f reads a second while down, a peak of %d in a second after ", float64(retries)/600, f.platform.peak(3600*sec))
 		So(float64(retries)/600, ShouldBeLessThan, 4.5)
-		// Twenty-one watchers read a manifest and nine new pages each at most.
+		// Twenty-one watchers read at most a manifest and nine new pages each.
 		So(f.platform.peak(3600*sec), ShouldBeLessThan, 60)
 		So(f.versions(), ShouldResemble, map[uint64]int{2: count})
-		So(f.back, ShouldBeEmpty)
+		So(f.regression, ShouldBeEmpty)
 	})
 }
 
-// TestSchedules drives seeded schedules of faults: partitions between members
-// and from the platform, loss, pauses, restarts, a platform that is down or
-// stale, versions that are faulty. A user would see an edit undone by itself.
+// TestSchedules runs seeded schedules of faults: partitions between members and from
+// the platform, loss, pauses, restarts, a platform that is down or stale, faulty
+// versions. A member that goes back would undo an edit.
 func TestSchedules(t *testing.T) {
-	reverted, apart := 0, 0
+	reverted, diverged := 0, 0
 	for seed := range *schedules {
 		f := schedule(uint64(seed))
-		if f.back != "" {
+		if f.regression != "" {
 			reverted++
-			t.Errorf("seed %d: %s", seed, f.back)
+			t.Errorf("seed %d: %s", seed, f.regression)
 		}
-		last := f.nodes[0].machine.Current().mark()
+		last := f.nodes[0].machine.Current().key()
 		for _, n := range f.nodes {
-			if n.machine.Current().mark() != last || last.version%4 == 0 {
-				apart++
-				t.Errorf("seed %d: %s has %v, not %v", seed, n.name, n.machine.Current().mark(), last)
+			if n.machine.Current().key() != last || last.version%4 == 0 {
+				diverged++
+				t.Errorf("seed %d: %s has %v, not %v", seed, n.name, n.machine.Current().key(), last)
 				break
 			}
 		}
 	}
-	t.Logf("%d schedules: %d with a member that went back, %d without agreement after the heal", *schedules, reverted, apart)
+	t.Logf("%d schedules: %d with a member that went back, %d without agreement after the faults ended", *schedules, reverted, diverged)
 }
 
-// schedule runs a minute of faults and half a minute of heal. Every fourth
-// version is faulty, but for the last.
+// schedule runs a minute of faults and then 90 s without faults. Every fourth version is
+// faulty, but not the last.
 func schedule(seed uint64) *fleet {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	f := newFleet(seed, 8, sec)
@@ -213,7 +213,7 @@
 		case 4:
 			f.net.Pause(f.nodes[rng.IntN(8)].name, mgclock.Millis(rng.IntN(15_000)))
 		case 5:
-			f.start(rng.IntN(8))
+			f.startNode(rng.IntN(8))
 		case 6:
 			f.platform.down = rng.IntN(2) == 0
 			f.platform.freeze(rng.IntN(2) == 0)
@@ -234,7 +234,7 @@
 	return f
 }
 
-// half puts a member, or the platform, on one side of a partition.
+// half returns the side of a partition on which a member, or the platform, is.
 func half(side uint64, name string) bool {
 	bit := 63
 	_, _ = fmt.Sscanf(name, "vm-%d", &bit)
@@ -242,14 +242,14 @@
 }
 
 func TestServe(t *testing.T) {
-	Convey("A damaged value of a peer is an error", t, func() {
-		_, _, err := unpack(&mgrpc.FetchReply{
+	Convey("A damaged value from a peer is an error", t, func() {
+		_, _, err := decompressReply(&mgrpc.FetchReply{
 			Values: [][]byte{{1, 2, 3}},
 		})
-		So(err, ShouldWrap, errValue)
-		_, _, err = unpack(&mgrpc.FetchReply{
-			List: compress(make([]byte, valueBytes+1)),
+		So(err, ShouldWrap, errDamagedValue)
+		_, _, err = decompressReply(&mgrpc.FetchReply{
+			List: compress(make([]byte, maxValueBytes+1)),
 		})
-		So(err, ShouldWrap, errValue)
+		So(err, ShouldWrap, errDamagedValue)
 	})
 }
--- a/internal/version/mgconfig/pull.go
+++ b/internal/version/mgconfig/pull.go
@@ -8,51 +8,52 @@
 )
 
 const (
-	// retryMin and retryMax bound the pause between two rounds over the peers
-	// that are known to have a version.
+	// retryMin and retryMax are the bounds of the delay between two rounds over the
+	// peers that are known to have a version.
 	retryMin = 200 * mgclock.Millis(1)
 	retryMax = 5 * mgclock.Second
-	// ownWatch is how long a process whose own watch works waits for it before
-	// it asks a peer for a version that the peer has. Both at once cost twice:
-	// the text of 400 routes takes 1.1 ms of a core to pack and unpack, and some ms
-	// more to read.
-	ownWatch = 250 * mgclock.Millis(1)
-	// budgetSpan is the pause of a watcher whose budget of reads is used up.
-	budgetSpan = mgclock.Second / watcherRate
-	// peerRounds is the number of rounds over peers, about eight seconds, before
-	// a member that is no watcher turns to the platform. In a mass restart the
-	// watchers need that long to read all pages, and what a peer has doesn't
-	// cost a read.
-	peerRounds = 6
+	// ownWatchDelay is how long a process whose own watch works waits for it before it
+	// fetches a version from a peer. Doing both at once costs twice: the text of 400
+	// routes takes 1.1 ms of a core to compress and decompress, and some ms more to
+	// parse.
+	ownWatchDelay = 250 * mgclock.Millis(1)
+	// budgetDelay is the delay of a watcher whose read budget is used up.
+	budgetDelay = mgclock.Second / watcherRate
+	// maxPeerRounds is the number of rounds over peers, about eight seconds, before a
+	// member that is no watcher reads from the platform. In a mass restart the watchers
+	// need that long to read all pages, and values that a peer has don't cost a read.
+	maxPeerRounds = 6
 )
 
-// pull is the way to a version that was heard of and is not yet in force.
+// pull is the state of fetching a version that a peer or the platform has and that
+// isn't in force yet.
 type pull struct {
-	id       int // tells the answers to its fetches from those to an earlier pull
-	mark     mark
-	manifest mgtable.Manifest
-	text     []byte                   // of the manifest, nil until fetched
-	pages    map[string]*mgtable.Page // by digest
-	sources  []peer
-	at       int            // the next source
-	rounds   int            // over all sources since the last progress
-	busy     bool           // a fetch is under way
-	next     mgclock.Millis // when to fetch again
+	id           int // distinguishes the answers to its fetches from those of an earlier pull
+	key          versionKey
+	manifest     mgtable.Manifest
+	manifestText []byte                   // of the manifest, nil until fetched
+	pages        map[string]*mgtable.Page // by digest
+	sources      []peer
+	sourceIndex  int            // index of the next source
+	rounds       int            // rounds over all sources since the last progress
+	busy         bool           // a fetch is in progress
+	next         mgclock.Millis // time of the next fetch
 }
 
-// learn takes that a peer, or nobody in particular, has a version.
-func (m *Machine) learn(now mgclock.Millis, k mark, from peer) {
-	if k.version == 0 || !k.above(m.Current().mark()) || m.refused.has(k.digest) {
+// learnVersion records that a version exists, and that the peer from has it, unless
+// from is empty.
+func (m *Machine) learnVersion(now mgclock.Millis, key versionKey, from peer) {
+	if key.version == 0 || !key.isAfter(m.Current().key()) || m.rejections.has(key.digest) {
 		return
 	}
-	if m.pull == nil || k.above(m.pull.mark) {
-		m.beginPull(now, k)
-		if from.addr != "" && m.watching() && m.join.ready && m.manifest.failures == 0 {
-			// The own watch brings it, too.
-			m.pull.next = now + ownWatch
+	if m.pull == nil || key.isAfter(m.pull.key) {
+		m.beginPull(now, key)
+		if from.addr != "" && m.isWatcher() && m.join.ready && m.manifestSource.failures == 0 {
+			// The own watch will return it as well.
+			m.pull.next = now + ownWatchDelay
 		}
 	}
-	if k != m.pull.mark || from.addr == "" {
+	if key != m.pull.key || from.addr == "" {
 		return
 	}
 	for _, p := range m.pull.sources {
@@ -63,78 +64,79 @@
 	m.pull.sources = append(m.pull.sources, from)
 }
 
-// beginPull turns to a version. Pages fetched for an older one are kept.
-func (m *Machine) beginPull(now mgclock.Millis, k mark) {
+// beginPull starts fetching a version. Pages fetched for an older one are kept.
+func (m *Machine) beginPull(now mgclock.Millis, key versionKey) {
 	pages := make(map[string]*mgtable.Page)
 	if m.pull != nil {
 		pages = m.pull.pages
 	}
-	m.pulls++
+	m.pullCount++
 	m.pull = &pull{
-		id:    m.pulls,
-		mark:  k,
+		id:    m.pullCount,
+		key:   key,
 		pages: pages,
 		next:  now,
 	}
 }
 
-// takeManifest takes a manifest's text from wherever it came.
-func (m *Machine) takeManifest(now mgclock.Millis, text []byte) {
+// applyManifest handles a manifest's text from any source.
+func (m *Machine) applyManifest(now mgclock.Millis, text []byte) {
 	digest := mgtable.DigestOf(text).String()
 	manifest, err := mgtable.ReadManifest(text)
-	k := mark{
+	key := versionKey{
 		version: manifest.Version,
 		digest:  digest,
 	}
-	if m.pull != nil && m.pull.mark.digest == digest && m.pull.mark != k {
-		// It can't be read, or a peer gave it another version than it has.
-		// Adopting it under the peer's word could mean going back.
+	if m.pull != nil && m.pull.key.digest == digest && m.pull.key != key {
+		// The manifest can't be parsed, or a peer reported it under another version
+		// than it contains. Adopting it under the reported version could mean going
+		// back.
 		m.pull = nil
 	}
 	if err != nil {
-		m.refused.add(0, digest, err)
+		m.rejections.add(0, digest, err)
 		return
 	}
-	if current := m.Current(); k.version == current.Version() && current.mark().above(k) {
-		// An edit whose version was not raised: the order of versions keeps the
-		// one in force everywhere, and without a word nobody would know why.
-		m.refused.add(k.version, digest, errTwice)
+	if current := m.Current(); key.version == current.Version() && current.key().isAfter(key) {
+		// An edit whose version was not raised: the order of versions keeps the one in
+		// force everywhere, and without a rejection nobody would know why.
+		m.rejections.add(key.version, digest, errVersionReused)
 		return
 	}
-	m.learn(now, k, peer{})
-	if m.pull == nil || m.pull.mark != k || m.pull.text != nil {
+	m.learnVersion(now, key, peer{})
+	if m.pull == nil || m.pull.key != key || m.pull.manifestText != nil {
 		return
 	}
-	m.pull.text = text
+	m.pull.manifestText = text
 	m.pull.manifest = manifest
 	m.pull.next = now
 }
 
-// stepPull does the next step towards the version that is pulled.
+// stepPull performs the next step of the current pull.
 func (m *Machine) stepPull(now mgclock.Millis) []Action {
 	p := m.pull
 	if p == nil || p.busy || now < p.next {
 		return nil
 	}
-	if !p.mark.above(m.Current().mark()) {
+	if !p.key.isAfter(m.Current().key()) {
 		m.pull = nil
 		return nil
 	}
-	missing := m.missing()
+	missing := m.missingDigests()
 	if len(missing) == 0 {
 		return m.adopt(now)
 	}
-	if p.at < len(p.sources) {
-		return m.fetchFrom(p.sources[p.at], missing)
+	if p.sourceIndex < len(p.sources) {
+		return m.fetchFrom(p.sources[p.sourceIndex], missing)
 	}
-	return m.fetchElsewhere(now, missing[0])
+	return m.continueWithoutSource(now, missing[0])
 }
 
-// missing returns the digests of the values still to fetch.
-func (m *Machine) missing() []string {
+// missingDigests returns the digests of the values still to fetch.
+func (m *Machine) missingDigests() []string {
 	p := m.pull
-	if p.text == nil {
-		return []string{p.mark.digest}
+	if p.manifestText == nil {
+		return []string{p.key.digest}
 	}
 	var missing []string
 	for _, digest := range p.manifest.Pages {
@@ -145,7 +147,8 @@
 	return missing
 }
 
-// page returns a page that was fetched or that the present snapshot has.
+// page returns a page that was fetched, that the current snapshot has, or that
+// MachineSpec.Known returns; else nil.
 func (m *Machine) page(digest string) *mgtable.Page {
 	if page := m.pull.pages[digest]; page != nil {
 		return page
@@ -163,57 +166,57 @@
 	m.pull.busy = true
 	m.counts.Fetches++
 	return []Action{{
-		kind:   Fetch,
-		pull:   m.pull.id,
-		peer:   p.name,
-		addr:   p.addr,
-		answer: m.spec.Fetch,
+		kind:          Fetch,
+		pullID:        m.pull.id,
+		peer:          p.name,
+		addr:          p.addr,
+		answerTimeout: m.spec.Fetch,
 		fetch: &mgrpc.FetchRequest{
 			Digests: missing,
 		},
 	}}
 }
 
-// fetchElsewhere follows a round over all sources. A watcher, and a member that
-// has tried its peers often enough, reads one value of the platform. The others
-// look for a peer that has it and begin another round after a pause.
-func (m *Machine) fetchElsewhere(now mgclock.Millis, digest string) []Action {
+// continueWithoutSource is called after a round over all sources. A watcher, and a
+// member that has tried its peers often enough, reads one value from the platform. The
+// others look for a peer that has the version and start another round after a delay.
+func (m *Machine) continueWithoutSource(now mgclock.Millis, digest string) []Action {
 	p := m.pull
-	watching := m.watching()
-	if p.text != nil && (watching || p.rounds >= peerRounds) {
-		if m.budget.allow(now, watching) {
+	isWatcher := m.isWatcher()
+	if p.manifestText != nil && (isWatcher || p.rounds >= maxPeerRounds) {
+		if m.budget.allow(now, isWatcher) {
 			return m.readPage(digest)
 		}
-		if watching {
-			p.next = now + budgetSpan
+		if isWatcher {
+			p.next = now + budgetDelay
 			return nil
 		}
 	}
-	m.nextRound(now)
+	m.startNextRound(now)
 	if len(p.sources) == 0 {
-		return m.ask(m.choose())
+		return m.exchangeWith(m.choosePeer())
 	}
 	return nil
 }
 
 func (m *Machine) readPage(digest string) []Action {
 	m.pull.busy = true
-	m.counts.read(&m.counts.Pages)
+	m.counts.countRead(&m.counts.Pages)
 	return []Action{{
-		kind: Read,
-		pull: m.pull.id,
-		key:  mgplatform.PageKey(digest),
+		kind:   Read,
+		pullID: m.pull.id,
+		key:    mgplatform.PageKey(digest),
 	}}
 }
 
-func (m *Machine) nextRound(now mgclock.Millis) {
+func (m *Machine) startNextRound(now mgclock.Millis) {
 	p := m.pull
 	p.rounds++
-	p.at = 0
+	p.sourceIndex = 0
 	p.next = now + m.backoff(p.rounds)
 }
 
-// backoff returns a random pause whose bound doubles with each round.
+// backoff returns a random delay whose bound doubles with each round.
 func (m *Machine) backoff(rounds int) mgclock.Millis {
 	bound := retryMax
 	if rounds < 5 {
@@ -222,8 +225,8 @@
 	return retryMin/2 + m.jitter(bound)
 }
 
-// fetched takes the answer to a fetch.
-func (m *Machine) fetched(now mgclock.Millis, result ResultSpec) []Action {
+// handleFetchResult handles the answer to a fetch.
+func (m *Machine) handleFetchResult(now mgclock.Millis, result ResultSpec) []Action {
 	switch {
 	case result.Action.peer == "":
 	case result.Err != nil:
@@ -232,20 +235,20 @@
 		m.members.Answered(now, result.Action.peer)
 	}
 	if result.Action.fetch.GetList() {
-		m.listPull.busy = false
-		m.listPull.next = now + m.listPullSpan()
-		if result.Err == nil && m.takeList(now, result.List) {
-			m.restFirst(now)
+		m.listFetch.busy = false
+		m.listFetch.next = now + m.listFetchInterval()
+		if result.Err == nil && m.adoptList(now, result.List) {
+			m.postponeFirstListRead(now)
 			return m.pushList(now)
 		}
 		return nil
 	}
-	if m.pull == nil || m.pull.id != result.Action.pull {
+	if m.pull == nil || m.pull.id != result.Action.pullID {
 		return nil
 	}
 	progress := false
 	for _, value := range result.Values {
-		if m.takeValue(now, value) {
+		if m.applyValue(now, value) {
 			progress = true
 		}
 	}
@@ -256,48 +259,47 @@
 	if progress {
 		m.pull.rounds = 0
 	} else {
-		m.pull.at++
+		m.pull.sourceIndex++
 	}
 	return m.stepPull(now)
 }
 
-// takeValue takes a fetched manifest or page. What it is follows from its
-// digest alone, so that it doesn't matter who sent it. It reports whether it was
-// wanted.
-func (m *Machine) takeValue(now mgclock.Millis, value []byte) bool {
+// applyValue handles a fetched manifest or page. The digest alone identifies the value,
+// so it doesn't matter who sent it. applyValue reports whether the value was missing.
+func (m *Machine) applyValue(now mgclock.Millis, value []byte) bool {
 	p := m.pull
 	if p == nil {
 		return false
 	}
 	digest := mgtable.DigestOf(value).String()
-	if p.text == nil {
-		if digest != p.mark.digest {
+	if p.manifestText == nil {
+		if digest != p.key.digest {
 			return false
 		}
-		m.takeManifest(now, value)
+		m.applyManifest(now, value)
 		return true
 	}
-	for _, wanted := range m.missing() {
+	for _, wanted := range m.missingDigests() {
 		if wanted == digest {
-			m.takePage(digest, value)
+			m.applyPage(digest, value)
 			return true
 		}
 	}
 	return false
 }
 
-// takePage reads a page that belongs to the pulled version. A faulty page makes
-// the version faulty.
-func (m *Machine) takePage(digest string, value []byte) {
+// applyPage parses a page of the pulled version. A faulty page makes the whole version
+// faulty.
+func (m *Machine) applyPage(digest string, value []byte) {
 	page, err := mgtable.ReadPage(value)
 	if err != nil {
-		m.refuse(err)
+		m.rejectPull(err)
 		return
 	}
 	m.pull.pages[digest] = page
 }
 
-// adopt puts the pulled version in force, or refuses it.
+// adopt puts the pulled version in force, or rejects it.
 func (m *Machine) adopt(now mgclock.Millis) []Action {
 	p := m.pull
 	pages := make([]*mgtable.Page, 0, len(p.manifest.Pages))
@@ -309,22 +311,22 @@
 	}
 	table, err := mgtable.Join(p.manifest, pages)
 	if err != nil {
-		m.refuse(err)
+		m.rejectPull(err)
 		return nil
 	}
 	m.pull = nil
 	m.current.Store(&Snapshot{
 		table:    table,
-		digest:   p.mark.digest,
-		manifest: p.text,
+		digest:   p.key.digest,
+		manifest: p.manifestText,
 		pages:    byDigest,
 	})
 	m.counts.Adoptions++
-	return m.push(now)
+	return m.pushToPeers(now)
 }
 
-// refuse drops the pulled version for good. The one in force stays.
-func (m *Machine) refuse(err error) {
-	m.refused.add(m.pull.mark.version, m.pull.mark.digest, err)
+// rejectPull drops the pulled version permanently. The one in force stays.
+func (m *Machine) rejectPull(err error) {
+	m.rejections.add(m.pull.key.version, m.pull.key.digest, err)
 	m.pull = nil
 }
--- /dev/null
+++ b/internal/version/mgconfig/rejections.go
@@ -0,0 +1,39 @@
+package mgconfig
+
+import "errors"
+
+// errVersionReused is the reason for rejecting another table under the version in
+// force.
+var errVersionReused = errors.New("mgconfig: another table was published under the version in force: raise the table's version and publish it again")
+
+// rejections holds the digests of faulty values, so that they are not fetched again.
+type rejections struct {
+	version uint64
+	err     error
+	digests []string
+}
+
+// maxRejections is the maximum number of digests kept. Only the newest are still
+// offered by peers.
+const maxRejections = 32
+
+func (r *rejections) add(version uint64, digest string, err error) {
+	r.version = version
+	r.err = err
+	if r.has(digest) {
+		return
+	}
+	r.digests = append(r.digests, digest)
+	if len(r.digests) > maxRejections {
+		r.digests = r.digests[1:]
+	}
+}
+
+func (r *rejections) has(digest string) bool {
+	for _, d := range r.digests {
+		if d == digest {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/version/mgconfig/roles.go
+++ b/internal/version/mgconfig/roles.go
@@ -6,54 +6,57 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
 )
 
-// roles says who reads and tells the list in a region, as one view shows it.
+// roles holds which processes read the list and distribute it in a region, according to
+// one view.
 type roles struct {
 	view    *mgmember.View
 	leaving bool
 	reader  *mgmember.Member // nil where it is this process
 	hub     *mgmember.Member // of the own cell, nil where it is this process
-	rank    int              // of this process in its cell; see keepers
+	rank    int              // rank of this process in its cell, at most watchersPerCell
 }
 
-// roles returns them for the present view. Ranking some hundred members takes a tenth
-// of a millisecond, and the view changes far more rarely than it is asked for.
+// roles returns the roles for the current view. Ranking some hundred members takes a
+// tenth of a millisecond, and the view changes far more rarely than roles is called, so
+// the result is cached.
 func (m *Machine) roles() *roles {
 	view := m.members.View()
-	if m.assigned.view == view && m.assigned.leaving == m.leaving {
-		return &m.assigned
+	if m.cachedRoles.view == view && m.cachedRoles.leaving == m.leaving {
+		return &m.cachedRoles
 	}
 	cell := view.Cell(m.spec.Name, m.spec.Region).Peers
-	m.assigned = roles{
+	m.cachedRoles = roles{
 		view:    view,
 		leaving: m.leaving,
-		reader:  m.first(view.Able(m.spec.Region)),
-		hub:     m.first(cell),
-		rank:    m.rankAmong(cell),
+		reader:  m.topRanked(view.HealthyPeers(m.spec.Region)),
+		hub:     m.topRanked(cell),
+		rank:    m.rankInCell(cell),
 	}
-	return &m.assigned
+	return &m.cachedRoles
 }
 
-// rankAmong returns the place of this process among its peers and itself, keepers at
-// most.
-func (m *Machine) rankAmong(peers []*mgmember.Member) int {
+// rankInCell returns the rank of this process among itself and its peers, at most
+// watchersPerCell.
+func (m *Machine) rankInCell(peers []*mgmember.Member) int {
 	self := mgmember.Self(m.spec.Name, m.spec.Zone, m.spec.Power)
-	for i, member := range mgmember.RankHub(append(slices.Clone(peers), self), keepers) {
+	for i, member := range mgmember.RankHub(append(slices.Clone(peers), self), watchersPerCell) {
 		if member == self {
 			return i
 		}
 	}
-	return keepers
+	return watchersPerCell
 }
 
-// first returns which of some peers and this process works for the others, or nil
-// where it is this one. A process that leaves is passed over by its peers, too.
-func (m *Machine) first(peers []*mgmember.Member) *mgmember.Member {
+// topRanked returns the top-ranked process for the hub's work among the given peers and
+// this process, or nil where that is this one. A process that is leaving is skipped
+// here and by its peers.
+func (m *Machine) topRanked(peers []*mgmember.Member) *mgmember.Member {
 	self := mgmember.Self(m.spec.Name, m.spec.Zone, m.spec.Power)
 	if !m.leaving || len(peers) == 0 {
 		peers = append(slices.Clone(peers), self)
 	}
-	if first := mgmember.RankHub(peers, 1)[0]; first != self {
-		return first
+	if top := mgmember.RankHub(peers, 1)[0]; top != self {
+		return top
 	}
 	return nil
 }
--- a/internal/version/mgconfig/serve.go
+++ b/internal/version/mgconfig/serve.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	// replyBytes bounds the values of one reply before compression. Whoever
-	// lacks more asks again.
-	replyBytes = 1 << 20
-	// valueBytes bounds one decompressed value: the platform's own limit.
-	valueBytes = 1 << 20
+	// maxReplyBytes limits the size of the values of one reply before compression. A
+	// peer that lacks more asks again.
+	maxReplyBytes = 1 << 20
+	// maxValueBytes limits the size of one decompressed value: the platform's own
+	// limit.
+	maxValueBytes = 1 << 20
 )
 
-// errValue is the error of a value that can't be decompressed.
-var errValue = errors.New("mgconfig: a peer's value is damaged: ask another peer")
+// errDamagedValue is the error of a value that can't be decompressed.
+var errDamagedValue = errors.New("mgconfig: a peer's value is damaged: ask another peer")
 
-// Serve answers a fetch out of a snapshot and the compressed list of VMs.
-func Serve(s *Snapshot, packed []byte, request *mgrpc.FetchRequest) *mgrpc.FetchReply {
+// Serve answers a fetch from a snapshot and the compressed list of VMs.
+func Serve(s *Snapshot, compressedList []byte, request *mgrpc.FetchRequest) *mgrpc.FetchReply {
 	reply := &mgrpc.FetchReply{}
 	if request.GetList() {
-		reply.List = packed
+		reply.List = compressedList
 	}
 	size := 0
 	for _, digest := range request.GetDigests() {
@@ -35,7 +36,7 @@
 			continue
 		}
 		size += len(value)
-		if size > replyBytes && len(reply.Values) > 0 {
+		if size > maxReplyBytes && len(reply.Values) > 0 {
 			break
 		}
 		reply.Values = append(reply.Values, compress(value))
@@ -43,16 +44,16 @@
 	return reply
 }
 
-// unpack decompresses a reply.
-func unpack(reply *mgrpc.FetchReply) (values [][]byte, list []byte, err error) {
-	if packed := reply.GetList(); packed != nil {
-		list, err = decompress(packed)
+// decompressReply decompresses the values and the list of a reply.
+func decompressReply(reply *mgrpc.FetchReply) (values [][]byte, list []byte, err error) {
+	if compressed := reply.GetList(); compressed != nil {
+		list, err = decompress(compressed)
 		if err != nil {
 			return nil, nil, err
 		}
 	}
-	for _, packed := range reply.GetValues() {
-		value, err := decompress(packed)
+	for _, compressed := range reply.GetValues() {
+		value, err := decompress(compressed)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -61,7 +62,7 @@
 	return values, list, nil
 }
 
-// writers keeps the state of compressions, which takes over a megabyte each.
+// writers pools compressors, because the state of each takes over a megabyte.
 var writers sync.Pool
 
 func compress(data []byte) []byte {
@@ -81,12 +82,12 @@
 }
 
 func decompress(data []byte) ([]byte, error) {
-	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), valueBytes+1))
+	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxValueBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errValue, err)
+		return nil, fmt.Errorf("%w: %w", errDamagedValue, err)
 	}
-	if len(value) > valueBytes {
-		return nil, fmt.Errorf("%w: it exceeds %d bytes", errValue, valueBytes)
+	if len(value) > maxValueBytes {
+		return nil, fmt.Errorf("%w: it exceeds %d bytes", errDamagedValue, maxValueBytes)
 	}
 	return value, nil
 }
--- a/internal/version/mgmember/cell_test.go
+++ b/internal/version/mgmember/cell_test.go
@@ -9,11 +9,10 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgplatform"
 )
 
-// Three hundred entries tell one of them five times a second what they sent. It
-// has no time for its own callers, and none of them gets an answer in time; or a
-// cell has a third more entries than another, and its engines are full while the
-// other's are not.
-func TestCells(t *testing.T) {
+// Three hundred entries send load reports to one hub five times a second, which leaves
+// it no time for its own callers; or a cell has a third more entries than another, and
+// its engines are full while the other's are not.
+func TestCellsOfUnequalSize(t *testing.T) {
 	Convey("A region divides as it grows", t, func() {
 		for processes, cells := range map[int]int{1: 1, 24: 1, 40: 1, 41: 2, 100: 4, 120: 4, 300: 8, 360: 16} {
 			So(Cells(processes), ShouldEqual, cells)
@@ -43,7 +42,7 @@
 			m.List(0, list)
 			views[name(self)] = m.View()
 		}
-		Convey("each cell has as many as another, and they know one another", func() {
+		Convey("cells are of equal size, and their members agree on them", func() {
 			of := map[string]int{}
 			for self, view := range views {
 				c := view.Cell(self, "south")
@@ -59,7 +58,7 @@
 				}
 			}
 		})
-		Convey("each cell has its part of the upstreams, and each upstream one cell", func() {
+		Convey("each cell has an equal part of the upstreams, and each upstream one cell", func() {
 			var all []*Member
 			for n := range 3000 {
 				all = append(all, Self(fmt.Sprint("engine-", n), "a", 0))
@@ -77,10 +76,10 @@
 	})
 }
 
-// The hub falls to an entry with a link of 10 Mbit/s while others have 200. Engines'
+// An entry with a link of 10 Mbit/s becomes the hub while others have 200. Engines'
 // heartbeats alone fill its link, and every generation of its cell waits for it.
-func TestRankHub(t *testing.T) {
-	Convey("The hub is one of the strongest", t, func() {
+func TestWeakProcessBecomesHub(t *testing.T) {
+	Convey("The hub is one of the most powerful processes", t, func() {
 		var members []*Member
 		for n, power := range []int{100, 800, 144, 700, 300} {
 			members = append(members, Self(fmt.Sprint("entry-", n), "a", power))
@@ -91,7 +90,7 @@
 		So(ranked[1].Power(), ShouldBeGreaterThanOrEqualTo, 700)
 		So(RankHub(members, 1)[0], ShouldEqual, ranked[0])
 	})
-	Convey("Where nobody says, all are alike", t, func() {
+	Convey("Where no power is known, all processes rank alike", t, func() {
 		members := []*Member{Self("a", "a", 0), Self("b", "a", 0), Self("c", "a", 0)}
 		So(RankHub(members, 3), ShouldResemble, Rank(Hub, members, 3))
 	})
--- a/internal/version/mgmember/cordon_test.go
+++ b/internal/version/mgmember/cordon_test.go
@@ -9,9 +9,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A hall is emptied, and half a second later one of its engines is heard again or its
-// list is sent once more: the engine is given work as if nothing had been said.
-func TestCordoned(t *testing.T) {
+// A zone is cordoned, and half a second later one of its engines is seen again or its
+// list is sent once more: the engine gets work as if there were no cordon.
+func TestCordonedUpstreamGetsWork(t *testing.T) {
 	Convey("The upstreams of a cordoned availability zone", t, func() {
 		upstream := func(name, zone string) mgplatform.VM {
 			return mgplatform.VM{
@@ -40,37 +40,38 @@
 		list(1000, 5, "hall-1")
 		So(hosts(), ShouldResemble, []string{"b"})
 		So(m.View().Cordoned()["hall-1"], ShouldEqual, 1000)
-		Convey("get none whatever is heard of them", func() {
+		Convey("get no work whatever is seen of them", func() {
 			m.Heard(1100, "a", "life", true)
 			m.Heard(1200, "a", "later life", false)
 			m.Failed(1300, "b")
 			m.Failed(1300, "b")
 			So(hosts(), ShouldResemble, []string{"b"})
 		})
-		Convey("get none by an older list", func() {
+		Convey("get no work because of an older list", func() {
 			list(1100, 4)
 			So(hosts(), ShouldResemble, []string{"b"})
 		})
-		Convey("count from the first list that shows the cordon", func() {
+		Convey("keep the time of the first list that shows the cordon", func() {
 			list(3000, 6, "hall-1")
 			So(m.View().Cordoned()["hall-1"], ShouldEqual, 1000)
 		})
-		Convey("are all there is, and the process still counts as one that serves", func() {
+		Convey("count as served even when all zones are cordoned", func() {
 			list(1100, 6, "hall-1", "hall-2")
 			So(hosts(), ShouldBeEmpty)
 			So(m.View().Served(), ShouldBeTrue)
 		})
-		Convey("are used again once that is taken back", func() {
+		Convey("are used again once the cordon is lifted", func() {
 			list(1100, 6)
 			So(hosts(), ShouldResemble, []string{"a", "b"})
 		})
 	})
 }
 
-// An engine crashes while the platform is away and starts again cold. No list shows its
-// start, it looks like the emptiest of all, and what is sent there has it crash again.
-func TestCold(t *testing.T) {
-	const span = 1000 * mgclock.Millis(1) // for which engines are cold after a start
+// An engine crashes while the platform is down and restarts cold. No list shows the
+// restart, the engine looks like the emptiest of all, and the work that is sent there
+// makes it crash again.
+func TestRestartedUpstreamCountsAsWarm(t *testing.T) {
+	const coldPeriod = 1000 * mgclock.Millis(1) // time for which engines are cold after a start
 	Convey("An upstream is cold", t, func() {
 		m := New("entry-1")
 		list := func(now mgclock.Millis, version uint64, cold int64) {
@@ -90,7 +91,7 @@
 		}
 		cold := func(now mgclock.Millis) bool {
 			member, _ := m.View().Member("a")
-			return member.Cold(now, span)
+			return member.Cold(now, coldPeriod)
 		}
 		list(1000, 1, 700)
 		Convey("for as long as the list says", func() {
@@ -100,18 +101,18 @@
 			So(cold(5399), ShouldBeTrue)
 			So(cold(5400), ShouldBeFalse)
 		})
-		Convey("from its failure until it has answered for as long as a start takes", func() {
+		Convey("from its failure until the cold period after its next answer is over", func() {
 			m.Failed(10_000, "a")
-			So(cold(10_000), ShouldBeFalse) // one lost answer is no sign
+			So(cold(10_000), ShouldBeFalse) // one lost answer is no evidence
 			m.Failed(10_100, "a")
 			So(cold(10_100), ShouldBeTrue)
 			m.Tick(20_000)
 			So(cold(20_000), ShouldBeTrue)
 			m.Answered(20_100, "a")
-			So(cold(20_100+span-1), ShouldBeTrue)
-			So(cold(20_100+span), ShouldBeFalse)
+			So(cold(20_100+coldPeriod-1), ShouldBeTrue)
+			So(cold(20_100+coldPeriod), ShouldBeFalse)
 		})
-		Convey("by the list alone where its service has no such span", func() {
+		Convey("according to the list alone where its service has no cold period", func() {
 			m.Failed(10_000, "a")
 			m.Failed(10_100, "a")
 			member, _ := m.View().Member("a")
--- a/internal/version/mgmember/departure_test.go
+++ b/internal/version/mgmember/departure_test.go
@@ -10,8 +10,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// An upstream that said that it leaves must not be brought back by a list.
-func TestDeparture(t *testing.T) {
+// A list shows an upstream as live that has announced that it is leaving, and the
+// upstream gets work again.
+func TestListBringsBackDepartedUpstream(t *testing.T) {
 	row := func(born int64) []mgplatform.VM {
 		return []mgplatform.VM{{
 			Name:     "engine-1",
@@ -29,9 +30,9 @@
 			VMs:     vms,
 		}
 	}
-	word := mgmember.Departure{
-		Upstream: "engine-1",
-		Born:     7,
+	departure := mgmember.Departure{
+		Upstream:  "engine-1",
+		StartedAt: 7,
 	}
 	cases := []struct {
 		name  string
@@ -43,7 +44,7 @@
 			after: func(*mgmember.Members) {},
 		},
 		{
-			name: "and a newer list shows the same life",
+			name: "and a newer list shows the same incarnation",
 			after: func(m *mgmember.Members) {
 				m.List(200, list(2, row(7)))
 			},
@@ -56,7 +57,7 @@
 			},
 		},
 		{
-			name: "and the platform is silent for minutes",
+			name: "and the platform doesn't answer for minutes",
 			after: func(m *mgmember.Members) {
 				for at := mgclock.Second; at < 10*mgclock.Minute; at += mgclock.Second {
 					m.Tick(at)
@@ -64,25 +65,25 @@
 			},
 		},
 		{
-			name: "and it starts again under its name",
+			name: "and it restarts under its name",
 			after: func(m *mgmember.Members) {
 				m.List(200, list(2, row(8)))
 			},
 			used: true,
 		},
 		{
-			name: "and starts again, and a late word of its last life comes",
+			name: "and restarts, and a late departure of its last incarnation arrives",
 			after: func(m *mgmember.Members) {
 				m.List(200, list(2, row(8)))
-				So(m.Depart(300, m.ReadDeparture("engine-1 7")), ShouldBeFalse)
+				So(m.RecordDeparture(300, m.ParseDeparture("engine-1 7")), ShouldBeFalse)
 			},
 			used: true,
 		},
 		{
-			name: "and starts again, and leaves again",
+			name: "and restarts, and leaves again",
 			after: func(m *mgmember.Members) {
 				m.List(200, list(2, row(8)))
-				m.Depart(300, m.ReadDeparture("engine-1"))
+				m.RecordDeparture(300, m.ParseDeparture("engine-1"))
 			},
 		},
 		{
@@ -94,31 +95,31 @@
 			},
 		},
 	}
-	Convey("An upstream has said that it leaves,", t, func() {
+	Convey("An upstream has announced that it is leaving,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				m := mgmember.New("entry")
 				m.List(0, list(1, row(7)))
 				So(len(m.View().Hosts("report")), ShouldEqual, 1)
-				So(m.Depart(100, m.DepartureOf("engine-1")), ShouldBeTrue)
-				So(m.Depart(100, m.DepartureOf("engine-1")), ShouldBeFalse)
+				So(m.RecordDeparture(100, m.CurrentDeparture("engine-1")), ShouldBeTrue)
+				So(m.RecordDeparture(100, m.CurrentDeparture("engine-1")), ShouldBeFalse)
 				c.after(m)
 				So(len(m.View().Hosts("report")) == 1, ShouldEqual, c.used)
 			})
 		}
 		Convey("before any list names it", func() {
 			m := mgmember.New("entry")
-			m.Depart(100, word)
+			m.RecordDeparture(100, departure)
 			m.List(200, list(1, row(7)))
 			So(m.View().Hosts("report"), ShouldBeEmpty)
 		})
 		Convey("and is forgotten once it has long been gone", func() {
 			m := mgmember.New("entry")
 			m.List(0, list(1, row(7)))
-			m.Depart(100, m.DepartureOf("engine-1"))
+			m.RecordDeparture(100, m.CurrentDeparture("engine-1"))
 			m.List(200, list(2, nil))
 			m.Tick(3 * mgclock.Minute)
-			So(m.Depart(4*mgclock.Minute, word), ShouldBeTrue)
+			So(m.RecordDeparture(4*mgclock.Minute, departure), ShouldBeTrue)
 		})
 	})
 }
--- a/internal/version/mgmember/gossip.go
+++ b/internal/version/mgmember/gossip.go
@@ -5,21 +5,21 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Gossip is what one process tells another of a third that the platform's list
-// doesn't name: where it is, and how long ago anyone heard it directly. The age is told
-// on and grows with the time, so that no two processes keep a third alive by each
-// other's word (gossip-style failure detection).
+// A Gossip is a record of a process that the platform's list doesn't name: its address,
+// and the time since any process last saw it directly. The age is forwarded and grows
+// with time, so that no two processes keep a third one alive by each other's records
+// (gossip-style failure detection).
 type Gossip struct {
 	Name   string         `json:"name"`
-	Addr   string         `json:"addr"` // where other processes reach it
+	Addr   string         `json:"addr"` // address at which other processes reach it
 	Zone   string         `json:"zone"`
 	Region string         `json:"region"`
 	Power  int            `json:"power,omitempty"`
 	Age    mgclock.Millis `json:"age"`
 }
 
-// Gossip returns what is known of processes that the list doesn't name.
-// On a platform that lists all processes there are none.
+// Gossip returns the records of the processes that the list doesn't name. On a platform
+// that lists all processes there are none.
 func (m *Members) Gossip(now mgclock.Millis) []Gossip {
 	view := m.View()
 	m.mu.Lock()
@@ -27,7 +27,7 @@
 	var all []Gossip
 	for _, member := range view.All() {
 		e := m.evidence[member.Name()]
-		if member.Listed() || !member.Peer() || e == nil || !e.everHeard || now >= e.heard+heardLife {
+		if member.Listed() || !member.Peer() || e == nil || !e.wasSeen || now >= e.lastSeen+lastSeenTTL {
 			continue
 		}
 		all = append(all, Gossip{
@@ -36,40 +36,40 @@
 			Zone:   member.Zone(),
 			Region: member.Region(),
 			Power:  member.Power(),
-			Age:    now - e.heard,
+			Age:    now - e.lastSeen,
 		})
 	}
 	return all
 }
 
-// TakeGossip takes what another process tells, and reports whether any process in it
-// was not known. One rebuild of the view serves all that are new.
+// TakeGossip merges another process's records, and reports whether they named an
+// unknown process. The view is rebuilt once for all new processes.
 func (m *Members) TakeGossip(now mgclock.Millis, all []Gossip) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	fresh := false
+	foundNew := false
 	for _, g := range all {
-		if g.Age < 0 || g.Age >= heardLife || g.Addr == "" {
+		if g.Age < 0 || g.Age >= lastSeenTTL || g.Addr == "" {
 			continue
 		}
-		fresh = m.introduce(now-g.Age, mgplatform.VM{
+		foundNew = m.introduce(now-g.Age, mgplatform.VM{
 			Name:   g.Name,
 			Kind:   mgplatform.EntryKind,
 			Addr:   g.Addr,
 			Zone:   g.Zone,
 			Region: g.Region,
 			Power:  g.Power,
-		}) || fresh
+		}) || foundNew
 	}
-	if fresh {
+	if foundNew {
 		m.rebuild(now)
 	}
-	return fresh
+	return foundNew
 }
 
-// introduce notes that a process was heard at a time, and reports whether it is new.
-// It is called with mu held.
-func (m *Members) introduce(heard mgclock.Millis, vm mgplatform.VM) bool {
+// introduce records that a process was last seen at a given time, and reports whether
+// it is new. mu must be held.
+func (m *Members) introduce(lastSeen mgclock.Millis, vm mgplatform.VM) bool {
 	if vm.Name == "" || vm.Name == m.self {
 		return false
 	}
@@ -80,10 +80,10 @@
 	if !known {
 		m.known[vm.Name] = vm
 	}
-	e := m.of(vm.Name)
-	if !e.everHeard || heard > e.heard {
-		e.heard = heard
+	e := m.evidenceOf(vm.Name)
+	if !e.wasSeen || lastSeen > e.lastSeen {
+		e.lastSeen = lastSeen
 	}
-	e.everHeard = true
+	e.wasSeen = true
 	return !known
 }
--- a/internal/version/mgmember/member_test.go
+++ b/internal/version/mgmember/member_test.go
@@ -16,8 +16,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// list returns a list of agents with a model, given as names, with "-" before
-// those that leave.
+// list returns a list of agents with a model, given as names, with "-" before those
+// that are leaving.
 func list(version uint64, names string) mgplatform.List {
 	l := mgplatform.List{
 		Version: version,
@@ -51,94 +51,94 @@
 func TestMembers(t *testing.T) {
 	Convey("The members that get work", t, func() {
 		m := mgmember.New("e")
-		up := func() string { return names(m.View().Upstreams("m")) }
-		So(up(), ShouldEqual, "")
+		upstreams := func() string { return names(m.View().Upstreams("m")) }
+		So(upstreams(), ShouldEqual, "")
 		So(m.List(0, list(2, "a b c")), ShouldBeTrue)
-		So(up(), ShouldEqual, "a b c")
+		So(upstreams(), ShouldEqual, "a b c")
 
 		Convey("are without one that the list shows leaving", func() {
 			m.List(0, list(3, "a -b c"))
-			So(up(), ShouldEqual, "a c")
+			So(upstreams(), ShouldEqual, "a c")
 			_, there := m.View().Agent("u-b")
 			So(there, ShouldBeTrue)
 		})
 		Convey("don't go back to an older list", func() {
 			So(m.List(0, list(1, "a")), ShouldBeFalse)
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 		})
-		Convey("are without one that says it leaves, though the list lags", func() {
-			// A user's request goes to an engine that is about to be reclaimed.
-			// The agent says so at once; the list shows it live for a minute
-			// more and is published again meanwhile.
+		Convey("are without one that announces that it leaves, although the list lags", func() {
+			// A request goes to an engine that is about to be reclaimed: the agent
+			// announces at once that it leaves, but the list shows it as live for
+			// another minute and is published again meanwhile.
 			m.Heard(10, "b", "1", true)
-			So(up(), ShouldEqual, "a c")
+			So(upstreams(), ShouldEqual, "a c")
 			m.List(20, list(3, "a b c d"))
 			m.Heard(30, "b", "1", false)
-			So(up(), ShouldEqual, "a c d")
+			So(upstreams(), ShouldEqual, "a c d")
 		})
-		Convey("are with its successor again", func() {
-			// The VM's name comes back with another incarnation. A delayed reply
-			// of the old one, "I leave", arrives after the new one was heard.
+		Convey("include its next incarnation", func() {
+			// The VM's name is reused with another incarnation. A delayed reply of the
+			// old one, which says that it leaves, arrives after the new one was seen.
 			m.Heard(10, "b", "1", true)
 			m.Heard(20, "b", "2", false)
 			m.Heard(30, "b", "1", true)
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 		})
-		Convey("are with it again when the word has outlived every lag", func() {
+		Convey("include it again when its announcement has expired", func() {
 			m.Heard(10, "b", "1", true)
 			m.Tick(2*mgclock.Minute - 1)
-			So(up(), ShouldEqual, "a c")
+			So(upstreams(), ShouldEqual, "a c")
 			m.Tick(2*mgclock.Minute + 10)
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 		})
-		Convey("are without one that failed twice, until it is tried again", func() {
+		Convey("exclude one that failed twice, until it is tried again", func() {
 			m.Failed(10, "b")
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 			m.Failed(20, "b")
-			So(up(), ShouldEqual, "a c")
+			So(upstreams(), ShouldEqual, "a c")
 			m.Tick(1020)
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 			m.Failed(1030, "b")
 			m.Tick(2030)
-			So(up(), ShouldEqual, "a c")
+			So(upstreams(), ShouldEqual, "a c")
 			m.Heard(2040, "b", "1", false)
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 		})
-		Convey("keep one whose failures don't follow one another", func() {
+		Convey("keep one whose failures aren't consecutive", func() {
 			m.Failed(10, "b")
 			m.Answered(20, "b")
 			m.Failed(30, "b")
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 			m.Failed(40, "b")
-			So(up(), ShouldEqual, "a c")
+			So(upstreams(), ShouldEqual, "a c")
 			m.Answered(50, "b")
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 		})
 		Convey("are all of them when all are suspects", func() {
-			// An entry is cut off for a minute and suspects every agent. With
-			// nobody left to ask it would answer "no upstream" long after the
-			// heal; the link was at fault, not every agent.
+			// An entry is cut off for a minute and suspects every agent. Without any
+			// agent to call it would answer "no upstream" long after the partition
+			// healed.
 			for _, name := range []string{"a", "b", "c"} {
 				m.Failed(10, name)
 				m.Failed(20, name)
 			}
-			So(up(), ShouldEqual, "a b c")
+			So(upstreams(), ShouldEqual, "a b c")
 		})
-		Convey("are with those that a broken list lost but that are heard", func() {
+		Convey("include those that a faulty list lost but that were seen recently", func() {
 			m.Heard(10, "a", "1", false)
 			m.List(20, list(3, ""))
-			So(up(), ShouldEqual, "a")
+			So(upstreams(), ShouldEqual, "a")
 			m.Tick(10 + 30*mgclock.Second)
-			So(up(), ShouldEqual, "")
+			So(upstreams(), ShouldEqual, "")
 			So(m.Recent(40, "a", mgclock.Second), ShouldBeFalse)
 		})
 	})
 }
 
-// TestHeal: during a partition every entry comes to suspect the far half. Once
-// it heals, no instant may see a large part of the entries try one agent anew.
-func TestHeal(t *testing.T) {
-	Convey("A heal is spread over the last span of suspicion", t, func() {
+// During a partition every entry comes to suspect the other half. When it heals, many
+// of the entries retry the same agent in the same instant.
+func TestHealCausesRetryBurst(t *testing.T) {
+	Convey("After a partition heals, retries are spread over the last suspicion timeout", t, func() {
 		const entries = 360
 		ends := map[mgclock.Millis]int{}
 		for i := range entries {
@@ -155,16 +155,16 @@
 			}
 			ends[now/mgclock.Second]++
 		}
-		most := 0
+		peak := 0
 		for _, count := range ends {
-			most = max(most, count)
+			peak = max(peak, count)
 		}
-		So(most, ShouldBeLessThan, entries/4)
+		So(peak, ShouldBeLessThan, entries/4)
 	})
 }
 
 func TestRank(t *testing.T) {
-	Convey("Rendezvous moves only the keys of the member that went", t, func() {
+	Convey("Rendezvous hashing moves only the keys of the removed member", t, func() {
 		m := mgmember.New("")
 		m.List(0, list(1, "a b c d e"))
 		before := m.View().All()
@@ -184,36 +184,36 @@
 }
 
 func TestPause(t *testing.T) {
-	Convey("A process that overslept", t, func() {
+	Convey("A process that was paused", t, func() {
 		var clock, wall mgclock.Manual
 		p := mgmember.NewPause(clock.Clock(), wall.Now)
 		var gaps []mgclock.Millis
 		p.On(func(gap mgclock.Millis) { gaps = append(gaps, gap) })
-		both := func(span mgclock.Millis) {
-			clock.Advance(span)
-			wall.Advance(span)
+		advanceBoth := func(duration mgclock.Millis) {
+			clock.Advance(duration)
+			wall.Advance(duration)
 		}
 		p.Step()
-		both(100)
+		advanceBoth(100)
 		So(p.Check(), ShouldEqual, 0)
 		p.Step()
 
-		Convey("drops what it believed before it acts", func() {
-			both(5 * mgclock.Second)
+		Convey("drops its invalid state before it acts", func() {
+			advanceBoth(5 * mgclock.Second)
 			So(p.Check(), ShouldEqual, 5*mgclock.Second)
 			So(gaps, ShouldHaveLength, 1)
 			So(p.Check(), ShouldEqual, 0)
 			So(p.Count(), ShouldEqual, 1)
 		})
-		Convey("notices a suspended VM, whose monotonic clock stood still", func() {
+		Convey("detects a suspended VM, whose monotonic clock stopped", func() {
 			wall.Advance(5 * mgclock.Second)
 			So(p.Check(), ShouldEqual, 5*mgclock.Second)
 		})
-		Convey("isn't misled by a time of day that is set back", func() {
+		Convey("doesn't count a time of day that is set back", func() {
 			wall.Advance(-3 * mgclock.Second)
 			So(p.Check(), ShouldEqual, 0)
 		})
-		Convey("takes no idle time for a pause while Run looks", func() {
+		Convey("doesn't count idle time as a pause while Run checks", func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			go func() {
@@ -235,7 +235,7 @@
 	}
 }
 
-// BenchmarkList takes a list of the target's 1,260 VMs.
+// BenchmarkList measures the adoption of a list of the target's 1,260 VMs.
 func BenchmarkList(b *testing.B) {
 	var all []string
 	for i := range 1260 {
@@ -249,7 +249,7 @@
 	}
 }
 
-// BenchmarkTick looks through the evidence of the target's 1,260 members.
+// BenchmarkTick measures a tick over the evidence of the target's 1,260 members.
 func BenchmarkTick(b *testing.B) {
 	var all []string
 	for i := range 1260 {
@@ -266,10 +266,10 @@
 	}
 }
 
-// An engine says that it leaves, crashes, and starts again under its name. It
-// stands idle for two minutes beside crowded ones, as its word still counts.
-func TestBornAgain(t *testing.T) {
-	Convey("An upstream that started again begins anew", t, func() {
+// An engine announces that it is leaving, crashes, and restarts under its name. It is
+// idle for two minutes beside overloaded ones, because its announcement still counts.
+func TestRestartedUpstreamStaysIdle(t *testing.T) {
+	Convey("An upstream that restarted gets work again", t, func() {
 		m := mgmember.New("entry-1")
 		list := func(version uint64, born int64) mgplatform.List {
 			return mgplatform.List{
--- a/internal/version/mgmember/era_test.go
+++ b/internal/version/mgmember/restore_test.go
@@ -10,8 +10,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A list out of an older copy must not bring back an upstream that leaves or has left.
-func TestListFromCopyTakesNothingBack(t *testing.T) {
+// The platform is restored from an older copy, and its list brings back an upstream
+// that is leaving or has left.
+func TestRestoredListBringsBackDepartedUpstream(t *testing.T) {
 	list := func(version, era uint64, born int64, states ...string) mgplatform.List {
 		l := mgplatform.List{
 			Version: version,
@@ -32,8 +33,8 @@
 		}
 		return l
 	}
-	// stays lists the upstreams that get work.
-	stays := func(m *mgmember.Members) string {
+	// working returns the upstreams that get work.
+	working := func(m *mgmember.Members) string {
 		text := ""
 		for _, member := range m.View().All() {
 			if member.Listed() && !member.Leaving() {
@@ -48,35 +49,35 @@
 			var m mgmember.Members
 			m.List(0, list(1, 1, born, live, live, absent))
 			m.List(1000, list(2, 1, born, leaving, absent, live))
-			So(stays(&m), ShouldEqual, "c")
-			Convey("a copy doesn't bring a and b back", func() {
+			So(working(&m), ShouldEqual, "c")
+			Convey("a restored copy doesn't bring a and b back", func() {
 				m.List(2000, list(3, 2, born, live, live, live))
-				So(stays(&m), ShouldEqual, "c")
+				So(working(&m), ShouldEqual, "c")
 				Convey("nor do the lists that follow it, for a", func() {
 					m.List(2500, list(4, 2, born, live, live, live))
-					So(stays(&m), ShouldEqual, "c")
+					So(working(&m), ShouldEqual, "c")
 					m.Tick(2000 + 10*mgclock.Second)
-					So(stays(&m), ShouldEqual, "bc")
+					So(working(&m), ShouldEqual, "bc")
 				})
-				Convey("nor does another copy", func() {
+				Convey("nor does another restored copy", func() {
 					m.List(2500, list(5, 3, born, live, live, live))
-					So(stays(&m), ShouldEqual, "c")
+					So(working(&m), ShouldEqual, "c")
 				})
-				Convey("a later life comes back at once", func() {
+				Convey("a later incarnation comes back at once", func() {
 					m.List(2500, list(4, 2, born+1, live, live, live))
-					So(stays(&m), ShouldEqual, "abc")
+					So(working(&m), ShouldEqual, "abc")
 				})
-				Convey("the own word of b keeps it away", func() {
-					m.Depart(2500, m.DepartureOf("b"))
+				Convey("b stays away after its own announcement", func() {
+					m.RecordDeparture(2500, m.CurrentDeparture("b"))
 					m.Tick(2000 + 10*mgclock.Second)
-					So(stays(&m), ShouldEqual, "c")
+					So(working(&m), ShouldEqual, "c")
 				})
 			})
-			Convey("what the same era's lists say is so", func() {
+			Convey("a list of the same era is applied as it is", func() {
 				m.List(2000, list(3, 1, born, live, live, live))
-				So(stays(&m), ShouldEqual, "abc")
+				So(working(&m), ShouldEqual, "abc")
 			})
-			Convey("a list of before the copy is old", func() {
+			Convey("a list from before the restore is old", func() {
 				m.List(2000, list(3, 2, born, leaving, absent, live))
 				So(m.List(2100, list(2, 1, born, live, live, live)), ShouldBeFalse)
 			})
--- a/internal/version/mgplacement/plan_test.go
+++ b/internal/version/mgplacement/plan_test.go
@@ -36,17 +36,17 @@
 	return t
 }
 
-// view returns a view of the agents beside some upstreams.
-func view(engines int, without ...int) *mgmember.View {
+// view returns a view of the agents of some upstreams, without the removed ones.
+func view(engines int, removed ...int) *mgmember.View {
 	list := mgplatform.List{
 		Version: 1,
 	}
-	gone := make(map[int]bool)
-	for _, i := range without {
-		gone[i] = true
+	isRemoved := make(map[int]bool)
+	for _, i := range removed {
+		isRemoved[i] = true
 	}
 	for i := range engines {
-		if gone[i] {
+		if isRemoved[i] {
 			continue
 		}
 		list.VMs = append(list.VMs, mgplatform.VM{
@@ -70,7 +70,7 @@
 				So(plan.Engines(fmt.Sprintf("m%d", i)), ShouldBeBetween, 60, 140)
 			}
 		})
-		Convey("moves nothing when an engine goes", func() {
+		Convey("moves nothing when an engine is removed", func() {
 			So(mgplacement.Changes(plan, mgplacement.Assign(big, view(900, 5))), ShouldBeEmpty)
 		})
 	})
@@ -105,7 +105,7 @@
 			p.Plan(2*sec, plan)
 			So(p.Due(100*sec), ShouldEqual, "")
 		})
-		Convey("is acted upon once it has held still", func() {
+		Convey("is acted upon once it has been stable", func() {
 			p.Plan(sec, other)
 			So(p.Due(30*sec), ShouldEqual, "")
 			So(p.Due(32*sec), ShouldEqual, "m0")
@@ -115,9 +115,9 @@
 	})
 }
 
-// An engine loads another model each time a list flaps, each second or each
-// minute, loses its caches each time, and is slow until nobody asks any more.
-func TestFlapping(t *testing.T) {
+// An engine loads another model each time a list flaps, every second or every minute,
+// loses its caches each time, and is slow all the time.
+func TestFlappingListReloadsModels(t *testing.T) {
 	some := mgplacement.Assign(table(4, 3), view(4))
 	all := mgplacement.Assign(table(4, 1), view(4)) // m0 everywhere
 	upstream := ""
@@ -127,9 +127,9 @@
 		}
 	}
 	cases := []struct {
-		name  string
-		every mgclock.Millis
-		most  int // loads in ten minutes
+		name     string
+		every    mgclock.Millis
+		maxLoads int // in ten minutes
 	}{
 		{
 			name:  "each second",
@@ -140,9 +140,9 @@
 			every: 20 * sec,
 		},
 		{
-			name:  "each minute: once in the dwell at most",
-			every: 60 * sec,
-			most:  5,
+			name:     "each minute: at most once per dwell time",
+			every:    60 * sec,
+			maxLoads: 5,
 		},
 	}
 	Convey("A list that flaps", t, func() {
@@ -163,14 +163,14 @@
 						loads++
 					}
 				}
-				So(loads, ShouldBeLessThanOrEqualTo, c.most)
+				So(loads, ShouldBeLessThanOrEqualTo, c.maxLoads)
 			})
 		}
 	})
 }
 
-// Whatever the list does and the store says, no load begins before a refusal's
-// second is over, and an engine's changes are two minutes apart.
+// A load starts less than a second after a refusal, or an engine changes its model
+// twice within two minutes, for some sequence of lists and store replies.
 func TestPacerProperties(t *testing.T) {
 	plans := []*mgplacement.Plan{
 		mgplacement.Assign(table(4, 3), view(4)),
@@ -206,10 +206,10 @@
 	})
 }
 
-// TestColdStart: a region comes back after a power cut and 900 agents start with
-// empty engines. Requests for all models fail for an hour when the agents retry
-// in step and the weight store refuses most of them over and over.
-func TestColdStart(t *testing.T) {
+// A region restarts after a power cut, and 900 agents start with empty engines.
+// Requests for all models fail for an hour if the agents retry in step and the weight
+// store refuses most of them again and again.
+func TestColdStartOverloadsStore(t *testing.T) {
 	Convey("A cold start of 900 engines stays near the store's rate", t, func() {
 		const engines, rate = 900, 5
 		plan := mgplacement.Assign(table(engines, 9), view(engines))
@@ -218,17 +218,17 @@
 			pacers[i] = mgplacement.NewPacer(fmt.Sprintf("u%03d", i), rate, uint64(i))
 			pacers[i].Plan(0, plan)
 		}
-		loaded, tries, latePeak := 0, 0, 0
+		loaded, attempts, latePeak := 0, 0, 0
 		now := mgclock.Millis(0)
 		for loaded < engines && now < 3600*sec {
 			now += sec
-			admitted, asked := 0, 0
+			admitted, requested := 0, 0
 			for _, p := range pacers {
 				model := p.Due(now)
 				if model == "" {
 					continue
 				}
-				asked++
+				requested++
 				if admitted == rate {
 					p.Refused(now)
 					continue
@@ -237,15 +237,15 @@
 				p.Loaded(now, model)
 				loaded++
 			}
-			tries += asked
+			attempts += requested
 			if now > 120*sec {
-				latePeak = max(latePeak, asked)
+				latePeak = max(latePeak, requested)
 			}
 		}
-		Printf("all loaded after %d s with %.1f tries each, %d a second at most after two minutes ",
-			now/sec, float64(tries)/engines, latePeak)
+		Printf("all loaded after %d s with %.1f attempts each, at most %d a second after two minutes ",
+			now/sec, float64(attempts)/engines, latePeak)
 		So(now, ShouldBeLessThan, 900*sec)
-		So(float64(tries)/engines, ShouldBeLessThan, 8)
+		So(float64(attempts)/engines, ShouldBeLessThan, 8)
 		So(latePeak, ShouldBeLessThan, 4*rate)
 	})
 }
--- a/internal/version/mgshare/loop.go
+++ b/internal/version/mgshare/loop.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// stepSpan is the interval at which leases that are due are asked for.
-	stepSpan = 100 * mgclock.Millis(1)
-	// leaseTimeout and supportTimeout bound the calls. A home waits for its
-	// witnesses inside of a lease call.
+	// stepInterval is the interval at which due leases are requested.
+	stepInterval = 100 * mgclock.Millis(1)
+	// leaseTimeout and supportTimeout are the timeouts of the calls. A home waits for
+	// its witnesses during a lease call.
 	leaseTimeout   = 500 * mgclock.Millis(1)
 	supportTimeout = 150 * mgclock.Millis(1)
 )
 
-// A LoopSpec joins shares to the outside.
+// A LoopSpec connects shares to the clock and to peers.
 type LoopSpec struct {
 	Shares SharesSpec
 	Clock  mgclock.Clock
@@ -27,50 +27,50 @@
 	Support func(ctx context.Context, addr string, r *mgrpc.SupportRequest) (*mgrpc.SupportReply, error)
 }
 
-// A Loop keeps an entry's leases and serves its peers.
+// A Loop renews an entry's leases and serves its peers.
 type Loop struct {
 	spec LoopSpec
 
-	mu      sync.Mutex
-	shares  *Shares
-	drops   int           // answers to calls made before a drop are not taken
-	changed chan struct{} // closed and replaced with each answer
-	running sync.WaitGroup
+	mu           sync.Mutex
+	shares       *Shares
+	dropCount    int           // number of calls to Drop; answers to calls made before one are discarded
+	answered     chan struct{} // closed and replaced with each answer
+	callsRunning sync.WaitGroup
 }
 
-// NewLoop returns a loop. It asks for nothing until Run.
+// NewLoop returns a loop. It requests nothing until Run.
 func NewLoop(spec LoopSpec) *Loop {
 	return &Loop{
-		spec:    spec,
-		shares:  NewShares(spec.Clock.Now(), spec.Shares),
-		changed: make(chan struct{}),
+		spec:     spec,
+		shares:   NewShares(spec.Clock.Now(), spec.Shares),
+		answered: make(chan struct{}),
 	}
 }
 
-// Run asks for leases until ctx ends, and returns once its calls have.
+// Run requests leases until ctx ends, and returns once its calls have returned.
 func (l *Loop) Run(ctx context.Context) {
-	for l.spec.Clock.Sleep(ctx, stepSpan) {
-		l.step(ctx)
+	for l.spec.Clock.Sleep(ctx, stepInterval) {
+		l.startDueCalls(ctx)
 	}
-	l.running.Wait()
+	l.callsRunning.Wait()
 }
 
-// step makes the calls that are due.
-func (l *Loop) step(ctx context.Context) {
+// startDueCalls starts the calls that are due.
+func (l *Loop) startDueCalls(ctx context.Context) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	drops := l.drops
-	for _, call := range l.shares.Due(l.spec.Clock.Now()) {
-		l.running.Add(1)
+	dropCount := l.dropCount
+	for _, call := range l.shares.DueCalls(l.spec.Clock.Now()) {
+		l.callsRunning.Add(1)
 		go func() {
-			defer l.running.Done()
-			l.ask(ctx, call, drops)
+			defer l.callsRunning.Done()
+			l.callHome(ctx, call, dropCount)
 		}()
 	}
 }
 
-// ask makes one call and takes its answer.
-func (l *Loop) ask(ctx context.Context, call LeaseCall, drops int) {
+// callHome makes one call and handles its answer.
+func (l *Loop) callHome(ctx context.Context, call LeaseCall, dropCount int) {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout.Duration())
 	defer cancel()
 	var reply *mgrpc.LeaseReply
@@ -91,45 +91,45 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if drops != l.drops {
+	if dropCount != l.dropCount {
 		reply = nil
 	}
-	l.shares.Answered(now, call, reply)
-	close(l.changed)
-	l.changed = make(chan struct{})
+	l.shares.HandleReply(now, call, reply)
+	close(l.answered)
+	l.answered = make(chan struct{})
 }
 
-// Acquire notes a caller's wish for a start that is expected to cost tokens, and
-// returns the slice of the account once a lease is valid, or the fixed part when
-// ctx ends before. It returns false for an account without caps. An account that
-// was idle waits for one call to its home.
+// Acquire records a caller's request for a start that is expected to cost tokens, and
+// returns the slice of the account once a lease is valid, or the fixed part if ctx ends
+// before. It returns false for an account without caps. An account that was idle waits
+// for one call to its home.
 func (l *Loop) Acquire(ctx context.Context, account string, tokens float64) (Slice, bool) {
 	if _, capped := l.spec.Shares.Account(account); !capped {
 		return Slice{}, false
 	}
 	l.mu.Lock()
-	l.shares.Want(l.spec.Clock.Now(), account, tokens)
+	l.shares.RecordDemand(l.spec.Clock.Now(), account, tokens)
 	l.mu.Unlock()
 	for {
-		slice, leased, changed := l.look(account)
+		slice, leased, answered := l.currentSlice(account)
 		if leased || ctx.Err() != nil {
 			return slice, true
 		}
-		l.step(context.WithoutCancel(ctx))
+		l.startDueCalls(context.WithoutCancel(ctx))
 		select {
-		case <-changed:
+		case <-answered:
 		case <-ctx.Done():
 		}
 	}
 }
 
-// look returns the slice of an account, whether it is a valid lease, and the
-// channel of the next answer.
-func (l *Loop) look(account string) (Slice, bool, <-chan struct{}) {
+// currentSlice returns the slice of an account, whether it is a valid lease, and a
+// channel that is closed at the next answer.
+func (l *Loop) currentSlice(account string) (Slice, bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.spec.Clock.Now()
-	return l.shares.Slice(now, account), l.shares.holder.Leased(now, account), l.changed
+	return l.shares.Slice(now, account), l.shares.holder.HasLease(now, account), l.answered
 }
 
 // Slice returns what this entry may use of an account now.
@@ -139,47 +139,47 @@
 	return l.shares.Slice(l.spec.Clock.Now(), account)
 }
 
-// Running notes how many streams of an account run.
+// Running records how many streams of an account run.
 func (l *Loop) Running(account string, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.shares.Running(account, count)
+	l.shares.SetRunning(account, count)
 }
 
 // Drop gives up all leases, as after a pause.
 func (l *Loop) Drop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drops++
+	l.dropCount++
 	l.shares.Drop()
 }
 
-// Status returns the state for the dump.
+// Status returns the state for the debug dump.
 func (l *Loop) Status() Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.shares.Status()
 }
 
-// Support serves a home's question.
+// Support answers a home's request for votes.
 func (l *Loop) Support(_ context.Context, r *mgrpc.SupportRequest) (*mgrpc.SupportReply, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.shares.Support(l.spec.Clock.Now(), r), nil
 }
 
-// Lease serves an entry's request. It asks the witnesses first where their words
-// are old.
+// Lease answers an entry's request for leases. It first requests the witnesses' votes
+// that have to be renewed.
 func (l *Loop) Lease(ctx context.Context, r *mgrpc.LeaseRequest) (*mgrpc.LeaseReply, error) {
 	l.mu.Lock()
-	asks := l.shares.Asks(l.spec.Clock.Now(), r)
+	requests := l.shares.VoteRequests(l.spec.Clock.Now(), r)
 	l.mu.Unlock()
 	var all sync.WaitGroup
-	for _, a := range asks {
+	for _, a := range requests {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			l.askWitness(ctx, a)
+			l.requestVotes(ctx, a)
 		}()
 	}
 	all.Wait()
@@ -188,27 +188,28 @@
 	return l.shares.Lease(l.spec.Clock.Now(), r), nil
 }
 
-// askWitness asks one witness, itself included, and takes its answer.
-func (l *Loop) askWitness(ctx context.Context, a Ask) {
+// requestVotes requests the votes of one witness, which may be this process, and
+// records the answer.
+func (l *Loop) requestVotes(ctx context.Context, v VoteRequest) {
 	ctx, cancel := context.WithTimeout(ctx, supportTimeout.Duration())
 	defer cancel()
 	sent := l.spec.Clock.Now()
 	l.mu.Lock()
-	request := l.shares.SupportRequest(a)
+	request := l.shares.SupportRequest(v)
 	l.mu.Unlock()
 	var reply *mgrpc.SupportReply
 	var err error
-	if a.Witness == l.spec.Shares.Name {
+	if v.Witness == l.spec.Shares.Name {
 		reply, err = l.Support(ctx, request)
 	} else {
-		reply, err = l.spec.Support(ctx, a.Addr, request)
+		reply, err = l.spec.Support(ctx, v.Addr, request)
 	}
 	if err != nil {
-		l.spec.Shares.Members.Failed(l.spec.Clock.Now(), a.Witness)
+		l.spec.Shares.Members.Failed(l.spec.Clock.Now(), v.Witness)
 		return
 	}
-	l.spec.Shares.Members.Answered(l.spec.Clock.Now(), a.Witness)
+	l.spec.Shares.Members.Answered(l.spec.Clock.Now(), v.Witness)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.shares.Said(sent, a, reply)
+	l.shares.RecordVotes(sent, v, reply)
 }
--- a/internal/version/mgshare/shares.go
+++ b/internal/version/mgshare/shares.go
@@ -9,7 +9,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// A SharesSpec says which entry shares are of.
+// A SharesSpec identifies the entry that shares belong to.
 type SharesSpec struct {
 	Name        string
 	Incarnation string
@@ -19,13 +19,13 @@
 	// Account returns the caps of an account, and false when it has none.
 	Account func(name string) (Caps, bool)
 
-	// Fresh says that no process ran under this name lately, as in a demo: its
-	// witness answers from the start.
+	// Fresh is set if no process ran under this name recently, as in a demo: its
+	// witness votes from the start.
 	Fresh bool
 }
 
-// Shares are an entry's part in leasing caps: as holder, home and witness. Its
-// methods are called by one goroutine at a time.
+// Shares hold an entry's state as holder, home and witness of leases. Their methods
+// must not be called concurrently.
 type Shares struct {
 	spec    SharesSpec
 	ring    *Ring
@@ -34,13 +34,13 @@
 	witness Witness
 }
 
-// NewShares returns the shares of an entry that starts at a time.
+// NewShares returns the shares of an entry that starts at the time now.
 func NewShares(now mgclock.Millis, spec SharesSpec) *Shares {
 	s := &Shares{
 		spec: spec,
 	}
 	if !spec.Fresh {
-		s.witness.Begin(now)
+		s.witness.RefuseAtStart(now)
 	}
 	return s
 }
@@ -56,8 +56,8 @@
 	}, true
 }
 
-// rank returns the ring of the present list.
-func (s *Shares) rank() *Ring {
+// currentRing returns the ring of the current list.
+func (s *Shares) currentRing() *Ring {
 	view := s.spec.Members.View()
 	if s.ring == nil || s.ring.version != view.Version() {
 		s.ring = NewRing(view, s.spec.Region)
@@ -74,15 +74,15 @@
 	Request  *mgrpc.LeaseRequest
 }
 
-// Want notes that a caller asks for a start that is expected to cost tokens.
-func (s *Shares) Want(now mgclock.Millis, account string, tokens float64) {
+// RecordDemand records that a caller requests a start that is expected to cost tokens.
+func (s *Shares) RecordDemand(now mgclock.Millis, account string, tokens float64) {
 	if caps, ok := s.spec.Account(account); ok {
-		s.holder.Want(now, account, caps, tokens)
+		s.holder.RecordDemand(now, account, caps, tokens)
 	}
 }
 
-// Running notes how many streams of an account run.
-func (s *Shares) Running(account string, count int) { s.holder.Running(account, count) }
+// SetRunning records how many streams of an account run.
+func (s *Shares) SetRunning(account string, count int) { s.holder.SetRunning(account, count) }
 
 // Slice returns what this entry may use of an account.
 func (s *Shares) Slice(now mgclock.Millis, account string) Slice {
@@ -90,25 +90,25 @@
 	if !ok {
 		return Slice{}
 	}
-	return s.holder.Slice(now, account, caps, s.rank().entries)
+	return s.holder.Slice(now, account, caps, s.currentRing().entryCount)
 }
 
-// Due returns the calls to make now, one a home.
-func (s *Shares) Due(now mgclock.Millis) []LeaseCall {
+// DueCalls returns the calls to make now, one per home.
+func (s *Shares) DueCalls(now mgclock.Millis) []LeaseCall {
 	s.home.Forget(now)
-	ring := s.rank()
+	ring := s.currentRing()
 	calls := make(map[string]*LeaseCall)
-	for _, account := range s.holder.Due(now) {
+	for _, account := range s.holder.DueAccounts(now) {
 		home := ring.Home(s.spec.Members.View(), account)
 		if home == nil {
 			continue
 		}
 		c := calls[home.Name()]
 		if c == nil {
-			c = s.call(now, home)
+			c = s.newCall(now, home)
 			calls[home.Name()] = c
 		}
-		demand := s.holder.Ask(now, account)
+		demand := s.holder.StartRequest(now, account)
 		c.Accounts = append(c.Accounts, account)
 		c.Request.Demands = append(c.Request.Demands, &mgrpc.Demand{
 			Account: account,
@@ -125,7 +125,7 @@
 	return list
 }
 
-func (s *Shares) call(now mgclock.Millis, home *mgmember.Member) *LeaseCall {
+func (s *Shares) newCall(now mgclock.Millis, home *mgmember.Member) *LeaseCall {
 	return &LeaseCall{
 		Home: home.Name(),
 		Addr: home.PeerAddr(),
@@ -137,8 +137,8 @@
 	}
 }
 
-// Answered takes the answer to a call, or nil for none.
-func (s *Shares) Answered(now mgclock.Millis, call LeaseCall, reply *mgrpc.LeaseReply) {
+// HandleReply handles the answer to a call, nil for none.
+func (s *Shares) HandleReply(now mgclock.Millis, call LeaseCall, reply *mgrpc.LeaseReply) {
 	leases := make(map[string]*mgrpc.Lease)
 	for _, l := range reply.GetLeases() {
 		leases[l.GetAccount()] = l
@@ -146,10 +146,10 @@
 	for _, account := range call.Accounts {
 		l := leases[account]
 		if l == nil {
-			s.holder.Granted(now, call.Sent, account, nil)
+			s.holder.HandleGrant(now, call.Sent, account, nil)
 			continue
 		}
-		s.holder.Granted(now, call.Sent, account, &Slice{
+		s.holder.HandleGrant(now, call.Sent, account, &Slice{
 			Rate:    l.GetRate(),
 			Streams: int(l.GetStreams()),
 			End:     mgclock.Millis(l.GetTtl()),
@@ -157,38 +157,38 @@
 	}
 }
 
-// id names this incarnation as a home.
-func (s *Shares) id() string { return s.spec.Name + "/" + s.spec.Incarnation }
+// homeID returns the name of this incarnation as a home.
+func (s *Shares) homeID() string { return s.spec.Name + "/" + s.spec.Incarnation }
 
-// Asks returns the questions to witnesses that a request makes due. Their
-// answers are waited for, briefly, before Lease.
-func (s *Shares) Asks(now mgclock.Millis, request *mgrpc.LeaseRequest) []Ask {
+// VoteRequests returns the requests to witnesses that a lease request makes due. The
+// caller waits briefly for their answers before it calls Lease.
+func (s *Shares) VoteRequests(now mgclock.Millis, request *mgrpc.LeaseRequest) []VoteRequest {
 	accounts := make([]string, 0, len(request.GetDemands()))
 	for _, d := range request.GetDemands() {
 		accounts = append(accounts, d.GetAccount())
 	}
-	return s.home.Asks(now, s.rank(), accounts)
+	return s.home.VoteRequests(now, s.currentRing(), accounts)
 }
 
-// SupportRequest returns the message for a question.
-func (s *Shares) SupportRequest(a Ask) *mgrpc.SupportRequest {
+// SupportRequest returns the message of a vote request.
+func (s *Shares) SupportRequest(v VoteRequest) *mgrpc.SupportRequest {
 	r := &mgrpc.SupportRequest{
-		Home: s.id(),
-		Sets: a.Sets,
+		Home: s.homeID(),
+		Sets: v.WitnessHashes,
 	}
-	for _, slot := range a.Slots {
+	for _, slot := range v.Slots {
 		r.Slots = append(r.Slots, uint32(slot))
 	}
 	return r
 }
 
-// Said takes a witness's answer to a question sent at a time.
-func (s *Shares) Said(sent mgclock.Millis, a Ask, reply *mgrpc.SupportReply) {
-	yes := make([]int, 0, len(reply.GetSlots()))
+// RecordVotes records a witness's answer to a request that was sent at a given time.
+func (s *Shares) RecordVotes(sent mgclock.Millis, v VoteRequest, reply *mgrpc.SupportReply) {
+	granted := make([]int, 0, len(reply.GetSlots()))
 	for _, slot := range reply.GetSlots() {
-		yes = append(yes, int(slot))
+		granted = append(granted, int(slot))
 	}
-	s.home.Said(sent, a.Witness, a.Slots, yes)
+	s.home.RecordVotes(sent, v.Witness, v.Slots, granted)
 }
 
 // Support answers a home as a witness.
@@ -198,15 +198,15 @@
 		if i >= len(request.GetSets()) {
 			break
 		}
-		if s.witness.Stand(now, s.rank(), request.GetHome(), int(slot), request.GetSets()[i]) {
+		if s.witness.Vote(now, s.currentRing(), request.GetHome(), int(slot), request.GetSets()[i]) {
 			reply.Slots = append(reply.Slots, slot)
 		}
 	}
 	return reply
 }
 
-// Lease answers an entry as a home. Whoever isn't an account's home leases as
-// little as the witnesses let it: it needs no check of its own.
+// Lease answers an entry as a home. A process that isn't an account's home needs no
+// check of its own, because it can lease no more than its votes allow.
 func (s *Shares) Lease(now mgclock.Millis, request *mgrpc.LeaseRequest) *mgrpc.LeaseReply {
 	reply := &mgrpc.LeaseReply{}
 	for _, d := range request.GetDemands() {
@@ -214,7 +214,7 @@
 		if !ok {
 			continue
 		}
-		slice := s.home.Grant(now, s.rank(), request.GetEntry(), d.GetAccount(), caps, Demand{
+		slice := s.home.Grant(now, s.currentRing(), request.GetEntry(), d.GetAccount(), caps, Demand{
 			Rate:    d.GetRate(),
 			Streams: int(d.GetStreams()),
 			Running: int(d.GetRunning()),
@@ -229,13 +229,13 @@
 	return reply
 }
 
-// Drop gives up what a pause made worthless.
+// Drop gives up the state that a pause invalidates.
 func (s *Shares) Drop() {
-	s.holder.Drop()
+	s.holder.DropLeases()
 	s.home.Drop()
 }
 
-// Status is the state for the dump.
+// Status is the state for the debug dump.
 type Status struct {
 	Held   int `json:"held"`   // accounts with a lease or demand here
 	Leased int `json:"leased"` // accounts leased as their home
