--- a/internal/process/mgnode/agent.go
+++ b/internal/process/mgnode/agent.go
@@ -17,13 +17,13 @@
 
 // RunAgent runs an agent until stop ends, then drains it; hurry cuts the drain
 // short.
-func RunAgent(stop, hurry context.Context, settings mgsettings.Agent, n *Node) error {
-	return n.run(stop, hurry, func(ctx context.Context) (Stop, error) { return n.openAgent(ctx, settings) })
+func RunAgent(stop, abortDrain context.Context, settings mgsettings.Agent, n *Node) error {
+	return n.run(stop, abortDrain, func(ctx context.Context) (Drain, error) { return n.startAgent(ctx, settings) })
 }
 
 // openAgent begins to take work for the upstream, and returns how that is
 // stopped.
-func (n *Node) openAgent(ctx context.Context, settings mgsettings.Agent) (Stop, error) {
+func (n *Node) startAgent(ctx context.Context, settings mgsettings.Agent) (Drain, error) {
 	agent, err := mgagent.New(mgagent.Spec{
 		Settings:    settings,
 		Incarnation: n.incarnation,
@@ -34,24 +34,24 @@
 		Engine:      mgengine.NewHTTP(settings.Address, nil),
 		Service:     mgservice.NewHTTP(settings.Address, nil),
 		Table:       n.Table,
-		Seen:        n.Seen,
+		Seen:        n.ObserveVersion,
 		Await:       n.loop.Await,
 		Plan:        (&planner{node: n}).plan,
-		Ours:        func() (mgclock.Millis, bool) { return n.owns(settings.Upstream) },
+		Ours:        func() (mgclock.Millis, bool) { return n.isOwnAgentOf(settings.Upstream) },
 		Others:      n.otherAgents,
 		Started:     mgclock.UnixMillis(),
 	})
 	if err != nil {
-		return Stop{}, err
+		return Drain{}, err
 	}
 	n.admin.Source("agent", func() any { return agent.State() })
-	n.Role(agent.Routes())
-	n.servers.Go(func() { agent.Run(ctx) })
+	n.SetRoleHandler(agent.Routes())
+	n.background.Go(func() { agent.Run(ctx) })
 	// An entry learns of a leaving agent from its first refusal and goes
 	// elsewhere, so that no notice is needed.
-	stopping := n.Stop(agent.Leave, agent.Busy)
-	stopping.Notice = 0
-	return stopping, nil
+	drain := n.NewDrain(agent.Leave, agent.Busy)
+	drain.NoticeDelay = 0
+	return drain, nil
 }
 
 // otherAgents returns the agents of the region beside engines that hold a model.
@@ -73,45 +73,45 @@
 // planner works the placement out anew when the table or the members change.
 // One goroutine, that of the agent's orders, uses it.
 type planner struct {
-	node  *Node
-	table *mgtable.Table
-	view  *mgmember.View
-	made  *mgplacement.Plan
+	node   *Node
+	table  *mgtable.Table
+	view   *mgmember.View
+	cached *mgplacement.Plan
 }
 
 func (p *planner) plan() *mgplacement.Plan {
 	table, view := p.node.Table(), p.node.members.View()
-	if p.made == nil || p.table != table || p.view != view {
+	if p.cached == nil || p.table != table || p.view != view {
 		p.table = table
 		p.view = view
-		p.made = mgplacement.Assign(table, view)
+		p.cached = mgplacement.Assign(table, view)
 	}
-	return p.made
+	return p.cached
 }
 
 // evidence is how lately a peer must have been heard for the list to count as
 // present: two rounds of exchanges and a delay.
-const evidence = 5 * mgclock.Second
+const peerEvidenceMaxAge = 5 * mgclock.Second
 
 // owns reports whether this process is an upstream's own agent: listed as such,
 // by a list that some peer, too, went by lately. A process that hears nobody
 // may be the one that was replaced.
-func (n *Node) owns(upstream string) (mgclock.Millis, bool) {
+func (n *Node) isOwnAgentOf(upstream string) (mgclock.Millis, bool) {
 	view := n.members.View()
 	now := n.clock.Now()
 	own, found := view.Agent(upstream)
 	if !found || own.Name() != n.settings.Name || own.Leaving() || !own.Listed() {
 		return now, false
 	}
-	alone := true
+	noPeerListed := true
 	for _, member := range view.All() {
 		if member.Name() == n.settings.Name {
 			continue
 		}
-		if n.members.Recent(now, member.Name(), evidence) {
+		if n.members.Recent(now, member.Name(), peerEvidenceMaxAge) {
 			return now, true
 		}
-		alone = alone && !member.Listed()
+		noPeerListed = noPeerListed && !member.Listed()
 	}
-	return now, alone
+	return now, noPeerListed
 }
--- a/internal/process/mgnode/pack.go
+++ b/internal/process/mgnode/compress.go
@@ -11,32 +11,32 @@
 
 // packers keeps the state of compressions, which takes most of a megabyte each: a hub
 // packs for each process of its cell every three seconds.
-var packers = sync.Pool{
+var gzipWriters = sync.Pool{
 	New: func() any { return gzip.NewWriter(nil) },
 }
 
 // pack writes a value as JSON, compressed by gzip.
-func pack(value any) ([]byte, error) {
+func compressJSON(value any) ([]byte, error) {
 	var body bytes.Buffer
-	packer := packers.Get().(*gzip.Writer)
-	defer packers.Put(packer)
-	packer.Reset(&body)
-	if err := json.NewEncoder(packer).Encode(value); err != nil {
+	writer := gzipWriters.Get().(*gzip.Writer)
+	defer gzipWriters.Put(writer)
+	writer.Reset(&body)
+	if err := json.NewEncoder(writer).Encode(value); err != nil {
 		return nil, fmt.Errorf("%T can't be written: %w", value, err)
 	}
-	if err := packer.Close(); err != nil {
+	if err := writer.Close(); err != nil {
 		return nil, fmt.Errorf("%T can't be packed: %w", value, err)
 	}
 	return body.Bytes(), nil
 }
 
 // unpack reads what pack wrote, up to a number of bytes.
-func unpack(from io.Reader, most int64, value any) error {
-	unpacker, err := gzip.NewReader(from)
+func decompressJSON(r io.Reader, maxBytes int64, value any) error {
+	reader, err := gzip.NewReader(r)
 	if err != nil {
 		return fmt.Errorf("%T can't be unpacked: send it again: %w", value, err)
 	}
-	if err := json.NewDecoder(io.LimitReader(unpacker, most)).Decode(value); err != nil {
+	if err := json.NewDecoder(io.LimitReader(reader, maxBytes)).Decode(value); err != nil {
 		return fmt.Errorf("%T is not JSON: send it again: %w", value, err)
 	}
 	return nil
--- a/internal/process/mgnode/stop.go
+++ b/internal/process/mgnode/drain.go
@@ -9,39 +9,39 @@
 )
 
 // drainLook is the interval at which a drain looks whether work is left.
-const drainLook = 50 * mgclock.Millis(1)
+const drainPollInterval = 50 * mgclock.Millis(1)
 
 // A Stop is the order of a planned stop.
-type Stop struct {
+type Drain struct {
 	// Clock tells the time.
 	Clock mgclock.Clock
 	// Log tells operators of the drain.
 	Log logr.Logger
 	// Notice is the time between the loss of readiness and the first refusal.
-	Notice mgclock.Millis
+	NoticeDelay mgclock.Millis
 	// Longest bounds the whole drain.
-	Longest mgclock.Millis
+	MaxDuration mgclock.Millis
 	// Unready withdraws readiness.
-	Unready func()
+	WithdrawReadiness func()
 	// Leave refuses new work from now on.
-	Leave func()
+	RefuseNewWork func()
 	// Busy counts what a stop would cut off now.
-	Busy func() int
+	CountBusy func() int
 }
 
 // Run drains the process. It ends early when hurry ends, and returns the time by which
 // the process should have answered what reached it meanwhile.
-func (s Stop) Run(hurry context.Context) mgclock.Millis {
-	end := s.Clock.Now() + s.Longest
-	s.Unready()
-	s.Log.Info("stopping: not ready any more", "busy", s.Busy())
-	s.Clock.Sleep(hurry, min(s.Notice, s.Longest))
-	s.Leave()
-	for s.Busy() > 0 && s.Clock.Now() < end {
-		if !s.Clock.Sleep(hurry, drainLook) {
-			end = s.Clock.Now()
+func (s Drain) Run(abort context.Context) mgclock.Millis {
+	deadline := s.Clock.Now() + s.MaxDuration
+	s.WithdrawReadiness()
+	s.Log.Info("stopping: not ready any more", "busy", s.CountBusy())
+	s.Clock.Sleep(abort, min(s.NoticeDelay, s.MaxDuration))
+	s.RefuseNewWork()
+	for s.CountBusy() > 0 && s.Clock.Now() < deadline {
+		if !s.Clock.Sleep(abort, drainPollInterval) {
+			deadline = s.Clock.Now()
 		}
 	}
-	s.Log.Info("drained", "unfinished", s.Busy())
-	return end
+	s.Log.Info("drained", "unfinished", s.CountBusy())
+	return deadline
 }
--- a/internal/process/mgnode/entry.go
+++ b/internal/process/mgnode/entry.go
@@ -19,50 +19,50 @@
 
 // RunEntry runs an entry until stop ends, then drains it; hurry cuts the drain
 // short.
-func RunEntry(stop, hurry context.Context, settings mgsettings.Entry, n *Node) error {
-	return n.run(stop, hurry, func(ctx context.Context) (Stop, error) { return n.openEntry(ctx, settings) })
+func RunEntry(stop, abortDrain context.Context, settings mgsettings.Entry, n *Node) error {
+	return n.run(stop, abortDrain, func(ctx context.Context) (Drain, error) { return n.startEntry(ctx, settings) })
 }
 
 // openEntry begins to serve callers, and returns how that is stopped.
-func (n *Node) openEntry(ctx context.Context, settings mgsettings.Entry) (Stop, error) {
+func (n *Node) startEntry(ctx context.Context, settings mgsettings.Entry) (Drain, error) {
 	public, err := listenPublic(settings)
 	if err != nil {
-		return Stop{}, err
+		return Drain{}, err
 	}
 	shares := mgshare.NewLoop(n.sharesSpec(settings.Fresh))
 	n.shares.Store(shares)
 	n.pause.On(func(mgclock.Millis) { shares.Drop() })
-	n.servers.Go(func() { shares.Run(ctx) })
+	n.background.Go(func() { shares.Run(ctx) })
 	entry := mgentry.New(n.entrySpec(settings, shares), n.incarnation)
-	places := entry.Places
-	n.places.Store(&places)
+	placements := entry.Places
+	n.readUpstreams.Store(&placements)
 	n.admin.Source("entry", func() any { return entry.State() })
 	n.admin.Source("shares", func() any { return shares.Status() })
-	n.servers.Go(func() { entry.Run(ctx) })
-	n.servers.Go(func() { n.notes.spread(ctx) })
-	n.servers.Go(func() { n.notes.compare(ctx) })
-	n.servers.Go(func() { n.watchHeld(ctx) })
-	if n.form != nil {
-		n.servers.Go(func() { n.tellLoads(ctx, entry.Load()) })
+	n.background.Go(func() { entry.Run(ctx) })
+	n.background.Go(func() { n.exchanger.runBroadcast(ctx) })
+	n.background.Go(func() { n.exchanger.runAntiEntropy(ctx) })
+	n.background.Go(func() { n.watchHeld(ctx) })
+	if n.relayForm != nil {
+		n.background.Go(func() { n.reportLoads(ctx, entry.Load()) })
 	}
 	if settings.Retry > 0 {
-		n.servers.Go(func() { n.boundRetries(ctx, int(settings.Retry), entry.BoundRetries) })
+		n.background.Go(func() { n.limitRetries(ctx, int(settings.Retry), entry.BoundRetries) })
 	}
 	n.Serve(ctx, ServerSpec{
-		Name:     "callers",
-		Listener: public,
-		Handler:  entry.Routes(),
-		Linger:   n.linger,
-		Head:     int(settings.Head),
-		Slow:     mgclock.Millis(settings.Slow),
+		Name:           "callers",
+		Listener:       public,
+		Handler:        entry.Routes(),
+		Linger:         n.linger,
+		MaxHeaderBytes: int(settings.Head),
+		HeaderTimeout:  mgclock.Millis(settings.Slow),
 	})
-	stop := n.Stop(entry.Leave, entry.Busy)
-	unready := stop.Unready
-	stop.Unready = func() {
-		entry.Stopping(n.clock.Now() + stop.Longest)
-		unready()
+	drain := n.NewDrain(entry.Leave, entry.Busy)
+	withdrawReadiness := drain.WithdrawReadiness
+	drain.WithdrawReadiness = func() {
+		entry.Stopping(n.clock.Now() + drain.MaxDuration)
+		withdrawReadiness()
 	}
-	return stop, nil
+	return drain, nil
 }
 
 func (n *Node) entrySpec(settings mgsettings.Entry, shares *mgshare.Loop) mgentry.Spec {
@@ -75,10 +75,10 @@
 		Quarantine: n.quarantine,
 		Table:      n.Table,
 		Certain:    n.loop.Certain,
-		Seen:       n.Seen,
+		Seen:       n.ObserveVersion,
 		View:       n.members.View,
-		Failed:     n.failed,
-		Heard:      n.heard,
+		Failed:     n.peerFailed,
+		Heard:      n.peerSeen,
 		Acquire:    shares.Acquire,
 		Running:    shares.Running,
 		Calls: &mglink.Guard{
@@ -90,12 +90,12 @@
 		Frames:    n.guard.Transport(true),
 		Base:      n.guard.Base,
 		Relay:     n.relaySpec(),
-		Answered:  n.answered,
+		Answered:  n.peerAnswered,
 		Changed:   n.members.Changed,
-		Others:    n.Others,
-		Elsewhere: n.elsewhere,
+		Others:    n.OtherLoads,
+		Elsewhere: n.mostOthersStay,
 		Stale:     n.loop.Stale,
-		Left:      n.left,
+		Left:      n.upstreamDeparted,
 	}
 }
 
@@ -103,52 +103,52 @@
 // sign of life for so long. Callers leave a stream after seven seconds without
 // an event, and a partition that heals before should cost them a pause only. The
 // kernel counts in whole seconds: three spans of three seconds.
-const upstreamSilence = 9 * time.Second
+const upstreamSilenceTimeout = 9 * time.Second
 
 // boundRetries keeps this entry's part of the retries that all entries may make,
 // by how many of them are known, until ctx ends.
-func (n *Node) boundRetries(ctx context.Context, allowed int, bound func(limit int)) {
+func (n *Node) limitRetries(ctx context.Context, total int, setLimit func(limit int)) {
 	for ok := true; ok; ok = n.clock.Sleep(ctx, mgclock.Second) {
-		bound(mgretry.Share(allowed, 1+len(n.entries())))
+		setLimit(mgretry.Share(total, 1+len(n.otherEntries())))
 	}
 }
 
 // elsewhere reports whether at least half of the other entries stay. Callers
 // that come back reach any of them; where most are stopping, too, an answer that
 // may be cut is worth more than a second refusal.
-func (n *Node) elsewhere() bool {
-	entries, stay := n.entries(), 0
+func (n *Node) mostOthersStay() bool {
+	entries, staying := n.otherEntries(), 0
 	for _, entry := range entries {
 		if !entry.Leaving() {
-			stay++
+			staying++
 		}
 	}
-	return len(entries) > 0 && 2*stay >= len(entries)
+	return len(entries) > 0 && 2*staying >= len(entries)
 }
 
 // relaySpec returns how requests are passed through, or nil when none are.
 func (n *Node) relaySpec() *mgrelay.Spec {
-	if n.form == nil {
+	if n.relayForm == nil {
 		return nil
 	}
 	return &mgrelay.Spec{
-		Form:    *n.form,
-		Basis:   n.basis,
+		Form:    *n.relayForm,
+		Basis:   n.loadBasis,
 		Move:    n.move,
 		Probe:   n.probe,
-		Place:   n.place,
-		Turn:    n.turn,
-		EndTurn: n.endTurn,
+		Place:   n.acquirePlacement,
+		Turn:    n.acquireMigrationSlot,
+		EndTurn: n.releaseMigrationSlot,
 		Refuses: mgdial.Refuses,
 		Limits:  &n.limits,
-		Permit:  n.permit,
-		Client:  mgdial.NewClientWith(mgdial.Near(upstreamSilence)),
+		Permit:  n.acquirePermit,
+		Client:  mgdial.NewClientWith(mgdial.Near(upstreamSilenceTimeout)),
 	}
 }
 
 // listenPublic opens the callers' listener, with TLS where it is set.
 func listenPublic(settings mgsettings.Entry) (*mglistener.Listener, error) {
-	identity, err := mgpeer.Public(files(settings.Public))
+	identity, err := mgpeer.Public(certFiles(settings.Public))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/process/mgnode/events.go
+++ b/internal/process/mgnode/events.go
@@ -35,7 +35,7 @@
 }
 
 // adopted takes a new table from the configuration's loop.
-func (n *Node) adopted(snapshot *mgconfig.Snapshot) {
+func (n *Node) publishAdopted(snapshot *mgconfig.Snapshot) {
 	n.publish(mgevent.Adopted, strconv.FormatUint(snapshot.Version(), 10), snapshot.Digest())
 }
 
--- a/internal/process/mgnode/gossip.go
+++ b/internal/process/mgnode/gossip.go
@@ -15,16 +15,16 @@
 const gossipPath = "/gossip"
 
 // maxGossip bounds it in bytes once decompressed: some 8,000 rows.
-const maxGossip = 1 << 20
+const maxGossipBytes = 1 << 20
 
 // serveGossip answers a process that tells of others.
 func (n *Node) serveGossip(w http.ResponseWriter, r *http.Request) {
-	all, err := readGossip(r.Body)
+	rows, err := decodeGossip(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	body, err := pack(n.loop.Gossiped(all))
+	body, err := compressJSON(n.loop.Gossiped(rows))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -34,8 +34,8 @@
 }
 
 // gossip tells the process at an address of others, and returns what it knows.
-func (n *Node) gossip(ctx context.Context, addr string, all []mgmember.Gossip) ([]mgmember.Gossip, error) {
-	body, err := pack(all)
+func (n *Node) exchangeGossip(ctx context.Context, addr string, rows []mgmember.Gossip) ([]mgmember.Gossip, error) {
+	body, err := compressJSON(rows)
 	if err != nil {
 		return nil, err
 	}
@@ -51,18 +51,18 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("peer %s: no gossip: status %d", addr, response.StatusCode)
 	}
-	known, err := readGossip(response.Body)
+	reply, err := decodeGossip(response.Body)
 	if err != nil {
 		return nil, fmt.Errorf("peer %s: %w", addr, err)
 	}
-	return known, nil
+	return reply, nil
 }
 
 // readGossip reads what is told of processes.
-func readGossip(from io.Reader) ([]mgmember.Gossip, error) {
-	var all []mgmember.Gossip
-	if err := unpack(from, maxGossip, &all); err != nil {
+func decodeGossip(from io.Reader) ([]mgmember.Gossip, error) {
+	var rows []mgmember.Gossip
+	if err := decompressJSON(from, maxGossipBytes, &rows); err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	return all, nil
+	return rows, nil
 }
--- a/internal/process/mgnode/gossip_test.go
+++ b/internal/process/mgnode/gossip_test.go
@@ -11,10 +11,10 @@
 )
 
 // gossipOf returns what is known of some processes.
-func gossipOf(count int) []mgmember.Gossip {
-	all := make([]mgmember.Gossip, count)
-	for i := range all {
-		all[i] = mgmember.Gossip{
+func gossipRows(count int) []mgmember.Gossip {
+	rows := make([]mgmember.Gossip, count)
+	for i := range rows {
+		rows[i] = mgmember.Gossip{
 			Name:   fmt.Sprint("entry-", i),
 			Addr:   fmt.Sprintf("10.1.%d.%d:7102", i/250, i%250),
 			Zone:   "hall-1",
@@ -22,19 +22,19 @@
 			Age:    1500,
 		}
 	}
-	return all
+	return rows
 }
 
-func TestGossipPacked(t *testing.T) {
+func TestPooledWriterCorruptsGossip(t *testing.T) {
 	Convey("What is packed is read again, also by a packer that was used", t, func() {
 		for _, count := range []int{3, 400, 0, 40} {
-			packed, err := pack(gossipOf(count))
+			packed, err := compressJSON(gossipRows(count))
 			So(err, ShouldBeNil)
-			read, err := readGossip(bytes.NewReader(packed))
+			read, err := decodeGossip(bytes.NewReader(packed))
 			So(err, ShouldBeNil)
 			So(len(read), ShouldEqual, count)
 			if count > 0 {
-				So(read, ShouldResemble, gossipOf(count))
+				So(read, ShouldResemble, gossipRows(count))
 			}
 		}
 	})
@@ -42,13 +42,13 @@
 
 // BenchmarkGossip packs what a hub tells of its region: 40 rows took 816 KB and 1.2 ms
 // with a packer for each call, and take 3.7 KB and 0.08 ms with one that is used again.
-func BenchmarkGossip(b *testing.B) {
+func BenchmarkCompressGossip(b *testing.B) {
 	for _, count := range []int{40, 360, 1000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			all := gossipOf(count)
+			rows := gossipRows(count)
 			b.ReportAllocs()
 			for range b.N {
-				if _, err := pack(all); err != nil {
+				if _, err := compressJSON(rows); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/process/mgnode/list.go
+++ b/internal/process/mgnode/list.go
@@ -18,13 +18,13 @@
 const (
 	listPath = "/list"
 	// afterQuery and waitQuery are the version that the caller has, and ms.
-	afterQuery = "after"
-	waitQuery  = "wait"
+	afterParam = "after"
+	waitParam  = "wait"
 	// listHeader and tableHeader are versions; ageHeader is the list's age since the
 	// platform confirmed it, ms, negative where it doesn't.
-	listHeader  = "List"
-	ageHeader   = "List-Age"
-	tableHeader = "Table"
+	listVersionHeader  = "List"
+	listAgeHeader      = "List-Age"
+	tableVersionHeader = "Table"
 	// tableAgeHeader is how long ago the platform had no newer table, ms, negative where
 	// that isn't known. A process of an earlier release doesn't tell it.
 	tableAgeHeader = "Table-Age"
@@ -32,29 +32,29 @@
 
 const (
 	// maxListWait bounds how long a question is held, whatever its caller asks.
-	maxListWait = 5 * mgclock.Second
+	maxLongPoll = 5 * mgclock.Second
 	// maxList bounds a list on the wire in bytes, as the platform bounds a value.
-	maxList = 1 << 20
+	maxListBytes = 1 << 20
 )
 
 // serveList answers a process that listens at this one.
 func (n *Node) serveList(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	after, err := strconv.ParseUint(query.Get(afterQuery), 10, 64)
+	after, err := strconv.ParseUint(query.Get(afterParam), 10, 64)
 	if err != nil {
 		http.Error(w, "after is no version: give a whole number", http.StatusBadRequest)
 		return
 	}
-	wait, err := strconv.ParseInt(query.Get(waitQuery), 10, 64)
+	wait, err := strconv.ParseInt(query.Get(waitParam), 10, 64)
 	if err != nil {
 		http.Error(w, "wait is no time: give whole ms", http.StatusBadRequest)
 		return
 	}
-	listing := n.loop.Listing(r.Context(), after, min(mgclock.Millis(wait), maxListWait))
+	listing := n.loop.Listing(r.Context(), after, min(mgclock.Millis(wait), maxLongPoll))
 	header := w.Header()
-	header.Set(listHeader, strconv.FormatUint(listing.Word.List, 10))
-	header.Set(ageHeader, strconv.FormatInt(int64(listing.Word.Age), 10))
-	header.Set(tableHeader, strconv.FormatUint(listing.Word.Table, 10))
+	header.Set(listVersionHeader, strconv.FormatUint(listing.Word.List, 10))
+	header.Set(listAgeHeader, strconv.FormatInt(int64(listing.Word.Age), 10))
+	header.Set(tableVersionHeader, strconv.FormatUint(listing.Word.Table, 10))
 	header.Set(tableAgeHeader, strconv.FormatInt(int64(listing.Word.TableAge), 10))
 	if listing.Packed == nil {
 		w.WriteHeader(http.StatusNotModified)
@@ -65,10 +65,10 @@
 }
 
 // listen asks the process at an address for a list newer than a version.
-func (n *Node) listen(ctx context.Context, addr string, after uint64, wait mgclock.Millis) (mgconfig.Listing, error) {
+func (n *Node) longPollList(ctx context.Context, addr string, after uint64, wait mgclock.Millis) (mgconfig.Listing, error) {
 	query := url.Values{
-		afterQuery: {strconv.FormatUint(after, 10)},
-		waitQuery:  {strconv.FormatInt(int64(wait), 10)},
+		afterParam: {strconv.FormatUint(after, 10)},
+		waitParam:  {strconv.FormatInt(int64(wait), 10)},
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, n.guard.Base(addr)+listPath+"?"+query.Encode(), nil)
 	if err != nil {
@@ -79,7 +79,7 @@
 		return mgconfig.Listing{}, fmt.Errorf("peer %s: no list: %w", addr, err)
 	}
 	defer response.Body.Close()
-	listing, err := readListing(response)
+	listing, err := decodeListing(response)
 	if err != nil {
 		return mgconfig.Listing{}, fmt.Errorf("peer %s: no list: %w", addr, err)
 	}
@@ -87,17 +87,20 @@
 }
 
 // readListing reads the answer to a question for the list.
-func readListing(response *http.Response) (mgconfig.Listing, error) {
+func decodeListing(response *http.Response) (mgconfig.Listing, error) {
 	header := response.Header
 	var listing mgconfig.Listing
 	var age int64
 	for _, read := range []func() error{
-		func() (err error) { listing.Word.List, err = strconv.ParseUint(header.Get(listHeader), 10, 64); return },
 		func() (err error) {
-			listing.Word.Table, err = strconv.ParseUint(header.Get(tableHeader), 10, 64)
+			listing.Word.List, err = strconv.ParseUint(header.Get(listVersionHeader), 10, 64)
 			return
 		},
-		func() (err error) { age, err = strconv.ParseInt(header.Get(ageHeader), 10, 64); return },
+		func() (err error) {
+			listing.Word.Table, err = strconv.ParseUint(header.Get(tableVersionHeader), 10, 64)
+			return
+		},
+		func() (err error) { age, err = strconv.ParseInt(header.Get(listAgeHeader), 10, 64); return },
 	} {
 		if err := read(); err != nil {
 			return mgconfig.Listing{}, fmt.Errorf("status %d, and a header is missing: %w", response.StatusCode, err)
@@ -111,7 +114,7 @@
 	if response.StatusCode == http.StatusNotModified {
 		return listing, nil
 	}
-	packed, err := io.ReadAll(io.LimitReader(response.Body, maxList))
+	packed, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
 	if err != nil {
 		return mgconfig.Listing{}, fmt.Errorf("it broke off: %w", err)
 	}
--- a/internal/process/mgnode/list_test.go
+++ b/internal/process/mgnode/list_test.go
@@ -20,7 +20,7 @@
 
 // listed returns a node whose platform has a list of a version, and the address at
 // which its peers reach it.
-func listed(t *testing.T, version *atomic.Uint64) (*Node, string) {
+func listNode(t *testing.T, version *atomic.Uint64) (*Node, string) {
 	t.Helper()
 	read := func(context.Context, string) (mgplatform.Value, error) {
 		text := fmt.Sprintf(`{"version":%d,"vms":[{"name":"engine-1","kind":"upstream"}]}`, version.Load())
@@ -43,7 +43,7 @@
 	})
 	So(err, ShouldBeNil)
 	ctx, cancel := context.WithCancel(context.Background())
-	n.servers.Go(func() { n.loop.Run(ctx) })
+	n.background.Go(func() { n.loop.Run(ctx) })
 	server := httptest.NewServer(n.peerRoutes())
 	t.Cleanup(func() {
 		cancel()
@@ -55,19 +55,19 @@
 
 // A process asks the one that reads the platform for what is new. Without an answer
 // that waits it would ask again and again, or hear of an engine's notice late.
-func TestListen(t *testing.T) {
+func TestLongPollMissesNewList(t *testing.T) {
 	Convey("A process that listens at another", t, func() {
 		var version atomic.Uint64
 		version.Store(5)
-		n, addr := listed(t, &version)
+		n, addr := listNode(t, &version)
 		ctx, cancel := context.WithTimeout(context.Background(), mgclock.Minute.Duration())
 		defer cancel()
-		first, err := n.listen(ctx, addr, 0, maxListWait)
+		first, err := n.longPollList(ctx, addr, 0, maxLongPoll)
 		So(err, ShouldBeNil)
 		So(first.Word.List, ShouldEqual, 5)
 		So(first.Packed, ShouldNotBeEmpty)
 		Convey("is told the word alone where it has the list", func() {
-			same, err := n.listen(ctx, addr, 5, 1)
+			same, err := n.longPollList(ctx, addr, 5, 1)
 			So(err, ShouldBeNil)
 			So(same.Packed, ShouldBeNil)
 			So(same.Word.List, ShouldEqual, 5)
@@ -75,7 +75,7 @@
 		})
 		Convey("is told of a newer list as soon as it is there", func() {
 			version.Store(6)
-			newer, err := n.listen(ctx, addr, 5, maxListWait)
+			newer, err := n.longPollList(ctx, addr, 5, maxLongPoll)
 			So(err, ShouldBeNil)
 			So(newer.Word.List, ShouldEqual, 6)
 			So(newer.Packed, ShouldNotBeEmpty)
@@ -83,10 +83,10 @@
 		Convey("has an error from what is no such process", func() {
 			server := httptest.NewServer(nil)
 			defer server.Close()
-			_, err := n.listen(ctx, strings.TrimPrefix(server.URL, "http://"), 0, 1)
+			_, err := n.longPollList(ctx, strings.TrimPrefix(server.URL, "http://"), 0, 1)
 			So(err, ShouldNotBeNil)
 			server.Close()
-			_, err = n.listen(ctx, strings.TrimPrefix(server.URL, "http://"), 0, 1)
+			_, err = n.longPollList(ctx, strings.TrimPrefix(server.URL, "http://"), 0, 1)
 			So(err, ShouldNotBeNil)
 		})
 	})
@@ -94,30 +94,30 @@
 
 // A process is told of the others by the one that gathers them, and must not take
 // bytes that are no rows for "none are known".
-func TestGossip(t *testing.T) {
+func TestMalformedGossipAccepted(t *testing.T) {
 	Convey("A process that tells another of itself", t, func() {
 		var version atomic.Uint64
 		version.Store(5)
-		n, addr := listed(t, &version)
+		n, addr := listNode(t, &version)
 		ctx, cancel := context.WithTimeout(context.Background(), mgclock.Minute.Duration())
 		defer cancel()
-		tell := func(name string) []string {
-			known, err := n.gossip(ctx, addr, []mgmember.Gossip{{
+		exchange := func(name string) []string {
+			reply, err := n.exchangeGossip(ctx, addr, []mgmember.Gossip{{
 				Name: name,
 				Addr: name + ":1",
 			}})
 			So(err, ShouldBeNil)
 			var names []string
-			for _, s := range known {
+			for _, s := range reply {
 				names = append(names, s.Name)
 			}
 			return names
 		}
-		So(tell("entry-2"), ShouldResemble, []string{"entry-2", "entry-1"})
-		So(tell("entry-3"), ShouldResemble, []string{"entry-2", "entry-3", "entry-1"})
+		So(exchange("entry-2"), ShouldResemble, []string{"entry-2", "entry-1"})
+		So(exchange("entry-3"), ShouldResemble, []string{"entry-2", "entry-3", "entry-1"})
 		for name, body := range map[string]string{
 			"no rows":      "rows",
-			"half a pack":  string(mustPack(t)[:12]),
+			"half a pack":  string(mustCompress(t)[:12]),
 			"nothing":      "",
 			"a text alone": "{}",
 		} {
@@ -126,7 +126,7 @@
 					_, _ = w.Write([]byte(body))
 				}))
 				defer server.Close()
-				_, err := n.gossip(ctx, strings.TrimPrefix(server.URL, "http://"), nil)
+				_, err := n.exchangeGossip(ctx, strings.TrimPrefix(server.URL, "http://"), nil)
 				So(err, ShouldNotBeNil)
 				recorder := httptest.NewRecorder()
 				n.serveGossip(recorder, httptest.NewRequest(http.MethodPost, gossipPath, strings.NewReader(body)))
@@ -136,9 +136,9 @@
 	})
 }
 
-func mustPack(t *testing.T) []byte {
+func mustCompress(t *testing.T) []byte {
 	t.Helper()
-	body, err := pack([]mgmember.Gossip{{
+	body, err := compressJSON([]mgmember.Gossip{{
 		Name: "entry-2",
 	}})
 	if err != nil {
--- a/internal/process/mgnode/turn.go
+++ b/internal/process/mgnode/migration_slot.go
@@ -13,31 +13,31 @@
 	// turnHold is how long an entry that gives turns holds a question for which
 	// it isn't time yet: a free turn is then told at once, and not at the next
 	// question.
-	turnHold = 100 * mgclock.Millis(1)
+	slotHoldTimeout = 100 * mgclock.Millis(1)
 	// turnLook is the interval at which it looks.
-	turnLook = 5 * mgclock.Millis(1)
+	slotPollInterval = 5 * mgclock.Millis(1)
 	// turnWait bounds the answer. An entry that doesn't give one is dead or cut
 	// off, and the notice of an upstream is one or two seconds.
-	turnWait = turnHold + 150
+	slotTimeout = slotHoldTimeout + 150
 )
 
 // turn asks the entry that gives a service's turns until it gives one, or false
 // where it can't be asked.
-func (n *Node) turn(ctx context.Context, service string, ask mgmigration.Ask) (string, bool) {
+func (n *Node) acquireMigrationSlot(ctx context.Context, service string, request mgmigration.Ask) (string, bool) {
 	for ctx.Err() == nil {
-		home := n.turnHome(service)
-		if home == nil {
-			if place := n.holdTurn(ctx, ask); place != "" {
-				return place, true
+		coordinator := n.migrationCoordinator(service)
+		if coordinator == nil {
+			if destination := n.awaitMigrationSlot(ctx, request); destination != "" {
+				return destination, true
 			}
 			continue
 		}
-		place, err := n.askTurn(ctx, home, ask)
+		place, err := n.requestMigrationSlot(ctx, coordinator, request)
 		if err != nil {
 			if ctx.Err() == nil {
-				n.failed(home.Name())
+				n.peerFailed(coordinator.Name())
 				n.log.Info("no turn could be asked for, the generation is moved without one",
-					"home", home.Name(), "run", ask.Run, "why", err.Error())
+					"home", coordinator.Name(), "run", request.Run, "why", err.Error())
 			}
 			return "", false
 		}
@@ -48,20 +48,20 @@
 	return "", false
 }
 
-func (n *Node) askTurn(ctx context.Context, home *mgmember.Member, ask mgmigration.Ask) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, turnWait.Duration())
+func (n *Node) requestMigrationSlot(ctx context.Context, coordinator *mgmember.Member, request mgmigration.Ask) (string, error) {
+	ctx, cancel := context.WithTimeout(ctx, slotTimeout.Duration())
 	defer cancel()
 	var names []string
 	var costs, spans []float64
-	for _, spot := range ask.Places {
-		names = append(names, spot.Name)
-		costs = append(costs, spot.Cost)
-		spans = append(spans, spot.Span)
+	for _, candidate := range request.Places {
+		names = append(names, candidate.Name)
+		costs = append(costs, candidate.Cost)
+		spans = append(spans, candidate.Span)
 	}
-	reply, err := n.peer(home.PeerAddr()).Turn(ctx, &mgrpc.TurnRequest{
-		Source: ask.Source,
-		Run:    ask.Run,
-		Worth:  ask.Worth,
+	reply, err := n.peerClient(coordinator.PeerAddr()).Turn(ctx, &mgrpc.TurnRequest{
+		Source: request.Source,
+		Run:    request.Run,
+		Worth:  request.Worth,
 		Places: names,
 		Costs:  costs,
 		Spans:  spans,
@@ -73,41 +73,43 @@
 }
 
 // endTurn gives a turn back. A lost message costs the next run the turn's span.
-func (n *Node) endTurn(service, source, run string) {
-	home := n.turnHome(service)
-	if home == nil {
-		n.turns.End(source, run)
+func (n *Node) releaseMigrationSlot(service, source, run string) {
+	coordinator := n.migrationCoordinator(service)
+	if coordinator == nil {
+		n.migrationSlots.End(source, run)
 		return
 	}
-	ctx, cancel := context.WithTimeout(n.killed, turnWait.Duration())
+	ctx, cancel := context.WithTimeout(n.killed, slotTimeout.Duration())
 	defer cancel()
-	_, err := n.peer(home.PeerAddr()).Turn(ctx, &mgrpc.TurnRequest{
+	_, err := n.peerClient(coordinator.PeerAddr()).Turn(ctx, &mgrpc.TurnRequest{
 		Source: source,
 		Run:    run,
 		End:    true,
 	})
 	if err != nil {
-		n.log.Info("a turn could not be given back and runs out by itself", "home", home.Name(), "run", run, "why", err.Error())
+		n.log.Info("a turn could not be given back and runs out by itself", "home", coordinator.Name(), "run", run, "why", err.Error())
 	}
 }
 
 // turnHome returns the entry that gives the turns of a service, or nil where it
 // is this one. Entries that know different others may choose differently; their
 // moves then share a link, which costs time and nothing else.
-func (n *Node) turnHome(service string) *mgmember.Member { return n.first("turns " + service) }
+func (n *Node) migrationCoordinator(service string) *mgmember.Member {
+	return n.rendezvousFirst("turns " + service)
+}
 
 // first returns the first by rendezvous of the processes of this cell that are
 // known here and well, or nil where it is this one.
-func (n *Node) first(key string) *mgmember.Member {
-	able, self := n.able()
-	return other(mgmember.Rank(key, able, 1)[0], self)
+func (n *Node) rendezvousFirst(key string) *mgmember.Member {
+	eligible, self := n.eligiblePeers()
+	return nilIfSelf(mgmember.Rank(key, eligible, 1)[0], self)
 }
 
 // hubPeer returns the process of this cell that works for all, or nil where it is this
 // one.
 func (n *Node) hubPeer() *mgmember.Member {
-	able, self := n.able()
-	return other(mgmember.RankHub(able, 1)[0], self)
+	eligible, self := n.eligiblePeers()
+	return nilIfSelf(mgmember.RankHub(eligible, 1)[0], self)
 }
 
 // able returns the processes of this cell that may work for all: those that are
@@ -115,7 +117,7 @@
 // alone. Its peers pass it over; were it to go on for itself, two would give the
 // turns of one source, and the copies that share the source's link would all end
 // after it was reclaimed.
-func (n *Node) able() (able []*mgmember.Member, self *mgmember.Member) {
+func (n *Node) eligiblePeers() (eligible []*mgmember.Member, self *mgmember.Member) {
 	cell := n.members.View().Cell(n.settings.Name, n.settings.Region)
 	self = mgmember.Self(n.settings.Name, n.settings.Zone, int(n.settings.Power))
 	if n.leaving.Load() && len(cell.Peers) > 0 {
@@ -125,7 +127,7 @@
 }
 
 // other returns a member, or nil where it is self.
-func other(m, self *mgmember.Member) *mgmember.Member {
+func nilIfSelf(m, self *mgmember.Member) *mgmember.Member {
 	if m == self {
 		return nil
 	}
@@ -133,14 +135,14 @@
 }
 
 // holdTurn waits a while for a turn that this entry gives.
-func (n *Node) holdTurn(ctx context.Context, ask mgmigration.Ask) string {
-	until := n.clock.Now() + turnHold
+func (n *Node) awaitMigrationSlot(ctx context.Context, request mgmigration.Ask) string {
+	deadline := n.clock.Now() + slotHoldTimeout
 	for {
 		now := n.clock.Now()
-		if place, ok := n.turns.Ask(now, ask); ok {
-			return place
+		if destination, ok := n.migrationSlots.Ask(now, request); ok {
+			return destination
 		}
-		if now >= until || !n.clock.Sleep(ctx, turnLook) {
+		if now >= deadline || !n.clock.Sleep(ctx, slotPollInterval) {
 			return ""
 		}
 	}
@@ -149,27 +151,27 @@
 // Turn gives an entry a turn, or takes it back.
 func (p peerServer) Turn(ctx context.Context, r *mgrpc.TurnRequest) (*mgrpc.TurnReply, error) {
 	if r.GetEnd() {
-		p.node.turns.End(r.GetSource(), r.GetRun())
+		p.node.migrationSlots.End(r.GetSource(), r.GetRun())
 		return &mgrpc.TurnReply{}, nil
 	}
-	var spots []mgmigration.Spot
+	var candidates []mgmigration.Spot
 	for i, name := range r.GetPlaces() {
-		spot := mgmigration.Spot{Name: name}
+		candidate := mgmigration.Spot{Name: name}
 		if i < len(r.GetCosts()) {
-			spot.Cost = r.GetCosts()[i]
+			candidate.Cost = r.GetCosts()[i]
 		}
 		if i < len(r.GetSpans()) {
-			spot.Span = r.GetSpans()[i]
+			candidate.Span = r.GetSpans()[i]
 		}
-		spots = append(spots, spot)
+		candidates = append(candidates, candidate)
 	}
-	place := p.node.holdTurn(ctx, mgmigration.Ask{
+	destination := p.node.awaitMigrationSlot(ctx, mgmigration.Ask{
 		Source: r.GetSource(),
 		Run:    r.GetRun(),
 		Worth:  r.GetWorth(),
-		Places: spots,
+		Places: candidates,
 	})
 	return &mgrpc.TurnReply{
-		Place: place,
+		Place: destination,
 	}, nil
 }
--- a/internal/process/mgnode/turn_test.go
+++ b/internal/process/mgnode/migration_slot_test.go
@@ -10,7 +10,7 @@
 )
 
 // aware is an entry that knows another one.
-func aware(name, peer string) *Node {
+func nodeKnowing(name, peer string) *Node {
 	n := &Node{
 		members: mgmember.New(name),
 	}
@@ -31,21 +31,21 @@
 // that gave the turns was stopping: its peers took another for it, and it went on
 // to give its own requests turns itself. Four copies shared the engine's link, and
 // none was done when the engine went.
-func TestStoppingGivesNoTurns(t *testing.T) {
+func TestStoppingEntryGrantsMigrationSlots(t *testing.T) {
 	Convey("An entry that stops asks another for turns and places", t, func() {
-		a, b := aware("entry-a", "entry-b"), aware("entry-b", "entry-a")
+		a, b := nodeKnowing("entry-a", "entry-b"), nodeKnowing("entry-b", "entry-a")
 		home, other := a, b
-		if a.turnHome("llm") != nil {
+		if a.migrationCoordinator("llm") != nil {
 			home, other = b, a
 		}
-		So(home.turnHome("llm"), ShouldBeNil)
-		So(other.turnHome("llm").Name(), ShouldEqual, home.settings.Name)
+		So(home.migrationCoordinator("llm"), ShouldBeNil)
+		So(other.migrationCoordinator("llm").Name(), ShouldEqual, home.settings.Name)
 		home.leaving.Store(true)
-		So(home.turnHome("llm").Name(), ShouldEqual, other.settings.Name)
+		So(home.migrationCoordinator("llm").Name(), ShouldEqual, other.settings.Name)
 		So(home.hubPeer().Name(), ShouldEqual, other.settings.Name)
 		Convey("and serves itself where it is alone", func() {
 			home.members = mgmember.New(home.settings.Name)
-			So(home.turnHome("llm"), ShouldBeNil)
+			So(home.migrationCoordinator("llm"), ShouldBeNil)
 			So(home.hubPeer(), ShouldBeNil)
 		})
 	})
--- a/internal/process/mgnode/node.go
+++ b/internal/process/mgnode/node.go
@@ -37,46 +37,46 @@
 
 // A Node is one process of the system, before it is told its role.
 type Node struct {
-	settings    mgsettings.Process
-	incarnation string
-	clock       mgclock.Clock
-	log         logr.Logger
-	metrics     *mgmetric.Set
-	admin       *mgadmin.Admin
-	guard       *mgpeer.Guard
-	calls       http.RoundTripper // between processes, over pooled connections
-	seal        *mgseal.Signer
-	members     *mgmember.Members
-	platform    mgplatform.Client
-	form        *mgrelay.Form // nil passes no requests through
-	probe       func(context.Context, mgrelay.Host) (bool, error)
-	known       func(digest string) *mgtable.Page
-	joint       bool
-	turns       mgmigration.Turns
-	lines       lines
-	places      atomic.Pointer[func(service string, others mgload.Report) []mgroom.Place]
-	hub         mgload.Hub
-	others      atomic.Pointer[others]
-	quarantine  *mgquarantine.Quarantine
-	limits      mglimit.Limits
-	permits     mglimit.Permits
-	unpermitted atomic.Int64 // until then no permit is asked for: the hub gave no answer
-	notes       *exchanger
-	move        func(context.Context, mgrelay.Host, mgrelay.Order) mgmigration.Reply
-	loop        *mgconfig.Loop
-	pause       *mgmember.Pause
-	bus         *mgevent.Bus
-	peers       sync.Map                     // base URL to mgrpc.Peer
-	role        atomic.Pointer[http.Handler] // what the peers' listener serves besides
-	shares      atomic.Pointer[mgshare.Loop] // of an entry, else nil
-	serving     atomic.Bool                  // the listeners for work are open
-	leaving     atomic.Bool
-	closeBy     atomic.Int64 // when the callers' listener is closed at the latest, of a drained process
-	told        readsTold    // tick's own
-	servers     sync.WaitGroup
-	also        []ServerSpec // listeners besides its own
-	killed      context.Context
-	kill        context.CancelFunc
+	settings        mgsettings.Process
+	incarnation     string
+	clock           mgclock.Clock
+	log             logr.Logger
+	metrics         *mgmetric.Set
+	admin           *mgadmin.Admin
+	guard           *mgpeer.Guard
+	calls           http.RoundTripper // between processes, over pooled connections
+	seal            *mgseal.Signer
+	members         *mgmember.Members
+	platform        mgplatform.Client
+	relayForm       *mgrelay.Form // nil passes no requests through
+	probe           func(context.Context, mgrelay.Host) (bool, error)
+	cachedPage      func(digest string) *mgtable.Page
+	listCoversTable bool
+	migrationSlots  mgmigration.Turns
+	placementQueues placementQueues
+	readUpstreams   atomic.Pointer[func(service string, others mgload.Report) []mgroom.Place]
+	hub             mgload.Hub
+	otherLoads      atomic.Pointer[otherLoads]
+	quarantine      *mgquarantine.Quarantine
+	limits          mglimit.Limits
+	permits         mglimit.Permits
+	permitRetryAt   atomic.Int64 // until then no permit is asked for: the hub gave no answer
+	exchanger       *exchanger
+	move            func(context.Context, mgrelay.Host, mgrelay.Order) mgmigration.Reply
+	loop            *mgconfig.Loop
+	pause           *mgmember.Pause
+	bus             *mgevent.Bus
+	peerClients     sync.Map                     // base URL to mgrpc.Peer
+	roleHandler     atomic.Pointer[http.Handler] // what the peers' listener serves besides
+	shares          atomic.Pointer[mgshare.Loop] // of an entry, else nil
+	serving         atomic.Bool                  // the listeners for work are open
+	leaving         atomic.Bool
+	closeDeadline   atomic.Int64 // when the callers' listener is closed at the latest, of a drained process
+	loggedReads     readsLog     // tick's own
+	background      sync.WaitGroup
+	extraServers    []ServerSpec // listeners besides its own
+	killed          context.Context
+	kill            context.CancelFunc
 }
 
 // Open makes a node that logs to w.
@@ -90,30 +90,30 @@
 // New makes a node.
 func New(spec Spec) (*Node, error) {
 	settings := spec.Settings
-	guard, seal, err := keys(spec)
+	guard, seal, err := newKeys(spec)
 	if err != nil {
 		return nil, err
 	}
 	incarnation := incarnation()
 	log := mglog.New(spec.Log, settings.Log).WithValues(mglog.Process, settings.Name, mglog.Zone, settings.Zone)
 	n := &Node{
-		settings:    settings,
-		incarnation: incarnation,
-		log:         log,
-		metrics:     mgmetric.New(),
-		admin:       &mgadmin.Admin{},
-		guard:       guard,
-		seal:        seal,
-		members:     mgmember.New(settings.Name),
-		platform:    spec.platform(),
-		form:        spec.Relay,
-		move:        spec.Move,
-		known:       spec.Known,
-		joint:       spec.Joint,
-		probe:       spec.Probe,
+		settings:        settings,
+		incarnation:     incarnation,
+		log:             log,
+		metrics:         mgmetric.New(),
+		admin:           &mgadmin.Admin{},
+		guard:           guard,
+		seal:            seal,
+		members:         mgmember.New(settings.Name),
+		platform:        spec.platform(),
+		relayForm:       spec.Relay,
+		move:            spec.Move,
+		cachedPage:      spec.Known,
+		listCoversTable: spec.Joint,
+		probe:           spec.Probe,
 	}
-	n.quarantine = mgquarantine.New(incarnation, n.triesFirst)
-	n.notes = n.exchanger()
+	n.quarantine = mgquarantine.New(incarnation, n.isFirstToRetry)
+	n.exchanger = n.newExchanger()
 	n.killed, n.kill = context.WithCancel(context.Background())
 	n.calls = guard.Transport(false)
 	n.pause = mgmember.NewPause(n.clock, nil)
@@ -137,7 +137,7 @@
 }
 
 // seed makes the jitter of one life from its name.
-func seed(incarnation string) uint64 { return xxhash.Sum64String(incarnation) }
+func jitterSeed(incarnation string) uint64 { return xxhash.Sum64String(incarnation) }
 
 // Ready reports whether the process takes new work, and if not, why.
 func (n *Node) Ready() (bool, string) {
@@ -148,7 +148,7 @@
 		return false, "no configuration is in force"
 	case n.members.View().Version() == 0:
 		return false, "no list of VMs"
-	case n.form != nil && !n.members.View().Served():
+	case n.relayForm != nil && !n.members.View().Served():
 		return false, "no upstream is known"
 	case !n.loop.Ready():
 		return false, "asking the peers and the platform for the newest configuration"
@@ -189,7 +189,7 @@
 func (n *Node) Seal() *mgseal.Signer { return n.seal }
 
 // Seen tells that another process goes by a version.
-func (n *Node) Seen(version uint64, from string) { n.loop.Seen(version, from) }
+func (n *Node) ObserveVersion(version uint64, from string) { n.loop.Seen(version, from) }
 
 // LookForTable has the table read from the platform at once.
 func (n *Node) LookForTable() { n.loop.LookForTable() }
@@ -198,37 +198,37 @@
 func (n *Node) Reseed(seeds []string) { n.loop.Reseed(seeds) }
 
 // failed and heard take direct evidence of another process.
-func (n *Node) failed(name string) { n.members.Failed(n.clock.Now(), name) }
+func (n *Node) peerFailed(name string) { n.members.Failed(n.clock.Now(), name) }
 
-func (n *Node) answered(name string) { n.members.Answered(n.clock.Now(), name) }
+func (n *Node) peerAnswered(name string) { n.members.Answered(n.clock.Now(), name) }
 
 // left takes an upstream's own word that it leaves.
-func (n *Node) left(name string) { n.loop.Departed(name) }
+func (n *Node) upstreamDeparted(name string) { n.loop.Departed(name) }
 
-func (n *Node) heard(name, incarnation string, leaving bool) {
+func (n *Node) peerSeen(name, incarnation string, leaving bool) {
 	n.members.Heard(n.clock.Now(), name, incarnation, leaving)
 }
 
 // run starts the node, opens its role, and waits for stop or Kill. After stop it
 // drains as open said; hurry cuts the drain short.
-func (n *Node) run(stop, hurry context.Context, open func(ctx context.Context) (Stop, error)) error {
+func (n *Node) run(stop, abortDrain context.Context, startRole func(ctx context.Context) (Drain, error)) error {
 	ctx, cancel := context.WithCancel(n.killed)
 	defer n.Wait()
 	defer cancel()
 	if err := n.Start(ctx, stop); err != nil {
 		return err
 	}
-	stopping, err := open(ctx)
+	drain, err := startRole(ctx)
 	if err != nil {
 		return err
 	}
-	n.Serving()
+	n.MarkServing()
 	select {
 	case <-n.killed.Done():
 		return nil
 	case <-stop.Done():
 	}
-	n.closeBy.Store(int64(stopping.Run(hurry)))
+	n.closeDeadline.Store(int64(drain.Run(abortDrain)))
 	return nil
 }
 
@@ -239,7 +239,7 @@
 	if err != nil {
 		return fmt.Errorf("key admin: can't listen on %s: give a free IP and port of this VM: %w", n.settings.Admin, err)
 	}
-	for _, spec := range n.also {
+	for _, spec := range n.extraServers {
 		n.Serve(ctx, spec)
 	}
 	n.Serve(ctx, ServerSpec{
@@ -256,12 +256,12 @@
 		Listener: peers,
 		Handler:  n.guard.Require(n.peerRoutes()),
 	})
-	n.servers.Go(func() { n.runEvents(ctx) })
-	n.servers.Go(func() { n.loop.Run(ctx) })
-	n.servers.Go(func() { n.pause.Run(ctx) })
-	n.servers.Go(func() { n.tick(ctx) })
+	n.background.Go(func() { n.runEvents(ctx) })
+	n.background.Go(func() { n.loop.Run(ctx) })
+	n.background.Go(func() { n.pause.Run(ctx) })
+	n.background.Go(func() { n.tick(ctx) })
 	for n.Table() == nil || !n.loop.Ready() {
-		if !n.clock.Sleep(stop, drainLook) {
+		if !n.clock.Sleep(stop, drainPollInterval) {
 			return fmt.Errorf("start: stopped before a configuration was in force: %w", stop.Err())
 		}
 	}
@@ -272,42 +272,42 @@
 func (n *Node) tick(ctx context.Context) {
 	for n.clock.Sleep(ctx, mgclock.Second) {
 		n.members.Tick(n.clock.Now())
-		n.forgetLimits()
-		n.tellReads(n.loop.Status())
+		n.forgetGoneUpstreams()
+		n.reportReads(n.loop.Status())
 	}
 }
 
 // Serve serves a listener in the background until ctx ends.
 func (n *Node) Serve(ctx context.Context, spec ServerSpec) {
-	n.servers.Go(func() { Serve(ctx, n.killed, n.log, spec) })
+	n.background.Go(func() { Serve(ctx, n.killed, n.log, spec) })
 }
 
 // Also adds a listener that Start serves besides its own. It is called before Start.
-func (n *Node) Also(spec ServerSpec) { n.also = append(n.also, spec) }
+func (n *Node) Also(spec ServerSpec) { n.extraServers = append(n.extraServers, spec) }
 
 // Serving tells that the listeners for work are open. A process that was ready
 // before would be sent requests that nobody takes.
-func (n *Node) Serving() { n.serving.Store(true) }
+func (n *Node) MarkServing() { n.serving.Store(true) }
 
 // Kill ends the node as a crash of its process would: connections break, and
 // nothing is drained. Demos and tests of failures use it.
 func (n *Node) Kill() { n.kill() }
 
 // Wait waits until all that Start and Serve began has ended.
-func (n *Node) Wait() { n.servers.Wait() }
+func (n *Node) Wait() { n.background.Wait() }
 
 // Stop returns the order of this process's planned stop.
-func (n *Node) Stop(leave func(), busy func() int) Stop {
-	return Stop{
-		Clock:   n.clock,
-		Log:     n.log,
-		Notice:  mgclock.Millis(n.settings.Notice),
-		Longest: mgclock.Millis(n.settings.Drain),
-		Unready: func() {
+func (n *Node) NewDrain(refuseNewWork func(), busy func() int) Drain {
+	return Drain{
+		Clock:       n.clock,
+		Log:         n.log,
+		NoticeDelay: mgclock.Millis(n.settings.Notice),
+		MaxDuration: mgclock.Millis(n.settings.Drain),
+		WithdrawReadiness: func() {
 			n.leaving.Store(true)
 			n.publish(mgevent.Leaving, n.settings.Name, "")
 		},
-		Leave: leave,
-		Busy:  busy,
+		RefuseNewWork: refuseNewWork,
+		CountBusy:     busy,
 	}
 }
--- a/internal/process/mgnode/peer.go
+++ b/internal/process/mgnode/peer.go
@@ -26,11 +26,11 @@
 			Incarnation: n.incarnation,
 			Addr:        n.settings.Peer,
 			Power:       int(n.settings.Power),
-			Seed:        seed(n.incarnation),
+			Seed:        jitterSeed(n.incarnation),
 			Seeds:       n.settings.Seeds,
 			Spread:      mgclock.Millis(n.settings.Spread),
-			Known:       n.known,
-			Joint:       n.joint,
+			Known:       n.cachedPage,
+			Joint:       n.listCoversTable,
 			Quick:       mgclock.Millis(n.settings.Quick),
 			Watch:       mgclock.Millis(n.settings.Watch),
 			Answer:      mgclock.Millis(n.settings.Answer),
@@ -41,26 +41,26 @@
 		Members:  n.members,
 		Platform: n.platform,
 		Log:      n.log,
-		Adopted:  n.adopted,
+		Adopted:  n.publishAdopted,
 		Exchange: func(ctx context.Context, addr string, s *mgrpc.Summary) (*mgrpc.Summary, error) {
-			return n.peer(addr).Exchange(ctx, s)
+			return n.peerClient(addr).Exchange(ctx, s)
 		},
 		Fetch: func(ctx context.Context, addr string, r *mgrpc.FetchRequest) (*mgrpc.FetchReply, error) {
-			return n.peer(addr).Fetch(ctx, r)
+			return n.peerClient(addr).Fetch(ctx, r)
 		},
-		Listen: n.listen,
-		Gossip: n.gossip,
+		Listen: n.longPollList,
+		Gossip: n.exchangeGossip,
 	}
 }
 
 // peer returns the calls of the process at an address.
-func (n *Node) peer(addr string) mgrpc.Peer {
+func (n *Node) peerClient(addr string) mgrpc.Peer {
 	base := n.guard.Base(addr)
-	if found, ok := n.peers.Load(base); ok {
+	if found, ok := n.peerClients.Load(base); ok {
 		return found.(mgrpc.Peer)
 	}
-	made := mgrpc.NewPeerProtobufClient(base, &http.Client{Transport: n.calls})
-	found, _ := n.peers.LoadOrStore(base, made)
+	created := mgrpc.NewPeerProtobufClient(base, &http.Client{Transport: n.calls})
+	found, _ := n.peerClients.LoadOrStore(base, created)
 	return found.(mgrpc.Peer)
 }
 
@@ -71,10 +71,10 @@
 	router.Mount(mgrpc.PeerPathPrefix, mgrpc.NewPeerServer(peerServer{node: n}))
 	router.Get(listPath, n.serveList)
 	router.Post(gossipPath, n.serveGossip)
-	router.Post(quarantinePath, n.serveNews)
+	router.Post(quarantinePath, n.serveUpdates)
 	router.Post(permitPath, n.servePermit)
 	router.NotFound(func(w http.ResponseWriter, r *http.Request) {
-		role := n.role.Load()
+		role := n.roleHandler.Load()
 		if role == nil {
 			mgproblem.Write(w, mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
 				"this process is starting", "try another one"))
@@ -86,7 +86,7 @@
 }
 
 // Role adds the calls of a role to the peers' listener.
-func (n *Node) Role(handler http.Handler) { n.role.Store(&handler) }
+func (n *Node) SetRoleHandler(handler http.Handler) { n.roleHandler.Store(&handler) }
 
 // peerServer answers the other processes.
 type peerServer struct {
@@ -104,13 +104,13 @@
 }
 
 // errRole refuses what only an entry answers.
-var errRole = twirp.NewError(twirp.Unavailable, "this process leases no caps: ask an entry that is ready")
+var errNotEntry = twirp.NewError(twirp.Unavailable, "this process leases no caps: ask an entry that is ready")
 
 // Lease answers an entry that takes this process for the home of accounts.
 func (p peerServer) Lease(ctx context.Context, r *mgrpc.LeaseRequest) (*mgrpc.LeaseReply, error) {
 	shares := p.node.shares.Load()
 	if shares == nil {
-		return nil, errRole
+		return nil, errNotEntry
 	}
 	return shares.Lease(ctx, r)
 }
@@ -119,7 +119,7 @@
 func (p peerServer) Support(ctx context.Context, r *mgrpc.SupportRequest) (*mgrpc.SupportReply, error) {
 	shares := p.node.shares.Load()
 	if shares == nil {
-		return nil, errRole
+		return nil, errNotEntry
 	}
 	return shares.Support(ctx, r)
 }
@@ -132,21 +132,21 @@
 			Incarnation: n.incarnation,
 			Region:      n.settings.Region,
 			Members:     n.members,
-			Account:     n.capsOf,
+			Account:     n.accountCaps,
 			Fresh:       fresh,
 		},
 		Clock: n.clock,
 		Lease: func(ctx context.Context, addr string, r *mgrpc.LeaseRequest) (*mgrpc.LeaseReply, error) {
-			return n.peer(addr).Lease(ctx, r)
+			return n.peerClient(addr).Lease(ctx, r)
 		},
 		Support: func(ctx context.Context, addr string, r *mgrpc.SupportRequest) (*mgrpc.SupportReply, error) {
-			return n.peer(addr).Support(ctx, r)
+			return n.peerClient(addr).Support(ctx, r)
 		},
 	}
 }
 
 // capsOf returns an account's caps by the table in force.
-func (n *Node) capsOf(name string) (mgshare.Caps, bool) {
+func (n *Node) accountCaps(name string) (mgshare.Caps, bool) {
 	table := n.Table()
 	if table == nil {
 		return mgshare.Caps{}, false
--- a/internal/process/mgnode/permit_test.go
+++ b/internal/process/mgnode/permit_test.go
@@ -24,28 +24,28 @@
 
 // crowd is entries that call one another over links that a test cuts, and that send to one
 // upstream which names a limit.
-type crowd struct {
-	clock mgclock.Clock
-	nodes []*Node
-	begun mgclock.Millis
+type permitCluster struct {
+	clock     mgclock.Clock
+	nodes     []*Node
+	startedAt mgclock.Millis
 
-	mu   sync.Mutex
-	rng  *rand.Rand
-	cut  func(from, to int) bool
-	rate float64 // that the upstream names, none where it is below 0
-	sent []mgclock.Millis
+	mu     sync.Mutex
+	rng    *rand.Rand
+	isCut  func(from, to int) bool
+	rate   float64 // that the upstream names, none where it is below 0
+	sentAt []mgclock.Millis
 }
 
 const limitedUpstream = "engine"
 
-func newCrowd(t *testing.T, count int, seed uint64) *crowd {
+func newPermitCluster(t *testing.T, count int, seed uint64) *permitCluster {
 	// The bubble's time begins before that of the process, in which suspicions count from 0.
 	time.Sleep(max(time.Second-mgclock.Clock{}.Now().Duration(), 0))
-	c := &crowd{
-		rng:   rand.New(rand.NewPCG(seed, 0)),
-		cut:   func(int, int) bool { return false },
-		rate:  -1,
-		begun: mgclock.Clock{}.Now(),
+	c := &permitCluster{
+		rng:       rand.New(rand.NewPCG(seed, 0)),
+		isCut:     func(int, int) bool { return false },
+		rate:      -1,
+		startedAt: mgclock.Clock{}.Now(),
 	}
 	for i := range count {
 		n, err := New(Spec{
@@ -61,33 +61,33 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.calls = c.from(i)
+		n.calls = c.transportFrom(i)
 		c.nodes = append(c.nodes, n)
 	}
-	c.introduce()
+	c.introduceAll()
 	return c
 }
 
 // introduce has each entry know all others.
-func (c *crowd) introduce() {
-	var all []mgmember.Gossip
+func (c *permitCluster) introduceAll() {
+	var rows []mgmember.Gossip
 	for i := range c.nodes {
-		all = append(all, mgmember.Gossip{
+		rows = append(rows, mgmember.Gossip{
 			Name:   fmt.Sprint("entry-", i),
-			Addr:   crowdAddr(i),
+			Addr:   clusterAddr(i),
 			Zone:   "z",
 			Region: "r",
 		})
 	}
 	for _, n := range c.nodes {
-		n.members.TakeGossip(c.clock.Now(), all)
+		n.members.TakeGossip(c.clock.Now(), rows)
 	}
 }
 
-func crowdAddr(i int) string { return fmt.Sprintf("10.0.%d.%d:1", i/250, i%250) }
+func clusterAddr(i int) string { return fmt.Sprintf("10.0.%d.%d:1", i/250, i%250) }
 
 // from returns the way of one entry's calls, which take one to three ms each way.
-func (c *crowd) from(i int) http.RoundTripper {
+func (c *permitCluster) transportFrom(i int) http.RoundTripper {
 	return roundTrip(func(r *http.Request) (*http.Response, error) {
 		var a, b int
 		if _, err := fmt.Sscanf(r.URL.Host, "10.0.%d.%d:1", &a, &b); err != nil {
@@ -95,17 +95,17 @@
 		}
 		to := 250*a + b
 		c.mu.Lock()
-		lost := c.cut(i, to)
-		way := time.Millisecond + time.Duration(c.rng.Int64N(int64(2*time.Millisecond)))
+		lost := c.isCut(i, to)
+		latency := time.Millisecond + time.Duration(c.rng.Int64N(int64(2*time.Millisecond)))
 		c.mu.Unlock()
 		if lost {
 			<-r.Context().Done()
 			return nil, r.Context().Err()
 		}
-		time.Sleep(way)
+		time.Sleep(latency)
 		reply := httptest.NewRecorder()
 		c.nodes[to].peerRoutes().ServeHTTP(reply, r)
-		time.Sleep(way)
+		time.Sleep(latency)
 		return reply.Result(), nil
 	})
 }
@@ -115,15 +115,15 @@
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
 // run has the entries send, a number of requests a second in all, for a span.
-func (c *crowd) run(t *testing.T, demand float64, span mgclock.Millis, play func(c *crowd, sleep func(mgclock.Millis))) {
+func (c *permitCluster) run(t *testing.T, demand float64, duration mgclock.Millis, scenario func(c *permitCluster, sleep func(mgclock.Millis))) {
 	ctx, cancel := context.WithCancel(context.Background())
 	for i, n := range c.nodes {
-		go n.tellLoads(ctx, &mgload.Count{})
-		go n.notes.spread(ctx)
+		go n.reportLoads(ctx, &mgload.Count{})
+		go n.exchanger.runBroadcast(ctx)
 		if len(c.nodes) < 10 { // many spend their time on packing
-			go n.notes.compare(ctx)
+			go n.exchanger.runAntiEntropy(ctx)
 		}
-		go c.send(ctx, i, demand/float64(len(c.nodes)))
+		go c.runSender(ctx, i, demand/float64(len(c.nodes)))
 	}
 	go func() {
 		for c.clock.Sleep(ctx, mgclock.Second) {
@@ -132,17 +132,17 @@
 			}
 		}
 	}()
-	go play(c, func(span mgclock.Millis) { c.clock.Sleep(ctx, span) })
-	c.clock.Sleep(ctx, span)
+	go scenario(c, func(pause mgclock.Millis) { c.clock.Sleep(ctx, pause) })
+	c.clock.Sleep(ctx, duration)
 	cancel()
 	time.Sleep(time.Second) // calls under way end
 }
 
 // send plays one entry's requests, which come at random.
-func (c *crowd) send(ctx context.Context, i int, demand float64) {
+func (c *permitCluster) runSender(ctx context.Context, i int, demand float64) {
 	n := c.nodes[i]
-	var waits mglimit.Waits
-	for number := 0; ; number++ {
+	var backoffs mglimit.Waits
+	for seq := 0; ; seq++ {
 		c.mu.Lock()
 		pause := mgclock.Millis(c.rng.ExpFloat64() / demand * 1000)
 		c.mu.Unlock()
@@ -150,32 +150,32 @@
 			return
 		}
 		_, limited := n.limits.Rate(limitedUpstream, 0)
-		if limited && waits.Left(c.clock.Now(), limitedUpstream) > 0 {
+		if limited && backoffs.Left(c.clock.Now(), limitedUpstream) > 0 {
 			continue
 		}
 		if limited {
-			wait, ok := n.permit(ctx, mgrelay.Permit{
+			wait, ok := n.acquirePermit(ctx, mgrelay.Permit{
 				Ask: mglimit.Ask{
 					Upstream: limitedUpstream,
-					Request:  fmt.Sprint(i, " ", number),
+					Request:  fmt.Sprint(i, " ", seq),
 				},
 				Givers: mgmember.Cells(len(c.nodes)),
 			})
 			if !ok {
-				waits.Put(c.clock.Now(), limitedUpstream, wait)
+				backoffs.Put(c.clock.Now(), limitedUpstream, wait)
 				continue
 			}
 		}
-		c.arrive(i)
+		c.deliver(i)
 	}
 }
 
 // arrive plays one request at the upstream, and its answer.
-func (c *crowd) arrive(i int) {
+func (c *permitCluster) deliver(i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
-	c.sent = append(c.sent, now)
+	c.sentAt = append(c.sentAt, now)
 	if c.rate < 0 {
 		c.nodes[i].limits.Unnamed(now, now, limitedUpstream, 0)
 		return
@@ -183,26 +183,26 @@
 	c.nodes[i].limits.Named(now, limitedUpstream, 0, c.rate)
 }
 
-func (c *crowd) name(rate float64) {
+func (c *permitCluster) setRate(rate float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rate = rate
 }
 
 // part cuts links from now on.
-func (c *crowd) part(cut func(from, to int) bool) {
+func (c *permitCluster) setCut(cut func(from, to int) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut = cut
+	c.isCut = cut
 }
 
 // count returns the sends of a span, and the most of them within four seconds.
-func (c *crowd) count(from, to mgclock.Millis) (all, most int) {
+func (c *permitCluster) countSends(from, to mgclock.Millis) (total, maxInWindow int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var sent []mgclock.Millis
-	for _, at := range c.sent {
-		if at >= c.begun+from && at < c.begun+to {
+	for _, at := range c.sentAt {
+		if at >= c.startedAt+from && at < c.startedAt+to {
 			sent = append(sent, at)
 		}
 	}
@@ -211,55 +211,55 @@
 		for at >= sent[first]+4*mgclock.Second {
 			first++
 		}
-		most = max(most, i-first+1)
+		maxInWindow = max(maxInWindow, i-first+1)
 	}
-	return len(sent), most
+	return len(sent), maxInWindow
 }
 
 // rule is what an upstream that names a limit gets in four seconds at most.
-func rule(rate float64) int { return int(1.5*4*rate + 5) }
+func maxSendsInWindow(rate float64) int { return int(1.5*4*rate + 5) }
 
 // Entries together must keep an upstream's limit while who grants dies or is cut off.
-func TestLimitHoldsForAll(t *testing.T) {
-	hubOf := func(c *crowd) int {
+func TestEntriesTogetherExceedLimit(t *testing.T) {
+	hubOf := func(c *permitCluster) int {
 		hub := 0
 		for hub < len(c.nodes) && c.nodes[hub].hubPeer() != nil {
 			hub++
 		}
 		return hub
 	}
-	plays := map[string]func(c *crowd, sleep func(mgclock.Millis)){
-		"calm": func(*crowd, func(mgclock.Millis)) {},
-		"the granter dies": func(c *crowd, sleep func(mgclock.Millis)) {
+	scenarios := map[string]func(c *permitCluster, sleep func(mgclock.Millis)){
+		"calm": func(*permitCluster, func(mgclock.Millis)) {},
+		"the granter dies": func(c *permitCluster, sleep func(mgclock.Millis)) {
 			hub := hubOf(c)
 			sleep(8 * mgclock.Second)
-			c.part(func(from, to int) bool { return from == hub || to == hub })
+			c.setCut(func(from, to int) bool { return from == hub || to == hub })
 		},
-		"half of the others can't reach the granter": func(c *crowd, sleep func(mgclock.Millis)) {
+		"half of the others can't reach the granter": func(c *permitCluster, sleep func(mgclock.Millis)) {
 			hub := hubOf(c)
 			sleep(8 * mgclock.Second)
-			c.part(func(from, to int) bool { return to == hub && from%2 == 0 || from == hub && to%2 == 0 })
+			c.setCut(func(from, to int) bool { return to == hub && from%2 == 0 || from == hub && to%2 == 0 })
 		},
-		"two sides can't reach one another": func(c *crowd, sleep func(mgclock.Millis)) {
+		"two sides can't reach one another": func(c *permitCluster, sleep func(mgclock.Millis)) {
 			sleep(8 * mgclock.Second)
-			c.part(func(from, to int) bool { return from%2 != to%2 })
+			c.setCut(func(from, to int) bool { return from%2 != to%2 })
 			sleep(8 * mgclock.Second)
-			c.part(func(int, int) bool { return false })
+			c.setCut(func(int, int) bool { return false })
 		},
-		"the granter comes and goes": func(c *crowd, sleep func(mgclock.Millis)) {
+		"the granter comes and goes": func(c *permitCluster, sleep func(mgclock.Millis)) {
 			hub := hubOf(c)
 			for range 8 {
 				sleep(2 * mgclock.Second)
-				c.part(func(from, to int) bool { return from == hub || to == hub })
+				c.setCut(func(from, to int) bool { return from == hub || to == hub })
 				sleep(mgclock.Second)
-				c.part(func(int, int) bool { return false })
+				c.setCut(func(int, int) bool { return false })
 			}
 		},
 	}
 	const settled = 5 * mgclock.Second // three after the limit was named
 	Convey("An upstream that names a limit", t, func() {
 		for _, count := range []int{1, 5, 31, 300} {
-			for name, play := range plays {
+			for name, scenario := range scenarios {
 				if count == 1 && name != "calm" {
 					continue
 				}
@@ -272,20 +272,20 @@
 						if count == 300 {
 							end = 16 * mgclock.Second
 						}
-						var all, most int
+						var total, maxInWindow int
 						synctest.Test(t, func(t *testing.T) {
-							c := newCrowd(t, count, uint64(count))
-							c.run(t, 150, end, func(c *crowd, sleep func(mgclock.Millis)) {
+							c := newPermitCluster(t, count, uint64(count))
+							c.run(t, 150, end, func(c *permitCluster, sleep func(mgclock.Millis)) {
 								sleep(2 * mgclock.Second)
-								c.name(rate)
-								play(c, sleep)
+								c.setRate(rate)
+								scenario(c, sleep)
 							})
-							all, most = c.count(settled, end)
+							total, maxInWindow = c.countSends(settled, end)
 						})
-						t.Logf("%d entries, %s, %g a second: %d sends, %d at most in four seconds of %d", count, name, rate, all, most, rule(rate))
-						So(most, ShouldBeLessThanOrEqualTo, rule(rate))
-						So(all, ShouldBeGreaterThan, 0)
-						So(all, ShouldBeGreaterThan, int(0.7*rate*float64(end-settled)/float64(mgclock.Second)))
+						t.Logf("%d entries, %s, %g a second: %d sends, %d at most in four seconds of %d", count, name, rate, total, maxInWindow, maxSendsInWindow(rate))
+						So(maxInWindow, ShouldBeLessThanOrEqualTo, maxSendsInWindow(rate))
+						So(total, ShouldBeGreaterThan, 0)
+						So(total, ShouldBeGreaterThan, int(0.7*rate*float64(end-settled)/float64(mgclock.Second)))
 					})
 				}
 			}
--- a/internal/process/mgnode/place_test.go
+++ b/internal/process/mgnode/placement_test.go
@@ -17,7 +17,7 @@
 )
 
 // giver is an entry that gives places at one upstream with some memory free.
-func giver(free func() int) *Node {
+func newGranter(free func() int) *Node {
 	n := &Node{
 		metrics: mgmetric.New(),
 		log:     logr.Discard(),
@@ -28,11 +28,11 @@
 			Free: free(),
 		}}
 	}
-	n.places.Store(&places)
+	n.readUpstreams.Store(&places)
 	return n
 }
 
-func report(name string) mgroom.Wait {
+func reportRequest(name string) mgroom.Wait {
 	return mgroom.Wait{
 		Name: name,
 		Need: 3000,
@@ -44,58 +44,58 @@
 // Sent there both, the second would wait behind the first; asked for again and
 // again, a request must have one place in the line; and one whose caller left
 // must not be given memory that another waits for.
-func TestPlaces(t *testing.T) {
-	type story func(ctx context.Context, n *Node, free *atomic.Int64) (got []string)
+func TestMemoryPlacedTwiceOrForAbandonedRequest(t *testing.T) {
+	type scenarioFunc func(ctx context.Context, n *Node, free *atomic.Int64) (got []string)
 	cases := []struct {
-		name  string
-		story story
-		got   []string
+		name     string
+		scenario scenarioFunc
+		got      []string
 	}{
 		{
 			name: "one of two gets the place, the other one when there is memory again",
-			story: func(ctx context.Context, n *Node, free *atomic.Int64) []string {
+			scenario: func(ctx context.Context, n *Node, free *atomic.Int64) []string {
 				free.Store(3000)
-				first := n.holdPlace(ctx, "llm", report("one")).Place
+				first := n.awaitPlacement(ctx, "llm", reportRequest("one")).Place
 				free.Store(0)
-				none := n.holdPlace(ctx, "llm", report("two")).Place
+				none := n.awaitPlacement(ctx, "llm", reportRequest("two")).Place
 				go func() {
 					n.clock.Sleep(ctx, 100)
 					free.Store(3000)
 				}()
-				return []string{first, none, n.holdPlace(ctx, "llm", report("two")).Place}
+				return []string{first, none, n.awaitPlacement(ctx, "llm", reportRequest("two")).Place}
 			},
 			got: []string{"engine", "", "engine"},
 		},
 		{
 			name: "one whose caller has left gets none",
-			story: func(ctx context.Context, n *Node, free *atomic.Int64) []string {
+			scenario: func(ctx context.Context, n *Node, free *atomic.Int64) []string {
 				left, cancel := context.WithCancel(ctx)
 				go func() {
 					n.clock.Sleep(ctx, 50)
 					cancel()
 				}()
-				none := n.holdPlace(left, "llm", report("left")).Place
+				none := n.awaitPlacement(left, "llm", reportRequest("left")).Place
 				free.Store(3000)
-				return []string{none, n.holdPlace(ctx, "llm", report("next")).Place}
+				return []string{none, n.awaitPlacement(ctx, "llm", reportRequest("next")).Place}
 			},
 			got: []string{"", "engine"},
 		},
 		{
 			name: "one that nobody asks for any more gets none",
-			story: func(ctx context.Context, n *Node, free *atomic.Int64) []string {
-				none := n.holdPlace(ctx, "llm", report("dead")).Place
-				n.clock.Sleep(ctx, placeHold+askLife)
+			scenario: func(ctx context.Context, n *Node, free *atomic.Int64) []string {
+				none := n.awaitPlacement(ctx, "llm", reportRequest("dead")).Place
+				n.clock.Sleep(ctx, placementHoldTimeout+pendingTTL)
 				free.Store(3000)
-				return []string{none, n.holdPlace(ctx, "llm", report("next")).Place}
+				return []string{none, n.awaitPlacement(ctx, "llm", reportRequest("next")).Place}
 			},
 			got: []string{"", "engine"},
 		},
 		{
 			name: "one that has waited for too long is told when to come back",
-			story: func(ctx context.Context, n *Node, _ *atomic.Int64) []string {
-				w := report("late")
+			scenario: func(ctx context.Context, n *Node, _ *atomic.Int64) []string {
+				w := reportRequest("late")
 				w.End = n.clock.Now() + 50
-				grant := n.holdPlace(ctx, "llm", w)
+				grant := n.awaitPlacement(ctx, "llm", w)
 				return []string{grant.Place, fmt.Sprint(grant.Retry >= mgclock.Second)}
 			},
 			got: []string{"", "true"},
@@ -108,12 +108,12 @@
 				var n *Node
 				synctest.Test(t, func(*testing.T) {
 					var free atomic.Int64
-					n = giver(func() int { return int(free.Load()) })
-					got = c.story(context.Background(), n, &free)
+					n = newGranter(func() int { return int(free.Load()) })
+					got = c.scenario(context.Background(), n, &free)
 				})
 				So(got, ShouldResemble, c.got)
-				So(n.lines.all["llm"].asks, ShouldBeEmpty)
-				So(n.lines.all["llm"].room.Len(), ShouldEqual, 0)
+				So(n.placementQueues.byService["llm"].pending, ShouldBeEmpty)
+				So(n.placementQueues.byService["llm"].waiting.Len(), ShouldEqual, 0)
 			})
 		}
 	})
--- a/internal/process/mgnode/reads.go
+++ b/internal/process/mgnode/platform_reads.go
@@ -7,18 +7,18 @@
 
 // readsSpan is the least interval between two log lines that tell of the process's
 // reads of the platform.
-const readsSpan = 10 * mgclock.Second
+const readsLogInterval = 10 * mgclock.Second
 
 // readsTold is what the log was told last.
-type readsTold struct {
-	reads int
-	at    mgclock.Millis
+type readsLog struct {
+	count    int
+	loggedAt mgclock.Millis
 }
 
 // tellReads tells in gauges, and in the log every ten seconds in which there were any,
 // how often the process has read the platform and for which reason. The platform
 // counts all processes' reads together: only they can say whose they are.
-func (n *Node) tellReads(status mgconfig.Status) {
+func (n *Node) reportReads(status mgconfig.Status) {
 	counts := status.Counts
 	for name, value := range map[string]int{
 		"rejected":        int(status.Refused),
@@ -38,11 +38,11 @@
 		n.metrics.Gauge(name).Update(int64(value))
 	}
 	now := n.clock.Now()
-	if counts.Reads == n.told.reads || now < n.told.at+readsSpan {
+	if counts.Reads == n.loggedReads.count || now < n.loggedReads.loggedAt+readsLogInterval {
 		return
 	}
-	n.told.reads = counts.Reads
-	n.told.at = now
+	n.loggedReads.count = counts.Reads
+	n.loggedReads.loggedAt = now
 	n.log.Info("reads of the platform so far", "reads", counts.Reads, "first", counts.First, "plain", counts.Plain,
 		"quick", counts.Quick, "slow", counts.Slow, "table", counts.Table, "pages", counts.Pages,
 		"failed", counts.Failed, "lists", counts.Lists, "exchanges", counts.Exchanges, "fetches", counts.Fetches,
--- a/internal/process/mgnode/quarantine.go
+++ b/internal/process/mgnode/quarantine.go
@@ -10,7 +10,7 @@
 )
 
 // entries returns the other entries that are known and well.
-func (n *Node) entries() []*mgmember.Member {
+func (n *Node) otherEntries() []*mgmember.Member {
 	var entries []*mgmember.Member
 	for _, peer := range n.members.View().Peers() {
 		if peer.Kind() == mgplatform.EntryKind {
@@ -22,9 +22,9 @@
 
 // triesFirst reports whether this process ranks first among the entries that are known
 // here for a request whose hold is over.
-func (n *Node) triesFirst(digest mgquarantine.Digest) bool {
+func (n *Node) isFirstToRetry(digest mgquarantine.Digest) bool {
 	self := mgmember.Self(n.settings.Name, n.settings.Zone, 0)
-	return mgmember.Rank(digest.String(), append(n.entries(), self), 1)[0] == self
+	return mgmember.Rank(digest.String(), append(n.otherEntries(), self), 1)[0] == self
 }
 
 // watchHeld logs requests as they come to be held, until ctx ends.
@@ -43,20 +43,20 @@
 
 // reportHeld logs each request that is held and was not before, or the other way round,
 // and returns those that are.
-func (n *Node) reportHeld(before map[mgquarantine.Digest]bool) map[mgquarantine.Digest]bool {
+func (n *Node) reportHeld(previous map[mgquarantine.Digest]bool) map[mgquarantine.Digest]bool {
 	held := map[mgquarantine.Digest]bool{}
 	for _, verdict := range n.quarantine.Verdicts(n.clock.Now()) {
 		if verdict.Left() == 0 {
 			continue
 		}
 		held[verdict.Digest()] = true
-		if before[verdict.Digest()] {
+		if previous[verdict.Digest()] {
 			continue
 		}
 		keys := []any{"digest", verdict.Digest().String(), "occurrences", verdict.Occurrences(), "ms", int64(verdict.Left())}
-		n.log.Info("a request crashes upstreams and is held back", append(keys, evidenceKeys(verdict.Evidence())...)...)
+		n.log.Info("a request crashes upstreams and is held back", append(keys, evidenceLogValues(verdict.Evidence())...)...)
 	}
-	for digest := range before {
+	for digest := range previous {
 		if !held[digest] {
 			n.log.Info("a request is no longer held back", "digest", digest.String())
 		}
@@ -66,14 +66,14 @@
 }
 
 // evidenceKeys returns what a log line tells of evidence.
-func evidenceKeys(notes []mgquarantine.Note) []any {
-	requests := make([]string, 0, len(notes))
-	upstreams := make([]string, 0, len(notes))
-	ages := make([]int64, 0, len(notes))
-	for _, note := range notes {
-		requests = append(requests, note.Request)
-		upstreams = append(upstreams, note.Upstream)
-		ages = append(ages, int64(note.Age))
+func evidenceLogValues(records []mgquarantine.Note) []any {
+	requests := make([]string, 0, len(records))
+	upstreams := make([]string, 0, len(records))
+	ages := make([]int64, 0, len(records))
+	for _, record := range records {
+		requests = append(requests, record.Request)
+		upstreams = append(upstreams, record.Upstream)
+		ages = append(ages, int64(record.Age))
 	}
 	return []any{"requests", requests, "upstreams", upstreams, "ages", ages}
 }
--- a/internal/process/mgnode/serve.go
+++ b/internal/process/mgnode/serve.go
@@ -15,14 +15,14 @@
 const (
 	// closeWait is how long listeners wait at least for their last responses once no
 	// connection is accepted any more.
-	closeWait = 250 * mgclock.Millis(1)
+	minLinger = 250 * mgclock.Millis(1)
 	// lingerMost is how long the callers' listener waits at most for connections that have
 	// brought no request yet.
-	lingerMost = 2 * mgclock.Second
+	maxLinger = 2 * mgclock.Second
 	// settleWait is the time that handshakes in progress have when a listener closes.
-	settleWait = 50 * mgclock.Millis(1)
+	handshakeTimeout = 50 * mgclock.Millis(1)
 	// closeLook is the interval at which a closing listener looks for idle connections.
-	closeLook = 5 * mgclock.Millis(1)
+	idlePollInterval = 5 * mgclock.Millis(1)
 )
 
 // ServerSpec describes one listener of a process.
@@ -35,73 +35,73 @@
 	Linger func() mgclock.Millis
 	// Head bounds a request's header in bytes, Slow the time in which it must
 	// arrive.
-	Head int
-	Slow mgclock.Millis
+	MaxHeaderBytes int
+	HeaderTimeout  mgclock.Millis
 }
 
 const (
 	// defaultHead is enough for the headers of the system's own calls.
-	defaultHead = 32 << 10
+	defaultMaxHeaderBytes = 32 << 10
 	// defaultSlow is ample time for a header of the system's own calls.
-	defaultSlow = 10 * mgclock.Second
+	defaultHeaderTimeout = 10 * mgclock.Second
 	// idleSlow closes a caller's idle connection; balancers open new ones.
-	idleSlow = 2 * mgclock.Minute
+	idleTimeout = 2 * mgclock.Minute
 )
 
 // Serve answers on a listener until ctx ends. Then it answers what has reached it, on
 // connections that it hasn't accepted yet, too, and closes. When killed ends, it breaks
 // every connection at once, as the end of its process would.
 func Serve(ctx, killed context.Context, log logr.Logger, spec ServerSpec) {
-	if spec.Head == 0 {
-		spec.Head = defaultHead
+	if spec.MaxHeaderBytes == 0 {
+		spec.MaxHeaderBytes = defaultMaxHeaderBytes
 	}
-	if spec.Slow == 0 {
-		spec.Slow = defaultSlow
+	if spec.HeaderTimeout == 0 {
+		spec.HeaderTimeout = defaultHeaderTimeout
 	}
 	log = log.WithValues("name", spec.Name)
-	var conns connections
+	var conns connTracker
 	server := &http.Server{
-		Handler:           conns.handle(spec.Handler),
-		ConnState:         conns.note,
-		ConnContext:       conns.context,
-		MaxHeaderBytes:    spec.Head,
-		ReadHeaderTimeout: spec.Slow.Duration(),
-		IdleTimeout:       idleSlow.Duration(),
+		Handler:           conns.wrap(spec.Handler),
+		ConnState:         conns.stateChanged,
+		ConnContext:       conns.connContext,
+		MaxHeaderBytes:    spec.MaxHeaderBytes,
+		ReadHeaderTimeout: spec.HeaderTimeout.Duration(),
+		IdleTimeout:       idleTimeout.Duration(),
 		BaseContext:       func(net.Listener) context.Context { return context.WithoutCancel(ctx) },
 	}
 	defer context.AfterFunc(killed, func() { _ = server.Close() })()
-	finished := make(chan struct{})
-	notFinished := context.AfterFunc(ctx, func() {
-		defer close(finished)
-		conns.close()
-		if err := spec.Listener.Finish(settleWait); err != nil {
+	listenerFinished := make(chan struct{})
+	cancelFinish := context.AfterFunc(ctx, func() {
+		defer close(listenerFinished)
+		conns.beginClose()
+		if err := spec.Listener.Finish(handshakeTimeout); err != nil {
 			log.Error(err, "a listener may reset connections as it closes")
 		}
 	})
 	log.Info("listening", "address", spec.Listener.Addr().String())
 	err := server.Serve(spec.Listener)
-	if notFinished() || killed.Err() != nil {
+	if cancelFinish() || killed.Err() != nil {
 		if !errors.Is(err, http.ErrServerClosed) {
 			log.Error(err, "a listener ended")
 		}
 		return
 	}
-	<-finished
-	linger := closeWait
+	<-listenerFinished
+	linger := minLinger
 	if spec.Linger != nil {
 		linger = spec.Linger()
 	}
 	// http.Server.Shutdown isn't used: a connection that reads its request after it has
 	// begun is closed without a response.
 	conns.drain(killed, linger)
-	e := conns.ending()
-	log.Info("listener closed", "read", e.read, "unanswered", e.unanswered, "unused", e.unused, "cut", e.cut)
+	stats := conns.closeStats()
+	log.Info("listener closed", "read", stats.read, "unanswered", stats.unanswered, "unused", stats.unused, "cut", stats.aborted)
 	_ = server.Close()
 }
 
 // linger returns how long the callers' listener waits for its last responses: no longer
 // than the drain may last, but for closeWait.
 func (n *Node) linger() mgclock.Millis {
-	left := mgclock.Millis(n.closeBy.Load()) - n.clock.Now()
-	return max(closeWait, min(left, lingerMost))
+	remaining := mgclock.Millis(n.closeDeadline.Load()) - n.clock.Now()
+	return max(minLinger, min(remaining, maxLinger))
 }
--- a/internal/process/mgnode/serve_test.go
+++ b/internal/process/mgnode/serve_test.go
@@ -23,25 +23,25 @@
 )
 
 // served is a listener under test.
-type served struct {
-	address string
-	stop    context.CancelFunc
-	done    chan struct{}
-	lines   atomic.Pointer[string] // the last line of the log
+type testServer struct {
+	address     string
+	stop        context.CancelFunc
+	done        chan struct{}
+	lastLogLine atomic.Pointer[string] // the last line of the log
 }
 
 // serve serves a handler that answers 204 until its stop is called.
-func serve(t *testing.T) *served {
+func startServer(t *testing.T) *testServer {
 	t.Helper()
 	listener, err := mglistener.Listen("127.0.0.1:0", nil)
 	So(err, ShouldBeNil)
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &served{
+	s := &testServer{
 		address: listener.Addr().String(),
 		stop:    cancel,
 		done:    make(chan struct{}),
 	}
-	log := funcr.New(func(_, args string) { s.lines.Store(&args) }, funcr.Options{})
+	log := funcr.New(func(_, args string) { s.lastLogLine.Store(&args) }, funcr.Options{})
 	go func() {
 		defer close(s.done)
 		Serve(ctx, context.Background(), log, ServerSpec{
@@ -59,9 +59,9 @@
 }
 
 // A connection accepted before a stop may bring its request after the stop has begun.
-func TestStopAnswersLateRequest(t *testing.T) {
+func TestStopDropsLateRequest(t *testing.T) {
 	Convey("A listener that stops", t, func() {
-		s := serve(t)
+		s := startServer(t)
 		open := func() (net.Conn, *bufio.Reader) {
 			conn, err := net.Dial("tcp", s.address)
 			So(err, ShouldBeNil)
@@ -92,47 +92,47 @@
 			So(code, ShouldEqual, http.StatusNoContent)
 			So(again, ShouldBeFalse)
 			<-s.done
-			So(*s.lines.Load(), ShouldContainSubstring, `"read"=1 "unanswered"=0 "unused"=0 "cut"=0`)
+			So(*s.lastLogLine.Load(), ShouldContainSubstring, `"read"=1 "unanswered"=0 "unused"=0 "cut"=0`)
 		})
 	})
 }
 
 // A request that was read before a listener closes must not make up for one that is lost.
-func TestUnansweredCountsRequests(t *testing.T) {
+func TestEarlyRequestHidesUnansweredOne(t *testing.T) {
 	Convey("Of two connections, one read before the listener closes and one after", t, func() {
-		var conns connections
+		var conns connTracker
 		early, late := &net.TCPConn{}, &net.TCPConn{}
 		contexts := map[net.Conn]context.Context{}
 		for _, conn := range []net.Conn{early, late} {
-			conns.note(conn, http.StateNew)
-			contexts[conn] = conns.context(context.Background(), conn)
+			conns.stateChanged(conn, http.StateNew)
+			contexts[conn] = conns.connContext(context.Background(), conn)
 		}
-		handler := conns.handle(http.NotFoundHandler())
+		handler := conns.wrap(http.NotFoundHandler())
 		answer := func(conn net.Conn) {
 			handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil).WithContext(contexts[conn]))
 		}
-		conns.note(early, http.StateActive)
-		conns.close()
-		conns.note(late, http.StateActive)
+		conns.stateChanged(early, http.StateActive)
+		conns.beginClose()
+		conns.stateChanged(late, http.StateActive)
 		answer(early)
-		So(conns.ending(), ShouldResemble, ending{
+		So(conns.closeStats(), ShouldResemble, closeStats{
 			read:       1,
 			unanswered: 1,
-			cut:        2,
+			aborted:    2,
 		})
 		answer(late)
-		So(conns.ending().unanswered, ShouldEqual, 0)
+		So(conns.closeStats().unanswered, ShouldEqual, 0)
 	})
 }
 
 // Callers that come without pause while an entry stops are answered or refused.
-func TestStopLosesNothing(t *testing.T) {
+func TestStopDropsRequests(t *testing.T) {
 	Convey("Callers with kept and with new connections while a listener stops", t, func() {
-		s := serve(t)
+		s := startServer(t)
 		var callers sync.WaitGroup
 		ends := make(chan string, 40)
 		for i := range cap(ends) {
-			callers.Go(func() { ends <- untilRefused(s.address, i%2 == 0) })
+			callers.Go(func() { ends <- sendUntilRefused(s.address, i%2 == 0) })
 		}
 		mgclock.Clock{}.Sleep(t.Context(), 100)
 		s.stop()
@@ -145,7 +145,7 @@
 }
 
 // untilRefused sends requests until a connection is refused, and says which got no answer.
-func untilRefused(address string, keep bool) string {
+func sendUntilRefused(address string, keep bool) string {
 	var conn net.Conn
 	var reader *bufio.Reader
 	for {
--- a/internal/process/mgnode/spec.go
+++ b/internal/process/mgnode/spec.go
@@ -42,18 +42,18 @@
 }
 
 // keys returns what secures the calls between processes and what seals names.
-func keys(spec Spec) (*mgpeer.Guard, *mgseal.Signer, error) {
+func newKeys(spec Spec) (*mgpeer.Guard, *mgseal.Signer, error) {
 	settings := spec.Settings
 	if spec.Unkeyed {
-		own := make([]byte, ownKey)
-		_, _ = rand.Read(own) // never fails, by its documentation
-		seal, err := mgseal.New(mgseal.Spec{Current: own})
+		key := make([]byte, ownKeyBytes)
+		_, _ = rand.Read(key) // never fails, by its documentation
+		seal, err := mgseal.New(mgseal.Spec{Current: key})
 		return mgpeer.Unkeyed(), seal, err
 	}
 	guard, err := mgpeer.New(mgpeer.Spec{
 		Secret:   settings.Secret,
 		Previous: settings.Previous,
-		TLS:      files(settings.TLS),
+		TLS:      certFiles(settings.TLS),
 	})
 	if err != nil {
 		return nil, nil, err
@@ -66,7 +66,7 @@
 }
 
 // files returns the names of a certificate's files.
-func files(names mgsettings.TLS) mgpeer.Files {
+func certFiles(names mgsettings.TLS) mgpeer.Files {
 	return mgpeer.Files{
 		Cert: names.Cert,
 		Key:  names.Key,
@@ -75,7 +75,7 @@
 }
 
 // ownKey is the length of a process's own key in bytes, that of a SHA-256.
-const ownKey = 32
+const ownKeyBytes = 32
 
 func (s Spec) platform() mgplatform.Client {
 	if s.Platform != nil {
