--- a/internal/process/mgnode/agent.go
+++ b/internal/process/mgnode/agent.go
@@ -15,14 +15,14 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// RunAgent runs an agent until stop ends, then drains it; hurry cuts the drain
-// short.
+// RunAgent runs an agent until stop ends, and then drains it. The drain ends early
+// when abortDrain ends.
 func RunAgent(stop, abortDrain context.Context, settings mgsettings.Agent, n *Node) error {
 	return n.run(stop, abortDrain, func(ctx context.Context) (Drain, error) { return n.startAgent(ctx, settings) })
 }
 
-// openAgent begins to take work for the upstream, and returns how that is
-// stopped.
+// startAgent starts to accept work for the upstream, and returns the drain that
+// stops it.
 func (n *Node) startAgent(ctx context.Context, settings mgsettings.Agent) (Drain, error) {
 	agent, err := mgagent.New(mgagent.Spec{
 		Settings:    settings,
@@ -47,14 +47,15 @@
 	n.admin.Source("agent", func() any { return agent.State() })
 	n.SetRoleHandler(agent.Routes())
 	n.background.Go(func() { agent.Run(ctx) })
-	// An entry learns of a leaving agent from its first refusal and goes
-	// elsewhere, so that no notice is needed.
+	// No notice delay is needed: an entry learns from an agent's first refusal that
+	// the agent is leaving, and chooses another one.
 	drain := n.NewDrain(agent.Leave, agent.Busy)
 	drain.NoticeDelay = 0
 	return drain, nil
 }
 
-// otherAgents returns the agents of the region beside engines that hold a model.
+// otherAgents returns the region's other agents whose engines hold a model and that
+// are not leaving.
 func (n *Node) otherAgents(model string) []mgagent.Other {
 	var others []mgagent.Other
 	for _, member := range n.members.View().Upstreams(model) {
@@ -70,8 +71,9 @@
 	return others
 }
 
-// planner works the placement out anew when the table or the members change.
-// One goroutine, that of the agent's orders, uses it.
+// planner computes which engine holds which model, and caches the plan until the
+// table or the members change. It is used by one goroutine only, the one that runs
+// the agent's orders.
 type planner struct {
 	node   *Node
 	table  *mgtable.Table
@@ -89,13 +91,14 @@
 	return p.cached
 }
 
-// evidence is how lately a peer must have been heard for the list to count as
-// present: two rounds of exchanges and a delay.
+// peerEvidenceMaxAge is how recently a peer must have been seen for this process's
+// list of VMs to count as current: two exchange rounds and a delay.
 const peerEvidenceMaxAge = 5 * mgclock.Second
 
-// owns reports whether this process is an upstream's own agent: listed as such,
-// by a list that some peer, too, went by lately. A process that hears nobody
-// may be the one that was replaced.
+// isOwnAgentOf reports whether this process is the agent of an upstream, and when
+// that was checked: the list of VMs names it, and some peer was seen recently or
+// the list names no other process. A process that sees no peer may be one that has
+// been replaced.
 func (n *Node) isOwnAgentOf(upstream string) (mgclock.Millis, bool) {
 	view := n.members.View()
 	now := n.clock.Now()
--- a/internal/process/mgnode/compress.go
+++ b/internal/process/mgnode/compress.go
@@ -9,13 +9,13 @@
 	"sync"
 )
 
-// packers keeps the state of compressions, which takes most of a megabyte each: a hub
-// packs for each process of its cell every three seconds.
+// gzipWriters reuses compressors, since each takes most of a megabyte and a hub compresses a
+// message for each process of its cell every three seconds.
 var gzipWriters = sync.Pool{
 	New: func() any { return gzip.NewWriter(nil) },
 }
 
-// pack writes a value as JSON, compressed by gzip.
+// compressJSON encodes a value as JSON, compressed by gzip.
 func compressJSON(value any) ([]byte, error) {
 	var body bytes.Buffer
 	writer := gzipWriters.Get().(*gzip.Writer)
@@ -30,7 +30,7 @@
 	return body.Bytes(), nil
 }
 
-// unpack reads what pack wrote, up to a number of bytes.
+// decompressJSON decodes the output of compressJSON. It reads at most maxBytes of JSON.
 func decompressJSON(r io.Reader, maxBytes int64, value any) error {
 	reader, err := gzip.NewReader(r)
 	if err != nil {
--- a/internal/process/mgnode/connections.go
+++ b/internal/process/mgnode/connections.go
@@ -10,33 +10,35 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// connections follows the connections of a listener, so that its end can say what became
-// of them. The zero value is ready for use.
+// connTracker tracks the connections of a listener, to report their state when the listener
+// closes. The zero value is ready for use.
 type connTracker struct {
 	mu           sync.Mutex
 	open         map[net.Conn]*trackedConn
 	closing      bool
-	readCount    int // requests whose header was read while the listener closed
-	handledCount int // of these, those that a handler got
+	readCount    int // requests read while the listener was closing
+	handledCount int // of these, those that reached a handler
 }
 
-// connection is what is known of one.
+// trackedConn is the state of one connection.
 type trackedConn struct {
 	state   http.ConnState
-	pending bool // a request counts as read and hasn't reached a handler
+	pending bool // a counted request has not reached a handler yet
 }
 
-// connectionKey is the key of a connection in the contexts of its requests.
+// connKey is the context key under which a request finds the trackedConn of its connection.
 type connKey struct{}
 
-// context adds a new connection to its requests' contexts, as the hook of http.Server.
+// connContext stores a connection's state in the contexts of its requests. It is the
+// ConnContext hook of http.Server.
 func (c *connTracker) connContext(ctx context.Context, conn net.Conn) context.Context {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return context.WithValue(ctx, connKey{}, c.trackedOf(conn))
 }
 
-// of returns what is known of a connection. It is called with mu held.
+// trackedOf returns the state of a connection, which it creates if needed. It is called with
+// mu held.
 func (c *connTracker) trackedOf(conn net.Conn) *trackedConn {
 	if c.open == nil {
 		c.open = map[net.Conn]*trackedConn{}
@@ -47,7 +49,7 @@
 	return c.open[conn]
 }
 
-// note takes a connection's new state, as the hook of http.Server.
+// stateChanged records a connection's new state. It is the ConnState hook of http.Server.
 func (c *connTracker) stateChanged(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,8 +65,8 @@
 	}
 }
 
-// handle passes requests on to next. While the listener closes it counts them, and each
-// is the last of its connection.
+// wrap returns a handler that forwards requests to next. While the listener closes, it counts
+// them and ends each connection after its response.
 func (c *connTracker) wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		tracked, _ := r.Context().Value(connKey{}).(*trackedConn)
@@ -75,7 +77,8 @@
 	})
 }
 
-// last reports whether the listener closes, and counts a connection's request then.
+// recordHandled reports whether the listener is closing, and counts a request that was read
+// while it was.
 func (c *connTracker) recordHandled(tracked *trackedConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,8 +89,8 @@
 	return c.closing
 }
 
-// drain waits until each connection has had its last response, and ends those that are
-// idle. It returns after linger, or when killed ends.
+// drain ends idle connections and waits until each other one has had its last response. It
+// returns after timeout, or when killed ends.
 func (c *connTracker) drain(killed context.Context, timeout mgclock.Millis) {
 	var clock mgclock.Clock
 	for end := clock.Now() + timeout; c.expireIdle() > 0 && clock.Now() < end; {
@@ -97,36 +100,37 @@
 	}
 }
 
-// expireIdle ends the idle connections, and returns how many connections are left.
+// expireIdle ends the idle connections, and returns how many connections are open.
 func (c *connTracker) expireIdle() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn, tracked := range c.open {
 		if tracked.state == http.StateIdle {
-			// A read deadline ends a connection only if it brings no request; Close could
-			// meet one that has been read and not been noted yet.
+			// A read deadline ends a connection only if no request arrives on it. Close
+			// could hit one whose request was read and whose state change is not
+			// recorded yet.
 			_ = conn.SetReadDeadline(time.Now())
 		}
 	}
 	return len(c.open)
 }
 
-// close begins to count.
+// beginClose starts to count requests.
 func (c *connTracker) beginClose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closing = true
 }
 
-// ending is what became of a listener's connections.
+// closeStats counts a listener's requests and connections as it closes.
 type closeStats struct {
-	read       int // requests read while it closed
-	unanswered int // of these, those whose connection was closed without an answer
-	unused     int // connections without a request that its end breaks
-	aborted    int // requests that its end breaks
+	read       int // requests read while it was closing
+	unanswered int // of these, those whose connection was closed without a response
+	unused     int // connections closed before their first request
+	aborted    int // requests interrupted by the close
 }
 
-// ending returns what became of the connections if those that are left end now.
+// closeStats returns the counts as they are if the connections still open are closed now.
 func (c *connTracker) closeStats() closeStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/process/mgnode/doc.go
+++ b/internal/process/mgnode/doc.go
@@ -1,10 +1,35 @@
-// Package mgnode is what an entry and an agent have in common as processes:
-// listeners, the operators' page, the configuration in force, the list of VMs,
-// and an orderly stop.
-//
-// A planned stop goes in this order, so that it cuts off nothing: readiness is
-// withdrawn; after a notice, in which the balancer and the peers look
-// elsewhere, new work is refused; what is in progress ends; each listener
-// closes once it has answered what had reached it. A second signal, or the
-// longest drain, ends the drain at once.
+// Package mgnode runs an entry or an agent as a process. It holds what both have
+// in common: listeners, the operators' page, the configuration in force, the list
+// of VMs, the calls between processes, and the drain.
+//
+// # Drain
+//
+// A planned stop interrupts no request. Its steps are:
+//
+//  1. The process reports that it is not ready.
+//  2. After a notice delay, in which the balancer and the peers switch to other
+//     processes, it refuses new work.
+//  3. It waits until the work in progress has ended.
+//  4. Each listener answers the requests that have reached it, and closes.
+//
+// A second signal, or the end of the maximum drain duration, ends the drain at
+// once.
+//
+// # Terms
+//
+//   - cell: the part of a region's processes that share a hub.
+//   - hub: the process of a cell that sums the loads which the cell's entries
+//     report, and assigns placements and permits for all of them.
+//   - placement: memory reserved at an upstream for one generation.
+//   - permit: the right to send one request to an upstream that has named a rate
+//     limit. The process that grants permits is the granter; it is the hub.
+//   - migration slot: the right to copy one generation away from its engine. Only
+//     one copy at a time uses an engine's link.
+//   - coordinator: the process of a cell that grants a service's migration slots.
+//   - home: the entry that leases an account's caps to the others. A witness is an
+//     entry that supports one home at a time; a home leases out only the part of
+//     the caps that the support of its witnesses covers.
+//   - quarantine: a request that has crashed several upstreams is held back.
+//   - cordoned zone: an availability zone that gets no new work.
+//   - incarnation: one run of a process under its VM's name.
 package mgnode
--- a/internal/process/mgnode/drain.go
+++ b/internal/process/mgnode/drain.go
@@ -8,29 +8,27 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// drainLook is the interval at which a drain looks whether work is left.
+// drainPollInterval is the interval at which a drain checks whether work is in progress.
 const drainPollInterval = 50 * mgclock.Millis(1)
 
-// A Stop is the order of a planned stop.
+// A Drain describes the planned stop of a process.
 type Drain struct {
-	// Clock tells the time.
 	Clock mgclock.Clock
-	// Log tells operators of the drain.
-	Log logr.Logger
-	// Notice is the time between the loss of readiness and the first refusal.
+	Log   logr.Logger
+	// NoticeDelay is the time between the withdrawal of readiness and the first refusal.
 	NoticeDelay mgclock.Millis
-	// Longest bounds the whole drain.
+	// MaxDuration limits the whole drain.
 	MaxDuration mgclock.Millis
-	// Unready withdraws readiness.
+	// WithdrawReadiness has the process report that it is not ready.
 	WithdrawReadiness func()
-	// Leave refuses new work from now on.
+	// RefuseNewWork refuses new work from now on.
 	RefuseNewWork func()
-	// Busy counts what a stop would cut off now.
+	// CountBusy counts the work in progress, which a stop would interrupt.
 	CountBusy func() int
 }
 
-// Run drains the process. It ends early when hurry ends, and returns the time by which
-// the process should have answered what reached it meanwhile.
+// Run drains the process. It ends early when abort ends, and returns the time by which
+// the process should have responded to the requests that reached it meanwhile.
 func (s Drain) Run(abort context.Context) mgclock.Millis {
 	deadline := s.Clock.Now() + s.MaxDuration
 	s.WithdrawReadiness()
--- a/internal/process/mgnode/entry.go
+++ b/internal/process/mgnode/entry.go
@@ -17,13 +17,13 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgdial"
 )
 
-// RunEntry runs an entry until stop ends, then drains it; hurry cuts the drain
-// short.
+// RunEntry runs an entry until stop ends, and then drains it. The drain ends early
+// when abortDrain ends.
 func RunEntry(stop, abortDrain context.Context, settings mgsettings.Entry, n *Node) error {
 	return n.run(stop, abortDrain, func(ctx context.Context) (Drain, error) { return n.startEntry(ctx, settings) })
 }
 
-// openEntry begins to serve callers, and returns how that is stopped.
+// startEntry starts to serve callers, and returns the drain that stops it.
 func (n *Node) startEntry(ctx context.Context, settings mgsettings.Entry) (Drain, error) {
 	public, err := listenPublic(settings)
 	if err != nil {
@@ -99,23 +99,24 @@
 	}
 }
 
-// upstreamSilence ends a connection to an upstream whose kernel has given no
-// sign of life for so long. Callers leave a stream after seven seconds without
-// an event, and a partition that heals before should cost them a pause only. The
-// kernel counts in whole seconds: three spans of three seconds.
+// upstreamSilenceTimeout is how long an upstream's kernel may leave keep-alive
+// probes unanswered before the connection is closed. Callers give a stream up
+// after seven seconds without an event, and a partition that heals before then
+// should only pause it. The kernel counts whole seconds: three intervals of three
+// seconds.
 const upstreamSilenceTimeout = 9 * time.Second
 
-// boundRetries keeps this entry's part of the retries that all entries may make,
-// by how many of them are known, until ctx ends.
+// limitRetries sets this entry's share of total, the number of retries allowed to
+// all entries, once a second by how many entries are known, until ctx ends.
 func (n *Node) limitRetries(ctx context.Context, total int, setLimit func(limit int)) {
 	for ok := true; ok; ok = n.clock.Sleep(ctx, mgclock.Second) {
 		setLimit(mgretry.Share(total, 1+len(n.otherEntries())))
 	}
 }
 
-// elsewhere reports whether at least half of the other entries stay. Callers
-// that come back reach any of them; where most are stopping, too, an answer that
-// may be cut is worth more than a second refusal.
+// mostOthersStay reports whether at least half of the other entries are not
+// leaving. A caller that retries reaches any entry. Where most of them are leaving,
+// a response that may be cut off is worth more to it than a second refusal.
 func (n *Node) mostOthersStay() bool {
 	entries, staying := n.otherEntries(), 0
 	for _, entry := range entries {
@@ -126,7 +127,8 @@
 	return len(entries) > 0 && 2*staying >= len(entries)
 }
 
-// relaySpec returns how requests are passed through, or nil when none are.
+// relaySpec returns the specification of the relay that passes requests through to
+// upstreams, or nil without one.
 func (n *Node) relaySpec() *mgrelay.Spec {
 	if n.relayForm == nil {
 		return nil
@@ -146,7 +148,7 @@
 	}
 }
 
-// listenPublic opens the callers' listener, with TLS where it is set.
+// listenPublic opens the callers' listener, with TLS if it is configured.
 func listenPublic(settings mgsettings.Entry) (*mglistener.Listener, error) {
 	identity, err := mgpeer.Public(certFiles(settings.Public))
 	if err != nil {
--- a/internal/process/mgnode/events.go
+++ b/internal/process/mgnode/events.go
@@ -9,16 +9,17 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// handleEvents says what follows from each control event. Handlers run one
-// after another; what must be true before a request goes on, such as the drop
-// of leases after a pause, is done where the event arises and not here.
+// handleEvents registers the handlers of control events. Handlers run one after
+// another, some time after the event. What must be done before the next request
+// proceeds, such as to drop leases after a pause, is done where the event arises
+// and not here.
 func (n *Node) handleEvents() {
 	n.bus.On(mgevent.Adopted, func(e mgevent.Event) {
 		version, _ := strconv.ParseInt(e.Subject, 10, 64)
 		n.metrics.Gauge("version").Update(version)
 	})
 	n.bus.On(mgevent.Paused, func(e mgevent.Event) {
-		// Any pooled connection may have died while the process stood still.
+		// Any pooled connection may have died while the process was paused.
 		if pool, ok := n.calls.(interface{ CloseIdleConnections() }); ok {
 			pool.CloseIdleConnections()
 		}
@@ -34,7 +35,7 @@
 	n.admin.Source("events", func() any { return n.bus.Trace() })
 }
 
-// adopted takes a new table from the configuration's loop.
+// publishAdopted publishes the event that a new table has been adopted.
 func (n *Node) publishAdopted(snapshot *mgconfig.Snapshot) {
 	n.publish(mgevent.Adopted, strconv.FormatUint(snapshot.Version(), 10), snapshot.Digest())
 }
--- a/internal/process/mgnode/exchange.go
+++ b/internal/process/mgnode/exchange.go
@@ -15,57 +15,59 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Processes tell one another what their requests show of upstreams: which requests crash
-// them, in notes, and which limits they name, in words. Who learns something tells it to a
-// few others, who tell it on (rumor mongering); and each compares what it knows with one
-// other now and then, for those that were cut off or have just started (anti-entropy).
-
-// quarantinePath is where a process is told notes, and answers with those that the
-// other lacks, as JSON, compressed by gzip.
+// Processes exchange what their requests show about upstreams: records of the requests that
+// crash them, and reports of the rate limits that they name. A process broadcasts an update
+// to a few peers, which forward it (rumor mongering). From time to time each process also
+// compares its state with that of one peer, for processes that were cut off or have just
+// started (anti-entropy).
+
+// quarantinePath is where a process receives an updateMessage and responds with one that
+// holds what the sender lacks, as JSON, compressed by gzip.
 const quarantinePath = "/quarantine"
 
 const (
-	// newsFanout is how many others are told in a round, urgentFanout how many where one
-	// request has ended several upstreams, and newsPause the time between two rounds. A
-	// note is told for mgquarantine's newsSpan, four rounds.
+	// broadcastFanout is the number of peers that a broadcast round sends to, urgentFanout
+	// the number if one request has crashed several upstreams. broadcastInterval is the
+	// time between two rounds. mgquarantine keeps a record among its updates for four
+	// rounds.
 	broadcastFanout   = 3
 	urgentFanout      = 5
 	broadcastInterval = 150 * mgclock.Millis(1)
-	// newsGap is the least time between two rounds, when there are fresh notes.
+	// minBroadcastInterval is the minimum time between two rounds when there are new records.
 	minBroadcastInterval = 20 * mgclock.Millis(1)
-	// compareSpan is the mean interval at which a process compares what it knows.
+	// meanCompareInterval is the mean interval between two anti-entropy rounds of a process.
 	meanCompareInterval = 1500 * mgclock.Millis(1)
-	// newsWait bounds the answer of a peer.
+	// exchangeTimeout limits the wait for a peer's response.
 	exchangeTimeout = 500 * mgclock.Millis(1)
-	// maxNews bounds what is told at once in bytes: four times mgquarantine's most
-	// notes.
+	// maxUpdateBytes limits a decompressed message: four times the size of the maximum
+	// number of records that mgquarantine keeps.
 	maxUpdateBytes = 1 << 20
 )
 
-// newsWire is what processes tell one another.
+// updateMessage is the message of an exchange, in both directions.
 type updateMessage struct {
 	Records []mgquarantine.Note `json:"notes,omitempty"`
-	// Sums are of all notes of the sender, where it compares them.
+	// Sums are checksums of all records of the sender, in an anti-entropy round.
 	Sums    mgquarantine.Sums `json:"sums,omitempty"`
 	Compare bool              `json:"compare,omitempty"`
-	// Limits are those that changed lately, and all that are known where they are compared.
+	// Limits are those that changed recently, or all known ones in an anti-entropy round.
 	Limits []mglimit.Word `json:"limits,omitempty"`
 }
 
-// exchanger exchanges notes with other processes.
+// exchanger exchanges records of crashes and reports of limits with other processes.
 type exchanger struct {
 	clock        mgclock.Clock
 	log          logr.Logger
-	onCallFailed func()          // is told of a process that couldn't be told
-	onRejected   func(count int) // is told of notes that can't be used
+	onCallFailed func()          // called when a peer couldn't be reached
+	onRejected   func(count int) // called with the number of received records that can't be used
 	quarantine   *mgquarantine.Quarantine
 	limits       *mglimit.Limits
-	mergeLimits  func(words []mglimit.Word) // takes what others know of limits
+	mergeLimits  func(words []mglimit.Word) // merges the limits that others report
 	peers        func() []*mgmember.Member
 	call         func(ctx context.Context, to *mgmember.Member, message updateMessage) (updateMessage, error)
 }
 
-// answer takes what another process tells, and returns what it lacks or knows less well.
+// handle merges a peer's message, and returns what the peer lacks or knows less precisely.
 func (e *exchanger) handle(message updateMessage) updateMessage {
 	e.merge(message)
 	reply := updateMessage{
@@ -92,8 +94,8 @@
 	}
 }
 
-// tell tells some others in the background, and takes what they answer. Who can't be told
-// learns by others.
+// broadcast sends a message to count random peers in the background, and merges their
+// responses. A peer that can't be reached receives the update from other processes.
 func (e *exchanger) broadcast(ctx context.Context, count int, message updateMessage) {
 	peers := e.peers()
 	for _, i := range rand.Perm(len(peers))[:min(count, len(peers))] {
@@ -113,7 +115,7 @@
 	}
 }
 
-// giveBack tells a process what it lacks by its sums.
+// sendMissing sends a peer the records that it lacks according to its checksums.
 func (e *exchanger) sendMissing(ctx context.Context, to *mgmember.Member, peerSums mgquarantine.Sums) {
 	records := e.quarantine.Lacking(e.clock.Now(), peerSums)
 	if len(records) == 0 {
@@ -126,11 +128,11 @@
 	}
 }
 
-// spread tells others what is learned, until ctx ends.
+// runBroadcast broadcasts updates until ctx ends.
 func (e *exchanger) runBroadcast(ctx context.Context) {
 	for ctx.Err() == nil {
 		recordsChanged, limitsChanged := e.quarantine.Changed(), e.limits.Changed()
-		var nextRound <-chan struct{} // none without news
+		var nextRound <-chan struct{} // nil if there are no updates
 		updates := updateMessage{
 			Records: e.quarantine.News(e.clock.Now()),
 			Limits:  e.limits.News(e.clock.Now()),
@@ -155,7 +157,7 @@
 	}
 }
 
-// isRepeated reports whether several upstreams ended under one request.
+// hasRepeatedCrash reports whether one request crashed several upstreams.
 func hasRepeatedCrash(records []mgquarantine.Note) bool {
 	upstreams := map[string]string{} // by digest
 	for _, record := range records {
@@ -171,8 +173,9 @@
 	return false
 }
 
-// compare compares what is known with one other process now and then, until ctx ends. A
-// process that has just started does so as soon as it knows another.
+// runAntiEntropy compares this process's records and limits with those of a random peer at
+// random intervals, until ctx ends. A process that has just started does so as soon as it
+// knows a peer.
 func (e *exchanger) runAntiEntropy(ctx context.Context) {
 	for len(e.peers()) == 0 {
 		if !e.clock.Sleep(ctx, broadcastInterval) {
@@ -190,7 +193,7 @@
 	}
 }
 
-// exchanger returns what exchanges this node's notes.
+// newExchanger returns the exchanger of this node.
 func (n *Node) newExchanger() *exchanger {
 	return &exchanger{
 		clock:        n.clock,
@@ -205,7 +208,7 @@
 	}
 }
 
-// serveNews takes what another process tells, and answers what it lacks.
+// serveUpdates merges a peer's message, and responds with what the peer lacks.
 func (n *Node) serveUpdates(w http.ResponseWriter, r *http.Request) {
 	var message updateMessage
 	if err := decompressJSON(r.Body, maxUpdateBytes, &message); err != nil {
@@ -218,10 +221,10 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/gzip")
-	_, _ = w.Write(body) // one that left asks again
+	_, _ = w.Write(body) // a peer that closed the connection asks again
 }
 
-// callNews tells a process, and returns what it answers.
+// sendUpdates sends a message to a peer, and returns its response.
 func (n *Node) sendUpdates(ctx context.Context, to *mgmember.Member, message updateMessage) (updateMessage, error) {
 	var reply updateMessage
 	body, err := compressJSON(message)
--- a/internal/process/mgnode/exchange_test.go
+++ b/internal/process/mgnode/exchange_test.go
@@ -21,21 +21,21 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// meshSpec is what is between the processes of a mesh.
+// meshSpec describes the processes of a mesh and the links between them.
 type meshSpec struct {
 	count     int
-	lossRate  float64 // part of the calls that bring no answer
-	deadCount int     // processes, the last ones, that don't answer
-	// slowest is the longest way of a message; three ms where it is 0.
+	lossRate  float64 // part of the calls that get no response
+	deadCount int     // the last processes, which don't respond
+	// maxLatency is the maximum latency in one direction; 0 stands for three ms.
 	maxLatency time.Duration
 }
 
-// mesh is processes that exchange notes in virtual time.
+// mesh simulates processes that exchange records of crashes, in virtual time.
 type mesh struct {
 	spec     meshSpec
 	clock    mgclock.Clock
 	nodes    []*exchanger
-	isolated atomic.Int64 // number of the process that nobody reaches, or -1
+	isolated atomic.Int64 // index of the process that is cut off, or -1
 	calls    atomic.Int64
 	bytes    atomic.Int64
 }
@@ -68,7 +68,7 @@
 	return m
 }
 
-// call carries a message one ms to the slowest way's span each way.
+// call delivers a message and its response, each with a random latency of one ms to maxLatency.
 func (m *mesh) call(ctx context.Context, from int, to *mgmember.Member, message updateMessage) (updateMessage, error) {
 	at, _ := strconv.Atoi(to.Name())
 	m.calls.Add(1)
@@ -101,7 +101,7 @@
 	return int64(len(body))
 }
 
-// run plays with the mesh until body returns.
+// run runs the processes of the mesh until body returns.
 func (m *mesh) run(t *testing.T, body func()) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -111,13 +111,13 @@
 		}
 		body()
 		cancel()
-		time.Sleep(time.Second) // calls under way end
+		time.Sleep(time.Second) // calls in progress end
 	})
 }
 
 var poisonDigest = mgquarantine.DigestOf("account", "host", "/path", []byte("body"))
 
-// crash has a process see an upstream end under the request.
+// crash has a process observe that an upstream crashes while it runs the poisonous request.
 func (m *mesh) crash(node int, upstream string) {
 	now := m.clock.Now()
 	m.nodes[node].quarantine.Crashed(now, mgquarantine.Crash{
@@ -129,7 +129,7 @@
 	})
 }
 
-// holding returns how many processes hold the request.
+// holdingCount returns how many processes hold the request.
 func (m *mesh) holdingCount() int {
 	count := 0
 	for _, node := range m.nodes {
@@ -140,7 +140,7 @@
 	return count
 }
 
-// untilHeld returns the time until so many processes hold the request, a minute at most.
+// waitUntilHeld returns the time until count processes hold the request, a minute at most.
 func (m *mesh) waitUntilHeld(count int) mgclock.Millis {
 	start := m.clock.Now()
 	for m.holdingCount() < count && m.clock.Now() < start+mgclock.Minute {
@@ -149,7 +149,7 @@
 	return m.clock.Now() - start
 }
 
-// Entries that have not heard of the crashes send the request on to further upstreams.
+// An entry that doesn't know of the crashes sends the request to further upstreams.
 func TestCrashUnknownToSomeProcesses(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -158,10 +158,10 @@
 		maxLatency time.Duration
 	}{
 		{
-			name: "calm",
+			name: "no faults",
 		},
 		{
-			name:       "ways of up to 400 ms, crashes two seconds apart",
+			name:       "latencies of up to 400 ms, crashes two seconds apart",
 			maxLatency: 400 * time.Millisecond,
 		},
 		{
@@ -169,7 +169,7 @@
 			lossRate: 0.2,
 		},
 		{
-			name:      "a tenth of the processes dead, and nobody has noticed",
+			name:      "a tenth of the processes dead, not detected yet",
 			deadOneIn: 10,
 		},
 	}
@@ -204,9 +204,10 @@
 	})
 }
 
-// Crashes that follow one another must count at each process, however slow the ways to it are.
+// Each process must count crashes 400 ms apart as separate ones. Slow links blur the order of
+// their records.
 func TestCrashUnknownOverSlowLinks(t *testing.T) {
-	Convey("Three crashes 400 ms apart are known to all within two seconds over ways of up to 400 ms", t, func() {
+	Convey("Three crashes 400 ms apart are known to all within two seconds with latencies of up to 400 ms", t, func() {
 		for _, count := range []int{5, 30, 100, 300} {
 			Convey(fmt.Sprintf("%d processes", count), func() {
 				m := newMesh(meshSpec{
@@ -229,12 +230,13 @@
 	})
 }
 
-// A sound request that runs wherever upstreams are lost together must not be held.
+// Many upstreams are lost at one moment, as with an availability zone. A harmless request that
+// was running on several of them must not be held for that.
 func TestMassCrashHoldsRequest(t *testing.T) {
-	Convey("Five upstreams lost at one moment, and five more five seconds later, hold no request", t, func() {
+	Convey("If five upstreams are lost at one moment, and five more five seconds later, no request is held", t, func() {
 		for _, maxLatency := range []time.Duration{3 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond} {
 			for _, count := range []int{5, 30, 100} {
-				Convey(fmt.Sprintf("%d processes, ways of up to %v", count, maxLatency), func() {
+				Convey(fmt.Sprintf("%d processes, latencies of up to %v", count, maxLatency), func() {
 					m := newMesh(meshSpec{
 						count:      count,
 						maxLatency: maxLatency,
@@ -259,9 +261,10 @@
 	})
 }
 
-// An entry that was cut off while the request was found out sends it on once it is back.
+// An entry that was cut off while the request crashed upstreams doesn't know of the crashes, and
+// sends the request on once it is reachable again.
 func TestCrashUnknownAfterPartition(t *testing.T) {
-	Convey("A process that was cut off knows within the stable span after the cut", t, func() {
+	Convey("A process that was cut off knows of the crashes within 3.5 s after the cut", t, func() {
 		m := newMesh(meshSpec{
 			count: 30,
 		})
@@ -281,7 +284,7 @@
 		So(meanwhile, ShouldEqual, 29)
 		So(elapsed, ShouldBeLessThanOrEqualTo, 3*mgclock.Second+exchangeTimeout)
 	})
-	Convey("What it saw itself meanwhile counts with what the others saw", t, func() {
+	Convey("A crash that it observed meanwhile counts together with those that others observed", t, func() {
 		m := newMesh(meshSpec{
 			count: 30,
 		})
@@ -304,9 +307,9 @@
 	})
 }
 
-// Many different requests that crash upstreams must not take the links up.
+// Records of many different requests that crash upstreams must not saturate the links.
 func TestManyCrashesSaturateLinks(t *testing.T) {
-	Convey("What 60 processes exchange", t, func() {
+	Convey("60 processes exchange few bytes", t, func() {
 		var quiet, busy float64 // bytes a second of a process
 		m := newMesh(meshSpec{
 			count: 60,
@@ -325,7 +328,7 @@
 			}
 			busy = float64(m.bytes.Load()) / 10 / 60
 		})
-		t.Logf("bytes a second told and answered by a process: %.0f at rest, %.0f while ten upstreams a second crash", quiet, busy)
+		t.Logf("bytes a second in requests and responses of a process: %.0f at rest, %.0f while ten upstreams a second crash", quiet, busy)
 		So(quiet, ShouldBeLessThan, 100)
 		So(busy, ShouldBeLessThan, 30_000)
 	})
--- a/internal/process/mgnode/gossip.go
+++ b/internal/process/mgnode/gossip.go
@@ -10,14 +10,14 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
 )
 
-// gossipPath is the path at which a process is told of others, and tells of those that
-// it knows: mgmember.Gossip rows as JSON, compressed by gzip, both ways.
+// gossipPath is where processes exchange which other processes they know: request and
+// response are mgmember.Gossip rows as JSON, compressed by gzip.
 const gossipPath = "/gossip"
 
-// maxGossip bounds it in bytes once decompressed: some 8,000 rows.
+// maxGossipBytes limits a decompressed message: some 8,000 rows.
 const maxGossipBytes = 1 << 20
 
-// serveGossip answers a process that tells of others.
+// serveGossip merges the rows that a peer sends, and responds with those known here.
 func (n *Node) serveGossip(w http.ResponseWriter, r *http.Request) {
 	rows, err := decodeGossip(r.Body)
 	if err != nil {
@@ -30,10 +30,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/gzip")
-	_, _ = w.Write(body) // one that left asks again
+	_, _ = w.Write(body) // a peer that closed the connection asks again
 }
 
-// gossip tells the process at an address of others, and returns what it knows.
+// exchangeGossip sends rows to the process at an address, and returns the rows that are
+// known there.
 func (n *Node) exchangeGossip(ctx context.Context, addr string, rows []mgmember.Gossip) ([]mgmember.Gossip, error) {
 	body, err := compressJSON(rows)
 	if err != nil {
@@ -58,7 +59,7 @@
 	return reply, nil
 }
 
-// readGossip reads what is told of processes.
+// decodeGossip reads a gossip message.
 func decodeGossip(from io.Reader) ([]mgmember.Gossip, error) {
 	var rows []mgmember.Gossip
 	if err := decompressJSON(from, maxGossipBytes, &rows); err != nil {
--- a/internal/process/mgnode/gossip_test.go
+++ b/internal/process/mgnode/gossip_test.go
@@ -10,7 +10,7 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
 )
 
-// gossipOf returns what is known of some processes.
+// gossipRows returns gossip about count processes.
 func gossipRows(count int) []mgmember.Gossip {
 	rows := make([]mgmember.Gossip, count)
 	for i := range rows {
@@ -25,8 +25,9 @@
 	return rows
 }
 
+// A pooled gzip.Writer that isn't reset would mix messages.
 func TestPooledWriterCorruptsGossip(t *testing.T) {
-	Convey("What is packed is read again, also by a packer that was used", t, func() {
+	Convey("Gossip is decoded as it was encoded, also after the gzip.Writer has been used before", t, func() {
 		for _, count := range []int{3, 400, 0, 40} {
 			packed, err := compressJSON(gossipRows(count))
 			So(err, ShouldBeNil)
@@ -40,8 +41,8 @@
 	})
 }
 
-// BenchmarkGossip packs what a hub tells of its region: 40 rows took 816 KB and 1.2 ms
-// with a packer for each call, and take 3.7 KB and 0.08 ms with one that is used again.
+// BenchmarkCompressGossip compresses the gossip that a hub sends about its region. For 40 rows
+// a new gzip.Writer for each call took 816 KB and 1.2 ms; a reused one takes 3.7 KB and 0.08 ms.
 func BenchmarkCompressGossip(b *testing.B) {
 	for _, count := range []int{40, 360, 1000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/process/mgnode/list.go
+++ b/internal/process/mgnode/list.go
@@ -12,32 +12,32 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A process tells the list of VMs as the platform publishes its values (see
-// mgplatform): a question for what is newer than a version is held until there is
-// something newer or its wait is over.
+// A process serves the list of VMs by long polling, as the platform serves its values
+// (see mgplatform): a request for a list newer than a version is held until there is a
+// newer one or its wait is over.
 const (
 	listPath = "/list"
-	// afterQuery and waitQuery are the version that the caller has, and ms.
+	// afterParam is the version that the caller has, waitParam its maximum wait in ms.
 	afterParam = "after"
 	waitParam  = "wait"
-	// listHeader and tableHeader are versions; ageHeader is the list's age since the
-	// platform confirmed it, ms, negative where it doesn't.
+	// listVersionHeader and tableVersionHeader are versions. listAgeHeader is the time in
+	// ms since the platform confirmed the list, negative if it has not.
 	listVersionHeader  = "List"
 	listAgeHeader      = "List-Age"
 	tableVersionHeader = "Table"
-	// tableAgeHeader is how long ago the platform had no newer table, ms, negative where
-	// that isn't known. A process of an earlier release doesn't tell it.
+	// tableAgeHeader is the time in ms since the platform confirmed that it has no newer
+	// table, negative if that isn't known. Processes of earlier releases don't send it.
 	tableAgeHeader = "Table-Age"
 )
 
 const (
-	// maxListWait bounds how long a question is held, whatever its caller asks.
+	// maxLongPoll limits how long a request is held, whatever wait its caller asks for.
 	maxLongPoll = 5 * mgclock.Second
-	// maxList bounds a list on the wire in bytes, as the platform bounds a value.
+	// maxListBytes limits the size of an encoded list, as the platform limits a value.
 	maxListBytes = 1 << 20
 )
 
-// serveList answers a process that listens at this one.
+// serveList answers a peer's long poll for the list of VMs.
 func (n *Node) serveList(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, err := strconv.ParseUint(query.Get(afterParam), 10, 64)
@@ -61,10 +61,11 @@
 		return
 	}
 	header.Set("Content-Type", "application/octet-stream")
-	_, _ = w.Write(listing.Packed) // a listener that left asks again
+	_, _ = w.Write(listing.Packed) // a peer that closed the connection asks again
 }
 
-// listen asks the process at an address for a list newer than a version.
+// longPollList asks the process at an address for a list newer than a version, and waits
+// up to wait for one.
 func (n *Node) longPollList(ctx context.Context, addr string, after uint64, wait mgclock.Millis) (mgconfig.Listing, error) {
 	query := url.Values{
 		afterParam: {strconv.FormatUint(after, 10)},
@@ -86,7 +87,7 @@
 	return listing, nil
 }
 
-// readListing reads the answer to a question for the list.
+// decodeListing reads the response to a long poll for the list.
 func decodeListing(response *http.Response) (mgconfig.Listing, error) {
 	header := response.Header
 	var listing mgconfig.Listing
--- a/internal/process/mgnode/list_test.go
+++ b/internal/process/mgnode/list_test.go
@@ -18,8 +18,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// listed returns a node whose platform has a list of a version, and the address at
-// which its peers reach it.
+// listNode returns a node whose platform has a list of VMs of a version, and the address
+// at which peers reach the node.
 func listNode(t *testing.T, version *atomic.Uint64) (*Node, string) {
 	t.Helper()
 	read := func(context.Context, string) (mgplatform.Value, error) {
@@ -53,10 +53,11 @@
 	return n, strings.TrimPrefix(server.URL, "http://")
 }
 
-// A process asks the one that reads the platform for what is new. Without an answer
-// that waits it would ask again and again, or hear of an engine's notice late.
+// A process asks the one that reads the platform for a newer list. If the response were not
+// held until there is one, the process would have to poll often, or would learn late of an
+// engine's notice.
 func TestLongPollMissesNewList(t *testing.T) {
-	Convey("A process that listens at another", t, func() {
+	Convey("A process that polls another for its list of VMs", t, func() {
 		var version atomic.Uint64
 		version.Store(5)
 		n, addr := listNode(t, &version)
@@ -66,21 +67,21 @@
 		So(err, ShouldBeNil)
 		So(first.Word.List, ShouldEqual, 5)
 		So(first.Packed, ShouldNotBeEmpty)
-		Convey("is told the word alone where it has the list", func() {
+		Convey("receives only the versions if it has the newest list", func() {
 			same, err := n.longPollList(ctx, addr, 5, 1)
 			So(err, ShouldBeNil)
 			So(same.Packed, ShouldBeNil)
 			So(same.Word.List, ShouldEqual, 5)
 			So(same.Word.Age, ShouldBeGreaterThanOrEqualTo, 0)
 		})
-		Convey("is told of a newer list as soon as it is there", func() {
+		Convey("receives a newer list as soon as there is one", func() {
 			version.Store(6)
 			newer, err := n.longPollList(ctx, addr, 5, maxLongPoll)
 			So(err, ShouldBeNil)
 			So(newer.Word.List, ShouldEqual, 6)
 			So(newer.Packed, ShouldNotBeEmpty)
 		})
-		Convey("has an error from what is no such process", func() {
+		Convey("gets an error from a server that is no such process, or is gone", func() {
 			server := httptest.NewServer(nil)
 			defer server.Close()
 			_, err := n.longPollList(ctx, strings.TrimPrefix(server.URL, "http://"), 0, 1)
@@ -92,10 +93,10 @@
 	})
 }
 
-// A process is told of the others by the one that gathers them, and must not take
-// bytes that are no rows for "none are known".
+// A process learns of others from the hub, which collects gossip. It must not read a malformed
+// message as "no processes are known".
 func TestMalformedGossipAccepted(t *testing.T) {
-	Convey("A process that tells another of itself", t, func() {
+	Convey("A process that exchanges gossip with another", t, func() {
 		var version atomic.Uint64
 		version.Store(5)
 		n, addr := listNode(t, &version)
@@ -116,12 +117,12 @@
 		So(exchange("entry-2"), ShouldResemble, []string{"entry-2", "entry-1"})
 		So(exchange("entry-3"), ShouldResemble, []string{"entry-2", "entry-3", "entry-1"})
 		for name, body := range map[string]string{
-			"no rows":      "rows",
-			"half a pack":  string(mustCompress(t)[:12]),
-			"nothing":      "",
-			"a text alone": "{}",
+			"no JSON at all":    "rows",
+			"a truncated body":  string(mustCompress(t)[:12]),
+			"no bytes":          "",
+			"uncompressed JSON": "{}",
 		} {
-			Convey("is refused "+name, func() {
+			Convey("is refused a message with "+name, func() {
 				server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 					_, _ = w.Write([]byte(body))
 				}))
--- a/internal/process/mgnode/load.go
+++ b/internal/process/mgnode/load.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// tellSpan is the interval at which an entry tells the hub what it has sent,
-	// in which a dozen entries place a few generations.
+	// loadReportInterval is the interval at which an entry reports its load to the
+	// hub. A dozen entries send a few generations in it.
 	loadReportInterval = 200 * mgclock.Millis(1)
-	// tellWait bounds the hub's answer.
+	// loadReportTimeout limits the wait for the hub's response.
 	loadReportTimeout = 150 * mgclock.Millis(1)
-	// othersLife is how long what the hub said of the others is used.
+	// otherLoadsTTL is how long the hub's report of the other entries' load is used.
 	otherLoadsTTL = 1500 * mgclock.Millis(1)
 )
 
-// others is what the other entries have sent, as the hub last said.
+// otherLoads is the load of the other entries, as the hub last reported it.
 type otherLoads struct {
 	report     mgload.Report
 	receivedAt mgclock.Millis
 }
 
-// Others returns what the other entries have sent to upstreams, which is empty
-// where that isn't known. Callers don't change it.
+// OtherLoads returns the load that the other entries have put on upstreams, or an
+// empty report if that isn't known. Callers must not change it.
 func (n *Node) OtherLoads() mgload.Report {
 	latest := n.otherLoads.Load()
 	if latest == nil || n.clock.Now() >= latest.receivedAt+otherLoadsTTL {
@@ -35,8 +35,8 @@
 	return latest.report
 }
 
-// basis returns the version of the list and the age of what the hub said, or -1
-// where it said nothing yet.
+// loadBasis returns the version of the list of VMs and the age of the hub's last
+// report, or -1 if there has been none.
 func (n *Node) loadBasis() (list uint64, age mgclock.Millis) {
 	list = n.members.View().Version()
 	latest := n.otherLoads.Load()
@@ -46,7 +46,8 @@
 	return list, n.clock.Now() - latest.receivedAt
 }
 
-// tellLoads tells the hub what was sent from here, until ctx ends.
+// reportLoads reports this entry's load to the hub until ctx ends, and stores what
+// the hub returns of the others.
 func (n *Node) reportLoads(ctx context.Context, count *mgload.Count) {
 	for n.clock.Sleep(ctx, loadReportInterval) {
 		hub := n.hubPeer()
@@ -67,8 +68,9 @@
 		reply, err := n.peerClient(hub.PeerAddr()).Loads(callCtx, encodeLoads(n.settings.Name, local))
 		cancel()
 		if err != nil {
-			// The own count stands in meanwhile; after a second failure in a row
-			// the hub is suspected and another takes its place.
+			// Until there is a hub again this entry goes by its own counts. After a
+			// second failure in a row the hub is suspected and another process
+			// becomes the hub.
 			n.peerFailed(hub.Name())
 			n.metrics.Counter("loads.unanswered").Inc(1)
 			continue
@@ -97,7 +99,7 @@
 			Faults:   report.Faults[upstream],
 		})
 	}
-	// What is known of upstreams without requests from here.
+	// Upstreams that have no requests from here can still have a pace or faults.
 	idle := map[string]bool{}
 	for upstream := range report.Paces {
 		idle[upstream] = true
@@ -143,18 +145,19 @@
 	return report
 }
 
-// wordOf returns what the hub says of the platform.
+// announcementOf returns the versions that the hub has read from the platform.
 func announcementOf(reply *mgrpc.LoadRows) mgconfig.Word {
 	return mgconfig.Word{
 		List:  reply.GetList(),
 		Age:   mgclock.Millis(reply.GetAge()),
 		Table: reply.GetTable(),
-		// That is told to those that listen only.
+		// The table's age is sent in responses to long polls only.
 		TableAge: -1,
 	}
 }
 
-// Loads answers an entry that takes this one for the hub.
+// Loads records the load of an entry that regards this process as the hub, and returns
+// the load of the others.
 func (p peerServer) Loads(_ context.Context, r *mgrpc.LoadRows) (*mgrpc.LoadRows, error) {
 	others := p.node.hub.Tell(p.node.clock.Now(), r.GetEntry(), decodeLoads(r))
 	reply := encodeLoads(p.node.settings.Name, others)
--- a/internal/process/mgnode/migration_slot.go
+++ b/internal/process/mgnode/migration_slot.go
@@ -10,19 +10,21 @@
 )
 
 const (
-	// turnHold is how long an entry that gives turns holds a question for which
-	// it isn't time yet: a free turn is then told at once, and not at the next
-	// question.
+	// slotHoldTimeout is how long the coordinator holds a request while no slot is
+	// free, so that a slot is returned as soon as it is free and not at the next
+	// request.
 	slotHoldTimeout = 100 * mgclock.Millis(1)
-	// turnLook is the interval at which it looks.
+	// slotPollInterval is the interval at which it checks whether a slot is free.
 	slotPollInterval = 5 * mgclock.Millis(1)
-	// turnWait bounds the answer. An entry that doesn't give one is dead or cut
-	// off, and the notice of an upstream is one or two seconds.
+	// slotTimeout limits the wait for the coordinator's response. A coordinator that
+	// doesn't respond is dead or cut off, and an upstream gives only one or two
+	// seconds' notice before it goes.
 	slotTimeout = slotHoldTimeout + 150
 )
 
-// turn asks the entry that gives a service's turns until it gives one, or false
-// where it can't be asked.
+// acquireMigrationSlot asks the coordinator of a service until it grants a slot, and
+// returns the destination of the copy. It returns false if the coordinator doesn't
+// respond or ctx has ended.
 func (n *Node) acquireMigrationSlot(ctx context.Context, service string, request mgmigration.Ask) (string, bool) {
 	for ctx.Err() == nil {
 		coordinator := n.migrationCoordinator(service)
@@ -72,7 +74,8 @@
 	return reply.GetPlace(), nil
 }
 
-// endTurn gives a turn back. A lost message costs the next run the turn's span.
+// releaseMigrationSlot releases a slot. If the message is lost, the next run waits until
+// the slot expires.
 func (n *Node) releaseMigrationSlot(service, source, run string) {
 	coordinator := n.migrationCoordinator(service)
 	if coordinator == nil {
@@ -91,32 +94,32 @@
 	}
 }
 
-// turnHome returns the entry that gives the turns of a service, or nil where it
-// is this one. Entries that know different others may choose differently; their
-// moves then share a link, which costs time and nothing else.
+// migrationCoordinator returns the process that grants the migration slots of a
+// service, or nil if it is this one. Entries that know different peers may choose
+// different coordinators. Their copies then share a link, which only costs time.
 func (n *Node) migrationCoordinator(service string) *mgmember.Member {
 	return n.rendezvousFirst("turns " + service)
 }
 
-// first returns the first by rendezvous of the processes of this cell that are
-// known here and well, or nil where it is this one.
+// rendezvousFirst returns the process that ranks first for a key by rendezvous hashing
+// among the eligible processes of this cell, or nil if it is this one.
 func (n *Node) rendezvousFirst(key string) *mgmember.Member {
 	eligible, self := n.eligiblePeers()
 	return nilIfSelf(mgmember.Rank(key, eligible, 1)[0], self)
 }
 
-// hubPeer returns the process of this cell that works for all, or nil where it is this
-// one.
+// hubPeer returns the hub of this cell, or nil if it is this process.
 func (n *Node) hubPeer() *mgmember.Member {
 	eligible, self := n.eligiblePeers()
 	return nilIfSelf(mgmember.RankHub(eligible, 1)[0], self)
 }
 
-// able returns the processes of this cell that may work for all: those that are
-// known here and well, and this one. One that stops does so only where it is
-// alone. Its peers pass it over; were it to go on for itself, two would give the
-// turns of one source, and the copies that share the source's link would all end
-// after it was reclaimed.
+// eligiblePeers returns the processes of this cell that may be its hub or a
+// coordinator: the known peers that are neither suspected nor leaving, and this
+// process. This process is not eligible while it is leaving, unless it is alone. Its
+// peers no longer choose it; if it still chose itself, two processes would grant
+// slots for one source, and the copies that share the source's link would all end
+// after the source is reclaimed.
 func (n *Node) eligiblePeers() (eligible []*mgmember.Member, self *mgmember.Member) {
 	cell := n.members.View().Cell(n.settings.Name, n.settings.Region)
 	self = mgmember.Self(n.settings.Name, n.settings.Zone, int(n.settings.Power))
@@ -126,7 +129,7 @@
 	return append(cell.Peers, self), self
 }
 
-// other returns a member, or nil where it is self.
+// nilIfSelf returns a member, or nil if it is self.
 func nilIfSelf(m, self *mgmember.Member) *mgmember.Member {
 	if m == self {
 		return nil
@@ -134,7 +137,8 @@
 	return m
 }
 
-// holdTurn waits a while for a turn that this entry gives.
+// awaitMigrationSlot waits for a slot that this process grants, for slotHoldTimeout at
+// most. It returns the destination, or "" without a slot.
 func (n *Node) awaitMigrationSlot(ctx context.Context, request mgmigration.Ask) string {
 	deadline := n.clock.Now() + slotHoldTimeout
 	for {
@@ -148,7 +152,7 @@
 	}
 }
 
-// Turn gives an entry a turn, or takes it back.
+// Turn grants an entry a migration slot, or releases it.
 func (p peerServer) Turn(ctx context.Context, r *mgrpc.TurnRequest) (*mgrpc.TurnReply, error) {
 	if r.GetEnd() {
 		p.node.migrationSlots.End(r.GetSource(), r.GetRun())
--- a/internal/process/mgnode/migration_slot_test.go
+++ b/internal/process/mgnode/migration_slot_test.go
@@ -9,7 +9,7 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
 )
 
-// aware is an entry that knows another one.
+// nodeKnowing returns an entry that knows one peer.
 func nodeKnowing(name, peer string) *Node {
 	n := &Node{
 		members: mgmember.New(name),
@@ -27,12 +27,11 @@
 	return n
 }
 
-// Five reports are cut though their engine gave notice for two seconds. The entry
-// that gave the turns was stopping: its peers took another for it, and it went on
-// to give its own requests turns itself. Four copies shared the engine's link, and
-// none was done when the engine went.
+// Five generations were cut off though their engine gave two seconds' notice. The coordinator was
+// stopping: its peers chose another, while it still granted slots to its own requests. Four copies
+// shared the engine's link, and none was complete when the engine went.
 func TestStoppingEntryGrantsMigrationSlots(t *testing.T) {
-	Convey("An entry that stops asks another for turns and places", t, func() {
+	Convey("An entry that is stopping asks another for migration slots and placements", t, func() {
 		a, b := nodeKnowing("entry-a", "entry-b"), nodeKnowing("entry-b", "entry-a")
 		home, other := a, b
 		if a.migrationCoordinator("llm") != nil {
@@ -43,7 +42,7 @@
 		home.leaving.Store(true)
 		So(home.migrationCoordinator("llm").Name(), ShouldEqual, other.settings.Name)
 		So(home.hubPeer().Name(), ShouldEqual, other.settings.Name)
-		Convey("and serves itself where it is alone", func() {
+		Convey("and grants them itself if it is alone", func() {
 			home.members = mgmember.New(home.settings.Name)
 			So(home.migrationCoordinator("llm"), ShouldBeNil)
 			So(home.hubPeer(), ShouldBeNil)
--- a/internal/process/mgnode/node.go
+++ b/internal/process/mgnode/node.go
@@ -35,7 +35,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// A Node is one process of the system, before it is told its role.
+// A Node is one process of the system, without its role: RunEntry and RunAgent add that.
 type Node struct {
 	settings        mgsettings.Process
 	incarnation     string
@@ -48,7 +48,7 @@
 	seal            *mgseal.Signer
 	members         *mgmember.Members
 	platform        mgplatform.Client
-	relayForm       *mgrelay.Form // nil passes no requests through
+	relayForm       *mgrelay.Form // nil if no requests are passed through
 	probe           func(context.Context, mgrelay.Host) (bool, error)
 	cachedPage      func(digest string) *mgtable.Page
 	listCoversTable bool
@@ -60,21 +60,21 @@
 	quarantine      *mgquarantine.Quarantine
 	limits          mglimit.Limits
 	permits         mglimit.Permits
-	permitRetryAt   atomic.Int64 // until then no permit is asked for: the hub gave no answer
+	permitRetryAt   atomic.Int64 // no permit is requested before, since the hub didn't respond
 	exchanger       *exchanger
 	move            func(context.Context, mgrelay.Host, mgrelay.Order) mgmigration.Reply
 	loop            *mgconfig.Loop
 	pause           *mgmember.Pause
 	bus             *mgevent.Bus
 	peerClients     sync.Map                     // base URL to mgrpc.Peer
-	roleHandler     atomic.Pointer[http.Handler] // what the peers' listener serves besides
+	roleHandler     atomic.Pointer[http.Handler] // of the role, on the peers' listener
 	shares          atomic.Pointer[mgshare.Loop] // of an entry, else nil
 	serving         atomic.Bool                  // the listeners for work are open
 	leaving         atomic.Bool
-	closeDeadline   atomic.Int64 // when the callers' listener is closed at the latest, of a drained process
-	loggedReads     readsLog     // tick's own
+	closeDeadline   atomic.Int64 // when a drained process closes the callers' listener at the latest
+	loggedReads     readsLog     // used by tick only
 	background      sync.WaitGroup
-	extraServers    []ServerSpec // listeners besides its own
+	extraServers    []ServerSpec // served in addition to the node's own
 	killed          context.Context
 	kill            context.CancelFunc
 }
@@ -130,16 +130,17 @@
 	return n, nil
 }
 
-// incarnation names a life of a process. The time makes names of one VM sort
-// by age; the random part tells two lives of one second apart.
+// incarnation returns a new name for an incarnation of this process. The names of
+// one VM sort by age because they begin with the time; the random part
+// distinguishes two incarnations that start within one second.
 func incarnation() string {
 	return strconv.FormatInt(mgclock.Unix(), 36) + "-" + uuid.NewString()[:8]
 }
 
-// seed makes the jitter of one life from its name.
+// jitterSeed returns the seed of an incarnation's jitter, which it derives from its name.
 func jitterSeed(incarnation string) uint64 { return xxhash.Sum64String(incarnation) }
 
-// Ready reports whether the process takes new work, and if not, why.
+// Ready reports whether the process accepts new work, and if not, why.
 func (n *Node) Ready() (bool, string) {
 	switch {
 	case n.leaving.Load():
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// Incarnation returns this life's name.
+// Incarnation returns the name of this process's incarnation.
 func (n *Node) Incarnation() string { return n.incarnation }
 
 // Clock returns the process's clock.
@@ -182,35 +183,37 @@
 // Admin returns the operators' page.
 func (n *Node) Admin() *mgadmin.Admin { return n.admin }
 
-// Guard returns what secures connections to other processes.
+// Guard returns the guard that secures connections to other processes.
 func (n *Node) Guard() *mgpeer.Guard { return n.guard }
 
-// Seal returns the keys that seal names.
+// Seal returns the signer that seals names.
 func (n *Node) Seal() *mgseal.Signer { return n.seal }
 
-// Seen tells that another process goes by a version.
+// ObserveVersion records that another process uses a version of the table.
 func (n *Node) ObserveVersion(version uint64, from string) { n.loop.Seen(version, from) }
 
-// LookForTable has the table read from the platform at once.
+// LookForTable reads the table from the platform at once.
 func (n *Node) LookForTable() { n.loop.LookForTable() }
 
-// Reseed replaces the addresses of peers to ask while no other is known.
+// Reseed replaces the addresses of the peers to ask while no other process is known.
 func (n *Node) Reseed(seeds []string) { n.loop.Reseed(seeds) }
 
-// failed and heard take direct evidence of another process.
+// peerFailed records that a call to another process brought no response.
 func (n *Node) peerFailed(name string) { n.members.Failed(n.clock.Now(), name) }
 
+// peerAnswered records that a call to another process brought a response.
 func (n *Node) peerAnswered(name string) { n.members.Answered(n.clock.Now(), name) }
 
-// left takes an upstream's own word that it leaves.
+// upstreamDeparted records an upstream's own announcement that it leaves.
 func (n *Node) upstreamDeparted(name string) { n.loop.Departed(name) }
 
+// peerSeen records what another process reports of itself.
 func (n *Node) peerSeen(name, incarnation string, leaving bool) {
 	n.members.Heard(n.clock.Now(), name, incarnation, leaving)
 }
 
-// run starts the node, opens its role, and waits for stop or Kill. After stop it
-// drains as open said; hurry cuts the drain short.
+// run starts the node and its role, and waits for stop or Kill. After stop it runs
+// the drain that startRole returned, which ends early when abortDrain ends.
 func (n *Node) run(stop, abortDrain context.Context, startRole func(ctx context.Context) (Drain, error)) error {
 	ctx, cancel := context.WithCancel(n.killed)
 	defer n.Wait()
@@ -232,8 +235,8 @@
 	return nil
 }
 
-// Start opens the listeners for operators and peers, finds the newest table and
-// waits until it is in force, or stop ends.
+// Start opens the listeners for operators and peers, looks for the newest table, and
+// waits until it is in force or stop ends.
 func (n *Node) Start(ctx, stop context.Context) error {
 	operators, err := mglistener.Listen(n.settings.Admin, nil)
 	if err != nil {
@@ -268,7 +271,8 @@
 	return nil
 }
 
-// tick lets suspicions run out, and shows what the process does to know what is new.
+// tick expires suspicions, forgets upstreams that are gone, and reports the reads of
+// the platform, once a second until ctx ends.
 func (n *Node) tick(ctx context.Context) {
 	for n.clock.Sleep(ctx, mgclock.Second) {
 		n.members.Tick(n.clock.Now())
@@ -282,21 +286,22 @@
 	n.background.Go(func() { Serve(ctx, n.killed, n.log, spec) })
 }
 
-// Also adds a listener that Start serves besides its own. It is called before Start.
+// Also adds a listener that Start serves in addition to the node's own. Call it before
+// Start.
 func (n *Node) Also(spec ServerSpec) { n.extraServers = append(n.extraServers, spec) }
 
-// Serving tells that the listeners for work are open. A process that was ready
-// before would be sent requests that nobody takes.
+// MarkServing records that the listeners for work are open. Were the process ready
+// before that, it would be sent requests that nothing accepts.
 func (n *Node) MarkServing() { n.serving.Store(true) }
 
 // Kill ends the node as a crash of its process would: connections break, and
-// nothing is drained. Demos and tests of failures use it.
+// nothing is drained. It is for demos and tests of failures.
 func (n *Node) Kill() { n.kill() }
 
-// Wait waits until all that Start and Serve began has ended.
+// Wait waits until all goroutines that the node has started have ended.
 func (n *Node) Wait() { n.background.Wait() }
 
-// Stop returns the order of this process's planned stop.
+// NewDrain returns the drain of this process.
 func (n *Node) NewDrain(refuseNewWork func(), busy func() int) Drain {
 	return Drain{
 		Clock:       n.clock,
--- a/internal/process/mgnode/peer.go
+++ b/internal/process/mgnode/peer.go
@@ -16,7 +16,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// loopSpec joins the configuration's loop to the node.
+// loopSpec returns the specification of the configuration loop.
 func (n *Node) loopSpec() mgconfig.LoopSpec {
 	return mgconfig.LoopSpec{
 		Machine: mgconfig.MachineSpec{
@@ -53,7 +53,7 @@
 	}
 }
 
-// peer returns the calls of the process at an address.
+// peerClient returns the client of the process at an address.
 func (n *Node) peerClient(addr string) mgrpc.Peer {
 	base := n.guard.Base(addr)
 	if found, ok := n.peerClients.Load(base); ok {
@@ -64,8 +64,9 @@
 	return found.(mgrpc.Peer)
 }
 
-// peerRoutes serves the peers' calls from the start, so that new processes
-// find each other, and the role's own once it is there.
+// peerRoutes returns the handler of calls from other processes. The calls common to all
+// roles are served from the start, so that new processes find each other; those of the
+// role are served once SetRoleHandler has been called.
 func (n *Node) peerRoutes() http.Handler {
 	router := chi.NewRouter()
 	router.Mount(mgrpc.PeerPathPrefix, mgrpc.NewPeerServer(peerServer{node: n}))
@@ -85,10 +86,10 @@
 	return router
 }
 
-// Role adds the calls of a role to the peers' listener.
+// SetRoleHandler adds the calls of a role to the peers' listener.
 func (n *Node) SetRoleHandler(handler http.Handler) { n.roleHandler.Store(&handler) }
 
-// peerServer answers the other processes.
+// peerServer serves the calls of other processes.
 type peerServer struct {
 	node *Node
 }
@@ -98,15 +99,15 @@
 	return p.node.loop.Exchange(ctx, s)
 }
 
-// Fetch gives a peer pages and the list of VMs.
+// Fetch returns pages of the table and the list of VMs.
 func (p peerServer) Fetch(ctx context.Context, r *mgrpc.FetchRequest) (*mgrpc.FetchReply, error) {
 	return p.node.loop.Fetch(ctx, r)
 }
 
-// errRole refuses what only an entry answers.
+// errNotEntry is the error of calls that only an entry serves.
 var errNotEntry = twirp.NewError(twirp.Unavailable, "this process leases no caps: ask an entry that is ready")
 
-// Lease answers an entry that takes this process for the home of accounts.
+// Lease serves an entry that regards this process as the home of accounts.
 func (p peerServer) Lease(ctx context.Context, r *mgrpc.LeaseRequest) (*mgrpc.LeaseReply, error) {
 	shares := p.node.shares.Load()
 	if shares == nil {
@@ -115,7 +116,7 @@
 	return shares.Lease(ctx, r)
 }
 
-// Support answers a home that asks for a witness.
+// Support serves a home that asks this process to be its witness.
 func (p peerServer) Support(ctx context.Context, r *mgrpc.SupportRequest) (*mgrpc.SupportReply, error) {
 	shares := p.node.shares.Load()
 	if shares == nil {
@@ -124,7 +125,7 @@
 	return shares.Support(ctx, r)
 }
 
-// sharesSpec joins an entry's shares to the node.
+// sharesSpec returns the specification of the loop that divides accounts' caps.
 func (n *Node) sharesSpec(fresh bool) mgshare.LoopSpec {
 	return mgshare.LoopSpec{
 		Shares: mgshare.SharesSpec{
@@ -145,7 +146,7 @@
 	}
 }
 
-// capsOf returns an account's caps by the table in force.
+// accountCaps returns an account's caps by the table in force, and false if it has none.
 func (n *Node) accountCaps(name string) (mgshare.Caps, bool) {
 	table := n.Table()
 	if table == nil {
@@ -158,7 +159,7 @@
 	return mgshare.CapsOf(account)
 }
 
-// memberState is the part of the dump that tells of other processes.
+// memberState returns the dump of the other processes.
 func (n *Node) memberState() any {
 	view := n.members.View()
 	rows := make([]memberRow, 0, len(view.All()))
--- a/internal/process/mgnode/permit.go
+++ b/internal/process/mgnode/permit.go
@@ -17,21 +17,21 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// permitPath is where a process asks the granter of its cell for a permit, as JSON. Each is
-// a few hundred bytes, which aren't worth compressing.
+// permitPath is where a process requests a permit from the granter of its cell. Request and
+// response are JSON of a few hundred bytes, which isn't worth compressing.
 const permitPath = "/permit"
 
 const (
-	// permitWait bounds the granter's answer.
+	// permitTimeout limits the wait for the granter's response.
 	permitTimeout = 100 * mgclock.Millis(1)
-	// permitRetry is when a permit is asked for again after a question without an answer:
-	// by then the granter is suspected, and another grants.
+	// permitRetryDelay is the delay before the next request for a permit after one without
+	// a response. By then the granter is suspected, and another process grants.
 	permitRetryDelay = 200 * mgclock.Millis(1)
-	// maxPermit bounds a question and an answer in bytes.
+	// maxPermitBytes limits the size of a request and of a response.
 	maxPermitBytes = 64 << 10
 )
 
-// permitAsk is a question for a permit, with what the asker knows of the upstream's limit.
+// permitRequest requests a permit, and reports what the sender knows of the upstream's limit.
 type permitRequest struct {
 	Entry        string       `json:"entry"`
 	Limit        mglimit.Word `json:"word"`
@@ -40,14 +40,15 @@
 	GranterCount int          `json:"givers"`
 }
 
-// permitReply gives the permit, or tells the ms until there may be one.
+// permitReply grants the permit, or returns the time in ms until there may be one.
 type permitReply struct {
 	Granted    bool           `json:"given"`
 	RetryAfter mgclock.Millis `json:"wait,omitempty"`
 	Limit      *mglimit.Word  `json:"word,omitempty"` // what the granter knows of the limit
 }
 
-// permit takes leave to send a request to a limited upstream.
+// acquirePermit acquires the permit to send a request to a rate-limited upstream. If it is
+// not granted, it returns the time after which to try again.
 func (n *Node) acquirePermit(ctx context.Context, permit mgrelay.Permit) (mgclock.Millis, bool) {
 	hub := n.hubPeer()
 	if hub == nil {
@@ -66,7 +67,8 @@
 	})
 	if err != nil {
 		if ctx.Err() == nil {
-			// The next upstream of the request must not cost as much time again.
+			// Without this delay the request would wait for the same timeout again at
+			// the next upstream that it tries.
 			n.permitRetryAt.Store(int64(n.clock.Now() + permitRetryDelay))
 			n.peerFailed(hub.Name())
 			n.metrics.Counter("permits.unanswered").Inc(1)
@@ -81,7 +83,7 @@
 	return reply.RetryAfter, reply.Granted
 }
 
-// errNoPermit is the error of a process that answers no question for a permit.
+// errNoPermitAnswer is the error for a process that doesn't serve permits.
 var errNoPermitAnswer = errors.New("mgnode: no answer about a permit: do all processes have one release?")
 
 func (n *Node) requestPermit(ctx context.Context, hub *mgmember.Member, request permitRequest) (permitReply, error) {
@@ -110,7 +112,7 @@
 	return reply, nil
 }
 
-// servePermit answers a process that takes this one for its granter.
+// servePermit serves a process that regards this one as its granter.
 func (n *Node) servePermit(w http.ResponseWriter, r *http.Request) {
 	var request permitRequest
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxPermitBytes)).Decode(&request); err != nil {
@@ -135,10 +137,11 @@
 		reply.Limit = &limit
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(reply) // one that left asks again
+	_ = json.NewEncoder(w).Encode(reply) // a peer that closed the connection asks again
 }
 
-// givePermit gives a process a permit out of this one's part of the upstream's limit.
+// grantPermit grants a permit out of this process's share of the upstream's limit, if one is
+// left.
 func (n *Node) grantPermit(entry string, permit mgrelay.Permit) (mgclock.Millis, bool) {
 	rate, limited := n.limits.Rate(permit.Ask.Upstream, permit.Born)
 	if !limited {
@@ -155,19 +158,19 @@
 	return wait, granted
 }
 
-// part returns this process's part of an upstream's limit: as many of the entries that may
-// send there as turn to this one.
+// limitShare returns this process's share of an upstream's limit: the number of entries that
+// request permits here, out of all entries that may send to the upstream.
 func (n *Node) limitShare(now mgclock.Millis, rate float64, granterCount int) mglimit.Part {
 	view := n.members.View()
 	entryCount := 1 + view.Others()
 	if cells := view.Cell(n.settings.Name, n.settings.Region).Of; granterCount == 1 && cells > 1 {
-		entryCount = (entryCount + cells - 1) / cells // the upstream is one cell's
+		entryCount = (entryCount + cells - 1) / cells // only the entries of one cell send to the upstream
 	}
 	return mglimit.PartOf(rate, n.hub.Entries(now), entryCount)
 }
 
-// boundPlaces counts how many requests each limited place takes now, and returns this
-// process's parts of their limits.
+// applyLimits sets how many requests each rate-limited upstream accepts now, and returns this
+// process's shares of their limits.
 func (n *Node) applyLimits(now mgclock.Millis, upstreams []mgroom.Place) map[string]mglimit.Part {
 	var parts map[string]mglimit.Part
 	for i := range upstreams {
@@ -186,8 +189,8 @@
 	return parts
 }
 
-// reservePermits keeps permits for requests that were given limited places, and will ask for
-// them.
+// reservePermits reserves permits for the requests that have been granted placements at
+// rate-limited upstreams, since they will request one.
 func (n *Node) reservePermits(now mgclock.Millis, grants []mgroom.Grant, parts map[string]mglimit.Part) {
 	for _, grant := range grants {
 		if part, limited := parts[grant.Place]; limited {
@@ -196,7 +199,7 @@
 	}
 }
 
-// takeLimits takes what another process knows of upstreams' limits.
+// mergeLimits merges the upstreams' limits that another process reports.
 func (n *Node) mergeLimits(limits []mglimit.Word) {
 	updates, unusable := n.limits.Take(n.clock.Now(), limits)
 	for _, limit := range updates {
@@ -209,7 +212,7 @@
 	}
 }
 
-// forgetLimits drops what is known of upstreams that are gone.
+// forgetGoneUpstreams drops the limits and permits of upstreams that are not listed any more.
 func (n *Node) forgetGoneUpstreams() {
 	view := n.members.View()
 	listed := func(upstream string) bool {
--- a/internal/process/mgnode/permit_test.go
+++ b/internal/process/mgnode/permit_test.go
@@ -22,8 +22,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// crowd is entries that call one another over links that a test cuts, and that send to one
-// upstream which names a limit.
+// permitCluster simulates entries that send to one upstream, which names a rate limit. They call
+// one another over links that a test can cut.
 type permitCluster struct {
 	clock     mgclock.Clock
 	nodes     []*Node
@@ -32,14 +32,15 @@
 	mu     sync.Mutex
 	rng    *rand.Rand
 	isCut  func(from, to int) bool
-	rate   float64 // that the upstream names, none where it is below 0
+	rate   float64 // limit that the upstream names, none if below 0
 	sentAt []mgclock.Millis
 }
 
 const limitedUpstream = "engine"
 
 func newPermitCluster(t *testing.T, count int, seed uint64) *permitCluster {
-	// The bubble's time begins before that of the process, in which suspicions count from 0.
+	// The synctest bubble's time begins before the start of the process, from which suspicions
+	// count.
 	time.Sleep(max(time.Second-mgclock.Clock{}.Now().Duration(), 0))
 	c := &permitCluster{
 		rng:       rand.New(rand.NewPCG(seed, 0)),
@@ -68,7 +69,7 @@
 	return c
 }
 
-// introduce has each entry know all others.
+// introduceAll makes all entries known to each entry.
 func (c *permitCluster) introduceAll() {
 	var rows []mgmember.Gossip
 	for i := range c.nodes {
@@ -86,7 +87,8 @@
 
 func clusterAddr(i int) string { return fmt.Sprintf("10.0.%d.%d:1", i/250, i%250) }
 
-// from returns the way of one entry's calls, which take one to three ms each way.
+// transportFrom returns the transport of one entry's calls, with a latency of one to three ms in
+// each direction.
 func (c *permitCluster) transportFrom(i int) http.RoundTripper {
 	return roundTrip(func(r *http.Request) (*http.Response, error) {
 		var a, b int
@@ -114,13 +116,13 @@
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// run has the entries send, a number of requests a second in all, for a span.
+// run has the entries send demand requests a second in total, for a duration.
 func (c *permitCluster) run(t *testing.T, demand float64, duration mgclock.Millis, scenario func(c *permitCluster, sleep func(mgclock.Millis))) {
 	ctx, cancel := context.WithCancel(context.Background())
 	for i, n := range c.nodes {
 		go n.reportLoads(ctx, &mgload.Count{})
 		go n.exchanger.runBroadcast(ctx)
-		if len(c.nodes) < 10 { // many spend their time on packing
+		if len(c.nodes) < 10 { // with more, compression takes most of the test's time
 			go n.exchanger.runAntiEntropy(ctx)
 		}
 		go c.runSender(ctx, i, demand/float64(len(c.nodes)))
@@ -135,10 +137,10 @@
 	go scenario(c, func(pause mgclock.Millis) { c.clock.Sleep(ctx, pause) })
 	c.clock.Sleep(ctx, duration)
 	cancel()
-	time.Sleep(time.Second) // calls under way end
+	time.Sleep(time.Second) // calls in progress end
 }
 
-// send plays one entry's requests, which come at random.
+// runSender sends one entry's requests, which arrive at random times.
 func (c *permitCluster) runSender(ctx context.Context, i int, demand float64) {
 	n := c.nodes[i]
 	var backoffs mglimit.Waits
@@ -170,7 +172,7 @@
 	}
 }
 
-// arrive plays one request at the upstream, and its answer.
+// deliver simulates the arrival of one request at the upstream, and its response.
 func (c *permitCluster) deliver(i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,14 +191,14 @@
 	c.rate = rate
 }
 
-// part cuts links from now on.
+// setCut sets which links are cut from now on.
 func (c *permitCluster) setCut(cut func(from, to int) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.isCut = cut
 }
 
-// count returns the sends of a span, and the most of them within four seconds.
+// countSends returns the number of sends between two times, and the maximum within four seconds.
 func (c *permitCluster) countSends(from, to mgclock.Millis) (total, maxInWindow int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -216,10 +218,12 @@
 	return len(sent), maxInWindow
 }
 
-// rule is what an upstream that names a limit gets in four seconds at most.
+// maxSendsInWindow returns the maximum number of requests in four seconds that an upstream with a
+// rate limit may get.
 func maxSendsInWindow(rate float64) int { return int(1.5*4*rate + 5) }
 
-// Entries together must keep an upstream's limit while who grants dies or is cut off.
+// The entries together must keep an upstream's rate limit. If the granter dies or is cut off, two
+// granters could each grant the whole limit, or none grants any of it.
 func TestEntriesTogetherExceedLimit(t *testing.T) {
 	hubOf := func(c *permitCluster) int {
 		hub := 0
@@ -256,7 +260,7 @@
 			}
 		},
 	}
-	const settled = 5 * mgclock.Second // three after the limit was named
+	const settled = 5 * mgclock.Second // three seconds after the limit was named
 	Convey("An upstream that names a limit", t, func() {
 		for _, count := range []int{1, 5, 31, 300} {
 			for name, scenario := range scenarios {
--- a/internal/process/mgnode/placement.go
+++ b/internal/process/mgnode/placement.go
@@ -11,25 +11,28 @@
 )
 
 const (
-	// placeHold is how long the entry that gives places holds a question: a place
-	// is then told at once, and not at the next question.
+	// placementHoldTimeout is how long the hub holds a request for a placement, so
+	// that a placement is returned as soon as it is assigned and not at the next
+	// request.
 	placementHoldTimeout = 250 * mgclock.Millis(1)
-	// placeWait bounds the answer. An entry that doesn't give one is dead or cut
-	// off, and the request goes where it would have gone without asking.
+	// placementTimeout limits the wait for the hub's response. A hub that doesn't
+	// respond is dead or cut off; the request is then sent as if there were none.
 	placementTimeout = placementHoldTimeout + 150
-	// placeLook is the least interval between two looks for places.
+	// minAssignInterval is the minimum interval between two assignments of a service.
 	minAssignInterval = 10 * mgclock.Millis(1)
-	// placeLife is how long what is seen of the upstreams serves such looks: what
-	// was given meanwhile is counted, and entries tell of the rest each 200 ms. The
-	// sum is some thousand lookups where 40 entries tell of 400 upstreams.
+	// capacityTTL is how long the upstreams' free capacity, once read, is used for
+	// assignments. Grants made meanwhile are counted, and entries report other
+	// changes every 200 ms only. Reading it takes some thousand lookups when 40
+	// entries report on 400 upstreams.
 	capacityTTL = 40 * mgclock.Millis(1)
-	// askLife is how long a request that was asked for counts as waiting, or a
-	// place that nobody was there to take is kept: its entry asks again at once.
+	// pendingTTL is how long a request still counts as waiting after its call has
+	// ended, and how long a placement assigned to it meanwhile is kept. Its entry
+	// calls again at once.
 	pendingTTL = 300 * mgclock.Millis(1)
 )
 
-// place waits until an upstream of a service has memory for a request, or the
-// request is given up. It returns false where nobody could be asked, or ctx has
+// acquirePlacement waits until an upstream of a service has memory for a request,
+// or the request is given up. It returns false if the hub didn't respond or ctx has
 // ended.
 func (n *Node) acquirePlacement(ctx context.Context, service string, request mgroom.Wait) (mgroom.Grant, bool) {
 	for ctx.Err() == nil {
@@ -80,7 +83,7 @@
 	}, nil
 }
 
-// Place has an entry's request wait for a place.
+// Place enqueues a request of an entry until it has a placement.
 func (p peerServer) Place(ctx context.Context, r *mgrpc.PlaceRequest) (*mgrpc.PlaceReply, error) {
 	now := p.node.clock.Now()
 	grant := p.node.awaitPlacement(ctx, r.GetService(), mgroom.Wait{
@@ -99,32 +102,32 @@
 	}, nil
 }
 
-// lines are the requests that wait with this entry, by service. The zero lines
-// is empty.
+// placementQueues holds the requests that wait at this entry, by service. The zero
+// value is empty.
 type placementQueues struct {
 	mu        sync.Mutex
 	byService map[string]*placementQueue
 }
 
-// line is the requests that wait for one service.
+// placementQueue holds the requests that wait for an upstream of one service.
 type placementQueue struct {
 	waiting         mgroom.Room
 	pending         map[string]*pendingRequest
 	assignedAt      mgclock.Millis
-	upstreams       []mgroom.Place // of the upstreams, as of the time summed
+	upstreams       []mgroom.Place // with their free capacity at upstreamsReadAt
 	upstreamsReadAt mgclock.Millis
-	loggedAt        mgclock.Millis // when a log line told of the line last
+	loggedAt        mgclock.Millis // time of the last log line about the queue
 }
 
-// ask is a request that waits, and what it was given.
+// pendingRequest is a request that waits, and its grant.
 type pendingRequest struct {
-	expiresAt mgclock.Millis // it is forgotten then unless it is asked for again
+	expiresAt mgclock.Millis // it is dropped then unless its entry has called again
 	grant     mgroom.Grant
 	granted   chan struct{} // closed once grant is set
 }
 
-// holdPlace has a request wait with this entry for a while. It returns the zero
-// Grant while there is none.
+// awaitPlacement enqueues a request at this entry and waits for its grant, for
+// placementHoldTimeout at most. It returns the zero Grant if there is none by then.
 func (n *Node) awaitPlacement(ctx context.Context, service string, request mgroom.Wait) mgroom.Grant {
 	pending := n.placementQueues.enqueue(n.clock.Now(), service, request)
 	holdEnd := n.clock.After(placementHoldTimeout)
@@ -143,7 +146,7 @@
 	}
 }
 
-// join has a request wait, or finds it waiting.
+// enqueue adds a request to the queue of its service, or extends its wait if it is queued.
 func (l *placementQueues) enqueue(now mgclock.Millis, service string, request mgroom.Wait) *pendingRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,7 +173,7 @@
 	return pending
 }
 
-// leave takes a request out and returns what it was given, if anything.
+// dequeue removes a request and returns its grant, if there is one.
 func (l *placementQueues) dequeue(service, name string) mgroom.Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -180,11 +183,11 @@
 	}
 	delete(l.byService[service].pending, name)
 	l.byService[service].waiting.Drop(name)
-	pending.grant.Name = "" // who asked knows it
+	pending.grant.Name = "" // the caller knows it
 	return pending.grant
 }
 
-// look gives what can be given now.
+// assignPlacements assigns the free capacity of a service's upstreams to the waiting requests.
 func (n *Node) assignPlacements(service string) {
 	now := n.clock.Now()
 	readUpstreams := n.readUpstreams.Load()
@@ -221,8 +224,8 @@
 	}
 }
 
-// grants returns what can be given to those that wait by the upstreams that are seen, or
-// that nothing can.
+// assign returns the grants that are possible now. Without upstreams that may be given work,
+// it gives all waiting requests up.
 func (l *placementQueue) assign(now mgclock.Millis, upstreams []mgroom.Place) []mgroom.Grant {
 	if upstreams == nil {
 		return l.waiting.Close()
--- a/internal/process/mgnode/placement_queue.go
+++ b/internal/process/mgnode/placement_queue.go
@@ -5,11 +5,13 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// lineSpan is the least interval between two log lines that tell of one line.
+// waitingListLogInterval is the minimum interval between two log lines about the
+// same queue.
 const waitingListLogInterval = mgclock.Second
 
-// tellLine tells in gauges, and in the log once a second while requests wait, what
-// a line is given its places by. The gauges are those of the last look at it.
+// reportQueue reports the state of a placement queue and of its upstreams, by which
+// placements are assigned: in gauges, and in the log once a second while at least two
+// requests wait. The gauges keep the state of the last time that requests waited.
 func (n *Node) reportQueue(now mgclock.Millis, service string, queue *placementQueue) {
 	state := queue.waiting.State(now)
 	free, unread := 0, 0
--- a/internal/process/mgnode/placement_test.go
+++ b/internal/process/mgnode/placement_test.go
@@ -16,7 +16,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// giver is an entry that gives places at one upstream with some memory free.
+// newGranter returns an entry that assigns placements at one upstream with some free memory.
 func newGranter(free func() int) *Node {
 	n := &Node{
 		metrics: mgmetric.New(),
@@ -40,10 +40,9 @@
 	}
 }
 
-// Two entries ask at the same moment, and one engine has memory for one report.
-// Sent there both, the second would wait behind the first; asked for again and
-// again, a request must have one place in the line; and one whose caller left
-// must not be given memory that another waits for.
+// Two entries ask at the same moment, and the engine has memory for one request. If both were
+// sent there, the second would wait behind the first. A repeated call must not enqueue its
+// request twice, and a request whose caller has left must not take memory from another.
 func TestMemoryPlacedTwiceOrForAbandonedRequest(t *testing.T) {
 	type scenarioFunc func(ctx context.Context, n *Node, free *atomic.Int64) (got []string)
 	cases := []struct {
@@ -52,7 +51,7 @@
 		got      []string
 	}{
 		{
-			name: "one of two gets the place, the other one when there is memory again",
+			name: "one of two gets the memory, and the other one gets it when it is free again",
 			scenario: func(ctx context.Context, n *Node, free *atomic.Int64) []string {
 				free.Store(3000)
 				first := n.awaitPlacement(ctx, "llm", reportRequest("one")).Place
@@ -67,7 +66,7 @@
 			got: []string{"engine", "", "engine"},
 		},
 		{
-			name: "one whose caller has left gets none",
+			name: "one whose caller has left gets no placement",
 			scenario: func(ctx context.Context, n *Node, free *atomic.Int64) []string {
 				left, cancel := context.WithCancel(ctx)
 				go func() {
@@ -81,7 +80,7 @@
 			got: []string{"", "engine"},
 		},
 		{
-			name: "one that nobody asks for any more gets none",
+			name: "one whose entry has stopped asking gets no placement",
 			scenario: func(ctx context.Context, n *Node, free *atomic.Int64) []string {
 				none := n.awaitPlacement(ctx, "llm", reportRequest("dead")).Place
 				n.clock.Sleep(ctx, placementHoldTimeout+pendingTTL)
@@ -91,7 +90,7 @@
 			got: []string{"", "engine"},
 		},
 		{
-			name: "one that has waited for too long is told when to come back",
+			name: "one that has waited for too long gets a retry delay",
 			scenario: func(ctx context.Context, n *Node, _ *atomic.Int64) []string {
 				w := reportRequest("late")
 				w.End = n.clock.Now() + 50
@@ -101,7 +100,7 @@
 			got: []string{"", "true"},
 		},
 	}
-	Convey("Of the requests that ask for a place", t, func() {
+	Convey("Of the requests that wait for a placement", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				var got []string
--- a/internal/process/mgnode/platform_reads.go
+++ b/internal/process/mgnode/platform_reads.go
@@ -5,19 +5,19 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// readsSpan is the least interval between two log lines that tell of the process's
-// reads of the platform.
+// readsLogInterval is the minimum interval between two log lines about the process's reads
+// of the platform.
 const readsLogInterval = 10 * mgclock.Second
 
-// readsTold is what the log was told last.
+// readsLog is the state of the last such log line.
 type readsLog struct {
 	count    int
 	loggedAt mgclock.Millis
 }
 
-// tellReads tells in gauges, and in the log every ten seconds in which there were any,
-// how often the process has read the platform and for which reason. The platform
-// counts all processes' reads together: only they can say whose they are.
+// reportReads reports how often the process has read the platform, and for which reason: in
+// gauges, and in the log at most every ten seconds if there were new reads. The platform
+// counts the reads of all processes together, so only the processes can attribute them.
 func (n *Node) reportReads(status mgconfig.Status) {
 	counts := status.Counts
 	for name, value := range map[string]int{
--- a/internal/process/mgnode/quarantine.go
+++ b/internal/process/mgnode/quarantine.go
@@ -9,7 +9,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// entries returns the other entries that are known and well.
+// otherEntries returns the other known entries, without suspected ones unless no other process
+// is left.
 func (n *Node) otherEntries() []*mgmember.Member {
 	var entries []*mgmember.Member
 	for _, peer := range n.members.View().Peers() {
@@ -20,14 +21,14 @@
 	return entries
 }
 
-// triesFirst reports whether this process ranks first among the entries that are known
-// here for a request whose hold is over.
+// isFirstToRetry reports whether this process ranks first among the known entries to retry a
+// request that is no longer held.
 func (n *Node) isFirstToRetry(digest mgquarantine.Digest) bool {
 	self := mgmember.Self(n.settings.Name, n.settings.Zone, 0)
 	return mgmember.Rank(digest.String(), append(n.otherEntries(), self), 1)[0] == self
 }
 
-// watchHeld logs requests as they come to be held, until ctx ends.
+// watchHeld logs which requests begin and cease to be held, until ctx ends.
 func (n *Node) watchHeld(ctx context.Context) {
 	var held map[mgquarantine.Digest]bool
 	for ctx.Err() == nil {
@@ -41,8 +42,8 @@
 	}
 }
 
-// reportHeld logs each request that is held and was not before, or the other way round,
-// and returns those that are.
+// reportHeld logs the requests that have begun or ceased to be held since previous, and
+// returns those that are held now.
 func (n *Node) reportHeld(previous map[mgquarantine.Digest]bool) map[mgquarantine.Digest]bool {
 	held := map[mgquarantine.Digest]bool{}
 	for _, verdict := range n.quarantine.Verdicts(n.clock.Now()) {
@@ -65,7 +66,7 @@
 	return held
 }
 
-// evidenceKeys returns what a log line tells of evidence.
+// evidenceLogValues returns the keys and values of evidence for a log line.
 func evidenceLogValues(records []mgquarantine.Note) []any {
 	requests := make([]string, 0, len(records))
 	upstreams := make([]string, 0, len(records))
@@ -78,15 +79,15 @@
 	return []any{"requests", requests, "upstreams", upstreams, "ages", ages}
 }
 
-// quarantineRow is a row of the dump.
+// quarantineRow describes one request in the dump.
 type quarantineRow struct {
 	Digest      string              `json:"digest"`
 	Occurrences int                 `json:"occurrences"`
-	Held        mgclock.Millis      `json:"held"` // ms that are left
+	Held        mgclock.Millis      `json:"held"` // remaining ms
 	Evidence    []mgquarantine.Note `json:"evidence"`
 }
 
-// quarantineState is the part of the dump that tells of requests that crash upstreams.
+// quarantineState returns the dump of the requests that crash upstreams.
 func (n *Node) quarantineState() any {
 	verdicts := n.quarantine.Verdicts(n.clock.Now())
 	rows := make([]quarantineRow, 0, len(verdicts))
--- a/internal/process/mgnode/serve.go
+++ b/internal/process/mgnode/serve.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// closeWait is how long listeners wait at least for their last responses once no
-	// connection is accepted any more.
+	// minLinger is the minimum time for which a listener that accepts no more connections
+	// waits for its last responses.
 	minLinger = 250 * mgclock.Millis(1)
-	// lingerMost is how long the callers' listener waits at most for connections that have
-	// brought no request yet.
+	// maxLinger is the maximum time for which the callers' listener waits for connections
+	// that have sent no request yet.
 	maxLinger = 2 * mgclock.Second
-	// settleWait is the time that handshakes in progress have when a listener closes.
+	// handshakeTimeout is how long a listener that closes waits for handshakes in progress.
 	handshakeTimeout = 50 * mgclock.Millis(1)
-	// closeLook is the interval at which a closing listener looks for idle connections.
+	// idlePollInterval is the interval at which a closing listener checks for idle connections.
 	idlePollInterval = 5 * mgclock.Millis(1)
 )
 
@@ -31,26 +31,26 @@
 	Listener *mglistener.Listener
 	Handler  http.Handler
 	// Linger returns how long the listener waits for its last responses. Nil stands for
-	// closeWait.
+	// minLinger.
 	Linger func() mgclock.Millis
-	// Head bounds a request's header in bytes, Slow the time in which it must
-	// arrive.
+	// MaxHeaderBytes limits the size of a request's header, HeaderTimeout the time in
+	// which it must arrive.
 	MaxHeaderBytes int
 	HeaderTimeout  mgclock.Millis
 }
 
 const (
-	// defaultHead is enough for the headers of the system's own calls.
+	// defaultMaxHeaderBytes is enough for the headers of calls between processes.
 	defaultMaxHeaderBytes = 32 << 10
-	// defaultSlow is ample time for a header of the system's own calls.
+	// defaultHeaderTimeout is ample for the headers of calls between processes.
 	defaultHeaderTimeout = 10 * mgclock.Second
-	// idleSlow closes a caller's idle connection; balancers open new ones.
+	// idleTimeout closes idle connections of callers; balancers open new ones.
 	idleTimeout = 2 * mgclock.Minute
 )
 
-// Serve answers on a listener until ctx ends. Then it answers what has reached it, on
-// connections that it hasn't accepted yet, too, and closes. When killed ends, it breaks
-// every connection at once, as the end of its process would.
+// Serve serves a listener until ctx ends. Then it responds to the requests that have reached
+// it, including those on connections not accepted yet, and closes. When killed ends, it
+// breaks every connection at once, as a crash of the process would.
 func Serve(ctx, killed context.Context, log logr.Logger, spec ServerSpec) {
 	if spec.MaxHeaderBytes == 0 {
 		spec.MaxHeaderBytes = defaultMaxHeaderBytes
@@ -91,16 +91,16 @@
 	if spec.Linger != nil {
 		linger = spec.Linger()
 	}
-	// http.Server.Shutdown isn't used: a connection that reads its request after it has
-	// begun is closed without a response.
+	// http.Server.Shutdown isn't used because it closes a connection whose request is read
+	// after Shutdown has begun, without a response.
 	conns.drain(killed, linger)
 	stats := conns.closeStats()
 	log.Info("listener closed", "read", stats.read, "unanswered", stats.unanswered, "unused", stats.unused, "cut", stats.aborted)
 	_ = server.Close()
 }
 
-// linger returns how long the callers' listener waits for its last responses: no longer
-// than the drain may last, but for closeWait.
+// linger returns how long the callers' listener waits for its last responses: until the end
+// of the drain, but at least minLinger and at most maxLinger.
 func (n *Node) linger() mgclock.Millis {
 	remaining := mgclock.Millis(n.closeDeadline.Load()) - n.clock.Now()
 	return max(minLinger, min(remaining, maxLinger))
--- a/internal/process/mgnode/serve_test.go
+++ b/internal/process/mgnode/serve_test.go
@@ -22,7 +22,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// served is a listener under test.
+// testServer is a listener under test.
 type testServer struct {
 	address     string
 	stop        context.CancelFunc
@@ -30,7 +30,7 @@
 	lastLogLine atomic.Pointer[string] // the last line of the log
 }
 
-// serve serves a handler that answers 204 until its stop is called.
+// startServer serves a handler that responds 204 until the server's stop is called.
 func startServer(t *testing.T) *testServer {
 	t.Helper()
 	listener, err := mglistener.Listen("127.0.0.1:0", nil)
@@ -58,7 +58,8 @@
 	return s
 }
 
-// A connection accepted before a stop may bring its request after the stop has begun.
+// The first request of a connection that was accepted before a stop may arrive after the stop
+// has begun. It must get a response.
 func TestStopDropsLateRequest(t *testing.T) {
 	Convey("A listener that stops", t, func() {
 		s := startServer(t)
@@ -67,7 +68,7 @@
 			So(err, ShouldBeNil)
 			return conn, bufio.NewReader(conn)
 		}
-		// ask sends a request and returns the status of its answer and whether the
+		// ask sends a request and returns the status of its response and whether the
 		// connection can be used again.
 		ask := func(conn net.Conn, r *bufio.Reader) (int, bool) {
 			_, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: entry\r\n\r\n")
@@ -87,7 +88,7 @@
 		s.stop()
 		_, err := keptReader.Peek(1)
 		Convey("ends the connections that are idle", func() { So(err, ShouldEqual, io.EOF) })
-		Convey("answers a connection that brings its first request now, and ends it", func() {
+		Convey("responds to a first request that arrives now, and ends its connection", func() {
 			code, again := ask(fresh, freshReader)
 			So(code, ShouldEqual, http.StatusNoContent)
 			So(again, ShouldBeFalse)
@@ -97,7 +98,8 @@
 	})
 }
 
-// A request that was read before a listener closes must not make up for one that is lost.
+// A request that was read before the listener began to close is handled while it closes. If it
+// were counted, it would hide a later request that got no response.
 func TestEarlyRequestHidesUnansweredOne(t *testing.T) {
 	Convey("Of two connections, one read before the listener closes and one after", t, func() {
 		var conns connTracker
@@ -125,7 +127,8 @@
 	})
 }
 
-// Callers that come without pause while an entry stops are answered or refused.
+// Requests that arrive without pause while an entry stops must get a response, or have their
+// connection refused.
 func TestStopDropsRequests(t *testing.T) {
 	Convey("Callers with kept and with new connections while a listener stops", t, func() {
 		s := startServer(t)
@@ -144,7 +147,8 @@
 	})
 }
 
-// untilRefused sends requests until a connection is refused, and says which got no answer.
+// sendUntilRefused sends requests until a connection is refused. It returns the error of a request
+// that got no response, or "".
 func sendUntilRefused(address string, keep bool) string {
 	var conn net.Conn
 	var reader *bufio.Reader
--- a/internal/process/mgnode/spec.go
+++ b/internal/process/mgnode/spec.go
@@ -15,33 +15,34 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// Spec is what a node is made of.
+// Spec configures a node.
 type Spec struct {
 	Settings mgsettings.Process
 	Log      io.Writer
-	// Platform reads the table and the list of VMs. Nil stands for the service
-	// at Settings.Platform.
+	// Platform reads the table and the list of VMs. Nil uses the service at
+	// Settings.Platform.
 	Platform *mgplatform.Client
-	// Joint says that an answer about the list shows that there is no newer table; see
-	// mgconfig.MachineSpec.
+	// Joint is true if the platform's response about the list of VMs also shows that
+	// there is no newer table; see mgconfig.MachineSpec.
 	Joint bool
-	// Known returns a page of the table that the process has read already, or
-	// nil; see mgconfig.MachineSpec.
+	// Known returns the page of the table with a digest if the process has already
+	// read it, else nil; see mgconfig.MachineSpec.
 	Known func(digest string) *mgtable.Page
-	// Unkeyed says that the network lets only the system's own processes reach
-	// Settings.Peer, so that they share no key. Names of answers are then sealed
-	// by a key of this process alone.
+	// Unkeyed is true if the network lets only the system's own processes reach
+	// Settings.Peer, so that they need no shared key. Names of answers are then
+	// sealed with a key that only this process has.
 	Unkeyed bool
-	// Relay is the form of the requests that the table's routes pass through.
-	// Nil passes none.
+	// Relay is the form of the requests that the table's routes pass through to
+	// upstreams. Nil passes none.
 	Relay *mgrelay.Form
-	// Probe asks an upstream whether it leaves. Nil asks none.
+	// Probe asks an upstream whether it is leaving. Nil asks none.
 	Probe func(ctx context.Context, upstream mgrelay.Host) (leaving bool, err error)
-	// Move makes a call to the source of a move. Nil moves nothing.
+	// Move calls the source of a migration. Nil migrates nothing.
 	Move func(ctx context.Context, source mgrelay.Host, order mgrelay.Order) mgmigration.Reply
 }
 
-// keys returns what secures the calls between processes and what seals names.
+// newKeys returns the guard that secures calls between processes and the signer that seals
+// names.
 func newKeys(spec Spec) (*mgpeer.Guard, *mgseal.Signer, error) {
 	settings := spec.Settings
 	if spec.Unkeyed {
@@ -65,7 +66,7 @@
 	return guard, seal, err
 }
 
-// files returns the names of a certificate's files.
+// certFiles returns the file names of a certificate.
 func certFiles(names mgsettings.TLS) mgpeer.Files {
 	return mgpeer.Files{
 		Cert: names.Cert,
@@ -74,7 +75,7 @@
 	}
 }
 
-// ownKey is the length of a process's own key in bytes, that of a SHA-256.
+// ownKeyBytes is the length of a process's own key, that of a SHA-256.
 const ownKeyBytes = 32
 
 func (s Spec) platform() mgplatform.Client {
