--- a/internal/process/mgnode/compress.go
+++ b/internal/process/mgnode/compress.go
@@ -22,10 +22,10 @@
 	defer gzipWriters.Put(writer)
 	writer.Reset(&body)
 	if err := json.NewEncoder(writer).Encode(value); err != nil {
-		return nil, fmt.Errorf("%T can't be written: %w", value, err)
+		return nil, fmt.Errorf("%T can't be encoded: %w", value, err)
 	}
 	if err := writer.Close(); err != nil {
-		return nil, fmt.Errorf("%T can't be packed: %w", value, err)
+		return nil, fmt.Errorf("%T can't be compressed: %w", value, err)
 	}
 	return body.Bytes(), nil
 }
@@ -34,7 +34,7 @@
 func decompressJSON(r io.Reader, maxBytes int64, value any) error {
 	reader, err := gzip.NewReader(r)
 	if err != nil {
-		return fmt.Errorf("%T can't be unpacked: send it again: %w", value, err)
+		return fmt.Errorf("%T can't be decompressed: send it again: %w", value, err)
 	}
 	if err := json.NewDecoder(io.LimitReader(reader, maxBytes)).Decode(value); err != nil {
 		return fmt.Errorf("%T is not JSON: send it again: %w", value, err)
--- a/internal/process/mgnode/drain.go
+++ b/internal/process/mgnode/drain.go
@@ -32,7 +32,7 @@
 func (s Drain) Run(abort context.Context) mgclock.Millis {
 	deadline := s.Clock.Now() + s.MaxDuration
 	s.WithdrawReadiness()
-	s.Log.Info("stopping: not ready any more", "busy", s.CountBusy())
+	s.Log.Info("stopping: readiness is withdrawn", "busy", s.CountBusy())
 	s.Clock.Sleep(abort, min(s.NoticeDelay, s.MaxDuration))
 	s.RefuseNewWork()
 	for s.CountBusy() > 0 && s.Clock.Now() < deadline {
--- a/internal/process/mgnode/exchange.go
+++ b/internal/process/mgnode/exchange.go
@@ -90,7 +90,7 @@
 	}
 	if rejected := e.quarantine.Take(e.clock.Now(), message.Records); len(rejected) > 0 {
 		e.onRejected(len(rejected))
-		e.log.Info("notes of crashes were refused", "count", len(rejected), "first", rejected[0].Error())
+		e.log.Info("records of crashes were rejected", "count", len(rejected), "first", rejected[0].Error())
 	}
 }
 
@@ -234,15 +234,15 @@
 	url := n.guard.Base(to.PeerAddr()) + quarantinePath
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return reply, fmt.Errorf("peer %s: its address is odd: %w", to.PeerAddr(), err)
+		return reply, fmt.Errorf("peer %s: invalid address: %w", to.PeerAddr(), err)
 	}
 	response, err := n.calls.RoundTrip(request)
 	if err != nil {
-		return reply, fmt.Errorf("peer %s: it takes no notes of crashes: %w", to.PeerAddr(), err)
+		return reply, fmt.Errorf("peer %s: sending records of crashes: %w", to.PeerAddr(), err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return reply, fmt.Errorf("peer %s: it takes no notes of crashes: status %d", to.PeerAddr(), response.StatusCode)
+		return reply, fmt.Errorf("peer %s: sending records of crashes: status %d", to.PeerAddr(), response.StatusCode)
 	}
 	if err := decompressJSON(response.Body, maxUpdateBytes, &reply); err != nil {
 		return reply, fmt.Errorf("peer %s: %w", to.PeerAddr(), err)
--- a/internal/process/mgnode/gossip.go
+++ b/internal/process/mgnode/gossip.go
@@ -42,15 +42,15 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, n.guard.Base(addr)+gossipPath, bytes.NewReader(body))
 	if err != nil {
-		return nil, fmt.Errorf("peer %s: its address is odd: %w", addr, err)
+		return nil, fmt.Errorf("peer %s: invalid address: %w", addr, err)
 	}
 	response, err := n.calls.RoundTrip(request)
 	if err != nil {
-		return nil, fmt.Errorf("peer %s: no gossip: %w", addr, err)
+		return nil, fmt.Errorf("peer %s: exchanging gossip: %w", addr, err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("peer %s: no gossip: status %d", addr, response.StatusCode)
+		return nil, fmt.Errorf("peer %s: exchanging gossip: status %d", addr, response.StatusCode)
 	}
 	reply, err := decodeGossip(response.Body)
 	if err != nil {
--- a/internal/process/mgnode/list.go
+++ b/internal/process/mgnode/list.go
@@ -73,16 +73,16 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, n.guard.Base(addr)+listPath+"?"+query.Encode(), nil)
 	if err != nil {
-		return mgconfig.Listing{}, fmt.Errorf("peer %s: its address is odd: %w", addr, err)
+		return mgconfig.Listing{}, fmt.Errorf("peer %s: invalid address: %w", addr, err)
 	}
 	response, err := n.calls.RoundTrip(request)
 	if err != nil {
-		return mgconfig.Listing{}, fmt.Errorf("peer %s: no list: %w", addr, err)
+		return mgconfig.Listing{}, fmt.Errorf("peer %s: requesting the list of VMs: %w", addr, err)
 	}
 	defer response.Body.Close()
 	listing, err := decodeListing(response)
 	if err != nil {
-		return mgconfig.Listing{}, fmt.Errorf("peer %s: no list: %w", addr, err)
+		return mgconfig.Listing{}, fmt.Errorf("peer %s: reading the list of VMs: %w", addr, err)
 	}
 	return listing, nil
 }
@@ -104,7 +104,7 @@
 		func() (err error) { age, err = strconv.ParseInt(header.Get(listAgeHeader), 10, 64); return },
 	} {
 		if err := read(); err != nil {
-			return mgconfig.Listing{}, fmt.Errorf("status %d, and a header is missing: %w", response.StatusCode, err)
+			return mgconfig.Listing{}, fmt.Errorf("status %d, and a header is missing or not a number: %w", response.StatusCode, err)
 		}
 	}
 	listing.Word.Age = mgclock.Millis(age)
@@ -117,7 +117,7 @@
 	}
 	packed, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
 	if err != nil {
-		return mgconfig.Listing{}, fmt.Errorf("it broke off: %w", err)
+		return mgconfig.Listing{}, fmt.Errorf("the response broke off: %w", err)
 	}
 	listing.Packed = packed
 	return listing, nil
--- a/internal/process/mgnode/migration_slot.go
+++ b/internal/process/mgnode/migration_slot.go
@@ -38,7 +38,7 @@
 		if err != nil {
 			if ctx.Err() == nil {
 				n.peerFailed(coordinator.Name())
-				n.log.Info("no turn could be asked for, the generation is moved without one",
+				n.log.Info("a request for a migration slot failed, the generation is moved without one",
 					"home", coordinator.Name(), "run", request.Run, "why", err.Error())
 			}
 			return "", false
@@ -90,7 +90,7 @@
 		End:    true,
 	})
 	if err != nil {
-		n.log.Info("a turn could not be given back and runs out by itself", "home", coordinator.Name(), "run", run, "why", err.Error())
+		n.log.Info("a migration slot could not be released and expires by itself", "home", coordinator.Name(), "run", run, "why", err.Error())
 	}
 }
 
--- a/internal/process/mgnode/permit.go
+++ b/internal/process/mgnode/permit.go
@@ -72,7 +72,7 @@
 			n.permitRetryAt.Store(int64(n.clock.Now() + permitRetryDelay))
 			n.peerFailed(hub.Name())
 			n.metrics.Counter("permits.unanswered").Inc(1)
-			n.log.Info("no permit could be asked for, the request goes elsewhere", "hub", hub.Name(),
+			n.log.Info("a request for a permit failed, another upstream is tried", "hub", hub.Name(),
 				mglog.Request, permit.Ask.Request, mglog.Upstream, permit.Ask.Upstream, "why", err.Error())
 		}
 		return permitRetryDelay, false
@@ -84,7 +84,7 @@
 }
 
 // errNoPermitAnswer is the error for a process that doesn't serve permits.
-var errNoPermitAnswer = errors.New("mgnode: no answer about a permit: do all processes have one release?")
+var errNoPermitAnswer = errors.New("mgnode: the process serves no permits: do all processes run the same release?")
 
 func (n *Node) requestPermit(ctx context.Context, hub *mgmember.Member, request permitRequest) (permitReply, error) {
 	var reply permitReply
@@ -92,22 +92,22 @@
 	defer cancel()
 	body, err := json.Marshal(request)
 	if err != nil {
-		return reply, fmt.Errorf("peer %s: the question for a permit can't be written: %w", hub.PeerAddr(), err)
+		return reply, fmt.Errorf("peer %s: encoding a request for a permit: %w", hub.PeerAddr(), err)
 	}
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, n.guard.Base(hub.PeerAddr())+permitPath, bytes.NewReader(body))
 	if err != nil {
-		return reply, fmt.Errorf("peer %s: its address is odd: %w", hub.PeerAddr(), err)
+		return reply, fmt.Errorf("peer %s: invalid address: %w", hub.PeerAddr(), err)
 	}
 	response, err := n.calls.RoundTrip(httpRequest)
 	if err != nil {
-		return reply, fmt.Errorf("peer %s: no permit: %w", hub.PeerAddr(), err)
+		return reply, fmt.Errorf("peer %s: requesting a permit: %w", hub.PeerAddr(), err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		return reply, fmt.Errorf("peer %s: status %d: %w", hub.PeerAddr(), response.StatusCode, errNoPermitAnswer)
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxPermitBytes)).Decode(&reply); err != nil {
-		return reply, fmt.Errorf("peer %s: its answer about a permit can't be read: %w", hub.PeerAddr(), err)
+		return reply, fmt.Errorf("peer %s: decoding a response about a permit: %w", hub.PeerAddr(), err)
 	}
 	return reply, nil
 }
@@ -203,12 +203,12 @@
 func (n *Node) mergeLimits(limits []mglimit.Word) {
 	updates, unusable := n.limits.Take(n.clock.Now(), limits)
 	for _, limit := range updates {
-		n.log.Info("another process knows of an upstream's limit", mglog.Upstream, limit.Upstream, "rate", limit.Rate,
+		n.log.Info("another process reported an upstream's limit", mglog.Upstream, limit.Upstream, "rate", limit.Rate,
 			"ended", limit.Ended, "age", int64(limit.Named))
 	}
 	if unusable > 0 {
 		n.metrics.Counter("limits.unusable").Inc(int64(unusable))
-		n.log.Info("words of upstreams' limits have no upstream, or a rate or age below 0", "count", unusable)
+		n.log.Info("reports of upstreams' limits have no upstream, or a rate or age below 0", "count", unusable)
 	}
 }
 
--- a/internal/process/mgnode/placement.go
+++ b/internal/process/mgnode/placement.go
@@ -46,7 +46,7 @@
 			if err != nil {
 				if ctx.Err() == nil {
 					n.peerFailed(hub.Name())
-					n.log.Info("no place could be asked for, the request is sent without one",
+					n.log.Info("a request for a placement failed, the request is sent without one",
 						"hub", hub.Name(), "request", request.Name, "why", err.Error())
 				}
 				return mgroom.Grant{}, false
--- a/internal/process/mgnode/placement_queue.go
+++ b/internal/process/mgnode/placement_queue.go
@@ -33,6 +33,6 @@
 		return
 	}
 	queue.loggedAt = now
-	n.log.Info("requests wait for places", mglog.Service, service, "waiting", state.Waiting, "late", state.Late,
+	n.log.Info("requests wait for placements", mglog.Service, service, "waiting", state.Waiting, "late", state.Late,
 		"age", int64(state.Age), "places", len(queue.upstreams), "free", free, "unread", unread)
 }
--- a/internal/process/mgnode/serve.go
+++ b/internal/process/mgnode/serve.go
@@ -82,7 +82,7 @@
 	err := server.Serve(spec.Listener)
 	if cancelFinish() || killed.Err() != nil {
 		if !errors.Is(err, http.ErrServerClosed) {
-			log.Error(err, "a listener ended")
+			log.Error(err, "a listener failed")
 		}
 		return
 	}
