--- a/internal/process/mgnode/connections.go
+++ b/internal/process/mgnode/connections.go
@@ -77,8 +77,8 @@
 	})
 }
 
-// recordHandled reports whether the listener is closing, and counts a request that was read
-// while it was.
+// recordHandled reports whether the listener is closing. It counts the connection's request as
+// handled if stateChanged has counted it as read.
 func (c *connTracker) recordHandled(tracked *trackedConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,8 +89,8 @@
 	return c.closing
 }
 
-// drain ends idle connections and waits until each other one has had its last response. It
-// returns after timeout, or when killed ends.
+// drain ends idle connections, and waits until the other connections have had their last
+// responses. It returns after timeout, or when killed ends.
 func (c *connTracker) drain(killed context.Context, timeout mgclock.Millis) {
 	var clock mgclock.Clock
 	for end := clock.Now() + timeout; c.expireIdle() > 0 && clock.Now() < end; {
@@ -115,7 +115,7 @@
 	return len(c.open)
 }
 
-// beginClose starts to count requests.
+// beginClose marks the listener as closing, from which on requests are counted.
 func (c *connTracker) beginClose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/process/mgnode/drain.go
+++ b/internal/process/mgnode/drain.go
@@ -21,7 +21,7 @@
 	MaxDuration mgclock.Millis
 	// WithdrawReadiness has the process report that it is not ready.
 	WithdrawReadiness func()
-	// RefuseNewWork refuses new work from now on.
+	// RefuseNewWork has the process refuse new work from now on.
 	RefuseNewWork func()
 	// CountBusy counts the work in progress, which a stop would interrupt.
 	CountBusy func() int
@@ -29,17 +29,17 @@
 
 // Run drains the process. It ends early when abort ends, and returns the time by which
 // the process should have responded to the requests that reached it meanwhile.
-func (s Drain) Run(abort context.Context) mgclock.Millis {
-	deadline := s.Clock.Now() + s.MaxDuration
-	s.WithdrawReadiness()
-	s.Log.Info("stopping: readiness is withdrawn", "busy", s.CountBusy())
-	s.Clock.Sleep(abort, min(s.NoticeDelay, s.MaxDuration))
-	s.RefuseNewWork()
-	for s.CountBusy() > 0 && s.Clock.Now() < deadline {
-		if !s.Clock.Sleep(abort, drainPollInterval) {
-			deadline = s.Clock.Now()
+func (d Drain) Run(abort context.Context) mgclock.Millis {
+	deadline := d.Clock.Now() + d.MaxDuration
+	d.WithdrawReadiness()
+	d.Log.Info("stopping: readiness is withdrawn", "busy", d.CountBusy())
+	d.Clock.Sleep(abort, min(d.NoticeDelay, d.MaxDuration))
+	d.RefuseNewWork()
+	for d.CountBusy() > 0 && d.Clock.Now() < deadline {
+		if !d.Clock.Sleep(abort, drainPollInterval) {
+			deadline = d.Clock.Now()
 		}
 	}
-	s.Log.Info("drained", "unfinished", s.CountBusy())
+	d.Log.Info("drained", "unfinished", d.CountBusy())
 	return deadline
 }
--- a/internal/process/mgnode/entry.go
+++ b/internal/process/mgnode/entry.go
@@ -34,8 +34,8 @@
 	n.pause.On(func(mgclock.Millis) { shares.Drop() })
 	n.background.Go(func() { shares.Run(ctx) })
 	entry := mgentry.New(n.entrySpec(settings, shares), n.incarnation)
-	placements := entry.Places
-	n.readUpstreams.Store(&placements)
+	readUpstreams := entry.Places
+	n.readUpstreams.Store(&readUpstreams)
 	n.admin.Source("entry", func() any { return entry.State() })
 	n.admin.Source("shares", func() any { return shares.Status() })
 	n.background.Go(func() { entry.Run(ctx) })
--- a/internal/process/mgnode/exchange.go
+++ b/internal/process/mgnode/exchange.go
@@ -62,7 +62,7 @@
 	onRejected   func(count int) // called with the number of received records that can't be used
 	quarantine   *mgquarantine.Quarantine
 	limits       *mglimit.Limits
-	mergeLimits  func(words []mglimit.Word) // merges the limits that others report
+	mergeLimits  func(limits []mglimit.Word) // merges the limits that others report
 	peers        func() []*mgmember.Member
 	call         func(ctx context.Context, to *mgmember.Member, message updateMessage) (updateMessage, error)
 }
--- a/internal/process/mgnode/exchange_test.go
+++ b/internal/process/mgnode/exchange_test.go
@@ -268,7 +268,7 @@
 		m := newMesh(meshSpec{
 			count: 30,
 		})
-		var meanwhile int
+		var heldMeanwhile int
 		var elapsed mgclock.Millis
 		m.run(t, func() {
 			m.isolated.Store(29)
@@ -277,18 +277,18 @@
 				time.Sleep(400 * time.Millisecond)
 			}
 			time.Sleep(10 * time.Second)
-			meanwhile = m.holdingCount()
+			heldMeanwhile = m.holdingCount()
 			m.isolated.Store(-1)
 			elapsed = m.waitUntilHeld(30)
 		})
-		So(meanwhile, ShouldEqual, 29)
+		So(heldMeanwhile, ShouldEqual, 29)
 		So(elapsed, ShouldBeLessThanOrEqualTo, 3*mgclock.Second+exchangeTimeout)
 	})
 	Convey("A crash that it observed meanwhile counts together with those that others observed", t, func() {
 		m := newMesh(meshSpec{
 			count: 30,
 		})
-		var meanwhile int
+		var heldMeanwhile int
 		var elapsed mgclock.Millis
 		m.run(t, func() {
 			m.isolated.Store(29)
@@ -298,11 +298,11 @@
 			time.Sleep(time.Second)
 			m.crash(29, "engine-29")
 			time.Sleep(5 * time.Second)
-			meanwhile = m.holdingCount()
+			heldMeanwhile = m.holdingCount()
 			m.isolated.Store(-1)
 			elapsed = m.waitUntilHeld(30)
 		})
-		So(meanwhile, ShouldEqual, 0)
+		So(heldMeanwhile, ShouldEqual, 0)
 		So(elapsed, ShouldBeLessThanOrEqualTo, 3*mgclock.Second+exchangeTimeout)
 	})
 }
--- a/internal/process/mgnode/migration_slot.go
+++ b/internal/process/mgnode/migration_slot.go
@@ -34,7 +34,7 @@
 			}
 			continue
 		}
-		place, err := n.requestMigrationSlot(ctx, coordinator, request)
+		destination, err := n.requestMigrationSlot(ctx, coordinator, request)
 		if err != nil {
 			if ctx.Err() == nil {
 				n.peerFailed(coordinator.Name())
@@ -43,8 +43,8 @@
 			}
 			return "", false
 		}
-		if place != "" {
-			return place, true
+		if destination != "" {
+			return destination, true
 		}
 	}
 	return "", false
@@ -104,23 +104,23 @@
 // rendezvousFirst returns the process that ranks first for a key by rendezvous hashing
 // among the eligible processes of this cell, or nil if it is this one.
 func (n *Node) rendezvousFirst(key string) *mgmember.Member {
-	eligible, self := n.eligiblePeers()
+	eligible, self := n.eligibleProcesses()
 	return nilIfSelf(mgmember.Rank(key, eligible, 1)[0], self)
 }
 
 // hubPeer returns the hub of this cell, or nil if it is this process.
 func (n *Node) hubPeer() *mgmember.Member {
-	eligible, self := n.eligiblePeers()
+	eligible, self := n.eligibleProcesses()
 	return nilIfSelf(mgmember.RankHub(eligible, 1)[0], self)
 }
 
-// eligiblePeers returns the processes of this cell that may be its hub or a
+// eligibleProcesses returns the processes of this cell that may be its hub or a
 // coordinator: the known peers that are neither suspected nor leaving, and this
 // process. This process is not eligible while it is leaving, unless it is alone. Its
 // peers no longer choose it; if it still chose itself, two processes would grant
 // slots for one source, and the copies that share the source's link would all end
 // after the source is reclaimed.
-func (n *Node) eligiblePeers() (eligible []*mgmember.Member, self *mgmember.Member) {
+func (n *Node) eligibleProcesses() (eligible []*mgmember.Member, self *mgmember.Member) {
 	cell := n.members.View().Cell(n.settings.Name, n.settings.Region)
 	self = mgmember.Self(n.settings.Name, n.settings.Zone, int(n.settings.Power))
 	if n.leaving.Load() && len(cell.Peers) > 0 {
--- a/internal/process/mgnode/migration_slot_test.go
+++ b/internal/process/mgnode/migration_slot_test.go
@@ -33,19 +33,19 @@
 func TestStoppingEntryGrantsMigrationSlots(t *testing.T) {
 	Convey("An entry that is stopping asks another for migration slots and placements", t, func() {
 		a, b := nodeKnowing("entry-a", "entry-b"), nodeKnowing("entry-b", "entry-a")
-		home, other := a, b
+		coordinator, other := a, b
 		if a.migrationCoordinator("llm") != nil {
-			home, other = b, a
+			coordinator, other = b, a
 		}
-		So(home.migrationCoordinator("llm"), ShouldBeNil)
-		So(other.migrationCoordinator("llm").Name(), ShouldEqual, home.settings.Name)
-		home.leaving.Store(true)
-		So(home.migrationCoordinator("llm").Name(), ShouldEqual, other.settings.Name)
-		So(home.hubPeer().Name(), ShouldEqual, other.settings.Name)
+		So(coordinator.migrationCoordinator("llm"), ShouldBeNil)
+		So(other.migrationCoordinator("llm").Name(), ShouldEqual, coordinator.settings.Name)
+		coordinator.leaving.Store(true)
+		So(coordinator.migrationCoordinator("llm").Name(), ShouldEqual, other.settings.Name)
+		So(coordinator.hubPeer().Name(), ShouldEqual, other.settings.Name)
 		Convey("and grants them itself if it is alone", func() {
-			home.members = mgmember.New(home.settings.Name)
-			So(home.migrationCoordinator("llm"), ShouldBeNil)
-			So(home.hubPeer(), ShouldBeNil)
+			coordinator.members = mgmember.New(coordinator.settings.Name)
+			So(coordinator.migrationCoordinator("llm"), ShouldBeNil)
+			So(coordinator.hubPeer(), ShouldBeNil)
 		})
 	})
 }
--- a/internal/process/mgnode/permit.go
+++ b/internal/process/mgnode/permit.go
@@ -172,29 +172,29 @@
 // applyLimits sets how many requests each rate-limited upstream accepts now, and returns this
 // process's shares of their limits.
 func (n *Node) applyLimits(now mgclock.Millis, upstreams []mgroom.Place) map[string]mglimit.Part {
-	var parts map[string]mglimit.Part
+	var shares map[string]mglimit.Part
 	for i := range upstreams {
 		p := &upstreams[i]
 		if !p.Limited {
 			continue
 		}
-		if parts == nil {
-			parts = map[string]mglimit.Part{}
+		if shares == nil {
+			shares = map[string]mglimit.Part{}
 		}
-		part := n.limitShare(now, p.Rate, p.Givers)
-		parts[p.Name] = part
-		p.Rate = part.Rate()
-		p.Permits = n.permits.Left(now, p.Name, part)
+		share := n.limitShare(now, p.Rate, p.Givers)
+		shares[p.Name] = share
+		p.Rate = share.Rate()
+		p.Permits = n.permits.Left(now, p.Name, share)
 	}
-	return parts
+	return shares
 }
 
 // reservePermits reserves permits for the requests that have been granted placements at
 // rate-limited upstreams, since they will request one.
-func (n *Node) reservePermits(now mgclock.Millis, grants []mgroom.Grant, parts map[string]mglimit.Part) {
+func (n *Node) reservePermits(now mgclock.Millis, grants []mgroom.Grant, shares map[string]mglimit.Part) {
 	for _, grant := range grants {
-		if part, limited := parts[grant.Place]; limited {
-			n.permits.Reserve(now, grant.Place, grant.Name, part)
+		if share, limited := shares[grant.Place]; limited {
+			n.permits.Reserve(now, grant.Place, grant.Name, share)
 		}
 	}
 }
--- a/internal/process/mgnode/placement.go
+++ b/internal/process/mgnode/placement.go
@@ -198,8 +198,8 @@
 		return
 	}
 	queue.assignedAt = now
-	for name, own := range queue.pending {
-		if now >= own.expiresAt {
+	for name, pending := range queue.pending {
+		if now >= pending.expiresAt {
 			delete(queue.pending, name)
 			queue.waiting.Drop(name)
 		}
@@ -213,13 +213,13 @@
 		n.reportQueue(now, service, queue)
 	}
 	upstreams := slices.Clone(queue.upstreams)
-	parts := n.applyLimits(now, upstreams)
+	shares := n.applyLimits(now, upstreams)
 	grants := queue.assign(now, upstreams)
-	n.reservePermits(now, grants, parts)
+	n.reservePermits(now, grants, shares)
 	for _, grant := range grants {
-		if own := queue.pending[grant.Name]; own != nil {
-			own.grant = grant
-			close(own.granted)
+		if pending := queue.pending[grant.Name]; pending != nil {
+			pending.grant = grant
+			close(pending.granted)
 		}
 	}
 }
--- a/internal/process/mgnode/placement_queue.go
+++ b/internal/process/mgnode/placement_queue.go
@@ -5,9 +5,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// waitingListLogInterval is the minimum interval between two log lines about the
+// queueLogInterval is the minimum interval between two log lines about the
 // same queue.
-const waitingListLogInterval = mgclock.Second
+const queueLogInterval = mgclock.Second
 
 // reportQueue reports the state of a placement queue and of its upstreams, by which
 // placements are assigned: in gauges, and in the log once a second while at least two
@@ -29,7 +29,7 @@
 	} {
 		n.metrics.Gauge(name + service).Update(int64(value))
 	}
-	if state.Waiting < 2 || now < queue.loggedAt+waitingListLogInterval {
+	if state.Waiting < 2 || now < queue.loggedAt+queueLogInterval {
 		return
 	}
 	queue.loggedAt = now
--- a/internal/process/mgnode/serve_test.go
+++ b/internal/process/mgnode/serve_test.go
@@ -133,16 +133,16 @@
 	Convey("Callers with kept and with new connections while a listener stops", t, func() {
 		s := startServer(t)
 		var callers sync.WaitGroup
-		ends := make(chan string, 40)
-		for i := range cap(ends) {
-			callers.Go(func() { ends <- sendUntilRefused(s.address, i%2 == 0) })
+		failures := make(chan string, 40)
+		for i := range cap(failures) {
+			callers.Go(func() { failures <- sendUntilRefused(s.address, i%2 == 0) })
 		}
 		mgclock.Clock{}.Sleep(t.Context(), 100)
 		s.stop()
 		callers.Wait()
-		close(ends)
-		for end := range ends {
-			So(end, ShouldEqual, "")
+		close(failures)
+		for failure := range failures {
+			So(failure, ShouldEqual, "")
 		}
 	})
 }
