--- a/internal/process/mgnode/entry.go
+++ b/internal/process/mgnode/entry.go
@@ -17,52 +17,52 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgdial"
 )
 
-// RunEntry runs an entry until stop ends, then drains it; hurry cuts the drain
-// short.
-func RunEntry(stop, hurry context.Context, settings mgsettings.Entry, n *Node) error {
-	return n.run(stop, hurry, func(ctx context.Context) (Stop, error) { return n.openEntry(ctx, settings) })
+// RunEntry runs an entry until stop ends, and then drains it. The drain ends early
+// when abortDrain ends.
+func RunEntry(stop, abortDrain context.Context, settings mgsettings.Entry, n *Node) error {
+	return n.run(stop, abortDrain, func(ctx context.Context) (Drain, error) { return n.startEntry(ctx, settings) })
 }
 
-// openEntry begins to serve callers, and returns how that is stopped.
-func (n *Node) openEntry(ctx context.Context, settings mgsettings.Entry) (Stop, error) {
+// startEntry starts to serve callers, and returns the drain that stops it.
+func (n *Node) startEntry(ctx context.Context, settings mgsettings.Entry) (Drain, error) {
 	public, err := listenPublic(settings)
 	if err != nil {
-		return Stop{}, err
+		return Drain{}, err
 	}
 	shares := mgshare.NewLoop(n.sharesSpec(settings.Fresh))
 	n.shares.Store(shares)
 	n.pause.On(func(mgclock.Millis) { shares.Drop() })
-	n.servers.Go(func() { shares.Run(ctx) })
+	n.background.Go(func() { shares.Run(ctx) })
 	entry := mgentry.New(n.entrySpec(settings, shares), n.incarnation)
-	places := entry.Places
-	n.places.Store(&places)
+	readUpstreams := entry.Places
+	n.readUpstreams.Store(&readUpstreams)
 	n.admin.Source("entry", func() any { return entry.State() })
 	n.admin.Source("shares", func() any { return shares.Status() })
-	n.servers.Go(func() { entry.Run(ctx) })
-	n.servers.Go(func() { n.notes.spread(ctx) })
-	n.servers.Go(func() { n.notes.compare(ctx) })
-	n.servers.Go(func() { n.watchHeld(ctx) })
-	if n.form != nil {
-		n.servers.Go(func() { n.tellLoads(ctx, entry.Load()) })
+	n.background.Go(func() { entry.Run(ctx) })
+	n.background.Go(func() { n.exchanger.runBroadcast(ctx) })
+	n.background.Go(func() { n.exchanger.runAntiEntropy(ctx) })
+	n.background.Go(func() { n.watchHeld(ctx) })
+	if n.relayForm != nil {
+		n.background.Go(func() { n.reportLoads(ctx, entry.Load()) })
 	}
 	if settings.Retry > 0 {
-		n.servers.Go(func() { n.boundRetries(ctx, int(settings.Retry), entry.BoundRetries) })
+		n.background.Go(func() { n.limitRetries(ctx, int(settings.Retry), entry.BoundRetries) })
 	}
 	n.Serve(ctx, ServerSpec{
-		Name:     "callers",
-		Listener: public,
-		Handler:  entry.Routes(),
-		Linger:   n.linger,
-		Head:     int(settings.Head),
-		Slow:     mgclock.Millis(settings.Slow),
+		Name:           "callers",
+		Listener:       public,
+		Handler:        entry.Routes(),
+		Linger:         n.linger,
+		MaxHeaderBytes: int(settings.Head),
+		HeaderTimeout:  mgclock.Millis(settings.Slow),
 	})
-	stop := n.Stop(entry.Leave, entry.Busy)
-	unready := stop.Unready
-	stop.Unready = func() {
-		entry.Stopping(n.clock.Now() + stop.Longest)
-		unready()
+	drain := n.NewDrain(entry.Leave, entry.Busy)
+	withdrawReadiness := drain.WithdrawReadiness
+	drain.WithdrawReadiness = func() {
+		entry.Stopping(n.clock.Now() + drain.MaxDuration)
+		withdrawReadiness()
 	}
-	return stop, nil
+	return drain, nil
 }
 
 func (n *Node) entrySpec(settings mgsettings.Entry, shares *mgshare.Loop) mgentry.Spec {
@@ -75,10 +75,10 @@
 		Quarantine: n.quarantine,
 		Table:      n.Table,
 		Certain:    n.loop.Certain,
-		Seen:       n.Seen,
+		Seen:       n.ObserveVersion,
 		View:       n.members.View,
-		Failed:     n.failed,
-		Heard:      n.heard,
+		Failed:     n.peerFailed,
+		Heard:      n.peerSeen,
 		Acquire:    shares.Acquire,
 		Running:    shares.Running,
 		Calls: &mglink.Guard{
@@ -90,65 +90,67 @@
 		Frames:    n.guard.Transport(true),
 		Base:      n.guard.Base,
 		Relay:     n.relaySpec(),
-		Answered:  n.answered,
+		Answered:  n.peerAnswered,
 		Changed:   n.members.Changed,
-		Others:    n.Others,
-		Elsewhere: n.elsewhere,
+		Others:    n.OtherLoads,
+		Elsewhere: n.mostOthersStay,
 		Stale:     n.loop.Stale,
-		Left:      n.left,
+		Left:      n.upstreamDeparted,
 	}
 }
 
-// upstreamSilence ends a connection to an upstream whose kernel has given no
-// sign of life for so long. Callers leave a stream after seven seconds without
-// an event, and a partition that heals before should cost them a pause only. The
-// kernel counts in whole seconds: three spans of three seconds.
-const upstreamSilence = 9 * time.Second
+// upstreamSilenceTimeout is how long an upstream's kernel may leave keep-alive
+// probes unanswered before the connection is closed. Callers give a stream up
+// after seven seconds without an event, and a partition that heals before then
+// should only pause it. The kernel counts whole seconds: three intervals of three
+// seconds.
+const upstreamSilenceTimeout = 9 * time.Second
 
-// boundRetries keeps this entry's part of the retries that all entries may make,
-// by how many of them are known, until ctx ends.
-func (n *Node) boundRetries(ctx context.Context, allowed int, bound func(limit int)) {
+// limitRetries sets this entry's share of total, the number of retries allowed to
+// all entries, once a second by how many entries are known, until ctx ends.
+func (n *Node) limitRetries(ctx context.Context, total int, setLimit func(limit int)) {
 	for ok := true; ok; ok = n.clock.Sleep(ctx, mgclock.Second) {
-		bound(mgretry.Share(allowed, 1+len(n.entries())))
+		setLimit(mgretry.Share(total, 1+len(n.otherEntries())))
 	}
 }
 
-// elsewhere reports whether at least half of the other entries stay. Callers
-// that come back reach any of them; where most are stopping, too, an answer that
-// may be cut is worth more than a second refusal.
-func (n *Node) elsewhere() bool {
-	entries, stay := n.entries(), 0
+// mostOthersStay reports whether at least half of the other entries are not
+// leaving. A caller that retries reaches any entry. Where most of them are leaving,
+// a response that may be cut off is worth more to it than a second refusal.
+func (n *Node) mostOthersStay() bool {
+	entries, staying := n.otherEntries(), 0
 	for _, entry := range entries {
 		if !entry.Leaving() {
-			stay++
+			staying++
 		}
 	}
-	return len(entries) > 0 && 2*stay >= len(entries)
+	return len(entries) > 0 && 2*staying >= len(entries)
 }
 
-// relaySpec returns how requests are passed through, or nil when none are.
+// relaySpec returns the specification of the relay that passes requests through to
+// upstreams, or nil without one.
 func (n *Node) relaySpec() *mgrelay.Spec {
-	if n.form == nil {
+	if n.relayForm == nil {
 		return nil
 	}
 	return &mgrelay.Spec{
-		Form:    *n.form,
-		Basis:   n.basis,
+		Form:    *n.relayForm,
+		Basis:   n.loadBasis,
 		Move:    n.move,
 		Probe:   n.probe,
-		Place:   n.place,
-		Turn:    n.turn,
-		EndTurn: n.endTurn,
+		Place:   n.acquirePlacement,
+		Turn:    n.acquireMigrationSlot,
+		EndTurn: n.releaseMigrationSlot,
 		Refuses: mgdial.Refuses,
 		Limits:  &n.limits,
-		Permit:  n.permit,
-		Client:  mgdial.NewClientWith(mgdial.Near(upstreamSilence)),
+		Permit:  n.acquirePermit,
+		Client:  mgdial.NewClientWith(mgdial.Near(upstreamSilenceTimeout)),
 	}
 }
 
-// listenPublic opens the callers' listener, with TLS where it is set.
+// listenPublic opens the callers' listener, with TLS if it is configured.
 func listenPublic(settings mgsettings.Entry) (*mglistener.Listener, error) {
-	identity, err := mgpeer.Public(files(settings.Public))
+	identity, err := mgpeer.Public(certFiles(settings.Public))
 	if err != nil {
 		return nil, err
 	}
--- /dev/null
+++ b/internal/process/mgnode/exchange.go
@@ -0,0 +1,251 @@
+package mgnode
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+
+	"github.com/go-logr/logr"
+
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mglimit"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgquarantine"
+	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
+	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
+)
+
+// Processes exchange what their requests show about upstreams: records of the requests that
+// crash them, and reports of the rate limits that they name. A process broadcasts an update
+// to a few peers, which forward it (rumor mongering). From time to time each process also
+// compares its state with that of one peer, for processes that were cut off or have just
+// started (anti-entropy).
+
+// quarantinePath is where a process receives an updateMessage and responds with one that
+// holds what the sender lacks, as JSON, compressed by gzip.
+const quarantinePath = "/quarantine"
+
+const (
+	// broadcastFanout is the number of peers that a broadcast round sends to, urgentFanout
+	// the number if one request has crashed several upstreams. broadcastInterval is the
+	// time between two rounds. mgquarantine keeps a record among its updates for four
+	// rounds.
+	broadcastFanout   = 3
+	urgentFanout      = 5
+	broadcastInterval = 150 * mgclock.Millis(1)
+	// minBroadcastInterval is the minimum time between two rounds when there are new records.
+	minBroadcastInterval = 20 * mgclock.Millis(1)
+	// meanCompareInterval is the mean interval between two anti-entropy rounds of a process.
+	meanCompareInterval = 1500 * mgclock.Millis(1)
+	// exchangeTimeout limits the wait for a peer's response.
+	exchangeTimeout = 500 * mgclock.Millis(1)
+	// maxUpdateBytes limits a decompressed message: four times the size of the maximum
+	// number of records that mgquarantine keeps.
+	maxUpdateBytes = 1 << 20
+)
+
+// updateMessage is the message of an exchange, in both directions.
+type updateMessage struct {
+	Records []mgquarantine.Note `json:"notes,omitempty"`
+	// Sums are checksums of all records of the sender, in an anti-entropy round.
+	Sums    mgquarantine.Sums `json:"sums,omitempty"`
+	Compare bool              `json:"compare,omitempty"`
+	// Limits are those that changed recently, or all known ones in an anti-entropy round.
+	Limits []mglimit.Word `json:"limits,omitempty"`
+}
+
+// exchanger exchanges records of crashes and reports of limits with other processes.
+type exchanger struct {
+	clock        mgclock.Clock
+	log          logr.Logger
+	onCallFailed func()          // called when a peer couldn't be reached
+	onRejected   func(count int) // called with the number of received records that can't be used
+	quarantine   *mgquarantine.Quarantine
+	limits       *mglimit.Limits
+	mergeLimits  func(limits []mglimit.Word) // merges the limits that others report
+	peers        func() []*mgmember.Member
+	call         func(ctx context.Context, to *mgmember.Member, message updateMessage) (updateMessage, error)
+}
+
+// handle merges a peer's message, and returns what the peer lacks or knows less precisely.
+func (e *exchanger) handle(message updateMessage) updateMessage {
+	e.merge(message)
+	reply := updateMessage{
+		Records: e.quarantine.Refine(e.clock.Now(), message.Records),
+	}
+	if message.Compare {
+		reply.Records = e.quarantine.Lacking(e.clock.Now(), message.Sums)
+		reply.Sums = e.quarantine.Sums()
+		reply.Limits = e.limits.Words(e.clock.Now())
+	}
+	return reply
+}
+
+func (e *exchanger) merge(message updateMessage) {
+	if len(message.Limits) > 0 {
+		e.mergeLimits(message.Limits)
+	}
+	if len(message.Records) == 0 {
+		return
+	}
+	if rejected := e.quarantine.Take(e.clock.Now(), message.Records); len(rejected) > 0 {
+		e.onRejected(len(rejected))
+		e.log.Info("records of crashes were rejected", "count", len(rejected), "first", rejected[0].Error())
+	}
+}
+
+// broadcast sends a message to count random peers in the background, and merges their
+// responses. A peer that can't be reached receives the update from other processes.
+func (e *exchanger) broadcast(ctx context.Context, count int, message updateMessage) {
+	peers := e.peers()
+	for _, i := range rand.Perm(len(peers))[:min(count, len(peers))] {
+		go func() {
+			callCtx, cancel := context.WithTimeout(ctx, exchangeTimeout.Duration())
+			defer cancel()
+			reply, err := e.call(callCtx, peers[i], message)
+			if err != nil {
+				e.onCallFailed()
+				return
+			}
+			e.merge(reply)
+			if message.Compare {
+				e.sendMissing(ctx, peers[i], reply.Sums)
+			}
+		}()
+	}
+}
+
+// sendMissing sends a peer the records that it lacks according to its checksums.
+func (e *exchanger) sendMissing(ctx context.Context, to *mgmember.Member, peerSums mgquarantine.Sums) {
+	records := e.quarantine.Lacking(e.clock.Now(), peerSums)
+	if len(records) == 0 {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout.Duration())
+	defer cancel()
+	if _, err := e.call(ctx, to, updateMessage{Records: records}); err != nil {
+		e.onCallFailed()
+	}
+}
+
+// runBroadcast broadcasts updates until ctx ends.
+func (e *exchanger) runBroadcast(ctx context.Context) {
+	for ctx.Err() == nil {
+		recordsChanged, limitsChanged := e.quarantine.Changed(), e.limits.Changed()
+		var nextRound <-chan struct{} // nil if there are no updates
+		updates := updateMessage{
+			Records: e.quarantine.News(e.clock.Now()),
+			Limits:  e.limits.News(e.clock.Now()),
+		}
+		if len(updates.Records)+len(updates.Limits) > 0 {
+			fanout := broadcastFanout
+			if hasRepeatedCrash(updates.Records) {
+				fanout = urgentFanout
+			}
+			e.broadcast(ctx, fanout, updates)
+			if !e.clock.Sleep(ctx, minBroadcastInterval) {
+				return
+			}
+			nextRound = e.clock.After(broadcastInterval - minBroadcastInterval)
+		}
+		select {
+		case <-recordsChanged:
+		case <-limitsChanged:
+		case <-nextRound:
+		case <-ctx.Done():
+		}
+	}
+}
+
+// hasRepeatedCrash reports whether one request crashed several upstreams.
+func hasRepeatedCrash(records []mgquarantine.Note) bool {
+	upstreams := map[string]string{} // by digest
+	for _, record := range records {
+		if record.Upstream == "" {
+			continue
+		}
+		previous, seen := upstreams[record.Digest]
+		if seen && previous != record.Upstream {
+			return true
+		}
+		upstreams[record.Digest] = record.Upstream
+	}
+	return false
+}
+
+// runAntiEntropy compares this process's records and limits with those of a random peer at
+// random intervals, until ctx ends. A process that has just started does so as soon as it
+// knows a peer.
+func (e *exchanger) runAntiEntropy(ctx context.Context) {
+	for len(e.peers()) == 0 {
+		if !e.clock.Sleep(ctx, broadcastInterval) {
+			return
+		}
+	}
+	for ctx.Err() == nil {
+		e.quarantine.Tick(e.clock.Now())
+		e.broadcast(ctx, 1, updateMessage{
+			Sums:    e.quarantine.Sums(),
+			Compare: true,
+			Limits:  e.limits.Words(e.clock.Now()),
+		})
+		e.clock.Sleep(ctx, meanCompareInterval/2+mgclock.Millis(rand.Int64N(int64(meanCompareInterval))))
+	}
+}
+
+// newExchanger returns the exchanger of this node.
+func (n *Node) newExchanger() *exchanger {
+	return &exchanger{
+		clock:        n.clock,
+		log:          n.log,
+		onCallFailed: func() { n.metrics.Counter("quarantine.untold").Inc(1) },
+		onRejected:   func(count int) { n.metrics.Counter("quarantine.refused").Inc(int64(count)) },
+		quarantine:   n.quarantine,
+		limits:       &n.limits,
+		mergeLimits:  n.mergeLimits,
+		peers:        n.otherEntries,
+		call:         n.sendUpdates,
+	}
+}
+
+// serveUpdates merges a peer's message, and responds with what the peer lacks.
+func (n *Node) serveUpdates(w http.ResponseWriter, r *http.Request) {
+	var message updateMessage
+	if err := decompressJSON(r.Body, maxUpdateBytes, &message); err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	body, err := compressJSON(n.exchanger.handle(message))
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
+	w.Header().Set("Content-Type", "application/gzip")
+	_, _ = w.Write(body) // a peer that closed the connection asks again
+}
+
+// sendUpdates sends a message to a peer, and returns its response.
+func (n *Node) sendUpdates(ctx context.Context, to *mgmember.Member, message updateMessage) (updateMessage, error) {
+	var reply updateMessage
+	body, err := compressJSON(message)
+	if err != nil {
+		return reply, err
+	}
+	url := n.guard.Base(to.PeerAddr()) + quarantinePath
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
+	if err != nil {
+		return reply, fmt.Errorf("peer %s: invalid address: %w", to.PeerAddr(), err)
+	}
+	response, err := n.calls.RoundTrip(request)
+	if err != nil {
+		return reply, fmt.Errorf("peer %s: sending records of crashes: %w", to.PeerAddr(), err)
+	}
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return reply, fmt.Errorf("peer %s: sending records of crashes: status %d", to.PeerAddr(), response.StatusCode)
+	}
+	if err := decompressJSON(response.Body, maxUpdateBytes, &reply); err != nil {
+		return reply, fmt.Errorf("peer %s: %w", to.PeerAddr(), err)
+	}
+	return reply, nil
+}
--- /dev/null
+++ b/internal/process/mgnode/exchange_test.go
@@ -0,0 +1,335 @@
+package mgnode
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strconv"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/go-logr/logr"
+	. "github.com/smartystreets/goconvey/convey"
+
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mglimit"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgquarantine"
+	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
+	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
+)
+
+// meshSpec describes the processes of a mesh and the links between them.
+type meshSpec struct {
+	count     int
+	lossRate  float64 // part of the calls that get no response
+	deadCount int     // the last processes, which don't respond
+	// maxLatency is the maximum latency in one direction; 0 stands for three ms.
+	maxLatency time.Duration
+}
+
+// mesh simulates processes that exchange records of crashes, in virtual time.
+type mesh struct {
+	spec     meshSpec
+	clock    mgclock.Clock
+	nodes    []*exchanger
+	isolated atomic.Int64 // index of the process that is cut off, or -1
+	calls    atomic.Int64
+	bytes    atomic.Int64
+}
+
+var errLost = errors.New("the call was lost")
+
+func newMesh(spec meshSpec) *mesh {
+	m := &mesh{
+		spec: spec,
+	}
+	m.isolated.Store(-1)
+	var members []*mgmember.Member
+	for i := range spec.count {
+		members = append(members, mgmember.Self(strconv.Itoa(i), "a", 0))
+	}
+	for i := range spec.count {
+		m.nodes = append(m.nodes, &exchanger{
+			log:          logr.Discard(),
+			onCallFailed: func() {},
+			onRejected:   func(int) {},
+			quarantine:   mgquarantine.New("life "+strconv.Itoa(i), nil),
+			limits:       &mglimit.Limits{},
+			mergeLimits:  func([]mglimit.Word) {},
+			peers:        func() []*mgmember.Member { return slices.Delete(slices.Clone(members), i, i+1) },
+			call: func(ctx context.Context, to *mgmember.Member, message updateMessage) (updateMessage, error) {
+				return m.call(ctx, i, to, message)
+			},
+		})
+	}
+	return m
+}
+
+// call delivers a message and its response, each with a random latency of one ms to maxLatency.
+func (m *mesh) call(ctx context.Context, from int, to *mgmember.Member, message updateMessage) (updateMessage, error) {
+	at, _ := strconv.Atoi(to.Name())
+	m.calls.Add(1)
+	m.bytes.Add(compressedSize(message))
+	maxLatency := m.spec.maxLatency
+	if maxLatency == 0 {
+		maxLatency = 3 * time.Millisecond
+	}
+	latency := func() time.Duration {
+		return time.Millisecond + time.Duration(rand.Int64N(int64(maxLatency-time.Millisecond)))
+	}
+	lost := at >= m.spec.count-m.spec.deadCount || rand.Float64() < m.spec.lossRate
+	cut := m.isolated.Load()
+	if lost || int64(at) == cut || int64(from) == cut {
+		<-ctx.Done()
+		return updateMessage{}, errLost
+	}
+	time.Sleep(latency())
+	reply := m.nodes[at].handle(message)
+	m.bytes.Add(compressedSize(reply))
+	time.Sleep(latency())
+	return reply, nil
+}
+
+func compressedSize(message updateMessage) int64 {
+	body, err := compressJSON(message)
+	if err != nil {
+		return 0
+	}
+	return int64(len(body))
+}
+
+// run runs the processes of the mesh until body returns.
+func (m *mesh) run(t *testing.T, body func()) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		for _, node := range m.nodes[:m.spec.count-m.spec.deadCount] {
+			go node.runBroadcast(ctx)
+			go node.runAntiEntropy(ctx)
+		}
+		body()
+		cancel()
+		time.Sleep(time.Second) // calls in progress end
+	})
+}
+
+var poisonDigest = mgquarantine.DigestOf("account", "host", "/path", []byte("body"))
+
+// crash has a process observe that an upstream crashes while it runs the poisonous request.
+func (m *mesh) crash(node int, upstream string) {
+	now := m.clock.Now()
+	m.nodes[node].quarantine.Crashed(now, mgquarantine.Crash{
+		Digest:   poisonDigest,
+		Request:  "request",
+		Upstream: upstream,
+		Begun:    true,
+		Sent:     now - 100,
+	})
+}
+
+// holdingCount returns how many processes hold the request.
+func (m *mesh) holdingCount() int {
+	count := 0
+	for _, node := range m.nodes {
+		if _, held := node.quarantine.Held(m.clock.Now(), poisonDigest); held {
+			count++
+		}
+	}
+	return count
+}
+
+// waitUntilHeld returns the time until count processes hold the request, a minute at most.
+func (m *mesh) waitUntilHeld(count int) mgclock.Millis {
+	start := m.clock.Now()
+	for m.holdingCount() < count && m.clock.Now() < start+mgclock.Minute {
+		time.Sleep(5 * time.Millisecond)
+	}
+	return m.clock.Now() - start
+}
+
+// An entry that doesn't know of the crashes sends the request to further upstreams.
+func TestCrashUnknownToSomeProcesses(t *testing.T) {
+	cases := []struct {
+		name       string
+		lossRate   float64
+		deadOneIn  int
+		maxLatency time.Duration
+	}{
+		{
+			name: "no faults",
+		},
+		{
+			name:       "latencies of up to 400 ms, crashes two seconds apart",
+			maxLatency: 400 * time.Millisecond,
+		},
+		{
+			name:     "a fifth of the calls lost",
+			lossRate: 0.2,
+		},
+		{
+			name:      "a tenth of the processes dead, not detected yet",
+			deadOneIn: 10,
+		},
+	}
+	Convey("Three crashes, each seen by another process, are known to all within two seconds", t, func() {
+		for _, count := range []int{5, 30, 100, 300} {
+			for _, c := range cases {
+				Convey(fmt.Sprintf("%d processes, %s", count, c.name), func() {
+					spec := meshSpec{
+						count:      count,
+						lossRate:   c.lossRate,
+						maxLatency: c.maxLatency,
+					}
+					if c.deadOneIn > 0 {
+						spec.deadCount = max(count/c.deadOneIn, 1)
+					}
+					m := newMesh(spec)
+					var elapsed mgclock.Millis
+					m.run(t, func() {
+						time.Sleep(time.Second)
+						for i := range 3 {
+							time.Sleep(max(400*time.Millisecond, 5*c.maxLatency))
+							m.crash(i, fmt.Sprintf("engine-%d", i))
+						}
+						elapsed = m.waitUntilHeld(count - spec.deadCount)
+					})
+					t.Logf("%d processes, %s: known to all after %d ms, %d calls and %d bytes until then",
+						count, c.name, elapsed, m.calls.Load(), m.bytes.Load())
+					So(elapsed, ShouldBeLessThanOrEqualTo, 2*mgclock.Second)
+				})
+			}
+		}
+	})
+}
+
+// Each process must count crashes 400 ms apart as separate ones. Slow links blur the order of
+// their records.
+func TestCrashUnknownOverSlowLinks(t *testing.T) {
+	Convey("Three crashes 400 ms apart are known to all within two seconds with latencies of up to 400 ms", t, func() {
+		for _, count := range []int{5, 30, 100, 300} {
+			Convey(fmt.Sprintf("%d processes", count), func() {
+				m := newMesh(meshSpec{
+					count:      count,
+					maxLatency: 400 * time.Millisecond,
+				})
+				var elapsed mgclock.Millis
+				m.run(t, func() {
+					time.Sleep(time.Second)
+					for i := range 3 {
+						time.Sleep(400 * time.Millisecond)
+						m.crash(i, fmt.Sprintf("engine-%d", i))
+					}
+					elapsed = m.waitUntilHeld(count)
+				})
+				t.Logf("%d processes: known to all after %d ms", count, elapsed)
+				So(elapsed, ShouldBeLessThanOrEqualTo, 2*mgclock.Second)
+			})
+		}
+	})
+}
+
+// Many upstreams are lost at one moment, as with an availability zone. A harmless request that
+// was running on several of them must not be held for that.
+func TestMassCrashHoldsRequest(t *testing.T) {
+	Convey("If five upstreams are lost at one moment, and five more five seconds later, no request is held", t, func() {
+		for _, maxLatency := range []time.Duration{3 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond} {
+			for _, count := range []int{5, 30, 100} {
+				Convey(fmt.Sprintf("%d processes, latencies of up to %v", count, maxLatency), func() {
+					m := newMesh(meshSpec{
+						count:      count,
+						maxLatency: maxLatency,
+					})
+					maxHolding := 0
+					m.run(t, func() {
+						time.Sleep(time.Second)
+						for moment := range 2 {
+							for i := range 5 {
+								m.crash(i, fmt.Sprintf("engine-%d", 5*moment+i))
+							}
+							for range 50 {
+								time.Sleep(100 * time.Millisecond)
+								maxHolding = max(maxHolding, m.holdingCount())
+							}
+						}
+					})
+					So(maxHolding, ShouldEqual, 0)
+				})
+			}
+		}
+	})
+}
+
+// An entry that was cut off while the request crashed upstreams doesn't know of the crashes, and
+// sends the request on once it is reachable again.
+func TestCrashUnknownAfterPartition(t *testing.T) {
+	Convey("A process that was cut off knows of the crashes within 3.5 s after the cut", t, func() {
+		m := newMesh(meshSpec{
+			count: 30,
+		})
+		var heldMeanwhile int
+		var elapsed mgclock.Millis
+		m.run(t, func() {
+			m.isolated.Store(29)
+			for i := range 3 {
+				m.crash(i, fmt.Sprintf("engine-%d", i))
+				time.Sleep(400 * time.Millisecond)
+			}
+			time.Sleep(10 * time.Second)
+			heldMeanwhile = m.holdingCount()
+			m.isolated.Store(-1)
+			elapsed = m.waitUntilHeld(30)
+		})
+		So(heldMeanwhile, ShouldEqual, 29)
+		So(elapsed, ShouldBeLessThanOrEqualTo, 3*mgclock.Second+exchangeTimeout)
+	})
+	Convey("A crash that it observed meanwhile counts together with those that others observed", t, func() {
+		m := newMesh(meshSpec{
+			count: 30,
+		})
+		var heldMeanwhile int
+		var elapsed mgclock.Millis
+		m.run(t, func() {
+			m.isolated.Store(29)
+			m.crash(0, "engine-0")
+			time.Sleep(time.Second)
+			m.crash(1, "engine-1")
+			time.Sleep(time.Second)
+			m.crash(29, "engine-29")
+			time.Sleep(5 * time.Second)
+			heldMeanwhile = m.holdingCount()
+			m.isolated.Store(-1)
+			elapsed = m.waitUntilHeld(30)
+		})
+		So(heldMeanwhile, ShouldEqual, 0)
+		So(elapsed, ShouldBeLessThanOrEqualTo, 3*mgclock.Second+exchangeTimeout)
+	})
+}
+
+// Records of many different requests that crash upstreams must not saturate the links.
+func TestManyCrashesSaturateLinks(t *testing.T) {
+	Convey("60 processes exchange few bytes", t, func() {
+		var quiet, busy float64 // bytes a second of a process
+		m := newMesh(meshSpec{
+			count: 60,
+		})
+		m.run(t, func() {
+			time.Sleep(10 * time.Second)
+			quiet = float64(m.bytes.Swap(0)) / 10 / 60
+			for i := range 100 {
+				m.nodes[i%60].quarantine.Crashed(m.clock.Now(), mgquarantine.Crash{
+					Digest:   mgquarantine.DigestOf("account", "host", "/path", []byte(strconv.Itoa(i))),
+					Request:  "request",
+					Upstream: "engine-" + strconv.Itoa(i),
+					Begun:    true,
+				})
+				time.Sleep(100 * time.Millisecond)
+			}
+			busy = float64(m.bytes.Load()) / 10 / 60
+		})
+		t.Logf("bytes a second in requests and responses of a process: %.0f at rest, %.0f while ten upstreams a second crash", quiet, busy)
+		So(quiet, ShouldBeLessThan, 100)
+		So(busy, ShouldBeLessThan, 30_000)
+	})
+}
--- a/internal/process/mgnode/gossip.go
+++ b/internal/process/mgnode/gossip.go
@@ -10,59 +10,60 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
 )
 
-// gossipPath is the path at which a process is told of others, and tells of those that
-// it knows: mgmember.Gossip rows as JSON, compressed by gzip, both ways.
+// gossipPath is where processes exchange which other processes they know: request and
+// response are mgmember.Gossip rows as JSON, compressed by gzip.
 const gossipPath = "/gossip"
 
-// maxGossip bounds it in bytes once decompressed: some 8,000 rows.
-const maxGossip = 1 << 20
+// maxGossipBytes limits a decompressed message: some 8,000 rows.
+const maxGossipBytes = 1 << 20
 
-// serveGossip answers a process that tells of others.
+// serveGossip merges the rows that a peer sends, and responds with those known here.
 func (n *Node) serveGossip(w http.ResponseWriter, r *http.Request) {
-	all, err := readGossip(r.Body)
+	rows, err := decodeGossip(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	body, err := pack(n.loop.Gossiped(all))
+	body, err := compressJSON(n.loop.Gossiped(rows))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/gzip")
-	_, _ = w.Write(body) // one that left asks again
+	_, _ = w.Write(body) // a peer that closed the connection asks again
 }
 
-// gossip tells the process at an address of others, and returns what it knows.
-func (n *Node) gossip(ctx context.Context, addr string, all []mgmember.Gossip) ([]mgmember.Gossip, error) {
-	body, err := pack(all)
+// exchangeGossip sends rows to the process at an address, and returns the rows that are
+// known there.
+func (n *Node) exchangeGossip(ctx context.Context, addr string, rows []mgmember.Gossip) ([]mgmember.Gossip, error) {
+	body, err := compressJSON(rows)
 	if err != nil {
 		return nil, err
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, n.guard.Base(addr)+gossipPath, bytes.NewReader(body))
 	if err != nil {
-		return nil, fmt.Errorf("peer %s: its address is odd: %w", addr, err)
+		return nil, fmt.Errorf("peer %s: invalid address: %w", addr, err)
 	}
 	response, err := n.calls.RoundTrip(request)
 	if err != nil {
-		return nil, fmt.Errorf("peer %s: no gossip: %w", addr, err)
+		return nil, fmt.Errorf("peer %s: exchanging gossip: %w", addr, err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("peer %s: no gossip: status %d", addr, response.StatusCode)
+		return nil, fmt.Errorf("peer %s: exchanging gossip: status %d", addr, response.StatusCode)
 	}
-	known, err := readGossip(response.Body)
+	reply, err := decodeGossip(response.Body)
 	if err != nil {
 		return nil, fmt.Errorf("peer %s: %w", addr, err)
 	}
-	return known, nil
+	return reply, nil
 }
 
-// readGossip reads what is told of processes.
-func readGossip(from io.Reader) ([]mgmember.Gossip, error) {
-	var all []mgmember.Gossip
-	if err := unpack(from, maxGossip, &all); err != nil {
+// decodeGossip reads a gossip message.
+func decodeGossip(from io.Reader) ([]mgmember.Gossip, error) {
+	var rows []mgmember.Gossip
+	if err := decompressJSON(from, maxGossipBytes, &rows); err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	return all, nil
+	return rows, nil
 }
--- a/internal/process/mgnode/list.go
+++ b/internal/process/mgnode/list.go
@@ -12,95 +12,99 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A process tells the list of VMs as the platform publishes its values (see
-// mgplatform): a question for what is newer than a version is held until there is
-// something newer or its wait is over.
+// A process serves the list of VMs by long polling, as the platform serves its values
+// (see mgplatform): a request for a list newer than a version is held until there is a
+// newer one or its wait is over.
 const (
 	listPath = "/list"
-	// afterQuery and waitQuery are the version that the caller has, and ms.
-	afterQuery = "after"
-	waitQuery  = "wait"
-	// listHeader and tableHeader are versions; ageHeader is the list's age since the
-	// platform confirmed it, ms, negative where it doesn't.
-	listHeader  = "List"
-	ageHeader   = "List-Age"
-	tableHeader = "Table"
-	// tableAgeHeader is how long ago the platform had no newer table, ms, negative where
-	// that isn't known. A process of an earlier release doesn't tell it.
+	// afterParam is the version that the caller has, waitParam its maximum wait in ms.
+	afterParam = "after"
+	waitParam  = "wait"
+	// listVersionHeader and tableVersionHeader are versions. listAgeHeader is the time in
+	// ms since the platform confirmed the list, negative if it has not.
+	listVersionHeader  = "List"
+	listAgeHeader      = "List-Age"
+	tableVersionHeader = "Table"
+	// tableAgeHeader is the time in ms since the platform confirmed that it has no newer
+	// table, negative if that isn't known. Processes of earlier releases don't send it.
 	tableAgeHeader = "Table-Age"
 )
 
 const (
-	// maxListWait bounds how long a question is held, whatever its caller asks.
-	maxListWait = 5 * mgclock.Second
-	// maxList bounds a list on the wire in bytes, as the platform bounds a value.
-	maxList = 1 << 20
+	// maxLongPoll limits how long a request is held, whatever wait its caller asks for.
+	maxLongPoll = 5 * mgclock.Second
+	// maxListBytes limits the size of an encoded list, as the platform limits a value.
+	maxListBytes = 1 << 20
 )
 
-// serveList answers a process that listens at this one.
+// serveList answers a peer's long poll for the list of VMs.
 func (n *Node) serveList(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	after, err := strconv.ParseUint(query.Get(afterQuery), 10, 64)
+	after, err := strconv.ParseUint(query.Get(afterParam), 10, 64)
 	if err != nil {
 		http.Error(w, "after is no version: give a whole number", http.StatusBadRequest)
 		return
 	}
-	wait, err := strconv.ParseInt(query.Get(waitQuery), 10, 64)
+	wait, err := strconv.ParseInt(query.Get(waitParam), 10, 64)
 	if err != nil {
 		http.Error(w, "wait is no time: give whole ms", http.StatusBadRequest)
 		return
 	}
-	listing := n.loop.Listing(r.Context(), after, min(mgclock.Millis(wait), maxListWait))
+	listing := n.loop.Listing(r.Context(), after, min(mgclock.Millis(wait), maxLongPoll))
 	header := w.Header()
-	header.Set(listHeader, strconv.FormatUint(listing.Word.List, 10))
-	header.Set(ageHeader, strconv.FormatInt(int64(listing.Word.Age), 10))
-	header.Set(tableHeader, strconv.FormatUint(listing.Word.Table, 10))
+	header.Set(listVersionHeader, strconv.FormatUint(listing.Word.List, 10))
+	header.Set(listAgeHeader, strconv.FormatInt(int64(listing.Word.Age), 10))
+	header.Set(tableVersionHeader, strconv.FormatUint(listing.Word.Table, 10))
 	header.Set(tableAgeHeader, strconv.FormatInt(int64(listing.Word.TableAge), 10))
 	if listing.Packed == nil {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
 	header.Set("Content-Type", "application/octet-stream")
-	_, _ = w.Write(listing.Packed) // a listener that left asks again
+	_, _ = w.Write(listing.Packed) // a peer that closed the connection asks again
 }
 
-// listen asks the process at an address for a list newer than a version.
-func (n *Node) listen(ctx context.Context, addr string, after uint64, wait mgclock.Millis) (mgconfig.Listing, error) {
+// longPollList asks the process at an address for a list newer than a version, and waits
+// up to wait for one.
+func (n *Node) longPollList(ctx context.Context, addr string, after uint64, wait mgclock.Millis) (mgconfig.Listing, error) {
 	query := url.Values{
-		afterQuery: {strconv.FormatUint(after, 10)},
-		waitQuery:  {strconv.FormatInt(int64(wait), 10)},
+		afterParam: {strconv.FormatUint(after, 10)},
+		waitParam:  {strconv.FormatInt(int64(wait), 10)},
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, n.guard.Base(addr)+listPath+"?"+query.Encode(), nil)
 	if err != nil {
-		return mgconfig.Listing{}, fmt.Errorf("peer %s: its address is odd: %w", addr, err)
+		return mgconfig.Listing{}, fmt.Errorf("peer %s: invalid address: %w", addr, err)
 	}
 	response, err := n.calls.RoundTrip(request)
 	if err != nil {
-		return mgconfig.Listing{}, fmt.Errorf("peer %s: no list: %w", addr, err)
+		return mgconfig.Listing{}, fmt.Errorf("peer %s: requesting the list of VMs: %w", addr, err)
 	}
 	defer response.Body.Close()
-	listing, err := readListing(response)
+	listing, err := decodeListing(response)
 	if err != nil {
-		return mgconfig.Listing{}, fmt.Errorf("peer %s: no list: %w", addr, err)
+		return mgconfig.Listing{}, fmt.Errorf("peer %s: reading the list of VMs: %w", addr, err)
 	}
 	return listing, nil
 }
 
-// readListing reads the answer to a question for the list.
-func readListing(response *http.Response) (mgconfig.Listing, error) {
+// decodeListing reads the response to a long poll for the list.
+func decodeListing(response *http.Response) (mgconfig.Listing, error) {
 	header := response.Header
 	var listing mgconfig.Listing
 	var age int64
 	for _, read := range []func() error{
-		func() (err error) { listing.Word.List, err = strconv.ParseUint(header.Get(listHeader), 10, 64); return },
 		func() (err error) {
-			listing.Word.Table, err = strconv.ParseUint(header.Get(tableHeader), 10, 64)
+			listing.Word.List, err = strconv.ParseUint(header.Get(listVersionHeader), 10, 64)
 			return
 		},
-		func() (err error) { age, err = strconv.ParseInt(header.Get(ageHeader), 10, 64); return },
+		func() (err error) {
+			listing.Word.Table, err = strconv.ParseUint(header.Get(tableVersionHeader), 10, 64)
+			return
+		},
+		func() (err error) { age, err = strconv.ParseInt(header.Get(listAgeHeader), 10, 64); return },
 	} {
 		if err := read(); err != nil {
-			return mgconfig.Listing{}, fmt.Errorf("status %d, and a header is missing: %w", response.StatusCode, err)
+			return mgconfig.Listing{}, fmt.Errorf("status %d, and a header is missing or not a number: %w", response.StatusCode, err)
 		}
 	}
 	listing.Word.Age = mgclock.Millis(age)
@@ -111,9 +115,9 @@
 	if response.StatusCode == http.StatusNotModified {
 		return listing, nil
 	}
-	packed, err := io.ReadAll(io.LimitReader(response.Body, maxList))
+	packed, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
 	if err != nil {
-		return mgconfig.Listing{}, fmt.Errorf("it broke off: %w", err)
+		return mgconfig.Listing{}, fmt.Errorf("the response broke off: %w", err)
 	}
 	listing.Packed = packed
 	return listing, nil
--- a/internal/process/mgnode/peer.go
+++ b/internal/process/mgnode/peer.go
@@ -16,7 +16,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// loopSpec joins the configuration's loop to the node.
+// loopSpec returns the specification of the configuration loop.
 func (n *Node) loopSpec() mgconfig.LoopSpec {
 	return mgconfig.LoopSpec{
 		Machine: mgconfig.MachineSpec{
@@ -26,11 +26,11 @@
 			Incarnation: n.incarnation,
 			Addr:        n.settings.Peer,
 			Power:       int(n.settings.Power),
-			Seed:        seed(n.incarnation),
+			Seed:        jitterSeed(n.incarnation),
 			Seeds:       n.settings.Seeds,
 			Spread:      mgclock.Millis(n.settings.Spread),
-			Known:       n.known,
-			Joint:       n.joint,
+			Known:       n.cachedPage,
+			Joint:       n.listCoversTable,
 			Quick:       mgclock.Millis(n.settings.Quick),
 			Watch:       mgclock.Millis(n.settings.Watch),
 			Answer:      mgclock.Millis(n.settings.Answer),
@@ -41,40 +41,41 @@
 		Members:  n.members,
 		Platform: n.platform,
 		Log:      n.log,
-		Adopted:  n.adopted,
+		Adopted:  n.publishAdopted,
 		Exchange: func(ctx context.Context, addr string, s *mgrpc.Summary) (*mgrpc.Summary, error) {
-			return n.peer(addr).Exchange(ctx, s)
+			return n.peerClient(addr).Exchange(ctx, s)
 		},
 		Fetch: func(ctx context.Context, addr string, r *mgrpc.FetchRequest) (*mgrpc.FetchReply, error) {
-			return n.peer(addr).Fetch(ctx, r)
+			return n.peerClient(addr).Fetch(ctx, r)
 		},
-		Listen: n.listen,
-		Gossip: n.gossip,
+		Listen: n.longPollList,
+		Gossip: n.exchangeGossip,
 	}
 }
 
-// peer returns the calls of the process at an address.
-func (n *Node) peer(addr string) mgrpc.Peer {
+// peerClient returns the client of the process at an address.
+func (n *Node) peerClient(addr string) mgrpc.Peer {
 	base := n.guard.Base(addr)
-	if found, ok := n.peers.Load(base); ok {
+	if found, ok := n.peerClients.Load(base); ok {
 		return found.(mgrpc.Peer)
 	}
-	made := mgrpc.NewPeerProtobufClient(base, &http.Client{Transport: n.calls})
-	found, _ := n.peers.LoadOrStore(base, made)
+	created := mgrpc.NewPeerProtobufClient(base, &http.Client{Transport: n.calls})
+	found, _ := n.peerClients.LoadOrStore(base, created)
 	return found.(mgrpc.Peer)
 }
 
-// peerRoutes serves the peers' calls from the start, so that new processes
-// find each other, and the role's own once it is there.
+// peerRoutes returns the handler of calls from other processes. The calls common to all
+// roles are served from the start, so that new processes find each other; those of the
+// role are served once SetRoleHandler has been called.
 func (n *Node) peerRoutes() http.Handler {
 	router := chi.NewRouter()
 	router.Mount(mgrpc.PeerPathPrefix, mgrpc.NewPeerServer(peerServer{node: n}))
 	router.Get(listPath, n.serveList)
 	router.Post(gossipPath, n.serveGossip)
-	router.Post(quarantinePath, n.serveNews)
+	router.Post(quarantinePath, n.serveUpdates)
 	router.Post(permitPath, n.servePermit)
 	router.NotFound(func(w http.ResponseWriter, r *http.Request) {
-		role := n.role.Load()
+		role := n.roleHandler.Load()
 		if role == nil {
 			mgproblem.Write(w, mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
 				"this process is starting", "try another one"))
@@ -85,10 +86,10 @@
 	return router
 }
 
-// Role adds the calls of a role to the peers' listener.
-func (n *Node) Role(handler http.Handler) { n.role.Store(&handler) }
+// SetRoleHandler adds the calls of a role to the peers' listener.
+func (n *Node) SetRoleHandler(handler http.Handler) { n.roleHandler.Store(&handler) }
 
-// peerServer answers the other processes.
+// peerServer serves the calls of other processes.
 type peerServer struct {
 	node *Node
 }
@@ -98,33 +99,33 @@
 	return p.node.loop.Exchange(ctx, s)
 }
 
-// Fetch gives a peer pages and the list of VMs.
+// Fetch returns pages of the table and the list of VMs.
 func (p peerServer) Fetch(ctx context.Context, r *mgrpc.FetchRequest) (*mgrpc.FetchReply, error) {
 	return p.node.loop.Fetch(ctx, r)
 }
 
-// errRole refuses what only an entry answers.
-var errRole = twirp.NewError(twirp.Unavailable, "this process leases no caps: ask an entry that is ready")
+// errNotEntry is the error of calls that only an entry serves.
+var errNotEntry = twirp.NewError(twirp.Unavailable, "this process leases no caps: ask an entry that is ready")
 
-// Lease answers an entry that takes this process for the home of accounts.
+// Lease serves an entry that regards this process as the home of accounts.
 func (p peerServer) Lease(ctx context.Context, r *mgrpc.LeaseRequest) (*mgrpc.LeaseReply, error) {
 	shares := p.node.shares.Load()
 	if shares == nil {
-		return nil, errRole
+		return nil, errNotEntry
 	}
 	return shares.Lease(ctx, r)
 }
 
-// Support answers a home that asks for a witness.
+// Support serves a home that asks this process to be its witness.
 func (p peerServer) Support(ctx context.Context, r *mgrpc.SupportRequest) (*mgrpc.SupportReply, error) {
 	shares := p.node.shares.Load()
 	if shares == nil {
-		return nil, errRole
+		return nil, errNotEntry
 	}
 	return shares.Support(ctx, r)
 }
 
-// sharesSpec joins an entry's shares to the node.
+// sharesSpec returns the specification of the loop that divides accounts' caps.
 func (n *Node) sharesSpec(fresh bool) mgshare.LoopSpec {
 	return mgshare.LoopSpec{
 		Shares: mgshare.SharesSpec{
@@ -132,21 +133,21 @@
 			Incarnation: n.incarnation,
 			Region:      n.settings.Region,
 			Members:     n.members,
-			Account:     n.capsOf,
+			Account:     n.accountCaps,
 			Fresh:       fresh,
 		},
 		Clock: n.clock,
 		Lease: func(ctx context.Context, addr string, r *mgrpc.LeaseRequest) (*mgrpc.LeaseReply, error) {
-			return n.peer(addr).Lease(ctx, r)
+			return n.peerClient(addr).Lease(ctx, r)
 		},
 		Support: func(ctx context.Context, addr string, r *mgrpc.SupportRequest) (*mgrpc.SupportReply, error) {
-			return n.peer(addr).Support(ctx, r)
+			return n.peerClient(addr).Support(ctx, r)
 		},
 	}
 }
 
-// capsOf returns an account's caps by the table in force.
-func (n *Node) capsOf(name string) (mgshare.Caps, bool) {
+// accountCaps returns an account's caps by the table in force, and false if it has none.
+func (n *Node) accountCaps(name string) (mgshare.Caps, bool) {
 	table := n.Table()
 	if table == nil {
 		return mgshare.Caps{}, false
@@ -158,7 +159,7 @@
 	return mgshare.CapsOf(account)
 }
 
-// memberState is the part of the dump that tells of other processes.
+// memberState returns the dump of the other processes.
 func (n *Node) memberState() any {
 	view := n.members.View()
 	rows := make([]memberRow, 0, len(view.All()))
--- /dev/null
+++ b/internal/process/mgnode/placement.go
@@ -0,0 +1,234 @@
+package mgnode
+
+import (
+	"context"
+	"slices"
+	"sync"
+
+	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgrpc"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
+	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
+)
+
+const (
+	// placementHoldTimeout is how long the hub holds a request for a placement, so
+	// that a placement is returned as soon as it is assigned and not at the next
+	// request.
+	placementHoldTimeout = 250 * mgclock.Millis(1)
+	// placementTimeout limits the wait for the hub's response. A hub that doesn't
+	// respond is dead or cut off; the request is then sent as if there were none.
+	placementTimeout = placementHoldTimeout + 150
+	// minAssignInterval is the minimum interval between two assignments of a service.
+	minAssignInterval = 10 * mgclock.Millis(1)
+	// capacityTTL is how long the upstreams' free capacity, once read, is used for
+	// assignments. Grants made meanwhile are counted, and entries report other
+	// changes every 200 ms only. Reading it takes some thousand lookups when 40
+	// entries report on 400 upstreams.
+	capacityTTL = 40 * mgclock.Millis(1)
+	// pendingTTL is how long a request still counts as waiting after its call has
+	// ended, and how long a placement assigned to it meanwhile is kept. Its entry
+	// calls again at once.
+	pendingTTL = 300 * mgclock.Millis(1)
+)
+
+// acquirePlacement waits until an upstream of a service has memory for a request,
+// or the request is given up. It returns false if the hub didn't respond or ctx has
+// ended.
+func (n *Node) acquirePlacement(ctx context.Context, service string, request mgroom.Wait) (mgroom.Grant, bool) {
+	for ctx.Err() == nil {
+		hub := n.hubPeer()
+		var grant mgroom.Grant
+		if hub == nil {
+			grant = n.awaitPlacement(ctx, service, request)
+		} else {
+			var err error
+			grant, err = n.requestPlacement(ctx, hub.PeerAddr(), service, request)
+			if err != nil {
+				if ctx.Err() == nil {
+					n.peerFailed(hub.Name())
+					n.log.Info("a request for a placement failed, the request is sent without one",
+						"hub", hub.Name(), "request", request.Name, "why", err.Error())
+				}
+				return mgroom.Grant{}, false
+			}
+		}
+		if grant != (mgroom.Grant{}) {
+			return grant, true
+		}
+	}
+	return mgroom.Grant{}, false
+}
+
+func (n *Node) requestPlacement(ctx context.Context, hub, service string, request mgroom.Wait) (mgroom.Grant, error) {
+	ctx, cancel := context.WithTimeout(ctx, placementTimeout.Duration())
+	defer cancel()
+	now := n.clock.Now()
+	reply, err := n.peerClient(hub).Place(ctx, &mgrpc.PlaceRequest{
+		Service: service,
+		Request: request.Name,
+		Account: request.Account,
+		Need:    int64(request.Need),
+		Made:    int64(request.Made),
+		Span:    int64(request.Span),
+		Left:    int64(request.Due - now),
+		Waited:  int64(now - request.Came),
+		Rest:    int64(request.End - now),
+	})
+	if err != nil {
+		return mgroom.Grant{}, err
+	}
+	return mgroom.Grant{
+		Place: reply.GetPlace(),
+		Retry: mgclock.Millis(reply.GetRetry()),
+	}, nil
+}
+
+// Place enqueues a request of an entry until it has a placement.
+func (p peerServer) Place(ctx context.Context, r *mgrpc.PlaceRequest) (*mgrpc.PlaceReply, error) {
+	now := p.node.clock.Now()
+	grant := p.node.awaitPlacement(ctx, r.GetService(), mgroom.Wait{
+		Name:    r.GetRequest(),
+		Account: r.GetAccount(),
+		Need:    int(r.GetNeed()),
+		Made:    int(r.GetMade()),
+		Span:    mgclock.Millis(r.GetSpan()),
+		Due:     now + mgclock.Millis(r.GetLeft()),
+		Came:    now - mgclock.Millis(r.GetWaited()),
+		End:     now + mgclock.Millis(r.GetRest()),
+	})
+	return &mgrpc.PlaceReply{
+		Place: grant.Place,
+		Retry: int64(grant.Retry),
+	}, nil
+}
+
+// placementQueues holds the requests that wait at this entry, by service. The zero
+// value is empty.
+type placementQueues struct {
+	mu        sync.Mutex
+	byService map[string]*placementQueue
+}
+
+// placementQueue holds the requests that wait for an upstream of one service.
+type placementQueue struct {
+	waiting         mgroom.Room
+	pending         map[string]*pendingRequest
+	assignedAt      mgclock.Millis
+	upstreams       []mgroom.Place // with their free capacity at upstreamsReadAt
+	upstreamsReadAt mgclock.Millis
+	loggedAt        mgclock.Millis // time of the last log line about the queue
+}
+
+// pendingRequest is a request that waits, and its grant.
+type pendingRequest struct {
+	expiresAt mgclock.Millis // it is dropped then unless its entry has called again
+	grant     mgroom.Grant
+	granted   chan struct{} // closed once grant is set
+}
+
+// awaitPlacement enqueues a request at this entry and waits for its grant, for
+// placementHoldTimeout at most. It returns the zero Grant if there is none by then.
+func (n *Node) awaitPlacement(ctx context.Context, service string, request mgroom.Wait) mgroom.Grant {
+	pending := n.placementQueues.enqueue(n.clock.Now(), service, request)
+	holdEnd := n.clock.After(placementHoldTimeout)
+	for {
+		n.assignPlacements(service)
+		select {
+		case <-pending.granted:
+			return n.placementQueues.dequeue(service, request.Name)
+		case <-n.clock.After(minAssignInterval):
+		case <-holdEnd:
+			return mgroom.Grant{}
+		case <-ctx.Done():
+			n.placementQueues.dequeue(service, request.Name)
+			return mgroom.Grant{}
+		}
+	}
+}
+
+// enqueue adds a request to the queue of its service, or extends its wait if it is queued.
+func (l *placementQueues) enqueue(now mgclock.Millis, service string, request mgroom.Wait) *pendingRequest {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.byService == nil {
+		l.byService = map[string]*placementQueue{}
+	}
+	if l.byService[service] == nil {
+		l.byService[service] = &placementQueue{
+			pending:         map[string]*pendingRequest{},
+			assignedAt:      now - minAssignInterval,
+			upstreamsReadAt: now - capacityTTL,
+		}
+	}
+	queue := l.byService[service]
+	pending := queue.pending[request.Name]
+	if pending == nil {
+		pending = &pendingRequest{
+			granted: make(chan struct{}),
+		}
+		queue.pending[request.Name] = pending
+		queue.waiting.Add(request)
+	}
+	pending.expiresAt = now + placementHoldTimeout + pendingTTL
+	return pending
+}
+
+// dequeue removes a request and returns its grant, if there is one.
+func (l *placementQueues) dequeue(service, name string) mgroom.Grant {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	pending := l.byService[service].pending[name]
+	if pending == nil {
+		return mgroom.Grant{}
+	}
+	delete(l.byService[service].pending, name)
+	l.byService[service].waiting.Drop(name)
+	pending.grant.Name = "" // the caller knows it
+	return pending.grant
+}
+
+// assignPlacements assigns the free capacity of a service's upstreams to the waiting requests.
+func (n *Node) assignPlacements(service string) {
+	now := n.clock.Now()
+	readUpstreams := n.readUpstreams.Load()
+	n.placementQueues.mu.Lock()
+	defer n.placementQueues.mu.Unlock()
+	queue := n.placementQueues.byService[service]
+	if readUpstreams == nil || now < queue.assignedAt+minAssignInterval {
+		return
+	}
+	queue.assignedAt = now
+	for name, pending := range queue.pending {
+		if now >= pending.expiresAt {
+			delete(queue.pending, name)
+			queue.waiting.Drop(name)
+		}
+	}
+	if queue.waiting.Len() == 0 {
+		return
+	}
+	if now >= queue.upstreamsReadAt+capacityTTL {
+		queue.upstreamsReadAt = now
+		queue.upstreams = (*readUpstreams)(service, n.hub.Others(now, n.settings.Name))
+		n.reportQueue(now, service, queue)
+	}
+	upstreams := slices.Clone(queue.upstreams)
+	shares := n.applyLimits(now, upstreams)
+	grants := queue.assign(now, upstreams)
+	n.reservePermits(now, grants, shares)
+	for _, grant := range grants {
+		if pending := queue.pending[grant.Name]; pending != nil {
+			pending.grant = grant
+			close(pending.granted)
+		}
+	}
+}
+
+// assign returns the grants that are possible now. Without upstreams that may be given work,
+// it gives all waiting requests up.
+func (l *placementQueue) assign(now mgclock.Millis, upstreams []mgroom.Place) []mgroom.Grant {
+	if upstreams == nil {
+		return l.waiting.Close()
+	}
+	return l.waiting.Look(now, upstreams)
+}
--- /dev/null
+++ b/internal/process/mgnode/placement_queue.go
@@ -0,0 +1,38 @@
+package mgnode
+
+import (
+	"github.com/marjoramgauge/marjoramgauge/internal/process/mglog"
+	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
+)
+
+// queueLogInterval is the minimum interval between two log lines about the
+// same queue.
+const queueLogInterval = mgclock.Second
+
+// reportQueue reports the state of a placement queue and of its upstreams, by which
+// placements are assigned: in gauges, and in the log once a second while at least two
+// requests wait. The gauges keep the state of the last time that requests waited.
+func (n *Node) reportQueue(now mgclock.Millis, service string, queue *placementQueue) {
+	state := queue.waiting.State(now)
+	free, unread := 0, 0
+	for _, place := range queue.upstreams {
+		free += place.Free
+		unread += place.Pending
+	}
+	for name, value := range map[string]int{
+		"room.waiting.": state.Waiting,
+		"room.late.":    state.Late,
+		"room.age.":     int(state.Age),
+		"room.places.":  len(queue.upstreams),
+		"room.free.":    free,
+		"room.unread.":  unread,
+	} {
+		n.metrics.Gauge(name + service).Update(int64(value))
+	}
+	if state.Waiting < 2 || now < queue.loggedAt+queueLogInterval {
+		return
+	}
+	queue.loggedAt = now
+	n.log.Info("requests wait for placements", mglog.Service, service, "waiting", state.Waiting, "late", state.Late,
+		"age", int64(state.Age), "places", len(queue.upstreams), "free", free, "unread", unread)
+}
--- a/internal/process/mgnode/quarantine.go
+++ b/internal/process/mgnode/quarantine.go
@@ -9,8 +9,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// entries returns the other entries that are known and well.
-func (n *Node) entries() []*mgmember.Member {
+// otherEntries returns the other known entries, without suspected ones unless no other process
+// is left.
+func (n *Node) otherEntries() []*mgmember.Member {
 	var entries []*mgmember.Member
 	for _, peer := range n.members.View().Peers() {
 		if peer.Kind() == mgplatform.EntryKind {
@@ -20,14 +21,14 @@
 	return entries
 }
 
-// triesFirst reports whether this process ranks first among the entries that are known
-// here for a request whose hold is over.
-func (n *Node) triesFirst(digest mgquarantine.Digest) bool {
+// isFirstToRetry reports whether this process ranks first among the known entries to retry a
+// request that is no longer held.
+func (n *Node) isFirstToRetry(digest mgquarantine.Digest) bool {
 	self := mgmember.Self(n.settings.Name, n.settings.Zone, 0)
-	return mgmember.Rank(digest.String(), append(n.entries(), self), 1)[0] == self
+	return mgmember.Rank(digest.String(), append(n.otherEntries(), self), 1)[0] == self
 }
 
-// watchHeld logs requests as they come to be held, until ctx ends.
+// watchHeld logs which requests begin and cease to be held, until ctx ends.
 func (n *Node) watchHeld(ctx context.Context) {
 	var held map[mgquarantine.Digest]bool
 	for ctx.Err() == nil {
@@ -41,22 +42,22 @@
 	}
 }
 
-// reportHeld logs each request that is held and was not before, or the other way round,
-// and returns those that are.
-func (n *Node) reportHeld(before map[mgquarantine.Digest]bool) map[mgquarantine.Digest]bool {
+// reportHeld logs the requests that have begun or ceased to be held since previous, and
+// returns those that are held now.
+func (n *Node) reportHeld(previous map[mgquarantine.Digest]bool) map[mgquarantine.Digest]bool {
 	held := map[mgquarantine.Digest]bool{}
 	for _, verdict := range n.quarantine.Verdicts(n.clock.Now()) {
 		if verdict.Left() == 0 {
 			continue
 		}
 		held[verdict.Digest()] = true
-		if before[verdict.Digest()] {
+		if previous[verdict.Digest()] {
 			continue
 		}
 		keys := []any{"digest", verdict.Digest().String(), "occurrences", verdict.Occurrences(), "ms", int64(verdict.Left())}
-		n.log.Info("a request crashes upstreams and is held back", append(keys, evidenceKeys(verdict.Evidence())...)...)
+		n.log.Info("a request crashes upstreams and is held back", append(keys, evidenceLogValues(verdict.Evidence())...)...)
 	}
-	for digest := range before {
+	for digest := range previous {
 		if !held[digest] {
 			n.log.Info("a request is no longer held back", "digest", digest.String())
 		}
@@ -65,28 +66,28 @@
 	return held
 }
 
-// evidenceKeys returns what a log line tells of evidence.
-func evidenceKeys(notes []mgquarantine.Note) []any {
-	requests := make([]string, 0, len(notes))
-	upstreams := make([]string, 0, len(notes))
-	ages := make([]int64, 0, len(notes))
-	for _, note := range notes {
-		requests = append(requests, note.Request)
-		upstreams = append(upstreams, note.Upstream)
-		ages = append(ages, int64(note.Age))
+// evidenceLogValues returns the keys and values of evidence for a log line.
+func evidenceLogValues(records []mgquarantine.Note) []any {
+	requests := make([]string, 0, len(records))
+	upstreams := make([]string, 0, len(records))
+	ages := make([]int64, 0, len(records))
+	for _, record := range records {
+		requests = append(requests, record.Request)
+		upstreams = append(upstreams, record.Upstream)
+		ages = append(ages, int64(record.Age))
 	}
 	return []any{"requests", requests, "upstreams", upstreams, "ages", ages}
 }
 
-// quarantineRow is a row of the dump.
+// quarantineRow describes one request in the dump.
 type quarantineRow struct {
 	Digest      string              `json:"digest"`
 	Occurrences int                 `json:"occurrences"`
-	Held        mgclock.Millis      `json:"held"` // ms that are left
+	Held        mgclock.Millis      `json:"held"` // remaining ms
 	Evidence    []mgquarantine.Note `json:"evidence"`
 }
 
-// quarantineState is the part of the dump that tells of requests that crash upstreams.
+// quarantineState returns the dump of the requests that crash upstreams.
 func (n *Node) quarantineState() any {
 	verdicts := n.quarantine.Verdicts(n.clock.Now())
 	rows := make([]quarantineRow, 0, len(verdicts))
