--- a/internal/request/mgroom/close_test.go
+++ b/internal/request/mgroom/close_test.go
@@ -9,7 +9,7 @@
 // Operators cordon the last hall while a dozen reports wait in the line. Their callers
 // wait for three times their goal for a place that nobody can give, and are refused when
 // most of their time is over.
-func TestClose(t *testing.T) {
+func TestCloseLeavesRequestsWaiting(t *testing.T) {
 	Convey("Where nobody may be given work, all that wait are told so at once", t, func() {
 		var r Room
 		for _, name := range []string{"a", "b", "c"} {
@@ -23,7 +23,7 @@
 		So(len(grants), ShouldEqual, 3)
 		for _, grant := range grants {
 			So(grant.Place, ShouldBeEmpty)
-			So(grant.Retry, ShouldEqual, retryMax)
+			So(grant.Retry, ShouldEqual, maxRetry)
 		}
 		So(r.Len(), ShouldEqual, 0)
 		So(r.Close(), ShouldBeEmpty)
--- a/internal/request/mgroom/limit_test.go
+++ b/internal/request/mgroom/limit_test.go
@@ -10,7 +10,7 @@
 )
 
 // A request must not wait for a place that its upstream's limit will not allow in time.
-func TestLimitedPlaces(t *testing.T) {
+func TestRequestWaitsForUnreachablePermit(t *testing.T) {
 	limited := func(name string, permits int) Place {
 		return Place{
 			Name:    name,
@@ -32,7 +32,7 @@
 	Convey("Of ten reports", t, func() {
 		Convey("as many go to a limited place as it takes now", func() {
 			grants := line(10, mgclock.Minute).Look(0, []Place{limited("a", 3)})
-			So(granted(grants), ShouldEqual, "report 0 at a, report 1 at a, report 2 at a, ")
+			So(describeGrants(grants), ShouldEqual, "report 0 at a, report 1 at a, report 2 at a, ")
 		})
 		Convey("the others go where there is no limit", func() {
 			roomy := Place{
@@ -41,7 +41,7 @@
 				Free: 200,
 			}
 			grants := line(10, mgclock.Minute).Look(0, []Place{limited("a", 1), roomy})
-			So(granted(grants), ShouldEqual, "report 0 at a, report 1 at b, report 2 at b, ")
+			So(describeGrants(grants), ShouldEqual, "report 0 at a, report 1 at b, report 2 at b, ")
 		})
 		Convey("those that can't have their turn in time are given up at once, the others wait", func() {
 			r := line(10, 2*mgclock.Second)
@@ -50,7 +50,7 @@
 			So(r.Len(), ShouldEqual, 4)
 			for _, g := range grants {
 				So(g.Place, ShouldBeEmpty)
-				So(g.Retry, ShouldBeBetweenOrEqual, retryMin, retryMax)
+				So(g.Retry, ShouldBeBetweenOrEqual, minRetry, maxRetry)
 			}
 		})
 		Convey("all wait where a place has no limit", func() {
--- a/internal/request/mgroom/ramp_test.go
+++ b/internal/request/mgroom/ramp_test.go
@@ -13,7 +13,7 @@
 // A hall of nineteen engines comes back at once, cold, while the line is full of short
 // notes at ten times the usual load, or two engines are left of all. They look empty,
 // all that waits is given to them within a look or two, and they crash.
-func TestColdZone(t *testing.T) {
+func TestColdEnginesOverloaded(t *testing.T) {
 	const (
 		rate  = 25.0
 		bound = 1.5*rate + 5 // in any second, as operators are promised
--- a/internal/request/mgroom/read_test.go
+++ b/internal/request/mgroom/read_test.go
@@ -12,51 +12,51 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// reader is an engine with all the memory that is asked for, which reads prompts
+// readingEngine is an engine with all the memory that is asked for, which reads prompts
 // one after another.
-type reader struct {
-	queue []string
-	left  map[string]int // tokens to be read
+type readingEngine struct {
+	queue     []string
+	remaining map[string]int // tokens to be read
 }
 
 // read reads for a step and returns whose prompts are done.
-func (e *reader) read(step mgclock.Millis) (done []string) {
+func (e *readingEngine) read(step mgclock.Millis) (done []string) {
 	budget := int(float64(step) * mgload.ReadRate)
 	for len(e.queue) > 0 && budget > 0 {
 		name := e.queue[0]
-		part := min(budget, e.left[name])
-		e.left[name] -= part
+		part := min(budget, e.remaining[name])
+		e.remaining[name] -= part
 		budget -= part
-		if e.left[name] > 0 {
+		if e.remaining[name] > 0 {
 			break
 		}
-		delete(e.left, name)
+		delete(e.remaining, name)
 		e.queue = e.queue[1:]
 		done = append(done, name)
 	}
 	return done
 }
 
-func (e *reader) pending() int {
+func (e *readingEngine) pending() int {
 	sum := 0
-	for _, tokens := range e.left {
+	for _, tokens := range e.remaining {
 		sum += tokens
 	}
 	return sum
 }
 
-// overload plays ten engines that are asked to read half more than they can for three
+// simulateOverload plays ten engines that are asked to read half more than they can for three
 // seconds of each six, and half of it in the others, as when users come in waves and
 // engines are replaced again and again. It returns the part of the requests that begin on time.
 // Unless told, the line doesn't know what engines have to read.
-func overload(told bool) float64 {
+func simulateOverload(knowsPending bool) float64 {
 	const engines, prompt, span, step = 10, 2800, 60 * mgclock.Second, 20 * mgclock.Millis(1)
 	const goal = 1500 * mgclock.Millis(1)
 	capacity := engines * mgload.ReadRate / prompt // requests a ms
 	read := mgclock.Millis(math.Ceil(prompt / mgload.ReadRate))
 	r := rand.New(rand.NewPCG(3, 4))
 	var room Room
-	list := make([]reader, engines)
+	list := make([]readingEngine, engines)
 	came := map[string]mgclock.Millis{}
 	asked, timely := 0.0, 0.0
 	for now := mgclock.Millis(0); now < span; now += step {
@@ -84,22 +84,22 @@
 				Cost: float64(list[i].pending()) / mgload.ReadRate,
 				Free: 100000,
 			}
-			if told {
+			if knowsPending {
 				place.Pending = list[i].pending()
 			}
 			places = append(places, place)
 		}
-		room.given = nil // what was given shows in the engines here, at once
+		room.assignments = nil // what was given shows in the engines here, at once
 		for _, g := range room.Look(now, places) {
 			var index int
 			if _, err := fmt.Sscan(g.Place, &index); err != nil {
 				continue // given up
 			}
-			if list[index].left == nil {
-				list[index].left = map[string]int{}
+			if list[index].remaining == nil {
+				list[index].remaining = map[string]int{}
 			}
 			list[index].queue = append(list[index].queue, g.Name)
-			list[index].left[g.Name] = prompt
+			list[index].remaining[g.Name] = prompt
 		}
 		for i := range list {
 			for _, name := range list[i].read(step) {
@@ -115,8 +115,8 @@
 // Engines have memory, and prompts wait there for one another for more than a second.
 // Every note of these seconds begins late, by a little: its caller looks at an empty
 // page, though three of four could have been on time and the others were late anyway.
-func TestReadingBinds(t *testing.T) {
-	at, line := overload(false), overload(true)
+func TestPromptsQueueAtEngines(t *testing.T) {
+	at, line := simulateOverload(false), simulateOverload(true)
 	t.Logf("on time: waiting at engines %.2f, in the line %.2f", at, line)
 	Convey("Requests that wait in the line and not at engines begin on time", t, func() {
 		So(line, ShouldBeGreaterThan, at+0.1)
--- a/internal/request/mgroom/return_test.go
+++ b/internal/request/mgroom/return_test.go
@@ -12,29 +12,29 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// caller is one that asks, is given up, and comes back once.
-type caller struct {
-	back   mgclock.Millis // when it comes back, 0 for never
-	tries  int
-	served bool
+// returningCaller is one that asks, is given up, and comes back once.
+type returningCaller struct {
+	returnsAt mgclock.Millis // when it comes back, 0 for never
+	attempts  int
+	served    bool
 }
 
-// returns plays ten engines that are asked to read twice what they can for some
+// simulateReturns plays ten engines that are asked to read twice what they can for some
 // seconds, and a quarter of it afterwards. Callers that are given up come back once,
-// when they are told to, or after a fixed time where one is given. It returns the
+// when they are told to, or after a fixed time where one is given. It simulateReturns the
 // part of the callers that are served at all, and the refusals for each.
-func returns(fixed mgclock.Millis) (served, refused float64) {
+func simulateReturns(fixedDelay mgclock.Millis) (served, refused float64) {
 	const engines, prompt, span, step = 10, 2800, 60 * mgclock.Second, 20 * mgclock.Millis(1)
 	const goal = 1500 * mgclock.Millis(1)
 	capacity := engines * mgload.ReadRate / prompt // requests a ms
 	read := mgclock.Millis(math.Ceil(prompt / mgload.ReadRate))
 	r := rand.New(rand.NewPCG(5, 6))
 	var room Room
-	list := make([]reader, engines)
-	var callers []*caller
+	list := make([]readingEngine, engines)
+	var callers []*returningCaller
 	refusals := 0.0
 	add := func(now mgclock.Millis, index int) {
-		callers[index].tries++
+		callers[index].attempts++
 		room.Add(Wait{
 			Name: fmt.Sprint(index),
 			Need: prompt,
@@ -50,12 +50,12 @@
 			rate = 0.25 * capacity
 		}
 		for arrivals := rate * float64(step); r.Float64() < arrivals; arrivals-- {
-			callers = append(callers, &caller{})
+			callers = append(callers, &returningCaller{})
 			add(now, len(callers)-1)
 		}
 		for index, c := range callers {
-			if c.back > 0 && now >= c.back {
-				c.back = 0
+			if c.returnsAt > 0 && now >= c.returnsAt {
+				c.returnsAt = 0
 				add(now, index)
 			}
 		}
@@ -68,25 +68,25 @@
 				Pending: list[i].pending(),
 			})
 		}
-		room.given = nil // what was given shows in the engines here, at once
+		room.assignments = nil // what was given shows in the engines here, at once
 		for _, g := range room.Look(now, places) {
 			var index, place int
 			_, _ = fmt.Sscan(g.Name, &index)
 			c := callers[index]
 			if _, err := fmt.Sscan(g.Place, &place); err == nil {
-				if list[place].left == nil {
-					list[place].left = map[string]int{}
+				if list[place].remaining == nil {
+					list[place].remaining = map[string]int{}
 				}
 				list[place].queue = append(list[place].queue, g.Name)
-				list[place].left[g.Name] = prompt
+				list[place].remaining[g.Name] = prompt
 				c.served = true
 				continue
 			}
 			refusals++
-			if c.tries < 2 {
-				c.back = now + g.Retry
-				if fixed > 0 {
-					c.back = now + fixed
+			if c.attempts < 2 {
+				c.returnsAt = now + g.Retry
+				if fixedDelay > 0 {
+					c.returnsAt = now + fixedDelay
 				}
 			}
 		}
@@ -106,9 +106,9 @@
 // Twice as many reviews are asked for as can be begun, for seven seconds of fifteen.
 // Callers that are given up and come back at once meet the same line, are given up
 // again, and have no answer though the engines have nothing to do some seconds later.
-func TestReturns(t *testing.T) {
-	told, refused := returns(0)
-	atOnce, again := returns(100)
+func TestRefusedCallersReturnTooEarly(t *testing.T) {
+	told, refused := simulateReturns(0)
+	atOnce, again := simulateReturns(100)
 	t.Logf("served: told when to come back %.3f, back at once %.3f; refusals for each %.2f, %.2f", told, atOnce, refused, again)
 	Convey("Callers that are told when the line will be through", t, func() {
 		Convey("are served more often than if they came back at once", func() {
@@ -119,7 +119,7 @@
 		})
 		Convey("no more are served by any fixed time", func() {
 			for _, fixed := range []mgclock.Millis{500, 1000, 2000, 3000, 5000, 8000} {
-				served, _ := returns(fixed)
+				served, _ := simulateReturns(fixed)
 				So(served, ShouldBeLessThanOrEqualTo, told+0.005)
 			}
 		})
--- a/internal/request/mgroom/room_test.go
+++ b/internal/request/mgroom/room_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func granted(grants []Grant) string {
+func describeGrants(grants []Grant) string {
 	text := ""
 	for _, g := range grants {
 		text += fmt.Sprintf("%s at %s, ", g.Name, g.Place)
@@ -29,7 +29,7 @@
 
 // A note waits six seconds at an engine that is full of reports, behind a report
 // that is late already, while the engine beside it has room for the note.
-func TestLook(t *testing.T) {
+func TestRequestGetsWrongPlace(t *testing.T) {
 	places := func() []Place {
 		return []Place{
 			{
@@ -82,7 +82,7 @@
 				for _, w := range c.waits {
 					r.Add(w)
 				}
-				So(granted(r.Look(0, places())), ShouldEqual, c.want)
+				So(describeGrants(r.Look(0, places())), ShouldEqual, c.want)
 				So(r.Len(), ShouldEqual, len(c.waits)-1)
 			})
 		}
@@ -103,9 +103,9 @@
 			long := wait("report", 3000, 100)
 			long.Made = 900
 			r.Add(long)
-			So(granted(r.Look(0, slow)), ShouldEqual, "report at busy, ")
+			So(describeGrants(r.Look(0, slow)), ShouldEqual, "report at busy, ")
 			r.Add(wait("note", 900, 100))
-			So(granted(r.Look(0, slow)), ShouldEqual, "note at slow, ")
+			So(describeGrants(r.Look(0, slow)), ShouldEqual, "note at slow, ")
 		})
 		Convey("waits once, however often it is asked for", func() {
 			var r Room
@@ -118,18 +118,18 @@
 		Convey("doesn't get memory that was given a moment ago", func() {
 			var r Room
 			r.Add(wait("first", 3000, 100))
-			So(granted(r.Look(0, places())), ShouldEqual, "first at roomy, ")
+			So(describeGrants(r.Look(0, places())), ShouldEqual, "first at roomy, ")
 			r.Add(wait("second", 3000, 100))
-			So(r.Look(seenSpan-1, places()), ShouldBeEmpty)
-			So(granted(r.Look(seenSpan, places())), ShouldEqual, "second at roomy, ")
+			So(r.Look(reportDelay-1, places()), ShouldBeEmpty)
+			So(describeGrants(r.Look(reportDelay, places())), ShouldEqual, "second at roomy, ")
 		})
 		Convey("is given up in time, and told when the line before it will be through", func() {
 			var r Room
 			for n := range 10 {
 				r.Add(wait(fmt.Sprint("served", n), 3000, 100))
-				r.Look(mgclock.Millis(n)*seenSpan, places())
+				r.Look(mgclock.Millis(n)*reportDelay, places())
 			}
-			now := 10 * seenSpan
+			now := 10 * reportDelay
 			for n := range 20 {
 				r.Add(wait(fmt.Sprint("large", n), 9000, -1))
 			}
@@ -140,7 +140,7 @@
 			So(len(grants), ShouldEqual, 1)
 			So(grants[0].Name, ShouldEqual, "late")
 			So(grants[0].Place, ShouldBeEmpty)
-			So(grants[0].Retry, ShouldBeBetweenOrEqual, retryMin, retryMax)
+			So(grants[0].Retry, ShouldBeBetweenOrEqual, minRetry, maxRetry)
 			So(r.Len(), ShouldEqual, 20)
 		})
 		Convey("is told of: how many wait, how many are late, since when", func() {
@@ -157,7 +157,7 @@
 		})
 		Convey("lets only a few pass", func() {
 			var r Room
-			for n := range passes + 1 {
+			for n := range maxOvertakes + 1 {
 				r.Add(wait(fmt.Sprint("large", n), 9000, -1))
 			}
 			r.Add(Wait{
--- a/internal/request/mgroom/share_test.go
+++ b/internal/request/mgroom/share_test.go
@@ -10,10 +10,10 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// flood plays ten accounts that ask for as much as there is, one of them for eight
+// simulateFlood plays ten accounts that ask for as much as there is, one of them for eight
 // times as much as each other, and returns the parts of the others' requests and of
 // the flooder's that have a place in time. Without names all are one account.
-func flood(named bool) (others, flooder float64) {
+func simulateFlood(hasAccounts bool) (others, flooder float64) {
 	const accounts, span, step = 10, 60 * mgclock.Second, 20 * mgclock.Millis(1)
 	r := rand.New(rand.NewPCG(1, 2))
 	var room Room
@@ -39,7 +39,7 @@
 			w.Span = 4000
 			w.Came = now
 			w.End = now + 5000
-			if named {
+			if hasAccounts {
 				w.Account = fmt.Sprint(account)
 			}
 			owner[w.Name], due[w.Name] = account, w.Due
@@ -56,7 +56,7 @@
 		}
 		runs = kept
 		// What was given counts by the runs here, at once.
-		room.given = nil
+		room.assignments = nil
 		for _, g := range room.Look(now, []Place{{Name: "all", Free: free}}) {
 			if g.Place == "" {
 				continue
@@ -80,9 +80,9 @@
 
 // One account sends eight times its usual. The reports of all others wait behind
 // its, and shift leads of nine refineries sign off blind.
-func TestFlood(t *testing.T) {
-	alike, _ := flood(false)
-	others, flooder := flood(true)
+func TestAccountFloodsOthers(t *testing.T) {
+	alike, _ := simulateFlood(false)
+	others, flooder := simulateFlood(true)
 	t.Logf("others on time without shares %.2f, with %.2f; the flooder %.2f", alike, others, flooder)
 	Convey("The others keep their service beside one that floods", t, func() {
 		So(others, ShouldBeGreaterThan, 0.9)
