--- a/internal/request/mgroom/close_test.go
+++ b/internal/request/mgroom/close_test.go
@@ -6,9 +6,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Operators cordon the last hall while a dozen reports wait in the line. Their callers
-// wait for three times their goal for a place that nobody can give, and are refused when
-// most of their time is over.
+// When the last availability zone is cordoned, requests keep waiting for a place that can't
+// be granted: their callers wait for three times their goal and are refused only then.
 func TestCloseLeavesRequestsWaiting(t *testing.T) {
 	Convey("Where nobody may be given work, all that wait are told so at once", t, func() {
 		var r Room
--- a/internal/request/mgroom/doc.go
+++ b/internal/request/mgroom/doc.go
@@ -1,30 +1,42 @@
-// Package mgroom decides which generation gets the next free memory of a
-// service's upstreams, and where.
+// Package mgroom keeps the waiting list of a service's requests. It decides which
+// generation gets the next free memory of the service's upstreams, and at which upstream.
 //
 // # Load
 //
-// Two dozen entries send prompts of 3,000 tokens, 58 a second, to 44 engines that
-// come and go. What they know of one another's requests is up to 0.2 s old, in
-// which a dozen are sent: all of them to the engine that looked empty, where each
-// waits for the prompts of the others while engines beside it have nothing to do.
-// Of the requests of such a day half waited for more than 0.5 s at their engine
-// beyond the reading of their own prompt, with half of all memory free. At times
-// the memory is all but full as well, and requests wait in the line of one engine
-// while another has room a moment later. On the heaviest days there is memory and prompts
-// wait for one another at every engine, for over a second in the mean, so that all
-// requests begin late where most could have been on time.
+// Two dozen entries send prompts of 3,000 tokens, 58 a second, to 44 engines that join and
+// leave. What the entries know of one another's requests is up to 0.2 s old, in which a
+// dozen requests are sent. If each entry decides alone, all of these go to the engine that
+// looked empty, where each waits for the prompts of the others while engines beside it are
+// idle. On such a day half of the requests waited for more than 0.5 s at their engine
+// beyond the reading of their own prompt, with half of all memory free.
+//
+// At times the memory is almost full as well, and requests wait in the queue of one engine
+// while another has free memory a moment later. On the heaviest days there is memory, but
+// prompts wait for one another at every engine, for over a second in the mean, so that all
+// requests begin late although most could have been on time.
 //
 // # Decision
 //
-// One entry of the region gives all places: it knows what it gave a moment ago,
-// and what all entries have sent. The cheapest upstream of those with room takes
-// a request, where room is memory for it and a prompt at most that is read before
-// its own. Where none has room they wait: those that can still be on time go
-// first, the smallest by memory and time first, where a request of an account that
-// has had more than twice an equal share of the memory lately counts four times as
-// large; then those that are late, first come first served. One that fits nowhere lets a few smaller ones pass, or the
-// largest would hold up all.
-//
-// It decides nothing that must be right: without an answer an entry sends its
-// request where it would have sent it before.
+// One entry of the region grants all placements, since it knows its own recent grants and
+// what all entries have sent. A request goes to the cheapest upstream that can take it: one
+// with free memory for it, and at most one prompt to read before its own. Requests for
+// which there is none wait. The waiting list has this order:
+//
+//   - first those that can still be on time, the smallest by memory and time first. The
+//     requests of an account that has recently had more than twice an equal share of the
+//     memory count four times as large;
+//   - then those that are late, first come first served.
+//
+// A request that can't be placed is overtaken by a few smaller ones, since otherwise the
+// largest request would block all others.
+//
+// Correctness doesn't depend on these decisions: without an answer an entry chooses an
+// upstream on its own.
+//
+// # Terms
+//
+//   - place, placement: memory at an upstream that is reserved for a generation.
+//   - grant: the decision that gives a request its place, or gives the request up.
+//   - cold: describes an upstream that has just started and takes few requests a second.
+//   - permit: leave to send one request to an upstream with a rate limit.
 package mgroom
--- a/internal/request/mgroom/limit_test.go
+++ b/internal/request/mgroom/limit_test.go
@@ -9,7 +9,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A request must not wait for a place that its upstream's limit will not allow in time.
+// A request waits for a place until its end although the upstream's rate limit doesn't
+// allow a permit for it in time.
 func TestRequestWaitsForUnreachablePermit(t *testing.T) {
 	limited := func(name string, permits int) Place {
 		return Place{
--- a/internal/request/mgroom/ramp_test.go
+++ b/internal/request/mgroom/ramp_test.go
@@ -10,22 +10,22 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A hall of nineteen engines comes back at once, cold, while the line is full of short
-// notes at ten times the usual load, or two engines are left of all. They look empty,
-// all that waits is given to them within a look or two, and they crash.
+// Nineteen engines come back at once, cold, while many short requests wait, at ten times
+// the usual load; or only one or two engines are left. The cold engines look empty, all
+// waiting requests are placed there in one or two rounds, and the engines crash.
 func TestColdEnginesOverloaded(t *testing.T) {
 	const (
 		rate  = 25.0
-		bound = 1.5*rate + 5 // in any second, as operators are promised
+		bound = 1.5*rate + 5 // documented limit for any second
 		step  = 10 * mgclock.Millis(1)
 		back  = 2 * mgclock.Second
 		warm  = 3 * mgclock.Second
 	)
 	for _, c := range []struct {
 		name string
-		stay int // engines that are warm and full all the while
+		stay int // engines that are warm, and full for the whole test
 		back int // engines that come back
-		load int // notes that come in each step
+		load int // requests that arrive in each step
 	}{
 		{
 			name: "nineteen come back beside full ones",
@@ -62,10 +62,10 @@
 				for i := range c.stay + c.back {
 					place := Place{
 						Name: fmt.Sprint("engine-", i),
-						Free: 20_000, // what they are given ends at once
+						Free: 20_000, // their requests end at once
 					}
 					if i < c.stay {
-						place.Free = 0 // full all the while
+						place.Free = 0 // full for the whole test
 					}
 					if i >= c.stay {
 						if now < back {
--- a/internal/request/mgroom/rate.go
+++ b/internal/request/mgroom/rate.go
@@ -6,17 +6,18 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// rateDecay is the time in which what was given loses its weight to 1/e: some
-// requests' worth of memory becomes free in it.
+// rateDecay is the time in which the weight of a grant falls to 1/e. In it the memory of
+// several requests becomes free.
 const rateDecay = 3 * mgclock.Second
 
-// grantRate is how much memory is given a ms, with the latest weighing most.
+// grantRate is the memory that is granted per ms, as a sum with exponentially decaying
+// weights.
 type grantRate struct {
 	sum       float64 // tokens, weighted
 	updatedAt mgclock.Millis
 }
 
-// add takes that memory was given.
+// add adds a grant of memory.
 func (p *grantRate) add(now mgclock.Millis, tokens int) {
 	p.sum = p.decayedSum(now) + float64(tokens)
 	p.updatedAt = now
@@ -26,9 +27,9 @@
 	return p.sum * math.Exp(-float64(now-p.updatedAt)/float64(rateDecay))
 }
 
-// timeToGrant returns how long it takes to give some memory at this pace.
+// timeToGrant returns how long it takes to grant some memory at this rate.
 func (p *grantRate) timeToGrant(now mgclock.Millis, tokens int) mgclock.Millis {
-	rate := p.decayedSum(now) / float64(rateDecay) // tokens a ms
+	rate := p.decayedSum(now) / float64(rateDecay) // tokens per ms
 	if rate <= 0 {
 		return maxRetry
 	}
--- a/internal/request/mgroom/read_test.go
+++ b/internal/request/mgroom/read_test.go
@@ -12,14 +12,13 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// readingEngine is an engine with all the memory that is asked for, which reads prompts
-// one after another.
+// readingEngine is an engine with unlimited memory that reads prompts one after another.
 type readingEngine struct {
 	queue     []string
-	remaining map[string]int // tokens to be read
+	remaining map[string]int // tokens to be read, by request
 }
 
-// read reads for a step and returns whose prompts are done.
+// read reads for one step and returns the requests whose prompts are complete.
 func (e *readingEngine) read(step mgclock.Millis) (done []string) {
 	budget := int(float64(step) * mgload.ReadRate)
 	for len(e.queue) > 0 && budget > 0 {
@@ -45,14 +44,15 @@
 	return sum
 }
 
-// simulateOverload plays ten engines that are asked to read half more than they can for three
-// seconds of each six, and half of it in the others, as when users come in waves and
-// engines are replaced again and again. It returns the part of the requests that begin on time.
-// Unless told, the line doesn't know what engines have to read.
+// simulateOverload simulates ten engines that get prompts at 1.5 times their reading rate
+// for three seconds of each six, and at half of it in the others, as with waves of users
+// and engines that are replaced again and again. It returns the fraction of requests that
+// begin on time. Unless knowsPending is set, the waiting list doesn't know what engines
+// have to read.
 func simulateOverload(knowsPending bool) float64 {
 	const engines, prompt, span, step = 10, 2800, 60 * mgclock.Second, 20 * mgclock.Millis(1)
 	const goal = 1500 * mgclock.Millis(1)
-	capacity := engines * mgload.ReadRate / prompt // requests a ms
+	capacity := engines * mgload.ReadRate / prompt // requests per ms
 	read := mgclock.Millis(math.Ceil(prompt / mgload.ReadRate))
 	r := rand.New(rand.NewPCG(3, 4))
 	var room Room
@@ -89,11 +89,11 @@
 			}
 			places = append(places, place)
 		}
-		room.assignments = nil // what was given shows in the engines here, at once
+		room.assignments = nil // the engines here show their grants at once
 		for _, g := range room.Look(now, places) {
 			var index int
 			if _, err := fmt.Sscan(g.Place, &index); err != nil {
-				continue // given up
+				continue // the request was given up
 			}
 			if list[index].remaining == nil {
 				list[index].remaining = map[string]int{}
@@ -112,9 +112,9 @@
 	return timely / asked
 }
 
-// Engines have memory, and prompts wait there for one another for more than a second.
-// Every note of these seconds begins late, by a little: its caller looks at an empty
-// page, though three of four could have been on time and the others were late anyway.
+// Engines have free memory, but prompts wait there for one another for more than a second.
+// All requests of these seconds begin slightly late, although three of four could have been
+// on time; the others would be late in any case.
 func TestPromptsQueueAtEngines(t *testing.T) {
 	at, line := simulateOverload(false), simulateOverload(true)
 	t.Logf("on time: waiting at engines %.2f, in the line %.2f", at, line)
--- a/internal/request/mgroom/return_test.go
+++ b/internal/request/mgroom/return_test.go
@@ -12,21 +12,21 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// returningCaller is one that asks, is given up, and comes back once.
+// returningCaller is a caller whose request is given up and who comes back once.
 type returningCaller struct {
-	returnsAt mgclock.Millis // when it comes back, 0 for never
+	returnsAt mgclock.Millis // time at which it comes back, 0 for never
 	attempts  int
 	served    bool
 }
 
-// simulateReturns plays ten engines that are asked to read twice what they can for some
-// seconds, and a quarter of it afterwards. Callers that are given up come back once,
-// when they are told to, or after a fixed time where one is given. It simulateReturns the
-// part of the callers that are served at all, and the refusals for each.
+// simulateReturns simulates ten engines that get prompts at twice their reading rate for
+// some seconds, and at a quarter of it afterwards. Callers that are given up come back
+// once, after the grant's retry time, or after fixedDelay where that is set. It returns the
+// fraction of callers that are served at all, and the refusals per caller.
 func simulateReturns(fixedDelay mgclock.Millis) (served, refused float64) {
 	const engines, prompt, span, step = 10, 2800, 60 * mgclock.Second, 20 * mgclock.Millis(1)
 	const goal = 1500 * mgclock.Millis(1)
-	capacity := engines * mgload.ReadRate / prompt // requests a ms
+	capacity := engines * mgload.ReadRate / prompt // requests per ms
 	read := mgclock.Millis(math.Ceil(prompt / mgload.ReadRate))
 	r := rand.New(rand.NewPCG(5, 6))
 	var room Room
@@ -68,7 +68,7 @@
 				Pending: list[i].pending(),
 			})
 		}
-		room.assignments = nil // what was given shows in the engines here, at once
+		room.assignments = nil // the engines here show their grants at once
 		for _, g := range room.Look(now, places) {
 			var index, place int
 			_, _ = fmt.Sscan(g.Name, &index)
@@ -103,9 +103,9 @@
 	return count / float64(len(callers)), refusals / float64(len(callers))
 }
 
-// Twice as many reviews are asked for as can be begun, for seven seconds of fifteen.
-// Callers that are given up and come back at once meet the same line, are given up
-// again, and have no answer though the engines have nothing to do some seconds later.
+// For seven seconds of fifteen, requests arrive at twice the rate at which they can begin.
+// Callers that are given up and come back at once meet the same waiting list, are given up
+// again, and get no answer although the engines are idle some seconds later.
 func TestRefusedCallersReturnTooEarly(t *testing.T) {
 	told, refused := simulateReturns(0)
 	atOnce, again := simulateReturns(100)
--- a/internal/request/mgroom/room.go
+++ b/internal/request/mgroom/room.go
@@ -9,63 +9,63 @@
 )
 
 const (
-	// reportDelay is how long a place that was given counts beside what is seen of
-	// the upstream: until the entry that got it has told of its request, which it
-	// does five times a second.
+	// reportDelay is how long a grant counts in addition to what is reported of the
+	// upstream: until the entry that got it has reported its request, which it does five
+	// times a second.
 	reportDelay = 250 * mgclock.Millis(1)
 	// rampWindow is the time in which a cold upstream is given Place.Ramp requests.
 	rampWindow = mgclock.Second
-	// maxOvertakes is how many smaller requests may go before one that fits nowhere.
+	// maxOvertakes is how many requests without a place a later request may overtake.
 	maxOvertakes = 4
-	// minRetry and retryMax bound the time that a request which is given up is told
-	// to stay away: a request that comes back sooner meets the same line, and
-	// callers stay away for a third of their time at most, 2 s for a note.
+	// minRetry and maxRetry bound the retry time of a request that is given up. A request
+	// that comes back sooner meets the same waiting list, and callers stay away for a third
+	// of their time at most, 2 s for a short request.
 	minRetry = mgclock.Second
 	maxRetry = 5 * mgclock.Second
-	// maxReadWaitMs is the longest time for the prompts before it that a request is sent
-	// into, ms: one prompt. A request that waits at an upstream has its turn there
-	// whoever else comes; in the line, those that can still be on time go first.
-	// What is seen of an upstream is 200 ms old, so that it doesn't run dry.
+	// maxReadWaitMs is the maximum time for the prompts before its own with which a request
+	// is sent to an upstream: one prompt. At an upstream requests keep their order whoever
+	// comes later; on the waiting list, those that can still be on time go first. The limit
+	// isn't lower because reports of an upstream are 200 ms old, and it must not run idle.
 	maxReadWaitMs = 400.0
 )
 
-// A Wait is a request that waits for a place.
+// A Wait is a request on the waiting list.
 type Wait struct {
 	Name    string
-	Account string         // whose request it is
+	Account string         // client account of the request
 	Need    int            // tokens of memory that it takes
-	Made    int            // tokens that it will make, as is expected
-	Span    mgclock.Millis // for which it takes them
+	Made    int            // expected tokens of its output
+	Span    mgclock.Millis // expected time for which it holds the memory
 	Due     mgclock.Millis // when it must have a place for its answer to begin on time
 	Came    mgclock.Millis
 	End     mgclock.Millis // when it is given up unless it has a place
 }
 
-// work returns what the request takes, in tokens times ms.
+// work returns the request's size, in tokens times ms.
 func (w Wait) work() int64 { return int64(w.Need) * int64(max(w.Span, 1)) }
 
-// A Place is an upstream as it is seen now.
+// A Place is the reported state of an upstream at which requests can be placed.
 type Place struct {
 	Name string
 	Cost float64 // of a request there, ms; see mgload.Cost
-	Slow float64 // what comes to that for each token that is made, ms
-	Free int     // tokens of memory that nothing takes
-	// Pending is the prompt tokens that it has to read first.
+	Slow float64 // additional cost for each output token, ms
+	Free int     // unused tokens of memory
+	// Pending is the number of prompt tokens that the upstream has to read first.
 	Pending int
-	// Ramp is the most requests that it may be given in a second while it is cold,
-	// and 0 while it isn't.
+	// Ramp is the maximum number of requests that a cold upstream may be given in a second,
+	// 0 where it isn't cold.
 	Ramp int
-	// Rate is the requests a second that it takes from all processes, where it is Limited,
-	// and Permits how many of them may be given now.
+	// Rate is the requests a second that the upstream takes from all processes, if it is
+	// Limited, and Permits how many of them may be granted now.
 	Rate         float64
 	Limited      bool
 	Permits      int
-	Givers       int // processes that give places at it
-	recentGrants int // requests that it was given in the last second
+	Givers       int // number of processes that grant placements there
+	recentGrants int // grants in the last second
 }
 
-// canTake reports whether a request can be sent there: there is memory for it, its prompt
-// is read soon, and the upstream bears one more where it is cold.
+// canTake reports whether a request can be placed there: there is memory for it, its prompt
+// is read soon, and neither the ramp of a cold upstream nor a rate limit is exceeded.
 func (p *Place) canTake(w Wait) bool {
 	if p.Ramp > 0 && p.recentGrants >= p.Ramp {
 		return false
@@ -76,39 +76,39 @@
 	return p.Free >= w.Need && float64(p.Pending)/mgload.ReadRate <= maxReadWaitMs
 }
 
-// A Grant gives a request its place, or gives it up.
+// A Grant gives a request its place, or gives the request up.
 type Grant struct {
 	Name  string
 	Place string         // empty where the request is given up
-	Retry mgclock.Millis // after which there may be room for it again, then
+	Retry mgclock.Millis // then the time after which there may be a place for it
 }
 
-// assignment is a place that was assignment and may not show in what is seen yet.
+// assignment is a grant that the reports of its upstream may not show yet.
 type assignment struct {
 	tokens int
 	at     mgclock.Millis
 }
 
-// A Room is the line of one service. The zero Room is empty; one goroutine at a
-// time uses it.
+// A Room is the waiting list of one service. The zero Room is empty. It isn't safe for
+// concurrent use.
 type Room struct {
 	waiting     []Wait
-	assignments map[string][]assignment // by place
+	assignments map[string][]assignment // by name of the place
 	grantRate   grantRate
 	shares      shares
 }
 
-// Len returns the number of requests that wait.
+// Len returns the number of waiting requests.
 func (r *Room) Len() int { return len(r.waiting) }
 
-// A State is how a line stands at a time.
+// A State describes a waiting list at a time.
 type State struct {
 	Waiting int
 	Late    int            // of these, those that can't begin on time any more
-	Age     mgclock.Millis // since the oldest of them came
+	Age     mgclock.Millis // of the request that has waited longest
 }
 
-// State returns how the line stands.
+// State returns the state of the waiting list.
 func (r *Room) State(now mgclock.Millis) State {
 	s := State{
 		Waiting: len(r.waiting),
@@ -122,19 +122,21 @@
 	return s
 }
 
-// Add has a request wait, unless it does already.
+// Add appends a request to the waiting list, unless it is on it.
 func (r *Room) Add(w Wait) {
 	if !slices.ContainsFunc(r.waiting, func(other Wait) bool { return other.Name == w.Name }) {
 		r.waiting = append(r.waiting, w)
 	}
 }
 
-// Drop forgets a request that waits no more.
+// Drop removes a request from the waiting list.
 func (r *Room) Drop(name string) {
 	r.waiting = slices.DeleteFunc(r.waiting, func(w Wait) bool { return w.Name == name })
 }
 
-// Look gives what can be given now. It changes places: each grant takes its part.
+// Look assigns waiting requests to the places that can take them, and gives up those whose
+// end has come or that can't get a permit before it. It modifies places: each grant is
+// subtracted from its place.
 func (r *Room) Look(now mgclock.Millis, places []Place) []Grant {
 	if len(r.waiting) == 0 {
 		return nil
@@ -173,7 +175,7 @@
 }
 
 // limitedRate returns the requests a second that the places take together, or false where
-// one takes any number.
+// one of them has no limit.
 func limitedRate(places []Place) (rate float64, isLimited bool) {
 	for _, p := range places {
 		if !p.Limited {
@@ -184,13 +186,14 @@
 	return rate, rate > 0
 }
 
-// timeToTurn returns the time until a request has its turn that so many others go before.
+// timeToTurn returns the time until the turn of a request with a number of others before
+// it.
 func timeToTurn(before int, rate float64) mgclock.Millis {
 	return mgclock.Millis(float64(before+1) / rate * float64(mgclock.Second))
 }
 
-// Close gives up all that wait, where no upstream of the service may be given work: a
-// caller that is told so at once can come back in time, one that waits can't.
+// Close gives up all waiting requests, for a service none of whose upstreams may be given
+// work. A caller that learns this at once can come back in time; one that waits can't.
 func (r *Room) Close() []Grant {
 	grants := make([]Grant, 0, len(r.waiting))
 	for _, w := range r.waiting {
@@ -203,8 +206,8 @@
 	return grants
 }
 
-// retryAfter returns when what waits now will have its places, by the memory that was
-// given lately.
+// retryAfter returns when the requests that wait now will have their places, by the rate at
+// which memory was granted recently.
 func (r *Room) retryAfter(now mgclock.Millis) mgclock.Millis {
 	need := 0
 	for _, w := range r.waiting {
@@ -213,9 +216,9 @@
 	return min(max(r.grantRate.timeToGrant(now, need), minRetry), maxRetry)
 }
 
-// compareWaits sorts the requests: those that can be on time before those that can't;
-// the former by size, which counts more for an account that has had more than its
-// share, the latter as they came.
+// compareWaits orders requests: those that can be on time before those that can't, the
+// former by size, which counts more for an account that has had more than its share, the
+// latter by arrival.
 func compareWaits(now mgclock.Millis, over map[string]bool, a, b Wait) int {
 	lateA, lateB := now > a.Due, now > b.Due
 	switch {
@@ -230,7 +233,7 @@
 	}
 }
 
-// weightedWork returns what a request takes, as its place in the line goes by it.
+// weightedWork returns a request's size with the weight of its account.
 func weightedWork(over map[string]bool, w Wait) int64 {
 	if over[w.Account] {
 		return overShareWeight * w.work()
@@ -238,7 +241,7 @@
 	return w.work()
 }
 
-// cheapest returns the cheapest place with room for a request, or nil.
+// cheapest returns the cheapest place that can take a request, or nil.
 func cheapest(places []Place, w Wait) *Place {
 	var best *Place
 	minCost := 0.0
@@ -268,15 +271,14 @@
 	r.shares.add(now, w.Account, w.Need)
 }
 
-// reserve counts a request that was given the place, which the reports of the place
-// don't show yet.
+// reserve subtracts a grant that the reports of the place don't show yet.
 func (p *Place) reserve(g assignment) {
 	p.Free -= g.tokens
-	p.Pending += g.tokens // and some of the output: the prompt alone isn't known here
+	p.Pending += g.tokens // includes some of the output, since the length of the prompt isn't known here
 	p.Cost += mgload.RunCost + float64(g.tokens)/mgload.ReadRate
 }
 
-// applyRecent takes what was given lately off the places, and counts it.
+// applyRecent drops old assignments and subtracts the recent ones from the places.
 func (r *Room) applyRecent(now mgclock.Millis, places []Place) {
 	for name, list := range r.assignments {
 		list = slices.DeleteFunc(list, func(g assignment) bool { return now >= g.at+rampWindow })
--- a/internal/request/mgroom/room_test.go
+++ b/internal/request/mgroom/room_test.go
@@ -27,8 +27,8 @@
 	return text
 }
 
-// A note waits six seconds at an engine that is full of reports, behind a report
-// that is late already, while the engine beside it has room for the note.
+// A short request waits six seconds at an engine full of long ones, behind one that is late
+// already, while the engine beside it has free memory.
 func TestRequestGetsWrongPlace(t *testing.T) {
 	places := func() []Place {
 		return []Place{
--- a/internal/request/mgroom/share.go
+++ b/internal/request/mgroom/share.go
@@ -3,26 +3,26 @@
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 
 const (
-	// overShareFactor is how many times an equal share of the memory that was given lately
-	// an account has to go behind others' requests of its size: with one it would go
-	// behind at each second request, and accounts that ask for little leave their
-	// share to others.
+	// overShareFactor is how many times an equal share of the recently granted memory an
+	// account must have had for its requests to go behind others' of their size. With a
+	// factor of 1 that would apply at each second request, and accounts that ask for little
+	// leave their share to others.
 	overShareFactor = 2.0
-	// overShareWeight is how many times as large the requests of such an account count.
-	// A short note of its keeps its place before the reports of others, for which
-	// it leaves little more; behind all of them it would be given up.
+	// overShareWeight is how many times as large the requests of such an account count. A
+	// short request of it still goes before the long ones of others: behind all of them it
+	// would leave them little more memory and would be given up.
 	overShareWeight = 4
-	// minActiveTokens is the least weight of an account that counts as asking, tokens.
+	// minActiveTokens is the minimum decayed sum of an account that counts as active,
+	// tokens.
 	minActiveTokens = 100.0
 )
 
-// shares is how much memory each account was given lately. The zero shares is
-// empty.
+// shares is the memory that each account was granted recently. The zero shares is empty.
 type shares struct {
 	rates map[string]*grantRate
 }
 
-// add takes that an account was given memory.
+// add adds a grant of memory to an account.
 func (s *shares) add(now mgclock.Millis, account string, tokens int) {
 	if s.rates == nil {
 		s.rates = map[string]*grantRate{}
@@ -35,8 +35,8 @@
 	p.add(now, tokens)
 }
 
-// overUsers returns the accounts that have had more than their share, of those that had
-// something lately and those that wait.
+// overUsers returns the accounts that have had more than their share, where the memory is
+// shared among those with recent grants and those that wait.
 func (s *shares) overUsers(now mgclock.Millis, waits []Wait) map[string]bool {
 	asking := map[string]bool{}
 	for _, w := range waits {
--- a/internal/request/mgroom/share_test.go
+++ b/internal/request/mgroom/share_test.go
@@ -10,9 +10,10 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// simulateFlood plays ten accounts that ask for as much as there is, one of them for eight
-// times as much as each other, and returns the parts of the others' requests and of
-// the flooder's that have a place in time. Without names all are one account.
+// simulateFlood simulates ten accounts that together ask for all capacity, one of them for
+// eight times as much as each other. It returns the fraction of requests that get a place
+// in time, for the other accounts and for the flooding one. Unless hasAccounts is set, all
+// requests have the same account.
 func simulateFlood(hasAccounts bool) (others, flooder float64) {
 	const accounts, span, step = 10, 60 * mgclock.Second, 20 * mgclock.Millis(1)
 	r := rand.New(rand.NewPCG(1, 2))
@@ -46,7 +47,7 @@
 			asked[account]++
 			room.Add(w)
 		}
-		free := 60000 // twenty at once, for 27 that are asked for
+		free := 60000 // twenty requests at once, for a demand of 27
 		kept := runs[:0]
 		for _, run := range runs {
 			if now < run.end {
@@ -55,7 +56,7 @@
 			}
 		}
 		runs = kept
-		// What was given counts by the runs here, at once.
+		// The runs here show their grants at once.
 		room.assignments = nil
 		for _, g := range room.Look(now, []Place{{Name: "all", Free: free}}) {
 			if g.Place == "" {
@@ -78,8 +79,8 @@
 	return othersTimely / othersAsked, timely[0] / asked[0]
 }
 
-// One account sends eight times its usual. The reports of all others wait behind
-// its, and shift leads of nine refineries sign off blind.
+// One account sends eight times its usual rate, and the requests of all other accounts wait
+// behind its.
 func TestAccountFloodsOthers(t *testing.T) {
 	alike, _ := simulateFlood(false)
 	others, flooder := simulateFlood(true)
