--- a/internal/request/mgroom/close_test.go
+++ b/internal/request/mgroom/close_test.go
@@ -9,7 +9,7 @@
 // When the last availability zone is cordoned, requests keep waiting for a place that can't
 // be granted: their callers wait for three times their goal and are refused only then.
 func TestCloseLeavesRequestsWaiting(t *testing.T) {
-	Convey("Where nobody may be given work, all that wait are told so at once", t, func() {
+	Convey("Where no upstream may be given work, all waiting requests are given up at once", t, func() {
 		var r Room
 		for _, name := range []string{"a", "b", "c"} {
 			r.Add(Wait{
--- a/internal/request/mgroom/limit_test.go
+++ b/internal/request/mgroom/limit_test.go
@@ -31,11 +31,11 @@
 		return &r
 	}
 	Convey("Of ten reports", t, func() {
-		Convey("as many go to a limited place as it takes now", func() {
+		Convey("as many go to a limited place as it has permits", func() {
 			grants := line(10, mgclock.Minute).Look(0, []Place{limited("a", 3)})
 			So(describeGrants(grants), ShouldEqual, "report 0 at a, report 1 at a, report 2 at a, ")
 		})
-		Convey("the others go where there is no limit", func() {
+		Convey("the others go to a place without a limit", func() {
 			roomy := Place{
 				Name: "b",
 				Cost: 500,
@@ -44,7 +44,7 @@
 			grants := line(10, mgclock.Minute).Look(0, []Place{limited("a", 1), roomy})
 			So(describeGrants(grants), ShouldEqual, "report 0 at a, report 1 at b, report 2 at b, ")
 		})
-		Convey("those that can't have their turn in time are given up at once, the others wait", func() {
+		Convey("those whose permit can't come in time are given up at once, the others wait", func() {
 			r := line(10, 2*mgclock.Second)
 			grants := r.Look(0, []Place{limited("a", 0)})
 			So(len(grants), ShouldEqual, 6)
--- a/internal/request/mgroom/ramp_test.go
+++ b/internal/request/mgroom/ramp_test.go
@@ -34,17 +34,17 @@
 			load: 8,
 		},
 		{
-			name: "two are all there is",
+			name: "there are only two",
 			back: 2,
 			load: 8,
 		},
 		{
-			name: "one is all there is",
+			name: "there is only one",
 			back: 1,
 			load: 8,
 		},
 	} {
-		Convey("Cold engines bear their rate where "+c.name, t, func() {
+		Convey("Cold engines aren't given more than their rate where "+c.name, t, func() {
 			var r Room
 			given := map[string][]mgclock.Millis{}
 			atWarm := 0
@@ -100,7 +100,7 @@
 					most = max(most, second)
 				}
 			}
-			t.Logf("%s: %d in a second at most", c.name, most)
+			t.Logf("%s: maximum of %d in a second", c.name, most)
 			So(most, ShouldBeLessThanOrEqualTo, bound)
 			So(atWarm, ShouldBeGreaterThan, c.back*int(rate))
 		})
--- a/internal/request/mgroom/read_test.go
+++ b/internal/request/mgroom/read_test.go
@@ -117,8 +117,8 @@
 // on time; the others would be late in any case.
 func TestPromptsQueueAtEngines(t *testing.T) {
 	at, line := simulateOverload(false), simulateOverload(true)
-	t.Logf("on time: waiting at engines %.2f, in the line %.2f", at, line)
-	Convey("Requests that wait in the line and not at engines begin on time", t, func() {
+	t.Logf("on time: waiting at engines %.2f, on the waiting list %.2f", at, line)
+	Convey("Requests that wait on the waiting list and not at engines begin on time", t, func() {
 		So(line, ShouldBeGreaterThan, at+0.1)
 	})
 }
--- a/internal/request/mgroom/return_test.go
+++ b/internal/request/mgroom/return_test.go
@@ -109,15 +109,15 @@
 func TestRefusedCallersReturnTooEarly(t *testing.T) {
 	told, refused := simulateReturns(0)
 	atOnce, again := simulateReturns(100)
-	t.Logf("served: told when to come back %.3f, back at once %.3f; refusals for each %.2f, %.2f", told, atOnce, refused, again)
-	Convey("Callers that are told when the line will be through", t, func() {
+	t.Logf("served: with the retry time %.3f, back at once %.3f; refusals for each %.2f, %.2f", told, atOnce, refused, again)
+	Convey("Callers that come back after the retry time", t, func() {
 		Convey("are served more often than if they came back at once", func() {
 			So(told, ShouldBeGreaterThan, atOnce+0.02)
 		})
 		Convey("and are refused less often", func() {
 			So(refused, ShouldBeLessThan, 0.8*again)
 		})
-		Convey("no more are served by any fixed time", func() {
+		Convey("no fixed delay serves more of them", func() {
 			for _, fixed := range []mgclock.Millis{500, 1000, 2000, 3000, 5000, 8000} {
 				served, _ := simulateReturns(fixed)
 				So(served, ShouldBeLessThanOrEqualTo, told+0.005)
--- a/internal/request/mgroom/room_test.go
+++ b/internal/request/mgroom/room_test.go
@@ -50,12 +50,12 @@
 		want  string
 	}{
 		{
-			name:  "goes where there is room, not where it is cheapest",
+			name:  "goes where there is memory, not where it is cheapest",
 			waits: []Wait{wait("report", 3000, 100)},
 			want:  "report at roomy, ",
 		},
 		{
-			name:  "goes to the cheapest of those with room",
+			name:  "goes to the cheapest of those with memory",
 			waits: []Wait{wait("note", 900, 100)},
 			want:  "note at full, ",
 		},
@@ -70,7 +70,7 @@
 			want:  "report at roomy, ",
 		},
 		{
-			name:  "passes one that fits nowhere",
+			name:  "overtakes one that fits nowhere",
 			waits: []Wait{wait("late", 9000, -1), wait("later", 900, -1)},
 			want:  "later at full, ",
 		},
@@ -86,7 +86,7 @@
 				So(r.Len(), ShouldEqual, len(c.waits)-1)
 			})
 		}
-		Convey("goes to an engine that isn't slow, the more so the longer it is", func() {
+		Convey("avoids a slow engine the more the longer its output is", func() {
 			var r Room
 			slow := []Place{
 				{
@@ -107,7 +107,7 @@
 			r.Add(wait("note", 900, 100))
 			So(describeGrants(r.Look(0, slow)), ShouldEqual, "note at slow, ")
 		})
-		Convey("waits once, however often it is asked for", func() {
+		Convey("waits once, however often it is added", func() {
 			var r Room
 			r.Add(wait("report", 9000, 100))
 			r.Add(wait("report", 9000, 100))
@@ -115,7 +115,7 @@
 			r.Drop("report")
 			So(r.Look(0, places()), ShouldBeEmpty)
 		})
-		Convey("doesn't get memory that was given a moment ago", func() {
+		Convey("doesn't get memory that was granted just before", func() {
 			var r Room
 			r.Add(wait("first", 3000, 100))
 			So(describeGrants(r.Look(0, places())), ShouldEqual, "first at roomy, ")
@@ -123,7 +123,7 @@
 			So(r.Look(reportDelay-1, places()), ShouldBeEmpty)
 			So(describeGrants(r.Look(reportDelay, places())), ShouldEqual, "second at roomy, ")
 		})
-		Convey("is given up in time, and told when the line before it will be through", func() {
+		Convey("is given up at its end, with the time that the list takes as its retry time", func() {
 			var r Room
 			for n := range 10 {
 				r.Add(wait(fmt.Sprint("served", n), 3000, 100))
@@ -143,7 +143,7 @@
 			So(grants[0].Retry, ShouldBeBetweenOrEqual, minRetry, maxRetry)
 			So(r.Len(), ShouldEqual, 20)
 		})
-		Convey("is told of: how many wait, how many are late, since when", func() {
+		Convey("is counted in the state: how many wait, how many are late, since when", func() {
 			var r Room
 			r.Add(wait("on time", 9000, 100))
 			late := wait("late", 9000, 40)
@@ -155,7 +155,7 @@
 				Age:     110,
 			})
 		})
-		Convey("lets only a few pass", func() {
+		Convey("overtakes only a few", func() {
 			var r Room
 			for n := range maxOvertakes + 1 {
 				r.Add(wait(fmt.Sprint("large", n), 9000, -1))
--- a/internal/request/mgroom/share_test.go
+++ b/internal/request/mgroom/share_test.go
@@ -85,10 +85,10 @@
 	alike, _ := simulateFlood(false)
 	others, flooder := simulateFlood(true)
 	t.Logf("others on time without shares %.2f, with %.2f; the flooder %.2f", alike, others, flooder)
-	Convey("The others keep their service beside one that floods", t, func() {
+	Convey("The other accounts are served on time beside one that floods", t, func() {
 		So(others, ShouldBeGreaterThan, 0.9)
 		So(others, ShouldBeGreaterThan, alike+0.1)
-		Convey("and it keeps what they leave", func() {
+		Convey("and it gets what they leave", func() {
 			So(flooder, ShouldBeGreaterThan, 0.2)
 		})
 	})
