--- a/internal/request/mgload/fault.go
+++ b/internal/request/mgload/fault.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// faultLife is the time in which a fault's weight falls to 1/e. Engines that
+	// faultDecay is the time in which a fault's weight falls to 1/e. Engines that
 	// reset all they get do so for some seconds; one fault in ten seconds is the
 	// end of a connection like many.
-	faultLife = 5 * mgclock.Second
-	// wellPart is what an answer leaves of the weight.
-	wellPart = 0.2
+	faultDecay = 5 * mgclock.Second
+	// answerFactor is what an answer leaves of the weight.
+	answerFactor = 0.2
 	// faultCost is the cost of each fault, in ms: about that of a run. With far more,
 	// the requests to a few plain upstreams, of which each loses an answer now and
 	// then, all go to whichever has lost none last.
 	faultCost = 100.0
-	// faultLimit is the weight from which an upstream gets nothing new while
+	// faultThreshold is the weight from which an upstream gets nothing new while
 	// others are well: two faults within seconds, or of two entries. One that
 	// fails at once has nothing to do, looks the cheapest of all and draws each
 	// next request.
-	faultLimit = 1.5
-	// faultNone is the weight below which a fault is forgotten.
-	faultNone = 0.05
+	faultThreshold = 1.5
+	// minFaultWeight is the weight below which a fault is forgotten.
+	minFaultWeight = 0.05
 )
 
 // fault is the weight of an upstream's faults at a time.
@@ -32,9 +32,9 @@
 	at     mgclock.Millis
 }
 
-// now returns the weight that is left.
-func (f fault) now(now mgclock.Millis) float64 {
-	return f.weight * math.Exp(-float64(now-f.at)/float64(faultLife))
+// weightAt returns the weight that is left.
+func (f fault) weightAt(now mgclock.Millis) float64 {
+	return f.weight * math.Exp(-float64(now-f.at)/float64(faultDecay))
 }
 
 // Fault takes that a request ended at an upstream without an answer of its own: no
@@ -46,7 +46,7 @@
 		c.faults = map[string]fault{}
 	}
 	c.faults[upstream] = fault{
-		weight: c.faults[upstream].now(now) + 1,
+		weight: c.faults[upstream].weightAt(now) + 1,
 		at:     now,
 	}
 }
@@ -60,10 +60,10 @@
 		return
 	}
 	f = fault{
-		weight: wellPart * f.now(now),
+		weight: answerFactor * f.weightAt(now),
 		at:     now,
 	}
-	if f.weight < faultNone {
+	if f.weight < minFaultWeight {
 		delete(c.faults, upstream)
 		return
 	}
@@ -76,8 +76,8 @@
 	defer c.mu.Unlock()
 	weights := make(map[string]float64, len(c.faults))
 	for upstream, f := range c.faults {
-		weight := f.now(now)
-		if weight < faultNone {
+		weight := f.weightAt(now)
+		if weight < minFaultWeight {
 			delete(c.faults, upstream)
 			continue
 		}
@@ -104,12 +104,12 @@
 func Faulty(weights []float64) func(weight float64) bool {
 	count := 0
 	for _, weight := range weights {
-		if weight >= faultLimit {
+		if weight >= faultThreshold {
 			count++
 		}
 	}
 	if 2*count > len(weights) {
 		return func(float64) bool { return false }
 	}
-	return func(weight float64) bool { return weight >= faultLimit }
+	return func(weight float64) bool { return weight >= faultThreshold }
 }
--- a/internal/request/mgload/fault_test.go
+++ b/internal/request/mgload/fault_test.go
@@ -12,35 +12,35 @@
 // good. It has nothing to do, looks the cheapest, and each entry in turn sends it
 // reports: 91 callers of one day get an error for answers that an engine beside
 // it had time for.
-func TestFaults(t *testing.T) {
+func TestFailingEngineAttractsRequests(t *testing.T) {
 	Convey("Of two entries' requests to an engine", t, func() {
 		var hub Hub
 		var one, two Count
-		tell := func(now mgclock.Millis) float64 {
+		exchange := func(now mgclock.Millis) float64 {
 			hub.Tell(now, "one", Report{Faults: one.Faults(now)})
 			hub.Tell(now, "two", Report{Faults: two.Faults(now)})
 			return hub.Others(now, "hub").Faults["engine"]
 		}
 		others := []float64{0, 0, 0, 0}
-		shunned := func(weight float64) bool { return Faulty(append(others, weight))(weight) }
+		isExcluded := func(weight float64) bool { return Faulty(append(others, weight))(weight) }
 		Convey("one fault makes it dearer than others", func() {
 			one.Fault(0, "engine")
-			weight := tell(0)
-			So(shunned(weight), ShouldBeFalse)
+			weight := exchange(0)
+			So(isExcluded(weight), ShouldBeFalse)
 			So(Cost(State{Faults: weight}, Query{}), ShouldBeGreaterThanOrEqualTo, Cost(State{}, Query{})+faultCost)
 		})
 		Convey("a fault of each shuns it for both", func() {
 			one.Fault(0, "engine")
 			two.Fault(100, "engine")
-			So(shunned(tell(100)), ShouldBeTrue)
+			So(isExcluded(exchange(100)), ShouldBeTrue)
 			Convey("for some seconds", func() {
-				So(shunned(tell(mgclock.Second)), ShouldBeTrue)
-				So(shunned(tell(3*mgclock.Second)), ShouldBeFalse)
-				So(tell(faultLife*4), ShouldEqual, 0)
+				So(isExcluded(exchange(mgclock.Second)), ShouldBeTrue)
+				So(isExcluded(exchange(3*mgclock.Second)), ShouldBeFalse)
+				So(exchange(faultDecay*4), ShouldEqual, 0)
 			})
 			Convey("until it answers", func() {
 				one.Well(200, "engine")
-				So(shunned(tell(200)), ShouldBeFalse)
+				So(isExcluded(exchange(200)), ShouldBeFalse)
 			})
 		})
 		Convey("faults of a single caller's connection among many answers don't count for long", func() {
@@ -48,7 +48,7 @@
 				one.Fault(0, "engine")
 				one.Well(0, "engine")
 			}
-			So(shunned(tell(0)), ShouldBeFalse)
+			So(isExcluded(exchange(0)), ShouldBeFalse)
 		})
 	})
 	Convey("An entry that is cut off doesn't take the engines from all others", t, func() {
--- a/internal/request/mgload/load.go
+++ b/internal/request/mgload/load.go
@@ -30,17 +30,17 @@
 	// RunCost is the cost of each run, in ms: it makes each step 0.12 ms longer,
 	// 110 ms for a generation of 900 tokens.
 	RunCost = 110.0
-	// lackCost is the cost of each token of memory that is lacking, in ms. What
+	// missingTokenCost is the cost of each token of memory that is lacking, in ms. What
 	// lacks is preempted and read again, and holds up all that run there.
-	lackCost = 2.0 / ReadRate
-	// fullCost is the cost of a copy to an upstream without room for it, in ms: it
+	missingTokenCost = 2.0 / ReadRate
+	// fullCopyCost is the cost of a copy to an upstream without room for it, in ms: it
 	// is refused, which outweighs any way between availability zones.
-	fullCost = 1500.0
-	// farCost is the cost of another availability zone in ms: a round trip, and
+	fullCopyCost = 1500.0
+	// crossZoneCost is the cost of another availability zone in ms: a round trip, and
 	// for a copy of 3,500 tokens as much time again as within the zone.
-	farCost = 1.0
-	// farCopyCost is that of a copy.
-	farCopyCost = 190.0
+	crossZoneCost = 1.0
+	// crossZoneCopyCost is that of a copy.
+	crossZoneCopyCost = 190.0
 )
 
 // A Query says what a request needs.
@@ -65,17 +65,17 @@
 	r := s.Row
 	cost := float64(r.Pending)/ReadRate + RunCost*float64(r.Runs) + s.Slow*float64(q.Tokens) + faultCost*s.Faults
 	if lack := r.Memory + q.Memory - q.Capacity; q.Capacity > 0 && lack > 0 {
-		cost += lackCost * float64(lack)
+		cost += missingTokenCost * float64(lack)
 		if q.Copy {
-			cost += fullCost
+			cost += fullCopyCost
 		}
 	}
 	switch {
 	case s.Zone == q.Zone:
 	case q.Copy:
-		cost += farCopyCost
+		cost += crossZoneCopyCost
 	default:
-		cost += farCost
+		cost += crossZoneCost
 	}
 	return cost
 }
@@ -130,19 +130,19 @@
 	Faults map[string]float64 // weights, see Count.Faults
 }
 
-// tellLife is how long a hub counts what an entry told it: five of its messages.
+// reportTTL is how long a hub counts what an entry told it: five of its messages.
 // An entry that died has no requests any more.
-const tellLife = mgclock.Second
+const reportTTL = mgclock.Second
 
 // A Hub puts together what entries tell it. The zero Hub is empty and ready for
 // use by several goroutines.
 type Hub struct {
-	mu    sync.Mutex
-	told  map[string]told
-	heard map[string]mgclock.Millis // when an entry last turned to this process
+	mu       sync.Mutex
+	reports  map[string]entryReport
+	lastSeen map[string]mgclock.Millis // when an entry last turned to this process
 }
 
-type told struct {
+type entryReport struct {
 	report Report
 	at     mgclock.Millis
 }
@@ -152,61 +152,61 @@
 func (h *Hub) Tell(now mgclock.Millis, entry string, report Report) Report {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hear(now, entry)
-	if h.told == nil {
-		h.told = map[string]told{}
+	h.markSeen(now, entry)
+	if h.reports == nil {
+		h.reports = map[string]entryReport{}
 	}
-	h.told[entry] = told{
+	h.reports[entry] = entryReport{
 		report: report,
 		at:     now,
 	}
-	return h.others(now, entry)
+	return h.sumOthers(now, entry)
 }
 
 // Heard takes that an entry turns to this process.
 func (h *Hub) Heard(now mgclock.Millis, entry string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hear(now, entry)
+	h.markSeen(now, entry)
 }
 
-func (h *Hub) hear(now mgclock.Millis, entry string) {
-	if h.heard == nil {
-		h.heard = map[string]mgclock.Millis{}
+func (h *Hub) markSeen(now mgclock.Millis, entry string) {
+	if h.lastSeen == nil {
+		h.lastSeen = map[string]mgclock.Millis{}
 	}
-	h.heard[entry] = now
+	h.lastSeen[entry] = now
 }
 
 // Entries returns how many entries turn to this process.
 func (h *Hub) Entries(now mgclock.Millis) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for entry, at := range h.heard {
-		if now >= at+tellLife {
-			delete(h.heard, entry)
+	for entry, at := range h.lastSeen {
+		if now >= at+reportTTL {
+			delete(h.lastSeen, entry)
 		}
 	}
-	return len(h.heard)
+	return len(h.lastSeen)
 }
 
 // Others returns what an entry would be told now.
 func (h *Hub) Others(now mgclock.Millis, entry string) Report {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.others(now, entry)
+	return h.sumOthers(now, entry)
 }
 
-// others puts together what all entries but one told.
-func (h *Hub) others(now mgclock.Millis, entry string) Report {
+// sumOthers puts together what all entries but one told.
+func (h *Hub) sumOthers(now mgclock.Millis, entry string) Report {
 	others := Report{
 		Rows:   map[string]Row{},
 		Paces:  map[string]float64{},
 		Faults: map[string]float64{},
 	}
 	counts := map[string]float64{}
-	for name, other := range h.told {
-		if now >= other.at+tellLife {
-			delete(h.told, name)
+	for name, other := range h.reports {
+		if now >= other.at+reportTTL {
+			delete(h.reports, name)
 			continue
 		}
 		if name == entry {
@@ -234,14 +234,14 @@
 // Pace returns an upstream's pace by the own measurement and the others'
 // together, or false when nobody has one.
 func Pace(own, others map[string]float64, upstream string) (float64, bool) {
-	mine, have := own[upstream]
-	theirs, told := others[upstream]
+	ownPace, hasOwn := own[upstream]
+	othersPace, hasOthers := others[upstream]
 	switch {
-	case have && told:
-		return (mine + theirs) / 2, true
-	case have:
-		return mine, true
+	case hasOwn && hasOthers:
+		return (ownPace + othersPace) / 2, true
+	case hasOwn:
+		return ownPace, true
 	default:
-		return theirs, told
+		return othersPace, hasOthers
 	}
 }
--- a/internal/request/mgload/load_test.go
+++ b/internal/request/mgload/load_test.go
@@ -12,7 +12,7 @@
 
 // Three of an engine's nine reports are this entry's, and it sends the fourth
 // there, where the prompt waits behind two others and the memory is full.
-func TestCost(t *testing.T) {
+func TestLoadedUpstreamIsPreferred(t *testing.T) {
 	query := Query{
 		Zone:     "a",
 		Memory:   4000,
@@ -61,7 +61,7 @@
 }
 
 // The sum counts an entry twice, or one that died an hour ago.
-func TestHub(t *testing.T) {
+func TestHubSumIsWrong(t *testing.T) {
 	Convey("A hub tells an entry the sum of the others", t, func() {
 		var h Hub
 		rows := func(n int) Report {
@@ -73,17 +73,17 @@
 		So(h.Tell(0, "one", rows(1)).Rows, ShouldBeEmpty)
 		So(h.Tell(10, "two", rows(2)).Rows["engine"].Runs, ShouldEqual, 1)
 		So(h.Tell(20, "three", rows(4)).Rows["engine"].Runs, ShouldEqual, 3)
-		told := h.Tell(30, "one", rows(8))
-		So(told.Rows["engine"].Runs, ShouldEqual, 6)
-		So(told.Paces["engine"], ShouldEqual, 3)
+		reply := h.Tell(30, "one", rows(8))
+		So(reply.Rows["engine"].Runs, ShouldEqual, 6)
+		So(reply.Paces["engine"], ShouldEqual, 3)
 		Convey("and forgets one that is silent", func() {
-			So(h.Tell(tellLife+25, "one", rows(8)).Rows, ShouldBeEmpty)
+			So(h.Tell(reportTTL+25, "one", rows(8)).Rows, ShouldBeEmpty)
 		})
 		Convey("whose paces count beside the own", func() {
-			pace, ok := Pace(map[string]float64{"engine": 5}, told.Paces, "engine")
+			pace, ok := Pace(map[string]float64{"engine": 5}, reply.Paces, "engine")
 			So(ok, ShouldBeTrue)
 			So(pace, ShouldEqual, 4)
-			_, ok = Pace(nil, told.Paces, "other")
+			_, ok = Pace(nil, reply.Paces, "other")
 			So(ok, ShouldBeFalse)
 		})
 	})
@@ -100,17 +100,17 @@
 // Five entries place reports on twelve engines. By their own counts one engine
 // gets nine while another has none; when it is reclaimed, three of the nine are
 // cut for want of time.
-func TestPlaysEvenly(t *testing.T) {
+func TestRunsAreUneven(t *testing.T) {
 	Convey("The most runs at one engine", t, func() {
-		alone, together := play(false), play(true)
+		alone, together := simulatePlacement(false), simulatePlacement(true)
 		So(together, ShouldBeLessThan, alone)
 		So(together, ShouldBeLessThanOrEqualTo, 6)
 	})
 }
 
-// play places 500 reports of seven to nine seconds, five a second, and returns
+// simulatePlacement places 500 reports of seven to nine seconds, five a second, and returns
 // the mean over time of the most runs that one engine has.
-func play(told bool) float64 {
+func simulatePlacement(usesHub bool) float64 {
 	const entries, engines, step = 5, 12, mgclock.Millis(200)
 	r := rand.New(rand.NewPCG(1, 2))
 	var hub Hub
@@ -122,7 +122,7 @@
 		engine string
 	}
 	var running []end
-	sum, looks := 0, 0
+	sum, steps := 0, 0
 	for at := mgclock.Millis(0); at < 100*mgclock.Second; at += step {
 		kept := running[:0]
 		for _, e := range running {
@@ -133,7 +133,7 @@
 			counts[e.entry].Add(e.engine, Row{Runs: -1})
 		}
 		running = kept
-		if told {
+		if usesHub {
 			for i := range counts {
 				others[i] = hub.Tell(at, fmt.Sprint(i), Report{Rows: counts[i].Rows()})
 			}
@@ -153,13 +153,13 @@
 			engine: best,
 		})
 		total := map[string]int{}
-		most := 0
+		maxRuns := 0
 		for _, e := range running {
 			total[e.engine]++
-			most = max(most, total[e.engine])
+			maxRuns = max(maxRuns, total[e.engine])
 		}
-		sum += most
-		looks++
+		sum += maxRuns
+		steps++
 	}
-	return float64(sum) / float64(looks)
+	return float64(sum) / float64(steps)
 }
--- a/internal/request/mgload/pace_test.go
+++ b/internal/request/mgload/pace_test.go
@@ -9,7 +9,7 @@
 // An engine turns four times as slow. Nothing runs there but the few reports
 // that crawl, so that it looks the least loaded and draws the next ones, whose
 // events come 200 ms apart.
-func TestPace(t *testing.T) {
+func TestSlowEngineAttractsRequests(t *testing.T) {
 	Convey("A pace", t, func() {
 		var c Count
 		for range 50 {
@@ -30,7 +30,7 @@
 			So(slow(c.Paces(10)["a"]), ShouldEqual, 0)
 		})
 		Convey("is forgotten, so that the engine is tried again", func() {
-			So(c.Paces(paceLife), ShouldBeEmpty)
+			So(c.Paces(paceTTL), ShouldBeEmpty)
 		})
 		Convey("counts for nothing where few are known", func() {
 			So(Slow([]float64{8, 32})(32), ShouldEqual, 0)
