--- a/internal/request/mgload/fault.go
+++ b/internal/request/mgload/fault.go
@@ -7,22 +7,21 @@
 )
 
 const (
-	// faultDecay is the time in which a fault's weight falls to 1/e. Engines that
-	// reset all they get do so for some seconds; one fault in ten seconds is the
-	// end of a connection like many.
+	// faultDecay is the time in which the weight of a fault falls to 1/e. Engines that
+	// reset all requests do so for some seconds; one fault in ten seconds is an ordinary
+	// end of a connection.
 	faultDecay = 5 * mgclock.Second
-	// answerFactor is what an answer leaves of the weight.
+	// answerFactor is the fraction of the weight that remains after an answer.
 	answerFactor = 0.2
-	// faultCost is the cost of each fault, in ms: about that of a run. With far more,
-	// the requests to a few plain upstreams, of which each loses an answer now and
-	// then, all go to whichever has lost none last.
+	// faultCost is the cost of each fault, in ms: about that of a run. With a far higher
+	// cost, where there are few plain upstreams and each loses an answer now and then, all
+	// requests would go to the one whose last loss is the oldest.
 	faultCost = 100.0
-	// faultThreshold is the weight from which an upstream gets nothing new while
-	// others are well: two faults within seconds, or of two entries. One that
-	// fails at once has nothing to do, looks the cheapest of all and draws each
-	// next request.
+	// faultThreshold is the weight from which an upstream gets nothing new while others are
+	// healthy: two faults within seconds, or of two entries. An upstream that fails at once
+	// has nothing to do, looks the cheapest of all and attracts each next request.
 	faultThreshold = 1.5
-	// minFaultWeight is the weight below which a fault is forgotten.
+	// minFaultWeight is the weight below which a fault is dropped.
 	minFaultWeight = 0.05
 )
 
@@ -32,13 +31,13 @@
 	at     mgclock.Millis
 }
 
-// weightAt returns the weight that is left.
+// weightAt returns the weight that remains at a time.
 func (f fault) weightAt(now mgclock.Millis) float64 {
 	return f.weight * math.Exp(-float64(now-f.at)/float64(faultDecay))
 }
 
-// Fault takes that a request ended at an upstream without an answer of its own: no
-// connection, a reset, silence until the end, bytes that answer nothing.
+// Fault records that a request ended at an upstream without an answer of its own: no
+// connection, a reset, silence until the end, or bytes that aren't an answer.
 func (c *Count) Fault(now mgclock.Millis, upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,7 +50,7 @@
 	}
 }
 
-// Well takes that an upstream answered.
+// Well records that an upstream answered.
 func (c *Count) Well(now mgclock.Millis, upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +69,7 @@
 	c.faults[upstream] = f
 }
 
-// Faults returns the weights of the upstreams' faults.
+// Faults returns the weights of the upstreams' faults, by upstream.
 func (c *Count) Faults(now mgclock.Millis) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,8 +85,8 @@
 	return weights
 }
 
-// widespread reports whether an entry's faults are rather its own, or those of its
-// links: most of the upstreams that it uses have one.
+// widespread reports whether an entry's faults are probably its own, or those of its links:
+// more than half of the upstreams that it uses have one.
 func (r Report) widespread() bool {
 	count := 0
 	for _, weight := range r.Faults {
@@ -98,9 +97,9 @@
 	return count > 1 && 2*count > len(r.Rows)
 }
 
-// Faulty reports which of some upstreams, by the weights of their faults, get
-// nothing new. It is none where more than half would: that is the fault of the
-// one who asks, or of the network.
+// Faulty returns a function that reports whether an upstream with a weight of faults gets
+// nothing new, among upstreams with the given weights. It is always false where more than
+// half would be faulty: the cause is then the calling process, or the network.
 func Faulty(weights []float64) func(weight float64) bool {
 	count := 0
 	for _, weight := range weights {
--- a/internal/request/mgload/fault_test.go
+++ b/internal/request/mgload/fault_test.go
@@ -8,10 +8,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// An engine resets all that it gets for seven seconds while its health check is
-// good. It has nothing to do, looks the cheapest, and each entry in turn sends it
-// reports: 91 callers of one day get an error for answers that an engine beside
-// it had time for.
+// An engine resets all requests for seven seconds while its health check succeeds. It is
+// idle, looks the cheapest, and attracts requests from each entry: 91 callers in one day
+// got an error although another engine had time for their requests.
 func TestFailingEngineAttractsRequests(t *testing.T) {
 	Convey("Of two entries' requests to an engine", t, func() {
 		var hub Hub
--- a/internal/request/mgload/load.go
+++ b/internal/request/mgload/load.go
@@ -23,41 +23,41 @@
 }
 
 const (
-	// ReadRate is the prompt tokens that an engine reads in a ms, and the time
-	// that a request waits for the prompts before its own. Engines publish 14; they
-	// read in turn with the steps of what runs.
+	// ReadRate is the number of prompt tokens that an engine reads in a ms; it gives the
+	// time that a request waits for the prompts before its own. Engines publish 14, but
+	// they alternate between reading and the steps of what runs.
 	ReadRate = 7.4
-	// RunCost is the cost of each run, in ms: it makes each step 0.12 ms longer,
+	// RunCost is the cost of each run, in ms: it makes each step 0.12 ms longer, which is
 	// 110 ms for a generation of 900 tokens.
 	RunCost = 110.0
-	// missingTokenCost is the cost of each token of memory that is lacking, in ms. What
-	// lacks is preempted and read again, and holds up all that run there.
+	// missingTokenCost is the cost of each missing token of memory, in ms. A run without
+	// memory is preempted and read again, and delays all that run there.
 	missingTokenCost = 2.0 / ReadRate
-	// fullCopyCost is the cost of a copy to an upstream without room for it, in ms: it
-	// is refused, which outweighs any way between availability zones.
+	// fullCopyCost is the cost of a copy to an upstream without memory for it, in ms. Such
+	// a copy is refused, which outweighs any network delay between availability zones.
 	fullCopyCost = 1500.0
-	// crossZoneCost is the cost of another availability zone in ms: a round trip, and
-	// for a copy of 3,500 tokens as much time again as within the zone.
+	// crossZoneCost is the cost of another availability zone in ms: a round trip. For a
+	// copy of 3,500 tokens the transfer takes as much time again as within the zone.
 	crossZoneCost = 1.0
-	// crossZoneCopyCost is that of a copy.
+	// crossZoneCopyCost is the cost of another availability zone for a copy, in ms.
 	crossZoneCopyCost = 190.0
 )
 
-// A Query says what a request needs.
+// A Query describes what a request needs.
 type Query struct {
 	Zone     string // of the entry, or of the source of a copy
 	Memory   int    // tokens of the prompt and the expected output
-	Capacity int    // tokens of an upstream's memory, 0 for no bound
-	Copy     bool   // the request brings its memory along
+	Capacity int    // tokens of an upstream's memory, 0 for unlimited
+	Copy     bool   // the request is a copy that brings its memory along
 	Tokens   int    // expected tokens of the output, 1 for a call
 }
 
-// A State is what is known of an upstream.
+// A State is what an entry knows of an upstream.
 type State struct {
 	Row    Row
 	Zone   string
-	Slow   float64 // how much slower than others it is, ms for each token; see Slow
-	Faults float64 // their weight; see Count.Faults
+	Slow   float64 // additional time compared with others, ms for each token; see the function Slow
+	Faults float64 // weight of its faults; see Count.Faults
 }
 
 // Cost returns the cost in ms of a request at an upstream.
@@ -80,8 +80,8 @@
 	return cost
 }
 
-// A Count is what one entry has sent. The zero Count is empty and ready for use
-// by several goroutines.
+// A Count is what one entry has sent. The zero Count is empty and ready for use by several
+// goroutines.
 type Count struct {
 	mu     sync.Mutex
 	rows   map[string]Row
@@ -89,7 +89,7 @@
 	faults map[string]fault
 }
 
-// Add adds to an upstream's row, and takes away what is negative.
+// Add adds delta, whose counts may be negative, to an upstream's row.
 func (c *Count) Add(upstream string, delta Row) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,24 +122,24 @@
 	return rows
 }
 
-// A Report is what one entry, or several together, have sent to upstreams and
-// measured of them.
+// A Report is what one entry, or several together, have sent to upstreams and measured of
+// them.
 type Report struct {
 	Rows   map[string]Row
-	Paces  map[string]float64 // ms, see Count.Paces
-	Faults map[string]float64 // weights, see Count.Faults
+	Paces  map[string]float64 // ms; see Count.Paces
+	Faults map[string]float64 // weights; see Count.Faults
 }
 
-// reportTTL is how long a hub counts what an entry told it: five of its messages.
-// An entry that died has no requests any more.
+// reportTTL is how long a hub counts an entry's report: five report intervals. An entry
+// that died has no requests any more.
 const reportTTL = mgclock.Second
 
-// A Hub puts together what entries tell it. The zero Hub is empty and ready for
-// use by several goroutines.
+// A Hub merges the reports of entries. The zero Hub is empty and ready for use by several
+// goroutines.
 type Hub struct {
 	mu       sync.Mutex
 	reports  map[string]entryReport
-	lastSeen map[string]mgclock.Millis // when an entry last turned to this process
+	lastSeen map[string]mgclock.Millis // when each entry last sent a message to this process
 }
 
 type entryReport struct {
@@ -147,8 +147,8 @@
 	at     mgclock.Millis
 }
 
-// Tell takes an entry's report and returns that of the others: the sum of what
-// they sent, and the mean of the paces that they measured.
+// Tell stores an entry's report and returns the merged report of the others: the sum of
+// what they sent, and the mean of the paces that they measured.
 func (h *Hub) Tell(now mgclock.Millis, entry string, report Report) Report {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -163,7 +163,7 @@
 	return h.sumOthers(now, entry)
 }
 
-// Heard takes that an entry turns to this process.
+// Heard records that an entry uses this process as its hub.
 func (h *Hub) Heard(now mgclock.Millis, entry string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -177,7 +177,7 @@
 	h.lastSeen[entry] = now
 }
 
-// Entries returns how many entries turn to this process.
+// Entries returns how many entries use this process as their hub.
 func (h *Hub) Entries(now mgclock.Millis) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -189,14 +189,14 @@
 	return len(h.lastSeen)
 }
 
-// Others returns what an entry would be told now.
+// Others returns the merged report of all entries but one.
 func (h *Hub) Others(now mgclock.Millis, entry string) Report {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.sumOthers(now, entry)
 }
 
-// sumOthers puts together what all entries but one told.
+// sumOthers merges the reports of all entries but one. It is called with mu held.
 func (h *Hub) sumOthers(now mgclock.Millis, entry string) Report {
 	others := Report{
 		Rows:   map[string]Row{},
@@ -231,8 +231,8 @@
 	return others
 }
 
-// Pace returns an upstream's pace by the own measurement and the others'
-// together, or false when nobody has one.
+// Pace returns the mean of an upstream's own measured pace and the others', or the only one
+// of them, or false when there is none.
 func Pace(own, others map[string]float64, upstream string) (float64, bool) {
 	ownPace, hasOwn := own[upstream]
 	othersPace, hasOthers := others[upstream]
--- a/internal/request/mgload/load_test.go
+++ b/internal/request/mgload/load_test.go
@@ -10,8 +10,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Three of an engine's nine reports are this entry's, and it sends the fourth
-// there, where the prompt waits behind two others and the memory is full.
+// Three of an engine's nine runs are this entry's. The entry sends a fourth one there,
+// where its prompt waits behind two others and the memory is full.
 func TestLoadedUpstreamIsPreferred(t *testing.T) {
 	query := Query{
 		Zone:     "a",
@@ -60,7 +60,7 @@
 	})
 }
 
-// The sum counts an entry twice, or one that died an hour ago.
+// A sum must neither count an entry's own report nor that of an entry that died.
 func TestHubSumIsWrong(t *testing.T) {
 	Convey("A hub tells an entry the sum of the others", t, func() {
 		var h Hub
@@ -97,9 +97,9 @@
 	})
 }
 
-// Five entries place reports on twelve engines. By their own counts one engine
-// gets nine while another has none; when it is reclaimed, three of the nine are
-// cut for want of time.
+// Five entries send runs to twelve engines. By their own counts alone one engine gets nine
+// while another has none, and when the first is reclaimed, three of its runs are cut off
+// for lack of time.
 func TestRunsAreUneven(t *testing.T) {
 	Convey("The most runs at one engine", t, func() {
 		alone, together := simulatePlacement(false), simulatePlacement(true)
@@ -108,8 +108,8 @@
 	})
 }
 
-// simulatePlacement places 500 reports of seven to nine seconds, five a second, and returns
-// the mean over time of the most runs that one engine has.
+// simulatePlacement places 500 runs of seven to nine seconds, five a second, and returns
+// the mean over time of the maximum number of runs at one engine.
 func simulatePlacement(usesHub bool) float64 {
 	const entries, engines, step = 5, 12, mgclock.Millis(200)
 	r := rand.New(rand.NewPCG(1, 2))
--- a/internal/request/mgload/pace.go
+++ b/internal/request/mgload/pace.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// paceSmoothing is the weight of the newest sample of an upstream's pace: a
-	// prompt that is read beside a run doubles its pace for some events, and
-	// ten of them, about half a second, tell a slow engine from that.
+	// paceSmoothing is the weight of the newest sample in the moving average of an
+	// upstream's pace. A prompt that is read beside a run doubles its pace for some events;
+	// after ten of them, about half a second, a slow engine can be told from that.
 	paceSmoothing = 0.2
-	// paceTTL is how long a pace is believed that nobody has measured since. A
-	// slow engine gets nothing new, and is tried again after it.
+	// paceTTL is how long a pace counts after its last measurement. A slow engine gets
+	// nothing new, and is tried again after that time.
 	paceTTL = 5 * mgclock.Second
-	// minKnownPaces is the least number of upstreams whose pace is known before one
-	// is held against the others.
+	// minKnownPaces is the minimum number of upstreams with a known pace for one of them to
+	// count as slow.
 	minKnownPaces = 3
-	// slowFactor is how many times the others' an upstream's pace must be to count
-	// as slow. It is an estimate: a prompt that is read beside a run doubles its
-	// pace for some events, which the average takes in part only.
+	// slowFactor is how many times the median pace an upstream's pace must be to count as
+	// slow. It is an estimate: a prompt that is read beside a run doubles its pace for some
+	// events, which the average dampens only in part.
 	slowFactor = 1.7
 )
 
-// pace is an upstream's measured time for each token, or each call.
+// pace is an upstream's measured time for each token, or for each call.
 type pace struct {
 	value float64 // ms
 	at    mgclock.Millis
 }
 
-// Paced takes the time that an upstream took for each of some tokens of a
-// stream, or for a call.
+// Paced records the time that an upstream took for each of some tokens of a stream, or for
+// a call.
 func (c *Count) Paced(now mgclock.Millis, upstream string, each float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,7 +46,7 @@
 	c.paces[upstream] = p
 }
 
-// Paces returns the upstreams' paces in ms that were measured lately.
+// Paces returns the upstreams' recently measured paces, in ms.
 func (c *Count) Paces(now mgclock.Millis) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,8 +61,9 @@
 	return known
 }
 
-// Slow returns by how many ms for each token, or call, the slow ones among some
-// upstreams are slower than the others. It is empty where too few are known.
+// Slow returns a function from an upstream's pace to the ms for each token, or call, by
+// which it is slower than the median of the given paces. It returns 0 for upstreams that
+// aren't slow, and for all where too few paces are known.
 func Slow(paces []float64) func(pace float64) float64 {
 	if len(paces) < minKnownPaces {
 		return func(float64) float64 { return 0 }
--- a/internal/request/mgload/pace_test.go
+++ b/internal/request/mgload/pace_test.go
@@ -6,9 +6,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// An engine turns four times as slow. Nothing runs there but the few reports
-// that crawl, so that it looks the least loaded and draws the next ones, whose
-// events come 200 ms apart.
+// An engine becomes four times as slow. Only the few slow requests run there, so that it
+// looks the least loaded and attracts the next ones, whose events come 200 ms apart.
 func TestSlowEngineAttractsRequests(t *testing.T) {
 	Convey("A pace", t, func() {
 		var c Count
