--- a/internal/request/mgload/fault_test.go
+++ b/internal/request/mgload/fault_test.go
@@ -22,13 +22,13 @@
 		}
 		others := []float64{0, 0, 0, 0}
 		isExcluded := func(weight float64) bool { return Faulty(append(others, weight))(weight) }
-		Convey("one fault makes it dearer than others", func() {
+		Convey("one fault raises its cost", func() {
 			one.Fault(0, "engine")
 			weight := exchange(0)
 			So(isExcluded(weight), ShouldBeFalse)
 			So(Cost(State{Faults: weight}, Query{}), ShouldBeGreaterThanOrEqualTo, Cost(State{}, Query{})+faultCost)
 		})
-		Convey("a fault of each shuns it for both", func() {
+		Convey("a fault of each excludes it for both", func() {
 			one.Fault(0, "engine")
 			two.Fault(100, "engine")
 			So(isExcluded(exchange(100)), ShouldBeTrue)
@@ -42,7 +42,7 @@
 				So(isExcluded(exchange(200)), ShouldBeFalse)
 			})
 		})
-		Convey("faults of a single caller's connection among many answers don't count for long", func() {
+		Convey("faults of a single caller's connection among many answers don't exclude it", func() {
 			for range 5 {
 				one.Fault(0, "engine")
 				one.Well(0, "engine")
@@ -50,7 +50,7 @@
 			So(isExcluded(exchange(0)), ShouldBeFalse)
 		})
 	})
-	Convey("An entry that is cut off doesn't take the engines from all others", t, func() {
+	Convey("An entry that is cut off doesn't exclude engines for all others", t, func() {
 		var hub Hub
 		hub.Tell(0, "cut", Report{
 			Rows:   map[string]Row{"a": {Runs: 1}},
@@ -58,7 +58,7 @@
 		})
 		So(hub.Others(0, "hub").Faults, ShouldBeEmpty)
 	})
-	Convey("Where most fail, the fault is nearer by, and none is shunned", t, func() {
+	Convey("Where more than half fail, the cause is elsewhere, and none is excluded", t, func() {
 		So(Faulty([]float64{3, 3, 0})(3), ShouldBeFalse)
 		So(Faulty([]float64{3, 0, 0})(3), ShouldBeTrue)
 	})
--- a/internal/request/mgload/load_test.go
+++ b/internal/request/mgload/load_test.go
@@ -50,7 +50,7 @@
 				So(Cost(State{Row: c.better, Zone: c.zone}, query), ShouldBeLessThan, Cost(State{Row: c.worse, Zone: c.farther}, query))
 			})
 		}
-		Convey("A copy weighs the way between zones by the time it takes", func() {
+		Convey("A copy counts the transfer time between zones", func() {
 			near := Row{Runs: 1}
 			moved := query
 			So(Cost(State{Row: near, Zone: "a"}, moved), ShouldBeGreaterThan, Cost(State{Zone: "b"}, moved))
@@ -62,7 +62,7 @@
 
 // A sum must neither count an entry's own report nor that of an entry that died.
 func TestHubSumIsWrong(t *testing.T) {
-	Convey("A hub tells an entry the sum of the others", t, func() {
+	Convey("A hub returns to an entry the sum of the others", t, func() {
 		var h Hub
 		rows := func(n int) Report {
 			return Report{
@@ -76,10 +76,10 @@
 		reply := h.Tell(30, "one", rows(8))
 		So(reply.Rows["engine"].Runs, ShouldEqual, 6)
 		So(reply.Paces["engine"], ShouldEqual, 3)
-		Convey("and forgets one that is silent", func() {
+		Convey("and drops one that is silent", func() {
 			So(h.Tell(reportTTL+25, "one", rows(8)).Rows, ShouldBeEmpty)
 		})
-		Convey("whose paces count beside the own", func() {
+		Convey("whose paces are averaged with the entry's own", func() {
 			pace, ok := Pace(map[string]float64{"engine": 5}, reply.Paces, "engine")
 			So(ok, ShouldBeTrue)
 			So(pace, ShouldEqual, 4)
@@ -87,7 +87,7 @@
 			So(ok, ShouldBeFalse)
 		})
 	})
-	Convey("A count ends at nothing", t, func() {
+	Convey("A count without requests is empty", t, func() {
 		var c Count
 		c.Add("engine", Row{Runs: 1, Pending: 3000})
 		c.Add("engine", Row{Pending: -3000})
@@ -101,7 +101,7 @@
 // while another has none, and when the first is reclaimed, three of its runs are cut off
 // for lack of time.
 func TestRunsAreUneven(t *testing.T) {
-	Convey("The most runs at one engine", t, func() {
+	Convey("The maximum number of runs at one engine is lower with a hub", t, func() {
 		alone, together := simulatePlacement(false), simulatePlacement(true)
 		So(together, ShouldBeLessThan, alone)
 		So(together, ShouldBeLessThanOrEqualTo, 6)
--- a/internal/request/mgload/pace_test.go
+++ b/internal/request/mgload/pace_test.go
@@ -24,14 +24,14 @@
 			So(slow(paces["d"]), ShouldBeBetween, 20, 25)
 			So(slow(paces["b"]), ShouldEqual, 0)
 		})
-		Convey("of a moment is not", func() {
+		Convey("that is high for one event is not", func() {
 			c.Paced(10, "a", 30)
 			So(slow(c.Paces(10)["a"]), ShouldEqual, 0)
 		})
-		Convey("is forgotten, so that the engine is tried again", func() {
+		Convey("expires, so that the engine is tried again", func() {
 			So(c.Paces(paceTTL), ShouldBeEmpty)
 		})
-		Convey("counts for nothing where few are known", func() {
+		Convey("is ignored where few are known", func() {
 			So(Slow([]float64{8, 32})(32), ShouldEqual, 0)
 		})
 	})
