--- a/internal/request/mglimit/limits.go
+++ b/internal/request/mglimit/limits.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// newsSpan is how long a word that changed is told on.
-	newsSpan = 600 * mgclock.Millis(1)
-	// wordSlack is how much longer than its age says another's word may have been on its
+	// broadcastWindow is how long a word that changed is told on.
+	broadcastWindow = 600 * mgclock.Millis(1)
+	// maxRecordDelay is how much longer than its age says another's word may have been on its
 	// way: the end of a limit must not seem later than an answer that named it.
-	wordSlack = 500 * mgclock.Millis(1)
-	// wordLife is how long after it was named the limit of an upstream is kept that the list
+	maxRecordDelay = 500 * mgclock.Millis(1)
+	// unlistedTTL is how long after it was named the limit of an upstream is kept that the list
 	// lacks: longer than a list may lack one that lives.
-	wordLife = 5 * mgclock.Minute
-	// maxWords bounds the upstreams that are known to have named limits.
-	maxWords = 8192
+	unlistedTTL = 5 * mgclock.Minute
+	// maxLimits bounds the upstreams that are known to have named limits.
+	maxLimits = 8192
 )
 
 // A Word is what a process knows of an upstream's limit, as processes tell it. Ages are of
@@ -35,8 +35,8 @@
 	Unnamed mgclock.Millis `json:"unnamed,omitempty"`
 }
 
-// valid reports whether another process's word can be used.
-func (w Word) valid() bool {
+// isValid reports whether another process's word can be used.
+func (w Word) isValid() bool {
 	return w.Upstream != "" && w.Rate >= 0 && !math.IsNaN(w.Rate) && !math.IsInf(w.Rate, 0) && w.Named >= 0 && w.Unnamed >= 0
 }
 
@@ -44,29 +44,29 @@
 // use by several goroutines.
 type Limits struct {
 	mu      sync.Mutex
-	all     map[string]*limit
+	limits  map[string]*limit
 	changed chan struct{}
 }
 
 type limit struct {
-	born    int64
-	rate    float64
-	named   mgclock.Millis // when an answer named the rate last
-	ended   bool           // a later one named none
-	unnamed mgclock.Millis // when the last request was sent whose answer named none
-	news    mgclock.Millis // until then it is told on
+	incarnationStart int64
+	rate             float64
+	lastNamed        mgclock.Millis // when an answer named the rate last
+	ended            bool           // a later one named none
+	lastUnnamed      mgclock.Millis // when the last request was sent whose answer named none
+	broadcastUntil   mgclock.Millis // until then it is told on
 }
 
-// holds reports whether the upstream is limited. Answers overtake one another: the end is
+// isActive reports whether the upstream is limited. Answers overtake one another: the end is
 // known only by a request that was sent after the last answer that named the rate.
-func (l *limit) holds() bool { return !l.ended || l.unnamed <= l.named }
+func (l *limit) isActive() bool { return !l.ended || l.lastUnnamed <= l.lastNamed }
 
 // Named takes that an answer of an upstream's life named a rate, and reports whether that is
 // news.
 func (s *Limits) Named(now mgclock.Millis, upstream string, born int64, rate float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.take(now, upstream, born, func(l *limit) { l.name(now, rate) })
+	return s.update(now, upstream, born, func(l *limit) { l.setNamed(now, rate) })
 }
 
 // Unnamed takes that the answer to a request, sent at a time, named no rate, and reports
@@ -74,72 +74,72 @@
 func (s *Limits) Unnamed(now, sent mgclock.Millis, upstream string, born int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.all[upstream]
+	known := s.limits[upstream]
 	switch {
-	case known == nil || born < known.born:
+	case known == nil || born < known.incarnationStart:
 		return false
-	case born > known.born:
-		delete(s.all, upstream)
+	case born > known.incarnationStart:
+		delete(s.limits, upstream)
 		return true
 	}
-	return s.take(now, upstream, born, func(l *limit) { l.end(sent) })
+	return s.update(now, upstream, born, func(l *limit) { l.setEnded(sent) })
 }
 
 // Take takes what another process knows. It returns the words that are news, and how many
 // can't be used.
-func (s *Limits) Take(now mgclock.Millis, words []Word) (news []Word, unusable int) {
+func (s *Limits) Take(now mgclock.Millis, records []Word) (updates []Word, unusable int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, w := range words {
-		if !w.valid() {
+	for _, w := range records {
+		if !w.isValid() {
 			unusable++
 			continue
 		}
-		if s.all[w.Upstream] == nil && w.Named >= wordLife {
+		if s.limits[w.Upstream] == nil && w.Named >= unlistedTTL {
 			continue // dropped here, or about to be
 		}
-		isNews := s.take(now, w.Upstream, w.Born, func(l *limit) {
-			l.name(now-w.Named, w.Rate)
+		isUpdate := s.update(now, w.Upstream, w.Born, func(l *limit) {
+			l.setNamed(now-w.Named, w.Rate)
 			if w.Ended {
-				l.end(now - w.Unnamed - wordSlack)
+				l.setEnded(now - w.Unnamed - maxRecordDelay)
 			}
 		})
-		if isNews {
-			news = append(news, w)
+		if isUpdate {
+			updates = append(updates, w)
 		}
 	}
-	return news, unusable
+	return updates, unusable
 }
 
-// take changes what is known of one life of an upstream, and reports whether that is news.
+// update changes what is known of one life of an upstream, and reports whether that is news.
 // It is called with mu held.
-func (s *Limits) take(now mgclock.Millis, upstream string, born int64, change func(l *limit)) bool {
-	l := s.all[upstream]
+func (s *Limits) update(now mgclock.Millis, upstream string, born int64, change func(l *limit)) bool {
+	l := s.limits[upstream]
 	switch {
-	case l == nil && len(s.all) >= maxWords:
+	case l == nil && len(s.limits) >= maxLimits:
 		return false
-	case l != nil && born < l.born:
+	case l != nil && born < l.incarnationStart:
 		return false
 	}
-	held, rate := false, 0.0
+	wasActive, rate := false, 0.0
 	if l != nil {
-		held, rate = l.holds(), l.rate
+		wasActive, rate = l.isActive(), l.rate
 	}
-	if l == nil || born > l.born {
+	if l == nil || born > l.incarnationStart {
 		l = &limit{
-			born:  born,
-			named: math.MinInt64,
+			incarnationStart: born,
+			lastNamed:        math.MinInt64,
 		}
 	}
 	change(l)
-	if s.all == nil {
-		s.all = map[string]*limit{}
+	if s.limits == nil {
+		s.limits = map[string]*limit{}
 	}
-	s.all[upstream] = l
-	if l.holds() == held && (!held || l.rate == rate) {
+	s.limits[upstream] = l
+	if l.isActive() == wasActive && (!wasActive || l.rate == rate) {
 		return false
 	}
-	l.news = now + newsSpan
+	l.broadcastUntil = now + broadcastWindow
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
@@ -147,19 +147,19 @@
 	return true
 }
 
-// name takes that the rate was named at a time.
-func (l *limit) name(at mgclock.Millis, rate float64) {
-	if at >= l.named {
-		l.named = at
+// setNamed takes that the rate was named at a time.
+func (l *limit) setNamed(at mgclock.Millis, rate float64) {
+	if at >= l.lastNamed {
+		l.lastNamed = at
 		l.rate = rate
 	}
 }
 
-// end takes that the answer to a request, sent at a time, named none.
-func (l *limit) end(sent mgclock.Millis) {
-	if !l.ended || sent > l.unnamed {
+// setEnded takes that the answer to a request, sent at a time, named none.
+func (l *limit) setEnded(sent mgclock.Millis) {
+	if !l.ended || sent > l.lastUnnamed {
 		l.ended = true
-		l.unnamed = sent
+		l.lastUnnamed = sent
 	}
 }
 
@@ -168,8 +168,8 @@
 func (s *Limits) Rate(upstream string, born int64) (rate float64, limited bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.all[upstream]
-	if l == nil || born > l.born || !l.holds() {
+	l := s.limits[upstream]
+	if l == nil || born > l.incarnationStart || !l.isActive() {
 		return 0, false
 	}
 	return l.rate, true
@@ -179,47 +179,47 @@
 func (s *Limits) Word(now mgclock.Millis, upstream string) (Word, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.all[upstream]
+	l := s.limits[upstream]
 	if l == nil {
 		return Word{}, false
 	}
-	return l.word(now, upstream), true
+	return l.record(now, upstream), true
 }
 
 // Words returns all that is known, by upstream.
 func (s *Limits) Words(now mgclock.Millis) []Word {
-	return s.words(now, func(*limit) bool { return true })
+	return s.collect(now, func(*limit) bool { return true })
 }
 
 // News returns what is to be told on.
 func (s *Limits) News(now mgclock.Millis) []Word {
-	return s.words(now, func(l *limit) bool { return now < l.news })
+	return s.collect(now, func(l *limit) bool { return now < l.broadcastUntil })
 }
 
-func (s *Limits) words(now mgclock.Millis, wanted func(l *limit) bool) []Word {
+func (s *Limits) collect(now mgclock.Millis, wanted func(l *limit) bool) []Word {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var words []Word
-	for upstream, l := range s.all {
+	var records []Word
+	for upstream, l := range s.limits {
 		if wanted(l) {
-			words = append(words, l.word(now, upstream))
+			records = append(records, l.record(now, upstream))
 		}
 	}
-	slices.SortFunc(words, func(a, b Word) int { return strings.Compare(a.Upstream, b.Upstream) })
-	return words
+	slices.SortFunc(records, func(a, b Word) int { return strings.Compare(a.Upstream, b.Upstream) })
+	return records
 }
 
-func (l *limit) word(now mgclock.Millis, upstream string) Word {
+func (l *limit) record(now mgclock.Millis, upstream string) Word {
 	w := Word{
 		Upstream: upstream,
-		Born:     l.born,
+		Born:     l.incarnationStart,
 		Rate:     l.rate,
 		Ended:    l.ended,
 		// A word's time may lie ahead of this clock's by what a goroutine waited.
-		Named: max(now-l.named, 0),
+		Named: max(now-l.lastNamed, 0),
 	}
 	if l.ended {
-		w.Unnamed = max(now-l.unnamed, 0)
+		w.Unnamed = max(now-l.lastUnnamed, 0)
 	}
 	return w
 }
@@ -238,5 +238,5 @@
 func (s *Limits) Forget(now mgclock.Millis, listed func(upstream string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.all, func(upstream string, l *limit) bool { return now >= l.named+wordLife && !listed(upstream) })
+	maps.DeleteFunc(s.limits, func(upstream string, l *limit) bool { return now >= l.lastNamed+unlistedTTL && !listed(upstream) })
 }
--- a/internal/request/mglimit/limits_test.go
+++ b/internal/request/mglimit/limits_test.go
@@ -10,7 +10,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-func word(upstream string, rate float64, named mgclock.Millis) Word {
+func newRecord(upstream string, rate float64, named mgclock.Millis) Word {
 	return Word{
 		Upstream: upstream,
 		Rate:     rate,
@@ -18,13 +18,13 @@
 	}
 }
 
-func ended(w Word, unnamed mgclock.Millis) Word {
+func withEnd(w Word, unnamed mgclock.Millis) Word {
 	w.Ended = true
 	w.Unnamed = unnamed
 	return w
 }
 
-func TestLimits(t *testing.T) {
+func TestWrongLimitIsActive(t *testing.T) {
 	const now = 10 * mgclock.Second
 	rate := func(s *Limits, born int64) float64 {
 		rate, limited := s.Rate("a", born)
@@ -34,19 +34,19 @@
 		return rate
 	}
 	cases := []struct {
-		name string
-		play func(s *Limits)
-		born int64 // by the list
-		rate float64
+		name  string
+		apply func(s *Limits)
+		born  int64 // by the list
+		rate  float64
 	}{
 		{
-			name: "what is named holds",
-			play: func(s *Limits) { s.Named(now, "a", 0, 5) },
-			rate: 5,
+			name:  "what is named holds",
+			apply: func(s *Limits) { s.Named(now, "a", 0, 5) },
+			rate:  5,
 		},
 		{
 			name: "the last rate that is named holds",
-			play: func(s *Limits) {
+			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Named(now+1, "a", 0, 0)
 			},
@@ -54,7 +54,7 @@
 		},
 		{
 			name: "an answer to a later request ends it",
-			play: func(s *Limits) {
+			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Unnamed(now+20, now+1, "a", 0)
 			},
@@ -62,7 +62,7 @@
 		},
 		{
 			name: "an answer that was overtaken doesn't",
-			play: func(s *Limits) {
+			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Unnamed(now+20, now-1, "a", 0)
 			},
@@ -70,7 +70,7 @@
 		},
 		{
 			name: "it holds again once it is named again",
-			play: func(s *Limits) {
+			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Unnamed(now+20, now+1, "a", 0)
 				s.Named(now+30, "a", 0, 4)
@@ -79,7 +79,7 @@
 		},
 		{
 			name: "nothing ends by itself",
-			play: func(s *Limits) {
+			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Forget(now+mgclock.Minute*60, func(string) bool { return true })
 			},
@@ -87,27 +87,27 @@
 		},
 		{
 			name: "a list that lacks the upstream for a while doesn't end it",
-			play: func(s *Limits) {
+			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Forget(now+10*mgclock.Second, func(string) bool { return false })
 			},
 			rate: 5,
 		},
 		{
-			name: "a later life has none by the list",
-			play: func(s *Limits) { s.Named(now, "a", 1, 5) },
-			born: 2,
-			rate: -1,
+			name:  "a later life has none by the list",
+			apply: func(s *Limits) { s.Named(now, "a", 1, 5) },
+			born:  2,
+			rate:  -1,
 		},
 		{
-			name: "a limit of a later life holds while the list is late",
-			play: func(s *Limits) { s.Named(now, "a", 2, 5) },
-			born: 1,
-			rate: 5,
+			name:  "a limit of a later life holds while the list is late",
+			apply: func(s *Limits) { s.Named(now, "a", 2, 5) },
+			born:  1,
+			rate:  5,
 		},
 		{
 			name: "a late word of an earlier life is nothing",
-			play: func(s *Limits) {
+			apply: func(s *Limits) {
 				s.Named(now, "a", 2, 5)
 				s.Named(now+1, "a", 1, 50)
 				s.Unnamed(now+30, now+20, "a", 1)
@@ -116,35 +116,35 @@
 			rate: 5,
 		},
 		{
-			name: "another process's word holds",
-			play: func(s *Limits) { s.Take(now, []Word{word("a", 5, 300)}) },
-			rate: 5,
+			name:  "another process's word holds",
+			apply: func(s *Limits) { s.Take(now, []Word{newRecord("a", 5, 300)}) },
+			rate:  5,
 		},
 		{
 			name: "another process's word of the end counts only where it is surely later",
-			play: func(s *Limits) {
+			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
-				s.Take(now+wordSlack, []Word{ended(word("a", 5, 900), 100)})
+				s.Take(now+maxRecordDelay, []Word{withEnd(newRecord("a", 5, 900), 100)})
 			},
 			rate: 5,
 		},
 		{
 			name: "and ends it then",
-			play: func(s *Limits) {
+			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
-				s.Take(now+2*wordSlack, []Word{ended(word("a", 5, 900), 100)})
+				s.Take(now+2*maxRecordDelay, []Word{withEnd(newRecord("a", 5, 900), 100)})
 			},
 			rate: -1,
 		},
 		{
 			name: "words that can't be used are nothing",
-			play: func(s *Limits) {
+			apply: func(s *Limits) {
 				_, unusable := s.Take(now, []Word{
-					word("", 5, 0),
-					word("a", -1, 0),
-					word("a", math.NaN(), 0),
-					word("a", math.Inf(1), 0),
-					word("a", 5, -1),
+					newRecord("", 5, 0),
+					newRecord("a", -1, 0),
+					newRecord("a", math.NaN(), 0),
+					newRecord("a", math.Inf(1), 0),
+					newRecord("a", 5, -1),
 				})
 				So(unusable, ShouldEqual, 5)
 			},
@@ -155,7 +155,7 @@
 		for _, c := range cases {
 			Convey(c.name, func() {
 				var s Limits
-				c.play(&s)
+				c.apply(&s)
 				So(rate(&s, c.born), ShouldEqual, c.rate)
 			})
 		}
@@ -163,32 +163,32 @@
 }
 
 // Ages that processes tell one another must neither be negative nor shrink on the way.
-func TestWordsAge(t *testing.T) {
+func TestRecordAgeIsNegativeOrShrinks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := mgclock.Millis(rapid.Int64Range(0, 1000).Draw(t, "now"))
 		named := now
 		var first Limits
 		first.Named(now, "a", 0, 5)
-		words := first.Words(now)
+		records := first.Words(now)
 		for range rapid.IntRange(1, 4).Draw(t, "hops") {
 			now += mgclock.Millis(rapid.Int64Range(0, 500).Draw(t, "way"))
 			var next Limits
-			next.Take(now, words)
+			next.Take(now, records)
 			now += mgclock.Millis(rapid.Int64Range(0, 500).Draw(t, "kept"))
-			before := words[0].Named
-			words = next.Words(now)
-			if words[0].Named < before || words[0].Named > now-named {
-				t.Fatalf("an age of %d ms of what was named %d ms ago", words[0].Named, now-named)
+			before := records[0].Named
+			records = next.Words(now)
+			if records[0].Named < before || records[0].Named > now-named {
+				t.Fatalf("an age of %d ms of what was named %d ms ago", records[0].Named, now-named)
 			}
-			if _, unusable := next.Take(now, words); unusable > 0 {
-				t.Fatalf("%v can't be used", words)
+			if _, unusable := next.Take(now, records); unusable > 0 {
+				t.Fatalf("%v can't be used", records)
 			}
 		}
 	})
 }
 
 // Processes must agree in whatever order, and however often, they hear of the same.
-func TestWordsCommute(t *testing.T) {
+func TestRecordOrderChangesLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const now = 10 * mgclock.Second
 		drawn := rapid.Custom(func(t *rapid.T) Word {
@@ -203,12 +203,12 @@
 			}
 			return w
 		})
-		words := rapid.SliceOfN(drawn, 1, 6).Draw(t, "words")
+		records := rapid.SliceOfN(drawn, 1, 6).Draw(t, "words")
 		var one, other Limits
-		one.Take(now, words)
-		for _, i := range rapid.Permutation(indexes(len(words))).Draw(t, "order") {
-			other.Take(now, words[i:i+1])
-			other.Take(now, words[i:i+1])
+		one.Take(now, records)
+		for _, i := range rapid.Permutation(indexes(len(records))).Draw(t, "order") {
+			other.Take(now, records[i:i+1])
+			other.Take(now, records[i:i+1])
 		}
 		if a, b := one.Words(now), other.Words(now); len(a) != 1 || len(b) != 1 || a[0] != b[0] {
 			t.Fatalf("%v and %v", a, b)
--- a/internal/request/mglimit/parse_test.go
+++ b/internal/request/mglimit/parse_test.go
@@ -6,7 +6,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestParse(t *testing.T) {
+func TestInvalidRateIsParsed(t *testing.T) {
 	Convey("Of what upstreams name", t, func() {
 		for text, rate := range map[string]float64{
 			"4.9":  4.9,
--- a/internal/request/mglimit/permits.go
+++ b/internal/request/mglimit/permits.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// trialRate is granted whatever an upstream names, in requests a second: its answers
+	// minRate is granted whatever an upstream names, in requests a second: its answers
 	// alone show that it takes more.
-	trialRate = 0.2
-	// keepSpan is for how long unused permits add up.
-	keepSpan = 500 * mgclock.Millis(1)
-	// fewGranters is the most granters of which each keeps an unused permit for good. What
+	minRate = 0.2
+	// accumulationWindow is for how long unused permits add up.
+	accumulationWindow = 500 * mgclock.Millis(1)
+	// maxKeepingGranters is the most granters of which each keeps an unused permit for good. What
 	// more of them keep would be used in one moment.
-	fewGranters = 4
-	// whole is from what on a permit counts as whole: sums of parts of permits are rounded.
-	whole = 1 - 1e-9
-	// reservedSpan is how long a permit is kept for a request that was given a place.
-	reservedSpan = mgclock.Second
+	maxKeepingGranters = 4
+	// wholePermit is from what on a permit counts as wholePermit: sums of parts of permits are rounded.
+	wholePermit = 1 - 1e-9
+	// reservationTTL is how long a permit is kept for a request that was given a place.
+	reservationTTL = mgclock.Second
 )
 
 // A Part is what one granter gives of an upstream's limit.
@@ -35,7 +35,7 @@
 	all = max(all, 1)
 	own = min(max(own, 1), all)
 	return Part{
-		rate:     max(rate, trialRate) * float64(own) / float64(all),
+		rate:     max(rate, minRate) * float64(own) / float64(all),
 		granters: float64(all) / float64(own),
 	}
 }
@@ -55,15 +55,15 @@
 // Permits are what a granter gives. The zero Permits has given none and is ready for use by
 // several goroutines.
 type Permits struct {
-	mu  sync.Mutex
-	all map[string]*bucket
+	mu      sync.Mutex
+	buckets map[string]*bucket
 }
 
 // bucket is a token bucket, whose tokens are permits.
 type bucket struct {
-	tokens   float64 // negative after forced requests
-	at       mgclock.Millis
-	reserved map[string]mgclock.Millis // until when, by request
+	permits      float64 // negative after forced requests
+	filledAt     mgclock.Millis
+	reservations map[string]mgclock.Millis // until when, by request
 }
 
 // Take gives a permit, or tells the time until there may be one.
@@ -71,22 +71,22 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.bucket(now, ask.Upstream, part)
-	if until, reserved := b.reserved[ask.Request]; reserved && now < until {
-		delete(b.reserved, ask.Request)
+	if until, reserved := b.reservations[ask.Request]; reserved && now < until {
+		delete(b.reservations, ask.Request)
 		return 0, true
 	}
-	if b.tokens >= whole || ask.Forced {
-		b.tokens--
+	if b.permits >= wholePermit || ask.Forced {
+		b.permits--
 		return 0, true
 	}
-	return mgclock.Millis(math.Ceil((whole - b.tokens) / part.rate * float64(mgclock.Second))), false
+	return mgclock.Millis(math.Ceil((wholePermit - b.permits) / part.rate * float64(mgclock.Second))), false
 }
 
 // Left returns how many permits there are now.
 func (p *Permits) Left(now mgclock.Millis, upstream string, part Part) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(int(p.bucket(now, upstream, part).tokens+1-whole), 0)
+	return max(int(p.bucket(now, upstream, part).permits+1-wholePermit), 0)
 }
 
 // Reserve takes a permit for a request that was given a place and will ask for it.
@@ -94,54 +94,54 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.bucket(now, upstream, part)
-	b.tokens--
-	for name, until := range b.reserved {
+	b.permits--
+	for name, until := range b.reservations {
 		if now >= until {
-			delete(b.reserved, name)
+			delete(b.reservations, name)
 		}
 	}
-	if b.reserved == nil {
-		b.reserved = map[string]mgclock.Millis{}
+	if b.reservations == nil {
+		b.reservations = map[string]mgclock.Millis{}
 	}
-	b.reserved[request] = now + reservedSpan
+	b.reservations[request] = now + reservationTTL
 }
 
 // bucket returns an upstream's bucket as it is now. It is called with mu held.
 func (p *Permits) bucket(now mgclock.Millis, upstream string, part Part) *bucket {
-	b := p.all[upstream]
+	b := p.buckets[upstream]
 	if b == nil {
 		// Of granters that begin together each has its first permit at another time.
 		b = &bucket{
-			tokens: rand.Float64(),
-			at:     now,
+			permits:  rand.Float64(),
+			filledAt: now,
 		}
-		if p.all == nil {
-			p.all = map[string]*bucket{}
+		if p.buckets == nil {
+			p.buckets = map[string]*bucket{}
 		}
-		p.all[upstream] = b
+		p.buckets[upstream] = b
 	}
-	b.fill(now, part)
+	b.refill(now, part)
 	return b
 }
 
-// fill adds the permits that have come since.
-func (b *bucket) fill(now mgclock.Millis, part Part) {
-	if now <= b.at {
+// refill adds the permits that have come since.
+func (b *bucket) refill(now mgclock.Millis, part Part) {
+	if now <= b.filledAt {
 		return
 	}
-	b.tokens += part.rate * float64(now-b.at) / float64(mgclock.Second)
-	b.at = now
-	kept := part.rate * float64(keepSpan) / float64(mgclock.Second)
+	b.permits += part.rate * float64(now-b.filledAt) / float64(mgclock.Second)
+	b.filledAt = now
+	kept := part.rate * float64(accumulationWindow) / float64(mgclock.Second)
 	switch {
 	case kept >= 1:
-		b.tokens = min(b.tokens, kept)
-	case part.granters <= fewGranters:
-		b.tokens = min(b.tokens, 1)
-	case b.tokens >= 1+kept:
+		b.permits = min(b.permits, kept)
+	case part.granters <= maxKeepingGranters:
+		b.permits = min(b.permits, 1)
+	case b.permits >= 1+kept:
 		// The permit has lapsed unless it came within keepSpan.
-		_, b.tokens = math.Modf(b.tokens)
-		if b.tokens < kept {
-			b.tokens++
+		_, b.permits = math.Modf(b.permits)
+		if b.permits < kept {
+			b.permits++
 		}
 	}
 }
@@ -150,9 +150,9 @@
 func (p *Permits) Forget(keep func(upstream string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for upstream := range p.all {
+	for upstream := range p.buckets {
 		if !keep(upstream) {
-			delete(p.all, upstream)
+			delete(p.buckets, upstream)
 		}
 	}
 }
--- a/internal/request/mglimit/permits_test.go
+++ b/internal/request/mglimit/permits_test.go
@@ -21,10 +21,10 @@
 	return a
 }
 
-// given has a granter asked each ten ms for a span, and returns what it gave.
-func given(p *Permits, from, span mgclock.Millis, part Part) int {
+// countGranted has a granter asked each ten ms for a span, and returns what it gave.
+func countGranted(p *Permits, from, duration mgclock.Millis, part Part) int {
 	count := 0
-	for at := from; at < from+span; at += 10 {
+	for at := from; at < from+duration; at += 10 {
 		if _, ok := p.Take(at, ask(fmt.Sprint(at)), part); ok {
 			count++
 		}
@@ -32,38 +32,38 @@
 	return count
 }
 
-func TestPermits(t *testing.T) {
+func TestGranterExceedsItsRate(t *testing.T) {
 	const second = mgclock.Second
 	Convey("A granter", t, func() {
 		var p Permits
 		Convey("gives the rate, and nothing at once to begin with", func() {
 			part := PartOf(5, 1, 1)
-			So(given(&p, 0, 10, part), ShouldEqual, 0)
-			So(given(&p, 10, 4*second, part), ShouldBeBetweenOrEqual, 19, 21)
+			So(countGranted(&p, 0, 10, part), ShouldEqual, 0)
+			So(countGranted(&p, 10, 4*second, part), ShouldBeBetweenOrEqual, 19, 21)
 		})
 		Convey("gives its part of the rate", func() {
-			So(given(&p, 0, 10*second, PartOf(5, 2, 5)), ShouldBeBetweenOrEqual, 19, 21)
+			So(countGranted(&p, 0, 10*second, PartOf(5, 2, 5)), ShouldBeBetweenOrEqual, 19, 21)
 		})
 		Convey("gives no burst after a pause", func() {
 			part := PartOf(20, 1, 1)
-			given(&p, 0, 10, part)
-			So(given(&p, mgclock.Minute, 4*second, part), ShouldBeLessThanOrEqualTo, 4*20+10)
+			countGranted(&p, 0, 10, part)
+			So(countGranted(&p, mgclock.Minute, 4*second, part), ShouldBeLessThanOrEqualTo, 4*20+10)
 		})
 		Convey("gives no burst when the rate falls", func() {
-			given(&p, 0, 10, PartOf(1000, 1, 1))
+			countGranted(&p, 0, 10, PartOf(1000, 1, 1))
 			p.Left(second, "a", PartOf(1000, 1, 1))
-			So(given(&p, second, 4*second, PartOf(2, 1, 1)), ShouldBeLessThanOrEqualTo, 1.5*2*4+5)
+			So(countGranted(&p, second, 4*second, PartOf(2, 1, 1)), ShouldBeLessThanOrEqualTo, 1.5*2*4+5)
 		})
 		Convey("gives the new rate at once when it rises", func() {
-			given(&p, 0, second, PartOf(1, 1, 1))
-			So(given(&p, second, 4*second, PartOf(20, 1, 1)), ShouldBeBetweenOrEqual, 79, 82)
+			countGranted(&p, 0, second, PartOf(1, 1, 1))
+			So(countGranted(&p, second, 4*second, PartOf(20, 1, 1)), ShouldBeBetweenOrEqual, 79, 82)
 		})
 		Convey("tries now and then an upstream that takes nothing", func() {
-			So(given(&p, 0, 60*second, PartOf(0, 1, 1)), ShouldBeBetweenOrEqual, 11, 13)
+			So(countGranted(&p, 0, 60*second, PartOf(0, 1, 1)), ShouldBeBetweenOrEqual, 11, 13)
 		})
 		Convey("tells when the next permit comes", func() {
 			part := PartOf(0.5, 1, 1)
-			given(&p, 0, 10*second, part)
+			countGranted(&p, 0, 10*second, part)
 			wait, ok := p.Take(10*second, ask(""), part)
 			if ok { // one has come just then
 				wait, ok = p.Take(10*second, ask(""), part)
@@ -80,11 +80,11 @@
 				_, ok := p.Take(0, forced(ask("")), part)
 				So(ok, ShouldBeTrue)
 			}
-			So(given(&p, 0, 4*second, part), ShouldBeBetweenOrEqual, 9, 12)
+			So(countGranted(&p, 0, 4*second, part), ShouldBeBetweenOrEqual, 9, 12)
 		})
 		Convey("keeps a permit for a request that was given a place, for a while", func() {
 			part := PartOf(1, 1, 1)
-			given(&p, 0, 2*second, part)
+			countGranted(&p, 0, 2*second, part)
 			p.Reserve(2*second, "a", "r", part)
 			_, ok := p.Take(2*second+10, ask("other"), part)
 			So(ok, ShouldBeFalse)
@@ -93,14 +93,14 @@
 			_, ok = p.Take(2*second+20, ask("r"), part)
 			So(ok, ShouldBeFalse)
 			p.Reserve(2*second+20, "a", "late", part)
-			_, ok = p.Take(2*second+20+reservedSpan, ask("late"), part)
+			_, ok = p.Take(2*second+20+reservationTTL, ask("late"), part)
 			So(ok, ShouldBeFalse)
 		})
 	})
 }
 
 // Unused permits of many granters must not be used in one moment.
-func TestManyGrantersGiveNoBurst(t *testing.T) {
+func TestManyGrantersBurst(t *testing.T) {
 	Convey("After a pause, whatever each granter keeps", t, func() {
 		for _, count := range []int{2, 8, 30, 100} {
 			for _, rate := range []float64{0.5, 5, 40} {
@@ -109,7 +109,7 @@
 				total := 0
 				for from := mgclock.Minute; from <= 5*mgclock.Minute; from += mgclock.Minute {
 					for i := range granters {
-						total += given(&granters[i], from, 4*mgclock.Second, part)
+						total += countGranted(&granters[i], from, 4*mgclock.Second, part)
 					}
 				}
 				So(total, ShouldBeLessThanOrEqualTo, int(5*(1.5*rate*4+5)))
@@ -118,7 +118,7 @@
 	})
 }
 
-func TestWaits(t *testing.T) {
+func TestPermitIsAskedForTooEarly(t *testing.T) {
 	Convey("An upstream without a permit isn't asked for until there may be one", t, func() {
 		var w Waits
 		So(w.Left(-5, "a"), ShouldEqual, 0)
@@ -127,7 +127,7 @@
 		So(w.Left(140, "a"), ShouldEqual, 0)
 		Convey("and for no longer than its limit may stay as it is", func() {
 			w.Put(200, "a", mgclock.Minute)
-			So(w.Left(200, "a"), ShouldEqual, longestWait)
+			So(w.Left(200, "a"), ShouldEqual, maxWait)
 		})
 		Convey("or until it is gone", func() {
 			w.Put(200, "a", 40)
--- a/internal/request/mglimit/waits.go
+++ b/internal/request/mglimit/waits.go
@@ -7,8 +7,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// longestWait bounds how long an upstream isn't asked for: its limit may rise.
-const longestWait = mgclock.Second
+// maxWait bounds how long an upstream isn't asked for: its limit may rise.
+const maxWait = mgclock.Second
 
 // Waits are the upstreams for which there is no permit for a while. The zero Waits is empty
 // and ready for use by several goroutines.
@@ -18,13 +18,13 @@
 }
 
 // Put takes that there is no permit for an upstream for a span.
-func (w *Waits) Put(now mgclock.Millis, upstream string, span mgclock.Millis) {
+func (w *Waits) Put(now mgclock.Millis, upstream string, delay mgclock.Millis) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.until == nil {
 		w.until = map[string]mgclock.Millis{}
 	}
-	w.until[upstream] = now + min(max(span, 1), longestWait)
+	w.until[upstream] = now + min(max(delay, 1), maxWait)
 }
 
 // Left returns the time until a permit for an upstream may be asked for, 0 where it may be
@@ -32,8 +32,8 @@
 func (w *Waits) Left(now mgclock.Millis, upstream string) mgclock.Millis {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	until, waits := w.until[upstream]
-	if !waits {
+	until, hasWait := w.until[upstream]
+	if !hasWait {
 		return 0
 	}
 	return max(until-now, 0)
