--- a/internal/request/mglimit/limits.go
+++ b/internal/request/mglimit/limits.go
@@ -11,36 +11,37 @@
 )
 
 const (
-	// broadcastWindow is how long a word that changed is told on.
+	// broadcastWindow is how long a changed record is broadcast.
 	broadcastWindow = 600 * mgclock.Millis(1)
-	// maxRecordDelay is how much longer than its age says another's word may have been on its
-	// way: the end of a limit must not seem later than an answer that named it.
+	// maxRecordDelay is how much older than its age says another process's record may be.
+	// It is subtracted from the time of a limit's end, which must not seem later than an
+	// answer that named the limit.
 	maxRecordDelay = 500 * mgclock.Millis(1)
-	// unlistedTTL is how long after it was named the limit of an upstream is kept that the list
-	// lacks: longer than a list may lack one that lives.
+	// unlistedTTL is how long after it was last named the limit of an upstream is kept that
+	// isn't on the list: longer than a list may lack an upstream that is alive.
 	unlistedTTL = 5 * mgclock.Minute
-	// maxLimits bounds the upstreams that are known to have named limits.
+	// maxLimits bounds the number of upstreams whose limits are kept.
 	maxLimits = 8192
 )
 
-// A Word is what a process knows of an upstream's limit, as processes tell it. Ages are of
-// the moment at which it is told, ms, 0 or more.
+// A Word is the record of what a process knows of an upstream's limit, as processes
+// exchange it. Its ages are relative to the time at which it is sent, in ms, 0 or more.
 type Word struct {
 	Upstream string         `json:"upstream"`
-	Born     int64          `json:"born,omitempty"` // start of the upstream's life, by the list
+	Born     int64          `json:"born,omitempty"` // start of the upstream's incarnation, from the list
 	Rate     float64        `json:"rate"`           // requests a second
 	Named    mgclock.Millis `json:"named"`          // age of the last answer that named the rate
 	Ended    bool           `json:"ended,omitempty"`
-	// Unnamed is the age of the last request whose answer named none, where Ended.
+	// Unnamed is the age of the last request whose answer named no rate, where Ended.
 	Unnamed mgclock.Millis `json:"unnamed,omitempty"`
 }
 
-// isValid reports whether another process's word can be used.
+// isValid reports whether another process's record can be used.
 func (w Word) isValid() bool {
 	return w.Upstream != "" && w.Rate >= 0 && !math.IsNaN(w.Rate) && !math.IsInf(w.Rate, 0) && w.Named >= 0 && w.Unnamed >= 0
 }
 
-// Limits are the limits that upstreams have named. The zero Limits is empty and ready for
+// Limits holds the limits that upstreams have named. The zero Limits is empty and ready for
 // use by several goroutines.
 type Limits struct {
 	mu      sync.Mutex
@@ -51,26 +52,27 @@
 type limit struct {
 	incarnationStart int64
 	rate             float64
-	lastNamed        mgclock.Millis // when an answer named the rate last
-	ended            bool           // a later one named none
-	lastUnnamed      mgclock.Millis // when the last request was sent whose answer named none
-	broadcastUntil   mgclock.Millis // until then it is told on
+	lastNamed        mgclock.Millis // time of the last answer that named the rate
+	ended            bool           // an answer named no rate
+	lastUnnamed      mgclock.Millis // when the last request was sent whose answer named no rate
+	broadcastUntil   mgclock.Millis // end of the broadcast
 }
 
-// isActive reports whether the upstream is limited. Answers overtake one another: the end is
-// known only by a request that was sent after the last answer that named the rate.
+// isActive reports whether the upstream is limited. Answers may arrive out of order: a
+// limit has ended only if a request without a rate in its answer was sent after the last
+// answer that named one.
 func (l *limit) isActive() bool { return !l.ended || l.lastUnnamed <= l.lastNamed }
 
-// Named takes that an answer of an upstream's life named a rate, and reports whether that is
-// news.
+// Named records that an answer of an incarnation of an upstream named a rate, and reports
+// whether that changed the limit.
 func (s *Limits) Named(now mgclock.Millis, upstream string, born int64, rate float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.update(now, upstream, born, func(l *limit) { l.setNamed(now, rate) })
 }
 
-// Unnamed takes that the answer to a request, sent at a time, named no rate, and reports
-// whether that is news.
+// Unnamed records that the answer to a request, sent at a time, named no rate, and reports
+// whether that changed the limit.
 func (s *Limits) Unnamed(now, sent mgclock.Millis, upstream string, born int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,8 +87,8 @@
 	return s.update(now, upstream, born, func(l *limit) { l.setEnded(sent) })
 }
 
-// Take takes what another process knows. It returns the words that are news, and how many
-// can't be used.
+// Take merges records of other processes. It returns those that changed a limit, and the
+// number of unusable ones.
 func (s *Limits) Take(now mgclock.Millis, records []Word) (updates []Word, unusable int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,8 +113,8 @@
 	return updates, unusable
 }
 
-// update changes what is known of one life of an upstream, and reports whether that is news.
-// It is called with mu held.
+// update changes the limit of one incarnation of an upstream, and reports whether that
+// changes the rate or whether there is a limit. It is called with mu held.
 func (s *Limits) update(now mgclock.Millis, upstream string, born int64, change func(l *limit)) bool {
 	l := s.limits[upstream]
 	switch {
@@ -147,7 +149,7 @@
 	return true
 }
 
-// setNamed takes that the rate was named at a time.
+// setNamed records that the rate was named at a time.
 func (l *limit) setNamed(at mgclock.Millis, rate float64) {
 	if at >= l.lastNamed {
 		l.lastNamed = at
@@ -155,7 +157,7 @@
 	}
 }
 
-// setEnded takes that the answer to a request, sent at a time, named none.
+// setEnded records that the answer to a request, sent at a time, named no rate.
 func (l *limit) setEnded(sent mgclock.Millis) {
 	if !l.ended || sent > l.lastUnnamed {
 		l.ended = true
@@ -163,8 +165,9 @@
 	}
 }
 
-// Rate returns the limit of an upstream whose life began at born by the list, or false where
-// it has none. A list may be late: a limit of a later life counts.
+// Rate returns the limit of an upstream whose incarnation began at born, from the list, or
+// false where it has none. A limit of a later incarnation counts, since the list may be out
+// of date.
 func (s *Limits) Rate(upstream string, born int64) (rate float64, limited bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,7 +178,7 @@
 	return l.rate, true
 }
 
-// Word returns what is known of an upstream, or false where nothing is.
+// Word returns the record of an upstream, or false where there is none.
 func (s *Limits) Word(now mgclock.Millis, upstream string) (Word, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,12 +189,12 @@
 	return l.record(now, upstream), true
 }
 
-// Words returns all that is known, by upstream.
+// Words returns all records, sorted by upstream.
 func (s *Limits) Words(now mgclock.Millis) []Word {
 	return s.collect(now, func(*limit) bool { return true })
 }
 
-// News returns what is to be told on.
+// News returns the records to be broadcast.
 func (s *Limits) News(now mgclock.Millis) []Word {
 	return s.collect(now, func(l *limit) bool { return now < l.broadcastUntil })
 }
@@ -215,7 +218,7 @@
 		Born:     l.incarnationStart,
 		Rate:     l.rate,
 		Ended:    l.ended,
-		// A word's time may lie ahead of this clock's by what a goroutine waited.
+		// The time may be ahead of now by the time for which a goroutine waited.
 		Named: max(now-l.lastNamed, 0),
 	}
 	if l.ended {
@@ -224,7 +227,7 @@
 	return w
 }
 
-// Changed returns a channel that is closed at the next news.
+// Changed returns a channel that is closed at the next change of a limit.
 func (s *Limits) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,7 +237,7 @@
 	return s.changed
 }
 
-// Forget drops the upstreams that have long been gone: listed says which aren't.
+// Forget drops the limits of upstreams that were last named long ago and aren't listed.
 func (s *Limits) Forget(now mgclock.Millis, listed func(upstream string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/request/mglimit/limits_test.go
+++ b/internal/request/mglimit/limits_test.go
@@ -36,7 +36,7 @@
 	cases := []struct {
 		name  string
 		apply func(s *Limits)
-		born  int64 // by the list
+		born  int64 // from the list
 		rate  float64
 	}{
 		{
@@ -162,7 +162,7 @@
 	})
 }
 
-// Ages that processes tell one another must neither be negative nor shrink on the way.
+// Ages that processes exchange must neither be negative nor decrease.
 func TestRecordAgeIsNegativeOrShrinks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := mgclock.Millis(rapid.Int64Range(0, 1000).Draw(t, "now"))
@@ -187,7 +187,8 @@
 	})
 }
 
-// Processes must agree in whatever order, and however often, they hear of the same.
+// Processes must store the same limit in whatever order, and however often, they receive
+// the same records.
 func TestRecordOrderChangesLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const now = 10 * mgclock.Second
@@ -197,7 +198,7 @@
 				Born:     rapid.Int64Range(1, 2).Draw(t, "born"),
 				Named:    mgclock.Millis(rapid.Int64Range(0, 2000).Draw(t, "named")),
 			}
-			w.Rate = float64(w.Named) // what was said at one moment is one rate
+			w.Rate = float64(w.Named) // records of one time have one rate
 			if w.Ended = rapid.Bool().Draw(t, "ended"); w.Ended {
 				w.Unnamed = mgclock.Millis(rapid.Int64Range(0, 2000).Draw(t, "unnamed"))
 			}
--- a/internal/request/mglimit/permits.go
+++ b/internal/request/mglimit/permits.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// minRate is granted whatever an upstream names, in requests a second: its answers
-	// alone show that it takes more.
+	// minRate is granted in any case, in requests a second: only an upstream's answers show
+	// that it takes more.
 	minRate = 0.2
-	// accumulationWindow is for how long unused permits add up.
+	// accumulationWindow is the time for which unused permits accumulate.
 	accumulationWindow = 500 * mgclock.Millis(1)
-	// maxKeepingGranters is the most granters of which each keeps an unused permit for good. What
-	// more of them keep would be used in one moment.
+	// maxKeepingGranters is the maximum number of granters that each keep an unused permit
+	// without expiry. What more of them keep could be used all at once.
 	maxKeepingGranters = 4
-	// wholePermit is from what on a permit counts as wholePermit: sums of parts of permits are rounded.
+	// wholePermit is the least amount that counts as a permit: sums of fractions are
+	// rounded.
 	wholePermit = 1 - 1e-9
-	// reservationTTL is how long a permit is kept for a request that was given a place.
+	// reservationTTL is how long a permit is reserved for a request that was given a place.
 	reservationTTL = mgclock.Second
 )
 
-// A Part is what one granter gives of an upstream's limit.
+// A Part is the part of an upstream's limit that one granter grants.
 type Part struct {
 	rate     float64 // requests a second
-	granters float64 // about how many processes grant parts
+	granters float64 // approximate number of processes that grant parts
 }
 
-// PartOf returns the part of a limit that a granter gives to the processes that turn to it,
-// out of all that may send to the upstream.
+// PartOf returns the part of a limit that a granter grants, by the numbers of processes
+// that use it (own) and of all that may send to the upstream.
 func PartOf(rate float64, own, all int) Part {
 	all = max(all, 1)
 	own = min(max(own, 1), all)
@@ -40,33 +41,33 @@
 	}
 }
 
-// Rate returns the requests a second of the part.
+// Rate returns the part in requests a second.
 func (p Part) Rate() float64 { return p.rate }
 
-// An Ask asks for a permit.
+// An Ask is a request for a permit.
 type Ask struct {
 	Upstream string
 	Request  string
-	// Forced says that the request is sent in any case, as where its generation's copy is:
-	// it is taken off what comes.
+	// Forced marks a request that is sent in any case, such as to the upstream that has its
+	// generation's copy. Its permit is subtracted from later ones.
 	Forced bool
 }
 
-// Permits are what a granter gives. The zero Permits has given none and is ready for use by
-// several goroutines.
+// Permits are the token buckets of a granter. The zero Permits has granted none and is
+// ready for use by several goroutines.
 type Permits struct {
 	mu      sync.Mutex
 	buckets map[string]*bucket
 }
 
-// bucket is a token bucket, whose tokens are permits.
+// bucket is a token bucket whose tokens are permits.
 type bucket struct {
 	permits      float64 // negative after forced requests
 	filledAt     mgclock.Millis
-	reservations map[string]mgclock.Millis // until when, by request
+	reservations map[string]mgclock.Millis // expiry by request
 }
 
-// Take gives a permit, or tells the time until there may be one.
+// Take grants a permit, or returns the time until there may be one.
 func (p *Permits) Take(now mgclock.Millis, ask Ask, part Part) (wait mgclock.Millis, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,14 +83,14 @@
 	return mgclock.Millis(math.Ceil((wholePermit - b.permits) / part.rate * float64(mgclock.Second))), false
 }
 
-// Left returns how many permits there are now.
+// Left returns how many permits can be granted now.
 func (p *Permits) Left(now mgclock.Millis, upstream string, part Part) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(int(p.bucket(now, upstream, part).permits+1-wholePermit), 0)
 }
 
-// Reserve takes a permit for a request that was given a place and will ask for it.
+// Reserve takes a permit for a request that was given a place and will ask for the permit.
 func (p *Permits) Reserve(now mgclock.Millis, upstream, request string, part Part) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,11 +107,12 @@
 	b.reservations[request] = now + reservationTTL
 }
 
-// bucket returns an upstream's bucket as it is now. It is called with mu held.
+// bucket returns an upstream's bucket, refilled until now. It is called with mu held.
 func (p *Permits) bucket(now mgclock.Millis, upstream string, part Part) *bucket {
 	b := p.buckets[upstream]
 	if b == nil {
-		// Of granters that begin together each has its first permit at another time.
+		// A random level, so that granters that begin together have their first permits at
+		// different times.
 		b = &bucket{
 			permits:  rand.Float64(),
 			filledAt: now,
@@ -124,7 +126,7 @@
 	return b
 }
 
-// refill adds the permits that have come since.
+// refill adds the permits since the last call.
 func (b *bucket) refill(now mgclock.Millis, part Part) {
 	if now <= b.filledAt {
 		return
@@ -138,7 +140,7 @@
 	case part.granters <= maxKeepingGranters:
 		b.permits = min(b.permits, 1)
 	case b.permits >= 1+kept:
-		// The permit has lapsed unless it came within keepSpan.
+		// The permit has expired unless it came within accumulationWindow.
 		_, b.permits = math.Modf(b.permits)
 		if b.permits < kept {
 			b.permits++
@@ -146,7 +148,7 @@
 	}
 }
 
-// Forget drops the upstreams that are gone: keep says which aren't.
+// Forget drops the buckets of all upstreams except those for which keep is true.
 func (p *Permits) Forget(keep func(upstream string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/request/mglimit/permits_test.go
+++ b/internal/request/mglimit/permits_test.go
@@ -21,7 +21,8 @@
 	return a
 }
 
-// countGranted has a granter asked each ten ms for a span, and returns what it gave.
+// countGranted asks a granter for a permit every ten ms for a time span, and returns how
+// many it granted.
 func countGranted(p *Permits, from, duration mgclock.Millis, part Part) int {
 	count := 0
 	for at := from; at < from+duration; at += 10 {
@@ -65,7 +66,7 @@
 			part := PartOf(0.5, 1, 1)
 			countGranted(&p, 0, 10*second, part)
 			wait, ok := p.Take(10*second, ask(""), part)
-			if ok { // one has come just then
+			if ok { // a permit has just come
 				wait, ok = p.Take(10*second, ask(""), part)
 			}
 			So(ok, ShouldBeFalse)
@@ -99,7 +100,7 @@
 	})
 }
 
-// Unused permits of many granters must not be used in one moment.
+// Unused permits of many granters must not be usable all at once.
 func TestManyGrantersBurst(t *testing.T) {
 	Convey("After a pause, whatever each granter keeps", t, func() {
 		for _, count := range []int{2, 8, 30, 100} {
--- a/internal/request/mglimit/waits.go
+++ b/internal/request/mglimit/waits.go
@@ -7,17 +7,18 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// maxWait bounds how long an upstream isn't asked for: its limit may rise.
+// maxWait bounds the time for which no permits of an upstream are asked for: its limit may
+// rise.
 const maxWait = mgclock.Second
 
-// Waits are the upstreams for which there is no permit for a while. The zero Waits is empty
-// and ready for use by several goroutines.
+// Waits holds the upstreams for which no permit is available for a while. The zero Waits is
+// empty and ready for use by several goroutines.
 type Waits struct {
 	mu    sync.Mutex
 	until map[string]mgclock.Millis
 }
 
-// Put takes that there is no permit for an upstream for a span.
+// Put records that there is no permit for an upstream until after a delay.
 func (w *Waits) Put(now mgclock.Millis, upstream string, delay mgclock.Millis) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -27,7 +28,7 @@
 	w.until[upstream] = now + min(max(delay, 1), maxWait)
 }
 
-// Left returns the time until a permit for an upstream may be asked for, 0 where it may be
+// Left returns the time until a permit for an upstream may be asked for, 0 where that is
 // now.
 func (w *Waits) Left(now mgclock.Millis, upstream string) mgclock.Millis {
 	w.mu.Lock()
@@ -39,7 +40,7 @@
 	return max(until-now, 0)
 }
 
-// Forget drops the upstreams that are gone: keep says which aren't.
+// Forget drops all upstreams except those for which keep is true.
 func (w *Waits) Forget(keep func(upstream string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
