--- a/internal/request/mglimit/limits_test.go
+++ b/internal/request/mglimit/limits_test.go
@@ -40,12 +40,12 @@
 		rate  float64
 	}{
 		{
-			name:  "what is named holds",
+			name:  "a named rate is active",
 			apply: func(s *Limits) { s.Named(now, "a", 0, 5) },
 			rate:  5,
 		},
 		{
-			name: "the last rate that is named holds",
+			name: "the last named rate is active",
 			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Named(now+1, "a", 0, 0)
@@ -61,7 +61,7 @@
 			rate: -1,
 		},
 		{
-			name: "an answer that was overtaken doesn't",
+			name: "an answer that arrives out of order doesn't",
 			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Unnamed(now+20, now-1, "a", 0)
@@ -69,7 +69,7 @@
 			rate: 5,
 		},
 		{
-			name: "it holds again once it is named again",
+			name: "it is active again once it is named again",
 			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Unnamed(now+20, now+1, "a", 0)
@@ -78,7 +78,7 @@
 			rate: 4,
 		},
 		{
-			name: "nothing ends by itself",
+			name: "it doesn't expire while the upstream is listed",
 			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Forget(now+mgclock.Minute*60, func(string) bool { return true })
@@ -94,19 +94,19 @@
 			rate: 5,
 		},
 		{
-			name:  "a later life has none by the list",
+			name:  "a later incarnation on the list has none",
 			apply: func(s *Limits) { s.Named(now, "a", 1, 5) },
 			born:  2,
 			rate:  -1,
 		},
 		{
-			name:  "a limit of a later life holds while the list is late",
+			name:  "a limit of a later incarnation is active while the list is out of date",
 			apply: func(s *Limits) { s.Named(now, "a", 2, 5) },
 			born:  1,
 			rate:  5,
 		},
 		{
-			name: "a late word of an earlier life is nothing",
+			name: "a late record of an earlier incarnation is ignored",
 			apply: func(s *Limits) {
 				s.Named(now, "a", 2, 5)
 				s.Named(now+1, "a", 1, 50)
@@ -116,12 +116,12 @@
 			rate: 5,
 		},
 		{
-			name:  "another process's word holds",
+			name:  "another process's record is active",
 			apply: func(s *Limits) { s.Take(now, []Word{newRecord("a", 5, 300)}) },
 			rate:  5,
 		},
 		{
-			name: "another process's word of the end counts only where it is surely later",
+			name: "an end that another process records counts only where it is certainly later",
 			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Take(now+maxRecordDelay, []Word{withEnd(newRecord("a", 5, 900), 100)})
@@ -129,7 +129,7 @@
 			rate: 5,
 		},
 		{
-			name: "and ends it then",
+			name: "and then it ends the limit",
 			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Take(now+2*maxRecordDelay, []Word{withEnd(newRecord("a", 5, 900), 100)})
@@ -137,7 +137,7 @@
 			rate: -1,
 		},
 		{
-			name: "words that can't be used are nothing",
+			name: "unusable records are ignored",
 			apply: func(s *Limits) {
 				_, unusable := s.Take(now, []Word{
 					newRecord("", 5, 0),
@@ -151,7 +151,7 @@
 			rate: -1,
 		},
 	}
-	Convey("Of an upstream's limit", t, func() {
+	Convey("For an upstream's limit", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				var s Limits
@@ -171,17 +171,17 @@
 		first.Named(now, "a", 0, 5)
 		records := first.Words(now)
 		for range rapid.IntRange(1, 4).Draw(t, "hops") {
-			now += mgclock.Millis(rapid.Int64Range(0, 500).Draw(t, "way"))
+			now += mgclock.Millis(rapid.Int64Range(0, 500).Draw(t, "delay"))
 			var next Limits
 			next.Take(now, records)
-			now += mgclock.Millis(rapid.Int64Range(0, 500).Draw(t, "kept"))
+			now += mgclock.Millis(rapid.Int64Range(0, 500).Draw(t, "stored"))
 			before := records[0].Named
 			records = next.Words(now)
 			if records[0].Named < before || records[0].Named > now-named {
-				t.Fatalf("an age of %d ms of what was named %d ms ago", records[0].Named, now-named)
+				t.Fatalf("age is %d ms for a rate named %d ms ago", records[0].Named, now-named)
 			}
 			if _, unusable := next.Take(now, records); unusable > 0 {
-				t.Fatalf("%v can't be used", records)
+				t.Fatalf("unusable records: %v", records)
 			}
 		}
 	})
@@ -204,7 +204,7 @@
 			}
 			return w
 		})
-		records := rapid.SliceOfN(drawn, 1, 6).Draw(t, "words")
+		records := rapid.SliceOfN(drawn, 1, 6).Draw(t, "records")
 		var one, other Limits
 		one.Take(now, records)
 		for _, i := range rapid.Permutation(indexes(len(records))).Draw(t, "order") {
@@ -212,7 +212,7 @@
 			other.Take(now, records[i:i+1])
 		}
 		if a, b := one.Words(now), other.Words(now); len(a) != 1 || len(b) != 1 || a[0] != b[0] {
-			t.Fatalf("%v and %v", a, b)
+			t.Fatalf("records differ: %v and %v", a, b)
 		}
 	})
 }
--- a/internal/request/mglimit/parse_test.go
+++ b/internal/request/mglimit/parse_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestInvalidRateIsParsed(t *testing.T) {
-	Convey("Of what upstreams name", t, func() {
+	Convey("The rates that upstreams name are parsed", t, func() {
 		for text, rate := range map[string]float64{
 			"4.9":  4.9,
 			" 5 ":  5,
@@ -19,7 +19,7 @@
 			So(err, ShouldBeNil)
 			So(got, ShouldEqual, rate)
 		}
-		Convey("what is no rate is refused", func() {
+		Convey("and anything else is an error", func() {
 			for _, text := range []string{"", "few", "-1", "NaN", "Inf", "1e999", "5/s", "5, 6"} {
 				_, err := Parse(text)
 				So(err, ShouldNotBeNil)
--- a/internal/request/mglimit/permits_test.go
+++ b/internal/request/mglimit/permits_test.go
@@ -37,32 +37,32 @@
 	const second = mgclock.Second
 	Convey("A granter", t, func() {
 		var p Permits
-		Convey("gives the rate, and nothing at once to begin with", func() {
+		Convey("grants the rate, and nothing at the first moment", func() {
 			part := PartOf(5, 1, 1)
 			So(countGranted(&p, 0, 10, part), ShouldEqual, 0)
 			So(countGranted(&p, 10, 4*second, part), ShouldBeBetweenOrEqual, 19, 21)
 		})
-		Convey("gives its part of the rate", func() {
+		Convey("grants its part of the rate", func() {
 			So(countGranted(&p, 0, 10*second, PartOf(5, 2, 5)), ShouldBeBetweenOrEqual, 19, 21)
 		})
-		Convey("gives no burst after a pause", func() {
+		Convey("grants no burst after a pause", func() {
 			part := PartOf(20, 1, 1)
 			countGranted(&p, 0, 10, part)
 			So(countGranted(&p, mgclock.Minute, 4*second, part), ShouldBeLessThanOrEqualTo, 4*20+10)
 		})
-		Convey("gives no burst when the rate falls", func() {
+		Convey("grants no burst when the rate falls", func() {
 			countGranted(&p, 0, 10, PartOf(1000, 1, 1))
 			p.Left(second, "a", PartOf(1000, 1, 1))
 			So(countGranted(&p, second, 4*second, PartOf(2, 1, 1)), ShouldBeLessThanOrEqualTo, 1.5*2*4+5)
 		})
-		Convey("gives the new rate at once when it rises", func() {
+		Convey("grants the new rate at once when it rises", func() {
 			countGranted(&p, 0, second, PartOf(1, 1, 1))
 			So(countGranted(&p, second, 4*second, PartOf(20, 1, 1)), ShouldBeBetweenOrEqual, 79, 82)
 		})
-		Convey("tries now and then an upstream that takes nothing", func() {
+		Convey("grants a few permits for an upstream that takes nothing", func() {
 			So(countGranted(&p, 0, 60*second, PartOf(0, 1, 1)), ShouldBeBetweenOrEqual, 11, 13)
 		})
-		Convey("tells when the next permit comes", func() {
+		Convey("returns when the next permit comes", func() {
 			part := PartOf(0.5, 1, 1)
 			countGranted(&p, 0, 10*second, part)
 			wait, ok := p.Take(10*second, ask(""), part)
@@ -75,7 +75,7 @@
 			_, ok = p.Take(10*second+wait, ask(""), part)
 			So(ok, ShouldBeTrue)
 		})
-		Convey("takes off what couldn't wait", func() {
+		Convey("subtracts forced requests", func() {
 			part := PartOf(5, 1, 1)
 			for range 10 {
 				_, ok := p.Take(0, forced(ask("")), part)
@@ -83,7 +83,7 @@
 			}
 			So(countGranted(&p, 0, 4*second, part), ShouldBeBetweenOrEqual, 9, 12)
 		})
-		Convey("keeps a permit for a request that was given a place, for a while", func() {
+		Convey("reserves a permit for a request that was given a place, for a while", func() {
 			part := PartOf(1, 1, 1)
 			countGranted(&p, 0, 2*second, part)
 			p.Reserve(2*second, "a", "r", part)
@@ -126,11 +126,11 @@
 		w.Put(100, "a", 40)
 		So(w.Left(110, "a"), ShouldEqual, 30)
 		So(w.Left(140, "a"), ShouldEqual, 0)
-		Convey("and for no longer than its limit may stay as it is", func() {
+		Convey("and for no longer than a maximum", func() {
 			w.Put(200, "a", mgclock.Minute)
 			So(w.Left(200, "a"), ShouldEqual, maxWait)
 		})
-		Convey("or until it is gone", func() {
+		Convey("or until it is dropped", func() {
 			w.Put(200, "a", 40)
 			w.Forget(func(string) bool { return false })
 			So(w.Left(200, "a"), ShouldEqual, 0)
