--- a/internal/request/mgqueue/account.go
+++ b/internal/request/mgqueue/account.go
@@ -4,24 +4,24 @@
 
 // account is a client account that waits or owes virtual time.
 type account struct {
-	name   string
-	weight float64
-	tag    float64
-	credit float64 // tokens given back and not used up, see Charge
-	serial uint64  // of its turn among equal tags, 0 while it doesn't wait
-	order  heap[entry]
-	count  [Levels]int
-	place  int // in waiting or owing: an account is in one of them at most
+	name            string
+	weight          float64
+	tag             float64
+	credit          float64 // tokens given back and not used up, see Charge
+	serial          uint64  // of its turn among equal tags, 0 while it doesn't wait
+	requests        heap[entry]
+	countByPriority [Levels]int
+	heapIndex       int // in waiting or owing: an account is in one of them at most
 }
 
 // entry is a request that waits.
 type entry struct {
-	item     Item
-	owner    *account
-	rank     mgclock.Millis
-	serial   uint64
-	ordered  int // place in the owner's order
-	expiring int // place in the queue's expiring
+	item         Item
+	account      *account
+	rank         mgclock.Millis
+	serial       uint64
+	accountIndex int // place in the owner's order
+	expiryIndex  int // place in the queue's expiring
 }
 
 // account returns the account of a name, which it creates at the present
@@ -31,76 +31,76 @@
 		return a
 	}
 	var a *account
-	if last := len(q.oldOwner) - 1; last >= 0 {
-		a = q.oldOwner[last]
-		q.oldOwner = q.oldOwner[:last]
+	if last := len(q.freeAccounts) - 1; last >= 0 {
+		a = q.freeAccounts[last]
+		q.freeAccounts = q.freeAccounts[:last]
 	} else {
 		a = &account{
-			order: heap[entry]{
-				less:  earlier,
-				place: func(e *entry) *int { return &e.ordered },
+			requests: heap[entry]{
+				less:  entryLess,
+				index: func(e *entry) *int { return &e.accountIndex },
 			},
 		}
 	}
 	a.name = name
 	a.weight = 1
-	a.tag = q.virtual
+	a.tag = q.virtualTime
 	q.accounts[name] = a
 	return a
 }
 
 // entry returns an empty entry.
 func (q *Queue) entry() *entry {
-	last := len(q.oldEntry) - 1
+	last := len(q.freeEntries) - 1
 	if last < 0 {
 		return new(entry)
 	}
-	e := q.oldEntry[last]
-	q.oldEntry = q.oldEntry[:last]
+	e := q.freeEntries[last]
+	q.freeEntries = q.freeEntries[:last]
 	return e
 }
 
-// add puts a request into its account's order.
-func (q *Queue) add(a *account, now mgclock.Millis, item Item) {
+// enqueue puts a request into its account's order.
+func (q *Queue) enqueue(a *account, now mgclock.Millis, item Item) {
 	q.serial++
-	idle := a.order.top() == nil
+	wasIdle := a.requests.top() == nil
 	e := q.entry()
 	e.item = item
-	e.owner = a
+	e.account = a
 	e.rank = q.rank(now, item)
 	e.serial = q.serial
 	q.entries[item.ID] = e
-	a.order.push(e)
-	if idle {
-		q.wake(a)
+	a.requests.push(e)
+	if wasIdle {
+		q.activate(a)
 	} else {
 		q.waiting.fix(a) // the priority of its next request may be another one
 	}
-	a.count[item.Priority]++
+	a.countByPriority[item.Priority]++
 	q.backlog += item.Cost
 	if item.Expiry > 0 {
 		q.expiring.push(e)
 	}
 }
 
-// take undoes add. The account is left where it is.
-func (q *Queue) take(e *entry) Item {
+// dequeue undoes add. The account is left where it is.
+func (q *Queue) dequeue(e *entry) Item {
 	item := e.item
-	a := e.owner
-	a.order.remove(e)
-	if a.order.top() == nil {
+	a := e.account
+	a.requests.remove(e)
+	if a.requests.top() == nil {
 		q.waiting.remove(a)
 	}
 	q.expiring.remove(e)
 	delete(q.entries, item.ID)
-	a.count[item.Priority]--
+	a.countByPriority[item.Priority]--
 	q.backlog -= item.Cost
 	if len(q.entries) == 0 {
 		q.backlog = 0 // no drift of the sum
 	}
 	*e = entry{}
-	if len(q.oldEntry) < spares {
-		q.oldEntry = append(q.oldEntry, e)
+	if len(q.freeEntries) < maxSpares {
+		q.freeEntries = append(q.freeEntries, e)
 	}
 	return item
 }
@@ -108,96 +108,96 @@
 // charge takes a request and charges its account. Only the one that was next
 // moves the virtual time.
 func (q *Queue) charge(e *entry) Item {
-	a := e.owner
+	a := e.account
 	if a == q.waiting.top() {
-		q.virtual = max(q.virtual, q.key(a))
+		q.virtualTime = max(q.virtualTime, q.key(a))
 	}
-	item := q.take(e)
+	item := q.dequeue(e)
 	q.serial++
 	a.serial = q.serial
 	used := min(a.credit, item.Cost/2)
 	a.credit -= used
-	q.move(a, item.Cost-used)
-	q.forgive()
+	q.advanceTag(a, item.Cost-used)
+	q.dropSettled()
 	return item
 }
 
-// wake moves an account among those that wait. Its tag is never behind the
+// activate moves an account among those that wait. Its tag is never behind the
 // present virtual time: idleness saves up no credit.
-func (q *Queue) wake(a *account) {
-	q.owing.remove(a)
-	a.tag = max(a.tag, q.virtual)
+func (q *Queue) activate(a *account) {
+	q.indebted.remove(a)
+	a.tag = max(a.tag, q.virtualTime)
 	a.serial = q.serial
 	q.waiting.push(a)
-	q.weight += a.weight
+	q.totalWeight += a.weight
 }
 
-// move shifts an account's tag by a cost and files it anew.
-func (q *Queue) move(a *account, tokens float64) {
+// advanceTag shifts an account's tag by a cost and files it anew.
+func (q *Queue) advanceTag(a *account, tokens float64) {
 	a.tag += tokens / a.weight
-	q.rest(a)
+	q.reposition(a)
 }
 
-// rest files an account where it belongs after a change.
-func (q *Queue) rest(a *account) {
-	if a.order.top() != nil {
+// reposition files an account where it belongs after a change.
+func (q *Queue) reposition(a *account) {
+	if a.requests.top() != nil {
 		q.waiting.fix(a)
 		return
 	}
 	if a.serial > 0 { // it waited until now
-		q.weight -= a.weight
+		q.totalWeight -= a.weight
 		a.serial = 0
-		if len(q.waiting.list) == 0 {
-			q.weight = 0 // no drift of the sum
+		if len(q.waiting.items) == 0 {
+			q.totalWeight = 0 // no drift of the sum
 		}
 	}
 	switch {
-	case a.tag <= q.virtual:
+	case a.tag <= q.virtualTime:
 		q.drop(a)
-	case a.place == 0:
-		q.owing.push(a)
+	case a.heapIndex == 0:
+		q.indebted.push(a)
 	default:
-		q.owing.fix(a)
+		q.indebted.fix(a)
 	}
 }
 
-// forgive drops the accounts whose tags the virtual time has reached.
-func (q *Queue) forgive() {
-	for a := q.owing.top(); a != nil && a.tag <= q.virtual; a = q.owing.top() {
+// dropSettled drops the accounts whose tags the virtual time has reached.
+func (q *Queue) dropSettled() {
+	for a := q.indebted.top(); a != nil && a.tag <= q.virtualTime; a = q.indebted.top() {
 		q.drop(a)
 	}
 }
 
 // drop forgets an account that does not wait.
 func (q *Queue) drop(a *account) {
-	q.owing.remove(a)
+	q.indebted.remove(a)
 	delete(q.accounts, a.name)
-	order := a.order
+	requests := a.requests
 	*a = account{
-		order: order,
+		requests: requests,
 	}
-	if len(q.oldOwner) < spares {
-		q.oldOwner = append(q.oldOwner, a)
+	if len(q.freeAccounts) < maxSpares {
+		q.freeAccounts = append(q.freeAccounts, a)
 	}
 }
 
-// reweigh takes over a weight that an operator changed.
-func (q *Queue) reweigh(a *account, weight float64) {
-	if a.order.top() != nil {
-		q.weight += weight - a.weight
+// setWeight takes over a weight that an operator changed.
+func (q *Queue) setWeight(a *account, weight float64) {
+	if a.requests.top() != nil {
+		q.totalWeight += weight - a.weight
 	}
 	a.weight = weight
 }
 
-// before returns the cost of the account's requests from place i of its order
-// down that rank before a time, as far as visitable allows.
-func (a *account) before(i int, rank mgclock.Millis, visits *int) float64 {
-	if i >= len(a.order.list) || a.order.list[i].rank > rank || *visits == visitable {
+// costBefore returns the cost of the account's requests from place i of its order
+// down that rank costBefore a time, as far as visitable allows.
+func (a *account) costBefore(i int, rank mgclock.Millis, visits *int) float64 {
+	if i >= len(a.requests.items) || a.requests.items[i].rank > rank || *visits == maxVisits {
 		return 0
 	}
 	*visits++
-	cost := a.order.list[i].item.Cost
-	return cost + a.before(2*i+1, rank, visits) + a.before(2*i+2, rank, visits)
+	cost := a.requests.items[i].item.Cost
+	return cost + a.costBefore(2*i+1, rank, visits) + a.costBefore(2*i+2, rank, visits)
 }
 
 // rank orders the requests of one account by the time at which they are due,
@@ -211,9 +211,9 @@
 	return due - mgclock.Millis(item.Priority)*q.boost()
 }
 
-// sooner orders the accounts that wait by the key of their next requests, then
+// accountLess orders the accounts that wait by the key of their next requests, then
 // in turn.
-func (q *Queue) sooner(a, b *account) bool {
+func (q *Queue) accountLess(a, b *account) bool {
 	x, y := q.key(a), q.key(b)
 	if x != y {
 		return x < y
@@ -224,17 +224,17 @@
 // key returns the tag of an account that waits, less the loan of its next
 // request's priority.
 func (q *Queue) key(a *account) float64 {
-	return a.tag - q.lent(a.order.list[0].item.Priority, a.weight)
+	return a.tag - q.priorityLead(a.requests.items[0].item.Priority, a.weight)
 }
 
-// lent returns the virtual time by which a request may start before its
+// priorityLead returns the virtual time by which a request may start before its
 // account's turn.
-func (q *Queue) lent(priority int, weight float64) float64 {
+func (q *Queue) priorityLead(priority int, weight float64) float64 {
 	return float64(priority) * q.loan() / weight
 }
 
-// earlier orders the requests of one account.
-func earlier(a, b *entry) bool {
+// entryLess orders the requests of one account.
+func entryLess(a, b *entry) bool {
 	if a.rank != b.rank {
 		return a.rank < b.rank
 	}
--- a/internal/request/mgqueue/heap.go
+++ b/internal/request/mgqueue/heap.go
@@ -3,48 +3,48 @@
 // A heap is a binary heap whose members know their places, so that one in the
 // middle is removed in O(log n).
 type heap[T any] struct {
-	list  []*T
+	items []*T
 	less  func(a, b *T) bool
-	place func(*T) *int // index plus 1 within list, 0 outside
+	index func(*T) *int // index plus 1 within list, 0 outside
 }
 
 func (h *heap[T]) top() *T {
-	if len(h.list) == 0 {
+	if len(h.items) == 0 {
 		return nil
 	}
-	return h.list[0]
+	return h.items[0]
 }
 
 func (h *heap[T]) push(x *T) {
-	h.list = append(h.list, x)
-	*h.place(x) = len(h.list)
-	h.up(len(h.list) - 1)
+	h.items = append(h.items, x)
+	*h.index(x) = len(h.items)
+	h.up(len(h.items) - 1)
 }
 
 // remove takes x out; an x outside the heap is left alone.
 func (h *heap[T]) remove(x *T) {
-	i := *h.place(x) - 1
+	i := *h.index(x) - 1
 	if i < 0 {
 		return
 	}
-	last := len(h.list) - 1
+	last := len(h.items) - 1
 	h.swap(i, last)
-	h.list[last] = nil
-	h.list = h.list[:last]
-	*h.place(x) = 0
+	h.items[last] = nil
+	h.items = h.items[:last]
+	*h.index(x) = 0
 	if i < last {
-		h.settle(i)
+		h.restore(i)
 	}
 }
 
 // fix restores the order after x's key changed.
 func (h *heap[T]) fix(x *T) {
-	if i := *h.place(x) - 1; i >= 0 {
-		h.settle(i)
+	if i := *h.index(x) - 1; i >= 0 {
+		h.restore(i)
 	}
 }
 
-func (h *heap[T]) settle(i int) {
+func (h *heap[T]) restore(i int) {
 	if !h.down(i) {
 		h.up(i)
 	}
@@ -53,7 +53,7 @@
 func (h *heap[T]) up(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
-		if !h.less(h.list[i], h.list[parent]) {
+		if !h.less(h.items[i], h.items[parent]) {
 			return
 		}
 		h.swap(i, parent)
@@ -65,24 +65,24 @@
 func (h *heap[T]) down(i int) bool {
 	start := i
 	for {
-		least := 2*i + 1
-		if least >= len(h.list) {
+		smallest := 2*i + 1
+		if smallest >= len(h.items) {
 			break
 		}
-		if right := least + 1; right < len(h.list) && h.less(h.list[right], h.list[least]) {
-			least = right
+		if right := smallest + 1; right < len(h.items) && h.less(h.items[right], h.items[smallest]) {
+			smallest = right
 		}
-		if !h.less(h.list[least], h.list[i]) {
+		if !h.less(h.items[smallest], h.items[i]) {
 			break
 		}
-		h.swap(i, least)
-		i = least
+		h.swap(i, smallest)
+		i = smallest
 	}
 	return i > start
 }
 
 func (h *heap[T]) swap(i, j int) {
-	h.list[i], h.list[j] = h.list[j], h.list[i]
-	*h.place(h.list[i]) = i + 1
-	*h.place(h.list[j]) = j + 1
+	h.items[i], h.items[j] = h.items[j], h.items[i]
+	*h.index(h.items[i]) = i + 1
+	*h.index(h.items[j]) = j + 1
 }
--- a/internal/request/mgqueue/queue.go
+++ b/internal/request/mgqueue/queue.go
@@ -28,17 +28,17 @@
 // has none.
 const Patience = mgclock.Minute
 
-// spares is the most freed entries and accounts kept for reuse: the turnover
+// maxSpares is the most freed entries and accounts kept for reuse: the turnover
 // of a burst, not its peak.
-const spares = 1024
+const maxSpares = 1024
 
-// near is the number of accounts that Others looks at: the upper levels of
+// maxOtherAccounts is the number of accounts that Others looks at: the upper levels of
 // their heap.
-const near = 15
+const maxOtherAccounts = 15
 
-// visitable is the most requests of one account that Ahead looks at. Behind
+// maxVisits is the most requests of one account that Ahead looks at. Behind
 // that many a deadline is lost in any case.
-const visitable = 256
+const maxVisits = 256
 
 // The errors of Push.
 var (
@@ -49,18 +49,18 @@
 // A Queue orders the requests that wait for one upstream. The zero Queue has
 // the defaults of a Spec and is ready for use.
 type Queue struct {
-	spec     Spec
-	virtual  float64 // greatest key of the requests that left in turn
-	serial   uint64
-	backlog  float64 // expected cost of all that wait
-	weight   float64 // sum of the weights of the accounts that wait
-	accounts map[string]*account
-	entries  map[string]*entry
-	waiting  heap[account] // accounts that wait, by tag
-	owing    heap[account] // accounts that don't wait and have a tag ahead of virtual
-	expiring heap[entry]   // requests with an expiry
-	oldEntry []*entry
-	oldOwner []*account
+	spec         Spec
+	virtualTime  float64 // greatest key of the requests that left in turn
+	serial       uint64
+	backlog      float64 // expected cost of all that wait
+	totalWeight  float64 // sum of the weights of the accounts that wait
+	accounts     map[string]*account
+	entries      map[string]*entry
+	waiting      heap[account] // accounts that wait, by tag
+	indebted     heap[account] // accounts that don't wait and have a tag ahead of virtual
+	expiring     heap[entry]   // requests with an expiry
+	freeEntries  []*entry
+	freeAccounts []*account
 }
 
 // New returns an empty queue.
@@ -85,23 +85,23 @@
 	if q.entries[item.ID] != nil {
 		return ErrDuplicate
 	}
-	item = normal(item)
+	item = normalize(item)
 	if !q.Room(item.Account, item.Priority) {
 		return ErrFull
 	}
 	a := q.account(item.Account)
-	q.reweigh(a, item.Weight)
-	q.add(a, now, item)
+	q.setWeight(a, item.Weight)
+	q.enqueue(a, now, item)
 	return nil
 }
 
 // Room reports whether Push has a place for the account at a priority.
 func (q *Queue) Room(name string, priority int) bool {
-	free := q.bound() - len(q.entries)
+	free := q.capacity() - len(q.entries)
 	held := 0
 	if a := q.accounts[name]; a != nil {
-		for l := level(priority); l < Levels; l++ {
-			held += a.count[l]
+		for l := clampPriority(priority); l < Levels; l++ {
+			held += a.countByPriority[l]
 		}
 	}
 	return held < free
@@ -129,12 +129,12 @@
 // Others appends to dst the next requests of some accounts that come after
 // the one that is next, and two more of that one's account.
 func (q *Queue) Others(dst []Item) []Item {
-	for k, a := range q.waiting.list[:min(len(q.waiting.list), near)] {
+	for k, a := range q.waiting.items[:min(len(q.waiting.items), maxOtherAccounts)] {
 		if k > 0 {
-			dst = append(dst, a.order.list[0].item)
+			dst = append(dst, a.requests.items[0].item)
 			continue
 		}
-		for _, e := range a.order.list[1:min(len(a.order.list), 3)] {
+		for _, e := range a.requests.items[1:min(len(a.requests.items), 3)] {
 			dst = append(dst, e.item)
 		}
 	}
@@ -164,13 +164,13 @@
 			return
 		}
 		a = q.account(name)
-		a.weight = positive(weight)
+		a.weight = weightOrDefault(weight)
 	}
 	a.credit -= tokens
 	if a.credit < 0 || a.serial == 0 {
 		tokens = -a.credit
 		a.credit = 0
-		q.move(a, tokens)
+		q.advanceTag(a, tokens)
 	}
 }
 
@@ -180,9 +180,9 @@
 	if e == nil {
 		return Item{}, false
 	}
-	a := e.owner
-	item := q.take(e)
-	q.rest(a)
+	a := e.account
+	item := q.dequeue(e)
+	q.reposition(a)
 	return item, true
 }
 
@@ -208,17 +208,17 @@
 // item if it came now: all that waits, or less where the account's share or
 // the item's place within the account brings it to the front sooner.
 func (q *Queue) Ahead(now mgclock.Millis, item Item) float64 {
-	item = normal(item)
-	total := q.weight
+	item = normalize(item)
+	total := q.totalWeight
 	lead := 0.0
 	a := q.accounts[item.Account]
-	if a == nil || a.order.top() == nil {
+	if a == nil || a.requests.top() == nil {
 		total += item.Weight
 	}
 	if a != nil {
 		visits := 0
-		lead = a.tag - q.virtual + a.before(0, q.rank(now, item), &visits)/item.Weight
-		lead = max(0, lead-q.lent(item.Priority, item.Weight))
+		lead = a.tag - q.virtualTime + a.costBefore(0, q.rank(now, item), &visits)/item.Weight
+		lead = max(0, lead-q.priorityLead(item.Priority, item.Weight))
 	}
 	return min(q.backlog, lead*total)
 }
@@ -229,9 +229,9 @@
 	if len(q.entries) > 0 || len(q.accounts) == 0 {
 		return
 	}
-	for len(q.owing.list) > 0 {
-		q.virtual = max(q.virtual, q.owing.top().tag)
-		q.drop(q.owing.top())
+	for len(q.indebted.items) > 0 {
+		q.virtualTime = max(q.virtualTime, q.indebted.top().tag)
+		q.drop(q.indebted.top())
 	}
 }
 
@@ -241,18 +241,18 @@
 	}
 	q.accounts = make(map[string]*account)
 	q.entries = make(map[string]*entry)
-	place := func(a *account) *int { return &a.place }
+	index := func(a *account) *int { return &a.heapIndex }
 	q.waiting = heap[account]{
-		less:  q.sooner,
-		place: place,
+		less:  q.accountLess,
+		index: index,
 	}
-	q.owing = heap[account]{
+	q.indebted = heap[account]{
 		less:  func(a, b *account) bool { return a.tag < b.tag },
-		place: place,
+		index: index,
 	}
 	q.expiring = heap[entry]{
 		less:  func(a, b *entry) bool { return a.item.Expiry < b.item.Expiry },
-		place: func(e *entry) *int { return &e.expiring },
+		index: func(e *entry) *int { return &e.expiryIndex },
 	}
 }
 
@@ -262,10 +262,10 @@
 	if a == nil {
 		return nil
 	}
-	return a.order.top()
+	return a.requests.top()
 }
 
-func (q *Queue) bound() int {
+func (q *Queue) capacity() int {
 	if q.spec.Bound > 0 {
 		return q.spec.Bound
 	}
@@ -286,16 +286,16 @@
 	return DefaultBoost
 }
 
-func normal(item Item) Item {
-	item.Weight = positive(item.Weight)
-	item.Priority = level(item.Priority)
+func normalize(item Item) Item {
+	item.Weight = weightOrDefault(item.Weight)
+	item.Priority = clampPriority(item.Priority)
 	item.Cost = max(item.Cost, 0)
 	return item
 }
 
-func level(priority int) int { return min(max(priority, 0), Levels-1) }
+func clampPriority(priority int) int { return min(max(priority, 0), Levels-1) }
 
-func positive(weight float64) float64 {
+func weightOrDefault(weight float64) float64 {
 	if weight > 0 {
 		return weight
 	}
--- a/internal/request/mgqueue/queue_test.go
+++ b/internal/request/mgqueue/queue_test.go
@@ -22,7 +22,7 @@
 // A light account's lookup takes minutes although it sends one a minute. A
 // heavy account sent hundreds of reports first, and the lookup stood behind
 // all of them.
-func TestHeavyAccount(t *testing.T) {
+func TestHeavyAccountDelaysOthers(t *testing.T) {
 	Convey("Behind a heavy account's backlog", t, func() {
 		var q mgqueue.Queue
 		for n := range 500 {
@@ -52,7 +52,7 @@
 
 // A shift report never starts while lookups keep coming: each new lookup has
 // the higher priority and passes it.
-func TestPriorityCannotStarve(t *testing.T) {
+func TestPriorityStarvesOthers(t *testing.T) {
 	Convey("A report passed by lookups leaves after the boost", t, func() {
 		var q mgqueue.Queue
 		So(q.Push(0, item("tank", 0, 1000)), ShouldBeNil)
@@ -72,7 +72,7 @@
 // An account whose answers run ten times longer than expected takes ten times
 // its share, because the queue charged it what it expected; one whose answers
 // are short gets a tenth.
-func TestChargeCorrects(t *testing.T) {
+func TestUnexpectedLengthSkewsShares(t *testing.T) {
 	Convey("Real lengths decide the shares", t, func() {
 		q := mgqueue.New(mgqueue.Spec{
 			Bound: 4096,
@@ -101,7 +101,7 @@
 // A newcomer waits for minutes at the start of a shift: the one account before
 // it was charged for long answers, got short ones, and is given back so much
 // that it goes first for as long.
-func TestGivenBackIsNoHeadStart(t *testing.T) {
+func TestRefundDelaysNewcomer(t *testing.T) {
 	Convey("What is given back holds up nobody who came since", t, func() {
 		var q mgqueue.Queue
 		for n := range 500 {
@@ -118,7 +118,7 @@
 
 // A gauger's lookup waits behind nine customers' reports, because a report of
 // the gauger's own account ran a moment ago.
-func TestPriorityBetweenAccounts(t *testing.T) {
+func TestPriorityWaitsForAccountTurn(t *testing.T) {
 	Convey("A priority goes before an account's turn, within its loan", t, func() {
 		var q mgqueue.Queue
 		_ = q.Push(0, item("tank", 0, 400))
@@ -145,7 +145,7 @@
 
 // A caller is told that time is up long after it was, because the queue only
 // looked at what came to the front.
-func TestExpiry(t *testing.T) {
+func TestExpiryIsOutOfOrder(t *testing.T) {
 	Convey("Requests expire in the order of their expiry", t, func() {
 		var q mgqueue.Queue
 		for n, expiry := range []mgclock.Millis{300, 100, 0, 200} {
@@ -179,7 +179,7 @@
 
 // Whatever comes and goes, a request that was taken in leaves once, the queue
 // is never idle while something waits, and weights set the shares.
-func TestQueueProperties(t *testing.T) {
+func TestRequestIsLostOrQueueIsIdle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := mgqueue.New(mgqueue.Spec{
 			Bound: rapid.IntRange(1, 64).Draw(t, "bound"),
@@ -229,7 +229,7 @@
 	})
 }
 
-func TestWeightedShares(t *testing.T) {
+func TestSharesDeviateFromWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q mgqueue.Queue
 		weights := rapid.SliceOfN(rapid.Float64Range(1, 8), 2, 6).Draw(t, "weights")
