--- a/internal/request/mgqueue/account.go
+++ b/internal/request/mgqueue/account.go
@@ -2,30 +2,30 @@
 
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 
-// account is a client account that waits or owes virtual time.
+// account is a client account that has waiting requests or a tag ahead of the virtual time.
 type account struct {
 	name            string
 	weight          float64
 	tag             float64
-	credit          float64 // tokens given back and not used up, see Charge
-	serial          uint64  // of its turn among equal tags, 0 while it doesn't wait
+	credit          float64 // refunded tokens not used up; see Charge
+	serial          uint64  // breaks ties between tags in turn, 0 while it doesn't wait
 	requests        heap[entry]
 	countByPriority [Levels]int
-	heapIndex       int // in waiting or owing: an account is in one of them at most
+	heapIndex       int // in waiting or indebted: an account is in one of them at most
 }
 
-// entry is a request that waits.
+// entry is a waiting request.
 type entry struct {
 	item         Item
 	account      *account
 	rank         mgclock.Millis
 	serial       uint64
-	accountIndex int // place in the owner's order
-	expiryIndex  int // place in the queue's expiring
+	accountIndex int // heap index in the account's requests
+	expiryIndex  int // heap index in the queue's expiring
 }
 
-// account returns the account of a name, which it creates at the present
-// virtual time.
+// account returns the account of a name. It creates it at the current virtual time where
+// there is none.
 func (q *Queue) account(name string) *account {
 	if a := q.accounts[name]; a != nil {
 		return a
@@ -60,7 +60,7 @@
 	return e
 }
 
-// enqueue puts a request into its account's order.
+// enqueue adds a request to its account's requests.
 func (q *Queue) enqueue(a *account, now mgclock.Millis, item Item) {
 	q.serial++
 	wasIdle := a.requests.top() == nil
@@ -74,7 +74,7 @@
 	if wasIdle {
 		q.activate(a)
 	} else {
-		q.waiting.fix(a) // the priority of its next request may be another one
+		q.waiting.fix(a) // the priority of its next request may have changed
 	}
 	a.countByPriority[item.Priority]++
 	q.backlog += item.Cost
@@ -83,7 +83,7 @@
 	}
 }
 
-// dequeue undoes add. The account is left where it is.
+// dequeue reverses enqueue. It doesn't reposition the account.
 func (q *Queue) dequeue(e *entry) Item {
 	item := e.item
 	a := e.account
@@ -96,7 +96,7 @@
 	a.countByPriority[item.Priority]--
 	q.backlog -= item.Cost
 	if len(q.entries) == 0 {
-		q.backlog = 0 // no drift of the sum
+		q.backlog = 0 // avoids drift of the sum
 	}
 	*e = entry{}
 	if len(q.freeEntries) < maxSpares {
@@ -105,8 +105,8 @@
 	return item
 }
 
-// charge takes a request and charges its account. Only the one that was next
-// moves the virtual time.
+// charge dequeues a request and charges its account. Only the request that was next
+// advances the virtual time.
 func (q *Queue) charge(e *entry) Item {
 	a := e.account
 	if a == q.waiting.top() {
@@ -122,8 +122,8 @@
 	return item
 }
 
-// activate moves an account among those that wait. Its tag is never behind the
-// present virtual time: idleness saves up no credit.
+// activate moves an account to those that wait. Its tag is never behind the current virtual
+// time: idleness saves up no credit.
 func (q *Queue) activate(a *account) {
 	q.indebted.remove(a)
 	a.tag = max(a.tag, q.virtualTime)
@@ -132,13 +132,13 @@
 	q.totalWeight += a.weight
 }
 
-// advanceTag shifts an account's tag by a cost and files it anew.
+// advanceTag adds a cost to an account's tag and repositions the account.
 func (q *Queue) advanceTag(a *account, tokens float64) {
 	a.tag += tokens / a.weight
 	q.reposition(a)
 }
 
-// reposition files an account where it belongs after a change.
+// reposition moves an account to the heap where it belongs after a change, or drops it.
 func (q *Queue) reposition(a *account) {
 	if a.requests.top() != nil {
 		q.waiting.fix(a)
@@ -148,7 +148,7 @@
 		q.totalWeight -= a.weight
 		a.serial = 0
 		if len(q.waiting.items) == 0 {
-			q.totalWeight = 0 // no drift of the sum
+			q.totalWeight = 0 // avoids drift of the sum
 		}
 	}
 	switch {
@@ -168,7 +168,7 @@
 	}
 }
 
-// drop forgets an account that does not wait.
+// drop removes an account that has no waiting request.
 func (q *Queue) drop(a *account) {
 	q.indebted.remove(a)
 	delete(q.accounts, a.name)
@@ -181,7 +181,7 @@
 	}
 }
 
-// setWeight takes over a weight that an operator changed.
+// setWeight changes an account's weight: an operator may have changed the setting.
 func (q *Queue) setWeight(a *account, weight float64) {
 	if a.requests.top() != nil {
 		q.totalWeight += weight - a.weight
@@ -189,8 +189,8 @@
 	a.weight = weight
 }
 
-// costBefore returns the cost of the account's requests from place i of its order
-// down that rank costBefore a time, as far as visitable allows.
+// costBefore returns the cost of the account's requests, from index i of their heap down,
+// that rank before a time. It visits at most maxVisits requests.
 func (a *account) costBefore(i int, rank mgclock.Millis, visits *int) float64 {
 	if i >= len(a.requests.items) || a.requests.items[i].rank > rank || *visits == maxVisits {
 		return 0
@@ -200,9 +200,9 @@
 	return cost + a.costBefore(2*i+1, rank, visits) + a.costBefore(2*i+2, rank, visits)
 }
 
-// rank orders the requests of one account by the time at which they are due,
-// less a head start for the priority. It is fixed when a request comes, so each
-// is passed by a bounded number of later ones.
+// rank orders the requests of one account by the time at which they are due, less a head
+// start for the priority. It is fixed when a request comes, so that each request is
+// overtaken by a bounded number of later ones.
 func (q *Queue) rank(now mgclock.Millis, item Item) mgclock.Millis {
 	due := item.Due
 	if due <= 0 {
@@ -211,8 +211,8 @@
 	return due - mgclock.Millis(item.Priority)*q.boost()
 }
 
-// accountLess orders the accounts that wait by the key of their next requests, then
-// in turn.
+// accountLess orders the accounts that wait by the key of their next requests, then in
+// turn.
 func (q *Queue) accountLess(a, b *account) bool {
 	x, y := q.key(a), q.key(b)
 	if x != y {
@@ -221,14 +221,14 @@
 	return a.serial < b.serial
 }
 
-// key returns the tag of an account that waits, less the loan of its next
-// request's priority.
+// key returns the tag of an account that waits, less the lead of its next request's
+// priority.
 func (q *Queue) key(a *account) float64 {
 	return a.tag - q.priorityLead(a.requests.items[0].item.Priority, a.weight)
 }
 
-// priorityLead returns the virtual time by which a request may start before its
-// account's turn.
+// priorityLead returns the virtual time by which a request of a priority may start before
+// its account's turn.
 func (q *Queue) priorityLead(priority int, weight float64) float64 {
 	return float64(priority) * q.loan() / weight
 }
--- a/internal/request/mgqueue/doc.go
+++ b/internal/request/mgqueue/doc.go
@@ -1,42 +1,40 @@
-// Package mgqueue is the weighted fair queue of an upstream's agent.
+// Package mgqueue implements the weighted fair queue of an upstream's agent.
 //
 // # Load
 //
-// A few client accounts send most of the requests, and an answer's cost is
-// known only when it ends. Without the queue the heavy account's backlog is
-// everybody's wait: in first-in first-out order a light account waits behind
-// all of it.
+// A few client accounts send most of the requests, and the cost of an answer is known only
+// when it ends. In first-in first-out order a light account would wait behind the whole
+// backlog of a heavy one.
 //
 // # Order
 //
-// Between accounts the order is start-time fair queueing (Goyal, Vin, Cheng
-// 1996). Each account has a tag, the virtual time at which its next request
-// starts; the account with the least tag is next, and its tag then grows by
-// the request's expected cost in tokens over the account's weight. Charge
-// corrects the tag when the real length is known, so an account whose answers
-// run longer than expected does not gain by it. An account that comes back
-// from idleness starts at the present virtual time: it saves up no credit.
+// Between accounts the order is start-time fair queueing (Goyal, Vin, Cheng 1996). Each
+// account has a tag, the virtual time at which its next request starts. The account with
+// the smallest tag is next, and its tag then grows by the request's expected cost in tokens
+// divided by the account's weight. Charge corrects the tag when the actual length is known,
+// so that an account whose answers run longer than expected does not gain by it. An account
+// that returns from idleness starts at the current virtual time: it saves up no credit.
 //
-// Within an account the order is by the time at which a request is due
-// (earliest deadline first, Liu and Layland 1973), less Boost for each level of
-// priority. That key is fixed when a request comes, so it is passed only by
-// those that come soon after it, and no level starves.
+// Within an account the order is by the time at which a request is due (earliest deadline
+// first, Liu and Layland 1973), less Boost for each level of priority. That key is fixed
+// when a request comes, so that it is overtaken only by requests that come soon after it,
+// and no level starves.
 //
-// Between accounts a level of priority lends its account Loan tokens of virtual
-// time: a lookup of an account that has had its turn goes before the others'
-// reports, and the account's own reports wait until that is paid off. The loan
-// is bounded, so an account is ahead of its share by that much at most.
+// Between accounts a level of priority lends its account Loan tokens of virtual time: a
+// lookup of an account that has had its turn goes before the reports of others, and the
+// account's own reports wait until the loan is paid off. The loan is bounded, so that an
+// account is ahead of its share by that much at most.
 //
-// Where the request that is next doesn't fit its upstream yet, Others and Take
-// let some that do pass it; they are charged as if it had been their turn.
+// Where the next request doesn't fit its upstream yet, some that do may overtake it by
+// means of Others and Take. They are charged as if it had been their turn.
 //
 // # Bounds
 //
-// The queue holds at most Bound requests. An account may hold at level l and
-// above at most as many as there are free places (dynamic thresholds,
-// Choudhury and Hahne 1998): one account alone can fill half the queue, two
-// can fill two thirds, and a newcomer always finds a place. Accounts that
-// neither wait nor owe virtual time cost no memory.
+// The queue holds at most Bound requests. At a priority level and above, an account may
+// hold at most as many requests as there are free places (dynamic thresholds, Choudhury and
+// Hahne 1998): one account alone can fill half of the queue, two can fill two thirds, and a
+// newcomer always finds a place. Accounts that neither wait nor have a tag ahead of the
+// virtual time cost no memory.
 //
 // A Queue is not safe for concurrent use.
 package mgqueue
--- a/internal/request/mgqueue/heap.go
+++ b/internal/request/mgqueue/heap.go
@@ -1,11 +1,11 @@
 package mgqueue
 
-// A heap is a binary heap whose members know their places, so that one in the
-// middle is removed in O(log n).
+// A heap is a binary heap whose members store their indexes, so that any of them can be
+// removed in O(log n).
 type heap[T any] struct {
 	items []*T
 	less  func(a, b *T) bool
-	index func(*T) *int // index plus 1 within list, 0 outside
+	index func(*T) *int // index plus 1 in items, 0 outside
 }
 
 func (h *heap[T]) top() *T {
@@ -21,7 +21,7 @@
 	h.up(len(h.items) - 1)
 }
 
-// remove takes x out; an x outside the heap is left alone.
+// remove removes x, if it is in the heap.
 func (h *heap[T]) remove(x *T) {
 	i := *h.index(x) - 1
 	if i < 0 {
--- a/internal/request/mgqueue/queue.go
+++ b/internal/request/mgqueue/queue.go
@@ -6,38 +6,37 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Levels is the number of levels of priority.
+// Levels is the number of priority levels.
 const Levels = 4
 
-// The defaults of a Spec. DefaultBound holds some ten batches of a large
-// engine, which is longer than any deadline lets a request wait. DefaultBoost
-// is the wait after which an operator takes a lookup for lost, so a report
-// gives way to lookups of the same deadline for that long and no longer; most of
-// the order comes from the due times.
+// The defaults of a Spec. DefaultBound holds some ten batches of a large engine, which is
+// longer than any deadline lets a request wait. DefaultBoost is the wait after which an
+// operator takes a lookup for lost, so that a report gives way to lookups of the same
+// deadline for that long and no longer; most of the order comes from the due times.
 //
-// DefaultLoan is what an account may have ahead of its share, in tokens: without it
-// lookups wait for their account's turn beyond saturation, with much more heavy
-// accounts have more than their share.
+// DefaultLoan is what an account may be ahead of its share, in tokens. Without a loan,
+// lookups beyond saturation wait for their account's turn; with a much larger one, heavy
+// accounts get more than their share.
 const (
 	DefaultBound = 2048
 	DefaultBoost = 10 * mgclock.Second
 	DefaultLoan  = 500
 )
 
-// Patience is the deadline, in the order within an account, of a request that
-// has none.
+// Patience is the assumed deadline, for the order within an account, of a request that has
+// none.
 const Patience = mgclock.Minute
 
-// maxSpares is the most freed entries and accounts kept for reuse: the turnover
-// of a burst, not its peak.
+// maxSpares is the maximum number of freed entries and of freed accounts kept for reuse:
+// the turnover of a burst, not its peak.
 const maxSpares = 1024
 
-// maxOtherAccounts is the number of accounts that Others looks at: the upper levels of
+// maxOtherAccounts is the number of accounts that Others considers: the upper levels of
 // their heap.
 const maxOtherAccounts = 15
 
-// maxVisits is the most requests of one account that Ahead looks at. Behind
-// that many a deadline is lost in any case.
+// maxVisits is the maximum number of requests of one account that Ahead considers. Behind
+// that many a deadline is missed in any case.
 const maxVisits = 256
 
 // The errors of Push.
@@ -50,14 +49,14 @@
 // the defaults of a Spec and is ready for use.
 type Queue struct {
 	spec         Spec
-	virtualTime  float64 // greatest key of the requests that left in turn
+	virtualTime  float64 // largest key of the requests that left in turn
 	serial       uint64
-	backlog      float64 // expected cost of all that wait
-	totalWeight  float64 // sum of the weights of the accounts that wait
+	backlog      float64 // expected cost of all waiting requests
+	totalWeight  float64 // of the accounts that wait
 	accounts     map[string]*account
 	entries      map[string]*entry
-	waiting      heap[account] // accounts that wait, by tag
-	indebted     heap[account] // accounts that don't wait and have a tag ahead of virtual
+	waiting      heap[account] // accounts that wait, by key
+	indebted     heap[account] // accounts that don't wait and have a tag ahead of virtualTime
 	expiring     heap[entry]   // requests with an expiry
 	freeEntries  []*entry
 	freeAccounts []*account
@@ -70,13 +69,13 @@
 	}
 }
 
-// Len returns the number of requests that wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return len(q.entries) }
 
-// Accounts returns the number of accounts that cost memory.
+// Accounts returns the number of accounts held in memory.
 func (q *Queue) Accounts() int { return len(q.accounts) }
 
-// Backlog returns the expected cost in tokens of all that wait.
+// Backlog returns the expected cost in tokens of all waiting requests.
 func (q *Queue) Backlog() float64 { return q.backlog }
 
 // Push adds a request, or returns ErrFull or ErrDuplicate.
@@ -95,7 +94,7 @@
 	return nil
 }
 
-// Room reports whether Push has a place for the account at a priority.
+// Room reports whether Push would accept a request of the account at a priority.
 func (q *Queue) Room(name string, priority int) bool {
 	free := q.capacity() - len(q.entries)
 	held := 0
@@ -107,7 +106,7 @@
 	return held < free
 }
 
-// Peek returns the request that is next.
+// Peek returns the next request.
 func (q *Queue) Peek() (Item, bool) {
 	e := q.head()
 	if e == nil {
@@ -116,8 +115,7 @@
 	return e.item, true
 }
 
-// Pop takes the request that is next and charges its account the expected
-// cost.
+// Pop removes the next request and charges its account the expected cost.
 func (q *Queue) Pop() (Item, bool) {
 	e := q.head()
 	if e == nil {
@@ -126,8 +124,8 @@
 	return q.charge(e), true
 }
 
-// Others appends to dst the next requests of some accounts that come after
-// the one that is next, and two more of that one's account.
+// Others appends to dst the next requests of some other accounts after the next request,
+// and two more of that one's account.
 func (q *Queue) Others(dst []Item) []Item {
 	for k, a := range q.waiting.items[:min(len(q.waiting.items), maxOtherAccounts)] {
 		if k > 0 {
@@ -141,8 +139,7 @@
 	return dst
 }
 
-// Take takes a request, also out of turn, and charges its account the expected
-// cost.
+// Take removes a request, also out of turn, and charges its account the expected cost.
 func (q *Queue) Take(id string) (Item, bool) {
 	e := q.entries[id]
 	if e == nil {
@@ -151,11 +148,10 @@
 	return q.charge(e), true
 }
 
-// Charge corrects an account's virtual time by tokens, which are negative
-// when an answer was shorter than expected. What is given back to an account
-// that waits makes its next requests cheaper, down to half: set back at once,
-// its tag would fall behind those of all that came in the meantime, and they
-// would wait until it had caught up.
+// Charge corrects an account's virtual time by tokens, which are negative when an answer
+// was shorter than expected. A refund to an account that waits makes its next requests
+// cheaper, down to half. If its tag were set back at once, it would fall behind those of
+// all accounts that came in the meantime, and these would wait until it had caught up.
 func (q *Queue) Charge(name string, weight, tokens float64) {
 	q.init()
 	a := q.accounts[name]
@@ -174,7 +170,7 @@
 	}
 }
 
-// Remove takes out a request that waits.
+// Remove removes a waiting request without a charge.
 func (q *Queue) Remove(id string) (Item, bool) {
 	e := q.entries[id]
 	if e == nil {
@@ -186,7 +182,7 @@
 	return item, true
 }
 
-// Expire takes out one request whose expiry has come.
+// Expire removes one request whose expiry has come.
 func (q *Queue) Expire(now mgclock.Millis) (Item, bool) {
 	e := q.expiring.top()
 	if e == nil || e.item.Expiry > now {
@@ -195,7 +191,7 @@
 	return q.Remove(e.item.ID)
 }
 
-// NextExpiry returns the earliest expiry of the requests that wait, or 0.
+// NextExpiry returns the earliest expiry of the waiting requests, or 0.
 func (q *Queue) NextExpiry() mgclock.Millis {
 	e := q.expiring.top()
 	if e == nil {
@@ -204,9 +200,9 @@
 	return e.item.Expiry
 }
 
-// Ahead returns the expected cost in tokens of what would be served before
-// item if it came now: all that waits, or less where the account's share or
-// the item's place within the account brings it to the front sooner.
+// Ahead returns the expected cost in tokens of what would be served before item if it came
+// now: the whole backlog, or less where the account's share or the item's rank within the
+// account brings it to the front sooner.
 func (q *Queue) Ahead(now mgclock.Millis, item Item) float64 {
 	item = normalize(item)
 	total := q.totalWeight
@@ -223,8 +219,8 @@
 	return min(q.backlog, lead*total)
 }
 
-// Rest tells the queue that nothing waits and nothing runs: the busy period is
-// over, and every account starts the next one level.
+// Rest ends the busy period, when nothing waits and nothing runs: every account starts the
+// next one with the same tag.
 func (q *Queue) Rest() {
 	if len(q.entries) > 0 || len(q.accounts) == 0 {
 		return
@@ -256,7 +252,7 @@
 	}
 }
 
-// head returns the entry that is next, or nil.
+// head returns the next entry, or nil.
 func (q *Queue) head() *entry {
 	a := q.waiting.top()
 	if a == nil {
--- a/internal/request/mgqueue/queue_test.go
+++ b/internal/request/mgqueue/queue_test.go
@@ -19,9 +19,8 @@
 	}
 }
 
-// A light account's lookup takes minutes although it sends one a minute. A
-// heavy account sent hundreds of reports first, and the lookup stood behind
-// all of them.
+// A light account that sends one lookup a minute waits minutes for each, behind hundreds of
+// requests that a heavy account sent first.
 func TestHeavyAccountDelaysOthers(t *testing.T) {
 	Convey("Behind a heavy account's backlog", t, func() {
 		var q mgqueue.Queue
@@ -50,8 +49,8 @@
 	})
 }
 
-// A shift report never starts while lookups keep coming: each new lookup has
-// the higher priority and passes it.
+// A report never starts while lookups keep coming, because each new lookup has the higher
+// priority and overtakes it.
 func TestPriorityStarvesOthers(t *testing.T) {
 	Convey("A report passed by lookups leaves after the boost", t, func() {
 		var q mgqueue.Queue
@@ -69,9 +68,8 @@
 	})
 }
 
-// An account whose answers run ten times longer than expected takes ten times
-// its share, because the queue charged it what it expected; one whose answers
-// are short gets a tenth.
+// An account whose answers run ten times longer than expected takes ten times its share,
+// because it is charged the expected cost; one whose answers are short gets a tenth.
 func TestUnexpectedLengthSkewsShares(t *testing.T) {
 	Convey("Real lengths decide the shares", t, func() {
 		q := mgqueue.New(mgqueue.Spec{
@@ -98,9 +96,8 @@
 	})
 }
 
-// A newcomer waits for minutes at the start of a shift: the one account before
-// it was charged for long answers, got short ones, and is given back so much
-// that it goes first for as long.
+// An account is charged for long answers, gets short ones, and the refund sets its tag so
+// far back that a newcomer waits for minutes.
 func TestRefundDelaysNewcomer(t *testing.T) {
 	Convey("What is given back holds up nobody who came since", t, func() {
 		var q mgqueue.Queue
@@ -116,8 +113,8 @@
 	})
 }
 
-// A gauger's lookup waits behind nine customers' reports, because a report of
-// the gauger's own account ran a moment ago.
+// A lookup waits behind nine other accounts' reports, because a report of its own account
+// ran just before.
 func TestPriorityWaitsForAccountTurn(t *testing.T) {
 	Convey("A priority goes before an account's turn, within its loan", t, func() {
 		var q mgqueue.Queue
@@ -143,8 +140,8 @@
 	})
 }
 
-// A caller is told that time is up long after it was, because the queue only
-// looked at what came to the front.
+// Requests are reported as expired long after their expiry, because only the head of the
+// queue is checked.
 func TestExpiryIsOutOfOrder(t *testing.T) {
 	Convey("Requests expire in the order of their expiry", t, func() {
 		var q mgqueue.Queue
@@ -177,8 +174,8 @@
 	}
 }
 
-// Whatever comes and goes, a request that was taken in leaves once, the queue
-// is never idle while something waits, and weights set the shares.
+// For any sequence of operations, each accepted request leaves the queue once, Pop returns
+// a request whenever one waits, and an idle queue holds no accounts and no backlog.
 func TestRequestIsLostOrQueueIsIdle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := mgqueue.New(mgqueue.Spec{
@@ -249,8 +246,8 @@
 			_, _ = fmt.Sscanf(got.Account, "%d-", &k)
 			served[k] += got.Cost / weights[k]
 		}
-		// Goyal et al. bound the gap of two backlogged accounts by the
-		// largest request over the weight of each.
+		// Goyal et al. bound the gap of two backlogged accounts by the sum, over both, of
+		// the largest request over the weight.
 		for k := range served {
 			for l := range served {
 				if gap := served[k] - served[l]; gap > 100/weights[k]+100/weights[l]+1e-6 {
