--- a/internal/request/mgqueue/queue.go
+++ b/internal/request/mgqueue/queue.go
@@ -41,8 +41,8 @@
 
 // The errors of Push.
 var (
-	ErrFull      = errors.New("mgqueue: the account's part of the queue is full: come back when it has drained")
-	ErrDuplicate = errors.New("mgqueue: the request already waits: give each attempt an id of its own")
+	ErrFull      = errors.New("mgqueue: the account's part of the queue is full: retry when it has drained")
+	ErrDuplicate = errors.New("mgqueue: a request with this id is already waiting: give each attempt an id of its own")
 )
 
 // A Queue orders the requests that wait for one upstream. The zero Queue has
--- a/internal/request/mgqueue/queue_test.go
+++ b/internal/request/mgqueue/queue_test.go
@@ -30,16 +30,16 @@
 		_, _ = q.Pop()
 		So(q.Push(1, item("light", 0, 100)), ShouldBeNil)
 
-		Convey("a light account is next but one at most", func() {
+		Convey("a light account is second at the latest", func() {
 			So(position(&q, "light0"), ShouldBeLessThanOrEqualTo, 2)
 		})
-		Convey("a priority of the heavy account passes only its own", func() {
+		Convey("a priority of the heavy account overtakes only its own requests", func() {
 			urgent := item("heavy", 1000, 1)
 			urgent.Priority = 1
 			So(q.Push(1, urgent), ShouldBeNil)
 			So(position(&q, "heavy1000"), ShouldBeLessThanOrEqualTo, 2)
 		})
-		Convey("a newcomer finds a place however much the heavy one sends", func() {
+		Convey("a newcomer's request is accepted however much the heavy one sends", func() {
 			n := 1000
 			for q.Push(1, item("heavy", n, 100)) == nil {
 				n++
@@ -52,7 +52,7 @@
 // A report never starts while lookups keep coming, because each new lookup has the higher
 // priority and overtakes it.
 func TestPriorityStarvesOthers(t *testing.T) {
-	Convey("A report passed by lookups leaves after the boost", t, func() {
+	Convey("A report overtaken by lookups leaves after the boost", t, func() {
 		var q mgqueue.Queue
 		So(q.Push(0, item("tank", 0, 1000)), ShouldBeNil)
 		left := mgclock.Millis(-1)
@@ -71,7 +71,7 @@
 // An account whose answers run ten times longer than expected takes ten times its share,
 // because it is charged the expected cost; one whose answers are short gets a tenth.
 func TestUnexpectedLengthSkewsShares(t *testing.T) {
-	Convey("Real lengths decide the shares", t, func() {
+	Convey("Actual lengths determine the shares", t, func() {
 		q := mgqueue.New(mgqueue.Spec{
 			Bound: 4096,
 		})
@@ -99,7 +99,7 @@
 // An account is charged for long answers, gets short ones, and the refund sets its tag so
 // far back that a newcomer waits for minutes.
 func TestRefundDelaysNewcomer(t *testing.T) {
-	Convey("What is given back holds up nobody who came since", t, func() {
+	Convey("A refund delays no account that came since", t, func() {
 		var q mgqueue.Queue
 		for n := range 500 {
 			_ = q.Push(0, item("first", n, 1000))
@@ -116,7 +116,7 @@
 // A lookup waits behind nine other accounts' reports, because a report of its own account
 // ran just before.
 func TestPriorityWaitsForAccountTurn(t *testing.T) {
-	Convey("A priority goes before an account's turn, within its loan", t, func() {
+	Convey("A request with priority goes before its account's turn, within the loan", t, func() {
 		var q mgqueue.Queue
 		_ = q.Push(0, item("tank", 0, 400))
 		_, _ = q.Pop()
@@ -129,7 +129,7 @@
 		got, _ := q.Pop()
 		So(got.ID, ShouldEqual, "tank1")
 
-		Convey("and many of them don't", func() {
+		Convey("and many of them don't exceed it", func() {
 			for n := range 1000 {
 				lookup = item("tank", 2+n, 10)
 				lookup.Priority = 1
@@ -184,7 +184,7 @@
 		held := map[string]bool{}
 		leave := func(got mgqueue.Item, ok bool) {
 			if ok != held[got.ID] {
-				t.Fatalf("%q left, held %v", got.ID, held[got.ID])
+				t.Fatalf("%q left the queue, was waiting: %v", got.ID, held[got.ID])
 			}
 			delete(held, got.ID)
 		}
@@ -203,7 +203,7 @@
 				before := q.Len()
 				got, ok := q.Pop()
 				if ok != (before > 0) {
-					t.Fatalf("%d wait and Pop says %v", before, ok)
+					t.Fatalf("%d requests wait and Pop returns %v", before, ok)
 				}
 				leave(got, ok)
 				q.Charge(got.Account, got.Weight, rapid.Float64Range(-got.Cost, 1e4).Draw(t, "charge"))
@@ -213,7 +213,7 @@
 				leave(q.Remove(fmt.Sprint("a", rapid.IntRange(0, n).Draw(t, "id"))))
 			}
 			if q.Len() != len(held) {
-				t.Fatalf("%d wait, %d held", q.Len(), len(held))
+				t.Fatalf("Len is %d, want %d", q.Len(), len(held))
 			}
 		}
 		for q.Len() > 0 {
@@ -221,7 +221,7 @@
 		}
 		q.Rest()
 		if q.Accounts() != 0 || q.Backlog() != 0 {
-			t.Fatalf("idle, and %d accounts and a backlog of %v remain", q.Accounts(), q.Backlog())
+			t.Fatalf("an idle queue has %d accounts and a backlog of %v", q.Accounts(), q.Backlog())
 		}
 	})
 }
@@ -236,7 +236,7 @@
 				it := item(fmt.Sprint(k, "-"), n, rapid.Float64Range(1, 100).Draw(t, "cost"))
 				it.Weight = w
 				if q.Push(0, it) != nil {
-					t.Fatal("full")
+					t.Fatal("the queue is full")
 				}
 			}
 		}
