--- a/internal/request/mgquarantine/bench_test.go
+++ b/internal/request/mgquarantine/bench_test.go
@@ -19,7 +19,7 @@
 				at := mgclock.Millis(1000 * (i + 1))
 				for origin := range 8 {
 					other := mgquarantine.New(fmt.Sprint("origin-", origin, "-", i), nil)
-					take(other, []seen{{
+					record(other, []observation{{
 						at:       at,
 						request:  "bad",
 						upstream: fmt.Sprint("engine-", i),
--- a/internal/request/mgquarantine/digest_test.go
+++ b/internal/request/mgquarantine/digest_test.go
@@ -9,7 +9,7 @@
 )
 
 // Two callers' requests must not share a digest by how their parts are cut.
-func TestDigest(t *testing.T) {
+func TestDigestIsShared(t *testing.T) {
 	same := mgquarantine.DigestOf("tankline", "tanks.example", "/note/1", []byte("a body"))
 	cases := []struct {
 		name    string
--- /dev/null
+++ b/internal/request/mgquarantine/evaluate.go
@@ -0,0 +1,240 @@
+package mgquarantine
+
+import (
+	"bytes"
+	"cmp"
+	"slices"
+
+	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
+)
+
+const (
+	// occurrenceThreshold is the number of occurrences after which a request is held.
+	occurrenceThreshold = 3
+	// occurrenceWindow is the time in which crashes are one occurrence, unless the request was
+	// sent to the second upstream after the first had ended. What ends several upstreams
+	// at once, such as the loss of an availability zone, is no request. The span is between
+	// times of one clock.
+	occurrenceWindow = 300 * mgclock.Millis(1)
+	// sameCrashWindow is the time in which reports about one upstream are of the same crash,
+	// unless an attempt was sent after the other had ended: longer than reports differ,
+	// shorter than an upstream takes to start again.
+	sameCrashWindow = mgclock.Second
+	// initialHold is the first hold. Each crash after a hold makes the next one holdFactor
+	// times as long, up to longestHold.
+	initialHold = 30 * mgclock.Second
+	holdFactor  = 4
+	maxHold     = 32 * mgclock.Minute
+	// maxChainLength bounds the crashes of one request that are weighed, the latest ones.
+	maxChainLength = 128
+)
+
+// crash is the end of one upstream and the requests that may have caused it.
+type crash struct {
+	at        mgclock.Millis
+	records   []storedRecord // of requests that were about to begin or had just begun
+	begun     bool           // some of them had begun, which are likelier than the others
+	explained bool
+}
+
+// isSuspect reports whether a note's request is among the likeliest.
+func (c *crash) isSuspect(s storedRecord) bool { return s.record.Begun == c.begun }
+
+// involves reports whether a request was about to begin or had just begun.
+func (c *crash) involves(digest Digest) bool {
+	return slices.ContainsFunc(c.records, func(s storedRecord) bool { return s.digest == digest })
+}
+
+// suspicion is what the notes say of a request.
+type suspicion struct {
+	occurrences int
+	isHeld      bool           // it is, or was until its hold ended
+	heldUntil   mgclock.Millis // end of the hold
+	retainUntil mgclock.Millis // until when its notes are needed
+}
+
+// groupCrashes groups notes, sorted by time, into crashes.
+func groupCrashes(records []storedRecord) []*crash {
+	var all []*crash
+	lastCrash := map[string]*crash{} // by upstream
+	for _, s := range records {
+		c := lastCrash[s.record.Upstream]
+		if c == nil || s.seenBound >= c.at+sameCrashWindow || slices.ContainsFunc(c.records, s.isLaterThan) {
+			c = &crash{
+				at: s.seenBound,
+			}
+			lastCrash[s.record.Upstream] = c
+			all = append(all, c)
+		}
+		c.records = append(c.records, s)
+		c.begun = c.begun || s.record.Begun
+	}
+	return all
+}
+
+// evaluate returns what evidence, sorted by time, says of each request. The request in most
+// crashes explains those; what is left is held against the others.
+func evaluate(records []storedRecord) map[Digest]suspicion {
+	crashes := groupCrashes(records)
+	suspicions := map[Digest]suspicion{}
+	for {
+		unexplained := occurrences(crashes)
+		worst, found := mostOccurrences(unexplained)
+		if !found || len(unexplained[worst]) < occurrenceThreshold {
+			for digest, chain := range unexplained {
+				suspicions[digest] = suspicion{
+					occurrences: len(chain),
+					retainUntil: chain[len(chain)-1].at + evidenceTTL,
+				}
+			}
+			return suspicions
+		}
+		suspicions[worst] = holdFor(unexplained[worst])
+		for _, c := range crashes {
+			c.explained = c.explained || c.involves(worst)
+		}
+	}
+}
+
+// occurrences returns the crashes that each request is suspected of and no other
+// explains, one of each moment.
+func occurrences(crashes []*crash) map[Digest][]*crash {
+	suspected := map[Digest][]*crash{}
+	for _, c := range crashes {
+		if c.explained {
+			continue
+		}
+		for _, s := range c.records {
+			all := suspected[s.digest]
+			if c.isSuspect(s) && (len(all) == 0 || all[len(all)-1] != c) {
+				suspected[s.digest] = append(all, c)
+			}
+		}
+	}
+	chains := map[Digest][]*crash{}
+	for digest, all := range suspected {
+		chains[digest] = longestChain(digest, all[max(len(all)-maxChainLength, 0):])
+	}
+	return chains
+}
+
+// longestChain returns the longest row of crashes each of which is a later occurrence for a
+// request than the one before. The times of notes order them only roughly: a note may have
+// come on a slow way.
+func longestChain(digest Digest, crashes []*crash) []*crash {
+	earlier := earlierCrashes(digest, crashes)
+	chains := make([][]*crash, len(crashes)) // the longest one that ends with each crash
+	var chainTo func(i int) []*crash
+	chainTo = func(i int) []*crash {
+		if chains[i] != nil {
+			return chains[i]
+		}
+		chains[i] = crashes[i : i+1 : i+1] // ends the search where notes contradict each other
+		var longest []*crash
+		for _, j := range earlier[i] {
+			if chain := chainTo(j); len(chain) > len(longest) {
+				longest = chain
+			}
+		}
+		chains[i] = append(slices.Clip(longest), crashes[i])
+		return chains[i]
+	}
+	var longest []*crash
+	for i := range crashes {
+		if chain := chainTo(i); len(chain) > len(longest) {
+			longest = chain
+		}
+	}
+	return longest
+}
+
+// earlierCrashes returns, for each crash of a request, which of them are earlier
+// occurrences, in their order. A note is compared with those of its process and with those
+// that it names.
+func earlierCrashes(digest Digest, crashes []*crash) [][]int {
+	type location struct {
+		record storedRecord
+		crash  int
+	}
+	crashOf := map[Reference]int{}
+	byOrigin := map[string][]location{}
+	for i, c := range crashes {
+		for _, s := range c.records {
+			if s.digest == digest {
+				crashOf[s.reference()] = i
+				byOrigin[s.record.Origin] = append(byOrigin[s.record.Origin], location{
+					record: s,
+					crash:  i,
+				})
+			}
+		}
+	}
+	earlier := make([][]int, len(crashes))
+	for i, c := range crashes {
+		for _, s := range c.records {
+			if s.digest != digest {
+				continue
+			}
+			for _, other := range byOrigin[s.record.Origin] {
+				if other.crash != i && s.isLaterThan(other.record) {
+					earlier[i] = append(earlier[i], other.crash)
+				}
+			}
+			for _, reference := range s.record.After {
+				if at, known := crashOf[reference]; known && at != i {
+					earlier[i] = append(earlier[i], at)
+				}
+			}
+		}
+		slices.Sort(earlier[i])
+		earlier[i] = slices.Compact(earlier[i])
+	}
+	return earlier
+}
+
+// mostOccurrences returns the request with the most occurrences. Of equals it returns the one
+// that all processes agree on.
+func mostOccurrences(chains map[Digest][]*crash) (worst Digest, found bool) {
+	for digest := range chains {
+		more := cmp.Compare(len(chains[digest]), len(chains[worst]))
+		if !found || more > 0 || more == 0 && bytes.Compare(digest[:], worst[:]) < 0 {
+			worst, found = digest, true
+		}
+	}
+	return worst, found
+}
+
+// holdFor returns the hold of a request with enough occurrences. Crashes during a hold are
+// of attempts that were under way when it began.
+func holdFor(chain []*crash) suspicion {
+	hold := initialHold
+	until := chain[occurrenceThreshold-1].at + hold
+	for _, c := range chain[occurrenceThreshold:] {
+		if c.at < until {
+			continue
+		}
+		hold = min(holdFactor*hold, maxHold)
+		until = c.at + hold
+	}
+	return suspicion{
+		occurrences: len(chain),
+		isHeld:      true,
+		heldUntil:   until,
+		retainUntil: until + evidenceTTL,
+	}
+}
+
+// sortByTime sorts notes. Those of one process that were seen at once are in its order.
+func sortByTime(records []storedRecord) {
+	slices.SortFunc(records, func(a, b storedRecord) int {
+		return cmp.Or(cmp.Compare(a.seenBound, b.seenBound), cmp.Compare(a.record.Origin, b.record.Origin), cmp.Compare(a.record.Number, b.record.Number))
+	})
+}
+
+// remaining returns how long the hold lasts at a time, 0 where there is none.
+func (s suspicion) remaining(now mgclock.Millis) mgclock.Millis {
+	if !s.isHeld {
+		return 0
+	}
+	return max(s.heldUntil-now, 0)
+}
--- a/internal/request/mgquarantine/exchange.go
+++ b/internal/request/mgquarantine/exchange.go
@@ -6,92 +6,92 @@
 
 // Take takes notes of other processes. Those that can't be used are left out, and returned
 // with the reason.
-func (q *Quarantine) Take(now mgclock.Millis, notes []Note) (refused []*Refusal) {
+func (q *Quarantine) Take(now mgclock.Millis, records []Note) (refused []*Refusal) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	news := false
+	hasUpdates := false
 	changed := map[Digest]bool{}
-	for _, note := range notes {
-		if refusal := note.check(); refusal != nil {
+	for _, record := range records {
+		if refusal := record.validate(); refusal != nil {
 			refused = append(refused, refusal)
 			continue
 		}
-		if note.Age >= noteLife || note.Origin == q.origin {
+		if record.Age >= recordTTL || record.Origin == q.origin {
 			continue
 		}
-		digest, _ := ParseDigest(note.Digest) // it was checked
-		better, isNews := q.learn(now, digest, note)
-		changed[digest] = changed[digest] || better
-		news = news || isNews
+		digest, _ := ParseDigest(record.Digest) // it was checked
+		improved, isUpdate := q.mergeRecord(now, digest, record)
+		changed[digest] = changed[digest] || improved
+		hasUpdates = hasUpdates || isUpdate
 	}
 	for digest := range changed {
-		news = q.restate(now, digest) || news
+		hasUpdates = q.restateOwn(now, digest) || hasUpdates
 	}
-	if news {
-		q.settle(now)
+	if hasUpdates {
+		q.reevaluate(now)
 	}
 	return refused
 }
 
-// learn keeps another process's note, or what a copy of it tells better. It reports whether
+// mergeRecord keeps another process's note, or what a copy of it tells better. It reports whether
 // anything is better known than before, and whether that is worth telling on.
-func (q *Quarantine) learn(now mgclock.Millis, digest Digest, note Note) (better, isNews bool) {
-	at := q.when(now, note)
-	s, known := q.notes[note.name()]
-	if known && at >= s.at {
+func (q *Quarantine) mergeRecord(now mgclock.Millis, digest Digest, record Note) (improved, isUpdate bool) {
+	seenBound := q.boundSeenTime(now, record)
+	s, isKnown := q.records[record.id()]
+	if isKnown && seenBound >= s.seenBound {
 		return false, false
 	}
-	isNews = !known || s.at-at >= newsGain
-	if !known {
-		s = stored{
-			note:   note,
+	isUpdate = !isKnown || s.seenBound-seenBound >= minAgeGain
+	if !isKnown {
+		s = storedRecord{
+			record: record,
 			digest: digest,
 		}
 	}
-	if isNews {
-		s.learned = now
+	if isUpdate {
+		s.learnedAt = now
 	}
-	s.at = at
+	s.seenBound = seenBound
 	q.put(s)
-	return true, isNews
+	return true, isUpdate
 }
 
 // News returns the notes that this process learned lately, and so tells on.
 func (q *Quarantine) News(now mgclock.Millis) []Note {
-	return q.collect(now, func(s stored) bool { return now < s.learned+newsSpan })
+	return q.collect(now, func(s storedRecord) bool { return now < s.learnedAt+broadcastWindow })
 }
 
 // Lacking returns the notes that a process may lack whose Sums these are.
 func (q *Quarantine) Lacking(now mgclock.Millis, theirs Sums) []Note {
 	own := q.Sums()
-	return q.collect(now, func(s stored) bool {
-		part := s.name().part()
-		return own.at(part) != theirs.at(part)
+	return q.collect(now, func(s storedRecord) bool {
+		bucket := s.id().bucket()
+		return own.at(bucket) != theirs.at(bucket)
 	})
 }
 
-func (q *Quarantine) collect(now mgclock.Millis, wanted func(stored) bool) []Note {
+func (q *Quarantine) collect(now mgclock.Millis, wanted func(storedRecord) bool) []Note {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var notes []Note
-	for _, s := range q.notes {
+	var records []Note
+	for _, s := range q.records {
 		if wanted(s) {
-			notes = append(notes, s.told(now))
+			records = append(records, s.withAge(now))
 		}
 	}
-	return notes
+	return records
 }
 
 // Refine returns those of another process's notes that are known here to be older than it
 // tells by newsGain at least, so that it can place them better.
-func (q *Quarantine) Refine(now mgclock.Millis, told []Note) []Note {
+func (q *Quarantine) Refine(now mgclock.Millis, received []Note) []Note {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var older []Note
-	for _, note := range told {
-		s, known := q.notes[note.name()]
-		if known && now-s.at >= note.Age+newsGain {
-			older = append(older, s.told(now))
+	for _, record := range received {
+		s, isKnown := q.records[record.id()]
+		if isKnown && now-s.seenBound >= record.Age+minAgeGain {
+			older = append(older, s.withAge(now))
 		}
 	}
 	return older
@@ -101,12 +101,12 @@
 func (q *Quarantine) Sums() Sums {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.notes) == 0 {
+	if len(q.records) == 0 {
 		return nil
 	}
-	sums := make(Sums, sumParts)
-	for name := range q.notes {
-		sums[name.part()] += name.hash()
+	sums := make(Sums, sumBuckets)
+	for id := range q.records {
+		sums[id.bucket()] += id.hash()
 	}
 	return sums
 }
--- a/internal/request/mgquarantine/order.go
+++ b/internal/request/mgquarantine/order.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// afterMost bounds how many notes of other processes one note names as earlier.
-	afterMost = 8
-	// restateMost bounds how many times a process says more of one attempt, and
+	// maxAfter bounds how many notes of other processes one note names as earlier.
+	maxAfter = 8
+	// maxRestatements bounds how many times a process says more of one attempt, and
 	// attemptsMost the attempts of one request of which it does, the latest ones.
-	restateMost  = 4
-	attemptsMost = 8
-	// clockSlack is how far the offset of an origin's clock may differ between two of its
+	maxRestatements     = 4
+	maxRestatedAttempts = 8
+	// maxOffsetDrift is how far the offset of an origin's clock may differ between two of its
 	// notes. A clock that stood still meanwhile makes it differ by more.
-	clockSlack = 500 * mgclock.Millis(1)
+	maxOffsetDrift = 500 * mgclock.Millis(1)
 )
 
 // Watch sets what looks for a pause of the process, and calls Paused where there was one,
 // before a crash is taken. Call it before the quarantine is used.
-func (q *Quarantine) Watch(check func()) { q.check = check }
+func (q *Quarantine) Watch(checkPause func()) { q.checkPause = checkPause }
 
 // Paused takes that the process, or its clock, stood still until now. Attempts that were
 // under way say nothing about the order of crashes: their ends may have been seen late, and
@@ -30,90 +30,90 @@
 func (q *Quarantine) Paused(now mgclock.Millis) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.paused = now
+	q.lastPause = now
 }
 
 // pausedSince reports whether the process paused after a time.
-func (q *Quarantine) pausedSince(at mgclock.Millis) bool { return q.paused > 0 && at <= q.paused }
+func (q *Quarantine) pausedSince(at mgclock.Millis) bool { return q.lastPause > 0 && at <= q.lastPause }
 
-// when returns when a note was seen at the latest, by this process's clock: its age leaves
+// boundSeenTime returns boundSeenTime a note was seen at the latest, by this process's clock: its age leaves
 // out what it took on its way. Notes of one origin keep their order and distance,
 // whichever ways they came, by the least offset that any of them shows.
-func (q *Quarantine) when(now mgclock.Millis, note Note) mgclock.Millis {
-	fresh := now - note.Age - note.Seen
-	offset, known := q.offsets[note.Origin]
-	if drift := fresh - offset; known && drift >= 0 && drift <= clockSlack {
-		return note.Seen + offset
+func (q *Quarantine) boundSeenTime(now mgclock.Millis, record Note) mgclock.Millis {
+	newOffset := now - record.Age - record.Seen
+	offset, known := q.offsets[record.Origin]
+	if drift := newOffset - offset; known && drift >= 0 && drift <= maxOffsetDrift {
+		return record.Seen + offset
 	}
-	if q.offsets == nil || len(q.offsets) >= most {
+	if q.offsets == nil || len(q.offsets) >= maxRecords {
 		q.offsets = map[string]mgclock.Millis{}
 	}
-	q.offsets[note.Origin] = fresh
-	if known && fresh < offset && offset-fresh <= clockSlack {
-		for name, s := range q.notes {
-			if name.origin == note.Origin && s.at == s.note.Seen+offset {
-				s.at = s.note.Seen + fresh
-				q.notes[name] = s
+	q.offsets[record.Origin] = newOffset
+	if known && newOffset < offset && offset-newOffset <= maxOffsetDrift {
+		for id, s := range q.records {
+			if id.origin == record.Origin && s.seenBound == s.record.Seen+offset {
+				s.seenBound = s.record.Seen + newOffset
+				q.records[id] = s
 			}
 		}
 	}
-	return note.Seen + fresh
+	return record.Seen + newOffset
 }
 
-// earlier returns the notes of other processes which an own note proves to be of earlier
+// provenEarlier returns the notes of other processes which an own note proves to be of provenEarlier
 // occurrences, without those that are known to be, the latest ones first.
-func (q *Quarantine) earlier(own stored, known []Reference) []Reference {
-	if !own.crashed() || q.pausedSince(own.note.Sent) {
+func (q *Quarantine) provenEarlier(own storedRecord, known []Reference) []Reference {
+	if !own.isCrash() || q.pausedSince(own.record.Sent) {
 		return nil
 	}
-	var proven []stored
-	for _, s := range q.notes {
-		if s.digest != own.digest || !s.crashed() || s.note.Of != 0 || s.note.Origin == q.origin {
+	var proven []storedRecord
+	for _, s := range q.records {
+		if s.digest != own.digest || !s.isCrash() || s.record.Of != 0 || s.record.Origin == q.origin {
 			continue
 		}
-		if own.proves(s) && !slices.Contains(known, s.reference()) {
+		if own.provesLaterThan(s) && !slices.Contains(known, s.reference()) {
 			proven = append(proven, s)
 		}
 	}
-	byTime(proven)
+	sortByTime(proven)
 	slices.Reverse(proven)
-	var names []Reference
-	for _, s := range proven[:min(len(proven), afterMost)] {
-		names = append(names, s.reference())
+	var references []Reference
+	for _, s := range proven[:min(len(proven), maxAfter)] {
+		references = append(references, s.reference())
 	}
-	return names
+	return references
 }
 
-// restate makes notes of what this process's own ones about a request prove now, and
+// restateOwn makes notes of what this process's own ones about a request prove now, and
 // reports whether there are any.
-func (q *Quarantine) restate(now mgclock.Millis, digest Digest) bool {
-	own := map[uint64][]stored{} // by the first note's number
-	for _, s := range q.notes {
-		if s.digest == digest && s.crashed() && s.note.Origin == q.origin {
-			own[s.base().number] = append(own[s.base().number], s)
+func (q *Quarantine) restateOwn(now mgclock.Millis, digest Digest) bool {
+	own := map[uint64][]storedRecord{} // by the first note's number
+	for _, s := range q.records {
+		if s.digest == digest && s.isCrash() && s.record.Origin == q.origin {
+			own[s.firstID().number] = append(own[s.firstID().number], s)
 		}
 	}
 	numbers := slices.Sorted(maps.Keys(own))
-	fresh := false
-	for _, number := range numbers[max(len(numbers)-attemptsMost, 0):] {
-		said := own[number]
-		if len(said) > restateMost {
+	hasNew := false
+	for _, number := range numbers[max(len(numbers)-maxRestatedAttempts, 0):] {
+		records := own[number]
+		if len(records) > maxRestatements {
 			continue
 		}
-		first := slices.MinFunc(said, func(a, b stored) int { return cmp.Compare(a.note.Number, b.note.Number) })
+		first := slices.MinFunc(records, func(a, b storedRecord) int { return cmp.Compare(a.record.Number, b.record.Number) })
 		var known []Reference
-		for _, s := range said {
-			known = append(known, s.note.After...)
+		for _, s := range records {
+			known = append(known, s.record.After...)
 		}
-		names := q.earlier(first, known)
-		if len(names) == 0 {
+		references := q.provenEarlier(first, known)
+		if len(references) == 0 {
 			continue
 		}
-		first.note.Of = first.base().number
-		first.note.After = names
-		first.learned = now
+		first.record.Of = first.firstID().number
+		first.record.After = references
+		first.learnedAt = now
 		q.putOwn(first)
-		fresh = true
+		hasNew = true
 	}
-	return fresh
+	return hasNew
 }
--- a/internal/request/mgquarantine/order_test.go
+++ b/internal/request/mgquarantine/order_test.go
@@ -13,7 +13,7 @@
 )
 
 // Crashes that several processes saw must count the same at each of them.
-func TestOrderAcrossProcesses(t *testing.T) {
+func TestProcessesCountCrashesDifferently(t *testing.T) {
 	// The first crash is seen at 0 by one process, and known to the other at 150. The other
 	// sees the second one at 500.
 	cases := []struct {
@@ -102,20 +102,20 @@
 					Begun:    true,
 					Sent:     -100,
 				})
-				told := first.Lacking(0, nil)
+				sent := first.Lacking(0, nil)
 				c.second.Digest, c.second.Begun = digestOf("bad"), true
 				if c.known == 0 {
 					c.known = 150
 				}
 				if c.known < 500 {
-					other.Take(c.known, told)
+					other.Take(c.known, sent)
 				}
 				if c.pause > 0 {
 					other.Paused(c.pause)
 				}
 				other.Crashed(500, c.second)
 				if c.known >= 500 {
-					other.Take(c.known, told)
+					other.Take(c.known, sent)
 				}
 				for _, q := range []*mgquarantine.Quarantine{first, third} {
 					So(q.Take(5*sec, other.Lacking(600, nil)), ShouldBeEmpty)
@@ -129,15 +129,15 @@
 }
 
 // A copy of a note that came on a faster way must tell what the first one couldn't.
-func TestFasterCopyTellsOrder(t *testing.T) {
+func TestFasterCopyIsIgnored(t *testing.T) {
 	Convey("A second crash that was sent before the word of the first came", t, func() {
 		first, other, third := mgquarantine.New("first", nil), mgquarantine.New("other", nil), mgquarantine.New("third", nil)
-		take(first, []seen{{
+		record(first, []observation{{
 			request:  "bad",
 			upstream: "a",
 			sent:     -100,
 		}})
-		take(other, []seen{{
+		record(other, []observation{{
 			at:       400,
 			request:  "bad",
 			upstream: "b",
@@ -156,11 +156,11 @@
 }
 
 // Upstreams that end together must count once at every process, whatever the ways and clocks.
-func TestMomentsNeverSplit(t *testing.T) {
+func TestOneMomentCountsMoreThanOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const count = 4
 		moments := rapid.IntRange(1, 3).Draw(t, "moments")
-		way := rapid.Int64Range(0, rapid.SampledFrom([]int64{3, 200, 400, 1500}).Draw(t, "slowest"))
+		delayRange := rapid.Int64Range(0, rapid.SampledFrom([]int64{3, 200, 400, 1500}).Draw(t, "slowest"))
 		var all [count]*mgquarantine.Quarantine
 		var offset [count]mgclock.Millis // of each process's clock
 		for i := range all {
@@ -174,9 +174,9 @@
 				if from == to {
 					continue
 				}
-				told := all[from].Lacking(now+offset[from], nil)
-				now += mgclock.Millis(way.Draw(t, "way"))
-				all[to].Take(now+offset[to], told)
+				sent := all[from].Lacking(now+offset[from], nil)
+				now += mgclock.Millis(delayRange.Draw(t, "way"))
+				all[to].Take(now+offset[to], sent)
 			}
 		}
 		for moment := range moments {
--- a/internal/request/mgquarantine/quarantine.go
+++ b/internal/request/mgquarantine/quarantine.go
@@ -10,53 +10,53 @@
 )
 
 const (
-	// evidenceLife is how long notes count against a request that isn't held.
-	evidenceLife = 10 * mgclock.Minute
-	// most is the number of notes that are kept: some hundred requests with a few
+	// evidenceTTL is how long notes count against a request that isn't held.
+	evidenceTTL = 10 * mgclock.Minute
+	// maxRecords is the number of notes that are kept: some hundred requests with a few
 	// crashes each, 0.3 MB. Of more, those of requests that aren't held go first.
-	most = 1024
-	// noteLife is how long a note may be needed.
-	noteLife = longestHold + 2*evidenceLife
-	// trialSpan is how long after a hold one process alone lets the request through, and
+	maxRecords = 1024
+	// recordTTL is how long a note may be needed.
+	recordTTL = maxHold + 2*evidenceTTL
+	// trialWindow is how long after a hold one process alone lets the request through, and
 	// how long that one waits for what comes of it.
-	trialSpan = 5 * mgclock.Second
-	// newsSpan is how long a note is told on after it was learned.
-	newsSpan = 600 * mgclock.Millis(1)
-	// newsGain is by how much a note's time must come down to be news again: other copies of
+	trialWindow = 5 * mgclock.Second
+	// broadcastWindow is how long a note is told on after it was learned.
+	broadcastWindow = 600 * mgclock.Millis(1)
+	// minAgeGain is by how much a note's time must come down to be news again: other copies of
 	// it came on slower ways.
-	newsGain = 20 * mgclock.Millis(1)
+	minAgeGain = 20 * mgclock.Millis(1)
 )
 
 // A Quarantine holds what this process knows of requests that crash upstreams. The zero
 // Quarantine is empty and ready for use by several goroutines; New names its process.
 type Quarantine struct {
-	origin string
-	first  func(Digest) bool // see New
-	check  func()            // see Watch
-	state  atomic.Pointer[state]
+	origin     string
+	runsTrial  func(Digest) bool // see New
+	checkPause func()            // see Watch
+	state      atomic.Pointer[state]
 
-	mu      sync.Mutex
-	number  uint64
-	offsets map[string]mgclock.Millis // of this process's clock at most, by origin
-	paused  mgclock.Millis            // when the process last went on after a pause, 0 for never
-	notes   map[id]stored
-	trials  map[Digest]mgclock.Millis // until when a request's trial here is waited for
-	changed chan struct{}             // closed when there are fresh notes
+	mu             sync.Mutex
+	lastNumber     uint64
+	offsets        map[string]mgclock.Millis // of this process's clock at most, by origin
+	lastPause      mgclock.Millis            // when the process last went on after a pause, 0 for never
+	records        map[recordID]storedRecord
+	trialDeadlines map[Digest]mgclock.Millis // until when a request's trial here is waited for
+	changed        chan struct{}             // closed when there are fresh notes
 }
 
 // state is what the notes say. It never changes.
 type state struct {
-	verdicts map[Digest]suspicion
-	expires  mgclock.Millis
+	suspicions map[Digest]suspicion
+	nextExpiry mgclock.Millis
 }
 
 // New returns a quarantine of a process, whose incarnation origin names. First reports
 // whether this process is the one that tries a request whose hold is over, of those that
 // exchange notes; nil stands for yes.
-func New(origin string, first func(Digest) bool) *Quarantine {
+func New(origin string, runsTrial func(Digest) bool) *Quarantine {
 	return &Quarantine{
-		origin: origin,
-		first:  first,
+		origin:    origin,
+		runsTrial: runsTrial,
 	}
 }
 
@@ -84,10 +84,10 @@
 
 // Crashed takes a crash that was seen at a time.
 func (q *Quarantine) Crashed(now mgclock.Millis, c Crash) {
-	if q.check != nil {
-		q.check()
+	if q.checkPause != nil {
+		q.checkPause()
 	}
-	q.add(now, c.Digest, Note{
+	q.addOwn(now, c.Digest, Note{
 		Request:  c.Request,
 		Upstream: c.Upstream,
 		Begun:    c.Begun,
@@ -99,17 +99,17 @@
 // Answered takes that an upstream answered a request, which matters only where something
 // is held against it.
 func (q *Quarantine) Answered(now mgclock.Millis, digest Digest) {
-	if current := q.state.Load(); current == nil || current.verdicts[digest].occurrences == 0 {
+	if current := q.state.Load(); current == nil || current.suspicions[digest].occurrences == 0 {
 		return
 	}
-	q.add(now, digest, Note{})
+	q.addOwn(now, digest, Note{})
 }
 
 // Watching reports whether anything is held against any request, so that a Digest is
 // worth its cost.
 func (q *Quarantine) Watching() bool {
 	current := q.state.Load()
-	return current != nil && len(current.verdicts) > 0
+	return current != nil && len(current.suspicions) > 0
 }
 
 // Held returns how long a request is still held, or false.
@@ -118,7 +118,7 @@
 	if current == nil {
 		return 0, false
 	}
-	left := current.verdicts[digest].left(now)
+	left := current.suspicions[digest].remaining(now)
 	return left, left > 0
 }
 
@@ -128,35 +128,35 @@
 // a longer hold.
 func (q *Quarantine) Admit(now mgclock.Millis, digest Digest) (left mgclock.Millis, ok bool) {
 	current := q.state.Load()
-	if current == nil || !current.verdicts[digest].held {
+	if current == nil || !current.suspicions[digest].isHeld {
 		return 0, true
 	}
-	verdict := current.verdicts[digest]
-	if left := verdict.left(now); left > 0 {
+	suspicion := current.suspicions[digest]
+	if left := suspicion.remaining(now); left > 0 {
 		return left, false
 	}
-	if left := verdict.until + trialSpan - now; left > 0 && q.first != nil && !q.first(digest) {
+	if left := suspicion.heldUntil + trialWindow - now; left > 0 && q.runsTrial != nil && !q.runsTrial(digest) {
 		return left, false
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if left := q.trials[digest] - now; left > 0 {
+	if left := q.trialDeadlines[digest] - now; left > 0 {
 		return left, false
 	}
-	if q.trials == nil {
-		q.trials = map[Digest]mgclock.Millis{}
+	if q.trialDeadlines == nil {
+		q.trialDeadlines = map[Digest]mgclock.Millis{}
 	}
-	q.trials[digest] = now + trialSpan
+	q.trialDeadlines[digest] = now + trialWindow
 	return 0, true
 }
 
-// triedCrashes is the number of occurrences from which on a request is not tried on a
+// retryCrashLimit is the number of occurrences from which on a request is not tried on a
 // further upstream after a crash, only when its caller sends it again.
-const triedCrashes = 2
+const retryCrashLimit = 2
 
 // Retryable reports whether a request under which an upstream has just ended may be tried
 // on another one.
-func (q *Quarantine) Retryable(digest Digest) bool { return q.Occurrences(digest) < triedCrashes }
+func (q *Quarantine) Retryable(digest Digest) bool { return q.Occurrences(digest) < retryCrashLimit }
 
 // Occurrences returns how many times upstreams have ended under a request that no other
 // request explains.
@@ -165,79 +165,79 @@
 	if current == nil {
 		return 0
 	}
-	return current.verdicts[digest].occurrences
+	return current.suspicions[digest].occurrences
 }
 
-// add makes a note of this process's own.
-func (q *Quarantine) add(now mgclock.Millis, digest Digest, note Note) {
+// addOwn makes a note of this process's own.
+func (q *Quarantine) addOwn(now mgclock.Millis, digest Digest, record Note) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	note.Digest = digest.String()
-	note.Seen = now
-	if note.Upstream != "" && q.pausedSince(note.Sent) {
-		note.Delay = max(note.Delay, note.Seen-note.Sent)
+	record.Digest = digest.String()
+	record.Seen = now
+	if record.Upstream != "" && q.pausedSince(record.Sent) {
+		record.Delay = max(record.Delay, record.Seen-record.Sent)
 	}
-	own := stored{
-		note:    note,
-		digest:  digest,
-		at:      now,
-		learned: now,
+	own := storedRecord{
+		record:    record,
+		digest:    digest,
+		seenBound: now,
+		learnedAt: now,
 	}
-	own.note.After = q.earlier(own, nil)
+	own.record.After = q.provenEarlier(own, nil)
 	q.putOwn(own)
-	q.settle(now)
+	q.reevaluate(now)
 }
 
 // putOwn numbers and keeps a note of this process's own.
-func (q *Quarantine) putOwn(s stored) {
-	q.number++
-	s.note.Origin = q.origin
-	s.note.Number = q.number
+func (q *Quarantine) putOwn(s storedRecord) {
+	q.lastNumber++
+	s.record.Origin = q.origin
+	s.record.Number = q.lastNumber
 	q.put(s)
 }
 
-func (q *Quarantine) put(s stored) {
-	if q.notes == nil {
-		q.notes = map[id]stored{}
+func (q *Quarantine) put(s storedRecord) {
+	if q.records == nil {
+		q.records = map[recordID]storedRecord{}
 	}
-	q.notes[s.name()] = s
+	q.records[s.id()] = s
 }
 
-// settle works out what the notes say and tells those that wait for it.
-func (q *Quarantine) settle(now mgclock.Millis) {
-	q.weigh(now)
+// reevaluate works out what the notes say and tells those that wait for it.
+func (q *Quarantine) reevaluate(now mgclock.Millis) {
+	q.updateState(now)
 	if q.changed != nil {
 		close(q.changed)
 		q.changed = nil
 	}
 }
 
-// weigh drops the notes that have run out and replaces the state.
-func (q *Quarantine) weigh(now mgclock.Millis) {
+// updateState drops the notes that have run out and replaces the state.
+func (q *Quarantine) updateState(now mgclock.Millis) {
 	next := &state{
-		verdicts: judge(q.evidence()),
-		expires:  now + evidenceLife,
+		suspicions: evaluate(q.evidence()),
+		nextExpiry: now + evidenceTTL,
 	}
-	for name, s := range q.notes {
-		retain := s.at + evidenceLife
-		if s.crashed() {
-			retain = max(retain, next.verdicts[s.digest].retain)
+	for id, s := range q.records {
+		retainUntil := s.seenBound + evidenceTTL
+		if s.isCrash() {
+			retainUntil = max(retainUntil, next.suspicions[s.digest].retainUntil)
 		}
-		if now >= retain {
-			delete(q.notes, name)
+		if now >= retainUntil {
+			delete(q.records, id)
 			continue
 		}
-		next.expires = min(next.expires, retain)
+		next.nextExpiry = min(next.nextExpiry, retainUntil)
 	}
-	q.bound(next)
-	for digest, verdict := range next.verdicts {
-		if now >= verdict.retain {
-			delete(next.verdicts, digest)
+	q.evictExcess(next)
+	for digest, suspicion := range next.suspicions {
+		if now >= suspicion.retainUntil {
+			delete(next.suspicions, digest)
 		}
 	}
-	for digest := range q.trials {
-		if !next.verdicts[digest].held {
-			delete(q.trials, digest)
+	for digest := range q.trialDeadlines {
+		if !next.suspicions[digest].isHeld {
+			delete(q.trialDeadlines, digest)
 		}
 	}
 	q.state.Store(next)
@@ -245,67 +245,67 @@
 
 // evidence returns the notes that an answer hasn't voided, one for each attempt, sorted by
 // time.
-func (q *Quarantine) evidence() []stored {
-	sound := map[Digest]mgclock.Millis{}
-	for _, s := range q.notes {
-		if !s.crashed() {
-			if at, known := sound[s.digest]; !known || s.at > at {
-				sound[s.digest] = s.at
+func (q *Quarantine) evidence() []storedRecord {
+	lastAnswer := map[Digest]mgclock.Millis{}
+	for _, s := range q.records {
+		if !s.isCrash() {
+			if at, known := lastAnswer[s.digest]; !known || s.seenBound > at {
+				lastAnswer[s.digest] = s.seenBound
 			}
 		}
 	}
-	attempts := map[id]stored{}
-	for _, s := range q.notes {
-		if at, answered := sound[s.digest]; !s.crashed() || answered && s.at <= at {
+	attempts := map[recordID]storedRecord{}
+	for _, s := range q.records {
+		if at, answered := lastAnswer[s.digest]; !s.isCrash() || answered && s.seenBound <= at {
 			continue
 		}
-		if merged, known := attempts[s.base()]; known {
-			s.note.After = slices.Concat(merged.note.After, s.note.After)
-			s.at = min(merged.at, s.at)
-			s.learned = min(merged.learned, s.learned)
+		if merged, known := attempts[s.firstID()]; known {
+			s.record.After = slices.Concat(merged.record.After, s.record.After)
+			s.seenBound = min(merged.seenBound, s.seenBound)
+			s.learnedAt = min(merged.learnedAt, s.learnedAt)
 		}
-		s.note.Number = s.base().number
-		s.note.Of = 0
-		attempts[s.name()] = s
+		s.record.Number = s.firstID().number
+		s.record.Of = 0
+		attempts[s.id()] = s
 	}
-	notes := make([]stored, 0, len(attempts))
+	records := make([]storedRecord, 0, len(attempts))
 	for _, s := range attempts {
-		notes = append(notes, s)
+		records = append(records, s)
 	}
-	byTime(notes)
-	return notes
+	sortByTime(records)
+	return records
 }
 
-// bound drops the oldest notes beyond the most, those of requests that aren't held first.
-func (q *Quarantine) bound(next *state) {
-	if len(q.notes) <= most {
+// evictExcess drops the oldest notes beyond the most, those of requests that aren't held first.
+func (q *Quarantine) evictExcess(next *state) {
+	if len(q.records) <= maxRecords {
 		return
 	}
-	names := make([]id, 0, len(q.notes))
-	for name := range q.notes {
-		names = append(names, name)
+	ids := make([]recordID, 0, len(q.records))
+	for id := range q.records {
+		ids = append(ids, id)
 	}
-	rank := func(name id) int {
-		if s := q.notes[name]; s.crashed() && next.verdicts[s.digest].held {
+	rank := func(name recordID) int {
+		if s := q.records[name]; s.isCrash() && next.suspicions[s.digest].isHeld {
 			return 1
 		}
 		return 0
 	}
-	slices.SortFunc(names, func(a, b id) int {
-		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(q.notes[a].at, q.notes[b].at))
+	slices.SortFunc(ids, func(a, b recordID) int {
+		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(q.records[a].seenBound, q.records[b].seenBound))
 	})
-	for _, name := range names[:len(names)-most+most/8] { // more than one, since to rank them takes a while
-		delete(q.notes, name)
+	for _, name := range ids[:len(ids)-maxRecords+maxRecords/8] { // more than one, since to rank them takes a while
+		delete(q.records, name)
 	}
 }
 
 // Tick lets notes run out. Call it about once a second.
 func (q *Quarantine) Tick(now mgclock.Millis) {
 	current := q.state.Load()
-	if current == nil || now < current.expires {
+	if current == nil || now < current.nextExpiry {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.weigh(now)
+	q.updateState(now)
 }
--- a/internal/request/mgquarantine/quarantine_test.go
+++ b/internal/request/mgquarantine/quarantine_test.go
@@ -23,8 +23,8 @@
 	return mgquarantine.DigestOf("account", "host", "/path", []byte(name))
 }
 
-// seen is one crash as a process sees it, or an answer where upstream is empty.
-type seen struct {
+// observation is one crash as a process sees it, or an answer where upstream is empty.
+type observation struct {
 	at       mgclock.Millis
 	request  string
 	upstream string
@@ -32,8 +32,8 @@
 	sent     mgclock.Millis
 }
 
-func take(q *mgquarantine.Quarantine, all []seen) {
-	for _, s := range all {
+func record(q *mgquarantine.Quarantine, observations []observation) {
+	for _, s := range observations {
 		if s.upstream == "" {
 			q.Answered(s.at, digestOf(s.request))
 			continue
@@ -48,19 +48,19 @@
 	}
 }
 
-// answer is an upstream's answer to a request.
-func answer(at mgclock.Millis, request string) seen {
-	return seen{
+// answerAt is an upstream's answerAt to a request.
+func answerAt(at mgclock.Millis, request string) observation {
+	return observation{
 		at:      at,
 		request: request,
 	}
 }
 
-// after returns the crashes of a request, one each second from a time on.
-func after(at mgclock.Millis, request string, upstreams ...string) []seen {
-	var all []seen
+// crashesFrom returns the crashes of a request, one each second from a time on.
+func crashesFrom(at mgclock.Millis, request string, upstreams ...string) []observation {
+	var all []observation
 	for i, upstream := range upstreams {
-		all = append(all, seen{
+		all = append(all, observation{
 			at:       at + sec*mgclock.Millis(i),
 			request:  request,
 			upstream: upstream,
@@ -71,33 +71,33 @@
 }
 
 // A request that crashes upstreams goes on to the next, or a proper one is refused.
-func TestHeld(t *testing.T) {
+func TestWrongRequestsHeld(t *testing.T) {
 	cases := []struct {
 		name string
-		seen []seen
+		seen []observation
 		now  mgclock.Millis
 		held []string
 	}{
 		{
 			name: "two crashes",
-			seen: after(0, "bad", "a", "b"),
+			seen: crashesFrom(0, "bad", "a", "b"),
 			now:  5 * sec,
 		},
 		{
 			name: "three",
-			seen: after(0, "bad", "a", "b", "c"),
+			seen: crashesFrom(0, "bad", "a", "b", "c"),
 			now:  5 * sec,
 			held: []string{"bad"},
 		},
 		{
 			name: "three of one upstream that starts again under its name",
-			seen: after(0, "bad", "a", "a", "a"),
+			seen: crashesFrom(0, "bad", "a", "a", "a"),
 			now:  5 * sec,
 			held: []string{"bad"},
 		},
 		{
 			name: "one, as three processes see it",
-			seen: []seen{
+			seen: []observation{
 				{
 					at:       0,
 					request:  "bad",
@@ -118,7 +118,7 @@
 		},
 		{
 			name: "an availability zone that is lost under a request of many callers",
-			seen: []seen{
+			seen: []observation{
 				{
 					at:       1000,
 					request:  "hot",
@@ -148,7 +148,7 @@
 		},
 		{
 			name: "three within a moment, each sent after the one before",
-			seen: []seen{
+			seen: []observation{
 				{
 					at:       1000,
 					request:  "bad",
@@ -173,23 +173,23 @@
 		},
 		{
 			name: "three, with an answer in between",
-			seen: append(append(after(0, "hot", "a", "b"), answer(1500, "hot")), after(2*sec, "hot", "c")...),
+			seen: append(append(crashesFrom(0, "hot", "a", "b"), answerAt(1500, "hot")), crashesFrom(2*sec, "hot", "c")...),
 			now:  5 * sec,
 		},
 		{
 			name: "an answer once it was held",
-			seen: append(after(0, "hot", "a", "b", "c"), answer(2500, "hot")),
+			seen: append(crashesFrom(0, "hot", "a", "b", "c"), answerAt(2500, "hot")),
 			now:  5 * sec,
 		},
 		{
 			name: "a neighbour at three of five crashes",
-			seen: slices.Concat(after(0, "bad", "a", "b", "c", "d", "e"), after(2, "neighbour", "a", "b", "c")),
+			seen: slices.Concat(crashesFrom(0, "bad", "a", "b", "c", "d", "e"), crashesFrom(2, "neighbour", "a", "b", "c")),
 			now:  10 * sec,
 			held: []string{"bad"},
 		},
 		{
 			name: "neighbours that waited",
-			seen: slices.Concat(after(0, "bad", "a", "b", "c"), []seen{
+			seen: slices.Concat(crashesFrom(0, "bad", "a", "b", "c"), []observation{
 				{
 					at:       2,
 					request:  "queued",
@@ -214,7 +214,7 @@
 		},
 		{
 			name: "upstreams that end before they say that they began it",
-			seen: []seen{
+			seen: []observation{
 				{
 					at:       0,
 					request:  "bad",
@@ -239,13 +239,13 @@
 		},
 		{
 			name: "two requests that crash different upstreams",
-			seen: slices.Concat(after(0, "bad", "a", "b", "c"), after(200, "worse", "d", "e", "f")),
+			seen: slices.Concat(crashesFrom(0, "bad", "a", "b", "c"), crashesFrom(200, "worse", "d", "e", "f")),
 			now:  10 * sec,
 			held: []string{"bad", "worse"},
 		},
 		{
 			name: "three that lie far apart",
-			seen: []seen{
+			seen: []observation{
 				{
 					at:       0,
 					request:  "old",
@@ -266,39 +266,39 @@
 		},
 		{
 			name: "three, once the hold is over",
-			seen: after(0, "bad", "a", "b", "c"),
+			seen: crashesFrom(0, "bad", "a", "b", "c"),
 			now:  33 * sec,
 		},
 		{
 			name: "one more after a hold, for four times as long",
-			seen: append(after(0, "bad", "a", "b", "c"), after(40*sec, "bad", "d")...),
+			seen: append(crashesFrom(0, "bad", "a", "b", "c"), crashesFrom(40*sec, "bad", "d")...),
 			now:  159 * sec,
 			held: []string{"bad"},
 		},
 		{
 			name: "one more after a hold, once that is over",
-			seen: append(after(0, "bad", "a", "b", "c"), after(40*sec, "bad", "d")...),
+			seen: append(crashesFrom(0, "bad", "a", "b", "c"), crashesFrom(40*sec, "bad", "d")...),
 			now:  161 * sec,
 		},
 		{
 			name: "those that were under way when the hold began, which make it no longer",
-			seen: after(0, "bad", "a", "b", "c", "d", "e", "f"),
+			seen: crashesFrom(0, "bad", "a", "b", "c", "d", "e", "f"),
 			now:  33 * sec,
 		},
 		{
 			name: "one more long after a hold",
-			seen: append(after(0, "bad", "a", "b", "c"), after(11*min, "bad", "d")...),
+			seen: append(crashesFrom(0, "bad", "a", "b", "c"), crashesFrom(11*min, "bad", "d")...),
 			now:  11*min + sec,
 		},
 	}
 	Convey("Which requests are held", t, func() {
 		for _, c := range cases {
 			Convey("after "+c.name, func() {
-				slices.SortStableFunc(c.seen, func(a, b seen) int { return int(a.at - b.at) })
+				slices.SortStableFunc(c.seen, func(a, b observation) int { return int(a.at - b.at) })
 				q := mgquarantine.New("life", nil)
 				for _, s := range c.seen {
 					q.Tick(s.at)
-					take(q, []seen{s})
+					record(q, []observation{s})
 				}
 				q.Tick(c.now)
 				var held []string
@@ -314,32 +314,32 @@
 }
 
 // Entries that heard of the same crashes in another order must hold the same requests.
-func TestNotesInAnyOrder(t *testing.T) {
+func TestRecordOrderChangesHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		origins := make([]*mgquarantine.Quarantine, 4)
 		for i := range origins {
 			origins[i] = mgquarantine.New(strconv.Itoa(i), nil)
 		}
 		for i := range rapid.IntRange(0, 40).Draw(t, "events") {
-			s := seen{
+			s := observation{
 				at:       mgclock.Millis(i) * 150,
 				request:  rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "request"),
 				upstream: rapid.SampledFrom([]string{"a", "b", "c", "d", ""}).Draw(t, "upstream"),
 				waiting:  rapid.Bool().Draw(t, "waiting"),
 			}
 			s.sent = s.at - mgclock.Millis(rapid.IntRange(0, 500).Draw(t, "age"))
-			take(origins[rapid.IntRange(0, 3).Draw(t, "origin")], []seen{s})
+			record(origins[rapid.IntRange(0, 3).Draw(t, "origin")], []observation{s})
 		}
 		const now = 10 * sec
-		var notes []mgquarantine.Note
+		var records []mgquarantine.Note
 		for _, q := range origins {
-			notes = append(notes, q.Lacking(now, nil)...)
+			records = append(records, q.Lacking(now, nil)...)
 		}
 		one, other := mgquarantine.New("one", nil), mgquarantine.New("other", nil)
-		one.Take(now, notes)
-		for _, at := range rapid.Permutation(indexes(len(notes))).Draw(t, "order") {
-			other.Take(now, notes[at:at+1])
-			other.Take(now, notes[at:at+1])
+		one.Take(now, records)
+		for _, at := range rapid.Permutation(indexes(len(records))).Draw(t, "order") {
+			other.Take(now, records[at:at+1])
+			other.Take(now, records[at:at+1])
 		}
 		if len(one.Lacking(now, other.Sums())) > 0 {
 			t.Fatal("the checksums of the same notes differ")
@@ -363,16 +363,16 @@
 }
 
 // A process that lacks notes must be given those, and not all that there are.
-func TestLacking(t *testing.T) {
+func TestAllRecordsSentForOneMissing(t *testing.T) {
 	Convey("Of many notes a process that lacks one gets a small part", t, func() {
 		q, other := mgquarantine.New("life", nil), mgquarantine.New("other", nil)
 		for i := range 400 {
-			take(q, after(0, strconv.Itoa(i), fmt.Sprint("engine-", i)))
+			record(q, crashesFrom(0, strconv.Itoa(i), fmt.Sprint("engine-", i)))
 		}
 		So(len(q.Lacking(sec, nil)), ShouldEqual, 400)
 		other.Take(sec, q.Lacking(sec, nil))
 		So(q.Lacking(sec, other.Sums()), ShouldBeEmpty)
-		take(q, after(sec, "one more", "engine"))
+		record(q, crashesFrom(sec, "one more", "engine"))
 		lacking := q.Lacking(2*sec, other.Sums())
 		So(len(lacking), ShouldBeBetween, 0, 40)
 		other.Take(2*sec, lacking)
@@ -381,12 +381,12 @@
 }
 
 // A flood of different requests must not fill the memory, nor free one that is held.
-func TestFlood(t *testing.T) {
+func TestFloodFillsMemoryOrFreesHeld(t *testing.T) {
 	Convey("Of a flood of crashes a bounded number is kept, and what is held stays", t, func() {
 		q := mgquarantine.New("life", nil)
-		take(q, after(0, "bad", "a", "b", "c"))
+		record(q, crashesFrom(0, "bad", "a", "b", "c"))
 		for i := range 2000 {
-			take(q, after(4*sec+mgclock.Millis(i), strconv.Itoa(i), fmt.Sprint("engine-", i)))
+			record(q, crashesFrom(4*sec+mgclock.Millis(i), strconv.Itoa(i), fmt.Sprint("engine-", i)))
 		}
 		So(len(q.Lacking(10*sec, nil)), ShouldBeLessThanOrEqualTo, 1024)
 		_, held := q.Held(10*sec, digestOf("bad"))
@@ -395,20 +395,20 @@
 }
 
 // Notes of a process with another release, or of nobody, must not stop the others.
-func TestOddNotes(t *testing.T) {
+func TestInvalidRecordStopsOthers(t *testing.T) {
 	Convey("Notes that can't be read are counted and left out", t, func() {
 		q := mgquarantine.New("life", nil)
-		good := mgquarantine.Note{
+		valid := mgquarantine.Note{
 			Origin:   "other",
 			Number:   1,
 			Digest:   digestOf("x").String(),
 			Upstream: "a",
 		}
-		odd := []mgquarantine.Note{good, good, good}
-		odd[0].Digest = "no digest"
-		odd[1].Number = 0
-		odd[2].Age = -5
-		So(len(q.Take(sec, append(odd, good))), ShouldEqual, 3)
+		invalid := []mgquarantine.Note{valid, valid, valid}
+		invalid[0].Digest = "no digest"
+		invalid[1].Number = 0
+		invalid[2].Age = -5
+		So(len(q.Take(sec, append(invalid, valid))), ShouldEqual, 3)
 		So(q.Occurrences(digestOf("x")), ShouldEqual, 1)
 	})
 }
@@ -428,7 +428,7 @@
 func (s *storm) crash(upstream int) {
 	s.ended++
 	name := fmt.Sprintf("engine-%d-%d", upstream, s.ended)
-	all := []seen{{
+	all := []observation{{
 		at:       s.now,
 		request:  "bad",
 		upstream: name,
@@ -438,7 +438,7 @@
 		// A caller repeats a request that failed: few bodies, again and again.
 		neighbour := fmt.Sprint("neighbour-", s.random.IntN(60))
 		s.innocent[neighbour] = true
-		all = append(all, seen{
+		all = append(all, observation{
 			at:       s.now + mgclock.Millis(s.random.IntN(5)),
 			request:  neighbour,
 			upstream: name,
@@ -446,14 +446,14 @@
 			sent:     s.now - mgclock.Millis(s.random.IntN(1000)),
 		})
 	}
-	take(s.q, all)
+	record(s.q, all)
 }
 
 // A proper request must not be refused for a neighbour's that crashes its upstreams.
-func TestNeighboursAreServed(t *testing.T) {
+func TestNeighbourIsHeld(t *testing.T) {
 	Convey("In storms of crashes no neighbour is held, and the request is after a few", t, func() {
-		falsely := 0
-		most := 0
+		wronglyHeld := 0
+		maxEnded := 0
 		for seed := range uint64(300) {
 			s := storm{
 				random:   rand.New(rand.NewPCG(seed, 0)),
@@ -467,22 +467,22 @@
 				_, s.held = s.q.Held(s.now, digestOf("bad"))
 				for name := range s.innocent {
 					if _, held := s.q.Held(s.now, digestOf(name)); held {
-						falsely++
+						wronglyHeld++
 					}
 				}
 			}
-			most = max(most, s.ended)
+			maxEnded = max(maxEnded, s.ended)
 		}
-		So(falsely, ShouldEqual, 0)
-		So(most, ShouldBeLessThanOrEqualTo, 6)
+		So(wronglyHeld, ShouldEqual, 0)
+		So(maxEnded, ShouldBeLessThanOrEqualTo, 6)
 	})
 }
 
 // A request that was held without guilt must be served soon, and no other tried by all.
-func TestTrial(t *testing.T) {
+func TestTrialIsMissingOrRepeated(t *testing.T) {
 	Convey("Once the hold of a request is over", t, func() {
 		mine, other := mgquarantine.New("mine", nil), mgquarantine.New("other", func(mgquarantine.Digest) bool { return false })
-		take(mine, after(0, "x", "a", "b", "c"))
+		record(mine, crashesFrom(0, "x", "a", "b", "c"))
 		other.Take(2*sec, mine.Lacking(2*sec, nil))
 		left, ok := mine.Admit(31*sec, digestOf("x"))
 		So(ok, ShouldBeFalse)
@@ -511,7 +511,7 @@
 			}
 		})
 		Convey("a crash begins a longer hold", func() {
-			take(mine, after(over+sec, "x", "d"))
+			record(mine, crashesFrom(over+sec, "x", "d"))
 			left, ok := mine.Admit(over+2*sec, digestOf("x"))
 			So(ok, ShouldBeFalse)
 			So(left, ShouldEqual, 119*sec)
--- a/internal/request/mgquarantine/refusal.go
+++ b/internal/request/mgquarantine/refusal.go
@@ -17,8 +17,8 @@
 	return fmt.Sprintf("note %d of %q: its %s is %q: run one release on all processes, or report it", r.Number, r.Origin, r.Field, r.Value)
 }
 
-// check returns what is wrong with another process's note, or nil.
-func (n Note) check() *Refusal {
+// validate returns what is wrong with another process's note, or nil.
+func (n Note) validate() *Refusal {
 	refusal := &Refusal{
 		Origin: n.Origin,
 		Number: n.Number,
--- a/internal/request/mgquarantine/verdict.go
+++ b/internal/request/mgquarantine/verdict.go
@@ -11,7 +11,7 @@
 type Verdict struct {
 	digest      Digest
 	occurrences int
-	left        mgclock.Millis
+	remaining   mgclock.Millis
 	evidence    []Note
 }
 
@@ -22,7 +22,7 @@
 func (v Verdict) Occurrences() int { return v.occurrences }
 
 // Left returns how long the request is still held, 0 where it isn't.
-func (v Verdict) Left() mgclock.Millis { return v.left }
+func (v Verdict) Left() mgclock.Millis { return v.remaining }
 
 // Evidence returns the notes of the crashes, the newest first.
 func (v Verdict) Evidence() []Note { return v.evidence }
@@ -35,18 +35,18 @@
 	if current == nil {
 		return nil
 	}
-	notes := map[Digest][]Note{}
+	records := map[Digest][]Note{}
 	for _, s := range q.evidence() {
-		notes[s.digest] = append(notes[s.digest], s.told(now))
+		records[s.digest] = append(records[s.digest], s.withAge(now))
 	}
-	verdicts := make([]Verdict, 0, len(current.verdicts))
-	for digest, found := range current.verdicts {
-		slices.Reverse(notes[digest])
+	verdicts := make([]Verdict, 0, len(current.suspicions))
+	for digest, suspicion := range current.suspicions {
+		slices.Reverse(records[digest])
 		verdicts = append(verdicts, Verdict{
 			digest:      digest,
-			occurrences: found.occurrences,
-			left:        found.left(now),
-			evidence:    notes[digest],
+			occurrences: suspicion.occurrences,
+			remaining:   suspicion.remaining(now),
+			evidence:    records[digest],
 		})
 	}
 	slices.SortFunc(verdicts, func(a, b Verdict) int { return cmp.Compare(a.digest.String(), b.digest.String()) })
