--- a/internal/request/mgquarantine/age_test.go
+++ b/internal/request/mgquarantine/age_test.go
@@ -10,7 +10,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A note that came on a faster way than the one before it must be told on at once.
+// A record that arrives on a faster path than the one before it has a smaller age bound. It
+// must be merged and forwarded at once all the same.
 func TestRecordOnFasterPathIsNotForwarded(t *testing.T) {
 	newRecord := func(number uint64, seen mgclock.Millis) Note {
 		return Note{
@@ -49,7 +50,8 @@
 	})
 }
 
-// Ages that are told must neither be negative nor shrink on the way.
+// An age that is sent must be neither negative nor smaller than the age received: clock
+// offsets are only estimated, from the delays that records show.
 func TestAgeIsNegativeOrShrinks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		delayRange := rapid.Int64Range(0, 600)
--- a/internal/request/mgquarantine/bench_test.go
+++ b/internal/request/mgquarantine/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// BenchmarkCrashed measures one more crash of a request by the number of crashes that are
-// known of it, each seen by eight processes.
+// BenchmarkCrashed measures one more crash of a request, by the number of its crashes
+// already recorded, each seen by eight processes.
 func BenchmarkCrashed(b *testing.B) {
 	for _, count := range []int{1, 8, 32, 128} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
--- a/internal/request/mgquarantine/digest.go
+++ b/internal/request/mgquarantine/digest.go
@@ -7,12 +7,12 @@
 	"fmt"
 )
 
-// A Digest names what a caller asked for, whichever entry it came to: the client
-// account, the host, the path with its query, and the body. It is the first half of a
-// SHA-256, so that no caller can make a request that shares another's.
+// A Digest identifies a request by its content, independent of the entry that receives it:
+// the client account, the host, the path with its query, and the body. It is the first half
+// of a SHA-256, so that no caller can construct a request that collides with another's.
 type Digest [sha256.Size / 2]byte
 
-// DigestOf returns the digest of a request. Account is empty where the route needs none.
+// DigestOf returns the digest of a request. The account is empty on routes that need none.
 func DigestOf(account, host, target string, body []byte) Digest {
 	sum := sha256.New()
 	for _, part := range []string{account, host, target} {
@@ -28,7 +28,7 @@
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// ParseDigest reads what String returns.
+// ParseDigest parses the output of String.
 func ParseDigest(text string) (Digest, error) {
 	var d Digest
 	data, err := hex.DecodeString(text)
--- a/internal/request/mgquarantine/digest_test.go
+++ b/internal/request/mgquarantine/digest_test.go
@@ -8,7 +8,8 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgquarantine"
 )
 
-// Two callers' requests must not share a digest by how their parts are cut.
+// Two requests with the same bytes must not share a digest when account, host, path and
+// body are split at other positions.
 func TestDigestIsShared(t *testing.T) {
 	same := mgquarantine.DigestOf("tankline", "tanks.example", "/note/1", []byte("a body"))
 	cases := []struct {
--- a/internal/request/mgquarantine/doc.go
+++ b/internal/request/mgquarantine/doc.go
@@ -1,51 +1,56 @@
-// Package mgquarantine finds requests that crash the upstreams that run them, and holds
-// them back.
+// Package mgquarantine detects requests that crash the upstreams that run them, and holds
+// such requests back.
 //
 // # Load
 //
-// One body ends each engine that begins to run it, with the two dozen other generations
-// there. Its caller repeats it, through other entries; an entry that retries it ends a
-// second engine. Without a common memory such a request goes through all engines of a
-// service, faster than they start again.
+// One request body can crash each engine that begins to run it, together with the two dozen
+// other generations there. Its caller repeats it through other entries, and an entry that
+// retries it crashes a second engine. Without shared state such a request goes through all
+// engines of a service faster than they restart.
 //
 // # Decision
 //
-// A request is known by its Digest. An attempt is evidence when its upstream ended while
-// the attempt was about to begin there or had just begun. What runs on an upstream ends
-// with it, so a single crash says little: a request is held after three crashes, and
+// A request is identified by its Digest. An attempt is evidence when its upstream crashed
+// while the attempt was about to begin there or had just begun. All that runs on an
+// upstream ends with it, so a single crash says little. A request is held after three
+// crashes, by these rules:
 //
-//   - crashes within a moment count once, as when an availability zone is lost, and so do
-//     those whose order nobody can tell;
-//   - of the attempts at one upstream those that had just begun are suspected before
-//     those that still waited;
-//   - crashes that a request explains which is in more of them count for no other;
-//   - an answer to the request, from any upstream, voids what was held against it.
+//   - crashes within a short window count once, as when an availability zone is lost, and
+//     so do crashes whose order can't be proven;
+//   - among the attempts at one upstream, those that had just begun are suspected before
+//     those that were still waiting;
+//   - a crash that is explained by a request involved in more crashes counts against no
+//     other request;
+//   - an answer to the request, from any upstream, voids the evidence against it.
 //
-// Once its hold is over, a request is tried again, one attempt at a time, at the process
-// that ranks first for it or, a while later, at any: where upstreams ended for another
-// reason an answer ends the quarantine, and a further crash holds the request for longer.
+// Once its hold is over, a request is tried again, one attempt at a time, first by the
+// process that ranks first for it and after a delay by any process. If the upstreams
+// crashed for another reason, an answer ends the quarantine; a further crash holds the
+// request for longer.
 //
 // # State
 //
-// Evidence and answers are Notes: they are only added, so that processes can exchange
-// them in any order and more than once (a grow-only set). Each carries its age in place of
-// a time. Nothing outlives the processes.
+// Evidence and answers are stored as records of type Note. Records are only added, so that
+// processes can exchange them in any order and more than once (a grow-only set). Each
+// record carries its age instead of a time. Nothing is persisted.
 //
-// What a note took on its way isn't known, so its age is a lower bound, and the time at
-// which a process places it an upper one: the least that any copy shows. An occurrence is
-// later than another when one clock proves it: that of the process that saw both, or that
-// of the one that saw the later crash, whose attempt was sent after the latest time of the
-// earlier one, or ended a moment after it. That process names the earlier notes in its own
-// (After), again when a copy that came on a faster way proves more. All processes count by
-// these names and not by times of their own. A pause of a process or its clock voids what
-// its attempts under way would prove.
+// The network delay of a record isn't known. Its age is therefore a lower bound, and the
+// time that a process computes from it an upper bound: the smallest that any copy shows.
+// One occurrence is later than another when a single clock proves it. That is the clock of
+// the process that saw both, or of the one that saw the later crash, if that attempt was
+// sent after the upper bound of the earlier crash, or its upstream ended at least a window
+// after it. That process lists the earlier records in its own (After), and does so again
+// when a copy that came on a faster path proves more. All processes count by these
+// references and not by times of their own. A pause of a process or its clock voids what
+// its attempts in progress would prove.
 //
 // # Terms
 //
 //   - crash: the end of an upstream's process without notice.
-//   - occurrence: the crashes of one moment.
-//   - sound: a request that an upstream answered.
-//   - hold: the time for which a request reaches no upstream.
+//   - occurrence: all crashes within one window, which count once.
+//   - sound: describes a request that an upstream has answered.
+//   - hold: the time for which a request is sent to no upstream.
+//   - quarantine: the state of a request from its first hold until an answer or expiry.
 //
 // # References
 //
--- a/internal/request/mgquarantine/evaluate.go
+++ b/internal/request/mgquarantine/evaluate.go
@@ -11,33 +11,35 @@
 const (
 	// occurrenceThreshold is the number of occurrences after which a request is held.
 	occurrenceThreshold = 3
-	// occurrenceWindow is the time in which crashes are one occurrence, unless the request was
-	// sent to the second upstream after the first had ended. What ends several upstreams
-	// at once, such as the loss of an availability zone, is no request. The span is between
-	// times of one clock.
+	// occurrenceWindow is the time within which crashes of several upstreams count as one
+	// occurrence, unless the request was sent to the second upstream after the first had
+	// crashed. What ends several upstreams at once, such as the loss of an availability
+	// zone, is not caused by a request. The window applies to times of one clock.
 	occurrenceWindow = 300 * mgclock.Millis(1)
-	// sameCrashWindow is the time in which reports about one upstream are of the same crash,
-	// unless an attempt was sent after the other had ended: longer than reports differ,
-	// shorter than an upstream takes to start again.
+	// sameCrashWindow is the time within which records about one upstream are of the same
+	// crash, unless an attempt was sent after the first record's crash. It is longer than
+	// the processes' observations of one crash differ, and shorter than an upstream takes
+	// to restart.
 	sameCrashWindow = mgclock.Second
-	// initialHold is the first hold. Each crash after a hold makes the next one holdFactor
-	// times as long, up to longestHold.
+	// initialHold is the duration of the first hold. Each crash after a hold makes the next
+	// one holdFactor times as long, up to maxHold.
 	initialHold = 30 * mgclock.Second
 	holdFactor  = 4
 	maxHold     = 32 * mgclock.Minute
-	// maxChainLength bounds the crashes of one request that are weighed, the latest ones.
+	// maxChainLength limits how many crashes of one request are evaluated; the latest
+	// count.
 	maxChainLength = 128
 )
 
-// crash is the end of one upstream and the requests that may have caused it.
+// crash is the end of one upstream, with the requests that may have caused it.
 type crash struct {
 	at        mgclock.Millis
 	records   []storedRecord // of requests that were about to begin or had just begun
-	begun     bool           // some of them had begun, which are likelier than the others
+	begun     bool           // some of these requests had begun; those are the likelier causes
 	explained bool
 }
 
-// isSuspect reports whether a note's request is among the likeliest.
+// isSuspect reports whether a record's request is among the likeliest causes.
 func (c *crash) isSuspect(s storedRecord) bool { return s.record.Begun == c.begun }
 
 // involves reports whether a request was about to begin or had just begun.
@@ -45,15 +47,15 @@
 	return slices.ContainsFunc(c.records, func(s storedRecord) bool { return s.digest == digest })
 }
 
-// suspicion is what the notes say of a request.
+// suspicion is the evaluation of the records of one request.
 type suspicion struct {
 	occurrences int
-	isHeld      bool           // it is, or was until its hold ended
+	isHeld      bool           // also true after the hold has ended
 	heldUntil   mgclock.Millis // end of the hold
-	retainUntil mgclock.Millis // until when its notes are needed
+	retainUntil mgclock.Millis // end of the time for which its records are needed
 }
 
-// groupCrashes groups notes, sorted by time, into crashes.
+// groupCrashes groups records, sorted by time, into crashes.
 func groupCrashes(records []storedRecord) []*crash {
 	var all []*crash
 	lastCrash := map[string]*crash{} // by upstream
@@ -72,8 +74,9 @@
 	return all
 }
 
-// evaluate returns what evidence, sorted by time, says of each request. The request in most
-// crashes explains those; what is left is held against the others.
+// evaluate computes the suspicion of each request from the evidence, sorted by time. It is
+// a greedy set cover: the request involved in most crashes explains those, and the
+// remaining crashes count against the others.
 func evaluate(records []storedRecord) map[Digest]suspicion {
 	crashes := groupCrashes(records)
 	suspicions := map[Digest]suspicion{}
@@ -96,8 +99,8 @@
 	}
 }
 
-// occurrences returns the crashes that each request is suspected of and no other
-// explains, one of each moment.
+// occurrences returns, for each request, its longest chain of crashes that it is suspected
+// of and that no other request explains.
 func occurrences(crashes []*crash) map[Digest][]*crash {
 	suspected := map[Digest][]*crash{}
 	for _, c := range crashes {
@@ -118,18 +121,18 @@
 	return chains
 }
 
-// longestChain returns the longest row of crashes each of which is a later occurrence for a
-// request than the one before. The times of notes order them only roughly: a note may have
-// come on a slow way.
+// longestChain returns the longest sequence of crashes each of which is a later occurrence
+// than the one before, for one request. Sorting by time isn't enough, since a record may
+// have come on a slow path.
 func longestChain(digest Digest, crashes []*crash) []*crash {
 	earlier := earlierCrashes(digest, crashes)
-	chains := make([][]*crash, len(crashes)) // the longest one that ends with each crash
+	chains := make([][]*crash, len(crashes)) // by its last crash
 	var chainTo func(i int) []*crash
 	chainTo = func(i int) []*crash {
 		if chains[i] != nil {
 			return chains[i]
 		}
-		chains[i] = crashes[i : i+1 : i+1] // ends the search where notes contradict each other
+		chains[i] = crashes[i : i+1 : i+1] // ends the recursion where records contradict each other
 		var longest []*crash
 		for _, j := range earlier[i] {
 			if chain := chainTo(j); len(chain) > len(longest) {
@@ -148,9 +151,9 @@
 	return longest
 }
 
-// earlierCrashes returns, for each crash of a request, which of them are earlier
-// occurrences, in their order. A note is compared with those of its process and with those
-// that it names.
+// earlierCrashes returns, for each crash of a request, the ascending indexes of those that
+// are earlier occurrences. A record is compared with those of the same origin and with
+// those that it references.
 func earlierCrashes(digest Digest, crashes []*crash) [][]int {
 	type location struct {
 		record storedRecord
@@ -192,8 +195,8 @@
 	return earlier
 }
 
-// mostOccurrences returns the request with the most occurrences. Of equals it returns the one
-// that all processes agree on.
+// mostOccurrences returns the request with the most occurrences. Ties go to the smallest
+// digest, so that all processes choose the same one.
 func mostOccurrences(chains map[Digest][]*crash) (worst Digest, found bool) {
 	for digest := range chains {
 		more := cmp.Compare(len(chains[digest]), len(chains[worst]))
@@ -204,8 +207,8 @@
 	return worst, found
 }
 
-// holdFor returns the hold of a request with enough occurrences. Crashes during a hold are
-// of attempts that were under way when it began.
+// holdFor returns the hold of a request with enough occurrences. A crash during a hold
+// doesn't extend it, since its attempt was in progress when the hold began.
 func holdFor(chain []*crash) suspicion {
 	hold := initialHold
 	until := chain[occurrenceThreshold-1].at + hold
@@ -224,14 +227,14 @@
 	}
 }
 
-// sortByTime sorts notes. Those of one process that were seen at once are in its order.
+// sortByTime sorts records by time, and those of one origin with equal times by number.
 func sortByTime(records []storedRecord) {
 	slices.SortFunc(records, func(a, b storedRecord) int {
 		return cmp.Or(cmp.Compare(a.seenBound, b.seenBound), cmp.Compare(a.record.Origin, b.record.Origin), cmp.Compare(a.record.Number, b.record.Number))
 	})
 }
 
-// remaining returns how long the hold lasts at a time, 0 where there is none.
+// remaining returns how much of the hold is left at a time, 0 where there is none.
 func (s suspicion) remaining(now mgclock.Millis) mgclock.Millis {
 	if !s.isHeld {
 		return 0
--- a/internal/request/mgquarantine/exchange.go
+++ b/internal/request/mgquarantine/exchange.go
@@ -4,8 +4,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Take takes notes of other processes. Those that can't be used are left out, and returned
-// with the reason.
+// Take merges records of other processes. Records that can't be used are skipped, and
+// returned with the reason.
 func (q *Quarantine) Take(now mgclock.Millis, records []Note) (refused []*Refusal) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -19,7 +19,7 @@
 		if record.Age >= recordTTL || record.Origin == q.origin {
 			continue
 		}
-		digest, _ := ParseDigest(record.Digest) // it was checked
+		digest, _ := ParseDigest(record.Digest) // validated above
 		improved, isUpdate := q.mergeRecord(now, digest, record)
 		changed[digest] = changed[digest] || improved
 		hasUpdates = hasUpdates || isUpdate
@@ -33,8 +33,8 @@
 	return refused
 }
 
-// mergeRecord keeps another process's note, or what a copy of it tells better. It reports whether
-// anything is better known than before, and whether that is worth telling on.
+// mergeRecord stores another process's record, or the better time bound that a copy of it
+// shows. It reports whether anything improved, and whether by enough to be broadcast.
 func (q *Quarantine) mergeRecord(now mgclock.Millis, digest Digest, record Note) (improved, isUpdate bool) {
 	seenBound := q.boundSeenTime(now, record)
 	s, isKnown := q.records[record.id()]
@@ -56,12 +56,12 @@
 	return true, isUpdate
 }
 
-// News returns the notes that this process learned lately, and so tells on.
+// News returns the records that this process learned recently and therefore broadcasts.
 func (q *Quarantine) News(now mgclock.Millis) []Note {
 	return q.collect(now, func(s storedRecord) bool { return now < s.learnedAt+broadcastWindow })
 }
 
-// Lacking returns the notes that a process may lack whose Sums these are.
+// Lacking returns the records that a process with these Sums may be missing.
 func (q *Quarantine) Lacking(now mgclock.Millis, theirs Sums) []Note {
 	own := q.Sums()
 	return q.collect(now, func(s storedRecord) bool {
@@ -82,8 +82,8 @@
 	return records
 }
 
-// Refine returns those of another process's notes that are known here to be older than it
-// tells by newsGain at least, so that it can place them better.
+// Refine returns those of the received records that are known here to be older, by at least
+// minAgeGain, than the sender reports, so that the sender can improve its time bounds.
 func (q *Quarantine) Refine(now mgclock.Millis, received []Note) []Note {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -97,7 +97,7 @@
 	return older
 }
 
-// Sums returns checksums of which notes there are, or nil where there are none.
+// Sums returns the checksums of all records, or nil where there are none.
 func (q *Quarantine) Sums() Sums {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/request/mgquarantine/order.go
+++ b/internal/request/mgquarantine/order.go
@@ -9,36 +9,37 @@
 )
 
 const (
-	// maxAfter bounds how many notes of other processes one note names as earlier.
+	// maxAfter limits how many records of other processes one record references as earlier.
 	maxAfter = 8
-	// maxRestatements bounds how many times a process says more of one attempt, and
-	// attemptsMost the attempts of one request of which it does, the latest ones.
+	// maxRestatements limits how many follow-up records a process adds for one attempt, and
+	// maxRestatedAttempts for how many attempts of one request, the latest ones.
 	maxRestatements     = 4
 	maxRestatedAttempts = 8
-	// maxOffsetDrift is how far the offset of an origin's clock may differ between two of its
-	// notes. A clock that stood still meanwhile makes it differ by more.
+	// maxOffsetDrift is how far the offset of an origin's clock may differ between two of
+	// its records. A clock that stood still in between makes it differ by more.
 	maxOffsetDrift = 500 * mgclock.Millis(1)
 )
 
-// Watch sets what looks for a pause of the process, and calls Paused where there was one,
-// before a crash is taken. Call it before the quarantine is used.
+// Watch sets the function that is called before each crash is recorded. It detects a pause
+// of the process and then calls Paused. Call Watch before the quarantine is used.
 func (q *Quarantine) Watch(checkPause func()) { q.checkPause = checkPause }
 
-// Paused takes that the process, or its clock, stood still until now. Attempts that were
-// under way say nothing about the order of crashes: their ends may have been seen late, and
-// others' notes can't be placed in the time before.
+// Paused records that the process, or its clock, stood still until now. Attempts that were
+// in progress say nothing about the order of crashes: their ends may have been seen late,
+// and other processes' records can't be placed in the time before.
 func (q *Quarantine) Paused(now mgclock.Millis) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.lastPause = now
 }
 
-// pausedSince reports whether the process paused after a time.
+// pausedSince reports whether the process paused at or after a time.
 func (q *Quarantine) pausedSince(at mgclock.Millis) bool { return q.lastPause > 0 && at <= q.lastPause }
 
-// boundSeenTime returns boundSeenTime a note was seen at the latest, by this process's clock: its age leaves
-// out what it took on its way. Notes of one origin keep their order and distance,
-// whichever ways they came, by the least offset that any of them shows.
+// boundSeenTime returns an upper bound, by this process's clock, of when a record was seen:
+// the record's age doesn't include its network delay. Records of one origin keep their
+// order and distances, whichever paths they took, since all use the smallest clock offset
+// that any of them shows.
 func (q *Quarantine) boundSeenTime(now mgclock.Millis, record Note) mgclock.Millis {
 	newOffset := now - record.Age - record.Seen
 	offset, known := q.offsets[record.Origin]
@@ -60,8 +61,8 @@
 	return record.Seen + newOffset
 }
 
-// provenEarlier returns the notes of other processes which an own note proves to be of provenEarlier
-// occurrences, without those that are known to be, the latest ones first.
+// provenEarlier returns the records of other processes that an own record proves to be of
+// earlier occurrences, latest first, without those already known to be.
 func (q *Quarantine) provenEarlier(own storedRecord, known []Reference) []Reference {
 	if !own.isCrash() || q.pausedSince(own.record.Sent) {
 		return nil
@@ -84,10 +85,10 @@
 	return references
 }
 
-// restateOwn makes notes of what this process's own ones about a request prove now, and
-// reports whether there are any.
+// restateOwn adds follow-up records for what this process's own records of a request prove
+// now, and reports whether it added any.
 func (q *Quarantine) restateOwn(now mgclock.Millis, digest Digest) bool {
-	own := map[uint64][]storedRecord{} // by the first note's number
+	own := map[uint64][]storedRecord{} // by the first record's number
 	for _, s := range q.records {
 		if s.digest == digest && s.isCrash() && s.record.Origin == q.origin {
 			own[s.firstID().number] = append(own[s.firstID().number], s)
--- a/internal/request/mgquarantine/order_test.go
+++ b/internal/request/mgquarantine/order_test.go
@@ -12,15 +12,16 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Crashes that several processes saw must count the same at each of them.
+// Two crashes seen by two processes must count the same at every process, whether or not a
+// clock proves their order.
 func TestProcessesCountCrashesDifferently(t *testing.T) {
-	// The first crash is seen at 0 by one process, and known to the other at 150. The other
-	// sees the second one at 500.
+	// The first crash is seen at 0 by one process, whose record reaches the other at 150.
+	// The other process sees the second crash at 500.
 	cases := []struct {
 		name        string
 		second      mgquarantine.Crash
-		known       mgclock.Millis // when the other process learns of the first, if not at 150
-		pause       mgclock.Millis // when the other process goes on after a pause
+		known       mgclock.Millis // when the other process receives the first record, if not at 150
+		pause       mgclock.Millis // when the other process resumes after a pause
 		occurrences int
 	}{
 		{
@@ -128,7 +129,8 @@
 	})
 }
 
-// A copy of a note that came on a faster way must tell what the first one couldn't.
+// The first copy of a record arrives too late to prove the order of two crashes. A copy
+// that arrives later on a faster path must prove it.
 func TestFasterCopyIsIgnored(t *testing.T) {
 	Convey("A second crash that was sent before the word of the first came", t, func() {
 		first, other, third := mgquarantine.New("first", nil), mgquarantine.New("other", nil), mgquarantine.New("third", nil)
@@ -143,19 +145,20 @@
 			upstream: "b",
 			sent:     300,
 		}})
-		other.Take(790, first.Lacking(400, nil)) // 390 ms on its way
+		other.Take(790, first.Lacking(400, nil)) // 390 ms network delay
 		So(other.Occurrences(digestOf("bad")), ShouldEqual, 1)
 		So(len(third.Take(900, other.Lacking(800, nil))), ShouldEqual, 0)
 		So(third.Occurrences(digestOf("bad")), ShouldEqual, 1)
 
-		other.Take(1000, first.Lacking(800, nil)) // 200 ms
+		other.Take(1000, first.Lacking(800, nil)) // 200 ms network delay
 		So(other.Occurrences(digestOf("bad")), ShouldEqual, 2)
 		So(third.Take(1300, other.Lacking(1000, third.Sums())), ShouldBeEmpty)
 		So(third.Occurrences(digestOf("bad")), ShouldEqual, 2)
 	})
 }
 
-// Upstreams that end together must count once at every process, whatever the ways and clocks.
+// Upstreams that crash together must count once at every process, whatever the network
+// delays and clock offsets.
 func TestOneMomentCountsMoreThanOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const count = 4
--- a/internal/request/mgquarantine/problem.go
+++ b/internal/request/mgquarantine/problem.go
@@ -5,8 +5,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// Problem returns what to tell the caller of a request that is held for a while yet; ran
-// says that an attempt of it may have run.
+// Problem returns the problem for the caller of a request that is still held; ran reports
+// whether an attempt of it may have run.
 func Problem(left mgclock.Millis, ran bool) *mgproblem.Problem {
 	const detail = "upstreams ended one after another as they began this request, which is held back"
 	if ran {
--- a/internal/request/mgquarantine/quarantine.go
+++ b/internal/request/mgquarantine/quarantine.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	// evidenceTTL is how long notes count against a request that isn't held.
+	// evidenceTTL is how long records count against a request that isn't held.
 	evidenceTTL = 10 * mgclock.Minute
-	// maxRecords is the number of notes that are kept: some hundred requests with a few
-	// crashes each, 0.3 MB. Of more, those of requests that aren't held go first.
+	// maxRecords is the number of records that are kept: some hundred requests with a few
+	// crashes each, 0.3 MB. Beyond it those of requests that aren't held are evicted first.
 	maxRecords = 1024
-	// recordTTL is how long a note may be needed.
+	// recordTTL is how long a record may be needed.
 	recordTTL = maxHold + 2*evidenceTTL
-	// trialWindow is how long after a hold one process alone lets the request through, and
-	// how long that one waits for what comes of it.
+	// trialWindow is how long after a hold only one process admits the request, and how
+	// long a process waits for the outcome of its trial.
 	trialWindow = 5 * mgclock.Second
-	// broadcastWindow is how long a note is told on after it was learned.
+	// broadcastWindow is how long a record is broadcast after it was learned.
 	broadcastWindow = 600 * mgclock.Millis(1)
-	// minAgeGain is by how much a note's time must come down to be news again: other copies of
-	// it came on slower ways.
+	// minAgeGain is by how much a record's time bound must fall for the record to be
+	// broadcast again: other copies of it came on slower paths.
 	minAgeGain = 20 * mgclock.Millis(1)
 )
 
 // A Quarantine holds what this process knows of requests that crash upstreams. The zero
-// Quarantine is empty and ready for use by several goroutines; New names its process.
+// Quarantine is empty and ready for use by several goroutines; New sets the process that it
+// belongs to.
 type Quarantine struct {
 	origin     string
 	runsTrial  func(Digest) bool // see New
@@ -37,22 +38,22 @@
 
 	mu             sync.Mutex
 	lastNumber     uint64
-	offsets        map[string]mgclock.Millis // of this process's clock at most, by origin
-	lastPause      mgclock.Millis            // when the process last went on after a pause, 0 for never
+	offsets        map[string]mgclock.Millis // upper bounds of the offset of this process's clock, by origin
+	lastPause      mgclock.Millis            // end of the process's last pause, 0 for none
 	records        map[recordID]storedRecord
-	trialDeadlines map[Digest]mgclock.Millis // until when a request's trial here is waited for
-	changed        chan struct{}             // closed when there are fresh notes
+	trialDeadlines map[Digest]mgclock.Millis // end of the wait for the outcome of a request's trial here
+	changed        chan struct{}             // closed when there are new records
 }
 
-// state is what the notes say. It never changes.
+// state is the evaluation of all records. It is immutable.
 type state struct {
 	suspicions map[Digest]suspicion
 	nextExpiry mgclock.Millis
 }
 
-// New returns a quarantine of a process, whose incarnation origin names. First reports
-// whether this process is the one that tries a request whose hold is over, of those that
-// exchange notes; nil stands for yes.
+// New returns the quarantine of a process with the incarnation origin. The function reports
+// whether this process, of those that exchange records, is the first to try a request whose
+// hold is over; nil stands for yes.
 func New(origin string, runsTrial func(Digest) bool) *Quarantine {
 	return &Quarantine{
 		origin:    origin,
@@ -60,8 +61,8 @@
 	}
 }
 
-// Changed returns a channel that is closed when the quarantine next learns a note. Ask
-// for it before what it tells is read.
+// Changed returns a channel that is closed when the quarantine next learns a record. Get
+// the channel before reading the records, so that no change is missed.
 func (q *Quarantine) Changed() <-chan struct{} {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -79,10 +80,10 @@
 	Upstream string
 	Begun    bool           // the upstream had begun the request
 	Sent     mgclock.Millis // when the attempt was sent
-	Delay    mgclock.Millis // how long before it was seen the end may have come
+	Delay    mgclock.Millis // how long before it was seen the upstream may have ended
 }
 
-// Crashed takes a crash that was seen at a time.
+// Crashed records a crash that was seen now.
 func (q *Quarantine) Crashed(now mgclock.Millis, c Crash) {
 	if q.checkPause != nil {
 		q.checkPause()
@@ -96,8 +97,8 @@
 	})
 }
 
-// Answered takes that an upstream answered a request, which matters only where something
-// is held against it.
+// Answered records that an upstream answered a request. It has an effect only where there
+// is evidence against the request.
 func (q *Quarantine) Answered(now mgclock.Millis, digest Digest) {
 	if current := q.state.Load(); current == nil || current.suspicions[digest].occurrences == 0 {
 		return
@@ -105,8 +106,8 @@
 	q.addOwn(now, digest, Note{})
 }
 
-// Watching reports whether anything is held against any request, so that a Digest is
-// worth its cost.
+// Watching reports whether there is evidence against any request, so that computing a
+// Digest is worth its cost.
 func (q *Quarantine) Watching() bool {
 	current := q.state.Load()
 	return current != nil && len(current.suspicions) > 0
@@ -123,9 +124,9 @@
 }
 
 // Admit reports whether a request may be sent to an upstream, and if not, how long it is
-// still held. Once its hold is over one attempt at a time is let through, at one process
-// for a while, and what comes of it decides: an answer ends the quarantine, a crash begins
-// a longer hold.
+// still held. Once its hold is over one attempt at a time is admitted, at a single process
+// for trialWindow. Its outcome decides: an answer ends the quarantine, a crash begins a
+// longer hold.
 func (q *Quarantine) Admit(now mgclock.Millis, digest Digest) (left mgclock.Millis, ok bool) {
 	current := q.state.Load()
 	if current == nil || !current.suspicions[digest].isHeld {
@@ -150,16 +151,16 @@
 	return 0, true
 }
 
-// retryCrashLimit is the number of occurrences from which on a request is not tried on a
-// further upstream after a crash, only when its caller sends it again.
+// retryCrashLimit is the number of occurrences from which a request is no longer retried on
+// another upstream after a crash, but only when its caller sends it again.
 const retryCrashLimit = 2
 
-// Retryable reports whether a request under which an upstream has just ended may be tried
-// on another one.
+// Retryable reports whether a request whose upstream has just crashed may be retried on
+// another one.
 func (q *Quarantine) Retryable(digest Digest) bool { return q.Occurrences(digest) < retryCrashLimit }
 
-// Occurrences returns how many times upstreams have ended under a request that no other
-// request explains.
+// Occurrences returns how many occurrences a request is suspected of that no other request
+// explains.
 func (q *Quarantine) Occurrences(digest Digest) int {
 	current := q.state.Load()
 	if current == nil {
@@ -168,7 +169,7 @@
 	return current.suspicions[digest].occurrences
 }
 
-// addOwn makes a note of this process's own.
+// addOwn adds a record of this process's own.
 func (q *Quarantine) addOwn(now mgclock.Millis, digest Digest, record Note) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -188,7 +189,7 @@
 	q.reevaluate(now)
 }
 
-// putOwn numbers and keeps a note of this process's own.
+// putOwn numbers and stores a record of this process's own.
 func (q *Quarantine) putOwn(s storedRecord) {
 	q.lastNumber++
 	s.record.Origin = q.origin
@@ -203,7 +204,7 @@
 	q.records[s.id()] = s
 }
 
-// reevaluate works out what the notes say and tells those that wait for it.
+// reevaluate updates the state and notifies those that wait for a change.
 func (q *Quarantine) reevaluate(now mgclock.Millis) {
 	q.updateState(now)
 	if q.changed != nil {
@@ -212,7 +213,7 @@
 	}
 }
 
-// updateState drops the notes that have run out and replaces the state.
+// updateState evaluates the records, drops expired ones and replaces the state.
 func (q *Quarantine) updateState(now mgclock.Millis) {
 	next := &state{
 		suspicions: evaluate(q.evidence()),
@@ -243,8 +244,8 @@
 	q.state.Store(next)
 }
 
-// evidence returns the notes that an answer hasn't voided, one for each attempt, sorted by
-// time.
+// evidence returns the crash records that no answer has voided, merged to one for each
+// attempt and sorted by time.
 func (q *Quarantine) evidence() []storedRecord {
 	lastAnswer := map[Digest]mgclock.Millis{}
 	for _, s := range q.records {
@@ -276,7 +277,8 @@
 	return records
 }
 
-// evictExcess drops the oldest notes beyond the most, those of requests that aren't held first.
+// evictExcess drops the oldest records beyond maxRecords, those of requests that aren't
+// held first.
 func (q *Quarantine) evictExcess(next *state) {
 	if len(q.records) <= maxRecords {
 		return
@@ -294,12 +296,12 @@
 	slices.SortFunc(ids, func(a, b recordID) int {
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(q.records[a].seenBound, q.records[b].seenBound))
 	})
-	for _, name := range ids[:len(ids)-maxRecords+maxRecords/8] { // more than one, since to rank them takes a while
+	for _, name := range ids[:len(ids)-maxRecords+maxRecords/8] { // an extra eighth, since ranking takes a while
 		delete(q.records, name)
 	}
 }
 
-// Tick lets notes run out. Call it about once a second.
+// Tick drops expired records. Call it about once a second.
 func (q *Quarantine) Tick(now mgclock.Millis) {
 	current := q.state.Load()
 	if current == nil || now < current.nextExpiry {
--- a/internal/request/mgquarantine/quarantine_test.go
+++ b/internal/request/mgquarantine/quarantine_test.go
@@ -28,7 +28,7 @@
 	at       mgclock.Millis
 	request  string
 	upstream string
-	waiting  bool // the upstream had not begun it
+	waiting  bool // the upstream had not begun the request
 	sent     mgclock.Millis
 }
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// answerAt is an upstream's answerAt to a request.
+// answerAt returns an upstream's answer to a request.
 func answerAt(at mgclock.Millis, request string) observation {
 	return observation{
 		at:      at,
@@ -56,7 +56,7 @@
 	}
 }
 
-// crashesFrom returns the crashes of a request, one each second from a time on.
+// crashesFrom returns crashes of a request, one each second from the given time.
 func crashesFrom(at mgclock.Millis, request string, upstreams ...string) []observation {
 	var all []observation
 	for i, upstream := range upstreams {
@@ -70,7 +70,8 @@
 	return all
 }
 
-// A request that crashes upstreams goes on to the next, or a proper one is refused.
+// A request that crashes upstreams must be held before it reaches the next one, and a
+// request that merely ran beside it must not be held.
 func TestWrongRequestsHeld(t *testing.T) {
 	cases := []struct {
 		name string
@@ -313,7 +314,7 @@
 	})
 }
 
-// Entries that heard of the same crashes in another order must hold the same requests.
+// Processes that receive the same records in different orders must hold the same requests.
 func TestRecordOrderChangesHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		origins := make([]*mgquarantine.Quarantine, 4)
@@ -362,7 +363,7 @@
 	return all
 }
 
-// A process that lacks notes must be given those, and not all that there are.
+// A process that misses a record must get that one and a few others, not all records.
 func TestAllRecordsSentForOneMissing(t *testing.T) {
 	Convey("Of many notes a process that lacks one gets a small part", t, func() {
 		q, other := mgquarantine.New("life", nil), mgquarantine.New("other", nil)
@@ -380,7 +381,8 @@
 	})
 }
 
-// A flood of different requests must not fill the memory, nor free one that is held.
+// A flood of crashes of different requests must neither exceed the record limit nor evict
+// the records of a held request.
 func TestFloodFillsMemoryOrFreesHeld(t *testing.T) {
 	Convey("Of a flood of crashes a bounded number is kept, and what is held stays", t, func() {
 		q := mgquarantine.New("life", nil)
@@ -394,7 +396,8 @@
 	})
 }
 
-// Notes of a process with another release, or of nobody, must not stop the others.
+// Malformed records, as from a process of another release, must not keep valid ones of the
+// same message from being merged.
 func TestInvalidRecordStopsOthers(t *testing.T) {
 	Convey("Notes that can't be read are counted and left out", t, func() {
 		q := mgquarantine.New("life", nil)
@@ -413,7 +416,7 @@
 	})
 }
 
-// storm is a service whose engines one request crashes again and again.
+// storm is a service whose engines are crashed by one request again and again.
 type storm struct {
 	random   *rand.Rand
 	q        *mgquarantine.Quarantine
@@ -424,7 +427,8 @@
 	innocent map[string]bool
 }
 
-// crash ends an engine under the request, with neighbours that had just begun or waited.
+// crash ends an engine that runs the request, along with neighbours that had just begun or
+// were waiting.
 func (s *storm) crash(upstream int) {
 	s.ended++
 	name := fmt.Sprintf("engine-%d-%d", upstream, s.ended)
@@ -435,7 +439,7 @@
 		sent:     s.now - 800,
 	}}
 	for range s.random.IntN(24) {
-		// A caller repeats a request that failed: few bodies, again and again.
+		// Callers repeat requests that failed: few bodies, again and again.
 		neighbour := fmt.Sprint("neighbour-", s.random.IntN(60))
 		s.innocent[neighbour] = true
 		all = append(all, observation{
@@ -449,7 +453,7 @@
 	record(s.q, all)
 }
 
-// A proper request must not be refused for a neighbour's that crashes its upstreams.
+// A request must not be held because it ran beside one that crashes its upstreams.
 func TestNeighbourIsHeld(t *testing.T) {
 	Convey("In storms of crashes no neighbour is held, and the request is after a few", t, func() {
 		wronglyHeld := 0
@@ -478,7 +482,8 @@
 	})
 }
 
-// A request that was held without guilt must be served soon, and no other tried by all.
+// A request that was held without being the cause must be served soon after its hold. A
+// request that was the cause must not be tried by all processes at once.
 func TestTrialIsMissingOrRepeated(t *testing.T) {
 	Convey("Once the hold of a request is over", t, func() {
 		mine, other := mgquarantine.New("mine", nil), mgquarantine.New("other", func(mgquarantine.Digest) bool { return false })
--- a/internal/request/mgquarantine/record.go
+++ b/internal/request/mgquarantine/record.go
@@ -8,46 +8,47 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Note is what one process has seen of a request, as it tells others.
+// A Note is the record of what one process has seen of a request, as it is exchanged.
 type Note struct {
-	Origin   string         `json:"origin"` // the process's incarnation
-	Number   uint64         `json:"number"` // from 1, of the process's notes
+	Origin   string         `json:"origin"` // the incarnation of the process that made the record
+	Number   uint64         `json:"number"` // counts the origin's records from 1
 	Digest   string         `json:"digest"`
 	Request  string         `json:"request,omitempty"`  // id of the attempt's request
-	Upstream string         `json:"upstream,omitempty"` // the one that ended; empty: the request was answered
+	Upstream string         `json:"upstream,omitempty"` // the upstream that crashed; empty if the request was answered
 	Begun    bool           `json:"begun,omitempty"`    // the upstream had begun the request
-	Sent     mgclock.Millis `json:"sent,omitempty"`     // when the attempt was sent, by the origin's clock
+	Sent     mgclock.Millis `json:"sent,omitempty"`     // time of the attempt by the origin's clock
 	Seen     mgclock.Millis `json:"seen,omitempty"`     // when its end was seen, by the origin's clock
-	Age      mgclock.Millis `json:"age"`                // ms since it was seen, at least
-	// Delay is how long before it was seen the upstream may have ended, ms.
+	Age      mgclock.Millis `json:"age"`                // lower bound of the time since Seen, ms
+	// Delay is how long before Seen the upstream may have ended, ms.
 	Delay mgclock.Millis `json:"delay,omitempty"`
-	// After names notes of other processes: the upstreams of those had ended in an
-	// earlier moment. A note that says more than an earlier one repeats it, and has that
-	// one's number in Of.
+	// After references records of other processes whose upstreams ended in an earlier
+	// occurrence. A record that adds references to an earlier one repeats that one, with
+	// its number in Of.
 	After []Reference `json:"after,omitempty"`
 	Of    uint64      `json:"of,omitempty"`
 }
 
-// A Reference names another process's note.
+// A Reference identifies another process's record.
 type Reference struct {
 	Origin string `json:"origin"`
 	Number uint64 `json:"number"`
 }
 
-// recordID names a note among those of all processes.
+// recordID identifies a record among those of all processes.
 type recordID struct {
 	origin string
 	number uint64
 }
 
-// hash returns a hash of the name.
+// hash returns a hash of the ID.
 func (n recordID) hash() uint64 { return xxhash.Sum64String(n.origin) ^ n.number*hashMultiplier }
 
-// hashMultiplier is 2^64 over the golden ratio: consecutive numbers times it differ in their
-// high bits (multiplicative hashing, D. Knuth, The Art of Computer Programming 3, 6.4).
+// hashMultiplier is 2^64 divided by the golden ratio: multiples of it by consecutive
+// numbers differ in their high bits (multiplicative hashing, D. Knuth, The Art of Computer
+// Programming 3, 6.4).
 const hashMultiplier = 0x9e3779b97f4a7c15
 
-// bucket returns which of the Sums the note counts in.
+// bucket returns the index in Sums that covers the record.
 func (n recordID) bucket() int { return int(n.hash() >> (64 - sumBits)) }
 
 const (
@@ -55,11 +56,11 @@
 	sumBuckets = 1 << sumBits
 )
 
-// Sums are checksums by which two processes find out which notes they don't share: each
-// of a part of the notes. Nil is of none.
+// Sums are checksums of the records, one for each bucket of them. By these, two processes
+// find the buckets in which their records differ. Nil stands for no records.
 type Sums []uint64
 
-// at returns the checksum of a part.
+// at returns the checksum of a bucket.
 func (s Sums) at(bucket int) uint64 {
 	if bucket >= len(s) {
 		return 0
@@ -67,15 +68,15 @@
 	return s[bucket]
 }
 
-// storedRecord is a note as it is kept.
+// storedRecord is a record with what this process knows of it.
 type storedRecord struct {
-	record    Note // its age is as it was told
+	record    Note // its age is as received
 	digest    Digest
-	seenBound mgclock.Millis // when it was seen at the latest, by this process's clock
-	learnedAt mgclock.Millis // when this process learned of it
+	seenBound mgclock.Millis // upper bound of when it was seen, by this process's clock
+	learnedAt mgclock.Millis // when this process learned of the record, or last improved its bound
 }
 
-// id returns the note's id.
+// id returns the record's ID.
 func (n Note) id() recordID {
 	return recordID{
 		origin: n.Origin,
@@ -83,10 +84,10 @@
 	}
 }
 
-// id returns the note's id.
+// id returns the record's ID.
 func (s storedRecord) id() recordID { return s.record.id() }
 
-// reference returns the note's name as others tell it.
+// reference returns the record's ID in its exchanged form.
 func (s storedRecord) reference() Reference {
 	return Reference{
 		Origin: s.record.Origin,
@@ -94,7 +95,7 @@
 	}
 }
 
-// firstID returns the name of the first note about the same attempt.
+// firstID returns the ID of the first record of the same attempt.
 func (s storedRecord) firstID() recordID {
 	if s.record.Of == 0 {
 		return s.id()
@@ -105,17 +106,18 @@
 	}
 }
 
-// isCrash reports whether the note is of a crash, and not of an answer.
+// isCrash reports whether the record is of a crash, not of an answer.
 func (s storedRecord) isCrash() bool { return s.record.Upstream != "" }
 
-// sentAfter reports whether the attempt was sent after another had ended, by the clock of
-// one process.
+// sentAfter reports whether the attempt was sent after another had ended. It compares times
+// of one process's clock only.
 func (s storedRecord) sentAfter(other storedRecord) bool {
 	return s.record.Origin == other.record.Origin && s.record.Sent >= other.record.Seen
 }
 
-// isLaterThan reports whether the upstream ended in a later moment than another's. Only one
-// process's clock tells: that of both, or that of the later one, which says so in its note.
+// isLaterThan reports whether the crash is a later occurrence than another. It relies on a
+// single clock: that of the process that saw both, or that of the one that saw the later
+// crash, whose record references the earlier one.
 func (s storedRecord) isLaterThan(earlier storedRecord) bool {
 	if s.record.Origin == earlier.record.Origin {
 		return s.sentAfter(earlier) || s.record.Seen-s.record.Delay >= earlier.record.Seen+windowFor(s, earlier)
@@ -123,14 +125,14 @@
 	return slices.Contains(s.record.After, earlier.reference())
 }
 
-// provesLaterThan reports whether this process, whose own note s is, can tell that the upstream of
-// another process's note had ended in an earlier moment. That note's time is an upper
-// bound, since what it took on its way isn't known.
+// provesLaterThan reports whether this process's own record s is provably of a later
+// occurrence than another process's record. The time of the other record is an upper bound,
+// since its network delay isn't known.
 func (s storedRecord) provesLaterThan(earlier storedRecord) bool {
 	return s.record.Sent >= earlier.seenBound || s.record.Seen-s.record.Delay >= earlier.seenBound+windowFor(s, earlier)
 }
 
-// windowFor returns the time in which two crashes are one occurrence.
+// windowFor returns the time within which two crashes are one occurrence.
 func windowFor(a, b storedRecord) mgclock.Millis {
 	if a.record.Upstream == b.record.Upstream {
 		return sameCrashWindow
@@ -138,7 +140,7 @@
 	return occurrenceWindow
 }
 
-// withAge returns a note as it is withAge at a time.
+// withAge returns the record with its age at a time.
 func (s storedRecord) withAge(now mgclock.Millis) Note {
 	record := s.record
 	record.Age = max(now-s.seenBound, 0)
--- a/internal/request/mgquarantine/refusal.go
+++ b/internal/request/mgquarantine/refusal.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// A Refusal tells why another process's note can't be used.
+// A Refusal is the error for a record of another process that can't be used.
 type Refusal struct {
 	Origin string
 	Number uint64
@@ -17,7 +17,7 @@
 	return fmt.Sprintf("note %d of %q: its %s is %q: run one release on all processes, or report it", r.Number, r.Origin, r.Field, r.Value)
 }
 
-// validate returns what is wrong with another process's note, or nil.
+// validate returns what is wrong with another process's record, or nil.
 func (n Note) validate() *Refusal {
 	refusal := &Refusal{
 		Origin: n.Origin,
--- a/internal/request/mgquarantine/verdict.go
+++ b/internal/request/mgquarantine/verdict.go
@@ -7,7 +7,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Verdict is what is held against a request.
+// A Verdict is the evidence against a request and its hold.
 type Verdict struct {
 	digest      Digest
 	occurrences int
@@ -18,16 +18,16 @@
 // Digest returns the request's digest.
 func (v Verdict) Digest() Digest { return v.digest }
 
-// Occurrences returns how many times upstreams have ended under the request.
+// Occurrences returns how many crash occurrences are attributed to the request.
 func (v Verdict) Occurrences() int { return v.occurrences }
 
 // Left returns how long the request is still held, 0 where it isn't.
 func (v Verdict) Left() mgclock.Millis { return v.remaining }
 
-// Evidence returns the notes of the crashes, the newest first.
+// Evidence returns the records of the crashes, the newest first.
 func (v Verdict) Evidence() []Note { return v.evidence }
 
-// Verdicts returns what is held against all requests, by digest.
+// Verdicts returns the evidence against all requests, sorted by digest.
 func (q *Quarantine) Verdicts(now mgclock.Millis) []Verdict {
 	q.mu.Lock()
 	defer q.mu.Unlock()
