--- a/internal/request/mgquarantine/age_test.go
+++ b/internal/request/mgquarantine/age_test.go
@@ -22,11 +22,11 @@
 			Seen:     seen,
 		}
 	}
-	Convey("Of an origin's notes, seen half a second apart", t, func() {
+	Convey("Two records of an origin, seen half a second apart", t, func() {
 		b := New("b", nil)
 		So(b.Take(10400, []Note{newRecord(1, 10000)}), ShouldBeEmpty)
 		So(b.Take(10501, []Note{newRecord(2, 10500)}), ShouldBeEmpty)
-		Convey("the second is told on and taken, over two more hops", func() {
+		Convey("are both forwarded and merged over two more hops", func() {
 			for now := mgclock.Millis(10501); now < 11100; now += 50 {
 				c, d := New("c", nil), New("d", nil)
 				sent := b.Lacking(now, nil)
@@ -36,7 +36,7 @@
 				So(len(d.Lacking(now+6, nil)), ShouldEqual, 2)
 			}
 		})
-		Convey("they keep their order", func() {
+		Convey("keep their order and distance", func() {
 			sent := b.Lacking(10600, nil)
 			c := New("c", nil)
 			c.Take(10600, sent)
@@ -75,16 +75,16 @@
 			slices.SortFunc(sent, func(a, b Note) int { return int(a.Number) - int(b.Number) })
 			for _, record := range sent {
 				ages[record.Number] = record.Age
-				now += mgclock.Millis(delayRange.Draw(t, "way"))
+				now += mgclock.Millis(delayRange.Draw(t, "delay"))
 				if refused := next.Take(now, []Note{record}); len(refused) > 0 {
 					t.Fatalf("hop %d: %v", hop, refused)
 				}
 			}
-			now += mgclock.Millis(delayRange.Draw(t, "kept"))
+			now += mgclock.Millis(delayRange.Draw(t, "stored"))
 			sent = next.Lacking(now, nil)
 			for _, record := range sent {
 				if record.Age < ages[record.Number] || record.Age > now-seen[record.Number] {
-					t.Fatalf("hop %d: note %d of %d ms ago was told with %d ms, now with %d", hop, record.Number,
+					t.Fatalf("hop %d: record %d, %d ms old, was sent with age %d ms, now with %d", hop, record.Number,
 						now-seen[record.Number], ages[record.Number], record.Age)
 				}
 			}
--- a/internal/request/mgquarantine/digest.go
+++ b/internal/request/mgquarantine/digest.go
@@ -33,7 +33,7 @@
 	var d Digest
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != len(d) {
-		return d, fmt.Errorf("digest %q: give %d hexadecimal digits", text, hex.EncodedLen(len(d)))
+		return d, fmt.Errorf("digest %q: want %d hexadecimal digits", text, hex.EncodedLen(len(d)))
 	}
 	return Digest(data), nil
 }
--- a/internal/request/mgquarantine/digest_test.go
+++ b/internal/request/mgquarantine/digest_test.go
@@ -50,7 +50,7 @@
 			body:    "a longer body",
 		},
 		{
-			name:    "the same bytes cut otherwise",
+			name:    "the same bytes split otherwise",
 			account: "tankline",
 			host:    "tanks.exampl",
 			target:  "e/note/1",
--- a/internal/request/mgquarantine/order_test.go
+++ b/internal/request/mgquarantine/order_test.go
@@ -25,7 +25,7 @@
 		occurrences int
 	}{
 		{
-			name: "sent after the first was known",
+			name: "sent after the first was received",
 			second: mgquarantine.Crash{
 				Upstream: "b",
 				Sent:     160,
@@ -33,7 +33,7 @@
 			occurrences: 2,
 		},
 		{
-			name: "sent before the first was known, and seen more than a moment after",
+			name: "sent before the first was received, and seen more than a window after",
 			second: mgquarantine.Crash{
 				Upstream: "b",
 				Sent:     100,
@@ -41,7 +41,7 @@
 			occurrences: 2,
 		},
 		{
-			name: "sent before the first was known, and possibly ended within a moment of it",
+			name: "sent before the first was received, and possibly ended within a window of it",
 			second: mgquarantine.Crash{
 				Upstream: "b",
 				Sent:     100,
@@ -50,7 +50,7 @@
 			occurrences: 1,
 		},
 		{
-			name: "sent before, and seen within a moment of the time at which the first was known",
+			name: "sent before, and seen within a window of the receipt of the first",
 			second: mgquarantine.Crash{
 				Upstream: "b",
 				Sent:     100,
@@ -59,7 +59,7 @@
 			occurrences: 1,
 		},
 		{
-			name: "the first is known only later",
+			name: "of which the first is received only later",
 			second: mgquarantine.Crash{
 				Upstream: "b",
 				Sent:     450,
@@ -76,7 +76,7 @@
 			occurrences: 1,
 		},
 		{
-			name: "of the same upstream, sent after the first was known",
+			name: "of the same upstream, sent after the first was received",
 			second: mgquarantine.Crash{
 				Upstream: "a",
 				Sent:     160,
@@ -132,7 +132,7 @@
 // The first copy of a record arrives too late to prove the order of two crashes. A copy
 // that arrives later on a faster path must prove it.
 func TestFasterCopyIsIgnored(t *testing.T) {
-	Convey("A second crash that was sent before the word of the first came", t, func() {
+	Convey("A second crash whose attempt was sent before the record of the first arrived", t, func() {
 		first, other, third := mgquarantine.New("first", nil), mgquarantine.New("other", nil), mgquarantine.New("third", nil)
 		record(first, []observation{{
 			request:  "bad",
@@ -178,7 +178,7 @@
 					continue
 				}
 				sent := all[from].Lacking(now+offset[from], nil)
-				now += mgclock.Millis(delayRange.Draw(t, "way"))
+				now += mgclock.Millis(delayRange.Draw(t, "delay"))
 				all[to].Take(now+offset[to], sent)
 			}
 		}
@@ -207,7 +207,7 @@
 		exchange(20)
 		for i, q := range all {
 			if q.Occurrences(digestOf("sound")) > moments {
-				t.Fatalf("process %d counts %d occurrences of %d moments", i, q.Occurrences(digestOf("sound")), moments)
+				t.Fatalf("process %d counts %d occurrences for %d moments", i, q.Occurrences(digestOf("sound")), moments)
 			}
 		}
 	})
--- a/internal/request/mgquarantine/quarantine_test.go
+++ b/internal/request/mgquarantine/quarantine_test.go
@@ -97,7 +97,7 @@
 			held: []string{"bad"},
 		},
 		{
-			name: "one, as three processes see it",
+			name: "one, reported three times within a second",
 			seen: []observation{
 				{
 					at:       0,
@@ -148,7 +148,7 @@
 			now: 5 * sec,
 		},
 		{
-			name: "three within a moment, each sent after the one before",
+			name: "three within a window, each sent after the one before",
 			seen: []observation{
 				{
 					at:       1000,
@@ -214,7 +214,7 @@
 			held: []string{"bad"},
 		},
 		{
-			name: "upstreams that end before they say that they began it",
+			name: "upstreams that end before they report that they began it",
 			seen: []observation{
 				{
 					at:       0,
@@ -245,7 +245,7 @@
 			held: []string{"bad", "worse"},
 		},
 		{
-			name: "three that lie far apart",
+			name: "three that are far apart",
 			seen: []observation{
 				{
 					at:       0,
@@ -282,7 +282,7 @@
 			now:  161 * sec,
 		},
 		{
-			name: "those that were under way when the hold began, which make it no longer",
+			name: "attempts in progress when the hold began, which don't extend it",
 			seen: crashesFrom(0, "bad", "a", "b", "c", "d", "e", "f"),
 			now:  33 * sec,
 		},
@@ -365,7 +365,7 @@
 
 // A process that misses a record must get that one and a few others, not all records.
 func TestAllRecordsSentForOneMissing(t *testing.T) {
-	Convey("Of many notes a process that lacks one gets a small part", t, func() {
+	Convey("Of many records a process that misses one gets a small part", t, func() {
 		q, other := mgquarantine.New("life", nil), mgquarantine.New("other", nil)
 		for i := range 400 {
 			record(q, crashesFrom(0, strconv.Itoa(i), fmt.Sprint("engine-", i)))
@@ -384,7 +384,7 @@
 // A flood of crashes of different requests must neither exceed the record limit nor evict
 // the records of a held request.
 func TestFloodFillsMemoryOrFreesHeld(t *testing.T) {
-	Convey("Of a flood of crashes a bounded number is kept, and what is held stays", t, func() {
+	Convey("Of a flood of crashes a bounded number is kept, and a held request stays held", t, func() {
 		q := mgquarantine.New("life", nil)
 		record(q, crashesFrom(0, "bad", "a", "b", "c"))
 		for i := range 2000 {
@@ -399,7 +399,7 @@
 // Malformed records, as from a process of another release, must not keep valid ones of the
 // same message from being merged.
 func TestInvalidRecordStopsOthers(t *testing.T) {
-	Convey("Notes that can't be read are counted and left out", t, func() {
+	Convey("Records that can't be parsed are returned and skipped", t, func() {
 		q := mgquarantine.New("life", nil)
 		valid := mgquarantine.Note{
 			Origin:   "other",
@@ -455,7 +455,7 @@
 
 // A request must not be held because it ran beside one that crashes its upstreams.
 func TestNeighbourIsHeld(t *testing.T) {
-	Convey("In storms of crashes no neighbour is held, and the request is after a few", t, func() {
+	Convey("In storms of crashes no neighbour is held, and the cause is held after a few", t, func() {
 		wronglyHeld := 0
 		maxEnded := 0
 		for seed := range uint64(300) {
@@ -497,7 +497,7 @@
 		const over = 33 * sec
 		_, ok = mine.Admit(over, digestOf("x"))
 		So(ok, ShouldBeTrue)
-		Convey("one attempt at a time is let through, at the process that ranks first", func() {
+		Convey("one attempt at a time is admitted, at the process that ranks first", func() {
 			_, ok := mine.Admit(over, digestOf("x"))
 			So(ok, ShouldBeFalse)
 			_, ok = other.Admit(over, digestOf("x"))
@@ -521,7 +521,7 @@
 			So(ok, ShouldBeFalse)
 			So(left, ShouldEqual, 119*sec)
 		})
-		Convey("another process lets one through, too, where it doesn't come to the first", func() {
+		Convey("another process also admits one if it doesn't arrive at the first", func() {
 			_, ok := other.Admit(over+5*sec, digestOf("x"))
 			So(ok, ShouldBeTrue)
 			_, ok = other.Admit(over+5*sec, digestOf("x"))
--- a/internal/request/mgquarantine/refusal.go
+++ b/internal/request/mgquarantine/refusal.go
@@ -14,7 +14,7 @@
 }
 
 func (r *Refusal) Error() string {
-	return fmt.Sprintf("note %d of %q: its %s is %q: run one release on all processes, or report it", r.Number, r.Origin, r.Field, r.Value)
+	return fmt.Sprintf("record %d of %q: invalid %s %q: run one release on all processes, or report it", r.Number, r.Origin, r.Field, r.Value)
 }
 
 // validate returns what is wrong with another process's record, or nil.
