--- a/internal/request/mgscheduler/decide.go
+++ b/internal/request/mgscheduler/decide.go
@@ -10,12 +10,12 @@
 // refusal returns why a request with a predicted wait can't be taken, or nil.
 func (s *Scheduler) refusal(now mgclock.Millis, r *Request, output float64, predicted mgclock.Millis) *mgproblem.Problem {
 	switch {
-	case s.leaving:
+	case s.isLeaving:
 		return problemLeaving()
 	case !s.gate.Holds(r.Prompt):
 		return problemLarge()
 	case !s.queue.Room(r.Account, r.Priority):
-		return problemFull(s.halfway(r, predicted))
+		return problemFull(s.retryWhenFull(r, predicted))
 	}
 	expiry := s.expiry(r, output)
 	if expiry == 0 {
@@ -29,9 +29,9 @@
 	return nil
 }
 
-// halfway returns when a request that finds no place can come back: half of
+// retryWhenFull returns when a request that finds no place can come back: half of
 // what is ahead of it has gone by then.
-func (s *Scheduler) halfway(r *Request, predicted mgclock.Millis) mgclock.Millis {
+func (s *Scheduler) retryWhenFull(r *Request, predicted mgclock.Millis) mgclock.Millis {
 	wait := s.forecast.Corrected(r.Priority, predicted)
 	return mgadmission.Retry(wait, wait/2)
 }
@@ -76,14 +76,14 @@
 	if s.gate.Admits(s.candidate(head)) {
 		return item, true
 	}
-	left := s.passing()*item.Cost - head.passed
-	if left <= 0 {
+	budget := s.passingFactor()*item.Cost - head.passedCost
+	if budget <= 0 {
 		return item, false
 	}
-	s.others = s.queue.Others(s.others[:0])
-	for _, other := range s.others {
-		if other.Cost <= left && s.gate.Admits(s.candidate(s.jobs[other.ID])) {
-			head.passed += other.Cost
+	s.candidates = s.queue.Others(s.candidates[:0])
+	for _, other := range s.candidates {
+		if other.Cost <= budget && s.gate.Admits(s.candidate(s.jobs[other.ID])) {
+			head.passedCost += other.Cost
 			return other, true
 		}
 	}
@@ -94,9 +94,9 @@
 func (s *Scheduler) start(now mgclock.Millis, id string) Decision {
 	item, _ := s.queue.Take(id)
 	j := s.jobs[item.ID]
-	s.forecast.Waited(j.request.Priority, j.predicted, now-j.came)
-	j.charged = item.Cost
-	s.run(now, j)
+	s.forecast.Waited(j.request.Priority, j.predicted, now-j.arrivedAt)
+	j.chargedCost = item.Cost
+	s.markRunning(now, j)
 	return Decision{
 		ID: item.ID,
 	}
@@ -105,24 +105,24 @@
 // giveUp answers a request that can no longer be answered in time.
 func (s *Scheduler) giveUp(now mgclock.Millis, item mgqueue.Item) Decision {
 	j := s.jobs[item.ID]
-	s.forecast.Waited(j.request.Priority, j.predicted, now-j.came)
+	s.forecast.Waited(j.request.Priority, j.predicted, now-j.arrivedAt)
 	wait := s.forecast.Corrected(j.request.Priority, s.predict(now, &j.request, s.output(&j.request)))
-	retry := mgadmission.Retry(wait, item.Expiry-j.came)
-	s.drop(j)
+	retry := mgadmission.Retry(wait, item.Expiry-j.arrivedAt)
+	s.dropJob(j)
 	return Decision{
 		ID:     item.ID,
 		GiveUp: problemLate(retry),
 	}
 }
 
-// handBack gives up everything that waits, as it can start elsewhere.
-func (s *Scheduler) handBack(dst []Decision) []Decision {
+// returnAll gives up everything that waits, as it can start elsewhere.
+func (s *Scheduler) returnAll(dst []Decision) []Decision {
 	for {
 		item, ok := s.queue.Pop()
 		if !ok {
 			return dst
 		}
-		s.drop(s.jobs[item.ID])
+		s.dropJob(s.jobs[item.ID])
 		dst = append(dst, Decision{
 			ID:     item.ID,
 			GiveUp: problemLeaving(),
--- a/internal/request/mgscheduler/job.go
+++ b/internal/request/mgscheduler/job.go
@@ -9,17 +9,17 @@
 
 // job is a request that waits or runs.
 type job struct {
-	request   Request
-	came      mgclock.Millis
-	predicted mgclock.Millis // wait, without the correction for its level
-	started   mgclock.Millis
-	last      mgclock.Millis // when it last produced tokens
-	passed    float64        // cost of the requests that passed it
-	charged   float64        // cost that its account was charged
-	answer    mglength.Answer
-	share     mgadmission.Share
-	running   bool
-	told      int // tokens produced
+	request      Request
+	arrivedAt    mgclock.Millis
+	predicted    mgclock.Millis // wait, without the correction for its level
+	startedAt    mgclock.Millis
+	lastProgress mgclock.Millis // when it last produced tokens
+	passedCost   float64        // cost of the requests that passed it
+	chargedCost  float64        // cost that its account was charged
+	answer       mglength.Answer
+	share        mgadmission.Share
+	isRunning    bool
+	produced     int // tokens produced
 }
 
 // job returns an empty job.
@@ -27,60 +27,60 @@
 	if s.jobs == nil {
 		s.jobs = make(map[string]*job)
 	}
-	last := len(s.old) - 1
+	last := len(s.freeJobs) - 1
 	if last < 0 {
 		return new(job)
 	}
-	j := s.old[last]
-	s.old = s.old[:last]
+	j := s.freeJobs[last]
+	s.freeJobs = s.freeJobs[:last]
 	return j
 }
 
-// run counts a job as running.
-func (s *Scheduler) run(now mgclock.Millis, j *job) {
-	j.running = true
-	j.started = now
-	j.last = now
+// markRunning counts a job as running.
+func (s *Scheduler) markRunning(now mgclock.Millis, j *job) {
+	j.isRunning = true
+	j.startedAt = now
+	j.lastProgress = now
 	j.answer = s.lengths.Begin(key(&j.request))
 	s.gate.Enter(&j.share, candidate(&j.request, j.answer.Curve()))
 	s.forecast.Busy(now, true)
 }
 
-// drop forgets a job.
-func (s *Scheduler) drop(j *job) {
+// dropJob forgets a job.
+func (s *Scheduler) dropJob(j *job) {
 	j.answer.Stop()
 	delete(s.jobs, j.request.ID)
 	*j = job{}
-	if len(s.old) < spares {
-		s.old = append(s.old, j)
+	if len(s.freeJobs) < maxSpares {
+		s.freeJobs = append(s.freeJobs, j)
 	}
 }
 
-// work returns the cost that a job's progress adds, and takes note of the pace
+// progressCost returns the cost that a job's progress adds, and takes note of the pace
 // of its tokens.
-func (s *Scheduler) work(now mgclock.Millis, j *job, produced int) float64 {
-	cost := float64(produced - j.told)
-	last := j.last
-	j.last = now
-	if j.told > 0 {
-		s.forecast.Next(produced-j.told, now-last)
+func (s *Scheduler) progressCost(now mgclock.Millis, j *job, produced int) float64 {
+	cost := float64(produced - j.produced)
+	last := j.lastProgress
+	j.lastProgress = now
+	if j.produced > 0 {
+		s.forecast.Next(produced-j.produced, now-last)
 		return cost
 	}
-	s.forecast.First(j.request.uncached(), now-j.started)
+	s.forecast.First(j.request.uncached(), now-j.startedAt)
 	return cost + mgadmission.Cost(j.request.uncached(), 0)
 }
 
 // charge makes cost what the job's account has been charged.
 func (s *Scheduler) charge(j *job, cost float64) {
-	s.queue.Charge(j.request.Account, j.request.Weight, cost-j.charged)
-	j.charged = cost
+	s.queue.Charge(j.request.Account, j.request.Weight, cost-j.chargedCost)
+	j.chargedCost = cost
 }
 
-// end forgets a running job and settles what it cost.
-func (s *Scheduler) end(now mgclock.Millis, j *job) {
+// finishJob forgets a running job and settles what it cost.
+func (s *Scheduler) finishJob(now mgclock.Millis, j *job) {
 	s.charge(j, j.cost())
 	s.gate.Leave(&j.share)
-	s.drop(j)
+	s.dropJob(j)
 	if s.gate.Running() > 0 {
 		return
 	}
@@ -90,7 +90,7 @@
 
 // cost returns what the job has cost until now.
 func (j *job) cost() float64 {
-	return mgadmission.Cost(j.request.uncached(), float64(j.told))
+	return mgadmission.Cost(j.request.uncached(), float64(j.produced))
 }
 
 // item returns a request as the queue sees it.
--- a/internal/request/mgscheduler/scheduler.go
+++ b/internal/request/mgscheduler/scheduler.go
@@ -8,10 +8,10 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// charge is the number of tokens by which an account is charged ahead once an
+// chargeStep is the number of tokens by which an account is charged ahead once an
 // answer runs longer than expected: often enough that a long answer can't take
 // more than its share, seldom enough to cost nothing per token.
-const charge = 64
+const chargeStep = 64
 
 // DefaultPassing is the cost of the requests that may pass one which waits for
 // memory, in its own cost. The memory that they take comes back before much of
@@ -20,8 +20,8 @@
 // with more, heavy accounts have more than their share.
 const DefaultPassing = 0.5
 
-// spares is the most freed jobs kept for reuse.
-const spares = 1024
+// maxSpares is the most freed jobs kept for reuse.
+const maxSpares = 1024
 
 // A Scheduler decides for one upstream. The zero Scheduler has the defaults of
 // a Spec and is ready for use.
@@ -32,9 +32,9 @@
 	forecast    mgadmission.Forecast
 	lengths     mglength.Estimator
 	jobs        map[string]*job // that wait or run
-	old         []*job
-	leaving     bool
-	others      []mgqueue.Item
+	freeJobs    []*job
+	isLeaving   bool
+	candidates  []mgqueue.Item
 	preemptions int64
 }
 
@@ -83,11 +83,11 @@
 	}
 	err := s.queue.Push(now, s.item(&r, output))
 	if err != nil {
-		return problemFull(s.halfway(&r, predicted)).WithCause(err)
+		return problemFull(s.retryWhenFull(&r, predicted)).WithCause(err)
 	}
 	j := s.job()
 	j.request = r
-	j.came = now
+	j.arrivedAt = now
 	j.predicted = predicted
 	s.jobs[r.ID] = j
 	return nil
@@ -109,8 +109,8 @@
 
 // Poll appends to dst what is given up and what starts now, in this order.
 func (s *Scheduler) Poll(now mgclock.Millis, dst []Decision) []Decision {
-	if s.leaving {
-		return s.handBack(dst)
+	if s.isLeaving {
+		return s.returnAll(dst)
 	}
 	for {
 		item, ok := s.queue.Expire(now)
@@ -137,11 +137,11 @@
 	}
 	j := s.job()
 	j.request = r
-	j.came = now
-	j.told = produced
-	j.charged = j.cost()
+	j.arrivedAt = now
+	j.produced = produced
+	j.chargedCost = j.cost()
 	s.jobs[r.ID] = j
-	s.run(now, j)
+	s.markRunning(now, j)
 	j.answer.Skip(produced)
 	s.gate.Grow(&j.share, produced)
 	s.gate.Weigh(&j.share, j.answer.Curve())
@@ -158,7 +158,7 @@
 	if _, ok := s.queue.Remove(id); !ok {
 		return false
 	}
-	s.drop(s.jobs[id])
+	s.dropJob(s.jobs[id])
 	return true
 }
 
@@ -166,24 +166,24 @@
 // all.
 func (s *Scheduler) Progress(now mgclock.Millis, id string, produced int) {
 	j := s.jobs[id]
-	if j == nil || !j.running || produced <= j.told {
+	if j == nil || !j.isRunning || produced <= j.produced {
 		return
 	}
-	s.forecast.Done(now, s.work(now, j, produced))
-	j.told = produced
+	s.forecast.Done(now, s.progressCost(now, j, produced))
+	j.produced = produced
 	j.answer.Progress(produced)
 	if s.gate.Grow(&j.share, produced) {
 		s.gate.Weigh(&j.share, j.answer.Curve())
 	}
-	if cost := j.cost(); cost > j.charged {
-		s.charge(j, cost+charge)
+	if cost := j.cost(); cost > j.chargedCost {
+		s.charge(j, cost+chargeStep)
 	}
 }
 
 // Preempted tells that the upstream took a running request's memory away. The
 // memory stays counted, as the request takes it again before it ends.
 func (s *Scheduler) Preempted(_ mgclock.Millis, id string) {
-	if j := s.jobs[id]; j != nil && j.running {
+	if j := s.jobs[id]; j != nil && j.isRunning {
 		s.preemptions++
 	}
 }
@@ -191,33 +191,33 @@
 // Finish tells that a running request came to its end.
 func (s *Scheduler) Finish(now mgclock.Millis, id string) {
 	j := s.jobs[id]
-	if j == nil || !j.running {
+	if j == nil || !j.isRunning {
 		return
 	}
-	if limit := j.request.Max; limit <= 0 || j.told < limit {
-		j.answer.End(j.told)
+	if limit := j.request.Max; limit <= 0 || j.produced < limit {
+		j.answer.End(j.produced)
 	}
-	s.end(now, j)
+	s.finishJob(now, j)
 }
 
 // Rest returns how long a running request is expected to take to its end.
 func (s *Scheduler) Rest(id string) mgclock.Millis {
 	j := s.jobs[id]
-	if j == nil || !j.running {
+	if j == nil || !j.isRunning {
 		return 0
 	}
-	rest := s.forecast.Rest(j.answer.Curve().Mean(j.told, j.request.Max))
-	if j.told == 0 {
-		rest += s.forecast.FirstToken(j.request.uncached())
+	remaining := s.forecast.Rest(j.answer.Curve().Mean(j.produced, j.request.Max))
+	if j.produced == 0 {
+		remaining += s.forecast.FirstToken(j.request.uncached())
 	}
-	return rest
+	return remaining
 }
 
 // Abandon tells that a running request was cut off, by its caller or by a
 // fault. Its length says nothing.
 func (s *Scheduler) Abandon(now mgclock.Millis, id string) {
-	if j := s.jobs[id]; j != nil && j.running {
-		s.end(now, j)
+	if j := s.jobs[id]; j != nil && j.isRunning {
+		s.finishJob(now, j)
 	}
 }
 
@@ -232,10 +232,10 @@
 
 // Leaving refuses new work from now on, and the next Poll hands back what
 // waits. What runs goes on.
-func (s *Scheduler) Leaving(mgclock.Millis) { s.leaving = true }
+func (s *Scheduler) Leaving(mgclock.Millis) { s.isLeaving = true }
 
-// passing returns the cost that may pass a request, in its own cost.
-func (s *Scheduler) passing() float64 {
+// passingFactor returns the cost that may pass a request, in its own cost.
+func (s *Scheduler) passingFactor() float64 {
 	if p := s.spec.Policy.Passing; p != 0 {
 		return p
 	}
--- a/internal/request/mgscheduler/scheduler_test.go
+++ b/internal/request/mgscheduler/scheduler_test.go
@@ -14,7 +14,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-var small = mgscheduler.Spec{
+var smallSpec = mgscheduler.Spec{
 	Memory: 20_000,
 	Batch:  16,
 }
@@ -22,27 +22,27 @@
 // Five hundred gaugers ask within one second at the change of shift. Some
 // can't be answered in time; they hear it at the end of their patience or
 // never, and the others' answers come late as well.
-func TestBurst(t *testing.T) {
+func TestBurstMissesDeadlines(t *testing.T) {
 	Convey("In a burst", t, func() {
-		u := newUpstream(small)
+		u := newUpstream(smallSpec)
 		calls := make([]*call, 0, 500)
 		for n := range 500 {
 			calls = append(calls, u.send(fmt.Sprint(n%10), "note", 100, 10*mgclock.Second))
-			u.run(mgclock.Millis(2 * n))
+			u.runUntil(mgclock.Millis(2 * n))
 		}
-		u.run(mgclock.Minute)
+		u.runUntil(mgclock.Minute)
 
 		Convey("each caller hears in time, and what is let in is answered in time", func() {
 			answered := 0
 			for _, c := range calls {
 				if c.problem != nil {
-					So(c.told, ShouldBeLessThanOrEqualTo, c.request.Deadline)
+					So(c.problemAt, ShouldBeLessThanOrEqualTo, c.request.Deadline)
 					So(c.problem.Outcome(), ShouldEqual, mgproblem.NotRun)
 					So(c.problem.Retry(), ShouldBeGreaterThan, 0)
-					So(c.started, ShouldBeFalse)
+					So(c.isStarted, ShouldBeFalse)
 					continue
 				}
-				So(c.first, ShouldBeLessThanOrEqualTo, c.request.Deadline)
+				So(c.firstTokenAt, ShouldBeLessThanOrEqualTo, c.request.Deadline)
 				answered++
 			}
 			// 16 at a time, 2 s each, for 10 s and the time of the first batch.
@@ -53,31 +53,31 @@
 
 // A caller comes back when it was told to and is turned away again, and again:
 // the time in Retry-After was a guess.
-func TestRetryIsTruthful(t *testing.T) {
+func TestRetryTimeIsTooShort(t *testing.T) {
 	Convey("Who comes back when told is let in", t, func() {
-		u := newUpstream(small)
+		u := newUpstream(smallSpec)
 		var c *call
 		for n := 0; ; n++ {
 			c = u.send(fmt.Sprint(n%10), "note", 100, 20*mgclock.Second)
-			u.run(u.now + 40)
+			u.runUntil(u.now + 40)
 			if c.problem != nil {
 				break
 			}
 		}
-		u.run(u.now + c.problem.Retry() + u.step)
+		u.runUntil(u.now + c.problem.Retry() + u.step)
 		again := u.send(c.request.Account, "note", 100, 20*mgclock.Second)
 		So(again.problem, ShouldBeNil)
-		u.run(u.now + mgclock.Minute)
+		u.runUntil(u.now + mgclock.Minute)
 		So(again.problem, ShouldBeNil)
-		So(again.first, ShouldBeLessThanOrEqualTo, again.request.Deadline)
+		So(again.firstTokenAt, ShouldBeLessThanOrEqualTo, again.request.Deadline)
 	})
 }
 
 // One customer's batch job takes the engine, and the other nine customers'
 // notes time out although they ask for little.
-func TestHeavyAccount(t *testing.T) {
+func TestHeavyAccountDelaysOthers(t *testing.T) {
 	Convey("A heavy account keeps nobody from a share", t, func() {
-		u := newUpstream(small)
+		u := newUpstream(smallSpec)
 		heavy, light := 0, []*call(nil)
 		for u.now < 2*mgclock.Minute {
 			for range 4 {
@@ -86,16 +86,16 @@
 			if u.now%mgclock.Second == 0 {
 				light = append(light, u.send(fmt.Sprint("light", u.now/mgclock.Second%9), "note", 100, 30*mgclock.Second))
 			}
-			u.run(u.now + 200)
+			u.runUntil(u.now + 200)
 		}
 		for _, c := range u.calls {
-			if c.request.Account == "heavy" && c.ended > 0 {
+			if c.request.Account == "heavy" && c.endedAt > 0 {
 				heavy++
 			}
 		}
 		for _, c := range light[:len(light)-10] {
 			So(c.problem, ShouldBeNil)
-			So(c.first-c.request.Deadline+30*mgclock.Second, ShouldBeLessThan, 3*mgclock.Second)
+			So(c.firstTokenAt-c.request.Deadline+30*mgclock.Second, ShouldBeLessThan, 3*mgclock.Second)
 		}
 		// The heavy one gets what the light ones leave of 8 answers a second.
 		So(heavy, ShouldBeGreaterThan, 120*6)
@@ -104,15 +104,15 @@
 
 // An upstream turns ten times slower. Requests are let in as before, and all
 // of them wait out their deadline.
-func TestSlowUpstream(t *testing.T) {
+func TestSlowUpstreamStillAccepts(t *testing.T) {
 	Convey("When the upstream turns slow, more are turned away at once", t, func() {
-		u := newUpstream(small)
+		u := newUpstream(smallSpec)
 		load := func(until mgclock.Millis) (refused, late int) {
 			for u.now < until {
 				c := u.send(fmt.Sprint(u.now/200%7), "note", 100, 15*mgclock.Second)
 				came := u.now
-				u.run(u.now + 200)
-				if c.problem != nil && c.told == came {
+				u.runUntil(u.now + 200)
+				if c.problem != nil && c.problemAt == came {
 					refused++
 				}
 			}
@@ -131,7 +131,7 @@
 		So(late, ShouldBeLessThan, refused/4)
 		for _, c := range u.calls {
 			if c.problem != nil {
-				So(c.told, ShouldBeLessThanOrEqualTo, c.request.Deadline)
+				So(c.problemAt, ShouldBeLessThanOrEqualTo, c.request.Deadline)
 			}
 		}
 	})
@@ -139,21 +139,21 @@
 
 // A lookup takes a minute: the batch is full of shift reports, and more of
 // them wait in front.
-func TestLongAmongShort(t *testing.T) {
+func TestReportsDelayLookups(t *testing.T) {
 	Convey("Lookups pass the reports that wait", t, func() {
-		u := newUpstream(small)
+		u := newUpstream(smallSpec)
 		r := rand.New(rand.NewPCG(5, 6))
 		lookups := []*call(nil)
 		for u.now < 5*mgclock.Minute {
 			u.send("tank", "report", 500+r.IntN(1000), mgclock.Minute)
 			lookups = append(lookups, u.send("tank", "lookup", 10, 10*mgclock.Second))
-			u.run(u.now + mgclock.Second)
+			u.runUntil(u.now + mgclock.Second)
 		}
-		u.run(u.now + mgclock.Minute)
+		u.runUntil(u.now + mgclock.Minute)
 		inTime := 0
 		for _, c := range lookups {
 			if c.problem == nil {
-				So(c.first, ShouldBeLessThanOrEqualTo, c.request.Deadline)
+				So(c.firstTokenAt, ShouldBeLessThanOrEqualTo, c.request.Deadline)
 				inTime++
 			}
 		}
@@ -163,7 +163,7 @@
 
 // A report with a long prompt waits for memory. Either all lookups wait with
 // it, or they take what becomes free, and the report never starts.
-func TestPassing(t *testing.T) {
+func TestLongPromptBlocksOrStarves(t *testing.T) {
 	Convey("While a long prompt waits for memory", t, func() {
 		u := newUpstream(mgscheduler.Spec{
 			Memory: 1000,
@@ -173,33 +173,33 @@
 			},
 		})
 		for range 40 {
-			u.prompt("lookup", 50, 10)
+			u.sendPrompt("lookup", 50, 10)
 		}
-		u.run(10 * mgclock.Second)
-		running := u.prompt("note", 600, 200)
-		waiting := u.prompt("report", 500, 200)
+		u.runUntil(10 * mgclock.Second)
+		running := u.sendPrompt("note", 600, 200)
+		waiting := u.sendPrompt("report", 500, 200)
 		lookups := []*call(nil)
 		came := u.now
 		for u.now < came+10*mgclock.Second {
-			lookups = append(lookups, u.prompt("lookup", 50, 10))
-			u.run(u.now + 200)
+			lookups = append(lookups, u.sendPrompt("lookup", 50, 10))
+			u.runUntil(u.now + 200)
 		}
 		Convey("some lookups that fit pass it", func() {
 			for _, c := range lookups[:3] {
-				So(c.first, ShouldBeBetween, came, came+1100)
+				So(c.firstTokenAt, ShouldBeBetween, came, came+1100)
 			}
 		})
 		Convey("and it starts soon after there is room", func() {
-			So(waiting.first, ShouldBeBetween, running.ended, running.ended+mgclock.Second)
+			So(waiting.firstTokenAt, ShouldBeBetween, running.endedAt, running.endedAt+mgclock.Second)
 		})
 	})
 }
 
 // An agent is replaced while eight long answers run. The new one takes the
 // engine for empty, lets in a full batch, and the engine preempts all of them.
-func TestResume(t *testing.T) {
+func TestRunningAnswersAreNotCounted(t *testing.T) {
 	Convey("What the upstream runs already counts", t, func() {
-		u := newUpstream(small)
+		u := newUpstream(smallSpec)
 		for n := range 8 {
 			u.scheduler.Resume(u.now, mgscheduler.Request{
 				ID:     fmt.Sprint("old", n),
@@ -207,20 +207,20 @@
 			}, 400)
 		}
 		So(u.scheduler.Memory(), ShouldEqual, 8*2400)
-		waiting := u.prompt("report", 1000, 10)
-		So(waiting.started, ShouldBeFalse)
+		waiting := u.sendPrompt("report", 1000, 10)
+		So(waiting.isStarted, ShouldBeFalse)
 		for n := range 8 {
 			u.scheduler.Progress(u.now, fmt.Sprint("old", n), 401)
 			u.scheduler.Finish(u.now, fmt.Sprint("old", n))
 		}
 		u.poll()
-		So(waiting.started, ShouldBeTrue)
+		So(waiting.isStarted, ShouldBeTrue)
 		So(u.scheduler.Memory(), ShouldEqual, 1000)
 	})
 }
 
 // An engine comes back with cold caches and gets a full batch at once.
-func TestLimit(t *testing.T) {
+func TestBatchLimitIsExceeded(t *testing.T) {
 	Convey("The zero scheduler starts no more than its limit", t, func() {
 		u := newUpstream(mgscheduler.Spec{})
 		u.scheduler = new(mgscheduler.Scheduler)
@@ -237,20 +237,20 @@
 
 // An upstream is reclaimed. Requests that wait for it are kept until it dies,
 // although others could have answered them.
-func TestLeaving(t *testing.T) {
+func TestLeavingUpstreamKeepsWaitingRequests(t *testing.T) {
 	Convey("A leaving upstream hands back what waits and ends what runs", t, func() {
-		u := newUpstream(small)
+		u := newUpstream(smallSpec)
 		for range 20 {
 			u.send("tank", "note", 100, 0)
 		}
 		u.scheduler.Leaving(u.now)
 		u.poll()
 		So(u.send("tank", "note", 100, 0).problem.Kind(), ShouldEqual, mgproblem.Leaving)
-		u.run(mgclock.Minute)
+		u.runUntil(mgclock.Minute)
 		ended, handed := 0, 0
 		for _, c := range u.calls {
 			switch {
-			case c.ended > 0:
+			case c.endedAt > 0:
 				ended++
 			case c.problem.Kind() == mgproblem.Leaving:
 				handed++
@@ -264,7 +264,7 @@
 // Whatever comes, each request gets one verdict, an idle upstream starts what
 // waits, nothing is given up on after its deadline, and an idle scheduler
 // holds nothing.
-func TestSchedulerProperties(t *testing.T) {
+func TestRequestWithoutSingleOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := newUpstream(mgscheduler.Spec{
 			Memory: rapid.Int64Range(200, 5000).Draw(t, "memory"),
@@ -290,7 +290,7 @@
 					u.scheduler.Preempted(u.now, u.running[0].request.ID)
 				}
 			}
-			u.run(u.now + 20)
+			u.runUntil(u.now + 20)
 			if u.scheduler.Queued() > 0 && u.scheduler.Running() == 0 {
 				t.Fatal("the upstream is idle while requests wait")
 			}
@@ -298,10 +298,10 @@
 				t.Fatalf("%d run, the scheduler says %d", len(u.running), u.scheduler.Running())
 			}
 		}
-		u.run(u.now + 10*mgclock.Minute)
+		u.runUntil(u.now + 10*mgclock.Minute)
 		for id, c := range u.calls {
 			verdicts := 0
-			for _, is := range []bool{c.ended > 0, c.problem != nil, withdrawn[id]} {
+			for _, is := range []bool{c.endedAt > 0, c.problem != nil, withdrawn[id]} {
 				if is {
 					verdicts++
 				}
@@ -309,7 +309,7 @@
 			if verdicts != 1 {
 				t.Fatalf("request %s has %d verdicts", id, verdicts)
 			}
-			if c.problem != nil && c.request.Deadline > 0 && c.told > c.request.Deadline {
+			if c.problem != nil && c.request.Deadline > 0 && c.problemAt > c.request.Deadline {
 				t.Fatalf("request %s was given up on after its deadline", id)
 			}
 		}
@@ -324,7 +324,7 @@
 func BenchmarkOffer(b *testing.B) {
 	for _, accounts := range []int{10, 35_000} {
 		b.Run(fmt.Sprint(accounts), func(b *testing.B) {
-			s, requests := crowd(accounts)
+			s, requests := newKnownAccounts(accounts)
 			n := 0
 			b.ReportAllocs()
 			for b.Loop() {
@@ -338,7 +338,7 @@
 func BenchmarkStart(b *testing.B) {
 	for _, accounts := range []int{10, 35_000} {
 		b.Run(fmt.Sprint(accounts), func(b *testing.B) {
-			s, requests := crowd(accounts)
+			s, requests := newKnownAccounts(accounts)
 			n := 0
 			var decisions []mgscheduler.Decision
 			b.ReportAllocs()
@@ -359,10 +359,10 @@
 	}
 }
 
-// crowd returns a scheduler that has answered each account once, and requests
+// newKnownAccounts returns a scheduler that has answered each account once, and requests
 // of theirs.
-func crowd(accounts int) (*mgscheduler.Scheduler, []mgscheduler.Request) {
-	s := mgscheduler.New(small)
+func newKnownAccounts(accounts int) (*mgscheduler.Scheduler, []mgscheduler.Request) {
+	s := mgscheduler.New(smallSpec)
 	requests := make([]mgscheduler.Request, accounts)
 	for n := range requests {
 		requests[n] = mgscheduler.Request{
--- a/internal/request/mgscheduler/upstream_test.go
+++ b/internal/request/mgscheduler/upstream_test.go
@@ -20,14 +20,14 @@
 
 // call is a request with what its caller got.
 type call struct {
-	request  mgscheduler.Request
-	length   int
-	produced int
-	started  bool
-	first    mgclock.Millis // when the first token came
-	ended    mgclock.Millis // when the whole answer had come
-	problem  *mgproblem.Problem
-	told     mgclock.Millis // when the problem came
+	request      mgscheduler.Request
+	length       int
+	produced     int
+	isStarted    bool
+	firstTokenAt mgclock.Millis // when the first token came
+	endedAt      mgclock.Millis // when the whole answer had come
+	problem      *mgproblem.Problem
+	problemAt    mgclock.Millis // when the problem came
 }
 
 func newUpstream(spec mgscheduler.Spec) *upstream {
@@ -38,9 +38,9 @@
 	}
 }
 
-// prompt submits a request of a new account with a prompt of some tokens and
+// sendPrompt submits a request of a new account with a sendPrompt of some tokens and
 // no deadline.
-func (u *upstream) prompt(service string, prompt, length int) *call {
+func (u *upstream) sendPrompt(service string, prompt, length int) *call {
 	id := fmt.Sprint(len(u.calls))
 	c := &call{
 		length: length,
@@ -76,7 +76,7 @@
 func (u *upstream) submit(c *call) {
 	u.calls[c.request.ID] = c
 	c.problem = u.scheduler.Submit(u.now, c.request)
-	c.told = u.now
+	c.problemAt = u.now
 	u.poll()
 }
 
@@ -86,16 +86,16 @@
 		c := u.calls[d.ID]
 		if d.GiveUp != nil {
 			c.problem = d.GiveUp
-			c.told = u.now
+			c.problemAt = u.now
 			continue
 		}
-		c.started = true
+		c.isStarted = true
 		u.running = append(u.running, c)
 	}
 }
 
-// run makes steps until a time, and polls in between when the scheduler asks.
-func (u *upstream) run(until mgclock.Millis) {
+// runUntil makes steps until a time, and polls in between when the scheduler asks.
+func (u *upstream) runUntil(until mgclock.Millis) {
 	for next := u.now + u.step; next <= until; next += u.step {
 		for at := u.scheduler.NextWake(u.now); at > 0 && at < next; at = u.scheduler.NextWake(u.now) {
 			u.now = max(u.now, at)
@@ -113,13 +113,13 @@
 		c.produced++
 		u.scheduler.Progress(u.now, c.request.ID, c.produced)
 		if c.produced == 1 {
-			c.first = u.now
+			c.firstTokenAt = u.now
 		}
 		if c.produced < c.length {
 			kept = append(kept, c)
 			continue
 		}
-		c.ended = u.now
+		c.endedAt = u.now
 		u.scheduler.Finish(u.now, c.request.ID)
 	}
 	u.running = kept
