--- a/internal/request/mgscheduler/decide.go
+++ b/internal/request/mgscheduler/decide.go
@@ -7,7 +7,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// refusal returns why a request with a predicted wait can't be taken, or nil.
+// refusal returns the problem for which a request with a predicted wait is refused, or nil.
 func (s *Scheduler) refusal(now mgclock.Millis, r *Request, output float64, predicted mgclock.Millis) *mgproblem.Problem {
 	switch {
 	case s.isLeaving:
@@ -29,16 +29,16 @@
 	return nil
 }
 
-// retryWhenFull returns when a request that finds no place can come back: half of
-// what is ahead of it has gone by then.
+// retryWhenFull returns the retry time of a request for which the queue is full: by then
+// half of the work ahead of it is done.
 func (s *Scheduler) retryWhenFull(r *Request, predicted mgclock.Millis) mgclock.Millis {
 	wait := s.forecast.Corrected(r.Priority, predicted)
 	return mgadmission.Retry(wait, wait/2)
 }
 
-// predict returns the time until a request would start by the work ahead of
-// it. Where nothing is ahead and yet it doesn't fit, something must end first,
-// about the work of one answer.
+// predict returns the time until a request would start, by the work ahead of it. Where
+// nothing is ahead and it still doesn't fit, something must end first, which takes about
+// the work of one answer.
 func (s *Scheduler) predict(now mgclock.Millis, r *Request, output float64) mgclock.Millis {
 	item := s.item(r, output)
 	ahead := s.queue.Ahead(now, item)
@@ -48,7 +48,7 @@
 	return s.forecast.Wait(now, ahead+item.Cost)
 }
 
-// expiry returns when a request must start at the latest, or 0.
+// expiry returns the latest time at which a request must start, or 0.
 func (s *Scheduler) expiry(r *Request, output float64) mgclock.Millis {
 	first := s.forecast.FirstToken(r.uncached())
 	expiry := mgclock.Millis(0)
@@ -65,8 +65,8 @@
 	return latest
 }
 
-// next returns the request that starts next, if one may: the head of the queue
-// or one that passes it.
+// next returns the request that starts next, if one may: the head of the queue or one that
+// overtakes it.
 func (s *Scheduler) next() (mgqueue.Item, bool) {
 	item, ok := s.queue.Peek()
 	if !ok || s.gate.Full() {
@@ -90,7 +90,7 @@
 	return item, false
 }
 
-// start takes a request out of the queue.
+// start takes a request from the queue and starts it.
 func (s *Scheduler) start(now mgclock.Millis, id string) Decision {
 	item, _ := s.queue.Take(id)
 	j := s.jobs[item.ID]
@@ -102,7 +102,7 @@
 	}
 }
 
-// giveUp answers a request that can no longer be answered in time.
+// giveUp drops a request that can no longer be answered in time.
 func (s *Scheduler) giveUp(now mgclock.Millis, item mgqueue.Item) Decision {
 	j := s.jobs[item.ID]
 	s.forecast.Waited(j.request.Priority, j.predicted, now-j.arrivedAt)
@@ -115,7 +115,7 @@
 	}
 }
 
-// returnAll gives up everything that waits, as it can start elsewhere.
+// returnAll gives up all waiting requests, since they can start elsewhere.
 func (s *Scheduler) returnAll(dst []Decision) []Decision {
 	for {
 		item, ok := s.queue.Pop()
--- a/internal/request/mgscheduler/doc.go
+++ b/internal/request/mgscheduler/doc.go
@@ -1,26 +1,25 @@
-// Package mgscheduler is what an agent decides for its upstream: the fair
-// queue, the gate over memory and the forecast of waits put together.
+// Package mgscheduler makes an agent's decisions for its upstream. It combines the fair
+// queue, the memory gate and the forecast of waits.
 //
 // # Load
 //
-// More requests than an upstream can answer in time, of unknown length, from
-// accounts of which a few take most. Without the scheduler a request waits
-// until its caller has gone, the upstream computes answers that nobody reads,
-// and who asks most gets most.
+// An upstream gets more requests than it can answer in time, of unknown length, from
+// accounts of which a few send most. Without the scheduler a request waits until its caller
+// has gone, the upstream computes answers that nobody reads, and the account that sends
+// most gets most.
 //
 // # Decisions
 //
-// Submit queues a request or refuses it at once, with the time after which it
-// could be answered. Poll starts what the gate lets in, in the order of the
-// queue, and gives up on what can no longer be answered in time; the caller
-// polls after each event and at NextWake. While the head of the queue waits for
-// memory, short requests that fit may pass it (backfilling, Lifka 1995), but
-// only up to its own cost: a stream of them would keep a long prompt waiting for
-// ever.
+// Submit queues a request or refuses it at once, with the time after which it could be
+// answered. Poll starts what the gate admits, in the order of the queue, and gives up what
+// can no longer be answered in time; the caller polls after each event and at NextWake.
+// While the head of the queue waits for memory, short requests that fit may overtake it
+// (backfilling, Lifka 1995), up to a total that depends on its own cost: an unlimited
+// number of them would keep a long prompt waiting forever.
 //
-// The engine's reports lag, so the scheduler counts what it started by itself;
-// Used only tells it of memory that something else holds.
+// The engine's reports lag, so the scheduler counts by itself what it started; Used only
+// reports memory that something else holds.
 //
-// A Scheduler has no clock, no network and no goroutine, and isn't safe for
-// concurrent use: its agent guards it.
+// A Scheduler has no clock, no network and no goroutine, and isn't safe for concurrent use:
+// its agent guards it.
 package mgscheduler
--- a/internal/request/mgscheduler/example_test.go
+++ b/internal/request/mgscheduler/example_test.go
@@ -7,8 +7,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// An agent asks the scheduler after each event, and carries out what it
-// decides.
+// An agent polls the scheduler after each event and carries out its decisions.
 func Example() {
 	s := mgscheduler.New(mgscheduler.Spec{
 		Memory: 40_000,
--- a/internal/request/mgscheduler/job.go
+++ b/internal/request/mgscheduler/job.go
@@ -7,19 +7,19 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// job is a request that waits or runs.
+// job is a waiting or running request.
 type job struct {
 	request      Request
 	arrivedAt    mgclock.Millis
-	predicted    mgclock.Millis // wait, without the correction for its level
+	predicted    mgclock.Millis // wait, without the correction for its priority
 	startedAt    mgclock.Millis
 	lastProgress mgclock.Millis // when it last produced tokens
-	passedCost   float64        // cost of the requests that passed it
-	chargedCost  float64        // cost that its account was charged
+	passedCost   float64        // cost of the requests that overtook it
+	chargedCost  float64        // cost charged to its account
 	answer       mglength.Answer
 	share        mgadmission.Share
 	isRunning    bool
-	produced     int // tokens produced
+	produced     int // tokens
 }
 
 // job returns an empty job.
@@ -46,7 +46,7 @@
 	s.forecast.Busy(now, true)
 }
 
-// dropJob forgets a job.
+// dropJob removes a job and keeps it for reuse.
 func (s *Scheduler) dropJob(j *job) {
 	j.answer.Stop()
 	delete(s.jobs, j.request.ID)
@@ -56,8 +56,8 @@
 	}
 }
 
-// progressCost returns the cost that a job's progress adds, and takes note of the pace
-// of its tokens.
+// progressCost returns the cost that a job's progress adds, and records the speed of its
+// tokens.
 func (s *Scheduler) progressCost(now mgclock.Millis, j *job, produced int) float64 {
 	cost := float64(produced - j.produced)
 	last := j.lastProgress
@@ -70,13 +70,13 @@
 	return cost + mgadmission.Cost(j.request.uncached(), 0)
 }
 
-// charge makes cost what the job's account has been charged.
+// charge sets what the job's account has been charged to cost.
 func (s *Scheduler) charge(j *job, cost float64) {
 	s.queue.Charge(j.request.Account, j.request.Weight, cost-j.chargedCost)
 	j.chargedCost = cost
 }
 
-// finishJob forgets a running job and settles what it cost.
+// finishJob removes a running job and charges its final cost.
 func (s *Scheduler) finishJob(now mgclock.Millis, j *job) {
 	s.charge(j, j.cost())
 	s.gate.Leave(&j.share)
@@ -88,12 +88,12 @@
 	s.queue.Rest()
 }
 
-// cost returns what the job has cost until now.
+// cost returns the job's cost until now.
 func (j *job) cost() float64 {
 	return mgadmission.Cost(j.request.uncached(), float64(j.produced))
 }
 
-// item returns a request as the queue sees it.
+// item returns a request as an item of the queue.
 func (s *Scheduler) item(r *Request, output float64) mgqueue.Item {
 	return mgqueue.Item{
 		ID:       r.ID,
@@ -111,7 +111,7 @@
 	return s.lengths.Curve(key(r)).Mean(0, r.Max)
 }
 
-// candidate returns a waiting job as the gate sees it.
+// candidate returns a waiting job as a candidate for the gate.
 func (s *Scheduler) candidate(j *job) mgadmission.Candidate {
 	return candidate(&j.request, s.lengths.Curve(key(&j.request)))
 }
--- a/internal/request/mgscheduler/scheduler.go
+++ b/internal/request/mgscheduler/scheduler.go
@@ -8,30 +8,30 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// chargeStep is the number of tokens by which an account is charged ahead once an
-// answer runs longer than expected: often enough that a long answer can't take
-// more than its share, seldom enough to cost nothing per token.
+// chargeStep is the number of tokens by which an account is charged in advance once an
+// answer runs longer than expected. It is small enough that a long answer can't take more
+// than its share, and large enough to cost nothing per token.
 const chargeStep = 64
 
-// DefaultPassing is the cost of the requests that may pass one which waits for
-// memory, in its own cost. The memory that they take comes back before much of
-// that which it waits for becomes free, and what they cost bounds the wait of
-// the one that is passed. Without passing lookups wait among very long reports;
-// with more, heavy accounts have more than their share.
+// DefaultPassing limits the cost of the requests that may overtake one that waits for
+// memory, as a multiple of that one's cost. The memory that they take becomes free before
+// much of that which it waits for, and the limit on their cost bounds its wait. Without
+// overtaking, lookups wait among very long reports; with a higher limit, heavy accounts get
+// more than their share.
 const DefaultPassing = 0.5
 
-// maxSpares is the most freed jobs kept for reuse.
+// maxSpares is the maximum number of freed jobs kept for reuse.
 const maxSpares = 1024
 
-// A Scheduler decides for one upstream. The zero Scheduler has the defaults of
-// a Spec and is ready for use.
+// A Scheduler schedules the requests of one upstream. The zero Scheduler has the defaults
+// of a Spec and is ready for use.
 type Scheduler struct {
 	spec        Spec
 	queue       mgqueue.Queue
 	gate        mgadmission.Gate
 	forecast    mgadmission.Forecast
 	lengths     mglength.Estimator
-	jobs        map[string]*job // that wait or run
+	jobs        map[string]*job // waiting and running, by ID
 	freeJobs    []*job
 	isLeaving   bool
 	candidates  []mgqueue.Item
@@ -59,10 +59,10 @@
 	}
 }
 
-// Running returns the number of requests that were started and have not ended.
+// Running returns the number of running requests.
 func (s *Scheduler) Running() int { return s.gate.Running() }
 
-// Queued returns the number of requests that wait.
+// Queued returns the number of waiting requests.
 func (s *Scheduler) Queued() int { return s.queue.Len() }
 
 // Memory returns the tokens of memory that the running requests hold.
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// Offer tells what a request would meet now. It takes no place for it.
+// Offer returns the prospects of a request if it were submitted now. It reserves nothing.
 func (s *Scheduler) Offer(now mgclock.Millis, r Request) Offer {
 	output := s.output(&r)
 	predicted := s.predict(now, &r, output)
@@ -107,7 +107,7 @@
 	}
 }
 
-// Poll appends to dst what is given up and what starts now, in this order.
+// Poll appends to dst first the requests that are given up and then those that start now.
 func (s *Scheduler) Poll(now mgclock.Millis, dst []Decision) []Decision {
 	if s.isLeaving {
 		return s.returnAll(dst)
@@ -128,9 +128,9 @@
 	}
 }
 
-// Resume tells of a request that the upstream runs already and has produced a
-// number of tokens of, as a replaced agent finds it. It counts against memory
-// and batch from now on, and its account pays for what is still to come.
+// Resume adds a request that the upstream runs already and for which it has produced a
+// number of tokens, as a replaced agent finds it. The request counts against memory and
+// batch from now on, and its account pays for the remaining tokens.
 func (s *Scheduler) Resume(now mgclock.Millis, r Request, produced int) {
 	if s.jobs[r.ID] != nil {
 		return
@@ -147,13 +147,13 @@
 	s.gate.Weigh(&j.share, j.answer.Curve())
 }
 
-// NextWake returns when Poll has something to do without an event, or 0.
+// NextWake returns the time at which Poll has something to do even without an event, or 0.
 func (s *Scheduler) NextWake(mgclock.Millis) mgclock.Millis {
 	return s.queue.NextExpiry()
 }
 
-// Withdraw drops a request that still waits. It reports whether it did, so
-// that the request certainly has not run.
+// Withdraw removes a waiting request. It reports whether it did; if so, the request
+// certainly has not run.
 func (s *Scheduler) Withdraw(_ mgclock.Millis, id string) bool {
 	if _, ok := s.queue.Remove(id); !ok {
 		return false
@@ -162,8 +162,7 @@
 	return true
 }
 
-// Progress tells that a running request has produced a number of tokens in
-// all.
+// Progress records the total number of tokens that a running request has produced.
 func (s *Scheduler) Progress(now mgclock.Millis, id string, produced int) {
 	j := s.jobs[id]
 	if j == nil || !j.isRunning || produced <= j.produced {
@@ -180,15 +179,15 @@
 	}
 }
 
-// Preempted tells that the upstream took a running request's memory away. The
-// memory stays counted, as the request takes it again before it ends.
+// Preempted records that the upstream took a running request's memory away. The memory
+// stays counted, since the request takes it again before it ends.
 func (s *Scheduler) Preempted(_ mgclock.Millis, id string) {
 	if j := s.jobs[id]; j != nil && j.isRunning {
 		s.preemptions++
 	}
 }
 
-// Finish tells that a running request came to its end.
+// Finish records that a running request is complete.
 func (s *Scheduler) Finish(now mgclock.Millis, id string) {
 	j := s.jobs[id]
 	if j == nil || !j.isRunning {
@@ -200,7 +199,7 @@
 	s.finishJob(now, j)
 }
 
-// Rest returns how long a running request is expected to take to its end.
+// Rest returns the expected time until a running request is complete.
 func (s *Scheduler) Rest(id string) mgclock.Millis {
 	j := s.jobs[id]
 	if j == nil || !j.isRunning {
@@ -213,28 +212,29 @@
 	return remaining
 }
 
-// Abandon tells that a running request was cut off, by its caller or by a
-// fault. Its length says nothing.
+// Abandon records that a running request was cut off, by its caller or by a fault. Its
+// length isn't used for estimates.
 func (s *Scheduler) Abandon(now mgclock.Millis, id string) {
 	if j := s.jobs[id]; j != nil && j.isRunning {
 		s.finishJob(now, j)
 	}
 }
 
-// Used tells the upstream's own count of used memory, which lags.
+// Used records the upstream's own count of used memory, which lags.
 func (s *Scheduler) Used(_ mgclock.Millis, tokens int64) {
 	s.gate.Reported(tokens)
 }
 
-// Limit sets the most answers at a time from now on, 0 for the default: an
-// engine that warms up takes part of its batch. What runs beyond it goes on.
+// Limit sets the maximum number of running answers, 0 for the default: an engine that warms
+// up takes only part of its batch. Answers beyond a lower limit keep running.
 func (s *Scheduler) Limit(_ mgclock.Millis, batch int) { s.gate.Limit(batch) }
 
-// Leaving refuses new work from now on, and the next Poll hands back what
-// waits. What runs goes on.
+// Leaving refuses new requests from now on, and the next Poll gives up those that wait.
+// Running requests continue.
 func (s *Scheduler) Leaving(mgclock.Millis) { s.isLeaving = true }
 
-// passingFactor returns the cost that may pass a request, in its own cost.
+// passingFactor returns the limit on the cost that may overtake a request, as a multiple of
+// its own cost.
 func (s *Scheduler) passingFactor() float64 {
 	if p := s.spec.Policy.Passing; p != 0 {
 		return p
--- a/internal/request/mgscheduler/scheduler_test.go
+++ b/internal/request/mgscheduler/scheduler_test.go
@@ -19,9 +19,9 @@
 	Batch:  16,
 }
 
-// Five hundred gaugers ask within one second at the change of shift. Some
-// can't be answered in time; they hear it at the end of their patience or
-// never, and the others' answers come late as well.
+// Five hundred requests come within one second, and some can't be answered in time. Their
+// callers learn it only at the deadline or never, and the answers to the others are late as
+// well.
 func TestBurstMissesDeadlines(t *testing.T) {
 	Convey("In a burst", t, func() {
 		u := newUpstream(smallSpec)
@@ -51,8 +51,8 @@
 	})
 }
 
-// A caller comes back when it was told to and is turned away again, and again:
-// the time in Retry-After was a guess.
+// A caller returns after the given retry time and is refused again and again, because the
+// time is not derived from the work ahead.
 func TestRetryTimeIsTooShort(t *testing.T) {
 	Convey("Who comes back when told is let in", t, func() {
 		u := newUpstream(smallSpec)
@@ -73,8 +73,8 @@
 	})
 }
 
-// One customer's batch job takes the engine, and the other nine customers'
-// notes time out although they ask for little.
+// One account's batch job occupies the engine, and the requests of nine other accounts time
+// out although they ask for little.
 func TestHeavyAccountDelaysOthers(t *testing.T) {
 	Convey("A heavy account keeps nobody from a share", t, func() {
 		u := newUpstream(smallSpec)
@@ -97,13 +97,13 @@
 			So(c.problem, ShouldBeNil)
 			So(c.firstTokenAt-c.request.Deadline+30*mgclock.Second, ShouldBeLessThan, 3*mgclock.Second)
 		}
-		// The heavy one gets what the light ones leave of 8 answers a second.
+		// The heavy account gets what the light ones leave of 8 answers a second.
 		So(heavy, ShouldBeGreaterThan, 120*6)
 	})
 }
 
-// An upstream turns ten times slower. Requests are let in as before, and all
-// of them wait out their deadline.
+// An upstream becomes ten times slower. Requests are accepted as before, and all of them
+// wait until their deadline.
 func TestSlowUpstreamStillAccepts(t *testing.T) {
 	Convey("When the upstream turns slow, more are turned away at once", t, func() {
 		u := newUpstream(smallSpec)
@@ -137,8 +137,8 @@
 	})
 }
 
-// A lookup takes a minute: the batch is full of shift reports, and more of
-// them wait in front.
+// A lookup takes a minute, because the batch is full of reports and more of them wait ahead
+// of it.
 func TestReportsDelayLookups(t *testing.T) {
 	Convey("Lookups pass the reports that wait", t, func() {
 		u := newUpstream(smallSpec)
@@ -161,8 +161,8 @@
 	})
 }
 
-// A report with a long prompt waits for memory. Either all lookups wait with
-// it, or they take what becomes free, and the report never starts.
+// A request with a long prompt waits for memory. Either all lookups wait behind it, or they
+// take all memory that becomes free, and it never starts.
 func TestLongPromptBlocksOrStarves(t *testing.T) {
 	Convey("While a long prompt waits for memory", t, func() {
 		u := newUpstream(mgscheduler.Spec{
@@ -195,8 +195,8 @@
 	})
 }
 
-// An agent is replaced while eight long answers run. The new one takes the
-// engine for empty, lets in a full batch, and the engine preempts all of them.
+// An agent is replaced while eight long answers run. The new one assumes that the engine is
+// empty and starts a full batch, and the engine preempts all of them.
 func TestRunningAnswersAreNotCounted(t *testing.T) {
 	Convey("What the upstream runs already counts", t, func() {
 		u := newUpstream(smallSpec)
@@ -219,7 +219,7 @@
 	})
 }
 
-// An engine comes back with cold caches and gets a full batch at once.
+// An engine returns with cold caches and gets a full batch at once.
 func TestBatchLimitIsExceeded(t *testing.T) {
 	Convey("The zero scheduler starts no more than its limit", t, func() {
 		u := newUpstream(mgscheduler.Spec{})
@@ -235,8 +235,8 @@
 	})
 }
 
-// An upstream is reclaimed. Requests that wait for it are kept until it dies,
-// although others could have answered them.
+// Requests that wait for an upstream that is reclaimed are kept until it ends, although
+// others could have answered them.
 func TestLeavingUpstreamKeepsWaitingRequests(t *testing.T) {
 	Convey("A leaving upstream hands back what waits and ends what runs", t, func() {
 		u := newUpstream(smallSpec)
@@ -261,9 +261,9 @@
 	})
 }
 
-// Whatever comes, each request gets one verdict, an idle upstream starts what
-// waits, nothing is given up on after its deadline, and an idle scheduler
-// holds nothing.
+// For any sequence of events, each request gets exactly one outcome, an idle upstream
+// starts what waits, nothing is given up after its deadline, and an idle scheduler holds no
+// memory.
 func TestRequestWithoutSingleOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := newUpstream(mgscheduler.Spec{
@@ -319,8 +319,8 @@
 	})
 }
 
-// BenchmarkOffer and BenchmarkStart measure the two decisions on the path of a
-// request, with as many accounts known and some of them waiting.
+// BenchmarkOffer and BenchmarkStart measure the two decisions made for each request, by the
+// number of known accounts.
 func BenchmarkOffer(b *testing.B) {
 	for _, accounts := range []int{10, 35_000} {
 		b.Run(fmt.Sprint(accounts), func(b *testing.B) {
@@ -359,8 +359,8 @@
 	}
 }
 
-// newKnownAccounts returns a scheduler that has answered each account once, and requests
-// of theirs.
+// newKnownAccounts returns a scheduler that has answered one request of each account, and
+// those requests.
 func newKnownAccounts(accounts int) (*mgscheduler.Scheduler, []mgscheduler.Request) {
 	s := mgscheduler.New(smallSpec)
 	requests := make([]mgscheduler.Request, accounts)
--- a/internal/request/mgscheduler/spec.go
+++ b/internal/request/mgscheduler/spec.go
@@ -9,30 +9,30 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// Spec holds the settings of a Scheduler. The zero Spec has no bound on memory
-// and takes the defaults.
+// Spec holds the settings of a Scheduler. The zero Spec has unlimited memory and takes the
+// defaults.
 type Spec struct {
-	Memory int64          // tokens of the upstream's memory, 0 for no bound
-	Batch  int            // most answers at a time, 0 for mgadmission.DefaultBatch
-	Queue  int            // most requests that wait, 0 for mgqueue.DefaultBound
-	Boost  mgclock.Millis // head start per priority, 0 for mgqueue.DefaultBoost
+	Memory int64          // tokens of the upstream's memory, 0 for unlimited
+	Batch  int            // maximum number of running answers, 0 for mgadmission.DefaultBatch
+	Queue  int            // maximum number of waiting requests, 0 for mgqueue.DefaultBound
+	Boost  mgclock.Millis // head start for each priority level, 0 for mgqueue.DefaultBoost
 	Policy Policy
 }
 
-// A Policy is a named set of settings that are compared with each other. The
-// zero Policy is the one to use.
+// A Policy is a named set of settings, for comparisons. The zero Policy is the one for
+// production.
 type Policy struct {
-	Rule    mgadmission.Rule // what is let in
-	Free    float64          // share that stays free under mgadmission.Mark
+	Rule    mgadmission.Rule // admission rule
+	Free    float64          // share of the memory that stays free under mgadmission.Mark
 	Short   float64          // z of short steady answers under mgadmission.Outgrow
 	Steady  float64          // z of other steady answers under mgadmission.Outgrow
 	Whole   float64          // z of whole answers under mgadmission.Outgrow
-	Loan    float64          // tokens that a priority is lent, 0 for mgqueue.DefaultLoan, negative for none
-	Passing float64          // cost that may pass a waiting request, in its own cost, 0 for DefaultPassing, negative for none
+	Loan    float64          // tokens lent to each priority level, 0 for mgqueue.DefaultLoan, negative for none
+	Passing float64          // cost that may overtake a waiting request, as a multiple of its own, 0 for DefaultPassing, negative for none
 }
 
-// policies holds the named policies. Those beside ours are its earlier versions
-// and rivals; ours-Z is a point of the front between many answers and few
+// policies holds the policies by name. Those other than "ours" are its earlier versions and
+// alternatives; ours-Z is a point on the Pareto front between many answers and few
 // preemptions.
 var policies = map[string]Policy{
 	"ours": {},
@@ -80,7 +80,7 @@
 	},
 }
 
-// Named returns the policy of a name.
+// Named returns the policy with a name.
 func Named(name string) (Policy, error) {
 	p, ok := policies[name]
 	if !ok {
@@ -89,7 +89,7 @@
 	return p, nil
 }
 
-// Names returns the names of all policies in order.
+// Names returns the sorted names of all policies.
 func Names() []string {
 	names := make([]string, 0, len(policies))
 	for name := range policies {
@@ -99,7 +99,7 @@
 	return names
 }
 
-// Preference is what a service's callers mind most.
+// Preference is what matters most to a service's callers.
 type Preference string
 
 // The preferences.
@@ -108,7 +108,7 @@
 	Whole  Preference = "whole" // no stall and no preemption
 )
 
-// A Request is what the scheduler is told of a generation.
+// A Request describes a generation to the scheduler.
 type Request struct {
 	ID       string
 	Account  string
@@ -118,10 +118,10 @@
 	Priority int            // the service's, 0 to mgqueue.Levels-1, higher goes first
 	Prefer   Preference     // the service's
 	Prompt   int            // tokens
-	Cached   int            // tokens of the prompt that the upstream has computed before
-	Max      int            // tokens that the answer stops at, 0 for none
-	Deadline mgclock.Millis // when the first token is due at the latest, 0 for none
-	Due      mgclock.Millis // when the whole answer is due at the latest, 0 for none
+	Cached   int            // tokens of the prompt that the upstream has in its cache
+	Max      int            // maximum tokens of the answer, 0 for unlimited
+	Deadline mgclock.Millis // latest time for the first token, 0 for none
+	Due      mgclock.Millis // latest time for the whole answer, 0 for none
 }
 
 // uncached returns the prompt tokens that must be computed.
@@ -141,12 +141,12 @@
 	GiveUp *mgproblem.Problem // nil to start
 }
 
-// An Offer tells an entry what a request would meet here.
+// An Offer describes to an entry the prospects of a request at this upstream.
 type Offer struct {
 	Wait     mgclock.Millis     // expected until the first token
 	Rest     mgclock.Millis     // expected from the first token to the last
 	Headroom int64              // free tokens of memory
 	Running  int                // requests
 	Queued   int                // requests
-	Refused  *mgproblem.Problem // nil when it would be taken
+	Refused  *mgproblem.Problem // nil when it would be accepted
 }
--- a/internal/request/mgscheduler/upstream_test.go
+++ b/internal/request/mgscheduler/upstream_test.go
@@ -8,7 +8,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// upstream is a fake that produces a token per running answer and step.
+// upstream is a fake upstream that produces one token per running answer and step.
 type upstream struct {
 	scheduler *mgscheduler.Scheduler
 	now       mgclock.Millis
@@ -18,7 +18,7 @@
 	decisions []mgscheduler.Decision
 }
 
-// call is a request with what its caller got.
+// call is a request with what its caller received.
 type call struct {
 	request      mgscheduler.Request
 	length       int
@@ -38,8 +38,8 @@
 	}
 }
 
-// sendPrompt submits a request of a new account with a sendPrompt of some tokens and
-// no deadline.
+// sendPrompt submits a request of a new account, with a prompt of some tokens and no
+// deadline.
 func (u *upstream) sendPrompt(service string, prompt, length int) *call {
 	id := fmt.Sprint(len(u.calls))
 	c := &call{
@@ -94,7 +94,7 @@
 	}
 }
 
-// runUntil makes steps until a time, and polls in between when the scheduler asks.
+// runUntil runs steps until a time, and polls in between when the scheduler asks for it.
 func (u *upstream) runUntil(until mgclock.Millis) {
 	for next := u.now + u.step; next <= until; next += u.step {
 		for at := u.scheduler.NextWake(u.now); at > 0 && at < next; at = u.scheduler.NextWake(u.now) {
