--- a/internal/request/mgscheduler/scheduler_test.go
+++ b/internal/request/mgscheduler/scheduler_test.go
@@ -32,7 +32,7 @@
 		}
 		u.runUntil(mgclock.Minute)
 
-		Convey("each caller hears in time, and what is let in is answered in time", func() {
+		Convey("each caller is refused or answered in time", func() {
 			answered := 0
 			for _, c := range calls {
 				if c.problem != nil {
@@ -54,7 +54,7 @@
 // A caller returns after the given retry time and is refused again and again, because the
 // time is not derived from the work ahead.
 func TestRetryTimeIsTooShort(t *testing.T) {
-	Convey("Who comes back when told is let in", t, func() {
+	Convey("A caller that returns after the retry time is accepted", t, func() {
 		u := newUpstream(smallSpec)
 		var c *call
 		for n := 0; ; n++ {
@@ -76,7 +76,7 @@
 // One account's batch job occupies the engine, and the requests of nine other accounts time
 // out although they ask for little.
 func TestHeavyAccountDelaysOthers(t *testing.T) {
-	Convey("A heavy account keeps nobody from a share", t, func() {
+	Convey("A heavy account doesn't delay others", t, func() {
 		u := newUpstream(smallSpec)
 		heavy, light := 0, []*call(nil)
 		for u.now < 2*mgclock.Minute {
@@ -105,7 +105,7 @@
 // An upstream becomes ten times slower. Requests are accepted as before, and all of them
 // wait until their deadline.
 func TestSlowUpstreamStillAccepts(t *testing.T) {
-	Convey("When the upstream turns slow, more are turned away at once", t, func() {
+	Convey("When the upstream becomes slow, more requests are refused at once", t, func() {
 		u := newUpstream(smallSpec)
 		load := func(until mgclock.Millis) (refused, late int) {
 			for u.now < until {
@@ -140,7 +140,7 @@
 // A lookup takes a minute, because the batch is full of reports and more of them wait ahead
 // of it.
 func TestReportsDelayLookups(t *testing.T) {
-	Convey("Lookups pass the reports that wait", t, func() {
+	Convey("Lookups overtake the reports that wait", t, func() {
 		u := newUpstream(smallSpec)
 		r := rand.New(rand.NewPCG(5, 6))
 		lookups := []*call(nil)
@@ -184,12 +184,12 @@
 			lookups = append(lookups, u.sendPrompt("lookup", 50, 10))
 			u.runUntil(u.now + 200)
 		}
-		Convey("some lookups that fit pass it", func() {
+		Convey("some lookups that fit overtake it", func() {
 			for _, c := range lookups[:3] {
 				So(c.firstTokenAt, ShouldBeBetween, came, came+1100)
 			}
 		})
-		Convey("and it starts soon after there is room", func() {
+		Convey("and it starts soon after there is memory", func() {
 			So(waiting.firstTokenAt, ShouldBeBetween, running.endedAt, running.endedAt+mgclock.Second)
 		})
 	})
@@ -198,7 +198,7 @@
 // An agent is replaced while eight long answers run. The new one assumes that the engine is
 // empty and starts a full batch, and the engine preempts all of them.
 func TestRunningAnswersAreNotCounted(t *testing.T) {
-	Convey("What the upstream runs already counts", t, func() {
+	Convey("What the upstream already runs is counted", t, func() {
 		u := newUpstream(smallSpec)
 		for n := range 8 {
 			u.scheduler.Resume(u.now, mgscheduler.Request{
@@ -238,7 +238,7 @@
 // Requests that wait for an upstream that is reclaimed are kept until it ends, although
 // others could have answered them.
 func TestLeavingUpstreamKeepsWaitingRequests(t *testing.T) {
-	Convey("A leaving upstream hands back what waits and ends what runs", t, func() {
+	Convey("A leaving upstream gives up what waits and finishes what runs", t, func() {
 		u := newUpstream(smallSpec)
 		for range 20 {
 			u.send("tank", "note", 100, 0)
@@ -295,7 +295,7 @@
 				t.Fatal("the upstream is idle while requests wait")
 			}
 			if u.scheduler.Running() != len(u.running) {
-				t.Fatalf("%d run, the scheduler says %d", len(u.running), u.scheduler.Running())
+				t.Fatalf("%d requests run, Running returns %d", len(u.running), u.scheduler.Running())
 			}
 		}
 		u.runUntil(u.now + 10*mgclock.Minute)
@@ -307,14 +307,14 @@
 				}
 			}
 			if verdicts != 1 {
-				t.Fatalf("request %s has %d verdicts", id, verdicts)
+				t.Fatalf("request %s has %d outcomes", id, verdicts)
 			}
 			if c.problem != nil && c.request.Deadline > 0 && c.problemAt > c.request.Deadline {
-				t.Fatalf("request %s was given up on after its deadline", id)
+				t.Fatalf("request %s was given up after its deadline", id)
 			}
 		}
 		if u.scheduler.Memory() != 0 {
-			t.Fatalf("idle, and %d tokens are held", u.scheduler.Memory())
+			t.Fatalf("an idle scheduler holds %d tokens", u.scheduler.Memory())
 		}
 	})
 }
--- a/internal/request/mgscheduler/spec.go
+++ b/internal/request/mgscheduler/spec.go
@@ -84,7 +84,7 @@
 func Named(name string) (Policy, error) {
 	p, ok := policies[name]
 	if !ok {
-		return Policy{}, fmt.Errorf("mgscheduler: no policy is called %q: use one of %q", name, Names())
+		return Policy{}, fmt.Errorf("mgscheduler: unknown policy %q: use one of %q", name, Names())
 	}
 	return p, nil
 }
