--- a/internal/request/mgroom/ramp_test.go
+++ b/internal/request/mgroom/ramp_test.go
@@ -86,7 +86,7 @@
 					}
 				}
 			}
-			most := 0
+			maxGrants := 0
 			for i := c.stay; i < c.stay+c.back; i++ {
 				times := given[fmt.Sprint("engine-", i)]
 				So(len(times), ShouldBeGreaterThan, 0)
@@ -97,11 +97,11 @@
 							second++
 						}
 					}
-					most = max(most, second)
+					maxGrants = max(maxGrants, second)
 				}
 			}
-			t.Logf("%s: maximum of %d in a second", c.name, most)
-			So(most, ShouldBeLessThanOrEqualTo, bound)
+			t.Logf("%s: maximum of %d in a second", c.name, maxGrants)
+			So(maxGrants, ShouldBeLessThanOrEqualTo, bound)
 			So(atWarm, ShouldBeGreaterThan, c.back*int(rate))
 		})
 	}
--- a/internal/request/mgroom/read_test.go
+++ b/internal/request/mgroom/read_test.go
@@ -58,7 +58,7 @@
 	var room Room
 	list := make([]readingEngine, engines)
 	came := map[string]mgclock.Millis{}
-	asked, timely := 0.0, 0.0
+	asked, onTime := 0.0, 0.0
 	for now := mgclock.Millis(0); now < span; now += step {
 		rate := 1.5 * capacity
 		if now%(6*mgclock.Second) >= 3*mgclock.Second {
@@ -104,21 +104,21 @@
 		for i := range list {
 			for _, name := range list[i].read(step) {
 				if now <= came[name]+goal {
-					timely++
+					onTime++
 				}
 			}
 		}
 	}
-	return timely / asked
+	return onTime / asked
 }
 
 // Engines have free memory, but prompts wait there for one another for more than a second.
 // All requests of these seconds begin slightly late, although three of four could have been
 // on time; the others would be late in any case.
 func TestPromptsQueueAtEngines(t *testing.T) {
-	at, line := simulateOverload(false), simulateOverload(true)
-	t.Logf("on time: waiting at engines %.2f, on the waiting list %.2f", at, line)
+	atEngines, onList := simulateOverload(false), simulateOverload(true)
+	t.Logf("on time: waiting at engines %.2f, on the waiting list %.2f", atEngines, onList)
 	Convey("Requests that wait on the waiting list and not at engines begin on time", t, func() {
-		So(line, ShouldBeGreaterThan, at+0.1)
+		So(onList, ShouldBeGreaterThan, atEngines+0.1)
 	})
 }
--- a/internal/request/mgroom/return_test.go
+++ b/internal/request/mgroom/return_test.go
@@ -107,20 +107,20 @@
 // Callers that are given up and come back at once meet the same waiting list, are given up
 // again, and get no answer although the engines are idle some seconds later.
 func TestRefusedCallersReturnTooEarly(t *testing.T) {
-	told, refused := simulateReturns(0)
-	atOnce, again := simulateReturns(100)
-	t.Logf("served: with the retry time %.3f, back at once %.3f; refusals for each %.2f, %.2f", told, atOnce, refused, again)
+	afterRetry, refusals := simulateReturns(0)
+	atOnce, refusalsAtOnce := simulateReturns(100)
+	t.Logf("served: with the retry time %.3f, back at once %.3f; refusals for each %.2f, %.2f", afterRetry, atOnce, refusals, refusalsAtOnce)
 	Convey("Callers that come back after the retry time", t, func() {
 		Convey("are served more often than if they came back at once", func() {
-			So(told, ShouldBeGreaterThan, atOnce+0.02)
+			So(afterRetry, ShouldBeGreaterThan, atOnce+0.02)
 		})
 		Convey("and are refused less often", func() {
-			So(refused, ShouldBeLessThan, 0.8*again)
+			So(refusals, ShouldBeLessThan, 0.8*refusalsAtOnce)
 		})
 		Convey("no fixed delay serves more of them", func() {
 			for _, fixed := range []mgclock.Millis{500, 1000, 2000, 3000, 5000, 8000} {
 				served, _ := simulateReturns(fixed)
-				So(served, ShouldBeLessThanOrEqualTo, told+0.005)
+				So(served, ShouldBeLessThanOrEqualTo, afterRetry+0.005)
 			}
 		})
 	})
--- a/internal/request/mgroom/room.go
+++ b/internal/request/mgroom/room.go
@@ -280,13 +280,13 @@
 
 // applyRecent drops old assignments and subtracts the recent ones from the places.
 func (r *Room) applyRecent(now mgclock.Millis, places []Place) {
-	for name, list := range r.assignments {
-		list = slices.DeleteFunc(list, func(g assignment) bool { return now >= g.at+rampWindow })
-		if len(list) == 0 {
+	for name, recent := range r.assignments {
+		recent = slices.DeleteFunc(recent, func(g assignment) bool { return now >= g.at+rampWindow })
+		if len(recent) == 0 {
 			delete(r.assignments, name)
 			continue
 		}
-		r.assignments[name] = list
+		r.assignments[name] = recent
 	}
 	for i := range places {
 		list := r.assignments[places[i].Name]
--- a/internal/request/mgroom/share.go
+++ b/internal/request/mgroom/share.go
@@ -38,23 +38,23 @@
 // overUsers returns the accounts that have had more than their share, where the memory is
 // shared among those with recent grants and those that wait.
 func (s *shares) overUsers(now mgclock.Millis, waits []Wait) map[string]bool {
-	asking := map[string]bool{}
+	active := map[string]bool{}
 	for _, w := range waits {
-		asking[w.Account] = true
+		active[w.Account] = true
 	}
 	total := 0.0
 	for account, p := range s.rates {
-		had := p.decayedSum(now)
-		if had < minActiveTokens {
+		recent := p.decayedSum(now)
+		if recent < minActiveTokens {
 			delete(s.rates, account)
 			continue
 		}
-		asking[account] = true
-		total += had
+		active[account] = true
+		total += recent
 	}
 	over := map[string]bool{}
 	for account, p := range s.rates {
-		if p.decayedSum(now) > overShareFactor*total/float64(len(asking)) {
+		if p.decayedSum(now) > overShareFactor*total/float64(len(active)) {
 			over[account] = true
 		}
 	}
--- a/internal/request/mgroom/share_test.go
+++ b/internal/request/mgroom/share_test.go
@@ -24,7 +24,7 @@
 	}
 	var runs []run
 	owner, due := map[string]int{}, map[string]mgclock.Millis{}
-	var asked, timely [accounts]float64
+	var asked, onTime [accounts]float64
 	number := 0
 	for now := mgclock.Millis(0); now < span; now += step {
 		for account := range accounts {
@@ -36,7 +36,7 @@
 				continue
 			}
 			number++
-			w := wait(fmt.Sprint(number), 3000, now+1500)
+			w := newWait(fmt.Sprint(number), 3000, now+1500)
 			w.Span = 4000
 			w.Came = now
 			w.End = now + 5000
@@ -67,16 +67,16 @@
 				end:  now + 4000,
 			})
 			if now <= due[g.Name] {
-				timely[owner[g.Name]]++
+				onTime[owner[g.Name]]++
 			}
 		}
 	}
 	othersAsked, othersTimely := 0.0, 0.0
 	for account := 1; account < accounts; account++ {
 		othersAsked += asked[account]
-		othersTimely += timely[account]
+		othersTimely += onTime[account]
 	}
-	return othersTimely / othersAsked, timely[0] / asked[0]
+	return othersTimely / othersAsked, onTime[0] / asked[0]
 }
 
 // One account sends eight times its usual rate, and the requests of all other accounts wait
--- a/internal/request/mgscheduler/scheduler_test.go
+++ b/internal/request/mgscheduler/scheduler_test.go
@@ -110,9 +110,9 @@
 		load := func(until mgclock.Millis) (refused, late int) {
 			for u.now < until {
 				c := u.send(fmt.Sprint(u.now/200%7), "note", 100, 15*mgclock.Second)
-				came := u.now
+				sentAt := u.now
 				u.runUntil(u.now + 200)
-				if c.problem != nil && c.problemAt == came {
+				if c.problem != nil && c.problemAt == sentAt {
 					refused++
 				}
 			}
@@ -179,14 +179,14 @@
 		running := u.sendPrompt("note", 600, 200)
 		waiting := u.sendPrompt("report", 500, 200)
 		lookups := []*call(nil)
-		came := u.now
-		for u.now < came+10*mgclock.Second {
+		start := u.now
+		for u.now < start+10*mgclock.Second {
 			lookups = append(lookups, u.sendPrompt("lookup", 50, 10))
 			u.runUntil(u.now + 200)
 		}
 		Convey("some lookups that fit overtake it", func() {
 			for _, c := range lookups[:3] {
-				So(c.firstTokenAt, ShouldBeBetween, came, came+1100)
+				So(c.firstTokenAt, ShouldBeBetween, start, start+1100)
 			}
 		})
 		Convey("and it starts soon after there is memory", func() {
@@ -247,17 +247,17 @@
 		u.poll()
 		So(u.send("tank", "note", 100, 0).problem.Kind(), ShouldEqual, mgproblem.Leaving)
 		u.runUntil(mgclock.Minute)
-		ended, handed := 0, 0
+		ended, givenUp := 0, 0
 		for _, c := range u.calls {
 			switch {
 			case c.endedAt > 0:
 				ended++
 			case c.problem.Kind() == mgproblem.Leaving:
-				handed++
+				givenUp++
 			}
 		}
 		So(ended, ShouldEqual, 16)
-		So(handed, ShouldEqual, 5)
+		So(givenUp, ShouldEqual, 5)
 	})
 }
 
@@ -300,14 +300,14 @@
 		}
 		u.runUntil(u.now + 10*mgclock.Minute)
 		for id, c := range u.calls {
-			verdicts := 0
+			outcomes := 0
 			for _, is := range []bool{c.endedAt > 0, c.problem != nil, withdrawn[id]} {
 				if is {
-					verdicts++
+					outcomes++
 				}
 			}
-			if verdicts != 1 {
-				t.Fatalf("request %s has %d outcomes", id, verdicts)
+			if outcomes != 1 {
+				t.Fatalf("request %s has %d outcomes", id, outcomes)
 			}
 			if c.problem != nil && c.request.Deadline > 0 && c.problemAt > c.request.Deadline {
 				t.Fatalf("request %s was given up after its deadline", id)
