--- a/internal/request/mgadmission/forecast.go
+++ b/internal/request/mgadmission/forecast.go
@@ -6,18 +6,18 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// memory is the span over which a Forecast averages. Shorter, one long step
+// averagingWindow is the span over which a Forecast averages. Shorter, one long step
 // reads as a slow upstream; longer, an upstream that turns slow is noticed
 // only after whole deadlines.
-const memory = 5 * mgclock.Second
+const averagingWindow = 5 * mgclock.Second
 
 // warmup is the span of work after which the measured rate is believed.
 // Before, nothing is turned away for its predicted wait.
 const warmup = mgclock.Second
 
-// leastRetry is the least span after which a caller is told to come back: a
+// minRetry is the least span after which a caller is told to come back: a
 // few steps of an engine, in which something may end.
-const leastRetry = 200 * mgclock.Millis(1)
+const minRetry = 200 * mgclock.Millis(1)
 
 // PromptCost is the cost of computing a prompt token in units of producing one:
 // prompts are computed in parallel, answers token by token in a batch.
@@ -31,100 +31,100 @@
 // A Forecast predicts waits from what the upstream got done. The zero Forecast
 // has seen nothing, predicts no wait and is ready for use.
 type Forecast struct {
-	at      mgclock.Millis
-	busy    bool
-	done    float64 // tokens produced, fading
-	span    float64 // milliseconds with work, fading
-	prompts float64 // uncached prompt tokens that reached a first token, fading
-	delays  float64 // milliseconds from their starts, fading
-	tokens  float64 // that followed another one, fading
-	gaps    float64 // milliseconds between them, fading
-	biases  [levels]bias
+	updatedAt    mgclock.Millis
+	isBusy       bool
+	doneTokens   float64 // tokens produced, fading
+	busyMs       float64 // milliseconds with work, fading
+	promptTokens float64 // uncached prompt tokens that reached a first token, fading
+	delayMs      float64 // milliseconds from their starts, fading
+	gapTokens    float64 // that followed another one, fading
+	gapMs        float64 // milliseconds between them, fading
+	biases       [priorityLevels]bias
 }
 
-// levels is the number of levels of priority that have a bias of their own.
-const levels = 4
+// priorityLevels is the number of priorityLevels of priority that have a bias of their own.
+const priorityLevels = 4
 
 // bias compares predicted waits with those that came.
 type bias struct {
-	predicted float64 // milliseconds, fading
-	waited    float64 // milliseconds, fading
+	predictedMs float64 // milliseconds, fading
+	waitedMs    float64 // milliseconds, fading
 }
 
-// doubt is a right prediction, in milliseconds, that every bias begins with, so
+// priorWaitMs is a right prediction, in milliseconds, that every bias begins with, so
 // that the first waits don't decide alone.
-const doubt = 10_000.0
+const priorWaitMs = 10_000.0
 
-// most is the greatest factor by which a bias lengthens a prediction. There is
+// maxBiasFactor is the greatest factor by which a bias lengthens a prediction. There is
 // no least one: passing can make a wait next to nothing.
-const most = 2.0
+const maxBiasFactor = 2.0
 
 // Busy tells whether from now on the upstream has work.
 func (f *Forecast) Busy(now mgclock.Millis, busy bool) {
 	f.advance(now)
-	f.busy = busy
+	f.isBusy = busy
 }
 
 // Done tells that the upstream got work of a cost done.
 func (f *Forecast) Done(now mgclock.Millis, cost float64) {
 	f.advance(now)
-	f.done += cost
+	f.doneTokens += cost
 }
 
 // First tells that an answer's first token came a delay after its start.
 func (f *Forecast) First(uncached int, delay mgclock.Millis) {
-	const keep = 15.0 / 16 // an average over some 16 answers
-	f.prompts = keep*f.prompts + float64(uncached+overhead)
-	f.delays = keep*f.delays + float64(delay)
+	const decay = 15.0 / 16 // an average over some 16 answers
+	f.promptTokens = decay*f.promptTokens + float64(uncached+overheadTokens)
+	f.delayMs = decay*f.delayMs + float64(delay)
 }
 
-// overhead is the part of a first token's delay that comes with no prompt, in
+// overheadTokens is the part of a first token's delay that comes with no prompt, in
 // prompt tokens: about a step of the batch.
-const overhead = 256
+const overheadTokens = 256
 
 // FirstToken returns the expected delay from a start to its first token.
 func (f *Forecast) FirstToken(uncached int) mgclock.Millis {
-	if f.prompts == 0 {
+	if f.promptTokens == 0 {
 		return 0
 	}
-	return mgclock.Millis(f.delays / f.prompts * float64(uncached+overhead))
+	return mgclock.Millis(f.delayMs / f.promptTokens * float64(uncached+overheadTokens))
 }
 
 // Next tells that an answer produced tokens within a span since its last one.
-func (f *Forecast) Next(tokens int, span mgclock.Millis) {
-	const keep = 255.0 / 256 // an average over some steps of a batch
-	f.tokens = keep*f.tokens + float64(tokens)
-	f.gaps = keep*f.gaps + float64(span)
+func (f *Forecast) Next(tokens int, interval mgclock.Millis) {
+	const decay = 255.0 / 256 // an average over some steps of a batch
+	f.gapTokens = decay*f.gapTokens + float64(tokens)
+	f.gapMs = decay*f.gapMs + float64(interval)
 }
 
 // Rest returns the expected time that an answer of a length takes from its
 // first token to its last.
 func (f *Forecast) Rest(length float64) mgclock.Millis {
-	if f.tokens == 0 {
+	if f.gapTokens == 0 {
 		return 0
 	}
-	return mgclock.Millis(f.gaps / f.tokens * length)
+	return mgclock.Millis(f.gapMs / f.gapTokens * length)
 }
 
 // Wait returns how long work of a cost takes the upstream.
 func (f *Forecast) Wait(now mgclock.Millis, cost float64) mgclock.Millis {
 	f.advance(now)
-	if f.span < float64(warmup) || cost <= 0 {
+	if f.busyMs < float64(warmup) || cost <= 0 {
 		return 0
 	}
-	if f.done <= 0 {
+	if f.doneTokens <= 0 {
 		return mgclock.Minute
 	}
-	return mgclock.Millis(min(cost*f.span/f.done, float64(mgclock.Minute)))
+	return mgclock.Millis(min(cost*f.busyMs/f.doneTokens, float64(mgclock.Minute)))
 }
 
 // Waited tells that a request of a level of priority, which was predicted to
 // wait, did wait for a span.
 func (f *Forecast) Waited(level int, predicted, waited mgclock.Millis) {
-	const keep = 63.0 / 64 // an average over some 64 requests
+	const decay = 63.0 / 64 // an average over some 64 requests
 	b := f.bias(level)
-	b.predicted = keep*b.predicted + float64(predicted)
-	b.waited = keep*b.waited + float64(waited)
+	b.predictedMs = decay*b.predictedMs + float64(predicted)
+	b.waitedMs = decay*b.waitedMs + float64(waited)
 }
 
 // Corrected returns a predicted wait corrected by what requests of the level
@@ -133,12 +133,12 @@
 // is turned away in vain.
 func (f *Forecast) Corrected(level int, predicted mgclock.Millis) mgclock.Millis {
 	b := f.bias(level)
-	factor := (b.waited + doubt) / (b.predicted + doubt)
-	return mgclock.Millis(float64(predicted) * min(factor, most))
+	factor := (b.waitedMs + priorWaitMs) / (b.predictedMs + priorWaitMs)
+	return mgclock.Millis(float64(predicted) * min(factor, maxBiasFactor))
 }
 
 func (f *Forecast) bias(level int) *bias {
-	return &f.biases[min(max(level, 0), levels-1)]
+	return &f.biases[min(max(level, 0), priorityLevels-1)]
 }
 
 // Retry returns after which span a request that would wait for wait, and may
@@ -147,20 +147,20 @@
 // known no better. Who comes back too early is turned away again; so is who
 // comes back while the overload goes on, as those who came since are ahead.
 func Retry(wait, slack mgclock.Millis) mgclock.Millis {
-	return max(wait+wait/8-max(slack, 0), leastRetry)
+	return max(wait+wait/8-max(slack, 0), minRetry)
 }
 
 // advance fades what was seen and counts the time with work.
 func (f *Forecast) advance(now mgclock.Millis) {
-	gone := float64(now - f.at)
-	if gone <= 0 {
+	elapsed := float64(now - f.updatedAt)
+	if elapsed <= 0 {
 		return
 	}
-	f.at = now
-	if !f.busy {
+	f.updatedAt = now
+	if !f.isBusy {
 		return
 	}
-	keep := math.Exp(-gone / float64(memory))
-	f.done *= keep
-	f.span = keep*f.span + (1-keep)*float64(memory)
+	decay := math.Exp(-elapsed / float64(averagingWindow))
+	f.doneTokens *= decay
+	f.busyMs = decay*f.busyMs + (1-decay)*float64(averagingWindow)
 }
--- a/internal/request/mgadmission/gate.go
+++ b/internal/request/mgadmission/gate.go
@@ -29,25 +29,25 @@
 // sixteenth of that of an outlook.
 const stride = 16
 
-// moments holds the steps ahead at which the batch is weighed. Memory is
+// horizons holds the steps ahead at which the batch is weighed. Memory is
 // outgrown within some thousand steps or not at all: by then most answers have
 // ended.
-var moments = [...]int{1, 16, 32, 64, 128, 256, 512, 1024, 2048, 4096, 8192}
+var horizons = [...]int{1, 16, 32, 64, 128, 256, 512, 1024, 2048, 4096, 8192}
 
-// outlook is what an answer, or a batch, is going to hold at each moment.
-type outlook struct {
-	mean     [len(moments)]float64
-	variance [len(moments)]float64
+// projection is what an answer, or a batch, is going to hold at each moment.
+type projection struct {
+	mean     [len(horizons)]float64
+	variance [len(horizons)]float64
 }
 
 // A Share is one answer's part of the memory. The zero Share holds nothing.
 type Share struct {
-	outlook  outlook
-	prompt   int // tokens
-	produced int // tokens
-	weighed  int // produced when outlook was computed
-	max      int // tokens that it may produce at most
-	running  bool
+	projection  projection
+	prompt      int // tokens
+	produced    int // tokens
+	projectedAt int // produced when outlook was computed
+	max         int // tokens that it may produce at most
+	isRunning   bool
 }
 
 // Held returns the tokens of memory that the answer holds.
@@ -56,18 +56,18 @@
 // A Gate lets requests into one upstream. The zero Gate has the defaults of a
 // Spec and is ready for use.
 type Gate struct {
-	spec     Spec
-	outlook  outlook
-	used     int64 // tokens of memory that the answers let in hold
-	reserved int64
-	running  int            // answers
-	reports  [reports]int64 // of memory that the engine holds beyond used
-	report   int
+	spec       Spec
+	projection projection
+	used       int64 // tokens of memory that the answers let in hold
+	reserved   int64
+	running    int                // answers
+	reports    [reportCount]int64 // of memory that the engine holds beyond used
+	nextReport int
 }
 
-// reports is the number of an engine's reports that must agree on memory which
+// reportCount is the number of an engine's reportCount that must agree on memory which
 // the gate doesn't know of. One report alone is out of date while answers end.
-const reports = 8
+const reportCount = 8
 
 // NewGate returns a gate with nothing behind it.
 func NewGate(spec Spec) *Gate {
@@ -83,21 +83,21 @@
 func (g *Gate) Used() int64 { return g.used }
 
 // Headroom returns the tokens of memory that are free, or 0 without a bound.
-func (g *Gate) Headroom() int64 { return max(g.room()-g.used, 0) }
+func (g *Gate) Headroom() int64 { return max(g.available()-g.used, 0) }
 
 // Reported takes in the engine's own count of used memory. What all of the
 // last reports show beyond the gate's count is in use by something else.
 func (g *Gate) Reported(tokens int64) {
-	g.reports[g.report%reports] = max(tokens-g.used, 0)
-	g.report++
+	g.reports[g.nextReport%reportCount] = max(tokens-g.used, 0)
+	g.nextReport++
 }
 
 // Limit sets the most answers at a time from now on, 0 for DefaultBatch. What
 // runs beyond it goes on.
 func (g *Gate) Limit(batch int) { g.spec.Batch = batch }
 
-// room returns the memory that is the gate's to fill.
-func (g *Gate) room() int64 {
+// available returns the memory that is the gate's to fill.
+func (g *Gate) available() int64 {
 	return g.spec.Memory - slices.Min(g.reports[:])
 }
 
@@ -119,32 +119,32 @@
 	case g.running == 0:
 		return g.Holds(c.Prompt)
 	}
-	room := g.room()
-	if g.used+int64(c.Prompt+g.running) >= room {
+	available := g.available()
+	if g.used+int64(c.Prompt+g.running) >= available {
 		return false
 	}
 	switch g.spec.Rule {
 	case Now:
 		return true
 	case Mark:
-		return float64(g.used+int64(c.Prompt)) <= (1-g.free())*float64(room)
+		return float64(g.used+int64(c.Prompt)) <= (1-g.freeShare())*float64(available)
 	case Reserve:
-		return g.reserved+g.most(c.Prompt, c.Max) <= room
+		return g.reserved+g.maxTokens(c.Prompt, c.Max) <= available
 	default:
-		return g.within(c, float64(room))
+		return g.staysWithin(c, float64(available))
 	}
 }
 
 // Enter lets c in. The share is the caller's to keep until Leave.
 func (g *Gate) Enter(s *Share, c Candidate) {
 	*s = Share{
-		prompt:  c.Prompt,
-		max:     c.Max,
-		running: true,
+		prompt:    c.Prompt,
+		max:       c.Max,
+		isRunning: true,
 	}
 	g.running++
 	g.used += int64(c.Prompt)
-	g.reserved += g.most(c.Prompt, c.Max)
+	g.reserved += g.maxTokens(c.Prompt, c.Max)
 	g.Weigh(s, c.Curve)
 }
 
@@ -152,40 +152,40 @@
 // whether Weigh is due. An answer that the engine preempts just doesn't grow: its
 // memory stays counted, so that nothing is let in which would keep it out.
 func (g *Gate) Grow(s *Share, produced int) bool {
-	if !s.running || produced <= s.produced {
+	if !s.isRunning || produced <= s.produced {
 		return false
 	}
 	g.used += int64(produced - s.produced)
 	s.produced = produced
-	return g.spec.Rule == Outgrow && produced-s.weighed >= stride
+	return g.spec.Rule == Outgrow && produced-s.projectedAt >= stride
 }
 
 // Leave gives the answer's memory back.
 func (g *Gate) Leave(s *Share) {
-	if !s.running {
+	if !s.isRunning {
 		return
 	}
 	g.running--
 	g.used -= int64(s.Held())
-	g.reserved -= g.most(s.prompt, s.max)
-	g.outlook.subtract(&s.outlook)
+	g.reserved -= g.maxTokens(s.prompt, s.max)
+	g.projection.subtract(&s.projection)
 	if g.running == 0 {
-		g.outlook = outlook{} // no drift of the sums
+		g.projection = projection{} // no drift of the sums
 	}
 	*s = Share{}
 }
 
-// within reports whether the batch with c stays within memory at each moment.
-func (g *Gate) within(c Candidate, room float64) bool {
+// staysWithin reports whether the batch with c stays staysWithin memory at each moment.
+func (g *Gate) staysWithin(c Candidate, available float64) bool {
 	z := g.z(c)
-	var sum outlook
-	sum.fill(&Share{
+	var sum projection
+	sum.project(&Share{
 		prompt: c.Prompt,
 		max:    c.Max,
 	}, c.Curve)
-	sum.add(&g.outlook)
-	for k := range moments {
-		if sum.mean[k]+z*math.Sqrt(max(sum.variance[k], 0)) > room {
+	sum.add(&g.projection)
+	for k := range horizons {
+		if sum.mean[k]+z*math.Sqrt(max(sum.variance[k], 0)) > available {
 			return false
 		}
 	}
@@ -194,55 +194,55 @@
 
 // Weigh computes the answer's outlook anew from the curve of its length.
 func (g *Gate) Weigh(s *Share, curve *mglength.Curve) {
-	if g.spec.Rule != Outgrow || g.spec.Memory <= 0 || !s.running {
+	if g.spec.Rule != Outgrow || g.spec.Memory <= 0 || !s.isRunning {
 		return
 	}
-	g.outlook.subtract(&s.outlook)
-	s.weighed = s.produced
-	s.outlook.fill(s, curve)
-	g.outlook.add(&s.outlook)
+	g.projection.subtract(&s.projection)
+	s.projectedAt = s.produced
+	s.projection.project(s, curve)
+	g.projection.add(&s.projection)
 }
 
-// fill sets mean and variance of what one answer holds at each moment: all of
+// project sets mean and variance of what one answer holds at each moment: all of
 // its context with the chance that it still runs, else nothing. Without a
 // curve it runs on.
-func (o *outlook) fill(s *Share, curve *mglength.Curve) {
-	given := 1.0
+func (o *projection) project(s *Share, curve *mglength.Curve) {
+	survival := 1.0
 	if curve != nil {
-		given = max(curve.Beyond(s.produced), math.SmallestNonzeroFloat64)
+		survival = max(curve.Beyond(s.produced), math.SmallestNonzeroFloat64)
 	}
-	*o = outlook{}
-	for k, ahead := range moments {
-		length := s.produced + ahead
+	*o = projection{}
+	for k, horizon := range horizons {
+		length := s.produced + horizon
 		if s.max > 0 && length >= s.max {
 			return
 		}
-		chance := 1.0
+		probability := 1.0
 		if curve != nil {
-			chance = curve.Beyond(length) / given
+			probability = curve.Beyond(length) / survival
 		}
-		held := float64(s.prompt + length)
-		o.mean[k] = held * chance
-		o.variance[k] = held * held * chance * (1 - chance)
+		tokens := float64(s.prompt + length)
+		o.mean[k] = tokens * probability
+		o.variance[k] = tokens * tokens * probability * (1 - probability)
 	}
 }
 
-func (o *outlook) add(p *outlook) {
-	for k := range moments {
+func (o *projection) add(p *projection) {
+	for k := range horizons {
 		o.mean[k] += p.mean[k]
 		o.variance[k] += p.variance[k]
 	}
 }
 
-func (o *outlook) subtract(p *outlook) {
-	for k := range moments {
+func (o *projection) subtract(p *projection) {
+	for k := range horizons {
 		o.mean[k] -= p.mean[k]
 		o.variance[k] -= p.variance[k]
 	}
 }
 
-// most returns the tokens that an answer can grow to.
-func (g *Gate) most(prompt, limit int) int64 {
+// maxTokens returns the tokens that an answer can grow to.
+func (g *Gate) maxTokens(prompt, limit int) int64 {
 	if limit <= 0 {
 		return g.spec.Memory
 	}
@@ -256,7 +256,7 @@
 	return DefaultBatch
 }
 
-func (g *Gate) free() float64 {
+func (g *Gate) freeShare() float64 {
 	if g.spec.Free > 0 {
 		return g.spec.Free
 	}
@@ -267,18 +267,18 @@
 func (g *Gate) z(c Candidate) float64 {
 	switch {
 	case c.Whole:
-		return either(g.spec.Whole, DefaultWhole)
-	case g.short(c):
-		return either(g.spec.Short, DefaultShort)
+		return valueOr(g.spec.Whole, DefaultWhole)
+	case g.isShort(c):
+		return valueOr(g.spec.Short, DefaultShort)
 	default:
-		return either(g.spec.Steady, DefaultSteady)
+		return valueOr(g.spec.Steady, DefaultSteady)
 	}
 }
 
-// short reports whether c is expected to grow no larger than what runs is on
-// average. A share of the memory as the bound would take notes for short on
+// isShort reports whether c is expected to grow no larger than what runs is on
+// average. A share of the memory as the bound would take notes for isShort on
 // large engines and for long on small ones.
-func (g *Gate) short(c Candidate) bool {
+func (g *Gate) isShort(c Candidate) bool {
 	size := float64(c.Prompt)
 	if c.Curve != nil {
 		size += c.Curve.Mean(0, c.Max)
@@ -286,10 +286,10 @@
 	return size*float64(g.running) <= float64(g.used)
 }
 
-// either returns value where it is set.
-func either(value, otherwise float64) float64 {
+// valueOr returns value where it is set.
+func valueOr(value, fallback float64) float64 {
 	if value > 0 {
 		return value
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/request/mgadmission/gate_test.go
+++ b/internal/request/mgadmission/gate_test.go
@@ -14,21 +14,21 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// answer is one that a play of a batch lets in.
-type answer struct {
-	share  mgadmission.Share
-	follow mglength.Answer
-	made   int
-	length int
+// simulatedAnswer is one that a play of a batch lets in.
+type simulatedAnswer struct {
+	share    mgadmission.Share
+	estimate mglength.Answer
+	produced int
+	length   int
 }
 
-// play keeps a batch as full as the gate allows, a token a step, and returns
+// simulateBatch keeps a batch as full as the gate allows, a token a step, and returns
 // the tokens produced and the steps at which memory was outgrown.
-func play(spec mgadmission.Spec, steps int) (tokens, outgrown int) {
+func simulateBatch(spec mgadmission.Spec, steps int) (tokens, outgrown int) {
 	r := rand.New(rand.NewPCG(7, 8))
 	gate := mgadmission.NewGate(spec)
 	var lengths mglength.Estimator
-	var batch []*answer
+	var batch []*simulatedAnswer
 	next := func() int { return 1 + int(math.Exp(5+1.2*r.NormFloat64())) }
 	length := next()
 	for range steps {
@@ -42,9 +42,9 @@
 			if !gate.Admits(c) {
 				break
 			}
-			a := &answer{
-				follow: lengths.Begin(mglength.Key{}),
-				length: min(length, c.Max),
+			a := &simulatedAnswer{
+				estimate: lengths.Begin(mglength.Key{}),
+				length:   min(length, c.Max),
 			}
 			gate.Enter(&a.share, c)
 			batch = append(batch, a)
@@ -55,17 +55,17 @@
 		}
 		kept := batch[:0]
 		for _, a := range batch {
-			a.made++
+			a.produced++
 			tokens++
-			a.follow.Progress(a.made)
-			if gate.Grow(&a.share, a.made) {
-				gate.Weigh(&a.share, a.follow.Curve())
+			a.estimate.Progress(a.produced)
+			if gate.Grow(&a.share, a.produced) {
+				gate.Weigh(&a.share, a.estimate.Curve())
 			}
-			if a.made < a.length {
+			if a.produced < a.length {
 				kept = append(kept, a)
 				continue
 			}
-			a.follow.End(a.made)
+			a.estimate.End(a.produced)
 			gate.Leave(&a.share)
 		}
 		batch = kept
@@ -75,7 +75,7 @@
 
 // An engine under saturation preempts all the time, or stands half idle:
 // answers were let in by what fits now, or by the longest they may get.
-func TestRules(t *testing.T) {
+func TestMemoryIsOutgrownOrIdle(t *testing.T) {
 	Convey("Under saturation", t, func() {
 		spec := mgadmission.Spec{
 			Memory: 20_000,
@@ -84,7 +84,7 @@
 		tokens, outgrown := map[mgadmission.Rule]int{}, map[mgadmission.Rule]int{}
 		for _, rule := range []mgadmission.Rule{mgadmission.Outgrow, mgadmission.Now, mgadmission.Reserve} {
 			spec.Rule = rule
-			tokens[rule], outgrown[rule] = play(spec, 20_000)
+			tokens[rule], outgrown[rule] = simulateBatch(spec, 20_000)
 		}
 		Convey("the chance of outgrowing keeps within memory where the present does not", func() {
 			So(outgrown[mgadmission.Outgrow], ShouldBeLessThan, outgrown[mgadmission.Now]/20)
@@ -100,7 +100,7 @@
 
 // The operators set a service of long reports to steady, and its tokens come
 // less evenly than before: more of it is let in at a time.
-func TestPreferences(t *testing.T) {
+func TestSteadyAnswersAreCrowded(t *testing.T) {
 	Convey("Of long answers", t, func() {
 		var lengths mglength.Estimator
 		long := mgadmission.Candidate{
@@ -134,7 +134,7 @@
 
 // A preempted dossier never comes back: each time memory becomes free, a new
 // request takes it.
-func TestPreemptedKeepsItsMemory(t *testing.T) {
+func TestPreemptedMemoryIsGivenAway(t *testing.T) {
 	Convey("What a preempted answer needs to come back is let to nobody", t, func() {
 		for _, rule := range []mgadmission.Rule{mgadmission.Outgrow, mgadmission.Mark, mgadmission.Now} {
 			gate := mgadmission.NewGate(mgadmission.Spec{
@@ -160,7 +160,7 @@
 
 // An engine's report of a second ago shows memory that has been freed since,
 // and requests are turned away although there is room.
-func TestLaggingReport(t *testing.T) {
+func TestLaggingReportBlocksMemory(t *testing.T) {
 	Convey("One lagging report takes no memory, a steady difference does", t, func() {
 		gate := mgadmission.NewGate(mgadmission.Spec{
 			Memory: 1000,
@@ -178,7 +178,7 @@
 }
 
 // An upstream hangs, and callers are still told that a wait of seconds will do.
-func TestForecastOfStall(t *testing.T) {
+func TestStallPredictsShortWait(t *testing.T) {
 	Convey("A stalled upstream's predicted waits grow", t, func() {
 		var f mgadmission.Forecast
 		f.Busy(0, true)
@@ -193,7 +193,7 @@
 
 // Lookups are turned away because of the reports that wait, although each one
 // that was let in passed them at once.
-func TestForecastLearnsFromWaits(t *testing.T) {
+func TestPredictedWaitStaysWrong(t *testing.T) {
 	Convey("A wait that doesn't come is predicted no more, for its level alone", t, func() {
 		var f mgadmission.Forecast
 		for range 200 {
@@ -207,7 +207,7 @@
 
 // Whatever comes and goes, no rule lets in more than fits or more than a
 // batch, Reserve never outgrows memory, and an empty gate holds nothing.
-func TestGateProperties(t *testing.T) {
+func TestGateExceedsMemoryOrBatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := mgadmission.Spec{
 			Memory: rapid.Int64Range(100, 10_000).Draw(t, "memory"),
@@ -217,7 +217,7 @@
 		}
 		gate := mgadmission.NewGate(spec)
 		var lengths mglength.Estimator
-		var batch []*answer
+		var batch []*simulatedAnswer
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			c := mgadmission.Candidate{
 				Prompt: rapid.IntRange(0, 5000).Draw(t, "prompt"),
@@ -226,7 +226,7 @@
 				Curve:  lengths.Curve(mglength.Key{}),
 			}
 			if gate.Admits(c) {
-				a := &answer{
+				a := &simulatedAnswer{
 					length: c.Max,
 				}
 				gate.Enter(&a.share, c)
@@ -239,10 +239,10 @@
 			}
 			kept := batch[:0]
 			for _, a := range batch {
-				a.made = min(a.made+rapid.IntRange(0, 500).Draw(t, "made"), a.length)
-				gate.Grow(&a.share, a.made)
+				a.produced = min(a.produced+rapid.IntRange(0, 500).Draw(t, "made"), a.length)
+				gate.Grow(&a.share, a.produced)
 				gate.Weigh(&a.share, lengths.Curve(mglength.Key{}))
-				if a.made < a.length {
+				if a.produced < a.length {
 					kept = append(kept, a)
 				} else {
 					gate.Leave(&a.share)
