--- a/internal/request/mgadmission/forecast.go
+++ b/internal/request/mgadmission/forecast.go
@@ -6,79 +6,79 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// averagingWindow is the span over which a Forecast averages. Shorter, one long step
-// reads as a slow upstream; longer, an upstream that turns slow is noticed
-// only after whole deadlines.
+// averagingWindow is the time over which a Forecast averages. With a shorter one, a single
+// long step looks like a slow upstream; with a longer one, an upstream that becomes slow is
+// noticed only after whole deadlines.
 const averagingWindow = 5 * mgclock.Second
 
-// warmup is the span of work after which the measured rate is believed.
-// Before, nothing is turned away for its predicted wait.
+// warmup is the working time after which the measured rate is used. Before that, nothing is
+// refused for its predicted wait.
 const warmup = mgclock.Second
 
-// minRetry is the least span after which a caller is told to come back: a
-// few steps of an engine, in which something may end.
+// minRetry is the minimum time after which a caller may come back: a few steps of an
+// engine, in which something may end.
 const minRetry = 200 * mgclock.Millis(1)
 
-// PromptCost is the cost of computing a prompt token in units of producing one:
-// prompts are computed in parallel, answers token by token in a batch.
+// PromptCost is the cost of computing a prompt token, relative to that of producing a
+// token: prompts are computed in parallel, answers token by token in a batch.
 const PromptCost = 0.05
 
-// Cost returns a request's expected cost in tokens produced.
+// Cost returns a request's expected cost, in units of one produced token.
 func Cost(uncached int, output float64) float64 {
 	return PromptCost*float64(uncached) + output
 }
 
-// A Forecast predicts waits from what the upstream got done. The zero Forecast
-// has seen nothing, predicts no wait and is ready for use.
+// A Forecast predicts waits from the work that the upstream has done. The zero Forecast has
+// no data, predicts no wait and is ready for use.
 type Forecast struct {
 	updatedAt    mgclock.Millis
 	isBusy       bool
-	doneTokens   float64 // tokens produced, fading
-	busyMs       float64 // milliseconds with work, fading
-	promptTokens float64 // uncached prompt tokens that reached a first token, fading
-	delayMs      float64 // milliseconds from their starts, fading
-	gapTokens    float64 // that followed another one, fading
-	gapMs        float64 // milliseconds between them, fading
+	doneTokens   float64 // tokens produced, decayed
+	busyMs       float64 // milliseconds with work, decayed
+	promptTokens float64 // uncached prompt tokens that reached a first token, decayed
+	delayMs      float64 // milliseconds from their starts, decayed
+	gapTokens    float64 // tokens that followed another one, decayed
+	gapMs        float64 // milliseconds between them, decayed
 	biases       [priorityLevels]bias
 }
 
-// priorityLevels is the number of priorityLevels of priority that have a bias of their own.
+// priorityLevels is the number of priority levels with a bias of their own.
 const priorityLevels = 4
 
-// bias compares predicted waits with those that came.
+// bias compares predicted waits with actual ones.
 type bias struct {
-	predictedMs float64 // milliseconds, fading
-	waitedMs    float64 // milliseconds, fading
+	predictedMs float64 // decayed
+	waitedMs    float64 // decayed
 }
 
-// priorWaitMs is a right prediction, in milliseconds, that every bias begins with, so
+// priorWaitMs is a correct prediction, in milliseconds, with which every bias begins, so
 // that the first waits don't decide alone.
 const priorWaitMs = 10_000.0
 
-// maxBiasFactor is the greatest factor by which a bias lengthens a prediction. There is
-// no least one: passing can make a wait next to nothing.
+// maxBiasFactor is the maximum factor by which a bias lengthens a prediction. There is no
+// minimum: overtaking can make a wait next to nothing.
 const maxBiasFactor = 2.0
 
-// Busy tells whether from now on the upstream has work.
+// Busy sets whether the upstream has work from now on.
 func (f *Forecast) Busy(now mgclock.Millis, busy bool) {
 	f.advance(now)
 	f.isBusy = busy
 }
 
-// Done tells that the upstream got work of a cost done.
+// Done records that the upstream has done work of a cost.
 func (f *Forecast) Done(now mgclock.Millis, cost float64) {
 	f.advance(now)
 	f.doneTokens += cost
 }
 
-// First tells that an answer's first token came a delay after its start.
+// First records that an answer's first token came a delay after its start.
 func (f *Forecast) First(uncached int, delay mgclock.Millis) {
-	const decay = 15.0 / 16 // an average over some 16 answers
+	const decay = 15.0 / 16 // averages over some 16 answers
 	f.promptTokens = decay*f.promptTokens + float64(uncached+overheadTokens)
 	f.delayMs = decay*f.delayMs + float64(delay)
 }
 
-// overheadTokens is the part of a first token's delay that comes with no prompt, in
+// overheadTokens is the part of a first token's delay that is independent of the prompt, in
 // prompt tokens: about a step of the batch.
 const overheadTokens = 256
 
@@ -90,15 +90,14 @@
 	return mgclock.Millis(f.delayMs / f.promptTokens * float64(uncached+overheadTokens))
 }
 
-// Next tells that an answer produced tokens within a span since its last one.
+// Next records that an answer produced tokens within an interval since its last one.
 func (f *Forecast) Next(tokens int, interval mgclock.Millis) {
-	const decay = 255.0 / 256 // an average over some steps of a batch
+	const decay = 255.0 / 256 // averages over some steps of a batch
 	f.gapTokens = decay*f.gapTokens + float64(tokens)
 	f.gapMs = decay*f.gapMs + float64(interval)
 }
 
-// Rest returns the expected time that an answer of a length takes from its
-// first token to its last.
+// Rest returns the expected time from the first token to the last of an answer of a length.
 func (f *Forecast) Rest(length float64) mgclock.Millis {
 	if f.gapTokens == 0 {
 		return 0
@@ -106,7 +105,7 @@
 	return mgclock.Millis(f.gapMs / f.gapTokens * length)
 }
 
-// Wait returns how long work of a cost takes the upstream.
+// Wait returns how long the upstream takes for work of a cost.
 func (f *Forecast) Wait(now mgclock.Millis, cost float64) mgclock.Millis {
 	f.advance(now)
 	if f.busyMs < float64(warmup) || cost <= 0 {
@@ -118,19 +117,17 @@
 	return mgclock.Millis(min(cost*f.busyMs/f.doneTokens, float64(mgclock.Minute)))
 }
 
-// Waited tells that a request of a level of priority, which was predicted to
-// wait, did wait for a span.
+// Waited records the predicted and the actual wait of a request of a priority level.
 func (f *Forecast) Waited(level int, predicted, waited mgclock.Millis) {
-	const decay = 63.0 / 64 // an average over some 64 requests
+	const decay = 63.0 / 64 // averages over some 64 requests
 	b := f.bias(level)
 	b.predictedMs = decay*b.predictedMs + float64(predicted)
 	b.waitedMs = decay*b.waitedMs + float64(waited)
 }
 
-// Corrected returns a predicted wait corrected by what requests of the level
-// met lately. Requests pass each other in ways that the work ahead doesn't
-// show, and a lookup that is turned away for a wait that it would not have had
-// is turned away in vain.
+// Corrected returns a predicted wait, corrected by the recent waits of requests of the
+// level. Requests overtake each other, which the work ahead doesn't show, and a lookup must
+// not be refused for a wait that it would not have had.
 func (f *Forecast) Corrected(level int, predicted mgclock.Millis) mgclock.Millis {
 	b := f.bias(level)
 	factor := (b.waitedMs + priorWaitMs) / (b.predictedMs + priorWaitMs)
@@ -141,16 +138,16 @@
 	return &f.biases[min(max(level, 0), priorityLevels-1)]
 }
 
-// Retry returns after which span a request that would wait for wait, and may
-// only wait for slack, can come back with as much time as it has now: when the
-// work ahead has shrunk so far, and an eighth of the wait more, as the rate is
-// known no better. Who comes back too early is turned away again; so is who
-// comes back while the overload goes on, as those who came since are ahead.
+// Retry returns the time after which a request that would wait for wait, and may wait only
+// for slack, can come back with as much time as it has now. That is when the work ahead has
+// shrunk far enough, plus an eighth of the wait for the error of the measured rate. A
+// caller that comes back earlier is refused again; so is one that comes back while the
+// overload goes on, since requests that came in between are ahead of it.
 func Retry(wait, slack mgclock.Millis) mgclock.Millis {
 	return max(wait+wait/8-max(slack, 0), minRetry)
 }
 
-// advance fades what was seen and counts the time with work.
+// advance decays the measurements until now and counts the time with work.
 func (f *Forecast) advance(now mgclock.Millis) {
 	elapsed := float64(now - f.updatedAt)
 	if elapsed <= 0 {
--- a/internal/request/mgadmission/gate.go
+++ b/internal/request/mgadmission/gate.go
@@ -7,14 +7,14 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mglength"
 )
 
-// The defaults of a Spec. The room that an answer leaves depends on what its
-// service's callers mind. A whole answer is let in while the batch outgrows
-// memory with a chance of some 0.6 % at one moment. A steady one leaves more: a
-// smaller batch has shorter steps, and what isn't preempted has no gap. The front
-// between them is measured in docs/MEASUREMENTS.md.
+// The defaults of a Spec. How much memory must be left depends on what matters to the
+// service's callers. A whole answer is admitted while the batch outgrows memory with a
+// probability of some 0.6 % at one time. A steady one must leave more: a smaller batch has
+// shorter steps, and an answer that isn't preempted has no gap. The front between them is
+// measured in docs/MEASUREMENTS.md.
 //
-// A short steady answer may use the room that the others leave, up to a chance
-// of 7 %: with one z for all, a lookup waits until a report ends.
+// A short steady answer may use the memory that the others leave, up to a probability of 7
+// %: with one z for all, a lookup would wait until a report ends.
 const (
 	DefaultBatch  = 64
 	DefaultFree   = 0.1
@@ -23,18 +23,16 @@
 	DefaultWhole  = 2.5
 )
 
-// stride is the number of tokens after which an answer's part in the outlook
-// is computed anew. At 16, one block of an engine's memory, a batch of 64
-// looks ahead with an error below 64·16 tokens, and the cost per token is a
-// sixteenth of that of an outlook.
+// stride is the number of tokens after which an answer's projection is recomputed. With 16,
+// one block of an engine's memory, the projection of a batch of 64 has an error below 64·16
+// tokens, and the cost per token is a sixteenth of that of a projection.
 const stride = 16
 
-// horizons holds the steps ahead at which the batch is weighed. Memory is
-// outgrown within some thousand steps or not at all: by then most answers have
-// ended.
+// horizons holds the numbers of steps ahead for which memory is projected. Memory is
+// outgrown within some thousand steps or not at all: by then most answers have ended.
 var horizons = [...]int{1, 16, 32, 64, 128, 256, 512, 1024, 2048, 4096, 8192}
 
-// projection is what an answer, or a batch, is going to hold at each moment.
+// projection is the expected memory of an answer, or of a batch, at each horizon.
 type projection struct {
 	mean     [len(horizons)]float64
 	variance [len(horizons)]float64
@@ -45,58 +43,58 @@
 	projection  projection
 	prompt      int // tokens
 	produced    int // tokens
-	projectedAt int // produced when outlook was computed
-	max         int // tokens that it may produce at most
+	projectedAt int // value of produced when the projection was computed
+	max         int // maximum tokens that it may produce
 	isRunning   bool
 }
 
 // Held returns the tokens of memory that the answer holds.
 func (s *Share) Held() int { return s.prompt + s.produced }
 
-// A Gate lets requests into one upstream. The zero Gate has the defaults of a
-// Spec and is ready for use.
+// A Gate admits requests to one upstream. The zero Gate has the defaults of a Spec and is
+// ready for use.
 type Gate struct {
 	spec       Spec
 	projection projection
-	used       int64 // tokens of memory that the answers let in hold
+	used       int64 // tokens of memory that the admitted answers hold
 	reserved   int64
 	running    int                // answers
-	reports    [reportCount]int64 // of memory that the engine holds beyond used
+	reports    [reportCount]int64 // memory that the engine reported beyond used
 	nextReport int
 }
 
-// reportCount is the number of an engine's reportCount that must agree on memory which
-// the gate doesn't know of. One report alone is out of date while answers end.
+// reportCount is the number of an engine's reports that must agree on memory which the gate
+// doesn't know of. A single report is out of date while answers end.
 const reportCount = 8
 
-// NewGate returns a gate with nothing behind it.
+// NewGate returns a gate for an idle upstream.
 func NewGate(spec Spec) *Gate {
 	return &Gate{
 		spec: spec,
 	}
 }
 
-// Running returns the number of answers behind the gate.
+// Running returns the number of admitted answers that have not ended.
 func (g *Gate) Running() int { return g.running }
 
 // Used returns the tokens of memory that they hold.
 func (g *Gate) Used() int64 { return g.used }
 
-// Headroom returns the tokens of memory that are free, or 0 without a bound.
+// Headroom returns the free tokens of memory, or 0 where the memory is unlimited.
 func (g *Gate) Headroom() int64 { return max(g.available()-g.used, 0) }
 
-// Reported takes in the engine's own count of used memory. What all of the
-// last reports show beyond the gate's count is in use by something else.
+// Reported records the engine's own count of used memory. What all recent reports show
+// beyond the gate's count is in use by something else.
 func (g *Gate) Reported(tokens int64) {
 	g.reports[g.nextReport%reportCount] = max(tokens-g.used, 0)
 	g.nextReport++
 }
 
-// Limit sets the most answers at a time from now on, 0 for DefaultBatch. What
-// runs beyond it goes on.
+// Limit sets the maximum number of running answers, 0 for DefaultBatch. Answers beyond a
+// lower limit keep running.
 func (g *Gate) Limit(batch int) { g.spec.Batch = batch }
 
-// available returns the memory that is the gate's to fill.
+// available returns the memory that the gate can assign.
 func (g *Gate) available() int64 {
 	return g.spec.Memory - slices.Min(g.reports[:])
 }
@@ -106,7 +104,7 @@
 	return g.spec.Memory <= 0 || int64(prompt) < g.spec.Memory
 }
 
-// Full reports whether a batch runs, so that nothing may start.
+// Full reports whether a full batch runs, so that nothing may start.
 func (g *Gate) Full() bool { return g.running >= g.batch() }
 
 // Admits reports whether c may start now.
@@ -135,7 +133,7 @@
 	}
 }
 
-// Enter lets c in. The share is the caller's to keep until Leave.
+// Enter admits c and initializes its share. The caller keeps the share until Leave.
 func (g *Gate) Enter(s *Share, c Candidate) {
 	*s = Share{
 		prompt:    c.Prompt,
@@ -148,9 +146,9 @@
 	g.Weigh(s, c.Curve)
 }
 
-// Grow tells that the answer has produced a number of tokens in all. It reports
-// whether Weigh is due. An answer that the engine preempts just doesn't grow: its
-// memory stays counted, so that nothing is let in which would keep it out.
+// Grow records the total number of tokens that the answer has produced. It reports whether
+// Weigh is due. An answer that the engine preempts doesn't grow: its memory stays counted,
+// so that nothing is admitted that would keep it from being resumed.
 func (g *Gate) Grow(s *Share, produced int) bool {
 	if !s.isRunning || produced <= s.produced {
 		return false
@@ -160,7 +158,7 @@
 	return g.spec.Rule == Outgrow && produced-s.projectedAt >= stride
 }
 
-// Leave gives the answer's memory back.
+// Leave releases the answer's memory.
 func (g *Gate) Leave(s *Share) {
 	if !s.isRunning {
 		return
@@ -170,12 +168,12 @@
 	g.reserved -= g.maxTokens(s.prompt, s.max)
 	g.projection.subtract(&s.projection)
 	if g.running == 0 {
-		g.projection = projection{} // no drift of the sums
+		g.projection = projection{} // avoids drift of the sums
 	}
 	*s = Share{}
 }
 
-// staysWithin reports whether the batch with c stays staysWithin memory at each moment.
+// staysWithin reports whether the batch with c stays within memory at each horizon.
 func (g *Gate) staysWithin(c Candidate, available float64) bool {
 	z := g.z(c)
 	var sum projection
@@ -192,7 +190,7 @@
 	return true
 }
 
-// Weigh computes the answer's outlook anew from the curve of its length.
+// Weigh recomputes the answer's projection from the curve of its length.
 func (g *Gate) Weigh(s *Share, curve *mglength.Curve) {
 	if g.spec.Rule != Outgrow || g.spec.Memory <= 0 || !s.isRunning {
 		return
@@ -203,9 +201,9 @@
 	g.projection.add(&s.projection)
 }
 
-// project sets mean and variance of what one answer holds at each moment: all of
-// its context with the chance that it still runs, else nothing. Without a
-// curve it runs on.
+// project sets mean and variance of one answer's memory at each horizon: its whole context
+// with the probability that it still runs, else nothing. Without a curve it runs until its
+// maximum length.
 func (o *projection) project(s *Share, curve *mglength.Curve) {
 	survival := 1.0
 	if curve != nil {
@@ -241,7 +239,7 @@
 	}
 }
 
-// maxTokens returns the tokens that an answer can grow to.
+// maxTokens returns the maximum memory of an answer, in tokens.
 func (g *Gate) maxTokens(prompt, limit int) int64 {
 	if limit <= 0 {
 		return g.spec.Memory
@@ -263,7 +261,7 @@
 	return DefaultFree
 }
 
-// z returns the deviations of room that c must leave.
+// z returns the number of standard deviations that must be left free for c.
 func (g *Gate) z(c Candidate) float64 {
 	switch {
 	case c.Whole:
@@ -275,9 +273,9 @@
 	}
 }
 
-// isShort reports whether c is expected to grow no larger than what runs is on
-// average. A share of the memory as the bound would take notes for isShort on
-// large engines and for long on small ones.
+// isShort reports whether c is expected to become no larger than the average of what runs.
+// A fixed share of the memory as the bound would classify short answers as short on large
+// engines and as long on small ones.
 func (g *Gate) isShort(c Candidate) bool {
 	size := float64(c.Prompt)
 	if c.Curve != nil {
@@ -286,7 +284,7 @@
 	return size*float64(g.running) <= float64(g.used)
 }
 
-// valueOr returns value where it is set.
+// valueOr returns value where it is set, else fallback.
 func valueOr(value, fallback float64) float64 {
 	if value > 0 {
 		return value
--- a/internal/request/mgadmission/gate_test.go
+++ b/internal/request/mgadmission/gate_test.go
@@ -14,7 +14,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// simulatedAnswer is one that a play of a batch lets in.
+// simulatedAnswer is an answer of a simulated batch.
 type simulatedAnswer struct {
 	share    mgadmission.Share
 	estimate mglength.Answer
@@ -22,8 +22,8 @@
 	length   int
 }
 
-// simulateBatch keeps a batch as full as the gate allows, a token a step, and returns
-// the tokens produced and the steps at which memory was outgrown.
+// simulateBatch keeps a batch as full as the gate allows, at one token a step. It returns
+// the number of tokens produced and of steps at which memory was outgrown.
 func simulateBatch(spec mgadmission.Spec, steps int) (tokens, outgrown int) {
 	r := rand.New(rand.NewPCG(7, 8))
 	gate := mgadmission.NewGate(spec)
@@ -73,8 +73,8 @@
 	return tokens, outgrown
 }
 
-// An engine under saturation preempts all the time, or stands half idle:
-// answers were let in by what fits now, or by the longest they may get.
+// An engine under saturation preempts all the time, or is half idle, because answers are
+// admitted by what fits now, or by their maximum length.
 func TestMemoryIsOutgrownOrIdle(t *testing.T) {
 	Convey("Under saturation", t, func() {
 		spec := mgadmission.Spec{
@@ -98,8 +98,8 @@
 	})
 }
 
-// The operators set a service of long reports to steady, and its tokens come
-// less evenly than before: more of it is let in at a time.
+// A service of long reports is set to steady, but its tokens come less evenly than before,
+// because more of its answers are admitted at a time.
 func TestSteadyAnswersAreCrowded(t *testing.T) {
 	Convey("Of long answers", t, func() {
 		var lengths mglength.Estimator
@@ -132,8 +132,8 @@
 	})
 }
 
-// A preempted dossier never comes back: each time memory becomes free, a new
-// request takes it.
+// A preempted answer is never resumed, because each time memory becomes free a new request
+// takes it.
 func TestPreemptedMemoryIsGivenAway(t *testing.T) {
 	Convey("What a preempted answer needs to come back is let to nobody", t, func() {
 		for _, rule := range []mgadmission.Rule{mgadmission.Outgrow, mgadmission.Mark, mgadmission.Now} {
@@ -158,8 +158,8 @@
 	})
 }
 
-// An engine's report of a second ago shows memory that has been freed since,
-// and requests are turned away although there is room.
+// An engine's report of a second ago shows memory that has been freed since, and requests
+// are refused although there is memory.
 func TestLaggingReportBlocksMemory(t *testing.T) {
 	Convey("One lagging report takes no memory, a steady difference does", t, func() {
 		gate := mgadmission.NewGate(mgadmission.Spec{
@@ -177,7 +177,7 @@
 	})
 }
 
-// An upstream hangs, and callers are still told that a wait of seconds will do.
+// An upstream hangs, and the predicted wait stays at some seconds.
 func TestStallPredictsShortWait(t *testing.T) {
 	Convey("A stalled upstream's predicted waits grow", t, func() {
 		var f mgadmission.Forecast
@@ -191,8 +191,8 @@
 	})
 }
 
-// Lookups are turned away because of the reports that wait, although each one
-// that was let in passed them at once.
+// Lookups are refused because of the reports that wait, although each admitted lookup
+// overtook these at once.
 func TestPredictedWaitStaysWrong(t *testing.T) {
 	Convey("A wait that doesn't come is predicted no more, for its level alone", t, func() {
 		var f mgadmission.Forecast
@@ -205,8 +205,8 @@
 	})
 }
 
-// Whatever comes and goes, no rule lets in more than fits or more than a
-// batch, Reserve never outgrows memory, and an empty gate holds nothing.
+// For any sequence of events, no rule admits more than fits or more than a batch, Reserve
+// never outgrows memory, and an empty gate holds nothing.
 func TestGateExceedsMemoryOrBatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := mgadmission.Spec{
