--- a/internal/request/mgadmission/gate_test.go
+++ b/internal/request/mgadmission/gate_test.go
@@ -86,13 +86,13 @@
 			spec.Rule = rule
 			tokens[rule], outgrown[rule] = simulateBatch(spec, 20_000)
 		}
-		Convey("the chance of outgrowing keeps within memory where the present does not", func() {
+		Convey("the probability rule stays within memory where the present size does not", func() {
 			So(outgrown[mgadmission.Outgrow], ShouldBeLessThan, outgrown[mgadmission.Now]/20)
 		})
-		Convey("and gets most of what the present seems to", func() {
+		Convey("and produces most of the tokens that the present size seems to", func() {
 			So(tokens[mgadmission.Outgrow], ShouldBeGreaterThan, tokens[mgadmission.Now]*6/10)
 		})
-		Convey("and far more than the maximum does", func() {
+		Convey("and far more than the maximum length does", func() {
 			So(tokens[mgadmission.Outgrow], ShouldBeGreaterThan, 3*tokens[mgadmission.Reserve])
 		})
 	})
@@ -118,10 +118,10 @@
 			return gate
 		}
 		whole, steady := fill(true), fill(false)
-		Convey("fewer run at a time where they are to be steady", func() {
+		Convey("fewer run at a time with the preference steady", func() {
 			So(steady.Running(), ShouldBeLessThan, whole.Running())
 		})
-		Convey("and short ones use the room that they leave", func() {
+		Convey("and short ones use the memory that they leave", func() {
 			short := mgadmission.Candidate{
 				Prompt: 50,
 				Max:    20,
@@ -135,7 +135,7 @@
 // A preempted answer is never resumed, because each time memory becomes free a new request
 // takes it.
 func TestPreemptedMemoryIsGivenAway(t *testing.T) {
-	Convey("What a preempted answer needs to come back is let to nobody", t, func() {
+	Convey("The memory of a preempted answer is given to no other request", t, func() {
 		for _, rule := range []mgadmission.Rule{mgadmission.Outgrow, mgadmission.Mark, mgadmission.Now} {
 			gate := mgadmission.NewGate(mgadmission.Spec{
 				Memory: 1000,
@@ -161,7 +161,7 @@
 // An engine's report of a second ago shows memory that has been freed since, and requests
 // are refused although there is memory.
 func TestLaggingReportBlocksMemory(t *testing.T) {
-	Convey("One lagging report takes no memory, a steady difference does", t, func() {
+	Convey("One lagging report blocks no memory, a steady difference does", t, func() {
 		gate := mgadmission.NewGate(mgadmission.Spec{
 			Memory: 1000,
 		})
@@ -194,7 +194,7 @@
 // Lookups are refused because of the reports that wait, although each admitted lookup
 // overtook these at once.
 func TestPredictedWaitStaysWrong(t *testing.T) {
-	Convey("A wait that doesn't come is predicted no more, for its level alone", t, func() {
+	Convey("A wait that doesn't occur is no longer predicted, for its level only", t, func() {
 		var f mgadmission.Forecast
 		for range 200 {
 			f.Waited(2, 8000, 100)
@@ -235,7 +235,7 @@
 					t.Fatalf("%d of %d tokens, %d of %d answers", gate.Used(), spec.Memory, gate.Running(), spec.Batch)
 				}
 			} else if gate.Running() == 0 && int64(c.Prompt) < spec.Memory {
-				t.Fatal("an idle engine turns away what fits")
+				t.Fatal("an idle engine refuses what fits")
 			}
 			kept := batch[:0]
 			for _, a := range batch {
@@ -257,7 +257,7 @@
 			gate.Leave(&a.share)
 		}
 		if gate.Used() != 0 || gate.Running() != 0 {
-			t.Fatalf("empty, and %d tokens are held by %d", gate.Used(), gate.Running())
+			t.Fatalf("an empty gate holds %d tokens in %d answers", gate.Used(), gate.Running())
 		}
 	})
 }
