--- a/internal/request/mgquarantine/age_test.go
+++ b/internal/request/mgquarantine/age_test.go
@@ -76,8 +76,8 @@
 			for _, record := range sent {
 				ages[record.Number] = record.Age
 				now += mgclock.Millis(delayRange.Draw(t, "delay"))
-				if refused := next.Take(now, []Note{record}); len(refused) > 0 {
-					t.Fatalf("hop %d: %v", hop, refused)
+				if invalid := next.Take(now, []Note{record}); len(invalid) > 0 {
+					t.Fatalf("hop %d: %v", hop, invalid)
 				}
 			}
 			now += mgclock.Millis(delayRange.Draw(t, "stored"))
--- a/internal/request/mgquarantine/evaluate.go
+++ b/internal/request/mgquarantine/evaluate.go
@@ -18,8 +18,8 @@
 	occurrenceWindow = 300 * mgclock.Millis(1)
 	// sameCrashWindow is the time within which records about one upstream are of the same
 	// crash, unless an attempt was sent after the first record's crash. It is longer than
-	// the processes' observations of one crash differ, and shorter than an upstream takes
-	// to restart.
+	// the differences between several processes' observations of one crash, and shorter
+	// than an upstream takes to restart.
 	sameCrashWindow = mgclock.Second
 	// initialHold is the duration of the first hold. Each crash after a hold makes the next
 	// one holdFactor times as long, up to maxHold.
@@ -126,7 +126,7 @@
 // have come on a slow path.
 func longestChain(digest Digest, crashes []*crash) []*crash {
 	earlier := earlierCrashes(digest, crashes)
-	chains := make([][]*crash, len(crashes)) // by its last crash
+	chains := make([][]*crash, len(crashes)) // the longest one that ends with each crash
 	var chainTo func(i int) []*crash
 	chainTo = func(i int) []*crash {
 		if chains[i] != nil {
--- a/internal/request/mgquarantine/exchange.go
+++ b/internal/request/mgquarantine/exchange.go
@@ -6,14 +6,14 @@
 
 // Take merges records of other processes. Records that can't be used are skipped, and
 // returned with the reason.
-func (q *Quarantine) Take(now mgclock.Millis, records []Note) (refused []*Refusal) {
+func (q *Quarantine) Take(now mgclock.Millis, records []Note) (invalid []*InvalidRecordError) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	hasUpdates := false
 	changed := map[Digest]bool{}
 	for _, record := range records {
-		if refusal := record.validate(); refusal != nil {
-			refused = append(refused, refusal)
+		if err := record.validate(); err != nil {
+			invalid = append(invalid, err)
 			continue
 		}
 		if record.Age >= recordTTL || record.Origin == q.origin {
@@ -30,7 +30,7 @@
 	if hasUpdates {
 		q.reevaluate(now)
 	}
-	return refused
+	return invalid
 }
 
 // mergeRecord stores another process's record, or the better time bound that a copy of it
--- /dev/null
+++ b/internal/request/mgquarantine/invalid.go
@@ -0,0 +1,44 @@
+package mgquarantine
+
+import (
+	"fmt"
+	"strconv"
+)
+
+// An InvalidRecordError is the error for a record of another process that can't be used.
+type InvalidRecordError struct {
+	Origin string
+	Number uint64
+	Field  string
+	Value  string
+}
+
+func (r *InvalidRecordError) Error() string {
+	return fmt.Sprintf("record %d of %q: invalid %s %q: run one release on all processes, or report it", r.Number, r.Origin, r.Field, r.Value)
+}
+
+// validate returns what is wrong with another process's record, or nil.
+func (n Note) validate() *InvalidRecordError {
+	invalid := &InvalidRecordError{
+		Origin: n.Origin,
+		Number: n.Number,
+	}
+	_, err := ParseDigest(n.Digest)
+	switch {
+	case err != nil:
+		invalid.Field = "digest"
+		invalid.Value = n.Digest
+	case n.Number == 0:
+		invalid.Field = "number"
+		invalid.Value = "0"
+	case n.Age < 0:
+		invalid.Field = "age"
+		invalid.Value = strconv.FormatInt(int64(n.Age), 10)
+	case n.Delay < 0:
+		invalid.Field = "delay"
+		invalid.Value = strconv.FormatInt(int64(n.Delay), 10)
+	default:
+		return nil
+	}
+	return invalid
+}
