--- a/internal/request/mgadmission/doc.go
+++ b/internal/request/mgadmission/doc.go
@@ -14,16 +14,16 @@
 // A Gate counts the memory of what it admitted by itself; an engine's report lags and only
 // corrects the count. It has four rules, so that they can be compared:
 //
-//   - Outgrow, the default, considers the times 1, 16, 32, … steps ahead. At each of them
-//     an answer
-//     either has ended, and its memory is free, or holds its prompt and what it has produced until
-//     then; the probabilities come from its curve (package mglength). Sums of many small independent
-//     parts are nearly normally distributed. The batch therefore stays within memory at that time
-//     with the probability that belongs to z if mean + z·deviation does. A request is admitted when
-//     that holds at every time. z depends on the request's preference and size; see DefaultSteady.
-//   - Mark admits requests while a fixed share of the memory stays free.
+//   - OverflowProbability, the default, considers the times 1, 16, 32, … steps ahead. At
+//     each of them an answer either has ended, and its memory is free, or holds its prompt
+//     and what it has produced until then; the probabilities come from its curve (package
+//     mglength). Sums of many small independent parts are nearly normally distributed. The
+//     batch therefore stays within memory at that time with the probability that belongs to
+//     z if mean + z·deviation does. A request is admitted when that holds at every time. z
+//     depends on the request's preference and size; see DefaultSteady.
+//   - Watermark admits requests while a fixed share of the memory stays free.
 //   - Reserve counts each answer with its maximum length.
-//   - Now admits what fits now.
+//   - CurrentSize admits what fits now.
 //
 // An idle engine admits whatever fits its memory, under every rule. The memory of a
 // preempted answer stays counted until it has been resumed and has ended.
--- a/internal/request/mgadmission/forecast.go
+++ b/internal/request/mgadmission/forecast.go
@@ -59,20 +59,20 @@
 // minimum: overtaking can make a wait next to nothing.
 const maxBiasFactor = 2.0
 
-// Busy sets whether the upstream has work from now on.
-func (f *Forecast) Busy(now mgclock.Millis, busy bool) {
+// SetBusy sets whether the upstream has work from now on.
+func (f *Forecast) SetBusy(now mgclock.Millis, busy bool) {
 	f.advance(now)
 	f.isBusy = busy
 }
 
-// Done records that the upstream has done work of a cost.
-func (f *Forecast) Done(now mgclock.Millis, cost float64) {
+// RecordWork records that the upstream has done work of a cost.
+func (f *Forecast) RecordWork(now mgclock.Millis, cost float64) {
 	f.advance(now)
 	f.doneTokens += cost
 }
 
-// First records that an answer's first token came a delay after its start.
-func (f *Forecast) First(uncached int, delay mgclock.Millis) {
+// RecordFirstToken records that an answer's first token came a delay after its start.
+func (f *Forecast) RecordFirstToken(uncached int, delay mgclock.Millis) {
 	const decay = 15.0 / 16 // averages over some 16 answers
 	f.promptTokens = decay*f.promptTokens + float64(uncached+overheadTokens)
 	f.delayMs = decay*f.delayMs + float64(delay)
@@ -90,23 +90,25 @@
 	return mgclock.Millis(f.delayMs / f.promptTokens * float64(uncached+overheadTokens))
 }
 
-// Next records that an answer produced tokens within an interval since its last one.
-func (f *Forecast) Next(tokens int, interval mgclock.Millis) {
+// RecordTokens records that an answer produced tokens within an interval since its last
+// one.
+func (f *Forecast) RecordTokens(tokens int, interval mgclock.Millis) {
 	const decay = 255.0 / 256 // averages over some steps of a batch
 	f.gapTokens = decay*f.gapTokens + float64(tokens)
 	f.gapMs = decay*f.gapMs + float64(interval)
 }
 
-// Rest returns the expected time from the first token to the last of an answer of a length.
-func (f *Forecast) Rest(length float64) mgclock.Millis {
+// OutputTime returns the expected time from the first token to the last of an answer of a
+// length.
+func (f *Forecast) OutputTime(length float64) mgclock.Millis {
 	if f.gapTokens == 0 {
 		return 0
 	}
 	return mgclock.Millis(f.gapMs / f.gapTokens * length)
 }
 
-// Wait returns how long the upstream takes for work of a cost.
-func (f *Forecast) Wait(now mgclock.Millis, cost float64) mgclock.Millis {
+// TimeFor returns how long the upstream takes for work of a cost.
+func (f *Forecast) TimeFor(now mgclock.Millis, cost float64) mgclock.Millis {
 	f.advance(now)
 	if f.busyMs < float64(warmup) || cost <= 0 {
 		return 0
@@ -117,18 +119,18 @@
 	return mgclock.Millis(min(cost*f.busyMs/f.doneTokens, float64(mgclock.Minute)))
 }
 
-// Waited records the predicted and the actual wait of a request of a priority level.
-func (f *Forecast) Waited(level int, predicted, waited mgclock.Millis) {
+// RecordWait records the predicted and the actual wait of a request of a priority level.
+func (f *Forecast) RecordWait(level int, predicted, waited mgclock.Millis) {
 	const decay = 63.0 / 64 // averages over some 64 requests
 	b := f.bias(level)
 	b.predictedMs = decay*b.predictedMs + float64(predicted)
 	b.waitedMs = decay*b.waitedMs + float64(waited)
 }
 
-// Corrected returns a predicted wait, corrected by the recent waits of requests of the
-// level. Requests overtake each other, which the work ahead doesn't show, and a lookup must
-// not be refused for a wait that it would not have had.
-func (f *Forecast) Corrected(level int, predicted mgclock.Millis) mgclock.Millis {
+// Correct returns a predicted wait, corrected by the recent waits of requests of the level.
+// Requests overtake each other, which the work ahead doesn't show, and a lookup must not be
+// refused for a wait that it would not have had.
+func (f *Forecast) Correct(level int, predicted mgclock.Millis) mgclock.Millis {
 	b := f.bias(level)
 	factor := (b.waitedMs + priorWaitMs) / (b.predictedMs + priorWaitMs)
 	return mgclock.Millis(float64(predicted) * min(factor, maxBiasFactor))
@@ -138,12 +140,12 @@
 	return &f.biases[min(max(level, 0), priorityLevels-1)]
 }
 
-// Retry returns the time after which a request that would wait for wait, and may wait only
-// for slack, can come back with as much time as it has now. That is when the work ahead has
-// shrunk far enough, plus an eighth of the wait for the error of the measured rate. A
-// caller that comes back earlier is refused again; so is one that comes back while the
-// overload goes on, since requests that came in between are ahead of it.
-func Retry(wait, slack mgclock.Millis) mgclock.Millis {
+// RetryAfter returns the time after which a request that would wait for wait, and may wait
+// only for slack, can come back with as much time as it has now. That is when the work
+// ahead has shrunk far enough, plus an eighth of the wait for the error of the measured
+// rate. A caller that comes back earlier is refused again; so is one that comes back while
+// the overload goes on, since requests that came in between are ahead of it.
+func RetryAfter(wait, slack mgclock.Millis) mgclock.Millis {
 	return max(wait+wait/8-max(slack, 0), minRetry)
 }
 
--- a/internal/request/mgadmission/gate.go
+++ b/internal/request/mgadmission/gate.go
@@ -48,8 +48,8 @@
 	isRunning   bool
 }
 
-// Held returns the tokens of memory that the answer holds.
-func (s *Share) Held() int { return s.prompt + s.produced }
+// Tokens returns the tokens of memory that the answer holds.
+func (s *Share) Tokens() int { return s.prompt + s.produced }
 
 // A Gate admits requests to one upstream. The zero Gate has the defaults of a Spec and is
 // ready for use.
@@ -83,48 +83,48 @@
 // Headroom returns the free tokens of memory, or 0 where the memory is unlimited.
 func (g *Gate) Headroom() int64 { return max(g.available()-g.used, 0) }
 
-// Reported records the engine's own count of used memory. What all recent reports show
+// RecordUsed records the engine's own count of used memory. What all recent reports show
 // beyond the gate's count is in use by something else.
-func (g *Gate) Reported(tokens int64) {
+func (g *Gate) RecordUsed(tokens int64) {
 	g.reports[g.nextReport%reportCount] = max(tokens-g.used, 0)
 	g.nextReport++
 }
 
-// Limit sets the maximum number of running answers, 0 for DefaultBatch. Answers beyond a
+// SetBatch sets the maximum number of running answers, 0 for DefaultBatch. Answers beyond a
 // lower limit keep running.
-func (g *Gate) Limit(batch int) { g.spec.Batch = batch }
+func (g *Gate) SetBatch(batch int) { g.spec.Batch = batch }
 
 // available returns the memory that the gate can assign.
 func (g *Gate) available() int64 {
 	return g.spec.Memory - slices.Min(g.reports[:])
 }
 
-// Holds reports whether a prompt and one token fit the memory at all.
-func (g *Gate) Holds(prompt int) bool {
+// CanFit reports whether a prompt and one token fit the memory at all.
+func (g *Gate) CanFit(prompt int) bool {
 	return g.spec.Memory <= 0 || int64(prompt) < g.spec.Memory
 }
 
 // Full reports whether a full batch runs, so that nothing may start.
 func (g *Gate) Full() bool { return g.running >= g.batch() }
 
-// Admits reports whether c may start now.
-func (g *Gate) Admits(c Candidate) bool {
+// CanAdmit reports whether c may start now.
+func (g *Gate) CanAdmit(c Candidate) bool {
 	switch {
 	case g.Full():
 		return false
 	case g.spec.Memory <= 0:
 		return true
 	case g.running == 0:
-		return g.Holds(c.Prompt)
+		return g.CanFit(c.Prompt)
 	}
 	available := g.available()
 	if g.used+int64(c.Prompt+g.running) >= available {
 		return false
 	}
 	switch g.spec.Rule {
-	case Now:
+	case CurrentSize:
 		return true
-	case Mark:
+	case Watermark:
 		return float64(g.used+int64(c.Prompt)) <= (1-g.freeShare())*float64(available)
 	case Reserve:
 		return g.reserved+g.maxTokens(c.Prompt, c.Max) <= available
@@ -133,8 +133,8 @@
 	}
 }
 
-// Enter admits c and initializes its share. The caller keeps the share until Leave.
-func (g *Gate) Enter(s *Share, c Candidate) {
+// Admit admits c and initializes its share. The caller keeps the share until Leave.
+func (g *Gate) Admit(s *Share, c Candidate) {
 	*s = Share{
 		prompt:    c.Prompt,
 		max:       c.Max,
@@ -143,28 +143,29 @@
 	g.running++
 	g.used += int64(c.Prompt)
 	g.reserved += g.maxTokens(c.Prompt, c.Max)
-	g.Weigh(s, c.Curve)
+	g.UpdateProjection(s, c.Curve)
 }
 
-// Grow records the total number of tokens that the answer has produced. It reports whether
-// Weigh is due. An answer that the engine preempts doesn't grow: its memory stays counted,
-// so that nothing is admitted that would keep it from being resumed.
-func (g *Gate) Grow(s *Share, produced int) bool {
+// RecordProgress records the total number of tokens that the answer has produced. It
+// reports whether UpdateProjection is due. An answer that the engine preempts doesn't grow:
+// its memory stays counted, so that nothing is admitted that would keep it from being
+// resumed.
+func (g *Gate) RecordProgress(s *Share, produced int) bool {
 	if !s.isRunning || produced <= s.produced {
 		return false
 	}
 	g.used += int64(produced - s.produced)
 	s.produced = produced
-	return g.spec.Rule == Outgrow && produced-s.projectedAt >= stride
+	return g.spec.Rule == OverflowProbability && produced-s.projectedAt >= stride
 }
 
-// Leave releases the answer's memory.
-func (g *Gate) Leave(s *Share) {
+// Release releases the answer's memory.
+func (g *Gate) Release(s *Share) {
 	if !s.isRunning {
 		return
 	}
 	g.running--
-	g.used -= int64(s.Held())
+	g.used -= int64(s.Tokens())
 	g.reserved -= g.maxTokens(s.prompt, s.max)
 	g.projection.subtract(&s.projection)
 	if g.running == 0 {
@@ -190,9 +191,9 @@
 	return true
 }
 
-// Weigh recomputes the answer's projection from the curve of its length.
-func (g *Gate) Weigh(s *Share, curve *mglength.Curve) {
-	if g.spec.Rule != Outgrow || g.spec.Memory <= 0 || !s.isRunning {
+// UpdateProjection recomputes the answer's projection from the curve of its length.
+func (g *Gate) UpdateProjection(s *Share, curve *mglength.Curve) {
+	if g.spec.Rule != OverflowProbability || g.spec.Memory <= 0 || !s.isRunning {
 		return
 	}
 	g.projection.subtract(&s.projection)
--- a/internal/request/mgadmission/gate_test.go
+++ b/internal/request/mgadmission/gate_test.go
@@ -39,14 +39,14 @@
 				Whole:  true,
 				Curve:  lengths.Curve(mglength.Key{}),
 			}
-			if !gate.Admits(c) {
+			if !gate.CanAdmit(c) {
 				break
 			}
 			a := &simulatedAnswer{
 				estimate: lengths.Begin(mglength.Key{}),
 				length:   min(length, c.Max),
 			}
-			gate.Enter(&a.share, c)
+			gate.Admit(&a.share, c)
 			batch = append(batch, a)
 			length = next()
 		}
@@ -58,15 +58,15 @@
 			a.produced++
 			tokens++
 			a.estimate.Progress(a.produced)
-			if gate.Grow(&a.share, a.produced) {
-				gate.Weigh(&a.share, a.estimate.Curve())
+			if gate.RecordProgress(&a.share, a.produced) {
+				gate.UpdateProjection(&a.share, a.estimate.Curve())
 			}
 			if a.produced < a.length {
 				kept = append(kept, a)
 				continue
 			}
 			a.estimate.End(a.produced)
-			gate.Leave(&a.share)
+			gate.Release(&a.share)
 		}
 		batch = kept
 	}
@@ -82,18 +82,18 @@
 			Batch:  100,
 		}
 		tokens, outgrown := map[mgadmission.Rule]int{}, map[mgadmission.Rule]int{}
-		for _, rule := range []mgadmission.Rule{mgadmission.Outgrow, mgadmission.Now, mgadmission.Reserve} {
+		for _, rule := range []mgadmission.Rule{mgadmission.OverflowProbability, mgadmission.CurrentSize, mgadmission.Reserve} {
 			spec.Rule = rule
 			tokens[rule], outgrown[rule] = simulateBatch(spec, 20_000)
 		}
 		Convey("the probability rule stays within memory where the present size does not", func() {
-			So(outgrown[mgadmission.Outgrow], ShouldBeLessThan, outgrown[mgadmission.Now]/20)
+			So(outgrown[mgadmission.OverflowProbability], ShouldBeLessThan, outgrown[mgadmission.CurrentSize]/20)
 		})
 		Convey("and produces most of the tokens that the present size seems to", func() {
-			So(tokens[mgadmission.Outgrow], ShouldBeGreaterThan, tokens[mgadmission.Now]*6/10)
+			So(tokens[mgadmission.OverflowProbability], ShouldBeGreaterThan, tokens[mgadmission.CurrentSize]*6/10)
 		})
 		Convey("and far more than the maximum length does", func() {
-			So(tokens[mgadmission.Outgrow], ShouldBeGreaterThan, 3*tokens[mgadmission.Reserve])
+			So(tokens[mgadmission.OverflowProbability], ShouldBeGreaterThan, 3*tokens[mgadmission.Reserve])
 		})
 	})
 }
@@ -112,8 +112,8 @@
 				Memory: 20_000,
 			})
 			long.Whole = whole
-			for gate.Admits(long) {
-				gate.Enter(new(mgadmission.Share), long)
+			for gate.CanAdmit(long) {
+				gate.Admit(new(mgadmission.Share), long)
 			}
 			return gate
 		}
@@ -126,8 +126,8 @@
 				Prompt: 50,
 				Max:    20,
 			}
-			So(steady.Admits(short), ShouldBeTrue)
-			So(whole.Admits(short), ShouldBeTrue)
+			So(steady.CanAdmit(short), ShouldBeTrue)
+			So(whole.CanAdmit(short), ShouldBeTrue)
 		})
 	})
 }
@@ -136,21 +136,21 @@
 // takes it.
 func TestPreemptedMemoryIsGivenAway(t *testing.T) {
 	Convey("The memory of a preempted answer is given to no other request", t, func() {
-		for _, rule := range []mgadmission.Rule{mgadmission.Outgrow, mgadmission.Mark, mgadmission.Now} {
+		for _, rule := range []mgadmission.Rule{mgadmission.OverflowProbability, mgadmission.Watermark, mgadmission.CurrentSize} {
 			gate := mgadmission.NewGate(mgadmission.Spec{
 				Memory: 1000,
 				Rule:   rule,
 			})
 			var dossier, other mgadmission.Share
-			gate.Enter(&other, mgadmission.Candidate{
+			gate.Admit(&other, mgadmission.Candidate{
 				Prompt: 100,
 			})
-			gate.Enter(&dossier, mgadmission.Candidate{
+			gate.Admit(&dossier, mgadmission.Candidate{
 				Prompt: 500,
 			})
-			gate.Grow(&dossier, 300)
+			gate.RecordProgress(&dossier, 300)
 			// The engine preempts the dossier here, and 800 tokens are free in it.
-			So(gate.Admits(mgadmission.Candidate{
+			So(gate.CanAdmit(mgadmission.Candidate{
 				Prompt: 100,
 			}), ShouldBeFalse)
 			So(gate.Headroom(), ShouldEqual, 100)
@@ -166,12 +166,12 @@
 			Memory: 1000,
 		})
 		for range 8 {
-			gate.Reported(0)
+			gate.RecordUsed(0)
 		}
-		gate.Reported(900)
+		gate.RecordUsed(900)
 		So(gate.Headroom(), ShouldEqual, 1000)
 		for range 8 {
-			gate.Reported(300)
+			gate.RecordUsed(300)
 		}
 		So(gate.Headroom(), ShouldEqual, 700)
 	})
@@ -181,13 +181,13 @@
 func TestStallPredictsShortWait(t *testing.T) {
 	Convey("A stalled upstream's predicted waits grow", t, func() {
 		var f mgadmission.Forecast
-		f.Busy(0, true)
+		f.SetBusy(0, true)
 		now := mgclock.Millis(0)
 		for ; now < 10*mgclock.Second; now += 10 {
-			f.Done(now, 10)
+			f.RecordWork(now, 10)
 		}
-		So(f.Wait(now, 1000), ShouldBeBetween, 950, 1050)
-		So(f.Wait(now+10*mgclock.Second, 1000), ShouldBeGreaterThan, 5*mgclock.Second)
+		So(f.TimeFor(now, 1000), ShouldBeBetween, 950, 1050)
+		So(f.TimeFor(now+10*mgclock.Second, 1000), ShouldBeGreaterThan, 5*mgclock.Second)
 	})
 }
 
@@ -197,11 +197,11 @@
 	Convey("A wait that doesn't occur is no longer predicted, for its level only", t, func() {
 		var f mgadmission.Forecast
 		for range 200 {
-			f.Waited(2, 8000, 100)
-			f.Waited(0, 8000, 8000)
+			f.RecordWait(2, 8000, 100)
+			f.RecordWait(0, 8000, 8000)
 		}
-		So(f.Corrected(2, 8000), ShouldBeLessThan, 500)
-		So(f.Corrected(0, 8000), ShouldEqual, 8000)
+		So(f.Correct(2, 8000), ShouldBeLessThan, 500)
+		So(f.Correct(0, 8000), ShouldEqual, 8000)
 	})
 }
 
@@ -212,7 +212,7 @@
 		spec := mgadmission.Spec{
 			Memory: rapid.Int64Range(100, 10_000).Draw(t, "memory"),
 			Batch:  rapid.IntRange(1, 20).Draw(t, "batch"),
-			Rule:   rapid.SampledFrom([]mgadmission.Rule{mgadmission.Outgrow, mgadmission.Mark, mgadmission.Reserve, mgadmission.Now}).Draw(t, "rule"),
+			Rule:   rapid.SampledFrom([]mgadmission.Rule{mgadmission.OverflowProbability, mgadmission.Watermark, mgadmission.Reserve, mgadmission.CurrentSize}).Draw(t, "rule"),
 			Free:   rapid.Float64Range(0, 1).Draw(t, "free"),
 		}
 		gate := mgadmission.NewGate(spec)
@@ -225,11 +225,11 @@
 				Whole:  rapid.Bool().Draw(t, "whole"),
 				Curve:  lengths.Curve(mglength.Key{}),
 			}
-			if gate.Admits(c) {
+			if gate.CanAdmit(c) {
 				a := &simulatedAnswer{
 					length: c.Max,
 				}
-				gate.Enter(&a.share, c)
+				gate.Admit(&a.share, c)
 				batch = append(batch, a)
 				if gate.Used() > spec.Memory || gate.Running() > spec.Batch {
 					t.Fatalf("%d of %d tokens, %d of %d answers", gate.Used(), spec.Memory, gate.Running(), spec.Batch)
@@ -240,12 +240,12 @@
 			kept := batch[:0]
 			for _, a := range batch {
 				a.produced = min(a.produced+rapid.IntRange(0, 500).Draw(t, "made"), a.length)
-				gate.Grow(&a.share, a.produced)
-				gate.Weigh(&a.share, lengths.Curve(mglength.Key{}))
+				gate.RecordProgress(&a.share, a.produced)
+				gate.UpdateProjection(&a.share, lengths.Curve(mglength.Key{}))
 				if a.produced < a.length {
 					kept = append(kept, a)
 				} else {
-					gate.Leave(&a.share)
+					gate.Release(&a.share)
 				}
 			}
 			batch = kept
@@ -254,7 +254,7 @@
 			}
 		}
 		for _, a := range batch {
-			gate.Leave(&a.share)
+			gate.Release(&a.share)
 		}
 		if gate.Used() != 0 || gate.Running() != 0 {
 			t.Fatalf("an empty gate holds %d tokens in %d answers", gate.Used(), gate.Running())
@@ -276,11 +276,11 @@
 			}
 			shares := make([]mgadmission.Share, running)
 			for n := range shares {
-				gate.Enter(&shares[n], c)
+				gate.Admit(&shares[n], c)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				_ = gate.Admits(c)
+				_ = gate.CanAdmit(c)
 			}
 		})
 	}
--- a/internal/request/mgqueue/account.go
+++ b/internal/request/mgqueue/account.go
@@ -206,7 +206,7 @@
 func (q *Queue) rank(now mgclock.Millis, item Item) mgclock.Millis {
 	due := item.Due
 	if due <= 0 {
-		due = now + Patience
+		due = now + DefaultDeadline
 	}
 	return due - mgclock.Millis(item.Priority)*q.boost()
 }
--- a/internal/request/mgqueue/doc.go
+++ b/internal/request/mgqueue/doc.go
@@ -26,11 +26,11 @@
 // account is ahead of its share by that much at most.
 //
 // Where the next request doesn't fit its upstream yet, some that do may overtake it by
-// means of Others and Take. They are charged as if it had been their turn.
+// means of Alternatives and Take. They are charged as if it had been their turn.
 //
 // # Bounds
 //
-// The queue holds at most Bound requests. At a priority level and above, an account may
+// The queue holds at most Capacity requests. At a priority level and above, an account may
 // hold at most as many requests as there are free places (dynamic thresholds, Choudhury and
 // Hahne 1998): one account alone can fill half of the queue, two can fill two thirds, and a
 // newcomer always finds a place. Accounts that neither wait nor have a tag ahead of the
--- a/internal/request/mgqueue/queue.go
+++ b/internal/request/mgqueue/queue.go
@@ -9,8 +9,8 @@
 // Levels is the number of priority levels.
 const Levels = 4
 
-// The defaults of a Spec. DefaultBound holds some ten batches of a large engine, which is
-// longer than any deadline lets a request wait. DefaultBoost is the wait after which an
+// The defaults of a Spec. DefaultCapacity holds some ten batches of a large engine, which
+// is longer than any deadline lets a request wait. DefaultBoost is the wait after which an
 // operator takes a lookup for lost, so that a report gives way to lookups of the same
 // deadline for that long and no longer; most of the order comes from the due times.
 //
@@ -18,25 +18,25 @@
 // lookups beyond saturation wait for their account's turn; with a much larger one, heavy
 // accounts get more than their share.
 const (
-	DefaultBound = 2048
-	DefaultBoost = 10 * mgclock.Second
-	DefaultLoan  = 500
+	DefaultCapacity = 2048
+	DefaultBoost    = 10 * mgclock.Second
+	DefaultLoan     = 500
 )
 
-// Patience is the assumed deadline, for the order within an account, of a request that has
-// none.
-const Patience = mgclock.Minute
+// DefaultDeadline is the assumed deadline, for the order within an account, of a request
+// that has none.
+const DefaultDeadline = mgclock.Minute
 
 // maxSpares is the maximum number of freed entries and of freed accounts kept for reuse:
 // the turnover of a burst, not its peak.
 const maxSpares = 1024
 
-// maxOtherAccounts is the number of accounts that Others considers: the upper levels of
-// their heap.
-const maxOtherAccounts = 15
+// maxAlternativeAccounts is the number of accounts that Alternatives considers: the upper
+// levels of their heap.
+const maxAlternativeAccounts = 15
 
-// maxVisits is the maximum number of requests of one account that Ahead considers. Behind
-// that many a deadline is missed in any case.
+// maxVisits is the maximum number of requests of one account that WorkAhead considers.
+// Behind that many a deadline is missed in any case.
 const maxVisits = 256
 
 // The errors of Push.
@@ -45,8 +45,8 @@
 	ErrDuplicate = errors.New("mgqueue: a request with this id is already waiting: give each attempt an id of its own")
 )
 
-// A Queue orders the requests that wait for one upstream. The zero Queue has
-// the defaults of a Spec and is ready for use.
+// A Queue orders the requests that wait for one upstream. The zero Queue has the defaults
+// of a Spec and is ready for use.
 type Queue struct {
 	spec         Spec
 	virtualTime  float64 // largest key of the requests that left in turn
@@ -85,7 +85,7 @@
 		return ErrDuplicate
 	}
 	item = normalize(item)
-	if !q.Room(item.Account, item.Priority) {
+	if !q.HasCapacity(item.Account, item.Priority) {
 		return ErrFull
 	}
 	a := q.account(item.Account)
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// Room reports whether Push would accept a request of the account at a priority.
-func (q *Queue) Room(name string, priority int) bool {
+// HasCapacity reports whether Push would accept a request of the account at a priority.
+func (q *Queue) HasCapacity(name string, priority int) bool {
 	free := q.capacity() - len(q.entries)
 	held := 0
 	if a := q.accounts[name]; a != nil {
@@ -124,10 +124,10 @@
 	return q.charge(e), true
 }
 
-// Others appends to dst the next requests of some other accounts after the next request,
-// and two more of that one's account.
-func (q *Queue) Others(dst []Item) []Item {
-	for k, a := range q.waiting.items[:min(len(q.waiting.items), maxOtherAccounts)] {
+// Alternatives appends to dst the next requests of some other accounts after the next
+// request, and two more of that one's account.
+func (q *Queue) Alternatives(dst []Item) []Item {
+	for k, a := range q.waiting.items[:min(len(q.waiting.items), maxAlternativeAccounts)] {
 		if k > 0 {
 			dst = append(dst, a.requests.items[0].item)
 			continue
@@ -200,10 +200,10 @@
 	return e.item.Expiry
 }
 
-// Ahead returns the expected cost in tokens of what would be served before item if it came
-// now: the whole backlog, or less where the account's share or the item's rank within the
-// account brings it to the front sooner.
-func (q *Queue) Ahead(now mgclock.Millis, item Item) float64 {
+// WorkAhead returns the expected cost in tokens of what would be served before item if it
+// came now: the whole backlog, or less where the account's share or the item's rank within
+// the account brings it to the front sooner.
+func (q *Queue) WorkAhead(now mgclock.Millis, item Item) float64 {
 	item = normalize(item)
 	total := q.totalWeight
 	lead := 0.0
@@ -219,9 +219,9 @@
 	return min(q.backlog, lead*total)
 }
 
-// Rest ends the busy period, when nothing waits and nothing runs: every account starts the
-// next one with the same tag.
-func (q *Queue) Rest() {
+// EndBusyPeriod ends the busy period, when nothing waits and nothing runs: every account
+// starts the next one with the same tag.
+func (q *Queue) EndBusyPeriod() {
 	if len(q.entries) > 0 || len(q.accounts) == 0 {
 		return
 	}
@@ -262,10 +262,10 @@
 }
 
 func (q *Queue) capacity() int {
-	if q.spec.Bound > 0 {
-		return q.spec.Bound
+	if q.spec.Capacity > 0 {
+		return q.spec.Capacity
 	}
-	return DefaultBound
+	return DefaultCapacity
 }
 
 func (q *Queue) loan() float64 {
--- a/internal/request/mgqueue/queue_test.go
+++ b/internal/request/mgqueue/queue_test.go
@@ -73,7 +73,7 @@
 func TestUnexpectedLengthSkewsShares(t *testing.T) {
 	Convey("Actual lengths determine the shares", t, func() {
 		q := mgqueue.New(mgqueue.Spec{
-			Bound: 4096,
+			Capacity: 4096,
 		})
 		got := map[string]float64{}
 		real := map[string]float64{
@@ -179,7 +179,7 @@
 func TestRequestIsLostOrQueueIsIdle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := mgqueue.New(mgqueue.Spec{
-			Bound: rapid.IntRange(1, 64).Draw(t, "bound"),
+			Capacity: rapid.IntRange(1, 64).Draw(t, "bound"),
 		})
 		held := map[string]bool{}
 		leave := func(got mgqueue.Item, ok bool) {
@@ -219,7 +219,7 @@
 		for q.Len() > 0 {
 			leave(q.Pop())
 		}
-		q.Rest()
+		q.EndBusyPeriod()
 		if q.Accounts() != 0 || q.Backlog() != 0 {
 			t.Fatalf("an idle queue has %d accounts and a backlog of %v", q.Accounts(), q.Backlog())
 		}
@@ -263,7 +263,7 @@
 		b.Run(fmt.Sprint(accounts), func(b *testing.B) {
 			items := make([]mgqueue.Item, accounts)
 			q := mgqueue.New(mgqueue.Spec{
-				Bound: 4 * accounts,
+				Capacity: 4 * accounts,
 			})
 			for n := range items {
 				items[n] = item(fmt.Sprint("account", n), n, float64(n%997))
--- a/internal/request/mgscheduler/decide.go
+++ b/internal/request/mgscheduler/decide.go
@@ -12,19 +12,19 @@
 	switch {
 	case s.isLeaving:
 		return problemLeaving()
-	case !s.gate.Holds(r.Prompt):
+	case !s.gate.CanFit(r.Prompt):
 		return problemLarge()
-	case !s.queue.Room(r.Account, r.Priority):
+	case !s.queue.HasCapacity(r.Account, r.Priority):
 		return problemFull(s.retryWhenFull(r, predicted))
 	}
 	expiry := s.expiry(r, output)
 	if expiry == 0 {
 		return nil
 	}
-	wait := s.forecast.Corrected(r.Priority, predicted)
+	wait := s.forecast.Correct(r.Priority, predicted)
 	slack := expiry - now
 	if slack < 0 || wait > slack {
-		return problemCrowded(mgadmission.Retry(wait, slack))
+		return problemCrowded(mgadmission.RetryAfter(wait, slack))
 	}
 	return nil
 }
@@ -32,8 +32,8 @@
 // retryWhenFull returns the retry time of a request for which the queue is full: by then
 // half of the work ahead of it is done.
 func (s *Scheduler) retryWhenFull(r *Request, predicted mgclock.Millis) mgclock.Millis {
-	wait := s.forecast.Corrected(r.Priority, predicted)
-	return mgadmission.Retry(wait, wait/2)
+	wait := s.forecast.Correct(r.Priority, predicted)
+	return mgadmission.RetryAfter(wait, wait/2)
 }
 
 // predict returns the time until a request would start, by the work ahead of it. Where
@@ -41,11 +41,11 @@
 // the work of one answer.
 func (s *Scheduler) predict(now mgclock.Millis, r *Request, output float64) mgclock.Millis {
 	item := s.item(r, output)
-	ahead := s.queue.Ahead(now, item)
-	if ahead <= 0 && s.gate.Admits(candidate(r, s.lengths.Curve(key(r)))) {
+	ahead := s.queue.WorkAhead(now, item)
+	if ahead <= 0 && s.gate.CanAdmit(candidate(r, s.lengths.Curve(key(r)))) {
 		return 0
 	}
-	return s.forecast.Wait(now, ahead+item.Cost)
+	return s.forecast.TimeFor(now, ahead+item.Cost)
 }
 
 // expiry returns the latest time at which a request must start, or 0.
@@ -58,7 +58,7 @@
 	if r.Due <= 0 {
 		return expiry
 	}
-	latest := max(r.Due-first-s.forecast.Rest(output), 1)
+	latest := max(r.Due-first-s.forecast.OutputTime(output), 1)
 	if expiry > 0 {
 		latest = min(latest, expiry)
 	}
@@ -73,16 +73,16 @@
 		return item, false
 	}
 	head := s.jobs[item.ID]
-	if s.gate.Admits(s.candidate(head)) {
+	if s.gate.CanAdmit(s.candidate(head)) {
 		return item, true
 	}
 	budget := s.passingFactor()*item.Cost - head.passedCost
 	if budget <= 0 {
 		return item, false
 	}
-	s.candidates = s.queue.Others(s.candidates[:0])
+	s.candidates = s.queue.Alternatives(s.candidates[:0])
 	for _, other := range s.candidates {
-		if other.Cost <= budget && s.gate.Admits(s.candidate(s.jobs[other.ID])) {
+		if other.Cost <= budget && s.gate.CanAdmit(s.candidate(s.jobs[other.ID])) {
 			head.passedCost += other.Cost
 			return other, true
 		}
@@ -94,7 +94,7 @@
 func (s *Scheduler) start(now mgclock.Millis, id string) Decision {
 	item, _ := s.queue.Take(id)
 	j := s.jobs[item.ID]
-	s.forecast.Waited(j.request.Priority, j.predicted, now-j.arrivedAt)
+	s.forecast.RecordWait(j.request.Priority, j.predicted, now-j.arrivedAt)
 	j.chargedCost = item.Cost
 	s.markRunning(now, j)
 	return Decision{
@@ -105,9 +105,9 @@
 // giveUp drops a request that can no longer be answered in time.
 func (s *Scheduler) giveUp(now mgclock.Millis, item mgqueue.Item) Decision {
 	j := s.jobs[item.ID]
-	s.forecast.Waited(j.request.Priority, j.predicted, now-j.arrivedAt)
-	wait := s.forecast.Corrected(j.request.Priority, s.predict(now, &j.request, s.output(&j.request)))
-	retry := mgadmission.Retry(wait, item.Expiry-j.arrivedAt)
+	s.forecast.RecordWait(j.request.Priority, j.predicted, now-j.arrivedAt)
+	wait := s.forecast.Correct(j.request.Priority, s.predict(now, &j.request, s.output(&j.request)))
+	retry := mgadmission.RetryAfter(wait, item.Expiry-j.arrivedAt)
 	s.dropJob(j)
 	return Decision{
 		ID:     item.ID,
--- a/internal/request/mgscheduler/job.go
+++ b/internal/request/mgscheduler/job.go
@@ -42,8 +42,8 @@
 	j.startedAt = now
 	j.lastProgress = now
 	j.answer = s.lengths.Begin(key(&j.request))
-	s.gate.Enter(&j.share, candidate(&j.request, j.answer.Curve()))
-	s.forecast.Busy(now, true)
+	s.gate.Admit(&j.share, candidate(&j.request, j.answer.Curve()))
+	s.forecast.SetBusy(now, true)
 }
 
 // dropJob removes a job and keeps it for reuse.
@@ -63,10 +63,10 @@
 	last := j.lastProgress
 	j.lastProgress = now
 	if j.produced > 0 {
-		s.forecast.Next(produced-j.produced, now-last)
+		s.forecast.RecordTokens(produced-j.produced, now-last)
 		return cost
 	}
-	s.forecast.First(j.request.uncached(), now-j.startedAt)
+	s.forecast.RecordFirstToken(j.request.uncached(), now-j.startedAt)
 	return cost + mgadmission.Cost(j.request.uncached(), 0)
 }
 
@@ -79,13 +79,13 @@
 // finishJob removes a running job and charges its final cost.
 func (s *Scheduler) finishJob(now mgclock.Millis, j *job) {
 	s.charge(j, j.cost())
-	s.gate.Leave(&j.share)
+	s.gate.Release(&j.share)
 	s.dropJob(j)
 	if s.gate.Running() > 0 {
 		return
 	}
-	s.forecast.Busy(now, false)
-	s.queue.Rest()
+	s.forecast.SetBusy(now, false)
+	s.queue.EndBusyPeriod()
 }
 
 // cost returns the job's cost until now.
--- a/internal/request/mgscheduler/scheduler.go
+++ b/internal/request/mgscheduler/scheduler.go
@@ -43,9 +43,9 @@
 	return &Scheduler{
 		spec: spec,
 		queue: *mgqueue.New(mgqueue.Spec{
-			Bound: spec.Queue,
-			Boost: spec.Boost,
-			Loan:  spec.Policy.Loan,
+			Capacity: spec.Queue,
+			Boost:    spec.Boost,
+			Loan:     spec.Policy.Loan,
 		}),
 		gate: *mgadmission.NewGate(mgadmission.Spec{
 			Memory: spec.Memory,
@@ -98,8 +98,8 @@
 	output := s.output(&r)
 	predicted := s.predict(now, &r, output)
 	return Offer{
-		Wait:     s.forecast.Corrected(r.Priority, predicted) + s.forecast.FirstToken(r.uncached()),
-		Rest:     s.forecast.Rest(output),
+		Wait:     s.forecast.Correct(r.Priority, predicted) + s.forecast.FirstToken(r.uncached()),
+		Rest:     s.forecast.OutputTime(output),
 		Headroom: s.gate.Headroom(),
 		Running:  s.gate.Running(),
 		Queued:   s.queue.Len(),
@@ -143,8 +143,8 @@
 	s.jobs[r.ID] = j
 	s.markRunning(now, j)
 	j.answer.Skip(produced)
-	s.gate.Grow(&j.share, produced)
-	s.gate.Weigh(&j.share, j.answer.Curve())
+	s.gate.RecordProgress(&j.share, produced)
+	s.gate.UpdateProjection(&j.share, j.answer.Curve())
 }
 
 // NextWake returns the time at which Poll has something to do even without an event, or 0.
@@ -168,11 +168,11 @@
 	if j == nil || !j.isRunning || produced <= j.produced {
 		return
 	}
-	s.forecast.Done(now, s.progressCost(now, j, produced))
+	s.forecast.RecordWork(now, s.progressCost(now, j, produced))
 	j.produced = produced
 	j.answer.Progress(produced)
-	if s.gate.Grow(&j.share, produced) {
-		s.gate.Weigh(&j.share, j.answer.Curve())
+	if s.gate.RecordProgress(&j.share, produced) {
+		s.gate.UpdateProjection(&j.share, j.answer.Curve())
 	}
 	if cost := j.cost(); cost > j.chargedCost {
 		s.charge(j, cost+chargeStep)
@@ -205,7 +205,7 @@
 	if j == nil || !j.isRunning {
 		return 0
 	}
-	remaining := s.forecast.Rest(j.answer.Curve().Mean(j.produced, j.request.Max))
+	remaining := s.forecast.OutputTime(j.answer.Curve().Mean(j.produced, j.request.Max))
 	if j.produced == 0 {
 		remaining += s.forecast.FirstToken(j.request.uncached())
 	}
@@ -222,12 +222,12 @@
 
 // Used records the upstream's own count of used memory, which lags.
 func (s *Scheduler) Used(_ mgclock.Millis, tokens int64) {
-	s.gate.Reported(tokens)
+	s.gate.RecordUsed(tokens)
 }
 
 // Limit sets the maximum number of running answers, 0 for the default: an engine that warms
 // up takes only part of its batch. Answers beyond a lower limit keep running.
-func (s *Scheduler) Limit(_ mgclock.Millis, batch int) { s.gate.Limit(batch) }
+func (s *Scheduler) Limit(_ mgclock.Millis, batch int) { s.gate.SetBatch(batch) }
 
 // Leaving refuses new requests from now on, and the next Poll gives up those that wait.
 // Running requests continue.
--- a/internal/request/mgscheduler/scheduler_test.go
+++ b/internal/request/mgscheduler/scheduler_test.go
@@ -168,7 +168,7 @@
 		u := newUpstream(mgscheduler.Spec{
 			Memory: 1000,
 			Policy: mgscheduler.Policy{
-				Rule:    mgadmission.Now,
+				Rule:    mgadmission.CurrentSize,
 				Passing: 1,
 			},
 		})
@@ -271,7 +271,7 @@
 			Batch:  rapid.IntRange(1, 8).Draw(t, "batch"),
 			Queue:  rapid.IntRange(1, 32).Draw(t, "queue"),
 			Policy: mgscheduler.Policy{
-				Rule: rapid.SampledFrom([]mgadmission.Rule{mgadmission.Outgrow, mgadmission.Mark, mgadmission.Reserve, mgadmission.Now}).Draw(t, "rule"),
+				Rule: rapid.SampledFrom([]mgadmission.Rule{mgadmission.OverflowProbability, mgadmission.Watermark, mgadmission.Reserve, mgadmission.CurrentSize}).Draw(t, "rule"),
 			},
 		})
 		withdrawn := map[string]bool{}
--- a/internal/request/mgscheduler/spec.go
+++ b/internal/request/mgscheduler/spec.go
@@ -14,7 +14,7 @@
 type Spec struct {
 	Memory int64          // tokens of the upstream's memory, 0 for unlimited
 	Batch  int            // maximum number of running answers, 0 for mgadmission.DefaultBatch
-	Queue  int            // maximum number of waiting requests, 0 for mgqueue.DefaultBound
+	Queue  int            // maximum number of waiting requests, 0 for mgqueue.DefaultCapacity
 	Boost  mgclock.Millis // head start for each priority level, 0 for mgqueue.DefaultBoost
 	Policy Policy
 }
@@ -23,10 +23,10 @@
 // production.
 type Policy struct {
 	Rule    mgadmission.Rule // admission rule
-	Free    float64          // share of the memory that stays free under mgadmission.Mark
-	Short   float64          // z of short steady answers under mgadmission.Outgrow
-	Steady  float64          // z of other steady answers under mgadmission.Outgrow
-	Whole   float64          // z of whole answers under mgadmission.Outgrow
+	Free    float64          // share of the memory that stays free under mgadmission.Watermark
+	Short   float64          // z of short steady answers under mgadmission.OverflowProbability
+	Steady  float64          // z of other steady answers under mgadmission.OverflowProbability
+	Whole   float64          // z of whole answers under mgadmission.OverflowProbability
 	Loan    float64          // tokens lent to each priority level, 0 for mgqueue.DefaultLoan, negative for none
 	Passing float64          // cost that may overtake a waiting request, as a multiple of its own, 0 for DefaultPassing, negative for none
 }
@@ -53,29 +53,29 @@
 		Whole: 4,
 	},
 	"now": {
-		Rule: mgadmission.Now,
+		Rule: mgadmission.CurrentSize,
 	},
 	"reserve": {
 		Rule: mgadmission.Reserve,
 	},
 	"mark-0.05": {
-		Rule: mgadmission.Mark,
+		Rule: mgadmission.Watermark,
 		Free: 0.05,
 	},
 	"mark-0.1": {
-		Rule: mgadmission.Mark,
+		Rule: mgadmission.Watermark,
 		Free: 0.1,
 	},
 	"mark-0.2": {
-		Rule: mgadmission.Mark,
+		Rule: mgadmission.Watermark,
 		Free: 0.2,
 	},
 	"mark-0.3": {
-		Rule: mgadmission.Mark,
+		Rule: mgadmission.Watermark,
 		Free: 0.3,
 	},
 	"mark-0.4": {
-		Rule: mgadmission.Mark,
+		Rule: mgadmission.Watermark,
 		Free: 0.4,
 	},
 }
