--- a/internal/request/mglimit/doc.go
+++ b/internal/request/mglimit/doc.go
@@ -34,8 +34,7 @@
 //
 // # References
 //
-//   - J. Turner, New directions in communications, IEEE Communications Magazine 24
-//     (1986),
+//   - J. Turner, New directions in communications, IEEE Communications Magazine 24 (1986),
 //     on token buckets.
 //   - M. Shapiro and others, Conflict-free replicated data types, SSS (2011).
 package mglimit
