--- a/internal/request/mglimit/doc.go
+++ b/internal/request/mglimit/doc.go
@@ -25,7 +25,8 @@
 //
 // # Terms
 //
-//   - cell: the upstreams and entries for which one process grants placements.
+//   - cell: a part of a region's processes that share a hub; the hub grants placements for
+//     it.
 //   - limit: the requests a second that an upstream takes from all processes together.
 //   - record: what a process knows of a limit, with the ages of that (Word).
 //   - permit: leave to send one request.
--- a/internal/request/mgroom/doc.go
+++ b/internal/request/mgroom/doc.go
@@ -27,8 +27,8 @@
 //     memory count four times as large;
 //   - then those that are late, first come first served.
 //
-// A request that can't be placed is overtaken by a few smaller ones, since otherwise the
-// largest request would block all others.
+// Up to four requests that can't be placed may be overtaken by later ones, since otherwise
+// the largest request would block all others.
 //
 // Correctness doesn't depend on these decisions: without an answer an entry chooses an
 // upstream on its own.
