--- a/internal/request/mgadmission/forecast.go
+++ b/internal/request/mgadmission/forecast.go
@@ -6,161 +6,160 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// memory is the span over which a Forecast averages. Shorter, one long step
-// reads as a slow upstream; longer, an upstream that turns slow is noticed
-// only after whole deadlines.
-const memory = 5 * mgclock.Second
+// averagingWindow is the time over which a Forecast averages. With a shorter one, a single
+// long step looks like a slow upstream; with a longer one, an upstream that becomes slow is
+// noticed only after whole deadlines.
+const averagingWindow = 5 * mgclock.Second
 
-// warmup is the span of work after which the measured rate is believed.
-// Before, nothing is turned away for its predicted wait.
+// warmup is the working time after which the measured rate is used. Before that, nothing is
+// refused for its predicted wait.
 const warmup = mgclock.Second
 
-// leastRetry is the least span after which a caller is told to come back: a
-// few steps of an engine, in which something may end.
-const leastRetry = 200 * mgclock.Millis(1)
+// minRetry is the minimum time after which a caller may come back: a few steps of an
+// engine, in which something may end.
+const minRetry = 200 * mgclock.Millis(1)
 
-// PromptCost is the cost of computing a prompt token in units of producing one:
-// prompts are computed in parallel, answers token by token in a batch.
+// PromptCost is the cost of computing a prompt token, relative to that of producing a
+// token: prompts are computed in parallel, answers token by token in a batch.
 const PromptCost = 0.05
 
-// Cost returns a request's expected cost in tokens produced.
+// Cost returns a request's expected cost, in units of one produced token.
 func Cost(uncached int, output float64) float64 {
 	return PromptCost*float64(uncached) + output
 }
 
-// A Forecast predicts waits from what the upstream got done. The zero Forecast
-// has seen nothing, predicts no wait and is ready for use.
+// A Forecast predicts waits from the work that the upstream has done. The zero Forecast has
+// no data, predicts no wait and is ready for use.
 type Forecast struct {
-	at      mgclock.Millis
-	busy    bool
-	done    float64 // tokens produced, fading
-	span    float64 // milliseconds with work, fading
-	prompts float64 // uncached prompt tokens that reached a first token, fading
-	delays  float64 // milliseconds from their starts, fading
-	tokens  float64 // that followed another one, fading
-	gaps    float64 // milliseconds between them, fading
-	biases  [levels]bias
+	updatedAt    mgclock.Millis
+	isBusy       bool
+	doneTokens   float64 // tokens produced, decayed
+	busyMs       float64 // milliseconds with work, decayed
+	promptTokens float64 // uncached prompt tokens that reached a first token, decayed
+	delayMs      float64 // milliseconds from their starts, decayed
+	gapTokens    float64 // tokens that followed another one, decayed
+	gapMs        float64 // milliseconds between them, decayed
+	biases       [priorityLevels]bias
 }
 
-// levels is the number of levels of priority that have a bias of their own.
-const levels = 4
+// priorityLevels is the number of priority levels with a bias of their own.
+const priorityLevels = 4
 
-// bias compares predicted waits with those that came.
+// bias compares predicted waits with actual ones.
 type bias struct {
-	predicted float64 // milliseconds, fading
-	waited    float64 // milliseconds, fading
+	predictedMs float64 // decayed
+	waitedMs    float64 // decayed
 }
 
-// doubt is a right prediction, in milliseconds, that every bias begins with, so
+// priorWaitMs is a correct prediction, in milliseconds, with which every bias begins, so
 // that the first waits don't decide alone.
-const doubt = 10_000.0
+const priorWaitMs = 10_000.0
 
-// most is the greatest factor by which a bias lengthens a prediction. There is
-// no least one: passing can make a wait next to nothing.
-const most = 2.0
+// maxBiasFactor is the maximum factor by which a bias lengthens a prediction. There is no
+// minimum: overtaking can make a wait next to nothing.
+const maxBiasFactor = 2.0
 
-// Busy tells whether from now on the upstream has work.
-func (f *Forecast) Busy(now mgclock.Millis, busy bool) {
+// SetBusy sets whether the upstream has work from now on.
+func (f *Forecast) SetBusy(now mgclock.Millis, busy bool) {
 	f.advance(now)
-	f.busy = busy
+	f.isBusy = busy
 }
 
-// Done tells that the upstream got work of a cost done.
-func (f *Forecast) Done(now mgclock.Millis, cost float64) {
+// RecordWork records that the upstream has done work of a cost.
+func (f *Forecast) RecordWork(now mgclock.Millis, cost float64) {
 	f.advance(now)
-	f.done += cost
+	f.doneTokens += cost
 }
 
-// First tells that an answer's first token came a delay after its start.
-func (f *Forecast) First(uncached int, delay mgclock.Millis) {
-	const keep = 15.0 / 16 // an average over some 16 answers
-	f.prompts = keep*f.prompts + float64(uncached+overhead)
-	f.delays = keep*f.delays + float64(delay)
+// RecordFirstToken records that an answer's first token came a delay after its start.
+func (f *Forecast) RecordFirstToken(uncached int, delay mgclock.Millis) {
+	const decay = 15.0 / 16 // averages over some 16 answers
+	f.promptTokens = decay*f.promptTokens + float64(uncached+overheadTokens)
+	f.delayMs = decay*f.delayMs + float64(delay)
 }
 
-// overhead is the part of a first token's delay that comes with no prompt, in
+// overheadTokens is the part of a first token's delay that is independent of the prompt, in
 // prompt tokens: about a step of the batch.
-const overhead = 256
+const overheadTokens = 256
 
 // FirstToken returns the expected delay from a start to its first token.
 func (f *Forecast) FirstToken(uncached int) mgclock.Millis {
-	if f.prompts == 0 {
+	if f.promptTokens == 0 {
 		return 0
 	}
-	return mgclock.Millis(f.delays / f.prompts * float64(uncached+overhead))
+	return mgclock.Millis(f.delayMs / f.promptTokens * float64(uncached+overheadTokens))
 }
 
-// Next tells that an answer produced tokens within a span since its last one.
-func (f *Forecast) Next(tokens int, span mgclock.Millis) {
-	const keep = 255.0 / 256 // an average over some steps of a batch
-	f.tokens = keep*f.tokens + float64(tokens)
-	f.gaps = keep*f.gaps + float64(span)
+// RecordTokens records that an answer produced tokens within an interval since its last
+// one.
+func (f *Forecast) RecordTokens(tokens int, interval mgclock.Millis) {
+	const decay = 255.0 / 256 // averages over some steps of a batch
+	f.gapTokens = decay*f.gapTokens + float64(tokens)
+	f.gapMs = decay*f.gapMs + float64(interval)
 }
 
-// Rest returns the expected time that an answer of a length takes from its
-// first token to its last.
-func (f *Forecast) Rest(length float64) mgclock.Millis {
-	if f.tokens == 0 {
+// OutputTime returns the expected time from the first token to the last of an answer of a
+// length.
+func (f *Forecast) OutputTime(length float64) mgclock.Millis {
+	if f.gapTokens == 0 {
 		return 0
 	}
-	return mgclock.Millis(f.gaps / f.tokens * length)
+	return mgclock.Millis(f.gapMs / f.gapTokens * length)
 }
 
-// Wait returns how long work of a cost takes the upstream.
-func (f *Forecast) Wait(now mgclock.Millis, cost float64) mgclock.Millis {
+// TimeFor returns how long the upstream takes for work of a cost.
+func (f *Forecast) TimeFor(now mgclock.Millis, cost float64) mgclock.Millis {
 	f.advance(now)
-	if f.span < float64(warmup) || cost <= 0 {
+	if f.busyMs < float64(warmup) || cost <= 0 {
 		return 0
 	}
-	if f.done <= 0 {
+	if f.doneTokens <= 0 {
 		return mgclock.Minute
 	}
-	return mgclock.Millis(min(cost*f.span/f.done, float64(mgclock.Minute)))
+	return mgclock.Millis(min(cost*f.busyMs/f.doneTokens, float64(mgclock.Minute)))
 }
 
-// Waited tells that a request of a level of priority, which was predicted to
-// wait, did wait for a span.
-func (f *Forecast) Waited(level int, predicted, waited mgclock.Millis) {
-	const keep = 63.0 / 64 // an average over some 64 requests
+// RecordWait records the predicted and the actual wait of a request of a priority level.
+func (f *Forecast) RecordWait(level int, predicted, waited mgclock.Millis) {
+	const decay = 63.0 / 64 // averages over some 64 requests
 	b := f.bias(level)
-	b.predicted = keep*b.predicted + float64(predicted)
-	b.waited = keep*b.waited + float64(waited)
+	b.predictedMs = decay*b.predictedMs + float64(predicted)
+	b.waitedMs = decay*b.waitedMs + float64(waited)
 }
 
-// Corrected returns a predicted wait corrected by what requests of the level
-// met lately. Requests pass each other in ways that the work ahead doesn't
-// show, and a lookup that is turned away for a wait that it would not have had
-// is turned away in vain.
-func (f *Forecast) Corrected(level int, predicted mgclock.Millis) mgclock.Millis {
+// Correct returns a predicted wait, corrected by the recent waits of requests of the level.
+// Requests overtake each other, which the work ahead doesn't show, and a lookup must not be
+// refused for a wait that it would not have had.
+func (f *Forecast) Correct(level int, predicted mgclock.Millis) mgclock.Millis {
 	b := f.bias(level)
-	factor := (b.waited + doubt) / (b.predicted + doubt)
-	return mgclock.Millis(float64(predicted) * min(factor, most))
+	factor := (b.waitedMs + priorWaitMs) / (b.predictedMs + priorWaitMs)
+	return mgclock.Millis(float64(predicted) * min(factor, maxBiasFactor))
 }
 
 func (f *Forecast) bias(level int) *bias {
-	return &f.biases[min(max(level, 0), levels-1)]
+	return &f.biases[min(max(level, 0), priorityLevels-1)]
 }
 
-// Retry returns after which span a request that would wait for wait, and may
-// only wait for slack, can come back with as much time as it has now: when the
-// work ahead has shrunk so far, and an eighth of the wait more, as the rate is
-// known no better. Who comes back too early is turned away again; so is who
-// comes back while the overload goes on, as those who came since are ahead.
-func Retry(wait, slack mgclock.Millis) mgclock.Millis {
-	return max(wait+wait/8-max(slack, 0), leastRetry)
+// RetryAfter returns the time after which a request that would wait for wait, and may wait
+// only for slack, can come back with as much time as it has now. That is when the work
+// ahead has shrunk far enough, plus an eighth of the wait for the error of the measured
+// rate. A caller that comes back earlier is refused again; so is one that comes back while
+// the overload goes on, since requests that came in between are ahead of it.
+func RetryAfter(wait, slack mgclock.Millis) mgclock.Millis {
+	return max(wait+wait/8-max(slack, 0), minRetry)
 }
 
-// advance fades what was seen and counts the time with work.
+// advance decays the measurements until now and counts the time with work.
 func (f *Forecast) advance(now mgclock.Millis) {
-	gone := float64(now - f.at)
-	if gone <= 0 {
+	elapsed := float64(now - f.updatedAt)
+	if elapsed <= 0 {
 		return
 	}
-	f.at = now
-	if !f.busy {
+	f.updatedAt = now
+	if !f.isBusy {
 		return
 	}
-	keep := math.Exp(-gone / float64(memory))
-	f.done *= keep
-	f.span = keep*f.span + (1-keep)*float64(memory)
+	decay := math.Exp(-elapsed / float64(averagingWindow))
+	f.doneTokens *= decay
+	f.busyMs = decay*f.busyMs + (1-decay)*float64(averagingWindow)
 }
--- a/internal/request/mgadmission/gate_test.go
+++ b/internal/request/mgadmission/gate_test.go
@@ -14,21 +14,21 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// answer is one that a play of a batch lets in.
-type answer struct {
-	share  mgadmission.Share
-	follow mglength.Answer
-	made   int
-	length int
+// simulatedAnswer is an answer of a simulated batch.
+type simulatedAnswer struct {
+	share    mgadmission.Share
+	estimate mglength.Answer
+	produced int
+	length   int
 }
 
-// play keeps a batch as full as the gate allows, a token a step, and returns
-// the tokens produced and the steps at which memory was outgrown.
-func play(spec mgadmission.Spec, steps int) (tokens, outgrown int) {
+// simulateBatch keeps a batch as full as the gate allows, at one token a step. It returns
+// the number of tokens produced and of steps at which memory was outgrown.
+func simulateBatch(spec mgadmission.Spec, steps int) (tokens, outgrown int) {
 	r := rand.New(rand.NewPCG(7, 8))
 	gate := mgadmission.NewGate(spec)
 	var lengths mglength.Estimator
-	var batch []*answer
+	var batch []*simulatedAnswer
 	next := func() int { return 1 + int(math.Exp(5+1.2*r.NormFloat64())) }
 	length := next()
 	for range steps {
@@ -39,14 +39,14 @@
 				Whole:  true,
 				Curve:  lengths.Curve(mglength.Key{}),
 			}
-			if !gate.Admits(c) {
+			if !gate.CanAdmit(c) {
 				break
 			}
-			a := &answer{
-				follow: lengths.Begin(mglength.Key{}),
-				length: min(length, c.Max),
+			a := &simulatedAnswer{
+				estimate: lengths.Begin(mglength.Key{}),
+				length:   min(length, c.Max),
 			}
-			gate.Enter(&a.share, c)
+			gate.Admit(&a.share, c)
 			batch = append(batch, a)
 			length = next()
 		}
@@ -55,52 +55,52 @@
 		}
 		kept := batch[:0]
 		for _, a := range batch {
-			a.made++
+			a.produced++
 			tokens++
-			a.follow.Progress(a.made)
-			if gate.Grow(&a.share, a.made) {
-				gate.Weigh(&a.share, a.follow.Curve())
+			a.estimate.Progress(a.produced)
+			if gate.RecordProgress(&a.share, a.produced) {
+				gate.UpdateProjection(&a.share, a.estimate.Curve())
 			}
-			if a.made < a.length {
+			if a.produced < a.length {
 				kept = append(kept, a)
 				continue
 			}
-			a.follow.End(a.made)
-			gate.Leave(&a.share)
+			a.estimate.End(a.produced)
+			gate.Release(&a.share)
 		}
 		batch = kept
 	}
 	return tokens, outgrown
 }
 
-// An engine under saturation preempts all the time, or stands half idle:
-// answers were let in by what fits now, or by the longest they may get.
-func TestRules(t *testing.T) {
+// An engine under saturation preempts all the time, or is half idle, because answers are
+// admitted by what fits now, or by their maximum length.
+func TestMemoryIsOutgrownOrIdle(t *testing.T) {
 	Convey("Under saturation", t, func() {
 		spec := mgadmission.Spec{
 			Memory: 20_000,
 			Batch:  100,
 		}
 		tokens, outgrown := map[mgadmission.Rule]int{}, map[mgadmission.Rule]int{}
-		for _, rule := range []mgadmission.Rule{mgadmission.Outgrow, mgadmission.Now, mgadmission.Reserve} {
+		for _, rule := range []mgadmission.Rule{mgadmission.OverflowProbability, mgadmission.CurrentSize, mgadmission.Reserve} {
 			spec.Rule = rule
-			tokens[rule], outgrown[rule] = play(spec, 20_000)
+			tokens[rule], outgrown[rule] = simulateBatch(spec, 20_000)
 		}
-		Convey("the chance of outgrowing keeps within memory where the present does not", func() {
-			So(outgrown[mgadmission.Outgrow], ShouldBeLessThan, outgrown[mgadmission.Now]/20)
+		Convey("the probability rule stays within memory where the present size does not", func() {
+			So(outgrown[mgadmission.OverflowProbability], ShouldBeLessThan, outgrown[mgadmission.CurrentSize]/20)
 		})
-		Convey("and gets most of what the present seems to", func() {
-			So(tokens[mgadmission.Outgrow], ShouldBeGreaterThan, tokens[mgadmission.Now]*6/10)
+		Convey("and produces most of the tokens that the present size seems to", func() {
+			So(tokens[mgadmission.OverflowProbability], ShouldBeGreaterThan, tokens[mgadmission.CurrentSize]*6/10)
 		})
-		Convey("and far more than the maximum does", func() {
-			So(tokens[mgadmission.Outgrow], ShouldBeGreaterThan, 3*tokens[mgadmission.Reserve])
+		Convey("and far more than the maximum length does", func() {
+			So(tokens[mgadmission.OverflowProbability], ShouldBeGreaterThan, 3*tokens[mgadmission.Reserve])
 		})
 	})
 }
 
-// The operators set a service of long reports to steady, and its tokens come
-// less evenly than before: more of it is let in at a time.
-func TestPreferences(t *testing.T) {
+// A service of long reports is set to steady, but its tokens come less evenly than before,
+// because more of its answers are admitted at a time.
+func TestSteadyAnswersAreCrowded(t *testing.T) {
 	Convey("Of long answers", t, func() {
 		var lengths mglength.Estimator
 		long := mgadmission.Candidate{
@@ -112,45 +112,45 @@
 				Memory: 20_000,
 			})
 			long.Whole = whole
-			for gate.Admits(long) {
-				gate.Enter(new(mgadmission.Share), long)
+			for gate.CanAdmit(long) {
+				gate.Admit(new(mgadmission.Share), long)
 			}
 			return gate
 		}
 		whole, steady := fill(true), fill(false)
-		Convey("fewer run at a time where they are to be steady", func() {
+		Convey("fewer run at a time with the preference steady", func() {
 			So(steady.Running(), ShouldBeLessThan, whole.Running())
 		})
-		Convey("and short ones use the room that they leave", func() {
+		Convey("and short ones use the memory that they leave", func() {
 			short := mgadmission.Candidate{
 				Prompt: 50,
 				Max:    20,
 			}
-			So(steady.Admits(short), ShouldBeTrue)
-			So(whole.Admits(short), ShouldBeTrue)
+			So(steady.CanAdmit(short), ShouldBeTrue)
+			So(whole.CanAdmit(short), ShouldBeTrue)
 		})
 	})
 }
 
-// A preempted dossier never comes back: each time memory becomes free, a new
-// request takes it.
-func TestPreemptedKeepsItsMemory(t *testing.T) {
-	Convey("What a preempted answer needs to come back is let to nobody", t, func() {
-		for _, rule := range []mgadmission.Rule{mgadmission.Outgrow, mgadmission.Mark, mgadmission.Now} {
+// A preempted answer is never resumed, because each time memory becomes free a new request
+// takes it.
+func TestPreemptedMemoryIsGivenAway(t *testing.T) {
+	Convey("The memory of a preempted answer is given to no other request", t, func() {
+		for _, rule := range []mgadmission.Rule{mgadmission.OverflowProbability, mgadmission.Watermark, mgadmission.CurrentSize} {
 			gate := mgadmission.NewGate(mgadmission.Spec{
 				Memory: 1000,
 				Rule:   rule,
 			})
 			var dossier, other mgadmission.Share
-			gate.Enter(&other, mgadmission.Candidate{
+			gate.Admit(&other, mgadmission.Candidate{
 				Prompt: 100,
 			})
-			gate.Enter(&dossier, mgadmission.Candidate{
+			gate.Admit(&dossier, mgadmission.Candidate{
 				Prompt: 500,
 			})
-			gate.Grow(&dossier, 300)
+			gate.RecordProgress(&dossier, 300)
 			// The engine preempts the dossier here, and 800 tokens are free in it.
-			So(gate.Admits(mgadmission.Candidate{
+			So(gate.CanAdmit(mgadmission.Candidate{
 				Prompt: 100,
 			}), ShouldBeFalse)
 			So(gate.Headroom(), ShouldEqual, 100)
@@ -158,66 +158,66 @@
 	})
 }
 
-// An engine's report of a second ago shows memory that has been freed since,
-// and requests are turned away although there is room.
-func TestLaggingReport(t *testing.T) {
-	Convey("One lagging report takes no memory, a steady difference does", t, func() {
+// An engine's report of a second ago shows memory that has been freed since, and requests
+// are refused although there is memory.
+func TestLaggingReportBlocksMemory(t *testing.T) {
+	Convey("One lagging report blocks no memory, a steady difference does", t, func() {
 		gate := mgadmission.NewGate(mgadmission.Spec{
 			Memory: 1000,
 		})
 		for range 8 {
-			gate.Reported(0)
+			gate.RecordUsed(0)
 		}
-		gate.Reported(900)
+		gate.RecordUsed(900)
 		So(gate.Headroom(), ShouldEqual, 1000)
 		for range 8 {
-			gate.Reported(300)
+			gate.RecordUsed(300)
 		}
 		So(gate.Headroom(), ShouldEqual, 700)
 	})
 }
 
-// An upstream hangs, and callers are still told that a wait of seconds will do.
-func TestForecastOfStall(t *testing.T) {
+// An upstream hangs, and the predicted wait stays at some seconds.
+func TestStallPredictsShortWait(t *testing.T) {
 	Convey("A stalled upstream's predicted waits grow", t, func() {
 		var f mgadmission.Forecast
-		f.Busy(0, true)
+		f.SetBusy(0, true)
 		now := mgclock.Millis(0)
 		for ; now < 10*mgclock.Second; now += 10 {
-			f.Done(now, 10)
+			f.RecordWork(now, 10)
 		}
-		So(f.Wait(now, 1000), ShouldBeBetween, 950, 1050)
-		So(f.Wait(now+10*mgclock.Second, 1000), ShouldBeGreaterThan, 5*mgclock.Second)
+		So(f.TimeFor(now, 1000), ShouldBeBetween, 950, 1050)
+		So(f.TimeFor(now+10*mgclock.Second, 1000), ShouldBeGreaterThan, 5*mgclock.Second)
 	})
 }
 
-// Lookups are turned away because of the reports that wait, although each one
-// that was let in passed them at once.
-func TestForecastLearnsFromWaits(t *testing.T) {
-	Convey("A wait that doesn't come is predicted no more, for its level alone", t, func() {
+// Lookups are refused because of the reports that wait, although each admitted lookup
+// overtook these at once.
+func TestPredictedWaitStaysWrong(t *testing.T) {
+	Convey("A wait that doesn't occur is no longer predicted, for its level only", t, func() {
 		var f mgadmission.Forecast
 		for range 200 {
-			f.Waited(2, 8000, 100)
-			f.Waited(0, 8000, 8000)
+			f.RecordWait(2, 8000, 100)
+			f.RecordWait(0, 8000, 8000)
 		}
-		So(f.Corrected(2, 8000), ShouldBeLessThan, 500)
-		So(f.Corrected(0, 8000), ShouldEqual, 8000)
+		So(f.Correct(2, 8000), ShouldBeLessThan, 500)
+		So(f.Correct(0, 8000), ShouldEqual, 8000)
 	})
 }
 
-// Whatever comes and goes, no rule lets in more than fits or more than a
-// batch, Reserve never outgrows memory, and an empty gate holds nothing.
-func TestGateProperties(t *testing.T) {
+// For any sequence of events, no rule admits more than fits or more than a batch, Reserve
+// never outgrows memory, and an empty gate holds nothing.
+func TestGateExceedsMemoryOrBatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := mgadmission.Spec{
 			Memory: rapid.Int64Range(100, 10_000).Draw(t, "memory"),
 			Batch:  rapid.IntRange(1, 20).Draw(t, "batch"),
-			Rule:   rapid.SampledFrom([]mgadmission.Rule{mgadmission.Outgrow, mgadmission.Mark, mgadmission.Reserve, mgadmission.Now}).Draw(t, "rule"),
+			Rule:   rapid.SampledFrom([]mgadmission.Rule{mgadmission.OverflowProbability, mgadmission.Watermark, mgadmission.Reserve, mgadmission.CurrentSize}).Draw(t, "rule"),
 			Free:   rapid.Float64Range(0, 1).Draw(t, "free"),
 		}
 		gate := mgadmission.NewGate(spec)
 		var lengths mglength.Estimator
-		var batch []*answer
+		var batch []*simulatedAnswer
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			c := mgadmission.Candidate{
 				Prompt: rapid.IntRange(0, 5000).Draw(t, "prompt"),
@@ -225,27 +225,27 @@
 				Whole:  rapid.Bool().Draw(t, "whole"),
 				Curve:  lengths.Curve(mglength.Key{}),
 			}
-			if gate.Admits(c) {
-				a := &answer{
+			if gate.CanAdmit(c) {
+				a := &simulatedAnswer{
 					length: c.Max,
 				}
-				gate.Enter(&a.share, c)
+				gate.Admit(&a.share, c)
 				batch = append(batch, a)
 				if gate.Used() > spec.Memory || gate.Running() > spec.Batch {
 					t.Fatalf("%d of %d tokens, %d of %d answers", gate.Used(), spec.Memory, gate.Running(), spec.Batch)
 				}
 			} else if gate.Running() == 0 && int64(c.Prompt) < spec.Memory {
-				t.Fatal("an idle engine turns away what fits")
+				t.Fatal("an idle engine refuses what fits")
 			}
 			kept := batch[:0]
 			for _, a := range batch {
-				a.made = min(a.made+rapid.IntRange(0, 500).Draw(t, "made"), a.length)
-				gate.Grow(&a.share, a.made)
-				gate.Weigh(&a.share, lengths.Curve(mglength.Key{}))
-				if a.made < a.length {
+				a.produced = min(a.produced+rapid.IntRange(0, 500).Draw(t, "made"), a.length)
+				gate.RecordProgress(&a.share, a.produced)
+				gate.UpdateProjection(&a.share, lengths.Curve(mglength.Key{}))
+				if a.produced < a.length {
 					kept = append(kept, a)
 				} else {
-					gate.Leave(&a.share)
+					gate.Release(&a.share)
 				}
 			}
 			batch = kept
@@ -254,10 +254,10 @@
 			}
 		}
 		for _, a := range batch {
-			gate.Leave(&a.share)
+			gate.Release(&a.share)
 		}
 		if gate.Used() != 0 || gate.Running() != 0 {
-			t.Fatalf("empty, and %d tokens are held by %d", gate.Used(), gate.Running())
+			t.Fatalf("an empty gate holds %d tokens in %d answers", gate.Used(), gate.Running())
 		}
 	})
 }
@@ -276,11 +276,11 @@
 			}
 			shares := make([]mgadmission.Share, running)
 			for n := range shares {
-				gate.Enter(&shares[n], c)
+				gate.Admit(&shares[n], c)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				_ = gate.Admits(c)
+				_ = gate.CanAdmit(c)
 			}
 		})
 	}
--- a/internal/request/mglimit/limits_test.go
+++ b/internal/request/mglimit/limits_test.go
@@ -10,7 +10,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-func word(upstream string, rate float64, named mgclock.Millis) Word {
+func newRecord(upstream string, rate float64, named mgclock.Millis) Word {
 	return Word{
 		Upstream: upstream,
 		Rate:     rate,
@@ -18,13 +18,13 @@
 	}
 }
 
-func ended(w Word, unnamed mgclock.Millis) Word {
+func withEnd(w Word, unnamed mgclock.Millis) Word {
 	w.Ended = true
 	w.Unnamed = unnamed
 	return w
 }
 
-func TestLimits(t *testing.T) {
+func TestWrongLimitIsActive(t *testing.T) {
 	const now = 10 * mgclock.Second
 	rate := func(s *Limits, born int64) float64 {
 		rate, limited := s.Rate("a", born)
@@ -34,19 +34,19 @@
 		return rate
 	}
 	cases := []struct {
-		name string
-		play func(s *Limits)
-		born int64 // by the list
-		rate float64
+		name  string
+		apply func(s *Limits)
+		born  int64 // from the list
+		rate  float64
 	}{
 		{
-			name: "what is named holds",
-			play: func(s *Limits) { s.Named(now, "a", 0, 5) },
-			rate: 5,
+			name:  "a named rate is active",
+			apply: func(s *Limits) { s.Named(now, "a", 0, 5) },
+			rate:  5,
 		},
 		{
-			name: "the last rate that is named holds",
-			play: func(s *Limits) {
+			name: "the last named rate is active",
+			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Named(now+1, "a", 0, 0)
 			},
@@ -54,23 +54,23 @@
 		},
 		{
 			name: "an answer to a later request ends it",
-			play: func(s *Limits) {
+			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Unnamed(now+20, now+1, "a", 0)
 			},
 			rate: -1,
 		},
 		{
-			name: "an answer that was overtaken doesn't",
-			play: func(s *Limits) {
+			name: "an answer that arrives out of order doesn't",
+			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Unnamed(now+20, now-1, "a", 0)
 			},
 			rate: 5,
 		},
 		{
-			name: "it holds again once it is named again",
-			play: func(s *Limits) {
+			name: "it is active again once it is named again",
+			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Unnamed(now+20, now+1, "a", 0)
 				s.Named(now+30, "a", 0, 4)
@@ -78,8 +78,8 @@
 			rate: 4,
 		},
 		{
-			name: "nothing ends by itself",
-			play: func(s *Limits) {
+			name: "it doesn't expire while the upstream is listed",
+			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Forget(now+mgclock.Minute*60, func(string) bool { return true })
 			},
@@ -87,27 +87,27 @@
 		},
 		{
 			name: "a list that lacks the upstream for a while doesn't end it",
-			play: func(s *Limits) {
+			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
 				s.Forget(now+10*mgclock.Second, func(string) bool { return false })
 			},
 			rate: 5,
 		},
 		{
-			name: "a later life has none by the list",
-			play: func(s *Limits) { s.Named(now, "a", 1, 5) },
-			born: 2,
-			rate: -1,
+			name:  "a later incarnation on the list has none",
+			apply: func(s *Limits) { s.Named(now, "a", 1, 5) },
+			born:  2,
+			rate:  -1,
 		},
 		{
-			name: "a limit of a later life holds while the list is late",
-			play: func(s *Limits) { s.Named(now, "a", 2, 5) },
-			born: 1,
-			rate: 5,
+			name:  "a limit of a later incarnation is active while the list is out of date",
+			apply: func(s *Limits) { s.Named(now, "a", 2, 5) },
+			born:  1,
+			rate:  5,
 		},
 		{
-			name: "a late word of an earlier life is nothing",
-			play: func(s *Limits) {
+			name: "a late record of an earlier incarnation is ignored",
+			apply: func(s *Limits) {
 				s.Named(now, "a", 2, 5)
 				s.Named(now+1, "a", 1, 50)
 				s.Unnamed(now+30, now+20, "a", 1)
@@ -116,79 +116,80 @@
 			rate: 5,
 		},
 		{
-			name: "another process's word holds",
-			play: func(s *Limits) { s.Take(now, []Word{word("a", 5, 300)}) },
-			rate: 5,
+			name:  "another process's record is active",
+			apply: func(s *Limits) { s.Take(now, []Word{newRecord("a", 5, 300)}) },
+			rate:  5,
 		},
 		{
-			name: "another process's word of the end counts only where it is surely later",
-			play: func(s *Limits) {
+			name: "an end that another process records counts only where it is certainly later",
+			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
-				s.Take(now+wordSlack, []Word{ended(word("a", 5, 900), 100)})
+				s.Take(now+maxRecordDelay, []Word{withEnd(newRecord("a", 5, 900), 100)})
 			},
 			rate: 5,
 		},
 		{
-			name: "and ends it then",
-			play: func(s *Limits) {
+			name: "and then it ends the limit",
+			apply: func(s *Limits) {
 				s.Named(now, "a", 0, 5)
-				s.Take(now+2*wordSlack, []Word{ended(word("a", 5, 900), 100)})
+				s.Take(now+2*maxRecordDelay, []Word{withEnd(newRecord("a", 5, 900), 100)})
 			},
 			rate: -1,
 		},
 		{
-			name: "words that can't be used are nothing",
-			play: func(s *Limits) {
+			name: "unusable records are ignored",
+			apply: func(s *Limits) {
 				_, unusable := s.Take(now, []Word{
-					word("", 5, 0),
-					word("a", -1, 0),
-					word("a", math.NaN(), 0),
-					word("a", math.Inf(1), 0),
-					word("a", 5, -1),
+					newRecord("", 5, 0),
+					newRecord("a", -1, 0),
+					newRecord("a", math.NaN(), 0),
+					newRecord("a", math.Inf(1), 0),
+					newRecord("a", 5, -1),
 				})
 				So(unusable, ShouldEqual, 5)
 			},
 			rate: -1,
 		},
 	}
-	Convey("Of an upstream's limit", t, func() {
+	Convey("For an upstream's limit", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				var s Limits
-				c.play(&s)
+				c.apply(&s)
 				So(rate(&s, c.born), ShouldEqual, c.rate)
 			})
 		}
 	})
 }
 
-// Ages that processes tell one another must neither be negative nor shrink on the way.
-func TestWordsAge(t *testing.T) {
+// Ages that processes exchange must neither be negative nor decrease.
+func TestRecordAgeIsNegativeOrShrinks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := mgclock.Millis(rapid.Int64Range(0, 1000).Draw(t, "now"))
 		named := now
 		var first Limits
 		first.Named(now, "a", 0, 5)
-		words := first.Words(now)
+		records := first.Words(now)
 		for range rapid.IntRange(1, 4).Draw(t, "hops") {
-			now += mgclock.Millis(rapid.Int64Range(0, 500).Draw(t, "way"))
+			now += mgclock.Millis(rapid.Int64Range(0, 500).Draw(t, "delay"))
 			var next Limits
-			next.Take(now, words)
-			now += mgclock.Millis(rapid.Int64Range(0, 500).Draw(t, "kept"))
-			before := words[0].Named
-			words = next.Words(now)
-			if words[0].Named < before || words[0].Named > now-named {
-				t.Fatalf("an age of %d ms of what was named %d ms ago", words[0].Named, now-named)
+			next.Take(now, records)
+			now += mgclock.Millis(rapid.Int64Range(0, 500).Draw(t, "stored"))
+			before := records[0].Named
+			records = next.Words(now)
+			if records[0].Named < before || records[0].Named > now-named {
+				t.Fatalf("age is %d ms for a rate named %d ms ago", records[0].Named, now-named)
 			}
-			if _, unusable := next.Take(now, words); unusable > 0 {
-				t.Fatalf("%v can't be used", words)
+			if _, unusable := next.Take(now, records); unusable > 0 {
+				t.Fatalf("unusable records: %v", records)
 			}
 		}
 	})
 }
 
-// Processes must agree in whatever order, and however often, they hear of the same.
-func TestWordsCommute(t *testing.T) {
+// Processes must store the same limit in whatever order, and however often, they receive
+// the same records.
+func TestRecordOrderChangesLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const now = 10 * mgclock.Second
 		drawn := rapid.Custom(func(t *rapid.T) Word {
@@ -197,21 +198,21 @@
 				Born:     rapid.Int64Range(1, 2).Draw(t, "born"),
 				Named:    mgclock.Millis(rapid.Int64Range(0, 2000).Draw(t, "named")),
 			}
-			w.Rate = float64(w.Named) // what was said at one moment is one rate
+			w.Rate = float64(w.Named) // records of one time have one rate
 			if w.Ended = rapid.Bool().Draw(t, "ended"); w.Ended {
 				w.Unnamed = mgclock.Millis(rapid.Int64Range(0, 2000).Draw(t, "unnamed"))
 			}
 			return w
 		})
-		words := rapid.SliceOfN(drawn, 1, 6).Draw(t, "words")
+		records := rapid.SliceOfN(drawn, 1, 6).Draw(t, "records")
 		var one, other Limits
-		one.Take(now, words)
-		for _, i := range rapid.Permutation(indexes(len(words))).Draw(t, "order") {
-			other.Take(now, words[i:i+1])
-			other.Take(now, words[i:i+1])
+		one.Take(now, records)
+		for _, i := range rapid.Permutation(indexes(len(records))).Draw(t, "order") {
+			other.Take(now, records[i:i+1])
+			other.Take(now, records[i:i+1])
 		}
 		if a, b := one.Words(now), other.Words(now); len(a) != 1 || len(b) != 1 || a[0] != b[0] {
-			t.Fatalf("%v and %v", a, b)
+			t.Fatalf("records differ: %v and %v", a, b)
 		}
 	})
 }
--- a/internal/request/mgload/load_test.go
+++ b/internal/request/mgload/load_test.go
@@ -10,9 +10,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Three of an engine's nine reports are this entry's, and it sends the fourth
-// there, where the prompt waits behind two others and the memory is full.
-func TestCost(t *testing.T) {
+// Three of an engine's nine runs are this entry's. The entry sends a fourth one there,
+// where its prompt waits behind two others and the memory is full.
+func TestLoadedUpstreamIsPreferred(t *testing.T) {
 	query := Query{
 		Zone:     "a",
 		Memory:   4000,
@@ -50,7 +50,7 @@
 				So(Cost(State{Row: c.better, Zone: c.zone}, query), ShouldBeLessThan, Cost(State{Row: c.worse, Zone: c.farther}, query))
 			})
 		}
-		Convey("A copy weighs the way between zones by the time it takes", func() {
+		Convey("A copy counts the transfer time between zones", func() {
 			near := Row{Runs: 1}
 			moved := query
 			So(Cost(State{Row: near, Zone: "a"}, moved), ShouldBeGreaterThan, Cost(State{Zone: "b"}, moved))
@@ -60,9 +60,9 @@
 	})
 }
 
-// The sum counts an entry twice, or one that died an hour ago.
-func TestHub(t *testing.T) {
-	Convey("A hub tells an entry the sum of the others", t, func() {
+// A sum must neither count an entry's own report nor that of an entry that died.
+func TestHubSumIsWrong(t *testing.T) {
+	Convey("A hub returns to an entry the sum of the others", t, func() {
 		var h Hub
 		rows := func(n int) Report {
 			return Report{
@@ -73,21 +73,21 @@
 		So(h.Tell(0, "one", rows(1)).Rows, ShouldBeEmpty)
 		So(h.Tell(10, "two", rows(2)).Rows["engine"].Runs, ShouldEqual, 1)
 		So(h.Tell(20, "three", rows(4)).Rows["engine"].Runs, ShouldEqual, 3)
-		told := h.Tell(30, "one", rows(8))
-		So(told.Rows["engine"].Runs, ShouldEqual, 6)
-		So(told.Paces["engine"], ShouldEqual, 3)
-		Convey("and forgets one that is silent", func() {
-			So(h.Tell(tellLife+25, "one", rows(8)).Rows, ShouldBeEmpty)
+		reply := h.Tell(30, "one", rows(8))
+		So(reply.Rows["engine"].Runs, ShouldEqual, 6)
+		So(reply.Paces["engine"], ShouldEqual, 3)
+		Convey("and drops one that is silent", func() {
+			So(h.Tell(reportTTL+25, "one", rows(8)).Rows, ShouldBeEmpty)
 		})
-		Convey("whose paces count beside the own", func() {
-			pace, ok := Pace(map[string]float64{"engine": 5}, told.Paces, "engine")
+		Convey("whose paces are averaged with the entry's own", func() {
+			pace, ok := Pace(map[string]float64{"engine": 5}, reply.Paces, "engine")
 			So(ok, ShouldBeTrue)
 			So(pace, ShouldEqual, 4)
-			_, ok = Pace(nil, told.Paces, "other")
+			_, ok = Pace(nil, reply.Paces, "other")
 			So(ok, ShouldBeFalse)
 		})
 	})
-	Convey("A count ends at nothing", t, func() {
+	Convey("A count without requests is empty", t, func() {
 		var c Count
 		c.Add("engine", Row{Runs: 1, Pending: 3000})
 		c.Add("engine", Row{Pending: -3000})
@@ -97,20 +97,20 @@
 	})
 }
 
-// Five entries place reports on twelve engines. By their own counts one engine
-// gets nine while another has none; when it is reclaimed, three of the nine are
-// cut for want of time.
-func TestPlaysEvenly(t *testing.T) {
-	Convey("The most runs at one engine", t, func() {
-		alone, together := play(false), play(true)
+// Five entries send runs to twelve engines. By their own counts alone one engine gets nine
+// while another has none, and when the first is reclaimed, three of its runs are cut off
+// for lack of time.
+func TestRunsAreUneven(t *testing.T) {
+	Convey("The maximum number of runs at one engine is lower with a hub", t, func() {
+		alone, together := simulatePlacement(false), simulatePlacement(true)
 		So(together, ShouldBeLessThan, alone)
 		So(together, ShouldBeLessThanOrEqualTo, 6)
 	})
 }
 
-// play places 500 reports of seven to nine seconds, five a second, and returns
-// the mean over time of the most runs that one engine has.
-func play(told bool) float64 {
+// simulatePlacement places 500 runs of seven to nine seconds, five a second, and returns
+// the mean over time of the maximum number of runs at one engine.
+func simulatePlacement(usesHub bool) float64 {
 	const entries, engines, step = 5, 12, mgclock.Millis(200)
 	r := rand.New(rand.NewPCG(1, 2))
 	var hub Hub
@@ -122,7 +122,7 @@
 		engine string
 	}
 	var running []end
-	sum, looks := 0, 0
+	sum, steps := 0, 0
 	for at := mgclock.Millis(0); at < 100*mgclock.Second; at += step {
 		kept := running[:0]
 		for _, e := range running {
@@ -133,7 +133,7 @@
 			counts[e.entry].Add(e.engine, Row{Runs: -1})
 		}
 		running = kept
-		if told {
+		if usesHub {
 			for i := range counts {
 				others[i] = hub.Tell(at, fmt.Sprint(i), Report{Rows: counts[i].Rows()})
 			}
@@ -153,13 +153,13 @@
 			engine: best,
 		})
 		total := map[string]int{}
-		most := 0
+		maxRuns := 0
 		for _, e := range running {
 			total[e.engine]++
-			most = max(most, total[e.engine])
+			maxRuns = max(maxRuns, total[e.engine])
 		}
-		sum += most
-		looks++
+		sum += maxRuns
+		steps++
 	}
-	return float64(sum) / float64(looks)
+	return float64(sum) / float64(steps)
 }
--- a/internal/request/mgload/pace_test.go
+++ b/internal/request/mgload/pace_test.go
@@ -6,10 +6,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// An engine turns four times as slow. Nothing runs there but the few reports
-// that crawl, so that it looks the least loaded and draws the next ones, whose
-// events come 200 ms apart.
-func TestPace(t *testing.T) {
+// An engine becomes four times as slow. Only the few slow requests run there, so that it
+// looks the least loaded and attracts the next ones, whose events come 200 ms apart.
+func TestSlowEngineAttractsRequests(t *testing.T) {
 	Convey("A pace", t, func() {
 		var c Count
 		for range 50 {
@@ -25,14 +24,14 @@
 			So(slow(paces["d"]), ShouldBeBetween, 20, 25)
 			So(slow(paces["b"]), ShouldEqual, 0)
 		})
-		Convey("of a moment is not", func() {
+		Convey("that is high for one event is not", func() {
 			c.Paced(10, "a", 30)
 			So(slow(c.Paces(10)["a"]), ShouldEqual, 0)
 		})
-		Convey("is forgotten, so that the engine is tried again", func() {
-			So(c.Paces(paceLife), ShouldBeEmpty)
+		Convey("expires, so that the engine is tried again", func() {
+			So(c.Paces(paceTTL), ShouldBeEmpty)
 		})
-		Convey("counts for nothing where few are known", func() {
+		Convey("is ignored where few are known", func() {
 			So(Slow([]float64{8, 32})(32), ShouldEqual, 0)
 		})
 	})
--- a/internal/request/mgquarantine/bench_test.go
+++ b/internal/request/mgquarantine/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// BenchmarkCrashed measures one more crash of a request by the number of crashes that are
-// known of it, each seen by eight processes.
+// BenchmarkCrashed measures one more crash of a request, by the number of its crashes
+// already recorded, each seen by eight processes.
 func BenchmarkCrashed(b *testing.B) {
 	for _, count := range []int{1, 8, 32, 128} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
@@ -19,7 +19,7 @@
 				at := mgclock.Millis(1000 * (i + 1))
 				for origin := range 8 {
 					other := mgquarantine.New(fmt.Sprint("origin-", origin, "-", i), nil)
-					take(other, []seen{{
+					record(other, []observation{{
 						at:       at,
 						request:  "bad",
 						upstream: fmt.Sprint("engine-", i),
--- a/internal/request/mgquarantine/digest_test.go
+++ b/internal/request/mgquarantine/digest_test.go
@@ -8,8 +8,9 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgquarantine"
 )
 
-// Two callers' requests must not share a digest by how their parts are cut.
-func TestDigest(t *testing.T) {
+// Two requests with the same bytes must not share a digest when account, host, path and
+// body are split at other positions.
+func TestDigestIsShared(t *testing.T) {
 	same := mgquarantine.DigestOf("tankline", "tanks.example", "/note/1", []byte("a body"))
 	cases := []struct {
 		name    string
@@ -49,7 +50,7 @@
 			body:    "a longer body",
 		},
 		{
-			name:    "the same bytes cut otherwise",
+			name:    "the same bytes split otherwise",
 			account: "tankline",
 			host:    "tanks.exampl",
 			target:  "e/note/1",
--- a/internal/request/mgquarantine/order_test.go
+++ b/internal/request/mgquarantine/order_test.go
@@ -12,19 +12,20 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Crashes that several processes saw must count the same at each of them.
-func TestOrderAcrossProcesses(t *testing.T) {
-	// The first crash is seen at 0 by one process, and known to the other at 150. The other
-	// sees the second one at 500.
+// Two crashes seen by two processes must count the same at every process, whether or not a
+// clock proves their order.
+func TestProcessesCountCrashesDifferently(t *testing.T) {
+	// The first crash is seen at 0 by one process, whose record reaches the other at 150.
+	// The other process sees the second crash at 500.
 	cases := []struct {
 		name        string
 		second      mgquarantine.Crash
-		known       mgclock.Millis // when the other process learns of the first, if not at 150
-		pause       mgclock.Millis // when the other process goes on after a pause
+		known       mgclock.Millis // when the other process receives the first record, if not at 150
+		pause       mgclock.Millis // when the other process resumes after a pause
 		occurrences int
 	}{
 		{
-			name: "sent after the first was known",
+			name: "sent after the first was received",
 			second: mgquarantine.Crash{
 				Upstream: "b",
 				Sent:     160,
@@ -32,7 +33,7 @@
 			occurrences: 2,
 		},
 		{
-			name: "sent before the first was known, and seen more than a moment after",
+			name: "sent before the first was received, and seen more than a window after",
 			second: mgquarantine.Crash{
 				Upstream: "b",
 				Sent:     100,
@@ -40,7 +41,7 @@
 			occurrences: 2,
 		},
 		{
-			name: "sent before the first was known, and possibly ended within a moment of it",
+			name: "sent before the first was received, and possibly ended within a window of it",
 			second: mgquarantine.Crash{
 				Upstream: "b",
 				Sent:     100,
@@ -49,7 +50,7 @@
 			occurrences: 1,
 		},
 		{
-			name: "sent before, and seen within a moment of the time at which the first was known",
+			name: "sent before, and seen within a window of the receipt of the first",
 			second: mgquarantine.Crash{
 				Upstream: "b",
 				Sent:     100,
@@ -58,7 +59,7 @@
 			occurrences: 1,
 		},
 		{
-			name: "the first is known only later",
+			name: "of which the first is received only later",
 			second: mgquarantine.Crash{
 				Upstream: "b",
 				Sent:     450,
@@ -75,7 +76,7 @@
 			occurrences: 1,
 		},
 		{
-			name: "of the same upstream, sent after the first was known",
+			name: "of the same upstream, sent after the first was received",
 			second: mgquarantine.Crash{
 				Upstream: "a",
 				Sent:     160,
@@ -102,20 +103,20 @@
 					Begun:    true,
 					Sent:     -100,
 				})
-				told := first.Lacking(0, nil)
+				sent := first.Lacking(0, nil)
 				c.second.Digest, c.second.Begun = digestOf("bad"), true
 				if c.known == 0 {
 					c.known = 150
 				}
 				if c.known < 500 {
-					other.Take(c.known, told)
+					other.Take(c.known, sent)
 				}
 				if c.pause > 0 {
 					other.Paused(c.pause)
 				}
 				other.Crashed(500, c.second)
 				if c.known >= 500 {
-					other.Take(c.known, told)
+					other.Take(c.known, sent)
 				}
 				for _, q := range []*mgquarantine.Quarantine{first, third} {
 					So(q.Take(5*sec, other.Lacking(600, nil)), ShouldBeEmpty)
@@ -128,39 +129,41 @@
 	})
 }
 
-// A copy of a note that came on a faster way must tell what the first one couldn't.
-func TestFasterCopyTellsOrder(t *testing.T) {
-	Convey("A second crash that was sent before the word of the first came", t, func() {
+// The first copy of a record arrives too late to prove the order of two crashes. A copy
+// that arrives later on a faster path must prove it.
+func TestFasterCopyIsIgnored(t *testing.T) {
+	Convey("A second crash whose attempt was sent before the record of the first arrived", t, func() {
 		first, other, third := mgquarantine.New("first", nil), mgquarantine.New("other", nil), mgquarantine.New("third", nil)
-		take(first, []seen{{
+		record(first, []observation{{
 			request:  "bad",
 			upstream: "a",
 			sent:     -100,
 		}})
-		take(other, []seen{{
+		record(other, []observation{{
 			at:       400,
 			request:  "bad",
 			upstream: "b",
 			sent:     300,
 		}})
-		other.Take(790, first.Lacking(400, nil)) // 390 ms on its way
+		other.Take(790, first.Lacking(400, nil)) // 390 ms network delay
 		So(other.Occurrences(digestOf("bad")), ShouldEqual, 1)
 		So(len(third.Take(900, other.Lacking(800, nil))), ShouldEqual, 0)
 		So(third.Occurrences(digestOf("bad")), ShouldEqual, 1)
 
-		other.Take(1000, first.Lacking(800, nil)) // 200 ms
+		other.Take(1000, first.Lacking(800, nil)) // 200 ms network delay
 		So(other.Occurrences(digestOf("bad")), ShouldEqual, 2)
 		So(third.Take(1300, other.Lacking(1000, third.Sums())), ShouldBeEmpty)
 		So(third.Occurrences(digestOf("bad")), ShouldEqual, 2)
 	})
 }
 
-// Upstreams that end together must count once at every process, whatever the ways and clocks.
-func TestMomentsNeverSplit(t *testing.T) {
+// Upstreams that crash together must count once at every process, whatever the network
+// delays and clock offsets.
+func TestOneMomentCountsMoreThanOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const count = 4
 		moments := rapid.IntRange(1, 3).Draw(t, "moments")
-		way := rapid.Int64Range(0, rapid.SampledFrom([]int64{3, 200, 400, 1500}).Draw(t, "slowest"))
+		delayRange := rapid.Int64Range(0, rapid.SampledFrom([]int64{3, 200, 400, 1500}).Draw(t, "slowest"))
 		var all [count]*mgquarantine.Quarantine
 		var offset [count]mgclock.Millis // of each process's clock
 		for i := range all {
@@ -174,9 +177,9 @@
 				if from == to {
 					continue
 				}
-				told := all[from].Lacking(now+offset[from], nil)
-				now += mgclock.Millis(way.Draw(t, "way"))
-				all[to].Take(now+offset[to], told)
+				sent := all[from].Lacking(now+offset[from], nil)
+				now += mgclock.Millis(delayRange.Draw(t, "delay"))
+				all[to].Take(now+offset[to], sent)
 			}
 		}
 		for moment := range moments {
@@ -204,7 +207,7 @@
 		exchange(20)
 		for i, q := range all {
 			if q.Occurrences(digestOf("sound")) > moments {
-				t.Fatalf("process %d counts %d occurrences of %d moments", i, q.Occurrences(digestOf("sound")), moments)
+				t.Fatalf("process %d counts %d occurrences for %d moments", i, q.Occurrences(digestOf("sound")), moments)
 			}
 		}
 	})
--- a/internal/request/mgquarantine/verdict.go
+++ b/internal/request/mgquarantine/verdict.go
@@ -7,27 +7,27 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Verdict is what is held against a request.
+// A Verdict is the evidence against a request and its hold.
 type Verdict struct {
 	digest      Digest
 	occurrences int
-	left        mgclock.Millis
+	remaining   mgclock.Millis
 	evidence    []Note
 }
 
 // Digest returns the request's digest.
 func (v Verdict) Digest() Digest { return v.digest }
 
-// Occurrences returns how many times upstreams have ended under the request.
+// Occurrences returns how many crash occurrences are attributed to the request.
 func (v Verdict) Occurrences() int { return v.occurrences }
 
 // Left returns how long the request is still held, 0 where it isn't.
-func (v Verdict) Left() mgclock.Millis { return v.left }
+func (v Verdict) Left() mgclock.Millis { return v.remaining }
 
-// Evidence returns the notes of the crashes, the newest first.
+// Evidence returns the records of the crashes, the newest first.
 func (v Verdict) Evidence() []Note { return v.evidence }
 
-// Verdicts returns what is held against all requests, by digest.
+// Verdicts returns the evidence against all requests, sorted by digest.
 func (q *Quarantine) Verdicts(now mgclock.Millis) []Verdict {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -35,18 +35,18 @@
 	if current == nil {
 		return nil
 	}
-	notes := map[Digest][]Note{}
+	records := map[Digest][]Note{}
 	for _, s := range q.evidence() {
-		notes[s.digest] = append(notes[s.digest], s.told(now))
+		records[s.digest] = append(records[s.digest], s.withAge(now))
 	}
-	verdicts := make([]Verdict, 0, len(current.verdicts))
-	for digest, found := range current.verdicts {
-		slices.Reverse(notes[digest])
+	verdicts := make([]Verdict, 0, len(current.suspicions))
+	for digest, suspicion := range current.suspicions {
+		slices.Reverse(records[digest])
 		verdicts = append(verdicts, Verdict{
 			digest:      digest,
-			occurrences: found.occurrences,
-			left:        found.left(now),
-			evidence:    notes[digest],
+			occurrences: suspicion.occurrences,
+			remaining:   suspicion.remaining(now),
+			evidence:    records[digest],
 		})
 	}
 	slices.SortFunc(verdicts, func(a, b Verdict) int { return cmp.Compare(a.digest.String(), b.digest.String()) })
--- a/internal/request/mgqueue/queue.go
+++ b/internal/request/mgqueue/queue.go
@@ -6,61 +6,60 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Levels is the number of levels of priority.
+// Levels is the number of priority levels.
 const Levels = 4
 
-// The defaults of a Spec. DefaultBound holds some ten batches of a large
-// engine, which is longer than any deadline lets a request wait. DefaultBoost
-// is the wait after which an operator takes a lookup for lost, so a report
-// gives way to lookups of the same deadline for that long and no longer; most of
-// the order comes from the due times.
+// The defaults of a Spec. DefaultCapacity holds some ten batches of a large engine, which
+// is longer than any deadline lets a request wait. DefaultBoost is the wait after which an
+// operator takes a lookup for lost, so that a report gives way to lookups of the same
+// deadline for that long and no longer; most of the order comes from the due times.
 //
-// DefaultLoan is what an account may have ahead of its share, in tokens: without it
-// lookups wait for their account's turn beyond saturation, with much more heavy
-// accounts have more than their share.
+// DefaultLoan is what an account may be ahead of its share, in tokens. Without a loan,
+// lookups beyond saturation wait for their account's turn; with a much larger one, heavy
+// accounts get more than their share.
 const (
-	DefaultBound = 2048
-	DefaultBoost = 10 * mgclock.Second
-	DefaultLoan  = 500
+	DefaultCapacity = 2048
+	DefaultBoost    = 10 * mgclock.Second
+	DefaultLoan     = 500
 )
 
-// Patience is the deadline, in the order within an account, of a request that
-// has none.
-const Patience = mgclock.Minute
+// DefaultDeadline is the assumed deadline, for the order within an account, of a request
+// that has none.
+const DefaultDeadline = mgclock.Minute
 
-// spares is the most freed entries and accounts kept for reuse: the turnover
-// of a burst, not its peak.
-const spares = 1024
+// maxSpares is the maximum number of freed entries and of freed accounts kept for reuse:
+// the turnover of a burst, not its peak.
+const maxSpares = 1024
 
-// near is the number of accounts that Others looks at: the upper levels of
-// their heap.
-const near = 15
+// maxAlternativeAccounts is the number of accounts that Alternatives considers: the upper
+// levels of their heap.
+const maxAlternativeAccounts = 15
 
-// visitable is the most requests of one account that Ahead looks at. Behind
-// that many a deadline is lost in any case.
-const visitable = 256
+// maxVisits is the maximum number of requests of one account that WorkAhead considers.
+// Behind that many a deadline is missed in any case.
+const maxVisits = 256
 
 // The errors of Push.
 var (
-	ErrFull      = errors.New("mgqueue: the account's part of the queue is full: come back when it has drained")
-	ErrDuplicate = errors.New("mgqueue: the request already waits: give each attempt an id of its own")
+	ErrFull      = errors.New("mgqueue: the account's part of the queue is full: retry when it has drained")
+	ErrDuplicate = errors.New("mgqueue: a request with this id is already waiting: give each attempt an id of its own")
 )
 
-// A Queue orders the requests that wait for one upstream. The zero Queue has
-// the defaults of a Spec and is ready for use.
+// A Queue orders the requests that wait for one upstream. The zero Queue has the defaults
+// of a Spec and is ready for use.
 type Queue struct {
-	spec     Spec
-	virtual  float64 // greatest key of the requests that left in turn
-	serial   uint64
-	backlog  float64 // expected cost of all that wait
-	weight   float64 // sum of the weights of the accounts that wait
-	accounts map[string]*account
-	entries  map[string]*entry
-	waiting  heap[account] // accounts that wait, by tag
-	owing    heap[account] // accounts that don't wait and have a tag ahead of virtual
-	expiring heap[entry]   // requests with an expiry
-	oldEntry []*entry
-	oldOwner []*account
+	spec         Spec
+	virtualTime  float64 // largest key of the requests that left in turn
+	serial       uint64
+	backlog      float64 // expected cost of all waiting requests
+	totalWeight  float64 // of the accounts that wait
+	accounts     map[string]*account
+	entries      map[string]*entry
+	waiting      heap[account] // accounts that wait, by key
+	indebted     heap[account] // accounts that don't wait and have a tag ahead of virtualTime
+	expiring     heap[entry]   // requests with an expiry
+	freeEntries  []*entry
+	freeAccounts []*account
 }
 
 // New returns an empty queue.
@@ -70,13 +69,13 @@
 	}
 }
 
-// Len returns the number of requests that wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return len(q.entries) }
 
-// Accounts returns the number of accounts that cost memory.
+// Accounts returns the number of accounts held in memory.
 func (q *Queue) Accounts() int { return len(q.accounts) }
 
-// Backlog returns the expected cost in tokens of all that wait.
+// Backlog returns the expected cost in tokens of all waiting requests.
 func (q *Queue) Backlog() float64 { return q.backlog }
 
 // Push adds a request, or returns ErrFull or ErrDuplicate.
@@ -85,29 +84,29 @@
 	if q.entries[item.ID] != nil {
 		return ErrDuplicate
 	}
-	item = normal(item)
-	if !q.Room(item.Account, item.Priority) {
+	item = normalize(item)
+	if !q.HasCapacity(item.Account, item.Priority) {
 		return ErrFull
 	}
 	a := q.account(item.Account)
-	q.reweigh(a, item.Weight)
-	q.add(a, now, item)
+	q.setWeight(a, item.Weight)
+	q.enqueue(a, now, item)
 	return nil
 }
 
-// Room reports whether Push has a place for the account at a priority.
-func (q *Queue) Room(name string, priority int) bool {
-	free := q.bound() - len(q.entries)
+// HasCapacity reports whether Push would accept a request of the account at a priority.
+func (q *Queue) HasCapacity(name string, priority int) bool {
+	free := q.capacity() - len(q.entries)
 	held := 0
 	if a := q.accounts[name]; a != nil {
-		for l := level(priority); l < Levels; l++ {
-			held += a.count[l]
+		for l := clampPriority(priority); l < Levels; l++ {
+			held += a.countByPriority[l]
 		}
 	}
 	return held < free
 }
 
-// Peek returns the request that is next.
+// Peek returns the next request.
 func (q *Queue) Peek() (Item, bool) {
 	e := q.head()
 	if e == nil {
@@ -116,8 +115,7 @@
 	return e.item, true
 }
 
-// Pop takes the request that is next and charges its account the expected
-// cost.
+// Pop removes the next request and charges its account the expected cost.
 func (q *Queue) Pop() (Item, bool) {
 	e := q.head()
 	if e == nil {
@@ -126,23 +124,22 @@
 	return q.charge(e), true
 }
 
-// Others appends to dst the next requests of some accounts that come after
-// the one that is next, and two more of that one's account.
-func (q *Queue) Others(dst []Item) []Item {
-	for k, a := range q.waiting.list[:min(len(q.waiting.list), near)] {
+// Alternatives appends to dst the next requests of some other accounts after the next
+// request, and two more of that one's account.
+func (q *Queue) Alternatives(dst []Item) []Item {
+	for k, a := range q.waiting.items[:min(len(q.waiting.items), maxAlternativeAccounts)] {
 		if k > 0 {
-			dst = append(dst, a.order.list[0].item)
+			dst = append(dst, a.requests.items[0].item)
 			continue
 		}
-		for _, e := range a.order.list[1:min(len(a.order.list), 3)] {
+		for _, e := range a.requests.items[1:min(len(a.requests.items), 3)] {
 			dst = append(dst, e.item)
 		}
 	}
 	return dst
 }
 
-// Take takes a request, also out of turn, and charges its account the expected
-// cost.
+// Take removes a request, also out of turn, and charges its account the expected cost.
 func (q *Queue) Take(id string) (Item, bool) {
 	e := q.entries[id]
 	if e == nil {
@@ -151,11 +148,10 @@
 	return q.charge(e), true
 }
 
-// Charge corrects an account's virtual time by tokens, which are negative
-// when an answer was shorter than expected. What is given back to an account
-// that waits makes its next requests cheaper, down to half: set back at once,
-// its tag would fall behind those of all that came in the meantime, and they
-// would wait until it had caught up.
+// Charge corrects an account's virtual time by tokens, which are negative when an answer
+// was shorter than expected. A refund to an account that waits makes its next requests
+// cheaper, down to half. If its tag were set back at once, it would fall behind those of
+// all accounts that came in the meantime, and these would wait until it had caught up.
 func (q *Queue) Charge(name string, weight, tokens float64) {
 	q.init()
 	a := q.accounts[name]
@@ -164,29 +160,29 @@
 			return
 		}
 		a = q.account(name)
-		a.weight = positive(weight)
+		a.weight = weightOrDefault(weight)
 	}
 	a.credit -= tokens
 	if a.credit < 0 || a.serial == 0 {
 		tokens = -a.credit
 		a.credit = 0
-		q.move(a, tokens)
+		q.advanceTag(a, tokens)
 	}
 }
 
-// Remove takes out a request that waits.
+// Remove removes a waiting request without a charge.
 func (q *Queue) Remove(id string) (Item, bool) {
 	e := q.entries[id]
 	if e == nil {
 		return Item{}, false
 	}
-	a := e.owner
-	item := q.take(e)
-	q.rest(a)
+	a := e.account
+	item := q.dequeue(e)
+	q.reposition(a)
 	return item, true
 }
 
-// Expire takes out one request whose expiry has come.
+// Expire removes one request whose expiry has come.
 func (q *Queue) Expire(now mgclock.Millis) (Item, bool) {
 	e := q.expiring.top()
 	if e == nil || e.item.Expiry > now {
@@ -195,7 +191,7 @@
 	return q.Remove(e.item.ID)
 }
 
-// NextExpiry returns the earliest expiry of the requests that wait, or 0.
+// NextExpiry returns the earliest expiry of the waiting requests, or 0.
 func (q *Queue) NextExpiry() mgclock.Millis {
 	e := q.expiring.top()
 	if e == nil {
@@ -204,34 +200,34 @@
 	return e.item.Expiry
 }
 
-// Ahead returns the expected cost in tokens of what would be served before
-// item if it came now: all that waits, or less where the account's share or
-// the item's place within the account brings it to the front sooner.
-func (q *Queue) Ahead(now mgclock.Millis, item Item) float64 {
-	item = normal(item)
-	total := q.weight
+// WorkAhead returns the expected cost in tokens of what would be served before item if it
+// came now: the whole backlog, or less where the account's share or the item's rank within
+// the account brings it to the front sooner.
+func (q *Queue) WorkAhead(now mgclock.Millis, item Item) float64 {
+	item = normalize(item)
+	total := q.totalWeight
 	lead := 0.0
 	a := q.accounts[item.Account]
-	if a == nil || a.order.top() == nil {
+	if a == nil || a.requests.top() == nil {
 		total += item.Weight
 	}
 	if a != nil {
 		visits := 0
-		lead = a.tag - q.virtual + a.before(0, q.rank(now, item), &visits)/item.Weight
-		lead = max(0, lead-q.lent(item.Priority, item.Weight))
+		lead = a.tag - q.virtualTime + a.costBefore(0, q.rank(now, item), &visits)/item.Weight
+		lead = max(0, lead-q.priorityLead(item.Priority, item.Weight))
 	}
 	return min(q.backlog, lead*total)
 }
 
-// Rest tells the queue that nothing waits and nothing runs: the busy period is
-// over, and every account starts the next one level.
-func (q *Queue) Rest() {
+// EndBusyPeriod ends the busy period, when nothing waits and nothing runs: every account
+// starts the next one with the same tag.
+func (q *Queue) EndBusyPeriod() {
 	if len(q.entries) > 0 || len(q.accounts) == 0 {
 		return
 	}
-	for len(q.owing.list) > 0 {
-		q.virtual = max(q.virtual, q.owing.top().tag)
-		q.drop(q.owing.top())
+	for len(q.indebted.items) > 0 {
+		q.virtualTime = max(q.virtualTime, q.indebted.top().tag)
+		q.drop(q.indebted.top())
 	}
 }
 
@@ -241,35 +237,35 @@
 	}
 	q.accounts = make(map[string]*account)
 	q.entries = make(map[string]*entry)
-	place := func(a *account) *int { return &a.place }
+	index := func(a *account) *int { return &a.heapIndex }
 	q.waiting = heap[account]{
-		less:  q.sooner,
-		place: place,
+		less:  q.accountLess,
+		index: index,
 	}
-	q.owing = heap[account]{
+	q.indebted = heap[account]{
 		less:  func(a, b *account) bool { return a.tag < b.tag },
-		place: place,
+		index: index,
 	}
 	q.expiring = heap[entry]{
 		less:  func(a, b *entry) bool { return a.item.Expiry < b.item.Expiry },
-		place: func(e *entry) *int { return &e.expiring },
+		index: func(e *entry) *int { return &e.expiryIndex },
 	}
 }
 
-// head returns the entry that is next, or nil.
+// head returns the next entry, or nil.
 func (q *Queue) head() *entry {
 	a := q.waiting.top()
 	if a == nil {
 		return nil
 	}
-	return a.order.top()
+	return a.requests.top()
 }
 
-func (q *Queue) bound() int {
-	if q.spec.Bound > 0 {
-		return q.spec.Bound
+func (q *Queue) capacity() int {
+	if q.spec.Capacity > 0 {
+		return q.spec.Capacity
 	}
-	return DefaultBound
+	return DefaultCapacity
 }
 
 func (q *Queue) loan() float64 {
@@ -286,16 +282,16 @@
 	return DefaultBoost
 }
 
-func normal(item Item) Item {
-	item.Weight = positive(item.Weight)
-	item.Priority = level(item.Priority)
+func normalize(item Item) Item {
+	item.Weight = weightOrDefault(item.Weight)
+	item.Priority = clampPriority(item.Priority)
 	item.Cost = max(item.Cost, 0)
 	return item
 }
 
-func level(priority int) int { return min(max(priority, 0), Levels-1) }
+func clampPriority(priority int) int { return min(max(priority, 0), Levels-1) }
 
-func positive(weight float64) float64 {
+func weightOrDefault(weight float64) float64 {
 	if weight > 0 {
 		return weight
 	}
--- a/internal/request/mgqueue/queue_test.go
+++ b/internal/request/mgqueue/queue_test.go
@@ -19,10 +19,9 @@
 	}
 }
 
-// A light account's lookup takes minutes although it sends one a minute. A
-// heavy account sent hundreds of reports first, and the lookup stood behind
-// all of them.
-func TestHeavyAccount(t *testing.T) {
+// A light account that sends one lookup a minute waits minutes for each, behind hundreds of
+// requests that a heavy account sent first.
+func TestHeavyAccountDelaysOthers(t *testing.T) {
 	Convey("Behind a heavy account's backlog", t, func() {
 		var q mgqueue.Queue
 		for n := range 500 {
@@ -31,16 +30,16 @@
 		_, _ = q.Pop()
 		So(q.Push(1, item("light", 0, 100)), ShouldBeNil)
 
-		Convey("a light account is next but one at most", func() {
+		Convey("a light account is second at the latest", func() {
 			So(position(&q, "light0"), ShouldBeLessThanOrEqualTo, 2)
 		})
-		Convey("a priority of the heavy account passes only its own", func() {
+		Convey("a priority of the heavy account overtakes only its own requests", func() {
 			urgent := item("heavy", 1000, 1)
 			urgent.Priority = 1
 			So(q.Push(1, urgent), ShouldBeNil)
 			So(position(&q, "heavy1000"), ShouldBeLessThanOrEqualTo, 2)
 		})
-		Convey("a newcomer finds a place however much the heavy one sends", func() {
+		Convey("a newcomer's request is accepted however much the heavy one sends", func() {
 			n := 1000
 			for q.Push(1, item("heavy", n, 100)) == nil {
 				n++
@@ -50,10 +49,10 @@
 	})
 }
 
-// A shift report never starts while lookups keep coming: each new lookup has
-// the higher priority and passes it.
-func TestPriorityCannotStarve(t *testing.T) {
-	Convey("A report passed by lookups leaves after the boost", t, func() {
+// A report never starts while lookups keep coming, because each new lookup has the higher
+// priority and overtakes it.
+func TestPriorityStarvesOthers(t *testing.T) {
+	Convey("A report overtaken by lookups leaves after the boost", t, func() {
 		var q mgqueue.Queue
 		So(q.Push(0, item("tank", 0, 1000)), ShouldBeNil)
 		left := mgclock.Millis(-1)
@@ -69,13 +68,12 @@
 	})
 }
 
-// An account whose answers run ten times longer than expected takes ten times
-// its share, because the queue charged it what it expected; one whose answers
-// are short gets a tenth.
-func TestChargeCorrects(t *testing.T) {
-	Convey("Real lengths decide the shares", t, func() {
+// An account whose answers run ten times longer than expected takes ten times its share,
+// because it is charged the expected cost; one whose answers are short gets a tenth.
+func TestUnexpectedLengthSkewsShares(t *testing.T) {
+	Convey("Actual lengths determine the shares", t, func() {
 		q := mgqueue.New(mgqueue.Spec{
-			Bound: 4096,
+			Capacity: 4096,
 		})
 		got := map[string]float64{}
 		real := map[string]float64{
@@ -98,11 +96,10 @@
 	})
 }
 
-// A newcomer waits for minutes at the start of a shift: the one account before
-// it was charged for long answers, got short ones, and is given back so much
-// that it goes first for as long.
-func TestGivenBackIsNoHeadStart(t *testing.T) {
-	Convey("What is given back holds up nobody who came since", t, func() {
+// An account is charged for long answers, gets short ones, and the refund sets its tag so
+// far back that a newcomer waits for minutes.
+func TestRefundDelaysNewcomer(t *testing.T) {
+	Convey("A refund delays no account that came since", t, func() {
 		var q mgqueue.Queue
 		for n := range 500 {
 			_ = q.Push(0, item("first", n, 1000))
@@ -116,10 +113,10 @@
 	})
 }
 
-// A gauger's lookup waits behind nine customers' reports, because a report of
-// the gauger's own account ran a moment ago.
-func TestPriorityBetweenAccounts(t *testing.T) {
-	Convey("A priority goes before an account's turn, within its loan", t, func() {
+// A lookup waits behind nine other accounts' reports, because a report of its own account
+// ran just before.
+func TestPriorityWaitsForAccountTurn(t *testing.T) {
+	Convey("A request with priority goes before its account's turn, within the loan", t, func() {
 		var q mgqueue.Queue
 		_ = q.Push(0, item("tank", 0, 400))
 		_, _ = q.Pop()
@@ -132,7 +129,7 @@
 		got, _ := q.Pop()
 		So(got.ID, ShouldEqual, "tank1")
 
-		Convey("and many of them don't", func() {
+		Convey("and many of them don't exceed it", func() {
 			for n := range 1000 {
 				lookup = item("tank", 2+n, 10)
 				lookup.Priority = 1
@@ -143,9 +140,9 @@
 	})
 }
 
-// A caller is told that time is up long after it was, because the queue only
-// looked at what came to the front.
-func TestExpiry(t *testing.T) {
+// Requests are reported as expired long after their expiry, because only the head of the
+// queue is checked.
+func TestExpiryIsOutOfOrder(t *testing.T) {
 	Convey("Requests expire in the order of their expiry", t, func() {
 		var q mgqueue.Queue
 		for n, expiry := range []mgclock.Millis{300, 100, 0, 200} {
@@ -177,17 +174,17 @@
 	}
 }
 
-// Whatever comes and goes, a request that was taken in leaves once, the queue
-// is never idle while something waits, and weights set the shares.
-func TestQueueProperties(t *testing.T) {
+// For any sequence of operations, each accepted request leaves the queue once, Pop returns
+// a request whenever one waits, and an idle queue holds no accounts and no backlog.
+func TestRequestIsLostOrQueueIsIdle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := mgqueue.New(mgqueue.Spec{
-			Bound: rapid.IntRange(1, 64).Draw(t, "bound"),
+			Capacity: rapid.IntRange(1, 64).Draw(t, "bound"),
 		})
 		held := map[string]bool{}
 		leave := func(got mgqueue.Item, ok bool) {
 			if ok != held[got.ID] {
-				t.Fatalf("%q left, held %v", got.ID, held[got.ID])
+				t.Fatalf("%q left the queue, was waiting: %v", got.ID, held[got.ID])
 			}
 			delete(held, got.ID)
 		}
@@ -206,7 +203,7 @@
 				before := q.Len()
 				got, ok := q.Pop()
 				if ok != (before > 0) {
-					t.Fatalf("%d wait and Pop says %v", before, ok)
+					t.Fatalf("%d requests wait and Pop returns %v", before, ok)
 				}
 				leave(got, ok)
 				q.Charge(got.Account, got.Weight, rapid.Float64Range(-got.Cost, 1e4).Draw(t, "charge"))
@@ -216,20 +213,20 @@
 				leave(q.Remove(fmt.Sprint("a", rapid.IntRange(0, n).Draw(t, "id"))))
 			}
 			if q.Len() != len(held) {
-				t.Fatalf("%d wait, %d held", q.Len(), len(held))
+				t.Fatalf("Len is %d, want %d", q.Len(), len(held))
 			}
 		}
 		for q.Len() > 0 {
 			leave(q.Pop())
 		}
-		q.Rest()
+		q.EndBusyPeriod()
 		if q.Accounts() != 0 || q.Backlog() != 0 {
-			t.Fatalf("idle, and %d accounts and a backlog of %v remain", q.Accounts(), q.Backlog())
+			t.Fatalf("an idle queue has %d accounts and a backlog of %v", q.Accounts(), q.Backlog())
 		}
 	})
 }
 
-func TestWeightedShares(t *testing.T) {
+func TestSharesDeviateFromWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q mgqueue.Queue
 		weights := rapid.SliceOfN(rapid.Float64Range(1, 8), 2, 6).Draw(t, "weights")
@@ -239,7 +236,7 @@
 				it := item(fmt.Sprint(k, "-"), n, rapid.Float64Range(1, 100).Draw(t, "cost"))
 				it.Weight = w
 				if q.Push(0, it) != nil {
-					t.Fatal("full")
+					t.Fatal("the queue is full")
 				}
 			}
 		}
@@ -249,8 +246,8 @@
 			_, _ = fmt.Sscanf(got.Account, "%d-", &k)
 			served[k] += got.Cost / weights[k]
 		}
-		// Goyal et al. bound the gap of two backlogged accounts by the
-		// largest request over the weight of each.
+		// Goyal et al. bound the gap of two backlogged accounts by the sum, over both, of
+		// the largest request over the weight.
 		for k := range served {
 			for l := range served {
 				if gap := served[k] - served[l]; gap > 100/weights[k]+100/weights[l]+1e-6 {
@@ -266,7 +263,7 @@
 		b.Run(fmt.Sprint(accounts), func(b *testing.B) {
 			items := make([]mgqueue.Item, accounts)
 			q := mgqueue.New(mgqueue.Spec{
-				Bound: 4 * accounts,
+				Capacity: 4 * accounts,
 			})
 			for n := range items {
 				items[n] = item(fmt.Sprint("account", n), n, float64(n%997))
--- a/internal/request/mgroom/close_test.go
+++ b/internal/request/mgroom/close_test.go
@@ -6,11 +6,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Operators cordon the last hall while a dozen reports wait in the line. Their callers
-// wait for three times their goal for a place that nobody can give, and are refused when
-// most of their time is over.
-func TestClose(t *testing.T) {
-	Convey("Where nobody may be given work, all that wait are told so at once", t, func() {
+// When the last availability zone is cordoned, requests keep waiting for a place that can't
+// be granted: their callers wait for three times their goal and are refused only then.
+func TestCloseLeavesRequestsWaiting(t *testing.T) {
+	Convey("Where no upstream may be given work, all waiting requests are given up at once", t, func() {
 		var r Room
 		for _, name := range []string{"a", "b", "c"} {
 			r.Add(Wait{
@@ -23,7 +22,7 @@
 		So(len(grants), ShouldEqual, 3)
 		for _, grant := range grants {
 			So(grant.Place, ShouldBeEmpty)
-			So(grant.Retry, ShouldEqual, retryMax)
+			So(grant.Retry, ShouldEqual, maxRetry)
 		}
 		So(r.Len(), ShouldEqual, 0)
 		So(r.Close(), ShouldBeEmpty)
--- a/internal/request/mgroom/return_test.go
+++ b/internal/request/mgroom/return_test.go
@@ -12,29 +12,29 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// caller is one that asks, is given up, and comes back once.
-type caller struct {
-	back   mgclock.Millis // when it comes back, 0 for never
-	tries  int
-	served bool
+// returningCaller is a caller whose request is given up and who comes back once.
+type returningCaller struct {
+	returnsAt mgclock.Millis // time at which it comes back, 0 for never
+	attempts  int
+	served    bool
 }
 
-// returns plays ten engines that are asked to read twice what they can for some
-// seconds, and a quarter of it afterwards. Callers that are given up come back once,
-// when they are told to, or after a fixed time where one is given. It returns the
-// part of the callers that are served at all, and the refusals for each.
-func returns(fixed mgclock.Millis) (served, refused float64) {
+// simulateReturns simulates ten engines that get prompts at twice their reading rate for
+// some seconds, and at a quarter of it afterwards. Callers that are given up come back
+// once, after the grant's retry time, or after fixedDelay where that is set. It returns the
+// fraction of callers that are served at all, and the refusals per caller.
+func simulateReturns(fixedDelay mgclock.Millis) (served, refused float64) {
 	const engines, prompt, span, step = 10, 2800, 60 * mgclock.Second, 20 * mgclock.Millis(1)
 	const goal = 1500 * mgclock.Millis(1)
-	capacity := engines * mgload.ReadRate / prompt // requests a ms
+	capacity := engines * mgload.ReadRate / prompt // requests per ms
 	read := mgclock.Millis(math.Ceil(prompt / mgload.ReadRate))
 	r := rand.New(rand.NewPCG(5, 6))
 	var room Room
-	list := make([]reader, engines)
-	var callers []*caller
+	list := make([]readingEngine, engines)
+	var callers []*returningCaller
 	refusals := 0.0
 	add := func(now mgclock.Millis, index int) {
-		callers[index].tries++
+		callers[index].attempts++
 		room.Add(Wait{
 			Name: fmt.Sprint(index),
 			Need: prompt,
@@ -50,12 +50,12 @@
 			rate = 0.25 * capacity
 		}
 		for arrivals := rate * float64(step); r.Float64() < arrivals; arrivals-- {
-			callers = append(callers, &caller{})
+			callers = append(callers, &returningCaller{})
 			add(now, len(callers)-1)
 		}
 		for index, c := range callers {
-			if c.back > 0 && now >= c.back {
-				c.back = 0
+			if c.returnsAt > 0 && now >= c.returnsAt {
+				c.returnsAt = 0
 				add(now, index)
 			}
 		}
@@ -68,25 +68,25 @@
 				Pending: list[i].pending(),
 			})
 		}
-		room.given = nil // what was given shows in the engines here, at once
+		room.assignments = nil // the engines here show their grants at once
 		for _, g := range room.Look(now, places) {
 			var index, place int
 			_, _ = fmt.Sscan(g.Name, &index)
 			c := callers[index]
 			if _, err := fmt.Sscan(g.Place, &place); err == nil {
-				if list[place].left == nil {
-					list[place].left = map[string]int{}
+				if list[place].remaining == nil {
+					list[place].remaining = map[string]int{}
 				}
 				list[place].queue = append(list[place].queue, g.Name)
-				list[place].left[g.Name] = prompt
+				list[place].remaining[g.Name] = prompt
 				c.served = true
 				continue
 			}
 			refusals++
-			if c.tries < 2 {
-				c.back = now + g.Retry
-				if fixed > 0 {
-					c.back = now + fixed
+			if c.attempts < 2 {
+				c.returnsAt = now + g.Retry
+				if fixedDelay > 0 {
+					c.returnsAt = now + fixedDelay
 				}
 			}
 		}
@@ -103,24 +103,24 @@
 	return count / float64(len(callers)), refusals / float64(len(callers))
 }
 
-// Twice as many reviews are asked for as can be begun, for seven seconds of fifteen.
-// Callers that are given up and come back at once meet the same line, are given up
-// again, and have no answer though the engines have nothing to do some seconds later.
-func TestReturns(t *testing.T) {
-	told, refused := returns(0)
-	atOnce, again := returns(100)
-	t.Logf("served: told when to come back %.3f, back at once %.3f; refusals for each %.2f, %.2f", told, atOnce, refused, again)
-	Convey("Callers that are told when the line will be through", t, func() {
+// For seven seconds of fifteen, requests arrive at twice the rate at which they can begin.
+// Callers that are given up and come back at once meet the same waiting list, are given up
+// again, and get no answer although the engines are idle some seconds later.
+func TestRefusedCallersReturnTooEarly(t *testing.T) {
+	afterRetry, refusals := simulateReturns(0)
+	atOnce, refusalsAtOnce := simulateReturns(100)
+	t.Logf("served: with the retry time %.3f, back at once %.3f; refusals for each %.2f, %.2f", afterRetry, atOnce, refusals, refusalsAtOnce)
+	Convey("Callers that come back after the retry time", t, func() {
 		Convey("are served more often than if they came back at once", func() {
-			So(told, ShouldBeGreaterThan, atOnce+0.02)
+			So(afterRetry, ShouldBeGreaterThan, atOnce+0.02)
 		})
 		Convey("and are refused less often", func() {
-			So(refused, ShouldBeLessThan, 0.8*again)
+			So(refusals, ShouldBeLessThan, 0.8*refusalsAtOnce)
 		})
-		Convey("no more are served by any fixed time", func() {
+		Convey("no fixed delay serves more of them", func() {
 			for _, fixed := range []mgclock.Millis{500, 1000, 2000, 3000, 5000, 8000} {
-				served, _ := returns(fixed)
-				So(served, ShouldBeLessThanOrEqualTo, told+0.005)
+				served, _ := simulateReturns(fixed)
+				So(served, ShouldBeLessThanOrEqualTo, afterRetry+0.005)
 			}
 		})
 	})
--- a/internal/request/mgroom/room_test.go
+++ b/internal/request/mgroom/room_test.go
@@ -9,7 +9,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-func wait(name string, need int, due mgclock.Millis) Wait {
+func newWait(name string, need int, due mgclock.Millis) Wait {
 	return Wait{
 		Name: name,
 		Need: need,
@@ -19,7 +19,7 @@
 	}
 }
 
-func granted(grants []Grant) string {
+func describeGrants(grants []Grant) string {
 	text := ""
 	for _, g := range grants {
 		text += fmt.Sprintf("%s at %s, ", g.Name, g.Place)
@@ -27,9 +27,9 @@
 	return text
 }
 
-// A note waits six seconds at an engine that is full of reports, behind a report
-// that is late already, while the engine beside it has room for the note.
-func TestLook(t *testing.T) {
+// A short request waits six seconds at an engine full of long ones, behind one that is late
+// already, while the engine beside it has free memory.
+func TestRequestGetsWrongPlace(t *testing.T) {
 	places := func() []Place {
 		return []Place{
 			{
@@ -50,28 +50,28 @@
 		want  string
 	}{
 		{
-			name:  "goes where there is room, not where it is cheapest",
-			waits: []Wait{wait("report", 3000, 100)},
+			name:  "goes where there is memory, not where it is cheapest",
+			waits: []Wait{newWait("report", 3000, 100)},
 			want:  "report at roomy, ",
 		},
 		{
-			name:  "goes to the cheapest of those with room",
-			waits: []Wait{wait("note", 900, 100)},
+			name:  "goes to the cheapest of those with memory",
+			waits: []Wait{newWait("note", 900, 100)},
 			want:  "note at full, ",
 		},
 		{
 			name:  "goes before a larger one",
-			waits: []Wait{wait("report", 3000, 100), wait("note", 2500, 100)},
+			waits: []Wait{newWait("report", 3000, 100), newWait("note", 2500, 100)},
 			want:  "note at roomy, ",
 		},
 		{
 			name:  "goes before one that is late, though larger",
-			waits: []Wait{wait("late", 2500, -1), wait("report", 3000, 100)},
+			waits: []Wait{newWait("late", 2500, -1), newWait("report", 3000, 100)},
 			want:  "report at roomy, ",
 		},
 		{
-			name:  "passes one that fits nowhere",
-			waits: []Wait{wait("late", 9000, -1), wait("later", 900, -1)},
+			name:  "overtakes one that fits nowhere",
+			waits: []Wait{newWait("late", 9000, -1), newWait("later", 900, -1)},
 			want:  "later at full, ",
 		},
 	}
@@ -82,11 +82,11 @@
 				for _, w := range c.waits {
 					r.Add(w)
 				}
-				So(granted(r.Look(0, places())), ShouldEqual, c.want)
+				So(describeGrants(r.Look(0, places())), ShouldEqual, c.want)
 				So(r.Len(), ShouldEqual, len(c.waits)-1)
 			})
 		}
-		Convey("goes to an engine that isn't slow, the more so the longer it is", func() {
+		Convey("avoids a slow engine the more the longer its output is", func() {
 			var r Room
 			slow := []Place{
 				{
@@ -100,53 +100,53 @@
 					Cost: 1000,
 				},
 			}
-			long := wait("report", 3000, 100)
+			long := newWait("report", 3000, 100)
 			long.Made = 900
 			r.Add(long)
-			So(granted(r.Look(0, slow)), ShouldEqual, "report at busy, ")
-			r.Add(wait("note", 900, 100))
-			So(granted(r.Look(0, slow)), ShouldEqual, "note at slow, ")
+			So(describeGrants(r.Look(0, slow)), ShouldEqual, "report at busy, ")
+			r.Add(newWait("note", 900, 100))
+			So(describeGrants(r.Look(0, slow)), ShouldEqual, "note at slow, ")
 		})
-		Convey("waits once, however often it is asked for", func() {
+		Convey("waits once, however often it is added", func() {
 			var r Room
-			r.Add(wait("report", 9000, 100))
-			r.Add(wait("report", 9000, 100))
+			r.Add(newWait("report", 9000, 100))
+			r.Add(newWait("report", 9000, 100))
 			So(r.Len(), ShouldEqual, 1)
 			r.Drop("report")
 			So(r.Look(0, places()), ShouldBeEmpty)
 		})
-		Convey("doesn't get memory that was given a moment ago", func() {
+		Convey("doesn't get memory that was granted just before", func() {
 			var r Room
-			r.Add(wait("first", 3000, 100))
-			So(granted(r.Look(0, places())), ShouldEqual, "first at roomy, ")
-			r.Add(wait("second", 3000, 100))
-			So(r.Look(seenSpan-1, places()), ShouldBeEmpty)
-			So(granted(r.Look(seenSpan, places())), ShouldEqual, "second at roomy, ")
+			r.Add(newWait("first", 3000, 100))
+			So(describeGrants(r.Look(0, places())), ShouldEqual, "first at roomy, ")
+			r.Add(newWait("second", 3000, 100))
+			So(r.Look(reportDelay-1, places()), ShouldBeEmpty)
+			So(describeGrants(r.Look(reportDelay, places())), ShouldEqual, "second at roomy, ")
 		})
-		Convey("is given up in time, and told when the line before it will be through", func() {
+		Convey("is given up at its end, with the time that the list takes as its retry time", func() {
 			var r Room
 			for n := range 10 {
-				r.Add(wait(fmt.Sprint("served", n), 3000, 100))
-				r.Look(mgclock.Millis(n)*seenSpan, places())
+				r.Add(newWait(fmt.Sprint("served", n), 3000, 100))
+				r.Look(mgclock.Millis(n)*reportDelay, places())
 			}
-			now := 10 * seenSpan
+			now := 10 * reportDelay
 			for n := range 20 {
-				r.Add(wait(fmt.Sprint("large", n), 9000, -1))
+				r.Add(newWait(fmt.Sprint("large", n), 9000, -1))
 			}
-			late := wait("late", 9000, -1)
+			late := newWait("late", 9000, -1)
 			late.End = now
 			r.Add(late)
 			grants := r.Look(now, places())
 			So(len(grants), ShouldEqual, 1)
 			So(grants[0].Name, ShouldEqual, "late")
 			So(grants[0].Place, ShouldBeEmpty)
-			So(grants[0].Retry, ShouldBeBetweenOrEqual, retryMin, retryMax)
+			So(grants[0].Retry, ShouldBeBetweenOrEqual, minRetry, maxRetry)
 			So(r.Len(), ShouldEqual, 20)
 		})
-		Convey("is told of: how many wait, how many are late, since when", func() {
+		Convey("is counted in the state: how many wait, how many are late, since when", func() {
 			var r Room
-			r.Add(wait("on time", 9000, 100))
-			late := wait("late", 9000, 40)
+			r.Add(newWait("on time", 9000, 100))
+			late := newWait("late", 9000, 40)
 			late.Came = -60
 			r.Add(late)
 			So(r.State(50), ShouldResemble, State{
@@ -155,10 +155,10 @@
 				Age:     110,
 			})
 		})
-		Convey("lets only a few pass", func() {
+		Convey("overtakes only a few", func() {
 			var r Room
-			for n := range passes + 1 {
-				r.Add(wait(fmt.Sprint("large", n), 9000, -1))
+			for n := range maxOvertakes + 1 {
+				r.Add(newWait(fmt.Sprint("large", n), 9000, -1))
 			}
 			r.Add(Wait{
 				Name: "small",
--- a/internal/request/mgroom/share_test.go
+++ b/internal/request/mgroom/share_test.go
@@ -10,10 +10,11 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// flood plays ten accounts that ask for as much as there is, one of them for eight
-// times as much as each other, and returns the parts of the others' requests and of
-// the flooder's that have a place in time. Without names all are one account.
-func flood(named bool) (others, flooder float64) {
+// simulateFlood simulates ten accounts that together ask for all capacity, one of them for
+// eight times as much as each other. It returns the fraction of requests that get a place
+// in time, for the other accounts and for the flooding one. Unless hasAccounts is set, all
+// requests have the same account.
+func simulateFlood(hasAccounts bool) (others, flooder float64) {
 	const accounts, span, step = 10, 60 * mgclock.Second, 20 * mgclock.Millis(1)
 	r := rand.New(rand.NewPCG(1, 2))
 	var room Room
@@ -23,7 +24,7 @@
 	}
 	var runs []run
 	owner, due := map[string]int{}, map[string]mgclock.Millis{}
-	var asked, timely [accounts]float64
+	var asked, onTime [accounts]float64
 	number := 0
 	for now := mgclock.Millis(0); now < span; now += step {
 		for account := range accounts {
@@ -35,18 +36,18 @@
 				continue
 			}
 			number++
-			w := wait(fmt.Sprint(number), 3000, now+1500)
+			w := newWait(fmt.Sprint(number), 3000, now+1500)
 			w.Span = 4000
 			w.Came = now
 			w.End = now + 5000
-			if named {
+			if hasAccounts {
 				w.Account = fmt.Sprint(account)
 			}
 			owner[w.Name], due[w.Name] = account, w.Due
 			asked[account]++
 			room.Add(w)
 		}
-		free := 60000 // twenty at once, for 27 that are asked for
+		free := 60000 // twenty requests at once, for a demand of 27
 		kept := runs[:0]
 		for _, run := range runs {
 			if now < run.end {
@@ -55,8 +56,8 @@
 			}
 		}
 		runs = kept
-		// What was given counts by the runs here, at once.
-		room.given = nil
+		// The runs here show their grants at once.
+		room.assignments = nil
 		for _, g := range room.Look(now, []Place{{Name: "all", Free: free}}) {
 			if g.Place == "" {
 				continue
@@ -66,28 +67,28 @@
 				end:  now + 4000,
 			})
 			if now <= due[g.Name] {
-				timely[owner[g.Name]]++
+				onTime[owner[g.Name]]++
 			}
 		}
 	}
 	othersAsked, othersTimely := 0.0, 0.0
 	for account := 1; account < accounts; account++ {
 		othersAsked += asked[account]
-		othersTimely += timely[account]
+		othersTimely += onTime[account]
 	}
-	return othersTimely / othersAsked, timely[0] / asked[0]
+	return othersTimely / othersAsked, onTime[0] / asked[0]
 }
 
-// One account sends eight times its usual. The reports of all others wait behind
-// its, and shift leads of nine refineries sign off blind.
-func TestFlood(t *testing.T) {
-	alike, _ := flood(false)
-	others, flooder := flood(true)
+// One account sends eight times its usual rate, and the requests of all other accounts wait
+// behind its.
+func TestAccountFloodsOthers(t *testing.T) {
+	alike, _ := simulateFlood(false)
+	others, flooder := simulateFlood(true)
 	t.Logf("others on time without shares %.2f, with %.2f; the flooder %.2f", alike, others, flooder)
-	Convey("The others keep their service beside one that floods", t, func() {
+	Convey("The other accounts are served on time beside one that floods", t, func() {
 		So(others, ShouldBeGreaterThan, 0.9)
 		So(others, ShouldBeGreaterThan, alike+0.1)
-		Convey("and it keeps what they leave", func() {
+		Convey("and it gets what they leave", func() {
 			So(flooder, ShouldBeGreaterThan, 0.2)
 		})
 	})
--- a/internal/request/mgscheduler/decide.go
+++ b/internal/request/mgscheduler/decide.go
@@ -7,48 +7,48 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// refusal returns why a request with a predicted wait can't be taken, or nil.
+// refusal returns the problem for which a request with a predicted wait is refused, or nil.
 func (s *Scheduler) refusal(now mgclock.Millis, r *Request, output float64, predicted mgclock.Millis) *mgproblem.Problem {
 	switch {
-	case s.leaving:
+	case s.isLeaving:
 		return problemLeaving()
-	case !s.gate.Holds(r.Prompt):
+	case !s.gate.CanFit(r.Prompt):
 		return problemLarge()
-	case !s.queue.Room(r.Account, r.Priority):
-		return problemFull(s.halfway(r, predicted))
+	case !s.queue.HasCapacity(r.Account, r.Priority):
+		return problemFull(s.retryWhenFull(r, predicted))
 	}
 	expiry := s.expiry(r, output)
 	if expiry == 0 {
 		return nil
 	}
-	wait := s.forecast.Corrected(r.Priority, predicted)
+	wait := s.forecast.Correct(r.Priority, predicted)
 	slack := expiry - now
 	if slack < 0 || wait > slack {
-		return problemCrowded(mgadmission.Retry(wait, slack))
+		return problemCrowded(mgadmission.RetryAfter(wait, slack))
 	}
 	return nil
 }
 
-// halfway returns when a request that finds no place can come back: half of
-// what is ahead of it has gone by then.
-func (s *Scheduler) halfway(r *Request, predicted mgclock.Millis) mgclock.Millis {
-	wait := s.forecast.Corrected(r.Priority, predicted)
-	return mgadmission.Retry(wait, wait/2)
+// retryWhenFull returns the retry time of a request for which the queue is full: by then
+// half of the work ahead of it is done.
+func (s *Scheduler) retryWhenFull(r *Request, predicted mgclock.Millis) mgclock.Millis {
+	wait := s.forecast.Correct(r.Priority, predicted)
+	return mgadmission.RetryAfter(wait, wait/2)
 }
 
-// predict returns the time until a request would start by the work ahead of
-// it. Where nothing is ahead and yet it doesn't fit, something must end first,
-// about the work of one answer.
+// predict returns the time until a request would start, by the work ahead of it. Where
+// nothing is ahead and it still doesn't fit, something must end first, which takes about
+// the work of one answer.
 func (s *Scheduler) predict(now mgclock.Millis, r *Request, output float64) mgclock.Millis {
 	item := s.item(r, output)
-	ahead := s.queue.Ahead(now, item)
-	if ahead <= 0 && s.gate.Admits(candidate(r, s.lengths.Curve(key(r)))) {
+	ahead := s.queue.WorkAhead(now, item)
+	if ahead <= 0 && s.gate.CanAdmit(candidate(r, s.lengths.Curve(key(r)))) {
 		return 0
 	}
-	return s.forecast.Wait(now, ahead+item.Cost)
+	return s.forecast.TimeFor(now, ahead+item.Cost)
 }
 
-// expiry returns when a request must start at the latest, or 0.
+// expiry returns the latest time at which a request must start, or 0.
 func (s *Scheduler) expiry(r *Request, output float64) mgclock.Millis {
 	first := s.forecast.FirstToken(r.uncached())
 	expiry := mgclock.Millis(0)
@@ -58,71 +58,71 @@
 	if r.Due <= 0 {
 		return expiry
 	}
-	latest := max(r.Due-first-s.forecast.Rest(output), 1)
+	latest := max(r.Due-first-s.forecast.OutputTime(output), 1)
 	if expiry > 0 {
 		latest = min(latest, expiry)
 	}
 	return latest
 }
 
-// next returns the request that starts next, if one may: the head of the queue
-// or one that passes it.
+// next returns the request that starts next, if one may: the head of the queue or one that
+// overtakes it.
 func (s *Scheduler) next() (mgqueue.Item, bool) {
 	item, ok := s.queue.Peek()
 	if !ok || s.gate.Full() {
 		return item, false
 	}
 	head := s.jobs[item.ID]
-	if s.gate.Admits(s.candidate(head)) {
+	if s.gate.CanAdmit(s.candidate(head)) {
 		return item, true
 	}
-	left := s.passing()*item.Cost - head.passed
-	if left <= 0 {
+	budget := s.passingFactor()*item.Cost - head.passedCost
+	if budget <= 0 {
 		return item, false
 	}
-	s.others = s.queue.Others(s.others[:0])
-	for _, other := range s.others {
-		if other.Cost <= left && s.gate.Admits(s.candidate(s.jobs[other.ID])) {
-			head.passed += other.Cost
+	s.candidates = s.queue.Alternatives(s.candidates[:0])
+	for _, other := range s.candidates {
+		if other.Cost <= budget && s.gate.CanAdmit(s.candidate(s.jobs[other.ID])) {
+			head.passedCost += other.Cost
 			return other, true
 		}
 	}
 	return item, false
 }
 
-// start takes a request out of the queue.
+// start takes a request from the queue and starts it.
 func (s *Scheduler) start(now mgclock.Millis, id string) Decision {
 	item, _ := s.queue.Take(id)
 	j := s.jobs[item.ID]
-	s.forecast.Waited(j.request.Priority, j.predicted, now-j.came)
-	j.charged = item.Cost
-	s.run(now, j)
+	s.forecast.RecordWait(j.request.Priority, j.predicted, now-j.arrivedAt)
+	j.chargedCost = item.Cost
+	s.markRunning(now, j)
 	return Decision{
 		ID: item.ID,
 	}
 }
 
-// giveUp answers a request that can no longer be answered in time.
+// giveUp drops a request that can no longer be answered in time.
 func (s *Scheduler) giveUp(now mgclock.Millis, item mgqueue.Item) Decision {
 	j := s.jobs[item.ID]
-	s.forecast.Waited(j.request.Priority, j.predicted, now-j.came)
-	wait := s.forecast.Corrected(j.request.Priority, s.predict(now, &j.request, s.output(&j.request)))
-	retry := mgadmission.Retry(wait, item.Expiry-j.came)
-	s.drop(j)
+	s.forecast.RecordWait(j.request.Priority, j.predicted, now-j.arrivedAt)
+	wait := s.forecast.Correct(j.request.Priority, s.predict(now, &j.request, s.output(&j.request)))
+	retry := mgadmission.RetryAfter(wait, item.Expiry-j.arrivedAt)
+	s.dropJob(j)
 	return Decision{
 		ID:     item.ID,
 		GiveUp: problemLate(retry),
 	}
 }
 
-// handBack gives up everything that waits, as it can start elsewhere.
-func (s *Scheduler) handBack(dst []Decision) []Decision {
+// returnAll gives up all waiting requests, since they can start elsewhere.
+func (s *Scheduler) returnAll(dst []Decision) []Decision {
 	for {
 		item, ok := s.queue.Pop()
 		if !ok {
 			return dst
 		}
-		s.drop(s.jobs[item.ID])
+		s.dropJob(s.jobs[item.ID])
 		dst = append(dst, Decision{
 			ID:     item.ID,
 			GiveUp: problemLeaving(),
--- a/internal/request/mgscheduler/job.go
+++ b/internal/request/mgscheduler/job.go
@@ -7,19 +7,19 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// job is a request that waits or runs.
+// job is a waiting or running request.
 type job struct {
-	request   Request
-	came      mgclock.Millis
-	predicted mgclock.Millis // wait, without the correction for its level
-	started   mgclock.Millis
-	last      mgclock.Millis // when it last produced tokens
-	passed    float64        // cost of the requests that passed it
-	charged   float64        // cost that its account was charged
-	answer    mglength.Answer
-	share     mgadmission.Share
-	running   bool
-	told      int // tokens produced
+	request      Request
+	arrivedAt    mgclock.Millis
+	predicted    mgclock.Millis // wait, without the correction for its priority
+	startedAt    mgclock.Millis
+	lastProgress mgclock.Millis // when it last produced tokens
+	passedCost   float64        // cost of the requests that overtook it
+	chargedCost  float64        // cost charged to its account
+	answer       mglength.Answer
+	share        mgadmission.Share
+	isRunning    bool
+	produced     int // tokens
 }
 
 // job returns an empty job.
@@ -27,73 +27,73 @@
 	if s.jobs == nil {
 		s.jobs = make(map[string]*job)
 	}
-	last := len(s.old) - 1
+	last := len(s.freeJobs) - 1
 	if last < 0 {
 		return new(job)
 	}
-	j := s.old[last]
-	s.old = s.old[:last]
+	j := s.freeJobs[last]
+	s.freeJobs = s.freeJobs[:last]
 	return j
 }
 
-// run counts a job as running.
-func (s *Scheduler) run(now mgclock.Millis, j *job) {
-	j.running = true
-	j.started = now
-	j.last = now
+// markRunning counts a job as running.
+func (s *Scheduler) markRunning(now mgclock.Millis, j *job) {
+	j.isRunning = true
+	j.startedAt = now
+	j.lastProgress = now
 	j.answer = s.lengths.Begin(key(&j.request))
-	s.gate.Enter(&j.share, candidate(&j.request, j.answer.Curve()))
-	s.forecast.Busy(now, true)
+	s.gate.Admit(&j.share, candidate(&j.request, j.answer.Curve()))
+	s.forecast.SetBusy(now, true)
 }
 
-// drop forgets a job.
-func (s *Scheduler) drop(j *job) {
+// dropJob removes a job and keeps it for reuse.
+func (s *Scheduler) dropJob(j *job) {
 	j.answer.Stop()
 	delete(s.jobs, j.request.ID)
 	*j = job{}
-	if len(s.old) < spares {
-		s.old = append(s.old, j)
+	if len(s.freeJobs) < maxSpares {
+		s.freeJobs = append(s.freeJobs, j)
 	}
 }
 
-// work returns the cost that a job's progress adds, and takes note of the pace
-// of its tokens.
-func (s *Scheduler) work(now mgclock.Millis, j *job, produced int) float64 {
-	cost := float64(produced - j.told)
-	last := j.last
-	j.last = now
-	if j.told > 0 {
-		s.forecast.Next(produced-j.told, now-last)
+// progressCost returns the cost that a job's progress adds, and records the speed of its
+// tokens.
+func (s *Scheduler) progressCost(now mgclock.Millis, j *job, produced int) float64 {
+	cost := float64(produced - j.produced)
+	last := j.lastProgress
+	j.lastProgress = now
+	if j.produced > 0 {
+		s.forecast.RecordTokens(produced-j.produced, now-last)
 		return cost
 	}
-	s.forecast.First(j.request.uncached(), now-j.started)
+	s.forecast.RecordFirstToken(j.request.uncached(), now-j.startedAt)
 	return cost + mgadmission.Cost(j.request.uncached(), 0)
 }
 
-// charge makes cost what the job's account has been charged.
+// charge sets what the job's account has been charged to cost.
 func (s *Scheduler) charge(j *job, cost float64) {
-	s.queue.Charge(j.request.Account, j.request.Weight, cost-j.charged)
-	j.charged = cost
+	s.queue.Charge(j.request.Account, j.request.Weight, cost-j.chargedCost)
+	j.chargedCost = cost
 }
 
-// end forgets a running job and settles what it cost.
-func (s *Scheduler) end(now mgclock.Millis, j *job) {
+// finishJob removes a running job and charges its final cost.
+func (s *Scheduler) finishJob(now mgclock.Millis, j *job) {
 	s.charge(j, j.cost())
-	s.gate.Leave(&j.share)
-	s.drop(j)
+	s.gate.Release(&j.share)
+	s.dropJob(j)
 	if s.gate.Running() > 0 {
 		return
 	}
-	s.forecast.Busy(now, false)
-	s.queue.Rest()
+	s.forecast.SetBusy(now, false)
+	s.queue.EndBusyPeriod()
 }
 
-// cost returns what the job has cost until now.
+// cost returns the job's cost until now.
 func (j *job) cost() float64 {
-	return mgadmission.Cost(j.request.uncached(), float64(j.told))
+	return mgadmission.Cost(j.request.uncached(), float64(j.produced))
 }
 
-// item returns a request as the queue sees it.
+// item returns a request as an item of the queue.
 func (s *Scheduler) item(r *Request, output float64) mgqueue.Item {
 	return mgqueue.Item{
 		ID:       r.ID,
@@ -111,7 +111,7 @@
 	return s.lengths.Curve(key(r)).Mean(0, r.Max)
 }
 
-// candidate returns a waiting job as the gate sees it.
+// candidate returns a waiting job as a candidate for the gate.
 func (s *Scheduler) candidate(j *job) mgadmission.Candidate {
 	return candidate(&j.request, s.lengths.Curve(key(&j.request)))
 }
