--- a/internal/request/mgmigration/model_test.go
+++ b/internal/request/mgmigration/model_test.go
@@ -13,20 +13,20 @@
 type fault string
 
 const (
-	sound   fault = "sound"
-	early   fault = "goes on elsewhere before the stream has ended"
-	reused  fault = "uses a copy a second time"
-	ended   fault = "goes on after the run has ended by itself"
-	giveUp  fault = "doesn't go back to a source that stopped"
-	impulse fault = "stops the run before anything was copied"
+	sound           fault = "sound"
+	resumesEarly    fault = "goes on elsewhere before the stream has ended"
+	reusesCopy      fault = "uses a copy a second time"
+	resumesAfterEnd fault = "goes on after the run has ended by itself"
+	ignoresSource   fault = "doesn't go back to a source that stopped"
+	stopsBeforeCopy fault = "stops the run before anything was copied"
 )
 
 var (
-	errTwice  = errors.New("two runs of one generation go on")
-	errReused = errors.New("a copy is used twice")
-	errAfter  = errors.New("a run goes on after its end was delivered")
-	errLost   = errors.New("the generation is lost though a source that stopped lives")
-	errPause  = errors.New("the run stands still for the whole of its copy")
+	errTwice    = errors.New("two runs of one generation go on")
+	errReused   = errors.New("a copy is used twice")
+	errAfterEnd = errors.New("a run goes on after its end was delivered")
+	errLost     = errors.New("the generation is lost though a source that stopped lives")
+	errPause    = errors.New("the run stands still for the whole of its copy")
 )
 
 // state is where the run is at its source.
@@ -42,16 +42,16 @@
 
 // world is a source, a destination and the holder of the stream.
 type world struct {
-	broken  fault
-	choose  func(n int) int
-	move    Move
-	source  state
-	gone    bool            // the destination is gone
-	copies  map[string]bool // at the destination, by handle: not used yet
-	kept    map[string]bool // at the source
-	handles int
-	resumed int
-	at      Place
+	broken            fault
+	choose            func(n int) int
+	move              Move
+	source            state
+	destinationGone   bool            // the destination is gone
+	destinationCopies map[string]bool // at the destination, by handle: not used yet
+	sourceCopies      map[string]bool // at the source
+	handles           int
+	resumed           int
+	resumedAt         Place
 }
 
 // maxSteps bounds a schedule.
@@ -60,34 +60,34 @@
 func model(broken fault) func(*mgexplore.Chooser) error {
 	return func(c *mgexplore.Chooser) error {
 		w := &world{
-			broken: broken,
-			choose: c.Choose,
-			copies: map[string]bool{},
-			kept:   map[string]bool{},
+			broken:            broken,
+			choose:            c.Choose,
+			destinationCopies: map[string]bool{},
+			sourceCopies:      map[string]bool{},
 		}
 		for step := range maxSteps {
 			if c.Seen(step, w.name) {
 				return nil
 			}
-			w.mishap()
+			w.injectFault()
 			if err := w.call(); err != nil {
 				return err
 			}
-			w.mishap()
+			w.injectFault()
 			if w.move.Step() == Done || w.source > running {
 				break
 			}
 		}
-		return w.goOn()
+		return w.resumeIfCut()
 	}
 }
 
 func (w *world) name() string {
-	return fmt.Sprint(w.move, w.source, w.gone, w.copies, w.kept, w.resumed)
+	return fmt.Sprint(w.move, w.source, w.destinationGone, w.destinationCopies, w.sourceCopies, w.resumed)
 }
 
-// mishap lets something happen besides the move.
-func (w *world) mishap() {
+// injectFault lets something happen besides the move.
+func (w *world) injectFault() {
 	switch w.choose(4) {
 	case 1:
 		if w.source < finished {
@@ -96,7 +96,7 @@
 	case 2:
 		w.source = dead
 	case 3:
-		w.gone = !w.gone // the next destination may be another one
+		w.destinationGone = !w.destinationGone // the next destination may be another one
 	}
 }
 
@@ -105,7 +105,7 @@
 	switch step := w.move.Step(); {
 	case step == Wait:
 		w.move.Waited()
-	case step == Stop, w.broken == impulse:
+	case step == Stop, w.broken == stopsBeforeCopy:
 		if step == Copy && w.source == running {
 			return errPause
 		}
@@ -113,7 +113,7 @@
 	case step == Copy:
 		w.move.Take(w.copy())
 	}
-	if w.broken == early && len(w.move.Places()) > 0 && w.source == running {
+	if w.broken == resumesEarly && len(w.move.Places()) > 0 && w.source == running {
 		return w.resume(w.move.Places()[0])
 	}
 	return nil
@@ -122,44 +122,44 @@
 func (w *world) copy() Reply {
 	switch {
 	case w.source == dead:
-		return without(Lost)
+		return failedReply(Lost)
 	case w.source != running:
-		return without(Absent)
-	case w.gone:
-		return without(NoRoom)
+		return failedReply(Absent)
+	case w.destinationGone:
+		return failedReply(NoRoom)
 	}
 	if w.choose(4) == 1 {
-		return without(Busy)
+		return failedReply(Busy)
 	}
 	handle := w.handle()
-	w.copies[handle] = true
+	w.destinationCopies[handle] = true
 	if w.choose(2) == 1 {
-		return without(Lost)
+		return failedReply(Lost)
 	}
-	return copied(handle)
+	return copiedReply(handle)
 }
 
 func (w *world) stop() Reply {
 	switch {
 	case w.source == dead:
-		return without(Lost)
+		return failedReply(Lost)
 	case w.source != running:
-		return without(Absent)
+		return failedReply(Absent)
 	}
 	if w.choose(3) == 1 {
-		return without(Lost) // the call never arrived
+		return failedReply(Lost) // the call never arrived
 	}
 	w.source = stopped
 	handle := w.handle()
-	w.kept[handle] = true
-	reply := copied(handle)
-	if w.gone {
+	w.sourceCopies[handle] = true
+	reply := copiedReply(handle)
+	if w.destinationGone {
 		reply.Outcome = NoRoom
 	} else {
-		w.copies[handle] = true
+		w.destinationCopies[handle] = true
 	}
 	if w.choose(2) == 1 {
-		return without(Lost)
+		return failedReply(Lost)
 	}
 	return reply
 }
@@ -169,25 +169,25 @@
 	return fmt.Sprint("h", w.handles)
 }
 
-// goOn is what the holder of the stream does: nothing while it flows or once it
+// resumeIfCut is what the holder of the stream does: nothing while it flows or once it
 // has ended as a whole.
-func (w *world) goOn() error {
+func (w *world) resumeIfCut() error {
 	if w.source <= running {
 		return nil
 	}
-	if w.source == finished && w.broken != ended {
+	if w.source == finished && w.broken != resumesAfterEnd {
 		return nil
 	}
-	w.mishap()
+	w.injectFault()
 	places := w.move.Places()
-	if w.broken == giveUp && len(places) > 1 {
+	if w.broken == ignoresSource && len(places) > 1 {
 		places = places[:1]
 	}
 	for _, place := range places {
 		if err := w.resume(place); err != nil {
 			return err
 		}
-		if w.resumed > 0 && w.broken != reused {
+		if w.resumed > 0 && w.broken != reusesCopy {
 			return nil
 		}
 	}
@@ -200,34 +200,34 @@
 // resume sends the generation to a place, which refuses it without the copy.
 func (w *world) resume(place Place) error {
 	handle := w.move.Handle()
-	have := w.copies
+	available := w.destinationCopies
 	if place == AtSource {
-		have = w.kept
+		available = w.sourceCopies
 	}
-	if place == AtDestination && w.gone || place == AtSource && w.source == dead || !have[handle] {
+	if place == AtDestination && w.destinationGone || place == AtSource && w.source == dead || !available[handle] {
 		return nil
 	}
 	switch {
 	case w.source == running:
 		return errTwice
 	case w.source == finished:
-		return errAfter
+		return errAfterEnd
 	case w.resumed > 0:
 		return errReused
 	}
-	delete(have, handle)
+	delete(available, handle)
 	w.resumed++
-	if w.broken == reused {
-		have[handle] = true
+	if w.broken == reusesCopy {
+		available[handle] = true
 	}
-	w.at = place
+	w.resumedAt = place
 	return nil
 }
 
 // A member gets two dossiers woven into one, or none: a generation went on at
 // its destination while its source still ran, or at neither. Every order of a
 // few mishaps and lost answers is tried.
-func TestModel(t *testing.T) {
+func TestModelRunsTwiceOrNowhere(t *testing.T) {
 	const bound = 200_000
 	report := mgexplore.Exhaust(bound, model(sound))
 	if report.Violation() != nil || !report.Whole() {
@@ -237,7 +237,7 @@
 	if report.States() < 40 {
 		t.Fatalf("the model reaches %d states only", report.States())
 	}
-	for _, broken := range []fault{early, reused, ended, giveUp, impulse} {
+	for _, broken := range []fault{resumesEarly, reusesCopy, resumesAfterEnd, ignoresSource, stopsBeforeCopy} {
 		if report := mgexplore.Exhaust(bound, model(broken)); report.Violation() == nil {
 			t.Errorf("not caught: %s", broken)
 		}
--- a/internal/request/mgmigration/move.go
+++ b/internal/request/mgmigration/move.go
@@ -68,21 +68,21 @@
 	// maxLost bounds the copies whose answer is lost. A copy takes 100 to 400 ms,
 	// and the notice is one to two seconds.
 	maxLost = 3
-	// fullRow is how many destinations without room are tried in a row before a
+	// triesBeforePause is how many destinations without room are tried in a row before a
 	// pause. They refuse within milliseconds, and where memory is nearly full some
 	// becomes free ten times a second.
-	fullRow = 3
+	triesBeforePause = 3
 )
 
 // A Move is the state of one run's move. The zero Move is at its beginning.
 type Move struct {
-	step    Step
-	full    int // destinations without room, in all
-	lost    int // copies whose answer was lost
-	waits   int
-	handle  string
-	stopped bool // the run was stopped, for certain
-	there   bool // the destination has a copy that can be used
+	step        Step
+	noRoomCount int // destinations without room, in all
+	lostCount   int // copies whose answer was lost
+	waitCount   int
+	handle      string
+	stopped     bool // the run was stopped, for certain
+	copyUsable  bool // the destination has a copy that can be used
 }
 
 // Step returns what to do next.
@@ -110,30 +110,30 @@
 func (m *Move) Take(r Reply) {
 	switch m.Step() {
 	case Copy:
-		m.takeCopy(r)
+		m.handleCopyReply(r)
 	case Stop:
-		m.takeStop(r)
+		m.handleStopReply(r)
 	}
 }
 
-// takeCopy takes the answer to a copy of a run that goes on. Nothing is lost
+// handleCopyReply takes the answer to a copy of a run that goes on. Nothing is lost
 // yet, so that each failure may be tried again within its bounds.
-func (m *Move) takeCopy(r Reply) {
+func (m *Move) handleCopyReply(r Reply) {
 	switch r.Outcome {
 	case Copied:
 		m.handle = r.Handle
-		m.there = true
+		m.copyUsable = true
 		m.step = Stop
 	case NoRoom:
-		m.full++
+		m.noRoomCount++
 		m.step = Copy
-		if m.full%fullRow == 0 {
+		if m.noRoomCount%triesBeforePause == 0 {
 			m.pause()
 		}
 	case Lost:
-		m.lost++
+		m.lostCount++
 		m.step = Copy
-		if m.lost >= maxLost {
+		if m.lostCount >= maxLost {
 			m.step = Done
 		}
 	default:
@@ -143,15 +143,15 @@
 
 // pause waits before the next try, or gives up.
 func (m *Move) pause() {
-	m.waits++
+	m.waitCount++
 	m.step = Wait
-	if m.waits > maxWaits {
+	if m.waitCount > maxWaits {
 		m.step = Done
 	}
 }
 
-// takeStop takes the answer to the stop.
-func (m *Move) takeStop(r Reply) {
+// handleStopReply takes the answer to the stop.
+func (m *Move) handleStopReply(r Reply) {
 	m.step = Done
 	switch r.Outcome {
 	case Copied:
@@ -163,10 +163,10 @@
 		if r.Handle != "" {
 			m.handle = r.Handle
 			m.stopped = true
-			m.there = false
+			m.copyUsable = false
 		}
 	case Absent, Busy:
-		m.there = false
+		m.copyUsable = false
 	}
 }
 
@@ -188,7 +188,7 @@
 		return nil
 	}
 	var places []Place
-	if m.there {
+	if m.copyUsable {
 		places = append(places, AtDestination)
 	}
 	if m.stopped {
--- a/internal/request/mgmigration/move_test.go
+++ b/internal/request/mgmigration/move_test.go
@@ -6,14 +6,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func copied(handle string) Reply {
+func copiedReply(handle string) Reply {
 	return Reply{
 		Outcome: Copied,
 		Handle:  handle,
 	}
 }
 
-func without(outcome Outcome) Reply {
+func failedReply(outcome Outcome) Reply {
 	return Reply{
 		Outcome: outcome,
 	}
@@ -21,7 +21,7 @@
 
 // A report is cut though its engine had given notice: one call of its move
 // failed, and the move gave up, or went on as if it had not failed.
-func TestMove(t *testing.T) {
+func TestFailedCallAbandonsRun(t *testing.T) {
 	cases := []struct {
 		name    string
 		replies []Reply
@@ -35,46 +35,46 @@
 		},
 		{
 			name:    "stops the run once its memory is there",
-			replies: []Reply{copied("a")},
+			replies: []Reply{copiedReply("a")},
 			step:    Stop,
 			places:  []Place{AtDestination},
 			handle:  "a",
 		},
 		{
 			name:    "goes on at the destination, else at the source that stopped",
-			replies: []Reply{copied("a"), copied("b")},
+			replies: []Reply{copiedReply("a"), copiedReply("b")},
 			step:    Done,
 			places:  []Place{AtDestination, AtSource},
 			handle:  "b",
 		},
 		{
 			name:    "tries another destination while nothing is lost",
-			replies: []Reply{without(NoRoom), without(Lost)},
+			replies: []Reply{failedReply(NoRoom), failedReply(Lost)},
 			step:    Copy,
 		},
 		{
 			name:    "pauses after three destinations without room, where some will be free soon",
-			replies: []Reply{without(NoRoom), without(NoRoom), without(NoRoom)},
+			replies: []Reply{failedReply(NoRoom), failedReply(NoRoom), failedReply(NoRoom)},
 			step:    Wait,
 		},
 		{
 			name:    "gives up after three lost answers and leaves the run alone",
-			replies: []Reply{without(Lost), without(Lost), without(Lost)},
+			replies: []Reply{failedReply(Lost), failedReply(Lost), failedReply(Lost)},
 			step:    Done,
 		},
 		{
 			name:    "waits for a run that is not there yet",
-			replies: []Reply{without(Absent)},
+			replies: []Reply{failedReply(Absent)},
 			step:    Wait,
 		},
 		{
 			name:    "waits while another call is in progress",
-			replies: []Reply{without(Busy)},
+			replies: []Reply{failedReply(Busy)},
 			step:    Wait,
 		},
 		{
 			name: "goes on at the source when the last copy failed",
-			replies: []Reply{copied("a"), {
+			replies: []Reply{copiedReply("a"), {
 				Outcome: NoRoom,
 				Handle:  "b",
 			}},
@@ -84,14 +84,14 @@
 		},
 		{
 			name:    "has the first copy when the answer to the stop is lost",
-			replies: []Reply{copied("a"), without(Lost)},
+			replies: []Reply{copiedReply("a"), failedReply(Lost)},
 			step:    Done,
 			places:  []Place{AtDestination},
 			handle:  "a",
 		},
 		{
 			name:    "has nothing to do when the run ended by itself",
-			replies: []Reply{copied("a"), without(Absent)},
+			replies: []Reply{copiedReply("a"), failedReply(Absent)},
 			step:    Done,
 			handle:  "a",
 		},
@@ -112,8 +112,8 @@
 			for _, outcome := range []Outcome{Absent, Busy, NoRoom} {
 				var m Move
 				for n := 0; m.Step() != Done; n++ {
-					So(n, ShouldBeLessThan, (fullRow+1)*maxWaits)
-					m.Take(without(outcome))
+					So(n, ShouldBeLessThan, (triesBeforePause+1)*maxWaits)
+					m.Take(failedReply(outcome))
 					m.Waited()
 				}
 				So(m.Places(), ShouldBeEmpty)
--- a/internal/request/mgmigration/order.go
+++ b/internal/request/mgmigration/order.go
@@ -11,18 +11,18 @@
 	Resumes bool           // it may go on elsewhere without a copy
 }
 
-// soon is the expected time to a run's end below which it stays where it is:
+// minRemainingTime is the expected time to a run's end below which it stays where it is:
 // about what its copy and those before it take, so that moving it gains nothing.
-const soon = 600 * mgclock.Millis(1)
+const minRemainingTime = 600 * mgclock.Millis(1)
 
-// outlived is the part of what a run has made that it is expected to make yet
+// minRemainingRatio is the part of what a run has made that it is expected to make yet
 // when it is longer than was expected. Lengths follow laws with long tails: the
 // longer a run is, the more is left.
-const outlived = 0.25
+const minRemainingRatio = 0.25
 
 // Left returns the expected tokens that are yet to come.
 func (r Run) Left() int {
-	return max(r.Output-r.Made, int(outlived*float64(r.Made)))
+	return max(r.Output-r.Made, int(minRemainingRatio*float64(r.Made)))
 }
 
 // Ends returns the expected time to the run's end by its own pace, or false
@@ -34,10 +34,10 @@
 	return mgclock.Millis(float64(r.Left()) * float64(r.Running) / float64(r.Made)), true
 }
 
-// outputWorth is how many prompt tokens a token of output counts for. Engines
+// outputWeight is how many prompt tokens a token of output counts for. Engines
 // read about fourteen tokens in the time in which they make a tenth of one for
 // each of ten streams.
-const outputWorth = 10
+const outputWeight = 10
 
 // Worth returns the order in which the runs of a source are moved: the greater
 // first. A run that may go on without its copy, or that ends soon by itself,
@@ -47,13 +47,13 @@
 	if r.Resumes {
 		return 0
 	}
-	worth := float64(r.Prompt+outputWorth*(r.Made+r.Left())) / float64(r.Prompt+r.Made+1)
-	if ends, known := r.Ends(); known && ends < soon {
-		return worth / lastPart
+	worth := float64(r.Prompt+outputWeight*(r.Made+r.Left())) / float64(r.Prompt+r.Made+1)
+	if ends, known := r.Ends(); known && ends < minRemainingTime {
+		return worth / nearEndDivisor
 	}
 	return 1 + worth
 }
 
-// lastPart puts a run that ends soon behind all others that can't go on
+// nearEndDivisor puts a run that ends soon behind all others that can't go on
 // without their copy: the worth of a run is at most outputWorth.
-const lastPart = 2 * outputWorth
+const nearEndDivisor = 2 * outputWeight
--- a/internal/request/mgmigration/order_test.go
+++ b/internal/request/mgmigration/order_test.go
@@ -9,7 +9,7 @@
 
 // A short note that would have ended by itself is moved first, and a report of
 // seven seconds behind it is cut when the engine goes.
-func TestWorth(t *testing.T) {
+func TestRunThatEndsSoonMovesFirst(t *testing.T) {
 	Convey("Runs are moved in the order of what they lose", t, func() {
 		runs := map[string]Run{
 			"begun long ago, much to come": {
--- /dev/null
+++ b/internal/request/mgmigration/simulation_test.go
@@ -0,0 +1,306 @@
+package mgmigration
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
+)
+
+// strategy is how runs leave an engine in a play.
+type strategy string
+
+const (
+	noMove            strategy = "no move"
+	stopAndCopy       strategy = "stopped, copied, all at once"
+	uncoordinated     strategy = "each entry for itself, two steps"
+	oneSlot           strategy = "by turns"
+	oneSlotLongNotice strategy = "by turns, a second of notice more"
+)
+
+// The play's figures are those of a deployment of twelve engines: a step of 8 ms,
+// 55 µs to copy a token's memory, reports of 3,000 tokens and 940 more on
+// average, a sixth of the engines reclaimed every 3.3 s.
+const (
+	engineCount        = 12
+	entryCount         = 5
+	tick               = mgclock.Millis(5)
+	simulatedTime      = 120 * mgclock.Second
+	tokenMillis        = 8.0
+	copyMillisPerToken = 0.0546
+	resumeMillis       = 30.0
+	maxPauseMillis     = 180.0
+)
+
+// simulatedRun is a report of a play.
+type simulatedRun struct {
+	name    string
+	entry   int
+	engine  int
+	prompt  float64
+	made    float64
+	total   float64
+	claimed bool
+	stopped mgclock.Millis // when it was stopped, or 0
+	late    bool
+}
+
+// job is a copy on a source's link.
+type job struct {
+	run  *simulatedRun
+	left float64 // ms of the link
+	last bool
+}
+
+// simulation is a day of reclaims in virtual time.
+type simulation struct {
+	strategy  strategy
+	r         *rand.Rand
+	now       mgclock.Millis
+	runs      []*simulatedRun
+	reclaimAt [engineCount]mgclock.Millis // when it is reclaimed, or 0
+	returnAt  [engineCount]mgclock.Millis
+	links     [engineCount][]*job
+	turns     Turns
+	number    int
+
+	done, cut, late int
+}
+
+func (p *simulation) run() {
+	reclaim, arrival := 1500*mgclock.Millis(1), mgclock.Millis(0)
+	for p.now = 0; p.now < simulatedTime; p.now += tick {
+		for p.now >= arrival {
+			p.arrive()
+			arrival += mgclock.Millis(p.r.ExpFloat64() * 217) // 4.6 a second
+		}
+		if p.now >= reclaim {
+			p.giveNotice()
+			p.giveNotice()
+			reclaim += 3300
+		}
+		p.generate()
+		p.startMoves()
+		p.advanceCopies()
+		p.reclaimEngines()
+	}
+}
+
+// acceptsWork reports whether an engine takes new work.
+func (p *simulation) acceptsWork(engine int) bool {
+	return p.reclaimAt[engine] == 0 && p.now >= p.returnAt[engine]
+}
+
+// leastLoaded returns the live engine with the fewest runs.
+func (p *simulation) leastLoaded() int {
+	count := make([]int, engineCount)
+	for _, r := range p.runs {
+		count[r.engine]++
+	}
+	best := -1
+	for _, e := range p.r.Perm(engineCount) {
+		if p.acceptsWork(e) && (best < 0 || count[e] < count[best]) {
+			best = e
+		}
+	}
+	return best
+}
+
+func (p *simulation) arrive() {
+	p.number++
+	p.runs = append(p.runs, &simulatedRun{
+		name:   fmt.Sprint(p.number),
+		entry:  p.r.IntN(entryCount),
+		engine: p.leastLoaded(),
+		prompt: 3000 * math.Exp(0.35*p.r.NormFloat64()-0.06),
+		total:  min(940*math.Exp(0.84*p.r.NormFloat64()-0.35), 2200),
+	})
+}
+
+// giveNotice gives a live engine notice of 1.5 to 2.1 s.
+func (p *simulation) giveNotice() {
+	for _, e := range p.r.Perm(engineCount) {
+		if !p.acceptsWork(e) {
+			continue
+		}
+		notice := mgclock.Millis(1500 + p.r.IntN(600))
+		if p.strategy == oneSlotLongNotice {
+			notice += mgclock.Second
+		}
+		p.reclaimAt[e] = p.now + notice
+		return
+	}
+}
+
+// generate makes tokens.
+func (p *simulation) generate() {
+	kept := p.runs[:0]
+	for _, r := range p.runs {
+		if r.stopped == 0 {
+			r.made += float64(tick) / tokenMillis
+		}
+		if r.made >= r.total {
+			p.done++
+			if r.late {
+				p.late++
+			}
+			p.turns.End(fmt.Sprint(r.engine), r.name)
+			continue
+		}
+		kept = append(kept, r)
+	}
+	p.runs = kept
+}
+
+// startMoves begins moves.
+func (p *simulation) startMoves() {
+	if p.strategy == noMove {
+		return
+	}
+	busy := map[[2]int]bool{}
+	for _, r := range p.runs {
+		if r.claimed {
+			busy[[2]int{r.engine, r.entry}] = true
+		}
+	}
+	for _, r := range p.runs {
+		if p.reclaimAt[r.engine] == 0 || r.claimed {
+			continue
+		}
+		switch p.strategy {
+		case stopAndCopy:
+			r.stopped = p.now
+			p.startCopy(r, true)
+		case uncoordinated:
+			if !busy[[2]int{r.engine, r.entry}] {
+				busy[[2]int{r.engine, r.entry}] = true
+				p.startCopy(r, false)
+			}
+		default:
+			state := Run{
+				Prompt:  int(r.prompt),
+				Output:  int(r.total),
+				Made:    int(r.made) + 1,
+				Running: mgclock.Millis(r.made*tokenMillis) + 1,
+			}
+			a := Ask{
+				Source: fmt.Sprint(r.engine),
+				Run:    r.name,
+				Worth:  state.Worth(),
+				Places: []Spot{{Name: "any"}},
+			}
+			if _, ok := p.turns.Ask(p.now, a); ok {
+				p.startCopy(r, false)
+			}
+		}
+	}
+}
+
+func (p *simulation) startCopy(r *simulatedRun, last bool) {
+	r.claimed = true
+	p.links[r.engine] = append(p.links[r.engine], &job{
+		run:  r,
+		left: copyMillisPerToken * (r.prompt + r.made),
+		last: last,
+	})
+}
+
+// advanceCopies moves the first job of each link on.
+func (p *simulation) advanceCopies() {
+	for e := range p.links {
+		budget := float64(tick)
+		for len(p.links[e]) > 0 && budget > 0 {
+			j := p.links[e][0]
+			step := min(budget, j.left)
+			j.left -= step
+			budget -= step
+			if j.left > 0 {
+				break
+			}
+			p.links[e] = p.links[e][1:]
+			p.copied(e, j)
+		}
+	}
+}
+
+func (p *simulation) copied(engine int, j *job) {
+	r := j.run
+	if r.made >= r.total || r.engine != engine {
+		return
+	}
+	if !j.last {
+		r.stopped = p.now
+		p.links[engine] = append(p.links[engine], &job{
+			run:  r,
+			left: copyMillisPerToken * 30, // what came meanwhile
+			last: true,
+		})
+		return
+	}
+	if float64(p.now-r.stopped)+resumeMillis > maxPauseMillis {
+		r.late = true
+	}
+	p.turns.End(fmt.Sprint(engine), r.name)
+	r.engine = p.leastLoaded()
+	r.stopped = 0
+	r.claimed = false
+}
+
+// reclaimEngines takes the engines away whose time has come, with what still runs there.
+func (p *simulation) reclaimEngines() {
+	for e := range p.reclaimAt {
+		if p.reclaimAt[e] == 0 || p.now < p.reclaimAt[e] {
+			continue
+		}
+		kept := p.runs[:0]
+		for _, r := range p.runs {
+			if r.engine != e {
+				kept = append(kept, r)
+				continue
+			}
+			p.cut++
+			p.turns.End(fmt.Sprint(e), r.name)
+		}
+		p.runs = kept
+		p.links[e] = nil
+		p.reclaimAt[e] = 0
+		p.returnAt[e] = p.now + 4000
+	}
+}
+
+// Reports of eight seconds run on engines that are reclaimed at two seconds'
+// notice, two of twelve every 3.3 s. What their callers get: how many of a
+// hundred are cut, and how many pause for more than 180 ms.
+func TestReclaimCutsOrPausesRuns(t *testing.T) {
+	cut, late := map[strategy]float64{}, map[strategy]float64{}
+	for _, w := range []strategy{noMove, stopAndCopy, uncoordinated, oneSlot, oneSlotLongNotice} {
+		for seed := range uint64(5) {
+			p := simulation{
+				strategy: w,
+				r:        rand.New(rand.NewPCG(seed, 7)),
+			}
+			p.run()
+			cut[w] += 100 * float64(p.cut) / float64(p.done+p.cut) / 5
+			late[w] += 100 * float64(p.late) / float64(p.done+p.cut) / 5
+		}
+		t.Logf("%-36s cut %5.2f late %5.2f of 100", w, cut[w], late[w])
+	}
+	Convey("By turns", t, func() {
+		Convey("hardly any report is cut", func() {
+			So(cut[noMove], ShouldBeGreaterThan, 20)
+			So(cut[oneSlot], ShouldBeLessThan, 1)
+		})
+		Convey("and few pause, where the other ways pause many", func() {
+			So(late[oneSlot], ShouldBeLessThan, 1)
+			So(late[stopAndCopy], ShouldBeGreaterThan, 10*late[oneSlot])
+			So(late[uncoordinated], ShouldBeGreaterThan, 5*late[oneSlot])
+		})
+		Convey("as with a second of notice more", func() {
+			So(cut[oneSlot]-cut[oneSlotLongNotice], ShouldBeLessThan, 1)
+		})
+	})
+}
--- a/internal/request/mgmigration/turns.go
+++ b/internal/request/mgmigration/turns.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// turnSpan ends a turn that its holder doesn't give back: the holder died, or
+	// slotTimeout ends a turn that its holder doesn't give back: the holder died, or
 	// its copy is stuck. A copy of 4,000 tokens takes 220 ms in a zone and 440
 	// between zones; moves that shared a destination's link took up to 1.4 s, and
 	// a turn that is given to the next meanwhile makes two of them.
-	turnSpan = 1200 * mgclock.Millis(1)
-	// askSpan is how long a run that asked is taken to be waiting. Its entry
+	slotTimeout = 1200 * mgclock.Millis(1)
+	// requestTTL is how long a run that asked is taken to be waiting. Its entry
 	// asks again within 150 ms.
-	askSpan = 400 * mgclock.Millis(1)
-	// givenSpan is how long a place counts as given to a run: until the run
+	requestTTL = 400 * mgclock.Millis(1)
+	// grantWindow is how long a place counts as given to a run: until the run
 	// shows in what entries see of the place.
-	givenSpan = 2 * mgclock.Second
+	grantWindow = 2 * mgclock.Second
 )
 
 // An Ask asks for a turn at moving a run away from its source.
@@ -49,47 +49,47 @@
 // runs all the same. The zero Turns is ready for use by several goroutines.
 type Turns struct {
 	mu      sync.Mutex
-	sources map[string]*turn
-	given   map[string][]mgclock.Millis // by place, when it was given
+	sources map[string]*sourceState
+	grants  map[string][]mgclock.Millis // by place, when it was given
 }
 
-// turn is the state of one source.
-type turn struct {
-	holder  string
-	place   string
-	until   mgclock.Millis
-	waiting map[string]waiter
+// sourceState is the state of one source.
+type sourceState struct {
+	holder      string
+	destination string
+	expires     mgclock.Millis
+	waiting     map[string]waiter
 }
 
 type waiter struct {
-	worth float64
-	until mgclock.Millis
+	benefit float64
+	expires mgclock.Millis
 }
 
 // Ask returns where the run should go now, or false while it is not its turn.
 func (t *Turns) Ask(now mgclock.Millis, a Ask) (place string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.source(a.Source)
+	s := t.stateOf(a.Source)
 	s.waiting[a.Run] = waiter{
-		worth: a.Worth,
-		until: now + askSpan,
+		benefit: a.Worth,
+		expires: now + requestTTL,
 	}
-	if s.holder != "" && s.holder != a.Run && now < s.until {
+	if s.holder != "" && s.holder != a.Run && now < s.expires {
 		return "", false
 	}
-	if s.first(now) != a.Run {
+	if s.nextRun(now) != a.Run {
 		return "", false
 	}
-	place = t.choose(now, a)
+	place = t.chooseDestination(now, a)
 	if place == "" {
 		return "", false
 	}
 	delete(s.waiting, a.Run)
 	s.holder = a.Run
-	s.place = place
-	s.until = now + turnSpan
-	t.given[place] = append(t.given[place], now)
+	s.destination = place
+	s.expires = now + slotTimeout
+	t.grants[place] = append(t.grants[place], now)
 	return place, true
 }
 
@@ -104,21 +104,21 @@
 	delete(s.waiting, run)
 	if s.holder == run {
 		s.holder = ""
-		s.place = ""
+		s.destination = ""
 	}
 	if s.holder == "" && len(s.waiting) == 0 {
 		delete(t.sources, source)
 	}
 }
 
-func (t *Turns) source(name string) *turn {
+func (t *Turns) stateOf(name string) *sourceState {
 	if t.sources == nil {
-		t.sources = map[string]*turn{}
-		t.given = map[string][]mgclock.Millis{}
+		t.sources = map[string]*sourceState{}
+		t.grants = map[string][]mgclock.Millis{}
 	}
 	s := t.sources[name]
 	if s == nil {
-		s = &turn{
+		s = &sourceState{
 			waiting: map[string]waiter{},
 		}
 		t.sources[name] = s
@@ -126,71 +126,71 @@
 	return s
 }
 
-// first returns the waiting run that gains most by its move.
-func (s *turn) first(now mgclock.Millis) string {
-	first, worth := "", -1.0
+// nextRun returns the waiting run that gains most by its move.
+func (s *sourceState) nextRun(now mgclock.Millis) string {
+	next, benefit := "", -1.0
 	for run, w := range s.waiting {
-		if now > w.until {
+		if now > w.expires {
 			delete(s.waiting, run)
 			continue
 		}
-		if w.worth > worth || w.worth == worth && run < first {
-			first, worth = run, w.worth
+		if w.benefit > benefit || w.benefit == benefit && run < next {
+			next, benefit = run, w.benefit
 		}
 	}
-	return first
+	return next
 }
 
 const (
-	// takingCost is the cost of a place that takes a copy of another source now.
+	// busyDestinationCost is the cost of a place that takes a copy of another source now.
 	// The last copy queues behind it while the run stands still, and its caller sees
 	// a pause. It outweighs a dozen runs.
-	takingCost = 1500.0
-	// riskCost is the cost of each ms that the run's own copy takes: the notice
+	busyDestinationCost = 1500.0
+	// copyTimeCost is the cost of each ms that the run's own copy takes: the notice
 	// may end before it does. Without it the last run of a source went to another
 	// zone for the sake of one run less there, and was cut in the middle of a copy
 	// twice as long.
-	riskCost = 3.0
+	copyTimeCost = 3.0
 )
 
-// choose returns the cheapest place; among equal ones the first.
-func (t *Turns) choose(now mgclock.Millis, a Ask) string {
-	best, least := "", 0.0
+// chooseDestination returns the cheapest place; among equal ones the first.
+func (t *Turns) chooseDestination(now mgclock.Millis, a Ask) string {
+	best, minCost := "", 0.0
 	// A copy that takes the link for longer holds up all that wait for it, until their
 	// source is gone.
-	others := float64(len(t.source(a.Source).waiting) - 1)
+	others := float64(len(t.stateOf(a.Source).waiting) - 1)
 	for _, spot := range a.Places {
-		cost := spot.Cost + mgload.RunCost*float64(t.lately(now, spot.Name)) + (others+riskCost)*spot.Span
-		if t.taking(now, spot.Name, a.Source) {
-			cost += takingCost
+		cost := spot.Cost + mgload.RunCost*float64(t.recentGrants(now, spot.Name)) + (others+copyTimeCost)*spot.Span
+		if t.receivesFromOther(now, spot.Name, a.Source) {
+			cost += busyDestinationCost
 		}
-		if best == "" || cost < least {
-			best, least = spot.Name, cost
+		if best == "" || cost < minCost {
+			best, minCost = spot.Name, cost
 		}
 	}
 	return best
 }
 
-// lately returns how often a place was given lately.
-func (t *Turns) lately(now mgclock.Millis, place string) int {
-	kept := t.given[place][:0]
-	for _, at := range t.given[place] {
-		if now < at+givenSpan {
+// recentGrants returns how often a place was given recentGrants.
+func (t *Turns) recentGrants(now mgclock.Millis, place string) int {
+	kept := t.grants[place][:0]
+	for _, at := range t.grants[place] {
+		if now < at+grantWindow {
 			kept = append(kept, at)
 		}
 	}
 	if len(kept) == 0 {
-		delete(t.given, place)
+		delete(t.grants, place)
 		return 0
 	}
-	t.given[place] = kept
+	t.grants[place] = kept
 	return len(kept)
 }
 
-// taking reports whether a place takes a copy of another source now.
-func (t *Turns) taking(now mgclock.Millis, place, source string) bool {
+// receivesFromOther reports whether a place takes a copy of another source now.
+func (t *Turns) receivesFromOther(now mgclock.Millis, place, source string) bool {
 	for name, s := range t.sources {
-		if name != source && s.place == place && now < s.until {
+		if name != source && s.destination == place && now < s.expires {
 			return true
 		}
 	}
--- a/internal/request/mgmigration/turns_test.go
+++ b/internal/request/mgmigration/turns_test.go
@@ -24,7 +24,7 @@
 
 // Eight reports leave one engine at once. Each copy shares the link with seven
 // others, and each stopped report stands still until all of them are done.
-func TestTurns(t *testing.T) {
+func TestCopiesShareSourceLink(t *testing.T) {
 	Convey("Runs of one source", t, func() {
 		var turns Turns
 		place, ok := turns.Ask(0, ask("s", "one", 10, "d", "e"))
@@ -53,13 +53,13 @@
 			So(ok, ShouldBeTrue)
 		})
 		Convey("are not held up by a holder that died", func() {
-			_, ok := turns.Ask(turnSpan, ask("s", "two", 500, "d"))
+			_, ok := turns.Ask(slotTimeout, ask("s", "two", 500, "d"))
 			So(ok, ShouldBeTrue)
 		})
 		Convey("are not held up by one that asked and died", func() {
 			turns.Ask(1, ask("s", "large", 9000, "d"))
 			turns.End("s", "one")
-			_, ok := turns.Ask(askSpan+2, ask("s", "two", 500, "d"))
+			_, ok := turns.Ask(requestTTL+2, ask("s", "two", 500, "d"))
 			So(ok, ShouldBeTrue)
 		})
 		Convey("of another source don't wait for them, and go elsewhere", func() {
@@ -115,7 +115,7 @@
 // The last report of an engine that goes in half a second is copied to another
 // zone, where one report less runs. That copy takes 0.4 s and not 0.2 s, and the
 // engine goes first: the caller's report is cut.
-func TestLastRunGoesNear(t *testing.T) {
+func TestLastRunCopiedTooFar(t *testing.T) {
 	Convey("A run that nobody waits behind goes where its copy is soon done", t, func() {
 		var turns Turns
 		place, ok := turns.Ask(0, Ask{
