--- a/internal/request/mgmigration/doc.go
+++ b/internal/request/mgmigration/doc.go
@@ -1,36 +1,40 @@
-// Package mgmigration decides how a running generation is handed from an engine
-// that leaves to one that stays. It has no clock, no goroutine and no network.
+// Package mgmigration decides how a running generation is migrated from an
+// engine that is about to leave to one that stays. It has no clock, no
+// goroutine and no network: callers pass in the time and carry out the calls.
 //
 // # Load
 //
 // Engines are reclaimed at one or two seconds' notice while generations of
-// seven seconds and more run on them. Cut there, a generation that may not be
-// started over is lost with all that its caller has waited for. Copied in one
-// step, with the run stopped, its caller sees a pause of the whole copy: 190 ms
-// for 3,500 tokens at 24 Gbit/s, and that of all copies queued before it.
+// seven seconds and more run on them. If such a run is cut, a generation that
+// must not be started over is lost, with all the time that its caller has
+// waited. If it is copied in one step with the run stopped, its caller sees a
+// pause as long as the whole copy, 190 ms for 3,500 tokens at 24 Gbit/s, plus
+// that of all copies queued before it.
 //
 // # Decision
 //
-// A Move copies the memory while the run goes on (pre-copy), then stops the run
-// and copies what came since, and names where the generation goes on (Clark et
-// al. 2005). Every step may fail:
+// A Move copies the KV memory while the run continues (pre-copy), then stops
+// the run, copies what was added since, and names where the generation can
+// resume (Clark et al. 2005). Every step may fail:
 //
-//   - a destination without room, or that can't be reached: another one is
-//     tried, before the run is stopped;
-//   - a stop whose last copy failed: the run goes on where it was, out of the
-//     memory that the source keeps;
-//   - a lost answer to the stop: the run may have stopped or not. It goes on
-//     from the pre-copy only when its stream has ended, so that it never runs
-//     twice;
-//   - a run that has ended by itself: nothing is left to do.
+//   - the destination has no capacity or can't be reached: another one is
+//     tried before the run is stopped;
+//   - the last copy of a stopped run failed: the run resumes at its source,
+//     from the memory that the source keeps;
+//   - the reply to the stop is lost, so that the run may have stopped or not:
+//     it resumes from the pre-copy only once its stream has ended, so that it
+//     never runs twice;
+//   - the run has ended by itself: nothing is left to do.
 //
-// Runs of one source are moved one after another: they share its link, and a
-// stop that queues behind another's copy would pause its stream for as long.
+// Runs of one source are moved one after another, each holding the source's
+// migration slot: they share its link, and a stop that queues behind another
+// run's copy would pause its stream for as long as that copy takes.
 //
 // # Terms
 //
 //   - source, destination: the engine that leaves, the one that takes over.
 //   - handle: the name of a copy; it can be used once.
+//   - migration slot: the right to move one run away from a source.
 //
 // # References
 //
--- a/internal/request/mgmigration/model_test.go
+++ b/internal/request/mgmigration/model_test.go
@@ -8,8 +8,8 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/standin/mgexplore"
 )
 
-// fault is a broken variant of whoever carries out a move. The model must catch
-// each.
+// fault is a broken variant of the code that carries out a move. The model must
+// catch each.
 type fault string
 
 const (
@@ -29,7 +29,7 @@
 	errPause    = errors.New("the run stands still for the whole of its copy")
 )
 
-// state is where the run is at its source.
+// state is the state of the run at its source.
 type state int
 
 const (
@@ -40,21 +40,21 @@
 	dead // the source crashed or was reclaimed
 )
 
-// world is a source, a destination and the holder of the stream.
+// world models a source, a destination and the holder of the stream.
 type world struct {
 	broken            fault
 	choose            func(n int) int
 	move              Move
 	source            state
-	destinationGone   bool            // the destination is gone
-	destinationCopies map[string]bool // at the destination, by handle: not used yet
-	sourceCopies      map[string]bool // at the source
+	destinationGone   bool            // the destination can't be reached
+	destinationCopies map[string]bool // unused copies at the destination, by handle
+	sourceCopies      map[string]bool // unused copies at the source, by handle
 	handles           int
 	resumed           int
 	resumedAt         Place
 }
 
-// maxSteps bounds a schedule.
+// maxSteps bounds the length of a schedule.
 const maxSteps = 8
 
 func model(broken fault) func(*mgexplore.Chooser) error {
@@ -86,7 +86,7 @@
 	return fmt.Sprint(w.move, w.source, w.destinationGone, w.destinationCopies, w.sourceCopies, w.resumed)
 }
 
-// injectFault lets something happen besides the move.
+// injectFault may change the world independently of the move.
 func (w *world) injectFault() {
 	switch w.choose(4) {
 	case 1:
@@ -100,7 +100,7 @@
 	}
 }
 
-// call carries out the move's next step.
+// call executes the move's next step.
 func (w *world) call() error {
 	switch step := w.move.Step(); {
 	case step == Wait:
@@ -169,8 +169,8 @@
 	return fmt.Sprint("h", w.handles)
 }
 
-// resumeIfCut is what the holder of the stream does: nothing while it flows or once it
-// has ended as a whole.
+// resumeIfCut is what the holder of the stream does: nothing while the stream
+// flows or once it has ended completely, else it resumes the generation.
 func (w *world) resumeIfCut() error {
 	if w.source <= running {
 		return nil
@@ -197,7 +197,7 @@
 	return nil
 }
 
-// resume sends the generation to a place, which refuses it without the copy.
+// resume sends the generation to a place, which refuses it if it has no copy.
 func (w *world) resume(place Place) error {
 	handle := w.move.Handle()
 	available := w.destinationCopies
@@ -224,9 +224,9 @@
 	return nil
 }
 
-// A member gets two dossiers woven into one, or none: a generation went on at
-// its destination while its source still ran, or at neither. Every order of a
-// few mishaps and lost answers is tried.
+// A generation runs at its destination while its source still runs it, or at
+// neither, so that a caller gets two outputs interleaved or none. Every order
+// of a few faults and lost replies is tried.
 func TestModelRunsTwiceOrNowhere(t *testing.T) {
 	const bound = 200_000
 	report := mgexplore.Exhaust(bound, model(sound))
--- a/internal/request/mgmigration/move.go
+++ b/internal/request/mgmigration/move.go
@@ -2,24 +2,24 @@
 
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 
-// Outcome is what came of a call to the source.
+// Outcome is the result of a call to the source.
 type Outcome int
 
 // The outcomes.
 const (
 	// Copied: the copy is complete.
 	Copied Outcome = iota + 1
-	// Absent: the source has no such run. It has ended, or not begun.
+	// Absent: the source has no such run. It has ended or has not begun.
 	Absent
 	// Busy: another call for the run is in progress.
 	Busy
-	// NoRoom: the destination has no room or can't be reached.
+	// NoRoom: the destination has no capacity or can't be reached.
 	NoRoom
-	// Lost: no answer. The call may have been carried out.
+	// Lost: no reply. The call may have been carried out.
 	Lost
 )
 
-// String returns the outcome in one word, for logs.
+// String returns the outcome's name for logs.
 func (o Outcome) String() string {
 	switch o {
 	case Copied:
@@ -37,52 +37,53 @@
 	}
 }
 
-// Reply is the source's answer to a call.
+// Reply is the source's reply to a call.
 type Reply struct {
 	Outcome Outcome
-	Handle  string // of the copy; also with NoRoom, where the run was stopped
+	Handle  string // of the copy; set with NoRoom too if the run was stopped
 }
 
-// Step is what to do next.
+// Step is the next call or wait of a move.
 type Step int
 
 // The steps.
 const (
-	// Copy asks the source to copy the run while it goes on.
+	// Copy asks the source to copy the run while it continues.
 	Copy Step = iota + 1
 	// Stop asks the source to stop the run and copy the rest.
 	Stop
-	// Wait waits for RetrySpan.
+	// Wait pauses for RetrySpan, then calls Waited.
 	Wait
 	// Done: the move is over; see Places.
 	Done
 )
 
 const (
-	// RetrySpan is the pause before a run is looked for again that wasn't there
-	// or was busy, or found no room: about the time of a token's step and its way.
+	// RetrySpan is the delay before the next try when the run was absent or busy,
+	// or no destination had capacity: about the time of one decoding step and its
+	// network path.
 	RetrySpan = 40 * mgclock.Millis(1)
-	// maxWaits bounds these pauses. A run that has not begun after two seconds
-	// is queued behind others on an engine that is about to go.
+	// maxWaits bounds these delays. A run that has not begun after two seconds is
+	// queued behind others on an engine that is about to leave.
 	maxWaits = 50
-	// maxLost bounds the copies whose answer is lost. A copy takes 100 to 400 ms,
+	// maxLost bounds the copies whose reply is lost. A copy takes 100 to 400 ms,
 	// and the notice is one to two seconds.
 	maxLost = 3
-	// triesBeforePause is how many destinations without room are tried in a row before a
-	// pause. They refuse within milliseconds, and where memory is nearly full some
-	// becomes free ten times a second.
+	// triesBeforePause is how many destinations without capacity are tried in a row
+	// before a pause. They refuse within milliseconds, and where memory is nearly
+	// full some becomes free ten times a second.
 	triesBeforePause = 3
 )
 
-// A Move is the state of one run's move. The zero Move is at its beginning.
+// A Move is the state of one run's migration. The zero Move is ready to start.
 type Move struct {
 	step        Step
-	noRoomCount int // destinations without room, in all
-	lostCount   int // copies whose answer was lost
+	noRoomCount int // refusals by destinations without capacity
+	lostCount   int // copies whose reply was lost
 	waitCount   int
 	handle      string
-	stopped     bool // the run was stopped, for certain
-	copyUsable  bool // the destination has a copy that can be used
+	stopped     bool // the source confirmed that it stopped the run
+	copyUsable  bool // the destination holds a copy to resume from
 }
 
 // Step returns what to do next.
@@ -93,20 +94,20 @@
 	return m.step
 }
 
-// Handle returns the name of the newest copy, or "".
+// Handle returns the name of the latest copy, or "".
 func (m *Move) Handle() string { return m.handle }
 
-// Stopped reports whether the source has said that it stopped the run.
+// Stopped reports whether the source has confirmed that it stopped the run.
 func (m *Move) Stopped() bool { return m.stopped }
 
-// Waited tells that a pause is over.
+// Waited ends a Wait step.
 func (m *Move) Waited() {
 	if m.step == Wait {
 		m.step = Copy
 	}
 }
 
-// Take takes the source's answer to the step.
+// Take updates the move with the source's reply to the current step.
 func (m *Move) Take(r Reply) {
 	switch m.Step() {
 	case Copy:
@@ -116,8 +117,8 @@
 	}
 }
 
-// handleCopyReply takes the answer to a copy of a run that goes on. Nothing is lost
-// yet, so that each failure may be tried again within its bounds.
+// handleCopyReply handles the reply to a copy of a run that continues. Nothing
+// is lost yet, so each failure may be retried within its bounds.
 func (m *Move) handleCopyReply(r Reply) {
 	switch r.Outcome {
 	case Copied:
@@ -141,7 +142,7 @@
 	}
 }
 
-// pause waits before the next try, or gives up.
+// pause schedules a delay before the next try, or gives up after maxWaits.
 func (m *Move) pause() {
 	m.waitCount++
 	m.step = Wait
@@ -150,7 +151,7 @@
 	}
 }
 
-// handleStopReply takes the answer to the stop.
+// handleStopReply handles the reply to the stop.
 func (m *Move) handleStopReply(r Reply) {
 	m.step = Done
 	switch r.Outcome {
@@ -158,8 +159,8 @@
 		m.handle = r.Handle
 		m.stopped = true
 	case NoRoom:
-		// The last copy failed. The destination's older copy may be gone with
-		// it; the source keeps the run's memory under the new name.
+		// The last copy failed, and the destination's older copy may be lost with it.
+		// The source keeps the run's memory under the new handle.
 		if r.Handle != "" {
 			m.handle = r.Handle
 			m.stopped = true
@@ -170,8 +171,7 @@
 	}
 }
 
-// A Place is where a generation can go on after its stream has ended without
-// its end.
+// A Place is where a generation can resume after its stream was cut.
 type Place int
 
 // The places.
@@ -180,9 +180,9 @@
 	AtSource
 )
 
-// Places returns where the generation can go on from Handle, the best first.
-// Whoever holds its stream goes there only once the stream has ended: while it
-// has not, the run may still go on.
+// Places returns where the generation can resume from Handle, the preferred one
+// first. The holder of its stream resumes it only once the stream has ended:
+// until then the run may still be generating.
 func (m *Move) Places() []Place {
 	if m.handle == "" {
 		return nil
--- a/internal/request/mgmigration/move_test.go
+++ b/internal/request/mgmigration/move_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// A report is cut though its engine had given notice: one call of its move
-// failed, and the move gave up, or went on as if it had not failed.
+// A generation is cut though its engine gave notice: one call of its move
+// failed, and the move gave up or went on as if the call had succeeded.
 func TestFailedCallAbandonsRun(t *testing.T) {
 	cases := []struct {
 		name    string
--- a/internal/request/mgmigration/order.go
+++ b/internal/request/mgmigration/order.go
@@ -2,31 +2,32 @@
 
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 
-// A Run is what is known of a generation that runs at a source.
+// A Run describes a generation that runs at a source.
 type Run struct {
 	Prompt  int            // tokens
-	Output  int            // expected tokens in all, 0 when nothing is known
-	Made    int            // tokens so far
+	Output  int            // expected total of output tokens, 0 if unknown
+	Made    int            // output tokens so far
 	Running mgclock.Millis // since its first token
-	Resumes bool           // it may go on elsewhere without a copy
+	Resumes bool           // it can resume elsewhere without a copy
 }
 
-// minRemainingTime is the expected time to a run's end below which it stays where it is:
-// about what its copy and those before it take, so that moving it gains nothing.
+// minRemainingTime is the expected remaining time below which a run stays where
+// it is: about the time of its copy and of those before it, so that moving it
+// gains nothing.
 const minRemainingTime = 600 * mgclock.Millis(1)
 
-// minRemainingRatio is the part of what a run has made that it is expected to make yet
-// when it is longer than was expected. Lengths follow laws with long tails: the
-// longer a run is, the more is left.
+// minRemainingRatio is the minimum of expected remaining tokens per token
+// generated so far, for a run that exceeds its expected length. Output lengths
+// have long-tailed distributions: the longer a run is, the more is left.
 const minRemainingRatio = 0.25
 
-// Left returns the expected tokens that are yet to come.
+// Left returns the expected number of remaining output tokens.
 func (r Run) Left() int {
 	return max(r.Output-r.Made, int(minRemainingRatio*float64(r.Made)))
 }
 
-// Ends returns the expected time to the run's end by its own pace, or false
-// when it has none yet.
+// Ends returns the expected remaining time at the run's own pace, or false
+// while it has no pace yet.
 func (r Run) Ends() (mgclock.Millis, bool) {
 	if r.Made == 0 || r.Running <= 0 {
 		return 0, false
@@ -34,15 +35,15 @@
 	return mgclock.Millis(float64(r.Left()) * float64(r.Running) / float64(r.Made)), true
 }
 
-// outputWeight is how many prompt tokens a token of output counts for. Engines
-// read about fourteen tokens in the time in which they make a tenth of one for
-// each of ten streams.
+// outputWeight is how many prompt tokens one output token counts for. Engines
+// prefill about fourteen tokens in the time in which they generate a tenth of a
+// token for each of ten streams.
 const outputWeight = 10
 
-// Worth returns the order in which the runs of a source are moved: the greater
-// first. A run that may go on without its copy, or that ends soon by itself,
-// has the least to gain. Of the others those go first that lose the most for the
-// time that their copy takes.
+// Worth returns the priority with which a source's runs are moved, the greatest
+// first. A run that can resume without its copy, or that ends soon by itself,
+// gains least from a move. Of the others, those go first that would lose the
+// most work per unit of copy time.
 func (r Run) Worth() float64 {
 	if r.Resumes {
 		return 0
@@ -54,6 +55,6 @@
 	return 1 + worth
 }
 
-// nearEndDivisor puts a run that ends soon behind all others that can't go on
-// without their copy: the worth of a run is at most outputWorth.
+// nearEndDivisor sorts a run that ends soon behind all others that can't resume
+// without their copy: the worth of a run is at most outputWeight.
 const nearEndDivisor = 2 * outputWeight
--- a/internal/request/mgmigration/order_test.go
+++ b/internal/request/mgmigration/order_test.go
@@ -7,8 +7,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A short note that would have ended by itself is moved first, and a report of
-// seven seconds behind it is cut when the engine goes.
+// A run that would have ended by itself is moved first, and one of seven
+// seconds behind it is cut when the engine leaves.
 func TestRunThatEndsSoonMovesFirst(t *testing.T) {
 	Convey("Runs are moved in the order of what they lose", t, func() {
 		runs := map[string]Run{
--- a/internal/request/mgmigration/simulation_test.go
+++ b/internal/request/mgmigration/simulation_test.go
@@ -11,7 +11,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// strategy is how runs leave an engine in a play.
+// strategy is how runs are moved off an engine in a simulation.
 type strategy string
 
 const (
@@ -22,9 +22,9 @@
 	oneSlotLongNotice strategy = "by turns, a second of notice more"
 )
 
-// The play's figures are those of a deployment of twelve engines: a step of 8 ms,
-// 55 µs to copy a token's memory, reports of 3,000 tokens and 940 more on
-// average, a sixth of the engines reclaimed every 3.3 s.
+// The figures are those of a deployment of twelve engines: a decoding step of
+// 8 ms, 55 µs to copy a token's memory, prompts of 3,000 tokens and outputs of
+// 940 on average, a sixth of the engines reclaimed every 3.3 s.
 const (
 	engineCount        = 12
 	entryCount         = 5
@@ -36,7 +36,7 @@
 	maxPauseMillis     = 180.0
 )
 
-// simulatedRun is a report of a play.
+// simulatedRun is one generation of a simulation.
 type simulatedRun struct {
 	name    string
 	entry   int
@@ -45,24 +45,24 @@
 	made    float64
 	total   float64
 	claimed bool
-	stopped mgclock.Millis // when it was stopped, or 0
+	stopped mgclock.Millis // time of the stop, 0 while it runs
 	late    bool
 }
 
-// job is a copy on a source's link.
+// job is a copy that waits for or uses a source's link.
 type job struct {
 	run  *simulatedRun
-	left float64 // ms of the link
+	left float64 // remaining ms on the link
 	last bool
 }
 
-// simulation is a day of reclaims in virtual time.
+// simulation plays reclaims of engines in virtual time.
 type simulation struct {
 	strategy  strategy
 	r         *rand.Rand
 	now       mgclock.Millis
 	runs      []*simulatedRun
-	reclaimAt [engineCount]mgclock.Millis // when it is reclaimed, or 0
+	reclaimAt [engineCount]mgclock.Millis // time of the reclaim, or 0
 	returnAt  [engineCount]mgclock.Millis
 	links     [engineCount][]*job
 	turns     Turns
@@ -90,12 +90,12 @@
 	}
 }
 
-// acceptsWork reports whether an engine takes new work.
+// acceptsWork reports whether an engine accepts new runs.
 func (p *simulation) acceptsWork(engine int) bool {
 	return p.reclaimAt[engine] == 0 && p.now >= p.returnAt[engine]
 }
 
-// leastLoaded returns the live engine with the fewest runs.
+// leastLoaded returns the accepting engine with the fewest runs, or -1.
 func (p *simulation) leastLoaded() int {
 	count := make([]int, engineCount)
 	for _, r := range p.runs {
@@ -121,7 +121,8 @@
 	})
 }
 
-// giveNotice gives a live engine notice of 1.5 to 2.1 s.
+// giveNotice gives an accepting engine notice of 1.5 to 2.1 s, a second more
+// for oneSlotLongNotice.
 func (p *simulation) giveNotice() {
 	for _, e := range p.r.Perm(engineCount) {
 		if !p.acceptsWork(e) {
@@ -136,7 +137,7 @@
 	}
 }
 
-// generate makes tokens.
+// generate advances all runs by one tick and removes those that end.
 func (p *simulation) generate() {
 	kept := p.runs[:0]
 	for _, r := range p.runs {
@@ -156,7 +157,7 @@
 	p.runs = kept
 }
 
-// startMoves begins moves.
+// startMoves starts the moves that the strategy allows now.
 func (p *simulation) startMoves() {
 	if p.strategy == noMove {
 		return
@@ -209,7 +210,7 @@
 	})
 }
 
-// advanceCopies moves the first job of each link on.
+// advanceCopies spends one tick of each link on its jobs, in order.
 func (p *simulation) advanceCopies() {
 	for e := range p.links {
 		budget := float64(tick)
@@ -236,7 +237,7 @@
 		r.stopped = p.now
 		p.links[engine] = append(p.links[engine], &job{
 			run:  r,
-			left: copyMillisPerToken * 30, // what came meanwhile
+			left: copyMillisPerToken * 30, // tokens generated during the pre-copy
 			last: true,
 		})
 		return
@@ -250,7 +251,8 @@
 	r.claimed = false
 }
 
-// reclaimEngines takes the engines away whose time has come, with what still runs there.
+// reclaimEngines removes the engines whose notice has ended and cuts the runs
+// that are still there.
 func (p *simulation) reclaimEngines() {
 	for e := range p.reclaimAt {
 		if p.reclaimAt[e] == 0 || p.now < p.reclaimAt[e] {
@@ -272,9 +274,9 @@
 	}
 }
 
-// Reports of eight seconds run on engines that are reclaimed at two seconds'
-// notice, two of twelve every 3.3 s. What their callers get: how many of a
-// hundred are cut, and how many pause for more than 180 ms.
+// Generations of eight seconds run on engines that are reclaimed at two
+// seconds' notice, two of twelve every 3.3 s. Measures how many of a hundred
+// are cut, and how many pause for more than 180 ms.
 func TestReclaimCutsOrPausesRuns(t *testing.T) {
 	cut, late := map[strategy]float64{}, map[strategy]float64{}
 	for _, w := range []strategy{noMove, stopAndCopy, uncoordinated, oneSlot, oneSlotLongNotice} {
--- a/internal/request/mgmigration/turns.go
+++ b/internal/request/mgmigration/turns.go
@@ -8,52 +8,54 @@
 )
 
 const (
-	// slotTimeout ends a turn that its holder doesn't give back: the holder died, or
-	// its copy is stuck. A copy of 4,000 tokens takes 220 ms in a zone and 440
-	// between zones; moves that shared a destination's link took up to 1.4 s, and
-	// a turn that is given to the next meanwhile makes two of them.
+	// slotTimeout frees a slot that its holder doesn't release because the holder
+	// died or its copy is stuck. A copy of 4,000 tokens takes 220 ms in a zone and
+	// 440 between zones; moves that shared a destination's link took up to 1.4 s. A
+	// timeout during a copy puts two copies on the link.
 	slotTimeout = 1200 * mgclock.Millis(1)
-	// requestTTL is how long a run that asked is taken to be waiting. Its entry
-	// asks again within 150 ms.
+	// requestTTL is how long a run counts as waiting after its last request. Its
+	// entry repeats the request within 150 ms.
 	requestTTL = 400 * mgclock.Millis(1)
-	// grantWindow is how long a place counts as given to a run: until the run
-	// shows in what entries see of the place.
+	// grantWindow is how long a grant counts against its destination: until the run
+	// shows in the load that entries see there.
 	grantWindow = 2 * mgclock.Second
 )
 
-// An Ask asks for a turn at moving a run away from its source.
+// An Ask requests the slot to move a run away from its source.
 type Ask struct {
 	Source string
 	Run    string
-	Worth  float64 // of moving it now, see Run.Worth
-	Places []Spot  // where it may go
+	Worth  float64 // benefit of moving it now, see Run.Worth
+	Places []Spot  // candidate destinations
 }
 
-// A Spot is an upstream that a run may go to, the cost of that in ms (see
-// mgload.Cost), and the time in ms that the copy takes the source's link.
+// A Spot is a candidate destination: the upstream's name, the cost of placing
+// the run there in ms (see mgload.Cost), and the time in ms that the copy
+// occupies the source's link.
 type Spot struct {
 	Name string
 	Cost float64
 	Span float64
 }
 
-// Turns gives the runs of each source their turns, one at a time, and tells
-// them where to go. One entry does so for a service, and all others ask it.
+// Turns assigns each source's migration slot to one of its runs at a time, and
+// picks that run's destination. One entry does so for a service; all others
+// send their requests to it.
 //
-// Without turns the copies of several entries share the source's link: all take
-// as long as all together, and each stopped run waits for the others' copies.
-// Without one that knows all the places, entries that see the same numbers send
-// their runs to the same engine.
+// Without slots the copies of several entries share the source's link: each
+// takes as long as all together, and each stopped run waits for the others'
+// copies. Without a common choice of destinations, entries that see the same
+// loads send their runs to the same engine.
 //
-// It decides nothing that must be right: an entry that gets no answer moves its
-// runs all the same. The zero Turns is ready for use by several goroutines.
+// Correctness doesn't depend on it: an entry that gets no reply moves its runs
+// all the same. The zero Turns is ready for use by several goroutines.
 type Turns struct {
 	mu      sync.Mutex
 	sources map[string]*sourceState
-	grants  map[string][]mgclock.Millis // by place, when it was given
+	grants  map[string][]mgclock.Millis // times of recent grants by destination
 }
 
-// sourceState is the state of one source.
+// sourceState is one source's slot and its waiting list.
 type sourceState struct {
 	holder      string
 	destination string
@@ -66,7 +68,8 @@
 	expires mgclock.Millis
 }
 
-// Ask returns where the run should go now, or false while it is not its turn.
+// Ask returns the run's destination if the run gets or holds the slot now, else
+// false.
 func (t *Turns) Ask(now mgclock.Millis, a Ask) (place string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,7 +96,7 @@
 	return place, true
 }
 
-// End gives a turn back.
+// End releases the slot if the run holds it, and withdraws the run's request.
 func (t *Turns) End(source, run string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -126,7 +129,8 @@
 	return s
 }
 
-// nextRun returns the waiting run that gains most by its move.
+// nextRun returns the waiting run with the greatest benefit. Equal ones go by
+// name.
 func (s *sourceState) nextRun(now mgclock.Millis) string {
 	next, benefit := "", -1.0
 	for run, w := range s.waiting {
@@ -142,22 +146,23 @@
 }
 
 const (
-	// busyDestinationCost is the cost of a place that takes a copy of another source now.
-	// The last copy queues behind it while the run stands still, and its caller sees
-	// a pause. It outweighs a dozen runs.
+	// busyDestinationCost is the cost of a destination that receives a copy from
+	// another source now. The last copy would queue behind it while the run is
+	// stopped, and its caller would see a pause. It outweighs a dozen runs.
 	busyDestinationCost = 1500.0
-	// copyTimeCost is the cost of each ms that the run's own copy takes: the notice
-	// may end before it does. Without it the last run of a source went to another
-	// zone for the sake of one run less there, and was cut in the middle of a copy
-	// twice as long.
+	// copyTimeCost is the cost of each ms of the run's own copy: the source may be
+	// reclaimed before the copy ends. Without it the last run of a source was sent
+	// to another zone because it had one run fewer, and was cut in the middle of a
+	// copy twice as long.
 	copyTimeCost = 3.0
 )
 
-// chooseDestination returns the cheapest place; among equal ones the first.
+// chooseDestination returns the destination of least cost; among equal ones the
+// first.
 func (t *Turns) chooseDestination(now mgclock.Millis, a Ask) string {
 	best, minCost := "", 0.0
-	// A copy that takes the link for longer holds up all that wait for it, until their
-	// source is gone.
+	// A longer copy holds up all runs that wait for the link, and their source may
+	// be reclaimed meanwhile.
 	others := float64(len(t.stateOf(a.Source).waiting) - 1)
 	for _, spot := range a.Places {
 		cost := spot.Cost + mgload.RunCost*float64(t.recentGrants(now, spot.Name)) + (others+copyTimeCost)*spot.Span
@@ -171,7 +176,8 @@
 	return best
 }
 
-// recentGrants returns how often a place was given recentGrants.
+// recentGrants returns how many grants a destination got within grantWindow,
+// and drops the older ones.
 func (t *Turns) recentGrants(now mgclock.Millis, place string) int {
 	kept := t.grants[place][:0]
 	for _, at := range t.grants[place] {
@@ -187,7 +193,8 @@
 	return len(kept)
 }
 
-// receivesFromOther reports whether a place takes a copy of another source now.
+// receivesFromOther reports whether a destination receives a copy from another
+// source now.
 func (t *Turns) receivesFromOther(now mgclock.Millis, place, source string) bool {
 	for name, s := range t.sources {
 		if name != source && s.destination == place && now < s.expires {
--- a/internal/request/mgmigration/turns_test.go
+++ b/internal/request/mgmigration/turns_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// Eight reports leave one engine at once. Each copy shares the link with seven
-// others, and each stopped report stands still until all of them are done.
+// Eight runs leave one engine at once. Each copy shares the link with seven
+// others, and each stopped run stands still until all of them are done.
 func TestCopiesShareSourceLink(t *testing.T) {
 	Convey("Runs of one source", t, func() {
 		var turns Turns
@@ -112,9 +112,9 @@
 	})
 }
 
-// The last report of an engine that goes in half a second is copied to another
-// zone, where one report less runs. That copy takes 0.4 s and not 0.2 s, and the
-// engine goes first: the caller's report is cut.
+// The last run of an engine that leaves in half a second is copied to another
+// zone that has one run fewer. That copy takes 0.4 s instead of 0.2 s, and the
+// engine is gone before it ends: the run is cut.
 func TestLastRunCopiedTooFar(t *testing.T) {
 	Convey("A run that nobody waits behind goes where its copy is soon done", t, func() {
 		var turns Turns
@@ -129,7 +129,7 @@
 				},
 				{
 					Name: "near",
-					Cost: 330, // three runs more than far
+					Cost: 330, // three more runs than far
 					Span: 200,
 				},
 			},
