--- a/internal/request/mgmigration/model_test.go
+++ b/internal/request/mgmigration/model_test.go
@@ -14,19 +14,19 @@
 
 const (
 	sound           fault = "sound"
-	resumesEarly    fault = "goes on elsewhere before the stream has ended"
+	resumesEarly    fault = "resumes elsewhere before the stream has ended"
 	reusesCopy      fault = "uses a copy a second time"
-	resumesAfterEnd fault = "goes on after the run has ended by itself"
-	ignoresSource   fault = "doesn't go back to a source that stopped"
+	resumesAfterEnd fault = "resumes after the run has ended by itself"
+	ignoresSource   fault = "doesn't resume at a source that stopped"
 	stopsBeforeCopy fault = "stops the run before anything was copied"
 )
 
 var (
-	errTwice    = errors.New("two runs of one generation go on")
+	errTwice    = errors.New("one generation runs twice")
 	errReused   = errors.New("a copy is used twice")
-	errAfterEnd = errors.New("a run goes on after its end was delivered")
-	errLost     = errors.New("the generation is lost though a source that stopped lives")
-	errPause    = errors.New("the run stands still for the whole of its copy")
+	errAfterEnd = errors.New("a run resumes after its end was delivered")
+	errLost     = errors.New("the generation is lost although its stopped source is alive")
+	errPause    = errors.New("the run is stopped for the whole of its copy")
 )
 
 // state is the state of the run at its source.
--- a/internal/request/mgmigration/move_test.go
+++ b/internal/request/mgmigration/move_test.go
@@ -30,18 +30,18 @@
 		handle  string
 	}{
 		{
-			name: "begins with a copy while the run goes on",
+			name: "starts with a copy while the run continues",
 			step: Copy,
 		},
 		{
-			name:    "stops the run once its memory is there",
+			name:    "stops the run once its memory is copied",
 			replies: []Reply{copiedReply("a")},
 			step:    Stop,
 			places:  []Place{AtDestination},
 			handle:  "a",
 		},
 		{
-			name:    "goes on at the destination, else at the source that stopped",
+			name:    "resumes at the destination, else at the stopped source",
 			replies: []Reply{copiedReply("a"), copiedReply("b")},
 			step:    Done,
 			places:  []Place{AtDestination, AtSource},
@@ -53,17 +53,17 @@
 			step:    Copy,
 		},
 		{
-			name:    "pauses after three destinations without room, where some will be free soon",
+			name:    "pauses after three destinations without capacity, where some will be free soon",
 			replies: []Reply{failedReply(NoRoom), failedReply(NoRoom), failedReply(NoRoom)},
 			step:    Wait,
 		},
 		{
-			name:    "gives up after three lost answers and leaves the run alone",
+			name:    "gives up after three lost replies and leaves the run at its source",
 			replies: []Reply{failedReply(Lost), failedReply(Lost), failedReply(Lost)},
 			step:    Done,
 		},
 		{
-			name:    "waits for a run that is not there yet",
+			name:    "waits for a run that has not begun",
 			replies: []Reply{failedReply(Absent)},
 			step:    Wait,
 		},
@@ -73,7 +73,7 @@
 			step:    Wait,
 		},
 		{
-			name: "goes on at the source when the last copy failed",
+			name: "resumes at the source when the last copy failed",
 			replies: []Reply{copiedReply("a"), {
 				Outcome: NoRoom,
 				Handle:  "b",
@@ -83,7 +83,7 @@
 			handle: "b",
 		},
 		{
-			name:    "has the first copy when the answer to the stop is lost",
+			name:    "keeps the pre-copy when the reply to the stop is lost",
 			replies: []Reply{copiedReply("a"), failedReply(Lost)},
 			step:    Done,
 			places:  []Place{AtDestination},
--- a/internal/request/mgmigration/order_test.go
+++ b/internal/request/mgmigration/order_test.go
@@ -10,7 +10,7 @@
 // A run that would have ended by itself is moved first, and one of seven
 // seconds behind it is cut when the engine leaves.
 func TestRunThatEndsSoonMovesFirst(t *testing.T) {
-	Convey("Runs are moved in the order of what they lose", t, func() {
+	Convey("Runs are moved in the order of the work that they would lose", t, func() {
 		runs := map[string]Run{
 			"begun long ago, much to come": {
 				Prompt:  3000,
@@ -53,7 +53,7 @@
 			"may go on without a copy",
 		})
 	})
-	Convey("A run that outlived its expected length has more to come", t, func() {
+	Convey("A run that exceeds its expected length has more to come", t, func() {
 		r := Run{
 			Output:  100,
 			Made:    1000,
--- a/internal/request/mgmigration/simulation_test.go
+++ b/internal/request/mgmigration/simulation_test.go
@@ -16,10 +16,10 @@
 
 const (
 	noMove            strategy = "no move"
-	stopAndCopy       strategy = "stopped, copied, all at once"
-	uncoordinated     strategy = "each entry for itself, two steps"
-	oneSlot           strategy = "by turns"
-	oneSlotLongNotice strategy = "by turns, a second of notice more"
+	stopAndCopy       strategy = "stop and copy, all at once"
+	uncoordinated     strategy = "uncoordinated entries, two steps"
+	oneSlot           strategy = "one slot per source"
+	oneSlotLongNotice strategy = "one slot per source, a second more notice"
 )
 
 // The figures are those of a deployment of twelve engines: a decoding step of
@@ -291,17 +291,17 @@
 		}
 		t.Logf("%-36s cut %5.2f late %5.2f of 100", w, cut[w], late[w])
 	}
-	Convey("By turns", t, func() {
-		Convey("hardly any report is cut", func() {
+	Convey("With one slot per source", t, func() {
+		Convey("hardly any run is cut", func() {
 			So(cut[noMove], ShouldBeGreaterThan, 20)
 			So(cut[oneSlot], ShouldBeLessThan, 1)
 		})
-		Convey("and few pause, where the other ways pause many", func() {
+		Convey("and few pause, where the other strategies pause many", func() {
 			So(late[oneSlot], ShouldBeLessThan, 1)
 			So(late[stopAndCopy], ShouldBeGreaterThan, 10*late[oneSlot])
 			So(late[uncoordinated], ShouldBeGreaterThan, 5*late[oneSlot])
 		})
-		Convey("as with a second of notice more", func() {
+		Convey("as with one more second of notice", func() {
 			So(cut[oneSlot]-cut[oneSlotLongNotice], ShouldBeLessThan, 1)
 		})
 	})
--- a/internal/request/mgmigration/turns_test.go
+++ b/internal/request/mgmigration/turns_test.go
@@ -30,7 +30,7 @@
 		place, ok := turns.Ask(0, ask("s", "one", 10, "d", "e"))
 		So(ok, ShouldBeTrue)
 		So(place, ShouldEqual, "d")
-		Convey("take turns", func() {
+		Convey("get the slot one at a time", func() {
 			_, ok := turns.Ask(1, ask("s", "two", 500, "d", "e"))
 			So(ok, ShouldBeFalse)
 			turns.End("s", "one")
@@ -38,12 +38,12 @@
 			So(ok, ShouldBeTrue)
 			So(place, ShouldEqual, "e")
 		})
-		Convey("keep a turn while they ask for another place", func() {
+		Convey("keep the slot while they request another destination", func() {
 			place, ok := turns.Ask(1, ask("s", "one", 10, "e"))
 			So(ok, ShouldBeTrue)
 			So(place, ShouldEqual, "e")
 		})
-		Convey("go by what they lose", func() {
+		Convey("get the slot in the order of benefit", func() {
 			turns.Ask(1, ask("s", "small", 20, "d"))
 			turns.Ask(1, ask("s", "large", 9000, "d"))
 			turns.End("s", "one")
@@ -52,27 +52,27 @@
 			_, ok = turns.Ask(2, ask("s", "large", 9000, "d"))
 			So(ok, ShouldBeTrue)
 		})
-		Convey("are not held up by a holder that died", func() {
+		Convey("are not blocked by a holder that died", func() {
 			_, ok := turns.Ask(slotTimeout, ask("s", "two", 500, "d"))
 			So(ok, ShouldBeTrue)
 		})
-		Convey("are not held up by one that asked and died", func() {
+		Convey("are not blocked by a waiting run whose entry died", func() {
 			turns.Ask(1, ask("s", "large", 9000, "d"))
 			turns.End("s", "one")
 			_, ok := turns.Ask(requestTTL+2, ask("s", "two", 500, "d"))
 			So(ok, ShouldBeTrue)
 		})
-		Convey("of another source don't wait for them, and go elsewhere", func() {
+		Convey("of another source don't wait for them, and get another destination", func() {
 			place, ok := turns.Ask(1, ask("other", "two", 10, "d", "e"))
 			So(ok, ShouldBeTrue)
 			So(place, ShouldEqual, "e")
 		})
-		Convey("leave nothing behind", func() {
+		Convey("leave no state behind", func() {
 			turns.End("s", "one")
 			So(len(turns.sources), ShouldEqual, 0)
 		})
 	})
-	Convey("Many runs spread over the places", t, func() {
+	Convey("Many runs spread over the destinations", t, func() {
 		var turns Turns
 		got := map[string]int{}
 		for n := range 12 {
@@ -84,14 +84,14 @@
 		}
 		So(got, ShouldResemble, map[string]int{"d": 4, "e": 4, "f": 4})
 	})
-	Convey("A crowded place is given less", t, func() {
+	Convey("A loaded destination is granted less often", t, func() {
 		var turns Turns
 		a := ask("s", "one", 1, "crowded", "free")
 		a.Places[0].Cost = 500
 		place, _ := turns.Ask(0, a)
 		So(place, ShouldEqual, "free")
 	})
-	Convey("Where others wait for the link, a place to which the copy is quick is better", t, func() {
+	Convey("Where others wait for the link, a destination with a shorter copy is chosen", t, func() {
 		a := ask("s", "one", 9, "far", "near")
 		a.Places[0].Span = 380
 		a.Places[1].Span = 190
@@ -105,7 +105,7 @@
 		place, _ = crowded.Ask(0, a)
 		So(place, ShouldEqual, "near")
 	})
-	Convey("A run without a place to go has no turn", t, func() {
+	Convey("A run without a destination gets no slot", t, func() {
 		var turns Turns
 		_, ok := turns.Ask(0, ask("s", "one", 1))
 		So(ok, ShouldBeFalse)
@@ -116,7 +116,7 @@
 // zone that has one run fewer. That copy takes 0.4 s instead of 0.2 s, and the
 // engine is gone before it ends: the run is cut.
 func TestLastRunCopiedTooFar(t *testing.T) {
-	Convey("A run that nobody waits behind goes where its copy is soon done", t, func() {
+	Convey("A run that no other waits behind goes where its copy is shorter", t, func() {
 		var turns Turns
 		place, ok := turns.Ask(0, Ask{
 			Source: "s",
