--- a/internal/request/mgoperation/ledger.go
+++ b/internal/request/mgoperation/ledger.go
@@ -56,13 +56,13 @@
 type Ledger struct {
 	spec Spec
 
-	mu      sync.Mutex
-	time    mgclock.Millis // the latest time seen
-	floor   mgclock.Millis // absent entries with stamps up to it are refused
-	records map[string]*record
-	expiry  expiryHeap
-	bodies  []*record // finished, oldest first, with their bodies
-	bytes   int       // of those bodies
+	mu        sync.Mutex
+	lastTime  mgclock.Millis // the latest time seen
+	minStamp  mgclock.Millis // absent entries with stamps up to it are refused
+	records   map[string]*record
+	expiry    expiryHeap
+	bodies    []*record // finished, oldest first, with their bodies
+	bodyBytes int       // of those bodies
 }
 
 type record struct {
@@ -90,9 +90,9 @@
 	defer l.mu.Unlock()
 	now = l.observe(now)
 	if r := l.records[start.ID]; r != nil {
-		return r.again(start)
+		return r.verdictForRepeat(start)
 	}
-	if problem := l.absent(start, now); problem != nil {
+	if problem := l.admitNew(start, now); problem != nil {
 		return Verdict{
 			problem: problem,
 		}
@@ -105,8 +105,8 @@
 	}
 }
 
-// again answers a start for an entry that is in the ledger.
-func (r *record) again(start StartSpec) Verdict {
+// verdictForRepeat answers a start for an entry that is in the ledger.
+func (r *record) verdictForRepeat(start StartSpec) Verdict {
 	v := Verdict{
 		action:     Join,
 		generation: r.generation,
@@ -118,13 +118,13 @@
 		v.problem = problemTombstone()
 	case r.digest != start.Digest:
 		v.action = Refuse
-		v.problem = problemDigest()
+		v.problem = problemOtherBody()
 	}
 	return v
 }
 
-// absent says why an entry that isn't in the ledger may not begin, or nil.
-func (l *Ledger) absent(start StartSpec, now mgclock.Millis) *mgproblem.Problem {
+// admitNew says why an entry that isn't in the ledger may not begin, or nil.
+func (l *Ledger) admitNew(start StartSpec, now mgclock.Millis) *mgproblem.Problem {
 	switch {
 	case start.Stamp > now:
 		return problemForeign()
@@ -132,13 +132,13 @@
 		// A copy that was delayed beyond the window may have been preceded by one
 		// that ran and was forgotten; run, it would run twice.
 		return problemExpired()
-	case start.Stamp <= l.floor:
+	case start.Stamp <= l.minStamp:
 		return problemFull()
 	case now >= start.Deadline:
-		l.bury(start.ID, start.Stamp)
-		return problemLate()
-	case len(l.records) >= l.spec.Records:
-		l.bury(start.ID, start.Stamp)
+		l.addTombstone(start.ID, start.Stamp)
+		return problemDeadline()
+	case len(l.records) >= l.spec.MaxRecords:
+		l.addTombstone(start.ID, start.Stamp)
 		return problemFull()
 	default:
 		return nil
@@ -159,10 +159,10 @@
 	case r.state == Tombstone:
 		return problemTombstone()
 	case r.state != Held:
-		return problemTwice()
+		return problemAlreadySent()
 	case now >= r.deadline:
 		l.end(r, Tombstone, now)
-		return problemLate()
+		return problemDeadline()
 	}
 	r.state = Sent
 	return nil
@@ -183,7 +183,7 @@
 	}
 	r.result = result
 	l.end(r, Finished, now)
-	l.keep(r)
+	l.retainBody(r)
 }
 
 // Cancel ends an entry and attests what became of it. For one not yet seen it
@@ -215,7 +215,7 @@
 	if stamp > now || l.expired(stamp, now) {
 		return mgproblem.Unknown
 	}
-	l.bury(id, stamp)
+	l.addTombstone(id, stamp)
 	return mgproblem.NotRun
 }
 
@@ -246,14 +246,14 @@
 	if l.records == nil {
 		l.records = make(map[string]*record)
 		l.spec = l.spec.withDefaults()
-		l.floor = math.MinInt64
-		l.time = now
+		l.minStamp = math.MinInt64
+		l.lastTime = now
 	}
-	l.time = max(l.time, now)
-	for len(l.expiry) > 0 && l.expiry[0].expires < l.time {
+	l.lastTime = max(l.lastTime, now)
+	for len(l.expiry) > 0 && l.expiry[0].expires < l.lastTime {
 		l.forget(heap.Pop(&l.expiry).(*record))
 	}
-	return l.time
+	return l.lastTime
 }
 
 // expired reports whether an entry with this stamp may have been forgotten.
@@ -275,19 +275,19 @@
 	return r
 }
 
-// bury makes sure that an absent entry never runs. A full ledger has no room
+// addTombstone makes sure that an absent entry never runs. A full ledger has no room
 // for a tombstone; it raises the floor instead, which refuses every entry with
 // a stamp as old that isn't in the ledger.
-func (l *Ledger) bury(id string, stamp mgclock.Millis) {
-	if len(l.records) >= l.spec.Records {
-		l.floor = max(l.floor, stamp)
+func (l *Ledger) addTombstone(id string, stamp mgclock.Millis) {
+	if len(l.records) >= l.spec.MaxRecords {
+		l.minStamp = max(l.minStamp, stamp)
 		return
 	}
 	r := l.add(StartSpec{
 		ID:    id,
 		Stamp: stamp,
 	}, Tombstone)
-	l.end(r, Tombstone, l.time)
+	l.end(r, Tombstone, l.lastTime)
 }
 
 // end moves r to a last state, from which it is forgotten in time.
@@ -301,21 +301,21 @@
 	close(r.done)
 }
 
-// keep holds r's body and drops the oldest ones beyond the bound.
-func (l *Ledger) keep(r *record) {
-	l.bytes += len(r.result.Body)
+// retainBody holds r's body and drops the oldest ones beyond the bound.
+func (l *Ledger) retainBody(r *record) {
+	l.bodyBytes += len(r.result.Body)
 	l.bodies = append(l.bodies, r)
-	for l.bytes > l.spec.Bytes {
-		l.trim(l.bodies[0])
+	for l.bodyBytes > l.spec.MaxBodyBytes {
+		l.trimBody(l.bodies[0])
 		l.bodies = l.bodies[1:]
 	}
 }
 
-func (l *Ledger) trim(r *record) {
+func (l *Ledger) trimBody(r *record) {
 	if r.result.Trimmed {
 		return
 	}
-	l.bytes -= len(r.result.Body)
+	l.bodyBytes -= len(r.result.Body)
 	r.result.Body = nil
 	r.result.Trimmed = true
 }
@@ -323,7 +323,7 @@
 func (l *Ledger) forget(r *record) {
 	delete(l.records, r.id)
 	if r.state == Finished {
-		l.trim(r)
+		l.trimBody(r)
 	}
 	for len(l.bodies) > 0 && l.bodies[0].result.Trimmed {
 		l.bodies = l.bodies[1:]
--- a/internal/request/mgoperation/ledger_test.go
+++ b/internal/request/mgoperation/ledger_test.go
@@ -25,13 +25,13 @@
 	}
 }
 
-func ended(outcome mgproblem.Outcome) mgoperation.Result {
+func resultOf(outcome mgproblem.Outcome) mgoperation.Result {
 	return mgoperation.Result{
 		Outcome: outcome,
 	}
 }
 
-func done(body string) mgoperation.Result {
+func doneResult(body string) mgoperation.Result {
 	return mgoperation.Result{
 		Outcome: mgproblem.Done,
 		Status:  200,
@@ -42,7 +42,7 @@
 // A caller is told how its request ended: done, not run or unknown. Each case
 // plays one way to an ending, with the events in order, and gives the words
 // that the events brought.
-func TestEndings(t *testing.T) {
+func TestCallerToldWrongOutcome(t *testing.T) {
 	cases := [][3]string{
 		{"it runs", "begin submit finish lookup", "run ok - done"},
 		{"its start comes twice", "begin begin submit begin finish begin", "run join ok join - join"},
@@ -63,26 +63,26 @@
 	Convey("What is told at each ending", t, func() {
 		for _, c := range cases {
 			Convey(c[0], func() {
-				So(play(c[1]), ShouldEqual, c[2])
+				So(playEvents(c[1]), ShouldEqual, c[2])
 			})
 		}
 	})
 }
 
-// play gives a ledger the events for one entry and returns its words.
-func play(events string) string {
+// playEvents gives a ledger the events for one entry and returns its words.
+func playEvents(events string) string {
 	ledger := mgoperation.New(mgoperation.Spec{
 		Window: window,
 	})
 	var now mgclock.Millis
-	var words []string
+	var replies []string
 	for _, event := range strings.Fields(events) {
-		words = append(words, word(ledger, event, &now))
+		replies = append(replies, applyEvent(ledger, event, &now))
 	}
-	return strings.Join(words, " ")
+	return strings.Join(replies, " ")
 }
 
-func word(ledger *mgoperation.Ledger, event string, now *mgclock.Millis) string {
+func applyEvent(ledger *mgoperation.Ledger, event string, now *mgclock.Millis) string {
 	const id = "op"
 	const deadline = 5 * mgclock.Second
 	var seconds int64
@@ -100,11 +100,11 @@
 	case "submit":
 		return problem(ledger.Submit(id, *now))
 	case "finish":
-		ledger.Finish(id, done("ticket"), *now)
+		ledger.Finish(id, doneResult("ticket"), *now)
 	case "fail":
-		ledger.Finish(id, ended(mgproblem.NotRun), *now)
+		ledger.Finish(id, resultOf(mgproblem.NotRun), *now)
 	case "lose":
-		ledger.Finish(id, ended(mgproblem.Unknown), *now)
+		ledger.Finish(id, resultOf(mgproblem.Unknown), *now)
 	case "cancel":
 		return string(ledger.Cancel(id, 0, *now))
 	case "lookup":
@@ -134,11 +134,11 @@
 
 // A burst of writes fills the record of an agent. It says so instead of growing,
 // and what it refused stays not run when a copy arrives after room was made.
-func TestFull(t *testing.T) {
+func TestFullLedgerForgetsRefusal(t *testing.T) {
 	Convey("A full ledger refuses, and its refusal holds", t, func() {
 		ledger := mgoperation.New(mgoperation.Spec{
-			Window:  window,
-			Records: 2,
+			Window:     window,
+			MaxRecords: 2,
 		})
 		ledger.Cancel("a", 0, 0)
 		ledger.Cancel("b", 0, 0)
@@ -150,13 +150,13 @@
 	})
 	Convey("Old bodies are dropped, their outcomes stay", t, func() {
 		ledger := mgoperation.New(mgoperation.Spec{
-			Window: window,
-			Bytes:  10,
+			Window:       window,
+			MaxBodyBytes: 10,
 		})
 		for _, id := range []string{"a", "b", "c"} {
 			ledger.Begin(start(id, 0, window), 0)
 			ledger.Submit(id, 0)
-			ledger.Finish(id, done("1234"), 0)
+			ledger.Finish(id, doneResult("1234"), 0)
 		}
 		_, first := ledger.Lookup("a")
 		_, last := ledger.Lookup("c")
@@ -169,7 +169,7 @@
 // An agent is replaced while a certificate submission runs. The member's portal
 // repeats it with the same id. The new agent can't know, so it says "unknown"
 // and doesn't run it, whatever the id's age.
-func TestReplaced(t *testing.T) {
+func TestReplacedAgentRunsAgain(t *testing.T) {
 	var seal mgseal.Signer
 	old := mgoperation.NewMinter(&seal, "portal-1", "i1")
 	id := old.Mint("cooperativa", "submit", 7)
@@ -194,7 +194,7 @@
 // transfer ticket, through two entries that see different lists. Each entry
 // would take it to another agent, and two barrels would be booked. So the key is
 // refused before anything runs.
-func TestKeys(t *testing.T) {
+func TestOpaqueKeyPromised(t *testing.T) {
 	var seal mgseal.Signer
 	id := mgoperation.NewMinter(&seal, "app-1", "i1").Mint("tankline", "ticket", 1)
 	const opaque = "ticket-4711"
@@ -229,20 +229,20 @@
 	})
 }
 
-// TestBounded plays long histories: memory stays within the window's entries.
-func TestBounded(t *testing.T) {
+// TestLedgerGrowsUnbounded plays long histories: memory stays within the window's entries.
+func TestLedgerGrowsUnbounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ledger := mgoperation.New(mgoperation.Spec{
-			Window:  window,
-			Records: 50,
-			Bytes:   100,
+			Window:       window,
+			MaxRecords:   50,
+			MaxBodyBytes: 100,
 		})
 		var now mgclock.Millis
 		for i := range 200 {
 			now += mgclock.Millis(rapid.Int64Range(0, 1000).Draw(t, "wait"))
 			id := fmt.Sprint(i)
 			if verdict(ledger.Begin(start(id, now, now+window), now)) == "run" && ledger.Submit(id, now) == nil {
-				ledger.Finish(id, done(strings.Repeat("x", rapid.IntRange(0, 60).Draw(t, "size"))), now)
+				ledger.Finish(id, doneResult(strings.Repeat("x", rapid.IntRange(0, 60).Draw(t, "size"))), now)
 			}
 			if ledger.Len() > 50 {
 				t.Fatalf("%d entries", ledger.Len())
--- a/internal/request/mgoperation/model_test.go
+++ b/internal/request/mgoperation/model_test.go
@@ -12,16 +12,16 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-var long = flag.Int("schedules", 0, "random schedules of the longer run, 0 for none")
+var extraSchedules = flag.Int("schedules", 0, "random schedules of the longer run, 0 for none")
 
 const (
-	window      mgclock.Millis = 2
-	linger      mgclock.Millis = 1
-	steps                      = 7
-	seededSteps                = 80
-	names                      = 3 // ids
-	room                       = 2 // entries in the ledger
-	events                     = 9 // kinds of steps
+	window          mgclock.Millis = 2
+	linger          mgclock.Millis = 1
+	exhaustiveSteps                = 7
+	seededSteps                    = 80
+	maxIDs                         = 3 // ids
+	maxRecords                     = 2 // entries in the ledger
+	eventKinds                     = 9 // kinds of steps
 )
 
 // fault is one broken variant of the ledger or of its agent. The model must
@@ -29,16 +29,16 @@
 type fault string
 
 const (
-	sound         fault = "sound"
-	noTombstone   fault = "no tombstone"
-	shortLife     fault = "tombstone forgotten before a start can no longer come"
-	earlyForget   fault = "result forgotten within the window"
-	noExpiry      fault = "old starts run"
-	backwards     fault = "time in the ledger goes back after a pause"
-	noFloor       fault = "no floor when the ledger is full"
-	noSubmit      fault = "what was queued is sent though it was cancelled"
-	replaced      fault = "a replaced agent answers for its predecessor"
-	refusalForget fault = "a refused start leaves nothing"
+	sound            fault = "sound"
+	noTombstone      fault = "no tombstone"
+	shortTombstone   fault = "tombstone forgotten before a start can no longer come"
+	earlyForget      fault = "result forgotten within the window"
+	noExpiry         fault = "old starts run"
+	timeGoesBack     fault = "time in the ledger goes back after a pause"
+	noMinStamp       fault = "no floor when the ledger is full"
+	ignoredSubmit    fault = "what was queued is sent though it was cancelled"
+	answersForOld    fault = "a replaced agent answers for its predecessor"
+	refusalForgotten fault = "a refused start leaves nothing"
 )
 
 // message is a start or a cancel on its way. It stays there: it may come again.
@@ -54,10 +54,10 @@
 	broken      fault
 	ledger      *Ledger
 	now         mgclock.Millis
-	stale       mgclock.Millis // the time a paused goroutine read, or -1
+	pausedAt    mgclock.Millis // the time a paused goroutine read, or -1
 	incarnation int
-	minted      int
-	flight      []message
+	mintedCount int
+	inFlight    []message
 	queued      []string
 	sent        []string
 	runs        map[string]int
@@ -66,37 +66,37 @@
 
 func newWorld(broken fault) *world {
 	w := &world{
-		broken: broken,
-		stale:  -1,
-		runs:   map[string]int{},
-		notrun: map[string]bool{},
+		broken:   broken,
+		pausedAt: -1,
+		runs:     map[string]int{},
+		notrun:   map[string]bool{},
 	}
-	w.replace()
+	w.replaceAgent()
 	return w
 }
 
-// replace plays an agent that dies. Its successor starts with an empty ledger
+// replaceAgent plays an agent that dies. Its successor starts with an empty ledger
 // and a clock of its own.
-func (w *world) replace() {
+func (w *world) replaceAgent() {
 	w.ledger = New(Spec{
-		Window:  window,
-		Linger:  linger,
-		Records: room,
+		Window:     window,
+		Linger:     linger,
+		MaxRecords: maxRecords,
 	})
 	w.incarnation++
-	w.now, w.stale = 0, -1
+	w.now, w.pausedAt = 0, -1
 	w.queued, w.sent = nil, nil
 }
 
-func model(broken fault) func(*mgexplore.Chooser) error {
+func exhaustive(broken fault) func(*mgexplore.Chooser) error {
 	return func(c *mgexplore.Chooser) error {
 		w := newWorld(broken)
-		for step := range steps {
+		for step := range exhaustiveSteps {
 			if c.Seen(step, w.state) {
 				return nil
 			}
-			w.step(c.Choose(events), c.Choose)
-			if err := w.check(); err != nil {
+			w.playEvent(c.Choose(eventKinds), c.Choose)
+			if err := w.checkInvariants(); err != nil {
 				return err
 			}
 		}
@@ -109,12 +109,12 @@
 		w := newWorld(broken)
 		for step := range seededSteps {
 			c.Seen(step, w.state)
-			pick := c.Choose(events)
-			if pick == events-1 && c.Choose(8) > 0 {
+			pick := c.Choose(eventKinds)
+			if pick == eventKinds-1 && c.Choose(8) > 0 {
 				pick = 2 // agents die less often than messages come
 			}
-			w.step(pick, c.Choose)
-			if err := w.check(); err != nil {
+			w.playEvent(pick, c.Choose)
+			if err := w.checkInvariants(); err != nil {
 				return err
 			}
 		}
@@ -122,20 +122,20 @@
 	}
 }
 
-// step plays what happens next.
-func (w *world) step(pick int, choose func(int) int) {
-	switch pick {
+// playEvent plays what happens next.
+func (w *world) playEvent(event int, choose func(int) int) {
+	switch event {
 	case 0: // an entry gets a stamp and sends a start
 		w.mint(false)
 	case 1: // an entry sends a start and at once its cancel
 		w.mint(true)
 	case 2: // a message arrives, not for the last time
-		if len(w.flight) > 0 {
-			w.arrive(w.flight[choose(len(w.flight))], w.now, choose)
+		if len(w.inFlight) > 0 {
+			w.deliver(w.inFlight[choose(len(w.inFlight))], w.now, choose)
 		}
 	case 3: // a message is handled by a goroutine that was paused
-		if len(w.flight) > 0 && w.stale >= 0 {
-			w.arrive(w.flight[choose(len(w.flight))], w.stale, choose)
+		if len(w.inFlight) > 0 && w.pausedAt >= 0 {
+			w.deliver(w.inFlight[choose(len(w.inFlight))], w.pausedAt, choose)
 		}
 	case 4:
 		w.submit()
@@ -144,37 +144,37 @@
 	case 6:
 		w.now++
 	case 7: // a goroutine reads the time and is paused
-		w.stale = w.now
+		w.pausedAt = w.now
 	case 8:
-		w.replace()
+		w.replaceAgent()
 	}
 }
 
 func (w *world) mint(cancel bool) {
-	if w.minted == names {
+	if w.mintedCount == maxIDs {
 		return
 	}
-	w.minted++
+	w.mintedCount++
 	m := message{
-		id:          fmt.Sprint("op", w.minted),
+		id:          fmt.Sprint("op", w.mintedCount),
 		incarnation: w.incarnation,
 		stamp:       w.now,
 	}
-	w.flight = append(w.flight, m)
+	w.inFlight = append(w.inFlight, m)
 	if cancel {
 		m.cancel = true
-		w.flight = append(w.flight, m)
+		w.inFlight = append(w.inFlight, m)
 	}
 }
 
-func (w *world) arrive(m message, now mgclock.Millis, choose func(int) int) {
-	if m.incarnation != w.incarnation && w.broken != replaced {
+func (w *world) deliver(m message, now mgclock.Millis, choose func(int) int) {
+	if m.incarnation != w.incarnation && w.broken != answersForOld {
 		return // answered "unknown", see Minter.Check
 	}
-	if w.broken == replaced {
+	if w.broken == answersForOld {
 		m.stamp = now
 	}
-	w.tamper(m.id, now)
+	w.tamperBefore(m.id, now)
 	if m.cancel {
 		w.attest(m.id, w.ledger.Cancel(m.id, m.stamp, now))
 	} else {
@@ -194,7 +194,7 @@
 		w.queued = append(w.queued, m.id)
 	case Refuse:
 		w.attest(m.id, v.Problem().Outcome())
-		if w.broken == refusalForget && v.Problem().Kind() == mgproblem.Late {
+		if w.broken == refusalForgotten && v.Problem().Kind() == mgproblem.Late {
 			delete(w.ledger.records, m.id)
 		}
 	}
@@ -208,7 +208,7 @@
 	id := w.queued[0]
 	w.queued = slices.Clone(w.queued[1:])
 	problem := w.ledger.Submit(id, w.now)
-	if problem != nil && w.broken != noSubmit {
+	if problem != nil && w.broken != ignoredSubmit {
 		w.attest(id, problem.Outcome())
 		return
 	}
@@ -236,19 +236,19 @@
 	}
 }
 
-// tamper breaks the ledger before a message, as the variant says.
-func (w *world) tamper(id string, now mgclock.Millis) {
+// tamperBefore breaks the ledger before a message, as the variant says.
+func (w *world) tamperBefore(id string, now mgclock.Millis) {
 	switch w.broken {
-	case backwards:
+	case timeGoesBack:
 		w.ledger.observe(w.now)
-		w.ledger.time = now
+		w.ledger.lastTime = now
 	case noExpiry:
 		w.ledger.observe(w.now)
 		w.ledger.spec.Window = window
 		if w.ledger.records[id] == nil {
 			w.ledger.spec.Window = 1000
 		}
-	case shortLife:
+	case shortTombstone:
 		if r := w.ledger.records[id]; r != nil && r.state == Tombstone && w.now > r.stamp {
 			w.drop(id)
 		}
@@ -260,8 +260,8 @@
 	switch {
 	case w.broken == noTombstone && m.cancel && r != nil && r.state == Tombstone:
 		w.drop(m.id)
-	case w.broken == noFloor:
-		w.ledger.floor = -1
+	case w.broken == noMinStamp:
+		w.ledger.minStamp = -1
 	}
 }
 
@@ -274,8 +274,8 @@
 	w.ledger.expiry = slices.DeleteFunc(w.ledger.expiry, func(each *record) bool { return each == r })
 }
 
-// check holds what happened against the promises.
-func (w *world) check() error {
+// checkInvariants holds what happened against the promises.
+func (w *world) checkInvariants() error {
 	for id, runs := range w.runs {
 		if runs > 1 {
 			return fmt.Errorf("%s: %s ran %d times", w.broken, id, runs)
@@ -284,8 +284,8 @@
 			return fmt.Errorf("%s: a caller was told that %s did not run, and it ran", w.broken, id)
 		}
 	}
-	if len(w.ledger.records) > room {
-		return fmt.Errorf("%s: %d records held, room for %d", w.broken, len(w.ledger.records), room)
+	if len(w.ledger.records) > maxRecords {
+		return fmt.Errorf("%s: %d records held, room for %d", w.broken, len(w.ledger.records), maxRecords)
 	}
 	return nil
 }
@@ -294,8 +294,8 @@
 func (w *world) state() string {
 	var b strings.Builder
 	l := w.ledger
-	fmt.Fprint(&b, w.now, w.stale, w.incarnation, w.minted, w.flight, w.queued, w.sent, w.runs, w.notrun, l.time, l.floor, l.spec.Window)
-	for i := range names {
+	fmt.Fprint(&b, w.now, w.pausedAt, w.incarnation, w.mintedCount, w.inFlight, w.queued, w.sent, w.runs, w.notrun, l.lastTime, l.minStamp, l.spec.Window)
+	for i := range maxIDs {
 		if r := l.records[fmt.Sprint("op", i+1)]; r != nil {
 			fmt.Fprint(&b, "|", r.id, r.stamp, r.expires, r.state)
 		}
@@ -307,16 +307,16 @@
 // finds that the job ran. A start came twice, or after its cancel, or to a
 // successor; the record was full or had forgotten; or a paused process went by
 // an old time. In some order that nobody thought of.
-func TestEverySchedule(t *testing.T) {
-	report := mgexplore.Exhaust(5_000_000, model(sound))
-	t.Logf("operation, %d steps: %v", steps, report)
+func TestRunsTwiceOrAfterNotRun(t *testing.T) {
+	report := mgexplore.Exhaust(5_000_000, exhaustive(sound))
+	t.Logf("operation, %d steps: %v", exhaustiveSteps, report)
 	if report.Violation() != nil || !report.Whole() {
 		t.Fail()
 	}
 }
 
-func TestSeededSchedules(t *testing.T) {
-	report := mgexplore.Seeds(5, max(2000, *long), seeded(sound))
+func TestRunsTwiceOrAfterNotRunSeeded(t *testing.T) {
+	report := mgexplore.Seeds(5, max(2000, *extraSchedules), seeded(sound))
 	t.Logf("operation, seeded: %v", report)
 	if report.Violation() != nil {
 		t.Fail()
@@ -325,8 +325,8 @@
 
 // The model itself could be blind. Each named variant lacks one guard, and the
 // model must say so.
-func TestBrokenVariants(t *testing.T) {
-	for _, broken := range []fault{noTombstone, shortLife, earlyForget, noExpiry, backwards, noFloor, noSubmit, replaced, refusalForget} {
+func TestModelMissesBrokenLedger(t *testing.T) {
+	for _, broken := range []fault{noTombstone, shortTombstone, earlyForget, noExpiry, timeGoesBack, noMinStamp, ignoredSubmit, answersForOld, refusalForgotten} {
 		report := mgexplore.Seeds(7, 20_000, seeded(broken))
 		t.Logf("%v", report)
 		if report.Violation() == nil {
--- a/internal/request/mgoperation/problem.go
+++ b/internal/request/mgoperation/problem.go
@@ -10,7 +10,7 @@
 		"start again under a new id")
 }
 
-func problemDigest() *mgproblem.Problem {
+func problemOtherBody() *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Invalid, mgproblem.Unknown,
 		"the operation id was used with another body",
 		"mint an operation id for each write")
@@ -34,13 +34,13 @@
 		"come back later with a new id").WithRetry(DefaultLinger)
 }
 
-func problemLate() *mgproblem.Problem {
+func problemDeadline() *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Late, mgproblem.NotRun,
 		"its deadline passed before it ran",
 		"allow more time, or come back when the service is less busy")
 }
 
-func problemTwice() *mgproblem.Problem {
+func problemAlreadySent() *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown,
 		"it was sent before",
 		"wait for its result")
--- a/internal/request/mgoperation/spec.go
+++ b/internal/request/mgoperation/spec.go
@@ -15,11 +15,11 @@
 	OperationWindow = 10 * mgclock.Minute
 	// DefaultLinger lets those that wait for a late result read it.
 	DefaultLinger = 10 * mgclock.Second
-	// DefaultRecords bounds the entries: 50 writes a second for ten minutes,
+	// DefaultMaxRecords bounds the entries: 50 writes a second for ten minutes,
 	// with room to spare, in about 10 MB.
-	DefaultRecords = 1 << 16
-	// DefaultBytes bounds the bodies of kept results.
-	DefaultBytes = 64 << 20
+	DefaultMaxRecords = 1 << 16
+	// DefaultMaxBodyBytes bounds the bodies of kept results.
+	DefaultMaxBodyBytes = 64 << 20
 )
 
 // A Spec holds the bounds of a Ledger. Fields left 0 take the defaults.
@@ -28,10 +28,10 @@
 	Window mgclock.Millis
 	// Linger is how long a result is kept that came after the window.
 	Linger mgclock.Millis
-	// Records bounds the number of entries, tombstones included.
-	Records int
-	// Bytes bounds the bodies of kept results.
-	Bytes int
+	// MaxRecords bounds the number of entries, tombstones included.
+	MaxRecords int
+	// MaxBodyBytes bounds the bodies of kept results.
+	MaxBodyBytes int
 }
 
 func (s Spec) withDefaults() Spec {
@@ -41,11 +41,11 @@
 	if s.Linger <= 0 {
 		s.Linger = DefaultLinger
 	}
-	if s.Records <= 0 {
-		s.Records = DefaultRecords
+	if s.MaxRecords <= 0 {
+		s.MaxRecords = DefaultMaxRecords
 	}
-	if s.Bytes <= 0 {
-		s.Bytes = DefaultBytes
+	if s.MaxBodyBytes <= 0 {
+		s.MaxBodyBytes = DefaultMaxBodyBytes
 	}
 	return s
 }
