--- a/internal/request/mgoperation/doc.go
+++ b/internal/request/mgoperation/doc.go
@@ -1,20 +1,20 @@
-// Package mgoperation keeps the record that lets an agent promise "at most
-// once" and attest "not run". It holds no I/O: calls go in with the time, and
+// Package mgoperation keeps the record with which an agent guarantees "at most
+// once" and attests "not run". It holds no I/O: calls go in with the time, and
 // verdicts come out.
 //
 // Terms: an attempt is one start of a generation at one agent; an operation is
 // one call of a plain service that must not be repeated. Both are entries of a
-// Ledger and differ in its window. A stamp is the owner's own time when it made
-// the offer or minted the operation; it comes back with each message about the
-// entry, so that the owner tells a message's age by its own clock alone. A
-// tombstone is an entry that never ran and never will.
+// Ledger, with different windows. A stamp is the time on the agent's own clock
+// at which it made the offer or minted the operation. It is returned with each
+// message about the entry, so that the agent computes the message's age from
+// its own clock alone. A tombstone is an entry that never ran and never will.
 //
 // One rule makes forgetting safe: an entry is forgotten only once its stamp is
 // older than the window, and a message for an entry that isn't in the ledger
-// runs nothing when its stamp is older than the window. So "absent and within
-// the window" means "never ran here", and "absent and older" means "unknown".
+// runs nothing if its stamp is older than the window. So "absent and within the
+// window" means "never ran here", and "absent and older" means "unknown".
 //
-// The record lives and dies with one incarnation of its agent. Names carry the
+// The record lasts as long as one incarnation of its agent. IDs name the
 // incarnation, and another one answers "unknown", never "not run".
 //
 // References: Lampson (1983), Hints for Computer System Design, on idempotent
--- a/internal/request/mgoperation/key.go
+++ b/internal/request/mgoperation/key.go
@@ -5,21 +5,22 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// Promise is what a call of a plain service is promised.
+// Promise is the delivery guarantee of a call of a plain service.
 type Promise uint8
 
 // The promises.
 const (
-	// Repeatable: the service says its calls may be repeated. A key is passed on.
+	// Repeatable: the service declares that its calls may be repeated. A key is
+	// passed on.
 	Repeatable Promise = iota
-	// Single: at most once for this one HTTP request; the entry mints an id. A
-	// caller that repeats the request asks for another operation.
+	// Single: at most once for this one HTTP request; the entry mints an ID. If the
+	// caller repeats the request, that is another operation.
 	Single
-	// Pinned: at most once for all requests that carry the minted id.
+	// Pinned: at most once for all requests that carry the minted ID.
 	Pinned
 )
 
-// A KeySpec is a call's key and what the table says of its service.
+// A KeySpec is a call's key and the table's setting for its service.
 type KeySpec struct {
 	Account string
 	Service string
@@ -29,14 +30,16 @@
 	Idempotent bool
 }
 
-// Weigh returns what can be promised to a call. A key that the caller made
-// itself is refused for a service whose calls may not be repeated.
+// Weigh returns the guarantee for a call and, if it is Pinned, the operation
+// that its key names. A key made by the caller is refused for a service whose
+// calls may not be repeated.
 //
-// Such a key names no incarnation. Two entries that see different lists of VMs,
-// as in a partition, would take it to two agents, and each would find it new.
-// Ranking the agents by the key doesn't help, for the ranking differs with the
-// list; neither does a time inside the key, for the agent of the other part
-// is as old. Only a minted id names the one process that can know.
+// Such a key names no incarnation. Two entries with different lists of VMs, as
+// in a partition, would send it to two agents, and each would treat it as new.
+// Ranking the agents by the key doesn't help, because the ranking depends on
+// the list; nor does a time inside the key, because the agent on the other side
+// of the partition may be as old. Only a minted ID names the one process that
+// has the record.
 func Weigh(seal *mgseal.Signer, spec KeySpec) (Promise, Operation, error) {
 	if spec.Idempotent {
 		return Repeatable, Operation{}, nil
--- a/internal/request/mgoperation/ledger.go
+++ b/internal/request/mgoperation/ledger.go
@@ -9,7 +9,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// State is how far an entry has come.
+// State is the state of an entry.
 type State uint8
 
 // The states. Absent is the state of an entry that the ledger doesn't hold.
@@ -21,14 +21,14 @@
 	Tombstone       // it never reached the upstream and never will
 )
 
-// Action is what the agent does with a start.
+// Action is how the agent handles a start.
 type Action uint8
 
 // The actions.
 const (
-	Refuse Action = iota // answer with the verdict's problem
+	Refuse Action = iota // reply with the verdict's problem
 	Run                  // queue it, and call Submit just before it is sent
-	Join                 // wait for the entry that began before
+	Join                 // wait for the entry that an earlier start began
 )
 
 // A Verdict is the ledger's answer to a start.
@@ -39,38 +39,39 @@
 	problem    *mgproblem.Problem
 }
 
-// Action returns what to do.
+// Action returns how to handle the start.
 func (v Verdict) Action() Action { return v.action }
 
-// Generation returns the name that the entry's first start gave it.
+// Generation returns the name that the entry's first start gave the generation.
 func (v Verdict) Generation() string { return v.generation }
 
 // Done returns a channel that is closed once the entry has ended.
 func (v Verdict) Done() <-chan struct{} { return v.done }
 
-// Problem returns why the start is refused, or nil.
+// Problem returns the reason for a refusal, or nil.
 func (v Verdict) Problem() *mgproblem.Problem { return v.problem }
 
-// A Ledger is the record of one agent's incarnation. The zero Ledger has the
-// defaults of a Spec for attempts and is ready for use by several goroutines.
+// A Ledger holds the entries of one incarnation of an agent. The zero Ledger
+// has the defaults of a Spec for attempts and is ready for use by several
+// goroutines.
 type Ledger struct {
 	spec Spec
 
 	mu        sync.Mutex
 	lastTime  mgclock.Millis // the latest time seen
-	minStamp  mgclock.Millis // absent entries with stamps up to it are refused
+	minStamp  mgclock.Millis // absent entries are refused unless their stamp is later
 	records   map[string]*record
 	expiry    expiryHeap
-	bodies    []*record // finished, oldest first, with their bodies
-	bodyBytes int       // of those bodies
+	bodies    []*record // finished records that may still hold a body, oldest first
+	bodyBytes int       // total size of the retained bodies
 }
 
 type record struct {
 	id         string
 	stamp      mgclock.Millis
 	deadline   mgclock.Millis
-	expires    mgclock.Millis // forgotten after it, once ended
-	digest     uint64         // of the request: a repetition has the same
+	expires    mgclock.Millis // once ended, the record is forgotten after this time
+	digest     uint64         // of the request; the same in each repetition
 	generation string
 	state      State
 	result     Result
@@ -84,7 +85,7 @@
 	}
 }
 
-// Begin takes a start. Only the first for an entry is told to run.
+// Begin handles a start. Only the first start of an entry gets Run.
 func (l *Ledger) Begin(start StartSpec, now mgclock.Millis) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,7 +106,8 @@
 	}
 }
 
-// verdictForRepeat answers a start for an entry that is in the ledger.
+// verdictForRepeat returns the verdict on a start for an entry that is in the
+// ledger.
 func (r *record) verdictForRepeat(start StartSpec) Verdict {
 	v := Verdict{
 		action:     Join,
@@ -123,14 +125,15 @@
 	return v
 }
 
-// admitNew says why an entry that isn't in the ledger may not begin, or nil.
+// admitNew returns the reason why an entry that isn't in the ledger may not
+// begin, or nil.
 func (l *Ledger) admitNew(start StartSpec, now mgclock.Millis) *mgproblem.Problem {
 	switch {
 	case start.Stamp > now:
 		return problemForeign()
 	case l.expired(start.Stamp, now):
-		// A copy that was delayed beyond the window may have been preceded by one
-		// that ran and was forgotten; run, it would run twice.
+		// An earlier copy of a message that was delayed beyond the window may have run
+		// and been forgotten. If this one ran, the entry would run twice.
 		return problemExpired()
 	case start.Stamp <= l.minStamp:
 		return problemFull()
@@ -145,9 +148,10 @@
 	}
 }
 
-// Submit is the last step before an entry reaches the upstream: the agent
-// sends only if the returned problem is nil. An entry cancelled or past its
-// deadline while it was queued, or while the process was paused, is refused.
+// Submit is the last step before an entry reaches the upstream: the agent sends
+// only if the returned problem is nil. An entry that was cancelled or passed
+// its deadline while it was queued, or while the process was paused, is
+// refused.
 func (l *Ledger) Submit(id string, now mgclock.Millis) *mgproblem.Problem {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -168,7 +172,7 @@
 	return nil
 }
 
-// Finish records what the upstream answered to an entry that was sent.
+// Finish records the upstream's result for an entry that was sent.
 func (l *Ledger) Finish(id string, result Result, now mgclock.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -186,10 +190,10 @@
 	l.retainBody(r)
 }
 
-// Cancel ends an entry and attests what became of it. For one not yet seen it
-// leaves a tombstone, so that a start that was overtaken by its cancel can't
-// make "not run" false. Unknown after Submit: the caller of Cancel still tells
-// the upstream to stop.
+// Cancel ends an entry and returns its outcome. An entry not yet in the ledger
+// becomes a tombstone, so that a start that arrives after its cancel can't run
+// once "not run" was attested. After Submit and until Finish the outcome is
+// Unknown: the caller of Cancel still has to stop it at the upstream.
 func (l *Ledger) Cancel(id string, stamp, now mgclock.Millis) mgproblem.Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -230,18 +234,18 @@
 	return r.state, r.result
 }
 
-// Len returns the number of entries held.
+// Len returns the number of entries in the ledger.
 func (l *Ledger) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.records)
 }
 
-// observe forgets what may be forgotten and returns the time to go by.
+// observe forgets expired entries and returns the ledger's time.
 //
-// A goroutine that read the clock and was then paused comes with an old time.
-// By that time an entry may seem within its window that another goroutine has
-// forgotten since, and would run again. So time in the ledger never goes back.
+// A goroutine that read the clock and was then paused passes an old time. By
+// that time an entry that another goroutine has since forgotten may seem within
+// its window, and would run again. So the ledger's time never goes back.
 func (l *Ledger) observe(now mgclock.Millis) mgclock.Millis {
 	if l.records == nil {
 		l.records = make(map[string]*record)
@@ -275,9 +279,9 @@
 	return r
 }
 
-// addTombstone makes sure that an absent entry never runs. A full ledger has no room
-// for a tombstone; it raises the floor instead, which refuses every entry with
-// a stamp as old that isn't in the ledger.
+// addTombstone ensures that an absent entry never runs. A full ledger has no
+// capacity for a tombstone; it raises minStamp instead, which refuses every
+// absent entry whose stamp is not later.
 func (l *Ledger) addTombstone(id string, stamp mgclock.Millis) {
 	if len(l.records) >= l.spec.MaxRecords {
 		l.minStamp = max(l.minStamp, stamp)
@@ -290,7 +294,7 @@
 	l.end(r, Tombstone, l.lastTime)
 }
 
-// end moves r to a last state, from which it is forgotten in time.
+// end moves r to a final state and schedules when it is forgotten.
 func (l *Ledger) end(r *record, state State, now mgclock.Millis) {
 	r.state = state
 	r.expires = r.stamp + l.spec.Window
@@ -301,7 +305,7 @@
 	close(r.done)
 }
 
-// retainBody holds r's body and drops the oldest ones beyond the bound.
+// retainBody retains r's body and drops the oldest bodies beyond the limit.
 func (l *Ledger) retainBody(r *record) {
 	l.bodyBytes += len(r.result.Body)
 	l.bodies = append(l.bodies, r)
@@ -330,7 +334,7 @@
 	}
 }
 
-// expiryHeap orders ended entries by the time they are forgotten.
+// expiryHeap orders ended entries by when they are forgotten.
 type expiryHeap []*record
 
 func (h expiryHeap) Len() int           { return len(h) }
--- a/internal/request/mgoperation/ledger_test.go
+++ b/internal/request/mgoperation/ledger_test.go
@@ -39,9 +39,8 @@
 	}
 }
 
-// A caller is told how its request ended: done, not run or unknown. Each case
-// plays one way to an ending, with the events in order, and gives the words
-// that the events brought.
+// A caller gets a wrong outcome of its request: done, not run or unknown. Each
+// case applies the events of one sequence in order and lists the replies.
 func TestCallerToldWrongOutcome(t *testing.T) {
 	cases := [][3]string{
 		{"it runs", "begin submit finish lookup", "run ok - done"},
@@ -69,7 +68,8 @@
 	})
 }
 
-// playEvents gives a ledger the events for one entry and returns its words.
+// playEvents applies the events for one entry to a ledger and returns the
+// replies.
 func playEvents(events string) string {
 	ledger := mgoperation.New(mgoperation.Spec{
 		Window: window,
@@ -132,8 +132,9 @@
 	return fmt.Sprintf("%s/%s", p.Kind(), p.Outcome())
 }
 
-// A burst of writes fills the record of an agent. It says so instead of growing,
-// and what it refused stays not run when a copy arrives after room was made.
+// A burst of writes fills an agent's ledger. It must refuse instead of growing,
+// and a refused entry must stay not run when a copy of its start arrives after
+// entries were forgotten.
 func TestFullLedgerForgetsRefusal(t *testing.T) {
 	Convey("A full ledger refuses, and its refusal holds", t, func() {
 		ledger := mgoperation.New(mgoperation.Spec{
@@ -166,9 +167,9 @@
 	})
 }
 
-// An agent is replaced while a certificate submission runs. The member's portal
-// repeats it with the same id. The new agent can't know, so it says "unknown"
-// and doesn't run it, whatever the id's age.
+// An agent is replaced while an operation runs, and the caller repeats it with
+// the same ID. The new agent has no record of it, so it must answer "unknown"
+// and not run it, whatever the ID's age.
 func TestReplacedAgentRunsAgain(t *testing.T) {
 	var seal mgseal.Signer
 	old := mgoperation.NewMinter(&seal, "portal-1", "i1")
@@ -190,10 +191,9 @@
 	})
 }
 
-// A control room's client sends a UUID of its own as Idempotency-Key with a
-// transfer ticket, through two entries that see different lists. Each entry
-// would take it to another agent, and two barrels would be booked. So the key is
-// refused before anything runs.
+// A client sends its own UUID as Idempotency-Key through two entries with
+// different lists. Each entry would send it to another agent, and the write
+// would run twice. So the key must be refused before anything runs.
 func TestOpaqueKeyPromised(t *testing.T) {
 	var seal mgseal.Signer
 	id := mgoperation.NewMinter(&seal, "app-1", "i1").Mint("tankline", "ticket", 1)
@@ -229,7 +229,7 @@
 	})
 }
 
-// TestLedgerGrowsUnbounded plays long histories: memory stays within the window's entries.
+// A long history makes the ledger grow beyond the entries of one window.
 func TestLedgerGrowsUnbounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ledger := mgoperation.New(mgoperation.Spec{
--- a/internal/request/mgoperation/model_test.go
+++ b/internal/request/mgoperation/model_test.go
@@ -24,8 +24,8 @@
 	eventKinds                     = 9 // kinds of steps
 )
 
-// fault is one broken variant of the ledger or of its agent. The model must
-// catch each.
+// fault is a broken variant of the ledger or its agent. The model must catch
+// each.
 type fault string
 
 const (
@@ -41,7 +41,8 @@
 	refusalForgotten fault = "a refused start leaves nothing"
 )
 
-// message is a start or a cancel on its way. It stays there: it may come again.
+// message is a start or cancel in flight. It stays in flight and may be
+// delivered again.
 type message struct {
 	id          string
 	incarnation int
@@ -49,19 +50,19 @@
 	cancel      bool
 }
 
-// world is an agent, its upstream, and the messages of its callers.
+// world models an agent, its upstream, and its callers' messages.
 type world struct {
 	broken      fault
 	ledger      *Ledger
 	now         mgclock.Millis
-	pausedAt    mgclock.Millis // the time a paused goroutine read, or -1
+	pausedAt    mgclock.Millis // the time that a paused goroutine read, or -1
 	incarnation int
 	mintedCount int
 	inFlight    []message
 	queued      []string
 	sent        []string
 	runs        map[string]int
-	notrun      map[string]bool // attested to a caller
+	notrun      map[string]bool // reported to a caller as not run
 }
 
 func newWorld(broken fault) *world {
@@ -75,7 +76,7 @@
 	return w
 }
 
-// replaceAgent plays an agent that dies. Its successor starts with an empty ledger
+// replaceAgent replaces a dead agent. The new one starts with an empty ledger
 // and a clock of its own.
 func (w *world) replaceAgent() {
 	w.ledger = New(Spec{
@@ -111,7 +112,7 @@
 			c.Seen(step, w.state)
 			pick := c.Choose(eventKinds)
 			if pick == eventKinds-1 && c.Choose(8) > 0 {
-				pick = 2 // agents die less often than messages come
+				pick = 2 // agents die less often than messages arrive
 			}
 			w.playEvent(pick, c.Choose)
 			if err := w.checkInvariants(); err != nil {
@@ -122,14 +123,14 @@
 	}
 }
 
-// playEvent plays what happens next.
+// playEvent plays one event.
 func (w *world) playEvent(event int, choose func(int) int) {
 	switch event {
 	case 0: // an entry gets a stamp and sends a start
 		w.mint(false)
 	case 1: // an entry sends a start and at once its cancel
 		w.mint(true)
-	case 2: // a message arrives, not for the last time
+	case 2: // a message is delivered and stays in flight
 		if len(w.inFlight) > 0 {
 			w.deliver(w.inFlight[choose(len(w.inFlight))], w.now, choose)
 		}
@@ -200,7 +201,8 @@
 	}
 }
 
-// submit sends the longest queued. A pause may lie before it.
+// submit sends the entry that was queued first. The process may have been
+// paused before.
 func (w *world) submit() {
 	if len(w.queued) == 0 {
 		return
@@ -236,7 +238,8 @@
 	}
 }
 
-// tamperBefore breaks the ledger before a message, as the variant says.
+// tamperBefore breaks the ledger before a message is handled, as the variant
+// requires.
 func (w *world) tamperBefore(id string, now mgclock.Millis) {
 	switch w.broken {
 	case timeGoesBack:
@@ -274,7 +277,7 @@
 	w.ledger.expiry = slices.DeleteFunc(w.ledger.expiry, func(each *record) bool { return each == r })
 }
 
-// checkInvariants holds what happened against the promises.
+// checkInvariants compares what happened with the guarantees.
 func (w *world) checkInvariants() error {
 	for id, runs := range w.runs {
 		if runs > 1 {
@@ -290,7 +293,7 @@
 	return nil
 }
 
-// state names all that the future depends on.
+// state returns a text of all that later events depend on.
 func (w *world) state() string {
 	var b strings.Builder
 	l := w.ledger
@@ -303,10 +306,9 @@
 	return b.String()
 }
 
-// A transfer ticket is booked twice, or a shift lead who was told "not run"
-// finds that the job ran. A start came twice, or after its cancel, or to a
-// successor; the record was full or had forgotten; or a paused process went by
-// an old time. In some order that nobody thought of.
+// A write runs twice, or runs after its caller was told "not run". Its start
+// was delivered twice, or after its cancel, or to a replacement agent; the
+// ledger was full or had forgotten it; or a paused process used an old time.
 func TestRunsTwiceOrAfterNotRun(t *testing.T) {
 	report := mgexplore.Exhaust(5_000_000, exhaustive(sound))
 	t.Logf("operation, %d steps: %v", exhaustiveSteps, report)
@@ -323,8 +325,8 @@
 	}
 }
 
-// The model itself could be blind. Each named variant lacks one guard, and the
-// model must say so.
+// The model itself may miss faults. Each variant lacks one guard, and the model
+// must detect that.
 func TestModelMissesBrokenLedger(t *testing.T) {
 	for _, broken := range []fault{noTombstone, shortTombstone, earlyForget, noExpiry, timeGoesBack, noMinStamp, ignoredSubmit, answersForOld, refusalForgotten} {
 		report := mgexplore.Seeds(7, 20_000, seeded(broken))
--- a/internal/request/mgoperation/operation.go
+++ b/internal/request/mgoperation/operation.go
@@ -9,11 +9,11 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// kind keeps operations' ids apart from other sealed names.
+// kind separates operation IDs from other sealed names.
 const kind = "operation"
 
-// An Operation is a minted id: a write that only one incarnation of one agent
-// may run.
+// An Operation is the content of a minted ID: a write that only one incarnation
+// of one agent may run.
 type Operation struct {
 	agent       string
 	incarnation string
@@ -25,7 +25,7 @@
 // Agent returns the agent that runs it.
 func (o Operation) Agent() string { return o.agent }
 
-// Incarnation returns the agent's life that alone may run it.
+// Incarnation returns the only incarnation of the agent that may run it.
 func (o Operation) Incarnation() string { return o.incarnation }
 
 // Service returns the service it is for.
@@ -34,7 +34,7 @@
 // Stamp returns the agent's time when it was minted.
 func (o Operation) Stamp() mgclock.Millis { return o.stamp }
 
-// A Minter makes the operation ids of one incarnation of an agent.
+// A Minter mints the operation IDs of one incarnation of an agent.
 type Minter struct {
 	seal        *mgseal.Signer
 	agent       string
@@ -51,8 +51,8 @@
 	}
 }
 
-// Mint returns a new operation id for account and service. It takes no memory:
-// the id itself says when it was minted and by whom.
+// Mint returns a new operation ID for account and service. It stores nothing:
+// the ID itself says when it was minted and by whom.
 func (m *Minter) Mint(account, service string, now mgclock.Millis) string {
 	return m.seal.Seal(kind, account,
 		m.agent,
@@ -62,8 +62,8 @@
 		strconv.FormatUint(m.number.Add(1), 10))
 }
 
-// Open returns the operation that was minted for account and service. Any
-// other text gives the problem Missing.
+// Open returns the operation that text names, if it was minted for account and
+// service. Any other text gives the problem Missing.
 func Open(seal *mgseal.Signer, account, service, text string) (Operation, error) {
 	fields, err := seal.Open(kind, account, text)
 	if err != nil || len(fields) != 5 || fields[2] != service {
@@ -87,8 +87,8 @@
 }
 
 // Check refuses an operation that another incarnation minted. It may have run
-// there, so the outcome is Unknown; and it is never run here, because there it
-// may still be running.
+// there, so the outcome is Unknown; it is never run here, because it may still
+// be running there.
 func (m *Minter) Check(o Operation) *mgproblem.Problem {
 	if o.agent == m.agent && o.incarnation == m.incarnation {
 		return nil
--- a/internal/request/mgoperation/problem.go
+++ b/internal/request/mgoperation/problem.go
@@ -2,7 +2,7 @@
 
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 
-// The reasons for which a start is refused.
+// The problems with which a start is refused.
 
 func problemTombstone() *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Tombstone, mgproblem.NotRun,
--- a/internal/request/mgoperation/spec.go
+++ b/internal/request/mgoperation/spec.go
@@ -7,18 +7,18 @@
 
 // The defaults of a Spec.
 const (
-	// AttemptWindow is longer than an entry holds on to an offer (its probe and
-	// retries end within a second or two) and short against an agent's life.
+	// AttemptWindow is longer than an entry uses an offer (its probe and retries
+	// end within a second or two) and short compared with an agent's lifetime.
 	AttemptWindow = 30 * mgclock.Second
-	// OperationWindow leaves a caller the time to mint, lose its connection and
-	// retry by hand.
+	// OperationWindow gives a caller time to mint, lose its connection and retry by
+	// hand.
 	OperationWindow = 10 * mgclock.Minute
-	// DefaultLinger lets those that wait for a late result read it.
+	// DefaultLinger gives waiting callers time to read a late result.
 	DefaultLinger = 10 * mgclock.Second
-	// DefaultMaxRecords bounds the entries: 50 writes a second for ten minutes,
-	// with room to spare, in about 10 MB.
+	// DefaultMaxRecords bounds the entries: 50 writes a second for ten minutes with
+	// some spare, in about 10 MB.
 	DefaultMaxRecords = 1 << 16
-	// DefaultMaxBodyBytes bounds the bodies of kept results.
+	// DefaultMaxBodyBytes bounds the total size of retained bodies.
 	DefaultMaxBodyBytes = 64 << 20
 )
 
@@ -26,11 +26,12 @@
 type Spec struct {
 	// Window is how long after its stamp an entry may begin.
 	Window mgclock.Millis
-	// Linger is how long a result is kept that came after the window.
+	// Linger is the minimum time for which a result is kept, so that one that
+	// arrives after the window can still be read.
 	Linger mgclock.Millis
 	// MaxRecords bounds the number of entries, tombstones included.
 	MaxRecords int
-	// MaxBodyBytes bounds the bodies of kept results.
+	// MaxBodyBytes bounds the total size of retained bodies.
 	MaxBodyBytes int
 }
 
@@ -50,28 +51,28 @@
 	return s
 }
 
-// A StartSpec is a message that asks for an entry to run.
+// A StartSpec is a request to run an entry.
 type StartSpec struct {
 	// ID names the attempt or operation.
 	ID string
-	// Stamp is the owner's time that the ID's offer or minting carries.
+	// Stamp is the agent's time at which it made the offer or minted the ID.
 	Stamp mgclock.Millis
-	// Deadline is the time after which it must not reach the upstream: the time
-	// of arrival plus the budget that the message carries.
+	// Deadline is the time after which the entry must not reach the upstream: the
+	// time of arrival plus the budget that the message carries.
 	Deadline mgclock.Millis
-	// Digest tells apart two bodies under one ID; 0 when it doesn't matter.
+	// Digest distinguishes bodies sent under one ID; 0 if that doesn't matter.
 	Digest uint64
-	// Generation is what an attempt that begins now is to be called upstream.
+	// Generation is the upstream's name for an attempt that begins now.
 	Generation string
 }
 
-// A Result is what an upstream answered.
+// A Result is an upstream's response.
 type Result struct {
 	// Outcome is Done, NotRun only if no byte reached the upstream, or Unknown.
 	Outcome mgproblem.Outcome
 	Status  int
 	Mime    string
 	Body    []byte
-	// Trimmed is set when the body was dropped to keep memory bounded.
+	// Trimmed is set when the body was dropped to bound memory.
 	Trimmed bool
 }
