--- a/internal/request/mgoperation/ledger_test.go
+++ b/internal/request/mgoperation/ledger_test.go
@@ -48,18 +48,18 @@
 		{"cancelled before its start arrives", "cancel begin begin", "notrun tombstone/notrun tombstone/notrun"},
 		{"cancelled while it is queued", "begin cancel submit begin", "run notrun tombstone/notrun tombstone/notrun"},
 		{"cancelled after it was sent", "begin submit cancel finish cancel", "run ok unknown - done"},
-		{"its time runs out in the queue", "begin sleep6 submit begin cancel", "run - late/notrun tombstone/notrun notrun"},
+		{"its deadline passes in the queue", "begin sleep6 submit begin cancel", "run - late/notrun tombstone/notrun notrun"},
 		{"the process pauses with it in the queue", "begin sleep60 submit", "run - late/notrun"},
 		{"its start arrives after the window", "sleep11 begin cancel", "- unconfirmed/unknown unknown"},
 		{"its copy arrives after it was forgotten", "begin submit finish sleep11 begin cancel", "run ok - - unconfirmed/unknown unknown"},
 		{"a tombstone outlives every start", "cancel sleep10 begin sleep1 begin", "notrun - tombstone/notrun - unconfirmed/unknown"},
 		{"the upstream can't be reached", "begin submit fail begin cancel", "run ok - tombstone/notrun notrun"},
-		{"the upstream is silent after the body", "begin submit lose cancel begin", "run ok - unknown join"},
+		{"the upstream doesn't answer after the body", "begin submit lose cancel begin", "run ok - unknown join"},
 		{"it is sent only once", "begin submit submit", "run ok unconfirmed/unknown"},
 		{"it runs past the window", "begin submit sleep30 begin finish begin sleep11 begin", "run ok - join - join - unconfirmed/unknown"},
 		{"another body under its id", "begin other", "run invalid/unknown"},
 	}
-	Convey("What is told at each ending", t, func() {
+	Convey("The replies of each sequence of events", t, func() {
 		for _, c := range cases {
 			Convey(c[0], func() {
 				So(playEvents(c[1]), ShouldEqual, c[2])
@@ -210,7 +210,7 @@
 		mgoperation.Single:     "single",
 		mgoperation.Pinned:     "pinned",
 	}
-	Convey("What a key promises", t, func() {
+	Convey("The guarantee for each key", t, func() {
 		for _, c := range cases {
 			Convey(c[0], func() {
 				promise, _, err := mgoperation.Weigh(&seal, mgoperation.KeySpec{
--- a/internal/request/mgoperation/model_test.go
+++ b/internal/request/mgoperation/model_test.go
@@ -35,10 +35,10 @@
 	earlyForget      fault = "result forgotten within the window"
 	noExpiry         fault = "old starts run"
 	timeGoesBack     fault = "time in the ledger goes back after a pause"
-	noMinStamp       fault = "no floor when the ledger is full"
+	noMinStamp       fault = "no minimum stamp when the ledger is full"
 	ignoredSubmit    fault = "what was queued is sent though it was cancelled"
 	answersForOld    fault = "a replaced agent answers for its predecessor"
-	refusalForgotten fault = "a refused start leaves nothing"
+	refusalForgotten fault = "a refused start leaves no tombstone"
 )
 
 // message is a start or cancel in flight. It stays in flight and may be
@@ -288,7 +288,7 @@
 		}
 	}
 	if len(w.ledger.records) > maxRecords {
-		return fmt.Errorf("%s: %d records held, room for %d", w.broken, len(w.ledger.records), maxRecords)
+		return fmt.Errorf("%s: %d records held, at most %d allowed", w.broken, len(w.ledger.records), maxRecords)
 	}
 	return nil
 }
