--- a/internal/request/mgdelivery/model_test.go
+++ b/internal/request/mgdelivery/model_test.go
@@ -11,28 +11,28 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-var long = flag.Int("schedules", 0, "random schedules of the longer run, 0 for none")
+var extraSchedules = flag.Int("schedules", 0, "random schedules of the longer run, 0 for none")
 
 const (
-	tokens      = 3  // of each generation
-	steps       = 9  // of an exhaustive schedule
-	seededSteps = 60 // of a random one
-	events      = 9  // kinds of steps
+	tokens          = 3  // of each generation
+	exhaustiveSteps = 9  // of an exhaustive schedule
+	seededSteps     = 60 // of a random one
+	eventKinds      = 9  // kinds of steps
 )
 
 // fault is one broken variant of the receiver. The model must catch each.
 type fault string
 
 const (
-	sound        fault = "sound"
-	anyGen       fault = "no generation check"
-	gaps         fault = "gap accepted"
-	repeats      fault = "duplicates delivered"
-	cuts         fault = "end accepted before the last token"
-	splices      fault = "another generation goes on after an interruption"
-	restarts     fault = "a caller that is back gets the answer from its start"
-	silent       fault = "loss is not told"
-	everyAttempt fault = "frames of older attempts taken, generation unchecked"
+	sound              fault = "sound"
+	noGenerationCheck  fault = "no generation check"
+	acceptsGap         fault = "gap accepted"
+	deliversTwice      fault = "duplicates delivered"
+	acceptsEarlyEnd    fault = "end accepted before the last token"
+	splicesGenerations fault = "another generation goes on after an interruption"
+	resumesFromStart   fault = "a caller that is back gets the answer from its start"
+	hidesLoss          fault = "loss is not told"
+	acceptsOldAttempt  fault = "frames of older attempts taken, generation unchecked"
 )
 
 // frame is one on its way, with the attempt whose stream it is on.
@@ -44,37 +44,37 @@
 // world is a caller, its receiver, the network and the engines' generations
 // "A", "B" and so on, whose tokens are "A1", "A2" and so on.
 type world struct {
-	broken   fault
-	whole    bool
-	receiver *Receiver
-	attempt  int
-	engine   int // the generation that is running, from 0
-	sent     uint64
-	flight   []frame
-	got      []string
-	told     string
+	broken    fault
+	whole     bool
+	receiver  *Receiver
+	attempt   int
+	engine    int // the generation that is running, from 0
+	emitted   uint64
+	inFlight  []frame
+	delivered []string
+	outcome   string
 }
 
 func name(generation int) string { return string(rune('A' + generation)) }
 
 func token(generation int, seq uint64) string { return fmt.Sprint(name(generation), seq) }
 
-func model(broken fault, whole bool) func(*mgexplore.Chooser) error {
+func exhaustive(broken fault, whole bool) func(*mgexplore.Chooser) error {
 	return func(c *mgexplore.Chooser) error {
 		w := newWorld(broken, whole)
-		for step := range steps {
+		for step := range exhaustiveSteps {
 			if c.Seen(step, w.state) {
 				return nil
 			}
-			w.step(c.Choose(events))
-			if err := w.check(); err != nil {
+			w.playEvent(c.Choose(eventKinds))
+			if err := w.checkInvariants(); err != nil {
 				return err
 			}
 		}
-		if c.Seen(steps, w.state) {
+		if c.Seen(exhaustiveSteps, w.state) {
 			return nil
 		}
-		return w.settle()
+		return w.finish()
 	}
 }
 
@@ -84,16 +84,16 @@
 		w := newWorld(broken, whole)
 		for step := range seededSteps {
 			c.Seen(step, w.state)
-			pick := c.Choose(events)
+			pick := c.Choose(eventKinds)
 			if c.Choose(4) > 0 {
 				pick %= 2
 			}
-			w.step(pick)
-			if err := w.check(); err != nil {
+			w.playEvent(pick)
+			if err := w.checkInvariants(); err != nil {
 				return err
 			}
 		}
-		return w.settle()
+		return w.finish()
 	}
 }
 
@@ -109,40 +109,40 @@
 	return w
 }
 
-// settle plays the rest without faults: the caller must get its last word.
-func (w *world) settle() error {
+// finish plays the rest without faults: the caller must get its last word.
+func (w *world) finish() error {
 	for range 10 * tokens {
-		if w.told != "" {
+		if w.outcome != "" {
 			return nil
 		}
 		w.emit()
-		for len(w.flight) > 0 {
-			w.arrive(0, true)
-			if err := w.check(); err != nil {
+		for len(w.inFlight) > 0 {
+			w.deliver(0, true)
+			if err := w.checkInvariants(); err != nil {
 				return err
 			}
 		}
 	}
-	return fmt.Errorf("%s: caller has %v and waits for ever", w.broken, w.got)
+	return fmt.Errorf("%s: caller has %v and waits for ever", w.broken, w.delivered)
 }
 
-// step plays what happens next. The order puts what goes well first.
-func (w *world) step(pick int) {
-	switch pick {
+// playEvent plays what happens next. The order puts what goes well first.
+func (w *world) playEvent(event int) {
+	switch event {
 	case 0:
 		w.emit()
 	case 1:
-		w.arrive(0, true)
+		w.deliver(0, true)
 	case 2: // reordered
-		w.arrive(1, true)
+		w.deliver(1, true)
 	case 3: // duplicated
-		w.arrive(0, false)
+		w.deliver(0, false)
 	case 4: // dropped
-		if len(w.flight) > 0 {
-			w.flight = w.flight[1:]
+		if len(w.inFlight) > 0 {
+			w.inFlight = w.inFlight[1:]
 		}
 	case 5: // crossed: another generation's next token on this stream
-		w.take(frame{
+		w.receive(frame{
 			attempt: w.attempt,
 			Frame: &Frame{
 				Generation: "Z",
@@ -151,7 +151,7 @@
 			},
 		})
 	case 6: // engine killed
-		w.take(frame{
+		w.receive(frame{
 			attempt: w.attempt,
 			Frame: &Frame{
 				Generation: name(w.engine),
@@ -159,35 +159,35 @@
 			},
 		})
 	case 7: // agent gone for good
-		if w.broken != silent {
-			w.act(w.receiver.Lost(w.attempt))
-		} else if !w.receiver.over {
-			w.act(w.receiver.deliver(Finish, nil))
+		if w.broken != hidesLoss {
+			w.apply(w.receiver.Lost(w.attempt))
+		} else if !w.receiver.finished {
+			w.apply(w.receiver.deliver(Finish, nil))
 		}
 	case 8:
-		w.comeBack()
+		w.resumeElsewhere()
 	}
 }
 
 // emit puts the engine's next token on its way, the end with the last.
 func (w *world) emit() {
-	if w.sent == tokens {
-		w.flight = append(w.flight, w.end())
+	if w.emitted == tokens {
+		w.inFlight = append(w.inFlight, w.end())
 		return
 	}
-	w.sent++
+	w.emitted++
 	f := &Frame{
 		Generation: name(w.engine),
-		Seq:        w.sent,
-		Text:       []string{token(w.engine, w.sent)},
+		Seq:        w.emitted,
+		Text:       []string{token(w.engine, w.emitted)},
 	}
-	if w.sent == tokens {
+	if w.emitted == tokens {
 		f.End = "stop"
 		f.Total = tokens
 		// The end may also come on its own, ahead of the last token.
-		w.flight = append(w.flight, w.end())
+		w.inFlight = append(w.inFlight, w.end())
 	}
-	w.flight = append(w.flight, frame{
+	w.inFlight = append(w.inFlight, frame{
 		attempt: w.attempt,
 		Frame:   f,
 	})
@@ -204,19 +204,19 @@
 	}
 }
 
-func (w *world) arrive(i int, gone bool) {
-	if i >= len(w.flight) {
+func (w *world) deliver(i int, remove bool) {
+	if i >= len(w.inFlight) {
 		return
 	}
-	f := w.flight[i]
-	if gone {
-		w.flight = slices.Delete(slices.Clone(w.flight), i, i+1)
+	f := w.inFlight[i]
+	if remove {
+		w.inFlight = slices.Delete(slices.Clone(w.inFlight), i, i+1)
 	}
-	w.take(f)
+	w.receive(f)
 }
 
-// take gives the receiver a frame, tampered with by the broken variant.
-func (w *world) take(f frame) {
+// receive gives the receiver a frame, tampered with by the broken variant.
+func (w *world) receive(f frame) {
 	r := w.receiver
 	in := &Frame{
 		Generation: f.Generation,
@@ -227,87 +227,87 @@
 		Total:      f.Total,
 	}
 	switch w.broken {
-	case anyGen:
+	case noGenerationCheck:
 		in.Generation = r.generation
-	case everyAttempt:
+	case acceptsOldAttempt:
 		in.Generation = r.generation
-		f.attempt = r.reading
-	case gaps:
+		f.attempt = r.currentAttempt
+	case acceptsGap:
 		if in.Seq > r.last+1 {
 			r.last = in.Seq - 1
 		}
-	case repeats:
+	case deliversTwice:
 		if in.Seq > 0 && in.Seq <= r.last {
 			in.Seq = r.last + 1
 		}
-	case cuts:
+	case acceptsEarlyEnd:
 		if in.End != "" && len(in.Text) == 0 {
 			in.Total = r.last
 		}
 	}
-	w.act(r.Frame(f.attempt, in))
+	w.apply(r.Frame(f.attempt, in))
 }
 
-func (w *world) act(d Decision) {
-	w.got = append(w.got, d.Tokens()...)
+func (w *world) apply(d Decision) {
+	w.delivered = append(w.delivered, d.Tokens()...)
 	switch d.Action() {
 	case Finish:
-		w.told = "whole"
+		w.outcome = "whole"
 	case Reopen:
-		w.sent = w.receiver.Last()
+		w.emitted = w.receiver.Last()
 	case Elsewhere:
 		w.start()
 	case Fail:
-		if w.broken == splices && w.engine == 0 {
+		if w.broken == splicesGenerations && w.engine == 0 {
 			w.receiver = New(Spec{
 				From: w.receiver.Last(),
 			})
 			w.start()
-			w.sent = w.receiver.Last()
+			w.emitted = w.receiver.Last()
 			return
 		}
-		w.told = string(d.Problem().Kind())
+		w.outcome = string(d.Problem().Kind())
 	}
 }
 
 func (w *world) start() {
 	w.engine++
-	w.sent = 0
+	w.emitted = 0
 	w.attempt = w.receiver.Begin(name(w.engine))
 }
 
-// comeBack plays a streaming caller that lost its entry and resumes through
+// resumeElsewhere plays a streaming caller that lost its entry and resumes through
 // another with the last token that it has.
-func (w *world) comeBack() {
-	if w.whole || len(w.got) == 0 || w.told != "" {
+func (w *world) resumeElsewhere() {
+	if w.whole || len(w.delivered) == 0 || w.outcome != "" {
 		return
 	}
-	from := uint64(len(w.got))
-	if w.broken == restarts {
+	from := uint64(len(w.delivered))
+	if w.broken == resumesFromStart {
 		from = 0
 	}
 	w.receiver = New(Spec{
 		From:   from,
 		Pinned: true,
 	})
-	w.flight = nil // they went to the other entry
+	w.inFlight = nil // they went to the other entry
 	w.attempt = w.receiver.Begin(name(w.engine))
-	w.sent = from
+	w.emitted = from
 }
 
-// check holds what the caller has had against the promises.
-func (w *world) check() error {
-	for i, text := range w.got {
+// checkInvariants holds what the caller has had against the promises.
+func (w *world) checkInvariants() error {
+	for i, text := range w.delivered {
 		if want := token(w.engine, uint64(i+1)); text != want {
-			return fmt.Errorf("%s: caller got %v: token %d is not %s", w.broken, w.got, i+1, want)
+			return fmt.Errorf("%s: caller got %v: token %d is not %s", w.broken, w.delivered, i+1, want)
 		}
 	}
 	switch {
-	case w.told == "whole" && len(w.got) != tokens:
-		return fmt.Errorf("%s: caller was told %v is whole", w.broken, w.got)
-	case w.told != "" && w.told != "whole" && w.told != string(mgproblem.Interrupted):
-		return fmt.Errorf("%s: caller was told %s", w.broken, w.told)
-	case w.told == "" && w.receiver.Over():
+	case w.outcome == "whole" && len(w.delivered) != tokens:
+		return fmt.Errorf("%s: caller was told %v is whole", w.broken, w.delivered)
+	case w.outcome != "" && w.outcome != "whole" && w.outcome != string(mgproblem.Interrupted):
+		return fmt.Errorf("%s: caller was told %s", w.broken, w.outcome)
+	case w.outcome == "" && w.receiver.Over():
 		return fmt.Errorf("%s: caller was told nothing", w.broken)
 	}
 	return nil
@@ -317,8 +317,8 @@
 func (w *world) state() string {
 	var b strings.Builder
 	r := w.receiver
-	fmt.Fprint(&b, w.engine, w.sent, w.attempt, w.got, w.told, r.reading, r.begun, r.started, r.generation, r.last, r.refusals, r.over, r.spec)
-	for _, f := range w.flight {
+	fmt.Fprint(&b, w.engine, w.emitted, w.attempt, w.delivered, w.outcome, r.currentAttempt, r.attemptCount, r.generationCount, r.generation, r.last, r.refusals, r.finished, r.spec)
+	for _, f := range w.inFlight {
 		fmt.Fprint(&b, "|", f.attempt, f.Generation, f.Seq, f.Text, f.End)
 	}
 	return b.String()
@@ -328,19 +328,19 @@
 // runs of the model, or cut off without a word. Frames were dropped, doubled,
 // reordered or crossed, engines died, or the caller came back through another
 // entry, in some order that nobody thought of.
-func TestEverySchedule(t *testing.T) {
+func TestCallerGetsWrongTokens(t *testing.T) {
 	for _, whole := range []bool{false, true} {
-		report := mgexplore.Exhaust(2_000_000, model(sound, whole))
-		t.Logf("delivery, whole %t, %d steps: %v", whole, steps, report)
+		report := mgexplore.Exhaust(2_000_000, exhaustive(sound, whole))
+		t.Logf("delivery, whole %t, %d steps: %v", whole, exhaustiveSteps, report)
 		if report.Violation() != nil || !report.Whole() {
 			t.Fail()
 		}
 	}
 }
 
-func TestSeededSchedules(t *testing.T) {
+func TestCallerGetsWrongTokensSeeded(t *testing.T) {
 	for _, whole := range []bool{false, true} {
-		report := mgexplore.Seeds(5, max(1000, *long), seeded(sound, whole))
+		report := mgexplore.Seeds(5, max(1000, *extraSchedules), seeded(sound, whole))
 		t.Logf("delivery, whole %t, seeded: %v", whole, report)
 		if report.Violation() != nil {
 			t.Fail()
@@ -350,9 +350,9 @@
 
 // The model itself could be blind. Each named variant lacks one guard, and the
 // model must say so.
-func TestBrokenVariants(t *testing.T) {
-	for _, broken := range []fault{anyGen, gaps, repeats, cuts, splices, restarts, silent, everyAttempt} {
-		report := mgexplore.Exhaust(2_000_000, model(broken, false))
+func TestModelMissesBrokenReceiver(t *testing.T) {
+	for _, broken := range []fault{noGenerationCheck, acceptsGap, deliversTwice, acceptsEarlyEnd, splicesGenerations, resumesFromStart, hidesLoss, acceptsOldAttempt} {
+		report := mgexplore.Exhaust(2_000_000, exhaustive(broken, false))
 		t.Logf("%v", report)
 		if report.Violation() == nil {
 			t.Errorf("%s: not caught", broken)
--- a/internal/request/mgdelivery/receiver.go
+++ b/internal/request/mgdelivery/receiver.go
@@ -36,15 +36,15 @@
 // A Receiver is the reading end of one answer. The zero Receiver is that of a
 // streaming caller.
 type Receiver struct {
-	spec       Spec
-	begun      int    // counts Begin
-	reading    int    // the attempt whose frames are taken, or 0
-	started    int    // counts the generations
-	generation string // the one that is read
-	last       uint64 // the last token taken, delivered unless whole
-	kept       []string
-	refusals   int
-	over       bool
+	spec            Spec
+	attemptCount    int    // counts Begin
+	currentAttempt  int    // the attempt whose frames are taken, or 0
+	generationCount int    // counts the generations
+	generation      string // the one that is read
+	last            uint64 // the last token taken, delivered unless whole
+	buffered        []string
+	refusals        int
+	finished        bool
 }
 
 // New returns the Receiver of an answer.
@@ -63,20 +63,20 @@
 // under the number 0, which is returned for a generation that can't follow.
 func (r *Receiver) Begin(generation string) int {
 	other := generation != r.generation
-	if other && r.started > 0 && r.delivered() > 0 {
+	if other && r.generationCount > 0 && r.delivered() > 0 {
 		// Another generation's tokens after this one's would be a splice.
 		return 0
 	}
 	if other {
-		r.started++
+		r.generationCount++
 		r.generation = generation
 		r.last = r.spec.From
-		r.kept = nil
+		r.buffered = nil
 	}
-	r.begun++
-	r.reading = r.begun
+	r.attemptCount++
+	r.currentAttempt = r.attemptCount
 	r.refusals = 0
-	return r.reading
+	return r.currentAttempt
 }
 
 // Generation returns the generation that is read.
@@ -86,11 +86,11 @@
 func (r *Receiver) Last() uint64 { return r.last }
 
 // Over reports whether the caller has had the last word.
-func (r *Receiver) Over() bool { return r.over }
+func (r *Receiver) Over() bool { return r.finished }
 
 // Frame takes a frame that came on an attempt's stream.
 func (r *Receiver) Frame(attempt int, f *Frame) Decision {
-	if r.over || attempt == 0 || attempt != r.reading {
+	if r.finished || attempt == 0 || attempt != r.currentAttempt {
 		// A frame of an earlier attempt was on its way when the answer went
 		// elsewhere. Its tokens are of another run of the model, and mixed in
 		// they would make a text that no generation wrote.
@@ -100,41 +100,41 @@
 		// A stream that was crossed with another, or an agent that started over.
 		return r.refuse()
 	}
-	if cause := broken(f); cause != "" {
-		return r.lost(cause)
+	if cause := failureOf(f); cause != "" {
+		return r.giveUp(cause)
 	}
 	fresh := r.fresh(f)
-	if r.missing(f, fresh) {
+	if r.hasGap(f, fresh) {
 		return r.refuse()
 	}
-	return r.take(f, fresh)
+	return r.accept(f, fresh)
 }
 
-// broken returns why the generation of f can't be continued, or "".
-func broken(f *Frame) string {
+// failureOf returns why the generation of f can't be continued, or "".
+func failureOf(f *Frame) string {
 	if f.End == endCancelled {
 		return "it was cancelled at the engine"
 	}
 	return f.Fault
 }
 
-// missing reports whether tokens were lost before f, or before the end that it
+// hasGap reports whether tokens were lost before f, or before the end that it
 // tells. Taken, the text would lack them, and with the end nobody would see it.
-func (r *Receiver) missing(f *Frame, fresh []string) bool {
+func (r *Receiver) hasGap(f *Frame, fresh []string) bool {
 	if len(f.Text) > 0 && f.Seq > r.last+1 {
 		return true
 	}
 	return f.End != "" && f.Total != r.last+uint64(len(fresh))
 }
 
-// take notes the fresh tokens and decides what the caller is given.
-func (r *Receiver) take(f *Frame, fresh []string) Decision {
+// accept notes the fresh tokens and decides what the caller is given.
+func (r *Receiver) accept(f *Frame, fresh []string) Decision {
 	if len(fresh) > 0 {
 		r.refusals = 0
 	}
 	r.last += uint64(len(fresh))
 	if r.spec.Whole {
-		r.kept = append(r.kept, fresh...)
+		r.buffered = append(r.buffered, fresh...)
 	}
 	switch {
 	case f.End != "":
@@ -149,10 +149,10 @@
 // Lost tells that an attempt's generation can't be read any more: its agent or
 // engine is gone, or its link gave up.
 func (r *Receiver) Lost(attempt int) Decision {
-	if r.over || attempt == 0 || attempt != r.reading {
+	if r.finished || attempt == 0 || attempt != r.currentAttempt {
 		return Decision{}
 	}
-	return r.lost("the connection to its engine is lost")
+	return r.giveUp("the connection to its engine is lost")
 }
 
 // fresh returns the tokens of f that were not taken yet. A reopened stream
@@ -171,9 +171,9 @@
 
 // end gives the caller the rest and the end.
 func (r *Receiver) end(f *Frame, fresh []string) Decision {
-	r.over = true
+	r.finished = true
 	if r.spec.Whole {
-		fresh = r.kept
+		fresh = r.buffered
 	}
 	d := r.deliver(Finish, fresh)
 	d.end = f.End
@@ -183,19 +183,19 @@
 func (r *Receiver) refuse() Decision {
 	r.refusals++
 	if r.refusals > maxRefusals {
-		return r.lost("its frames don't follow one another")
+		return r.giveUp("its frames don't follow one another")
 	}
 	return Decision{
 		action: Reopen,
 	}
 }
 
-// lost gives up on the generation. What the caller has had decides: nothing,
+// giveUp gives up on the generation. What the caller has had decides: nothing,
 // and the answer starts over elsewhere; something, and it is told so, since no
 // other generation continues this one's text.
-func (r *Receiver) lost(cause string) Decision {
-	if r.delivered() == 0 && !r.spec.Pinned && r.started < r.generations() {
-		r.reading = 0
+func (r *Receiver) giveUp(cause string) Decision {
+	if r.delivered() == 0 && !r.spec.Pinned && r.generationCount < r.maxGenerations() {
+		r.currentAttempt = 0
 		return Decision{
 			action: Elsewhere,
 			cancel: r.generation,
@@ -207,7 +207,7 @@
 }
 
 func (r *Receiver) fail(problem *mgproblem.Problem) Decision {
-	r.over = true
+	r.finished = true
 	return Decision{
 		action:  Fail,
 		cancel:  r.generation,
@@ -231,7 +231,7 @@
 	return r.last
 }
 
-func (r *Receiver) generations() int {
+func (r *Receiver) maxGenerations() int {
 	if r.spec.Generations > 0 {
 		return r.spec.Generations
 	}
--- a/internal/request/mgdelivery/receiver_test.go
+++ b/internal/request/mgdelivery/receiver_test.go
@@ -10,8 +10,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// kinds are the specs of the cases, by name.
-var kinds = map[string]mgdelivery.Spec{
+// specs are the specs of the cases, by name.
+var specs = map[string]mgdelivery.Spec{
 	"stream": {},
 	"whole": {
 		Whole: true,
@@ -25,8 +25,8 @@
 	},
 }
 
-// actions are the words of the cases.
-var actions = map[mgdelivery.Action]string{
+// actionNames are the words of the cases.
+var actionNames = map[mgdelivery.Action]string{
 	mgdelivery.Wait:      "wait",
 	mgdelivery.Deliver:   "deliver",
 	mgdelivery.Finish:    "finish",
@@ -35,13 +35,13 @@
 	mgdelivery.Fail:      "fail",
 }
 
-// parse reads a frame: generation, first token's number and one letter a token,
+// parseFrame reads a frame: generation, first token's number and one letter a token,
 // and = with the total at the end, as in g1ab=2. ! is a fault, ~ a cancel.
-func parse(word string) *mgdelivery.Frame {
+func parseFrame(text string) *mgdelivery.Frame {
 	f := &mgdelivery.Frame{
-		Generation: word[:1],
+		Generation: text[:1],
 	}
-	tokens, total, ended := strings.Cut(word[1:], "=")
+	tokens, total, ended := strings.Cut(text[1:], "=")
 	switch {
 	case tokens == "!":
 		f.Fault = "interrupted"
@@ -62,7 +62,7 @@
 // came again after a reopen, with a gap, or from another stream. Each case has
 // its story, the kind of caller, the frames of one attempt, and the decision on
 // the last of them with its tokens.
-func TestFrames(t *testing.T) {
+func TestFrameRepeatedMissingOrForeign(t *testing.T) {
 	cases := [][4]string{
 		{"new tokens", "stream", "g1ab", "deliver ab"},
 		{"a duplicate", "stream", "g1a g1a", "wait "},
@@ -89,13 +89,13 @@
 	Convey("The decision on the last frame", t, func() {
 		for _, c := range cases {
 			Convey(c[0], func() {
-				r := mgdelivery.New(kinds[c[1]])
+				r := mgdelivery.New(specs[c[1]])
 				attempt := r.Begin("g")
 				var d mgdelivery.Decision
 				for _, word := range strings.Fields(c[2]) {
-					d = r.Frame(attempt, parse(word))
+					d = r.Frame(attempt, parseFrame(word))
 				}
-				So(actions[d.Action()]+" "+strings.Join(d.Tokens(), ""), ShouldEqual, c[3])
+				So(actionNames[d.Action()]+" "+strings.Join(d.Tokens(), ""), ShouldEqual, c[3])
 			})
 		}
 	})
@@ -104,18 +104,18 @@
 // A dossier stops halfway. Its engine was killed, and the member must not take
 // the half for the whole: the end is told, with what was delivered of which
 // generation.
-func TestInterrupted(t *testing.T) {
+func TestPartTakenForWhole(t *testing.T) {
 	Convey("An interruption after the first token is told as it is", t, func() {
 		var r mgdelivery.Receiver
 		attempt := r.Begin("g")
-		r.Frame(attempt, parse("g1ab"))
+		r.Frame(attempt, parseFrame("g1ab"))
 		d := r.Lost(attempt)
 		So(d.Problem().Kind(), ShouldEqual, mgproblem.Interrupted)
 		So(d.Problem().Detail(), ShouldContainSubstring, "2 tokens of generation g")
 		So(d.Cancel(), ShouldEqual, "g")
 		Convey("and no other generation can follow it", func() {
 			So(r.Begin("h"), ShouldEqual, 0)
-			So(r.Frame(0, parse("h3c")).Action(), ShouldEqual, mgdelivery.Wait)
+			So(r.Frame(0, parseFrame("h3c")).Action(), ShouldEqual, mgdelivery.Wait)
 		})
 	})
 }
@@ -123,15 +123,15 @@
 // A request went elsewhere before its first token, and then the first engine's
 // tokens arrive after all: its link had stalled. They are of a text that the
 // caller will not see.
-func TestLateAttempt(t *testing.T) {
+func TestLateFramesOfOlderAttempt(t *testing.T) {
 	Convey("Frames and losses of an older attempt do nothing", t, func() {
 		var r mgdelivery.Receiver
 		old := r.Begin("g")
 		So(r.Lost(old).Action(), ShouldEqual, mgdelivery.Elsewhere)
-		So(r.Frame(old, parse("g1x")).Action(), ShouldEqual, mgdelivery.Wait)
+		So(r.Frame(old, parseFrame("g1x")).Action(), ShouldEqual, mgdelivery.Wait)
 		attempt := r.Begin("h")
-		So(r.Frame(old, parse("g1x")).Action(), ShouldEqual, mgdelivery.Wait)
+		So(r.Frame(old, parseFrame("g1x")).Action(), ShouldEqual, mgdelivery.Wait)
 		So(r.Lost(old).Action(), ShouldEqual, mgdelivery.Wait)
-		So(r.Frame(attempt, parse("h1y")).Tokens(), ShouldResemble, []string{"y"})
+		So(r.Frame(attempt, parseFrame("h1y")).Tokens(), ShouldResemble, []string{"y"})
 	})
 }
