--- a/internal/request/mgdelivery/decision.go
+++ b/internal/request/mgdelivery/decision.go
@@ -2,28 +2,28 @@
 
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 
-// Action is what the entry does next.
+// Action is the entry's next step.
 type Action uint8
 
 // The actions.
 const (
 	// Wait: nothing new for the caller.
 	Wait Action = iota
-	// Deliver: give the caller the decision's tokens.
+	// Deliver: send the decision's tokens to the caller.
 	Deliver
-	// Finish: give the caller the decision's tokens and the end. The answer is
-	// whole.
+	// Finish: send the decision's tokens and the end to the caller. The answer is
+	// complete.
 	Finish
 	// Reopen: read the same generation again from the token after Last, on a new
 	// connection.
 	Reopen
-	// Elsewhere: start a new generation; the caller has had nothing.
+	// Elsewhere: start a new generation; the caller has received nothing.
 	Elsewhere
-	// Fail: tell the caller the decision's problem. It is the last word.
+	// Fail: report the decision's problem to the caller. Nothing follows it.
 	Fail
 )
 
-// A Decision is the answer to an event.
+// A Decision is the Receiver's reaction to an event.
 type Decision struct {
 	action  Action
 	first   uint64
@@ -33,25 +33,24 @@
 	problem *mgproblem.Problem
 }
 
-// Action returns what to do.
+// Action returns the next step.
 func (d Decision) Action() Action { return d.action }
 
 // First returns the sequence number of the first of Tokens.
 func (d Decision) First() uint64 { return d.first }
 
-// Last returns the sequence number of the last of Tokens, with which an SSE
-// event is named.
+// Last returns the sequence number of the last of Tokens, which the SSE event's
+// ID contains.
 func (d Decision) Last() uint64 { return d.first + uint64(len(d.tokens)) - 1 }
 
-// Tokens returns what the caller is given, in order.
+// Tokens returns the tokens to deliver, in order.
 func (d Decision) Tokens() []string { return d.tokens }
 
-// End returns how the generation ended, with Finish.
+// End returns the reason why the generation ended, with Finish.
 func (d Decision) End() string { return d.end }
 
-// Cancel returns the generation to be cancelled, since nobody will read it, or
-// "".
+// Cancel returns the generation to cancel because nobody will read it, or "".
 func (d Decision) Cancel() string { return d.cancel }
 
-// Problem returns what the caller is told, with Fail.
+// Problem returns the problem to report to the caller, with Fail.
 func (d Decision) Problem() *mgproblem.Problem { return d.problem }
--- a/internal/request/mgdelivery/frame.go
+++ b/internal/request/mgdelivery/frame.go
@@ -1,10 +1,10 @@
 package mgdelivery
 
-// A Frame is what an agent sends of a generation at a time. One without text, end
-// and fault is a heartbeat.
+// A Frame is one message of a generation's stream. One without text, end and
+// fault is a heartbeat.
 type Frame struct {
-	Generation string   // the one that it belongs to
-	Seq        uint64   // number of its first token, from 1
+	Generation string   // the generation that it belongs to
+	Seq        uint64   // sequence number of its first token, from 1
 	Text       []string // its tokens, in order
 	End        string   // why the generation ended, on its last frame
 	Fault      string   // why the generation can't be continued
--- a/internal/request/mgdelivery/model_test.go
+++ b/internal/request/mgdelivery/model_test.go
@@ -14,13 +14,13 @@
 var extraSchedules = flag.Int("schedules", 0, "random schedules of the longer run, 0 for none")
 
 const (
-	tokens          = 3  // of each generation
-	exhaustiveSteps = 9  // of an exhaustive schedule
-	seededSteps     = 60 // of a random one
-	eventKinds      = 9  // kinds of steps
+	tokens          = 3  // tokens of each generation
+	exhaustiveSteps = 9  // events in an exhaustive schedule
+	seededSteps     = 60 // events in a random schedule
+	eventKinds      = 9  // kinds of events
 )
 
-// fault is one broken variant of the receiver. The model must catch each.
+// fault is a broken variant of the receiver. The model must catch each.
 type fault string
 
 const (
@@ -35,13 +35,13 @@
 	acceptsOldAttempt  fault = "frames of older attempts taken, generation unchecked"
 )
 
-// frame is one on its way, with the attempt whose stream it is on.
+// frame is a frame in flight, with the attempt whose stream carries it.
 type frame struct {
 	attempt int
 	*Frame
 }
 
-// world is a caller, its receiver, the network and the engines' generations
+// world models a caller, its receiver, the network and the engines' generations
 // "A", "B" and so on, whose tokens are "A1", "A2" and so on.
 type world struct {
 	broken    fault
@@ -78,7 +78,7 @@
 	}
 }
 
-// seeded plays longer schedules, in which most steps go well.
+// seeded plays longer random schedules, in which most events are fault-free.
 func seeded(broken fault, whole bool) func(*mgexplore.Chooser) error {
 	return func(c *mgexplore.Chooser) error {
 		w := newWorld(broken, whole)
@@ -109,7 +109,8 @@
 	return w
 }
 
-// finish plays the rest without faults: the caller must get its last word.
+// finish plays the rest without faults: the caller must get an end or a
+// problem.
 func (w *world) finish() error {
 	for range 10 * tokens {
 		if w.outcome != "" {
@@ -126,7 +127,7 @@
 	return fmt.Errorf("%s: caller has %v and waits for ever", w.broken, w.delivered)
 }
 
-// playEvent plays what happens next. The order puts what goes well first.
+// playEvent plays one event. The fault-free ones come first.
 func (w *world) playEvent(event int) {
 	switch event {
 	case 0:
@@ -169,7 +170,7 @@
 	}
 }
 
-// emit puts the engine's next token on its way, the end with the last.
+// emit sends the engine's next token, and the end with the last one.
 func (w *world) emit() {
 	if w.emitted == tokens {
 		w.inFlight = append(w.inFlight, w.end())
@@ -184,7 +185,7 @@
 	if w.emitted == tokens {
 		f.End = "stop"
 		f.Total = tokens
-		// The end may also come on its own, ahead of the last token.
+		// The end may also arrive on its own, before the last token.
 		w.inFlight = append(w.inFlight, w.end())
 	}
 	w.inFlight = append(w.inFlight, frame{
@@ -215,7 +216,7 @@
 	w.receive(f)
 }
 
-// receive gives the receiver a frame, tampered with by the broken variant.
+// receive passes the receiver a frame, altered by the broken variant.
 func (w *world) receive(f frame) {
 	r := w.receiver
 	in := &Frame{
@@ -276,8 +277,8 @@
 	w.attempt = w.receiver.Begin(name(w.engine))
 }
 
-// resumeElsewhere plays a streaming caller that lost its entry and resumes through
-// another with the last token that it has.
+// resumeElsewhere plays a streaming caller that lost its entry and resumes
+// through another one from the last token that it has.
 func (w *world) resumeElsewhere() {
 	if w.whole || len(w.delivered) == 0 || w.outcome != "" {
 		return
@@ -290,12 +291,12 @@
 		From:   from,
 		Pinned: true,
 	})
-	w.inFlight = nil // they went to the other entry
+	w.inFlight = nil // they were sent to the other entry
 	w.attempt = w.receiver.Begin(name(w.engine))
 	w.emitted = from
 }
 
-// checkInvariants holds what the caller has had against the promises.
+// checkInvariants compares what the caller received with the guarantees.
 func (w *world) checkInvariants() error {
 	for i, text := range w.delivered {
 		if want := token(w.engine, uint64(i+1)); text != want {
@@ -313,7 +314,7 @@
 	return nil
 }
 
-// state names all that the future depends on.
+// state returns a text of all that later events depend on.
 func (w *world) state() string {
 	var b strings.Builder
 	r := w.receiver
@@ -324,10 +325,10 @@
 	return b.String()
 }
 
-// A gauger reads a report whose tokens are doubled, missing, mixed from two
-// runs of the model, or cut off without a word. Frames were dropped, doubled,
-// reordered or crossed, engines died, or the caller came back through another
-// entry, in some order that nobody thought of.
+// A caller gets tokens that are repeated, missing, mixed from two generations,
+// or cut off without a problem. Frames are dropped, duplicated, reordered or
+// crossed, engines die, or the caller resumes through another entry, in any
+// order.
 func TestCallerGetsWrongTokens(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		report := mgexplore.Exhaust(2_000_000, exhaustive(sound, whole))
@@ -348,8 +349,8 @@
 	}
 }
 
-// The model itself could be blind. Each named variant lacks one guard, and the
-// model must say so.
+// The model itself may miss faults. Each variant lacks one guard, and the model
+// must detect that.
 func TestModelMissesBrokenReceiver(t *testing.T) {
 	for _, broken := range []fault{noGenerationCheck, acceptsGap, deliversTwice, acceptsEarlyEnd, splicesGenerations, resumesFromStart, hidesLoss, acceptsOldAttempt} {
 		report := mgexplore.Exhaust(2_000_000, exhaustive(broken, false))
--- a/internal/request/mgdelivery/receiver.go
+++ b/internal/request/mgdelivery/receiver.go
@@ -9,39 +9,40 @@
 
 const (
 	// DefaultGenerations bounds the generations started for one answer. Each may
-	// have cost an engine its memory; the entry's retry budget bounds them all.
+	// have occupied an engine's memory; the entry's retry budget bounds their
+	// total.
 	DefaultGenerations = 3
-	// maxRefusals bounds the frames refused in a row. One gap or one crossed
-	// frame is mended by reading again; a stream that goes on with them is lost.
+	// maxRefusals bounds the frames refused in a row. A single gap or foreign frame
+	// is repaired by reading again; a stream that continues with them is given up.
 	maxRefusals = 3
 )
 
-// endCancelled is the end of a generation that was cancelled upstream.
+// endCancelled is the end that a generation reports when it was cancelled
+// upstream.
 const endCancelled = "cancelled"
 
 // A Spec describes an answer.
 type Spec struct {
-	// Whole is set for a caller that takes the answer in one piece.
+	// Whole is set for a caller that gets the answer in one piece.
 	Whole bool
-	// From is the last token that the caller has, for one that resumes.
+	// From is the number of the last token that a resuming caller has.
 	From uint64
-	// Pinned is set for one that resumes: the answer's name holds its
-	// generation, so there is no going elsewhere.
+	// Pinned is set for a resuming caller: the answer's name contains its
+	// generation, so it can't start over elsewhere.
 	Pinned bool
 	// Generations bounds the generations started, by default
 	// DefaultGenerations.
 	Generations int
 }
 
-// A Receiver is the reading end of one answer. The zero Receiver is that of a
-// streaming caller.
+// A Receiver reads one answer. The zero Receiver is that of a streaming caller.
 type Receiver struct {
 	spec            Spec
-	attemptCount    int    // counts Begin
-	currentAttempt  int    // the attempt whose frames are taken, or 0
-	generationCount int    // counts the generations
-	generation      string // the one that is read
-	last            uint64 // the last token taken, delivered unless whole
+	attemptCount    int    // calls of Begin that returned an attempt
+	currentAttempt  int    // the attempt whose frames are accepted, or 0
+	generationCount int    // generations started
+	generation      string // the generation that is read
+	last            uint64 // number of the last token accepted; delivered unless Whole
 	buffered        []string
 	refusals        int
 	finished        bool
@@ -50,7 +51,7 @@
 // New returns the Receiver of an answer.
 func New(spec Spec) *Receiver {
 	if spec.Whole {
-		spec.From = 0 // it has had nothing before the end
+		spec.From = 0 // nothing is delivered before the end
 	}
 	return &Receiver{
 		spec: spec,
@@ -58,9 +59,10 @@
 	}
 }
 
-// Begin tells that a generation was started, or is resumed, and returns the
-// number of the attempt that its frames are to come with. No frame is taken
-// under the number 0, which is returned for a generation that can't follow.
+// Begin records that a generation was started or is resumed, and returns the
+// number of the attempt with which its frames are passed to Frame. It returns
+// 0, under which no frame is accepted, for a generation that can't continue the
+// answer.
 func (r *Receiver) Begin(generation string) int {
 	other := generation != r.generation
 	if other && r.generationCount > 0 && r.delivered() > 0 {
@@ -82,22 +84,23 @@
 // Generation returns the generation that is read.
 func (r *Receiver) Generation() string { return r.generation }
 
-// Last returns the last token taken; reading goes on from the next.
+// Last returns the number of the last token accepted. Reading continues with
+// the next.
 func (r *Receiver) Last() uint64 { return r.last }
 
-// Over reports whether the caller has had the last word.
+// Over reports whether the caller was sent the end or a problem.
 func (r *Receiver) Over() bool { return r.finished }
 
-// Frame takes a frame that came on an attempt's stream.
+// Frame handles a frame received on an attempt's stream.
 func (r *Receiver) Frame(attempt int, f *Frame) Decision {
 	if r.finished || attempt == 0 || attempt != r.currentAttempt {
-		// A frame of an earlier attempt was on its way when the answer went
-		// elsewhere. Its tokens are of another run of the model, and mixed in
-		// they would make a text that no generation wrote.
+		// A frame of an earlier attempt was in flight when the answer started over
+		// elsewhere. Its tokens are of another run of the model; mixed in, they would
+		// make a text that no generation wrote.
 		return Decision{}
 	}
 	if f.Generation != r.generation {
-		// A stream that was crossed with another, or an agent that started over.
+		// The stream belongs to another generation, or the agent started over.
 		return r.refuse()
 	}
 	if cause := failureOf(f); cause != "" {
@@ -118,8 +121,9 @@
 	return f.Fault
 }
 
-// hasGap reports whether tokens were lost before f, or before the end that it
-// tells. Taken, the text would lack them, and with the end nobody would see it.
+// hasGap reports whether tokens are missing before f or before the end that it
+// reports. If f were accepted, the text would lack them, and with the end
+// nobody would notice.
 func (r *Receiver) hasGap(f *Frame, fresh []string) bool {
 	if len(f.Text) > 0 && f.Seq > r.last+1 {
 		return true
@@ -127,7 +131,7 @@
 	return f.End != "" && f.Total != r.last+uint64(len(fresh))
 }
 
-// accept notes the fresh tokens and decides what the caller is given.
+// accept records the fresh tokens and decides what is delivered.
 func (r *Receiver) accept(f *Frame, fresh []string) Decision {
 	if len(fresh) > 0 {
 		r.refusals = 0
@@ -146,8 +150,8 @@
 	}
 }
 
-// Lost tells that an attempt's generation can't be read any more: its agent or
-// engine is gone, or its link gave up.
+// Lost handles the loss of an attempt's generation: its agent or engine is
+// gone, or its link gave up.
 func (r *Receiver) Lost(attempt int) Decision {
 	if r.finished || attempt == 0 || attempt != r.currentAttempt {
 		return Decision{}
@@ -155,8 +159,8 @@
 	return r.giveUp("the connection to its engine is lost")
 }
 
-// fresh returns the tokens of f that were not taken yet. A reopened stream
-// repeats some, and a frame may hold both.
+// fresh returns the tokens of f that were not accepted before. A reopened
+// stream repeats some, and one frame may contain both.
 func (r *Receiver) fresh(f *Frame) []string {
 	text := f.Text
 	if len(text) == 0 || f.Seq == 0 {
@@ -169,7 +173,7 @@
 	return slices.Clone(text[known:])
 }
 
-// end gives the caller the rest and the end.
+// end delivers the remaining tokens and the end.
 func (r *Receiver) end(f *Frame, fresh []string) Decision {
 	r.finished = true
 	if r.spec.Whole {
@@ -190,9 +194,9 @@
 	}
 }
 
-// giveUp gives up on the generation. What the caller has had decides: nothing,
-// and the answer starts over elsewhere; something, and it is told so, since no
-// other generation continues this one's text.
+// giveUp abandons the generation. If nothing was delivered, the answer starts
+// over elsewhere. Otherwise the caller gets the problem, because no other
+// generation continues this one's text.
 func (r *Receiver) giveUp(cause string) Decision {
 	if r.delivered() == 0 && !r.spec.Pinned && r.generationCount < r.maxGenerations() {
 		r.currentAttempt = 0
@@ -223,7 +227,7 @@
 	}
 }
 
-// delivered counts the tokens that the caller has had.
+// delivered returns how many tokens the caller has received.
 func (r *Receiver) delivered() uint64 {
 	if r.spec.Whole {
 		return r.spec.From
--- a/internal/request/mgdelivery/receiver_test.go
+++ b/internal/request/mgdelivery/receiver_test.go
@@ -10,7 +10,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// specs are the specs of the cases, by name.
+// specs maps the names that the cases use to the specs of their receivers.
 var specs = map[string]mgdelivery.Spec{
 	"stream": {},
 	"whole": {
@@ -25,7 +25,7 @@
 	},
 }
 
-// actionNames are the words of the cases.
+// actionNames maps actions to the names that the cases use.
 var actionNames = map[mgdelivery.Action]string{
 	mgdelivery.Wait:      "wait",
 	mgdelivery.Deliver:   "deliver",
@@ -35,8 +35,9 @@
 	mgdelivery.Fail:      "fail",
 }
 
-// parseFrame reads a frame: generation, first token's number and one letter a token,
-// and = with the total at the end, as in g1ab=2. ! is a fault, ~ a cancel.
+// parseFrame parses a frame: generation, number of the first token and one
+// letter per token, and = with the total at the end, as in g1ab=2. ! is a
+// fault, ~ a cancel.
 func parseFrame(text string) *mgdelivery.Frame {
 	f := &mgdelivery.Frame{
 		Generation: text[:1],
@@ -58,10 +59,10 @@
 	return f
 }
 
-// A reader of a report sees tokens twice, none, or of two texts. The frames
-// came again after a reopen, with a gap, or from another stream. Each case has
-// its story, the kind of caller, the frames of one attempt, and the decision on
-// the last of them with its tokens.
+// A caller gets tokens twice, not at all, or of two texts, because frames are
+// repeated after a reopen, have a gap, or are of another stream. A case has a
+// name, the spec, the frames of one attempt, and the last frame's decision with
+// its tokens.
 func TestFrameRepeatedMissingOrForeign(t *testing.T) {
 	cases := [][4]string{
 		{"new tokens", "stream", "g1ab", "deliver ab"},
@@ -101,9 +102,8 @@
 	})
 }
 
-// A dossier stops halfway. Its engine was killed, and the member must not take
-// the half for the whole: the end is told, with what was delivered of which
-// generation.
+// An engine is killed halfway, and the caller takes the part for the whole. It
+// must get a problem that states how much of which generation was delivered.
 func TestPartTakenForWhole(t *testing.T) {
 	Convey("An interruption after the first token is told as it is", t, func() {
 		var r mgdelivery.Receiver
@@ -120,9 +120,9 @@
 	})
 }
 
-// A request went elsewhere before its first token, and then the first engine's
-// tokens arrive after all: its link had stalled. They are of a text that the
-// caller will not see.
+// A request starts over elsewhere before its first token, and then the first
+// engine's tokens arrive after all because its link had stalled. They are of a
+// text that the caller must not get.
 func TestLateFramesOfOlderAttempt(t *testing.T) {
 	Convey("Frames and losses of an older attempt do nothing", t, func() {
 		var r mgdelivery.Receiver
