--- a/internal/request/mgdelivery/model_test.go
+++ b/internal/request/mgdelivery/model_test.go
@@ -29,10 +29,10 @@
 	acceptsGap         fault = "gap accepted"
 	deliversTwice      fault = "duplicates delivered"
 	acceptsEarlyEnd    fault = "end accepted before the last token"
-	splicesGenerations fault = "another generation goes on after an interruption"
-	resumesFromStart   fault = "a caller that is back gets the answer from its start"
-	hidesLoss          fault = "loss is not told"
-	acceptsOldAttempt  fault = "frames of older attempts taken, generation unchecked"
+	splicesGenerations fault = "another generation continues after an interruption"
+	resumesFromStart   fault = "a resuming caller gets the answer from its start"
+	hidesLoss          fault = "loss is not reported"
+	acceptsOldAttempt  fault = "frames of older attempts accepted, generation unchecked"
 )
 
 // frame is a frame in flight, with the attempt whose stream carries it.
@@ -124,7 +124,7 @@
 			}
 		}
 	}
-	return fmt.Errorf("%s: caller has %v and waits for ever", w.broken, w.delivered)
+	return fmt.Errorf("%s: caller has %v and waits forever", w.broken, w.delivered)
 }
 
 // playEvent plays one event. The fault-free ones come first.
@@ -307,9 +307,9 @@
 	case w.outcome == "whole" && len(w.delivered) != tokens:
 		return fmt.Errorf("%s: caller was told %v is whole", w.broken, w.delivered)
 	case w.outcome != "" && w.outcome != "whole" && w.outcome != string(mgproblem.Interrupted):
-		return fmt.Errorf("%s: caller was told %s", w.broken, w.outcome)
+		return fmt.Errorf("%s: caller got the outcome %s", w.broken, w.outcome)
 	case w.outcome == "" && w.receiver.Over():
-		return fmt.Errorf("%s: caller was told nothing", w.broken)
+		return fmt.Errorf("%s: caller got no outcome", w.broken)
 	}
 	return nil
 }
--- a/internal/request/mgdelivery/receiver_test.go
+++ b/internal/request/mgdelivery/receiver_test.go
@@ -70,7 +70,7 @@
 		{"an overlap", "stream", "g1a g1ab", "deliver b"},
 		{"a gap", "stream", "g1a g3c", "reopen "},
 		{"a crossed stream", "stream", "h1x", "reopen "},
-		{"a crossed stream that goes on", "stream", "g1a h2x h2x h2x h2x", "fail "},
+		{"a crossed stream that continues", "stream", "g1a h2x h2x h2x h2x", "fail "},
 		{"the end", "stream", "g1a g=1", "finish "},
 		{"the end before the tail", "stream", "g1a g=2", "reopen "},
 		{"the end with a token, before the tail", "stream", "g1a g2b=3", "reopen "},
@@ -83,7 +83,7 @@
 		{"whole delivery waits", "whole", "g1a", "wait "},
 		{"whole delivery ends", "whole", "g1a g2b g=2", "finish ab"},
 		{"an engine killed in whole delivery", "whole", "g1a g!", "elsewhere "},
-		{"a caller that is back", "back", "g1ab", "deliver b"},
+		{"a resuming caller", "back", "g1ab", "deliver b"},
 		{"an engine killed while the caller was away", "back", "g!", "fail "},
 		{"a generation cancelled at the engine", "stream", "g1a g~", "fail "},
 	}
@@ -105,7 +105,7 @@
 // An engine is killed halfway, and the caller takes the part for the whole. It
 // must get a problem that states how much of which generation was delivered.
 func TestPartTakenForWhole(t *testing.T) {
-	Convey("An interruption after the first token is told as it is", t, func() {
+	Convey("An interruption after the first token is reported as such", t, func() {
 		var r mgdelivery.Receiver
 		attempt := r.Begin("g")
 		r.Frame(attempt, parseFrame("g1ab"))
