--- a/internal/request/mgrouting/fleet.go
+++ b/internal/request/mgrouting/fleet.go
@@ -15,52 +15,52 @@
 // is the one with the prefix.
 const DefaultCount = 3
 
-// Spread is how many times the average of requests in flight an upstream may
+// MaxLoadFactor is how many times the average of requests in flight an upstream may
 // have and still be the first candidate. Mirrokni et al. bound the moves by
 // the inverse square of its excess over 1: at 1.25 a new upstream moves few
 // prefixes, and none carries more than a quarter above its part.
-const Spread = 1.25
+const MaxLoadFactor = 1.25
 
-// leastFlights is the number of requests in flight at which the bound starts to
+// minBoundedFlights is the number of requests in flight at which the bound starts to
 // act. Below it the average of one entry is mostly chance, and nobody adds up
 // the fleet's.
-const leastFlights = 4
+const minBoundedFlights = 4
 
 // A Fleet is the list of upstreams, prepared for queries. The zero Fleet is
 // empty.
 type Fleet struct {
-	list   []node
-	models map[string]*group
+	nodes  []node
+	models map[string]*modelGroup
 }
 
 type node struct {
 	upstream Upstream
-	state    *state
+	counters *counters
 }
 
-// state is what an entry knows of an upstream by itself. It survives a new
+// counters is what an entry knows of an upstream by itself. It survives a new
 // list.
-type state struct {
-	flights atomic.Int32
-	leaving atomic.Bool
+type counters struct {
+	inFlight atomic.Int32
+	leaving  atomic.Bool
 }
 
-// group is the upstreams of one model.
-type group struct {
-	all     members
-	zones   map[string]members
-	regions map[string]members
+// modelGroup is the upstreams of one model.
+type modelGroup struct {
+	all     upstreamSet
+	zones   map[string]upstreamSet
+	regions map[string]upstreamSet
 }
 
-// members are upstreams as places in the list, with the hashes of their names.
+// upstreamSet are upstreams as places in the list, with the hashes of their names.
 // The hashes lie side by side: a look for a prefix reads all of them.
-type members struct {
-	places []int
-	hashes []uint64
+type upstreamSet struct {
+	indices []int
+	hashes  []uint64
 }
 
-func (m *members) add(place int, hash uint64) {
-	m.places = append(m.places, place)
+func (m *upstreamSet) add(index int, hash uint64) {
+	m.indices = append(m.indices, index)
 	m.hashes = append(m.hashes, hash)
 }
 
@@ -68,43 +68,43 @@
 // the upstreams that stay.
 func NewFleet(list []Upstream, old *Fleet) *Fleet {
 	f := &Fleet{
-		list:   make([]node, len(list)),
-		models: make(map[string]*group),
+		nodes:  make([]node, len(list)),
+		models: make(map[string]*modelGroup),
 	}
-	known := old.states()
+	known := old.countersByName()
 	for i, u := range list {
 		s := known[u.Name]
 		if s == nil {
-			s = new(state)
+			s = new(counters)
 		}
 		s.leaving.Store(u.Leaving)
-		f.list[i] = node{
+		f.nodes[i] = node{
 			upstream: u,
-			state:    s,
+			counters: s,
 		}
-		f.index(i)
+		f.addToGroups(i)
 	}
 	return f
 }
 
 // Len returns the number of upstreams.
-func (f *Fleet) Len() int { return len(f.list) }
+func (f *Fleet) Len() int { return len(f.nodes) }
 
 // Upstream returns the upstream at a place of the list.
-func (f *Fleet) Upstream(i int) *Upstream { return &f.list[i].upstream }
+func (f *Fleet) Upstream(i int) *Upstream { return &f.nodes[i].upstream }
 
 // Flights returns this entry's requests in flight to an upstream.
-func (f *Fleet) Flights(i int) int { return int(f.list[i].state.flights.Load()) }
+func (f *Fleet) Flights(i int) int { return int(f.nodes[i].counters.inFlight.Load()) }
 
 // Started tells that a request went to an upstream.
-func (f *Fleet) Started(i int) { f.list[i].state.flights.Add(1) }
+func (f *Fleet) Started(i int) { f.nodes[i].counters.inFlight.Add(1) }
 
 // Ended tells that a request to an upstream ended.
-func (f *Fleet) Ended(i int) { f.list[i].state.flights.Add(-1) }
+func (f *Fleet) Ended(i int) { f.nodes[i].counters.inFlight.Add(-1) }
 
 // Leave takes an upstream out at once, on its own word, before the list says
 // so.
-func (f *Fleet) Leave(i int) { f.list[i].state.leaving.Store(true) }
+func (f *Fleet) Leave(i int) { f.nodes[i].counters.leaving.Store(true) }
 
 // Candidates appends to dst the places of the upstreams to ask, the best guess
 // first, and returns it.
@@ -120,19 +120,19 @@
 	region := g.regions[q.Region]
 	start := len(dst)
 	if q.Prefix != 0 {
-		dst = f.first(dst, region, q.Prefix)
+		dst = f.appendByPrefix(dst, region, q.Prefix)
 	}
 	for len(dst)-start < count-1 {
 		n := len(dst)
-		dst = f.draw(dst, start, g.zones[q.Zone].places, r)
+		dst = f.appendRandom(dst, start, g.zones[q.Zone].indices, r)
 		if len(dst) == n {
 			break
 		}
 	}
-	for _, from := range [...][]int{region.places, g.all.places} {
+	for _, from := range [...][]int{region.indices, g.all.indices} {
 		for len(dst)-start < count {
 			n := len(dst)
-			dst = f.draw(dst, start, from, r)
+			dst = f.appendRandom(dst, start, from, r)
 			if len(dst) == n {
 				break
 			}
@@ -141,17 +141,17 @@
 	return dst
 }
 
-// tries is the number of upstreams in the order of their hashes that are tried
+// maxHashTries is the number of upstreams in the order of their hashes that are tried
 // for a prefix. A prefix for which all of them are above the bound has filled
 // 16 upstreams, and random candidates do as well.
-const tries = 16
+const maxHashTries = 16
 
-// first appends the highest live upstream by rendezvous hash that is within
+// appendByPrefix appends the highest live upstream by rendezvous hash that is within
 // its load bound.
-func (f *Fleet) first(dst []int, from members, prefix uint64) []int {
+func (f *Fleet) appendByPrefix(dst []int, from upstreamSet, prefix uint64) []int {
 	bound := int32(0)
 	limit := uint64(math.MaxUint64)
-	for range tries {
+	for range maxHashTries {
 		best := -1
 		top := uint64(0)
 		for k, hash := range from.hashes {
@@ -162,13 +162,13 @@
 		if best < 0 {
 			break
 		}
-		i := from.places[best]
-		s := f.list[i].state
-		flights := s.flights.Load()
-		if flights >= leastFlights && bound == 0 {
-			bound = f.bound(from)
+		i := from.indices[best]
+		s := f.nodes[i].counters
+		flights := s.inFlight.Load()
+		if flights >= minBoundedFlights && bound == 0 {
+			bound = f.maxInFlight(from)
 		}
-		if !s.leaving.Load() && (flights < leastFlights || flights < bound) {
+		if !s.leaving.Load() && (flights < minBoundedFlights || flights < bound) {
 			return append(dst, i)
 		}
 		limit = top
@@ -176,45 +176,45 @@
 	return dst
 }
 
-// bound returns the requests in flight that an upstream may have before one
+// maxInFlight returns the requests in flight that an upstream may have before one
 // more is sent to it for its prefix.
-func (f *Fleet) bound(from members) int32 {
+func (f *Fleet) maxInFlight(from upstreamSet) int32 {
 	total := int32(1)
-	for _, i := range from.places {
-		total += max(f.list[i].state.flights.Load(), 0)
+	for _, i := range from.indices {
+		total += max(f.nodes[i].counters.inFlight.Load(), 0)
 	}
-	share := Spread * float64(total) / float64(len(from.places))
+	share := MaxLoadFactor * float64(total) / float64(len(from.indices))
 	return int32(math.Ceil(share))
 }
 
-// draw appends a random upstream of from that is not yet in dst[start:].
-func (f *Fleet) draw(dst []int, start int, from []int, r *rand.Rand) []int {
+// appendRandom appends a random upstream of from that is not yet in dst[start:].
+func (f *Fleet) appendRandom(dst []int, start int, from []int, r *rand.Rand) []int {
 	if len(from) == 0 {
 		return dst
 	}
-	at := r.IntN(len(from))
+	next := r.IntN(len(from))
 	for range from {
-		i := from[at]
-		if !f.list[i].state.leaving.Load() && !slices.Contains(dst[start:], i) {
+		i := from[next]
+		if !f.nodes[i].counters.leaving.Load() && !slices.Contains(dst[start:], i) {
 			return append(dst, i)
 		}
-		if at++; at == len(from) {
-			at = 0
+		if next++; next == len(from) {
+			next = 0
 		}
 	}
 	return dst
 }
 
-// index files an upstream under its models.
-func (f *Fleet) index(i int) {
-	u := &f.list[i].upstream
+// addToGroups files an upstream under its models.
+func (f *Fleet) addToGroups(i int) {
+	u := &f.nodes[i].upstream
 	hash := xxhash.Sum64String(u.Name)
 	for _, model := range u.Models {
 		g := f.models[model]
 		if g == nil {
-			g = &group{
-				zones:   make(map[string]members),
-				regions: make(map[string]members),
+			g = &modelGroup{
+				zones:   make(map[string]upstreamSet),
+				regions: make(map[string]upstreamSet),
 			}
 			f.models[model] = g
 		}
@@ -226,13 +226,13 @@
 	}
 }
 
-func (f *Fleet) states() map[string]*state {
+func (f *Fleet) countersByName() map[string]*counters {
 	if f == nil {
 		return nil
 	}
-	known := make(map[string]*state, len(f.list))
-	for i := range f.list {
-		known[f.list[i].upstream.Name] = f.list[i].state
+	known := make(map[string]*counters, len(f.nodes))
+	for i := range f.nodes {
+		known[f.nodes[i].upstream.Name] = f.nodes[i].counters
 	}
 	return known
 }
--- a/internal/request/mgrouting/fleet_test.go
+++ b/internal/request/mgrouting/fleet_test.go
@@ -12,7 +12,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-func list(n int) []mgrouting.Upstream {
+func newUpstreams(n int) []mgrouting.Upstream {
 	us := make([]mgrouting.Upstream, n)
 	for i := range us {
 		us[i] = mgrouting.Upstream{
@@ -32,14 +32,14 @@
 	Region: "south",
 }
 
-func source() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 // One customer's prompts all begin with the same manual. The engine that has
 // it cached gets every request, and its callers wait while others idle.
-func TestHeavyPrefix(t *testing.T) {
+func TestPopularPrefixOverloadsUpstream(t *testing.T) {
 	Convey("A popular prefix spreads beyond its first upstream", t, func() {
-		f := mgrouting.NewFleet(list(12), nil)
-		r := source()
+		f := mgrouting.NewFleet(newUpstreams(12), nil)
+		r := newRand()
 		home := f.Candidates(nil, query, r)[0]
 		for range 120 {
 			f.Started(f.Candidates(nil, query, r)[0])
@@ -57,10 +57,10 @@
 
 // A few engines cache most of the prompts and are slow for it, as the hash
 // prefers them.
-func TestPrefixesSpread(t *testing.T) {
+func TestHashPrefersFewUpstreams(t *testing.T) {
 	Convey("Each upstream is the first for its part of the prefixes", t, func() {
-		f := mgrouting.NewFleet(list(12), nil)
-		r := source()
+		f := mgrouting.NewFleet(newUpstreams(12), nil)
+		r := newRand()
 		got := make([]int, f.Len())
 		for prefix := range uint64(12_000) {
 			q := query
@@ -75,17 +75,17 @@
 
 // Every entry sees the same engine as the idlest, all send there, and its
 // callers wait for seconds; a second later it is the next engine's turn.
-func TestHerding(t *testing.T) {
+func TestEntriesPickSameUpstream(t *testing.T) {
 	Convey("Entries with the same old numbers spread", t, func() {
 		const entries, upstreams = 100, 12
-		r := source()
+		r := newRand()
 		got := make([]int, upstreams)
 		waits := make([]mgclock.Millis, upstreams)
 		for i := range waits {
 			waits[i] = mgclock.Millis(100 + 10*i)
 		}
 		for entry := range entries {
-			f := mgrouting.NewFleet(list(upstreams), nil)
+			f := mgrouting.NewFleet(newUpstreams(upstreams), nil)
 			q := query
 			q.Prefix = 0
 			q.Zone = fmt.Sprint("zone", entry%3)
@@ -111,10 +111,10 @@
 
 // An upstream said that it is leaving, the list doesn't know yet, and new work
 // still goes there.
-func TestLeaving(t *testing.T) {
+func TestLeavingUpstreamGetsRequest(t *testing.T) {
 	Convey("A leaving upstream is no candidate and no choice", t, func() {
-		f := mgrouting.NewFleet(list(3), nil)
-		r := source()
+		f := mgrouting.NewFleet(newUpstreams(3), nil)
+		r := newRand()
 		f.Leave(1)
 		So(f.Candidates(nil, query, r), ShouldNotContain, 1)
 		So(f.Choose([]mgrouting.Offer{
@@ -127,9 +127,9 @@
 
 // A request goes where its first token comes soonest, and there it stalls the
 // sixty streams that run, or is preempted as soon as it has grown.
-func TestChoose(t *testing.T) {
+func TestFirstTokenAloneDecides(t *testing.T) {
 	Convey("The offer taken", t, func() {
-		f := mgrouting.NewFleet(list(1), nil)
+		f := mgrouting.NewFleet(newUpstreams(1), nil)
 		q := query
 		q.Prompt = 1000
 		q.Output = 1000
@@ -144,7 +144,7 @@
 		refused := mgrouting.Offer{
 			Refused: true,
 		}
-		choose := func(offers ...mgrouting.Offer) int { return f.Choose(offers, q, source()) }
+		choose := func(offers ...mgrouting.Offer) int { return f.Choose(offers, q, newRand()) }
 		Convey("has the sooner first token", func() {
 			So(choose(offer(300, 4, 4000), offer(200, 4, 4000)), ShouldEqual, 1)
 		})
@@ -172,7 +172,7 @@
 // there is, and the loss of one upstream moves only its own prefixes.
 func TestCandidateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		us := list(rapid.IntRange(1, 20).Draw(t, "upstreams"))
+		us := newUpstreams(rapid.IntRange(1, 20).Draw(t, "upstreams"))
 		gone := rapid.IntRange(0, len(us)-1).Draw(t, "gone")
 		f := mgrouting.NewFleet(us, nil)
 		us[gone].Leaving = true
@@ -202,8 +202,8 @@
 func BenchmarkCandidates(b *testing.B) {
 	for _, upstreams := range []int{12, 900} {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
-			f := mgrouting.NewFleet(list(upstreams), nil)
-			r := source()
+			f := mgrouting.NewFleet(newUpstreams(upstreams), nil)
+			r := newRand()
 			dst := make([]int, 0, 3)
 			q := query
 			b.ReportAllocs()
@@ -216,8 +216,8 @@
 }
 
 func BenchmarkChoose(b *testing.B) {
-	f := mgrouting.NewFleet(list(3), nil)
-	r := source()
+	f := mgrouting.NewFleet(newUpstreams(3), nil)
+	r := newRand()
 	offers := make([]mgrouting.Offer, 3)
 	for i := range offers {
 		offers[i].Upstream = i
