--- a/internal/request/mgrouting/choose.go
+++ b/internal/request/mgrouting/choose.go
@@ -33,7 +33,7 @@
 	best, minCost, tieCount := -1, 0.0, 0
 	for k := range offers {
 		o := &offers[k]
-		if o.Refused || f.nodes[o.Upstream].counters.leaving.Load() {
+		if o.Refused || f.upstreams[o.Upstream].state.leaving.Load() {
 			continue
 		}
 		cost := f.cost(o, &q)
--- a/internal/request/mgrouting/fleet.go
+++ b/internal/request/mgrouting/fleet.go
@@ -21,26 +21,26 @@
 // prefixes, and none carries more than a quarter above its part.
 const MaxLoadFactor = 1.25
 
-// minBoundedFlights is the number of requests in flight at which the bound starts to
+// minBoundedInFlight is the number of requests in flight at which the bound starts to
 // act. Below it the average of one entry is mostly chance, and nobody adds up
 // the fleet's.
-const minBoundedFlights = 4
+const minBoundedInFlight = 4
 
 // A Fleet is the list of upstreams, prepared for queries. The zero Fleet is
 // empty.
 type Fleet struct {
-	nodes  []node
-	models map[string]*modelGroup
+	upstreams []node
+	models    map[string]*modelGroup
 }
 
 type node struct {
 	upstream Upstream
-	counters *counters
+	state    *upstreamState
 }
 
-// counters is what an entry knows of an upstream by itself. It survives a new
+// upstreamState is what an entry knows of an upstream by itself. It survives a new
 // list.
-type counters struct {
+type upstreamState struct {
 	inFlight atomic.Int32
 	leaving  atomic.Bool
 }
@@ -68,19 +68,19 @@
 // the upstreams that stay.
 func NewFleet(list []Upstream, old *Fleet) *Fleet {
 	f := &Fleet{
-		nodes:  make([]node, len(list)),
-		models: make(map[string]*modelGroup),
+		upstreams: make([]node, len(list)),
+		models:    make(map[string]*modelGroup),
 	}
-	known := old.countersByName()
+	known := old.statesByName()
 	for i, u := range list {
 		s := known[u.Name]
 		if s == nil {
-			s = new(counters)
+			s = new(upstreamState)
 		}
 		s.leaving.Store(u.Leaving)
-		f.nodes[i] = node{
+		f.upstreams[i] = node{
 			upstream: u,
-			counters: s,
+			state:    s,
 		}
 		f.addToGroups(i)
 	}
@@ -88,23 +88,23 @@
 }
 
 // Len returns the number of upstreams.
-func (f *Fleet) Len() int { return len(f.nodes) }
+func (f *Fleet) Len() int { return len(f.upstreams) }
 
 // Upstream returns the upstream at a place of the list.
-func (f *Fleet) Upstream(i int) *Upstream { return &f.nodes[i].upstream }
+func (f *Fleet) Upstream(i int) *Upstream { return &f.upstreams[i].upstream }
 
 // Flights returns this entry's requests in flight to an upstream.
-func (f *Fleet) Flights(i int) int { return int(f.nodes[i].counters.inFlight.Load()) }
+func (f *Fleet) Flights(i int) int { return int(f.upstreams[i].state.inFlight.Load()) }
 
 // Started tells that a request went to an upstream.
-func (f *Fleet) Started(i int) { f.nodes[i].counters.inFlight.Add(1) }
+func (f *Fleet) Started(i int) { f.upstreams[i].state.inFlight.Add(1) }
 
 // Ended tells that a request to an upstream ended.
-func (f *Fleet) Ended(i int) { f.nodes[i].counters.inFlight.Add(-1) }
+func (f *Fleet) Ended(i int) { f.upstreams[i].state.inFlight.Add(-1) }
 
 // Leave takes an upstream out at once, on its own word, before the list says
 // so.
-func (f *Fleet) Leave(i int) { f.nodes[i].counters.leaving.Store(true) }
+func (f *Fleet) Leave(i int) { f.upstreams[i].state.leaving.Store(true) }
 
 // Candidates appends to dst the places of the upstreams to ask, the best guess
 // first, and returns it.
@@ -163,12 +163,12 @@
 			break
 		}
 		i := from.indices[best]
-		s := f.nodes[i].counters
+		s := f.upstreams[i].state
 		flights := s.inFlight.Load()
-		if flights >= minBoundedFlights && bound == 0 {
+		if flights >= minBoundedInFlight && bound == 0 {
 			bound = f.maxInFlight(from)
 		}
-		if !s.leaving.Load() && (flights < minBoundedFlights || flights < bound) {
+		if !s.leaving.Load() && (flights < minBoundedInFlight || flights < bound) {
 			return append(dst, i)
 		}
 		limit = top
@@ -181,7 +181,7 @@
 func (f *Fleet) maxInFlight(from upstreamSet) int32 {
 	total := int32(1)
 	for _, i := range from.indices {
-		total += max(f.nodes[i].counters.inFlight.Load(), 0)
+		total += max(f.upstreams[i].state.inFlight.Load(), 0)
 	}
 	share := MaxLoadFactor * float64(total) / float64(len(from.indices))
 	return int32(math.Ceil(share))
@@ -195,7 +195,7 @@
 	next := r.IntN(len(from))
 	for range from {
 		i := from[next]
-		if !f.nodes[i].counters.leaving.Load() && !slices.Contains(dst[start:], i) {
+		if !f.upstreams[i].state.leaving.Load() && !slices.Contains(dst[start:], i) {
 			return append(dst, i)
 		}
 		if next++; next == len(from) {
@@ -207,7 +207,7 @@
 
 // addToGroups files an upstream under its models.
 func (f *Fleet) addToGroups(i int) {
-	u := &f.nodes[i].upstream
+	u := &f.upstreams[i].upstream
 	hash := xxhash.Sum64String(u.Name)
 	for _, model := range u.Models {
 		g := f.models[model]
@@ -226,13 +226,13 @@
 	}
 }
 
-func (f *Fleet) countersByName() map[string]*counters {
+func (f *Fleet) statesByName() map[string]*upstreamState {
 	if f == nil {
 		return nil
 	}
-	known := make(map[string]*counters, len(f.nodes))
-	for i := range f.nodes {
-		known[f.nodes[i].upstream.Name] = f.nodes[i].counters
+	known := make(map[string]*upstreamState, len(f.upstreams))
+	for i := range f.upstreams {
+		known[f.upstreams[i].upstream.Name] = f.upstreams[i].state
 	}
 	return known
 }
