--- a/internal/request/mgrouting/choose.go
+++ b/internal/request/mgrouting/choose.go
@@ -3,32 +3,32 @@
 import "math/rand/v2"
 
 // The costs by which offers are compared, in milliseconds. They are those of
-// the engine model of internal/bench/mgmodel, which follows a small dense
-// model on one accelerator, and only their ratios matter. An offer's wait says
-// nearly all; the others decide where waits are equal.
+// the engine model of internal/bench/mgmodel, a small dense model on one
+// accelerator; only their ratios matter. An offer's wait dominates; the other
+// costs decide between offers of equal wait.
 const (
 	// streamDelayCost is the delay that 1000 uncached prompt tokens put on one
-	// running stream, weighted against this request's own first token. A
-	// stream of another caller counts a tenth: it loses one gap between
-	// tokens, this request its whole beginning.
+	// running stream, weighted against this request's own first token. A stream of
+	// another caller counts a tenth: it loses one gap between tokens, while this
+	// request is delayed as a whole.
 	streamDelayCost = 3.0
 	// shortageCost is the cost of each 1000 tokens of memory that the expected
 	// answer lacks: about as much is preempted and computed again.
 	shortageCost = 60.0
 	// paceCost is the cost of each millisecond between the first token and the
-	// last. A slow engine has a first token soon enough, and then long answers
-	// crawl there; a greater cost takes from the fairness under heavy accounts.
+	// last. A slow engine may offer an early first token and then generate long
+	// answers slowly; a greater cost makes sharing with heavy accounts less fair.
 	paceCost = 0.1
-	// inFlightCost is the cost of each request that this entry has sent since the
-	// offer was asked for: about its prompt and a place in the queue.
+	// inFlightCost is the cost of each request that this entry has sent since it
+	// asked for the offer: about its prompt and its position in the queue.
 	inFlightCost = 50.0
-	// Distance from the entry; what is beyond the region is the last resort.
+	// Costs of the distance from the entry; other regions are the last resort.
 	otherZoneCost   = 1.0
 	otherRegionCost = 100.0
 )
 
-// Choose returns the place in offers of the one to take, or -1 when all are
-// refused. Among equal ones it draws.
+// Choose returns the index of the offer with the least cost, or -1 if all are
+// refused or leaving. Ties are broken at random.
 func (f *Fleet) Choose(offers []Offer, q Query, r *rand.Rand) int {
 	best, minCost, tieCount := -1, 0.0, 0
 	for k := range offers {
--- a/internal/request/mgrouting/fleet.go
+++ b/internal/request/mgrouting/fleet.go
@@ -10,20 +10,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultCount is the number of upstreams that are asked about a request. The
-// step from one to two brings most of the gain (Mitzenmacher 2001); the third
-// is the one with the prefix.
+// DefaultCount is the number of upstreams queried per request. The step from
+// one to two brings most of the gain (Mitzenmacher 2001); the third is the one
+// with the prefix.
 const DefaultCount = 3
 
-// MaxLoadFactor is how many times the average of requests in flight an upstream may
-// have and still be the first candidate. Mirrokni et al. bound the moves by
+// MaxLoadFactor is how many times the average of requests in flight an upstream
+// may have and still be the first candidate. Mirrokni et al. bound the moves by
 // the inverse square of its excess over 1: at 1.25 a new upstream moves few
-// prefixes, and none carries more than a quarter above its part.
+// prefixes, and none carries more than a quarter above its share.
 const MaxLoadFactor = 1.25
 
-// minBoundedInFlight is the number of requests in flight at which the bound starts to
-// act. Below it the average of one entry is mostly chance, and nobody adds up
-// the fleet's.
+// minBoundedInFlight is the number of requests in flight from which
+// MaxLoadFactor applies. Below it one entry's average is mostly chance, and the
+// sum over the fleet isn't worth computing.
 const minBoundedInFlight = 4
 
 // A Fleet is the list of upstreams, prepared for queries. The zero Fleet is
@@ -38,22 +38,23 @@
 	state    *upstreamState
 }
 
-// upstreamState is what an entry knows of an upstream by itself. It survives a new
-// list.
+// upstreamState is what an entry itself has recorded of an upstream. It is
+// carried over to a new list.
 type upstreamState struct {
 	inFlight atomic.Int32
 	leaving  atomic.Bool
 }
 
-// modelGroup is the upstreams of one model.
+// modelGroup holds the upstreams of one model.
 type modelGroup struct {
 	all     upstreamSet
 	zones   map[string]upstreamSet
 	regions map[string]upstreamSet
 }
 
-// upstreamSet are upstreams as places in the list, with the hashes of their names.
-// The hashes lie side by side: a look for a prefix reads all of them.
+// upstreamSet holds upstreams as indices in the list, with the hashes of their
+// names. The hashes are contiguous because each prefix lookup reads all of
+// them.
 type upstreamSet struct {
 	indices []int
 	hashes  []uint64
@@ -64,8 +65,8 @@
 	m.hashes = append(m.hashes, hash)
 }
 
-// NewFleet prepares a list. It takes over what old, which may be nil, knows of
-// the upstreams that stay.
+// NewFleet returns a Fleet of the list. It takes over the state that old, which
+// may be nil, has of the upstreams that stay.
 func NewFleet(list []Upstream, old *Fleet) *Fleet {
 	f := &Fleet{
 		upstreams: make([]node, len(list)),
@@ -90,24 +91,24 @@
 // Len returns the number of upstreams.
 func (f *Fleet) Len() int { return len(f.upstreams) }
 
-// Upstream returns the upstream at a place of the list.
+// Upstream returns the upstream with an index of the list.
 func (f *Fleet) Upstream(i int) *Upstream { return &f.upstreams[i].upstream }
 
-// Flights returns this entry's requests in flight to an upstream.
+// Flights returns the number of this entry's requests in flight to an upstream.
 func (f *Fleet) Flights(i int) int { return int(f.upstreams[i].state.inFlight.Load()) }
 
-// Started tells that a request went to an upstream.
+// Started records that a request was sent to an upstream.
 func (f *Fleet) Started(i int) { f.upstreams[i].state.inFlight.Add(1) }
 
-// Ended tells that a request to an upstream ended.
+// Ended records that a request to an upstream ended.
 func (f *Fleet) Ended(i int) { f.upstreams[i].state.inFlight.Add(-1) }
 
-// Leave takes an upstream out at once, on its own word, before the list says
-// so.
+// Leave excludes an upstream that announced its leaving, before the list shows
+// it.
 func (f *Fleet) Leave(i int) { f.upstreams[i].state.leaving.Store(true) }
 
-// Candidates appends to dst the places of the upstreams to ask, the best guess
-// first, and returns it.
+// Candidates appends to dst the indices of the upstreams to query, the
+// preferred one first, and returns it.
 func (f *Fleet) Candidates(dst []int, q Query, r *rand.Rand) []int {
 	g := f.models[q.Model]
 	if g == nil {
@@ -141,13 +142,13 @@
 	return dst
 }
 
-// maxHashTries is the number of upstreams in the order of their hashes that are tried
-// for a prefix. A prefix for which all of them are above the bound has filled
-// 16 upstreams, and random candidates do as well.
+// maxHashTries is the number of upstreams that are tried for a prefix, by
+// descending hash. A prefix for which all of them are above the bound has
+// filled 16 upstreams, and random candidates do as well.
 const maxHashTries = 16
 
-// appendByPrefix appends the highest live upstream by rendezvous hash that is within
-// its load bound.
+// appendByPrefix appends the live upstream with the highest rendezvous hash
+// that is within its load bound.
 func (f *Fleet) appendByPrefix(dst []int, from upstreamSet, prefix uint64) []int {
 	bound := int32(0)
 	limit := uint64(math.MaxUint64)
@@ -176,8 +177,8 @@
 	return dst
 }
 
-// maxInFlight returns the requests in flight that an upstream may have before one
-// more is sent to it for its prefix.
+// maxInFlight returns the number of requests in flight below which an upstream
+// is sent another one for its prefix.
 func (f *Fleet) maxInFlight(from upstreamSet) int32 {
 	total := int32(1)
 	for _, i := range from.indices {
@@ -187,7 +188,8 @@
 	return int32(math.Ceil(share))
 }
 
-// appendRandom appends a random upstream of from that is not yet in dst[start:].
+// appendRandom appends a random live upstream of from that is not yet in
+// dst[start:].
 func (f *Fleet) appendRandom(dst []int, start int, from []int, r *rand.Rand) []int {
 	if len(from) == 0 {
 		return dst
@@ -205,7 +207,7 @@
 	return dst
 }
 
-// addToGroups files an upstream under its models.
+// addToGroups adds an upstream to the groups of its models.
 func (f *Fleet) addToGroups(i int) {
 	u := &f.upstreams[i].upstream
 	hash := xxhash.Sum64String(u.Name)
@@ -238,7 +240,7 @@
 }
 
 // mix spreads the bits of x by folding a 128-bit product, the cheapest step
-// that does: a look for a prefix takes one for each upstream.
+// that does so: a prefix lookup computes one per upstream.
 func mix(x uint64) uint64 {
 	const odd = 0x9e3779b97f4a7c15 // the golden ratio in 64 bits
 	hi, lo := bits.Mul64(x^x>>32, odd)
--- a/internal/request/mgrouting/fleet_test.go
+++ b/internal/request/mgrouting/fleet_test.go
@@ -34,8 +34,8 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// One customer's prompts all begin with the same manual. The engine that has
-// it cached gets every request, and its callers wait while others idle.
+// One customer's prompts all begin with the same long text. The engine that has
+// it cached gets every request, and its callers wait while others are idle.
 func TestPopularPrefixOverloadsUpstream(t *testing.T) {
 	Convey("A popular prefix spreads beyond its first upstream", t, func() {
 		f := mgrouting.NewFleet(newUpstreams(12), nil)
@@ -55,8 +55,8 @@
 	})
 }
 
-// A few engines cache most of the prompts and are slow for it, as the hash
-// prefers them.
+// The hash prefers a few engines: they cache most of the prefixes and are
+// overloaded.
 func TestHashPrefersFewUpstreams(t *testing.T) {
 	Convey("Each upstream is the first for its part of the prefixes", t, func() {
 		f := mgrouting.NewFleet(newUpstreams(12), nil)
@@ -73,8 +73,8 @@
 	})
 }
 
-// Every entry sees the same engine as the idlest, all send there, and its
-// callers wait for seconds; a second later it is the next engine's turn.
+// Every entry sees the same engine as the least loaded one, all send there, and
+// its callers wait for seconds; a second later the next engine is overloaded.
 func TestEntriesPickSameUpstream(t *testing.T) {
 	Convey("Entries with the same old numbers spread", t, func() {
 		const entries, upstreams = 100, 12
@@ -109,8 +109,8 @@
 	})
 }
 
-// An upstream said that it is leaving, the list doesn't know yet, and new work
-// still goes there.
+// An upstream announced that it leaves, the list doesn't show it yet, and new
+// requests are still sent there.
 func TestLeavingUpstreamGetsRequest(t *testing.T) {
 	Convey("A leaving upstream is no candidate and no choice", t, func() {
 		f := mgrouting.NewFleet(newUpstreams(3), nil)
@@ -125,8 +125,8 @@
 	})
 }
 
-// A request goes where its first token comes soonest, and there it stalls the
-// sixty streams that run, or is preempted as soon as it has grown.
+// A request is sent where its first token arrives soonest, and there it stalls
+// sixty running streams, or is preempted as soon as it has grown.
 func TestFirstTokenAloneDecides(t *testing.T) {
 	Convey("The offer taken", t, func() {
 		f := mgrouting.NewFleet(newUpstreams(1), nil)
@@ -168,8 +168,8 @@
 	})
 }
 
-// Whatever the list: candidates are distinct and live, their number is what
-// there is, and the loss of one upstream moves only its own prefixes.
+// For any list, candidates are distinct and live, there are as many as
+// possible, and the loss of one upstream moves only its own prefixes.
 func TestCandidateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		us := newUpstreams(rapid.IntRange(1, 20).Draw(t, "upstreams"))
--- a/internal/request/mgrouting/spec.go
+++ b/internal/request/mgrouting/spec.go
@@ -2,7 +2,7 @@
 
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 
-// An Upstream is one listed engine or plain service.
+// An Upstream is an engine or plain service of the list.
 type Upstream struct {
 	Name    string
 	Zone    string
@@ -11,7 +11,7 @@
 	Leaving bool
 }
 
-// A Query says what a request needs.
+// A Query describes a request.
 type Query struct {
 	Model  string
 	Prefix uint64 // hash of the prompt's leading blocks, 0 for none
@@ -22,14 +22,14 @@
 	Output int    // expected tokens
 }
 
-// An Offer is an upstream's answer to a query.
+// An Offer is an upstream's reply to a query.
 type Offer struct {
-	Upstream int            // place in the Fleet
-	Wait     mgclock.Millis // expected until the first token
-	Rest     mgclock.Millis // expected from the first token to the last
-	Uncached int            // prompt tokens that it must compute
-	Headroom int64          // free tokens of memory, negative for no bound
+	Upstream int            // index in the Fleet
+	Wait     mgclock.Millis // expected time to the first token
+	Rest     mgclock.Millis // expected time from the first token to the last
+	Uncached int            // prompt tokens that it has to compute
+	Headroom int64          // free memory in tokens, negative for unlimited
 	Running  int            // streams
-	Flights  int            // of this entry, when the query was sent
+	Flights  int            // this entry's requests in flight when the query was sent
 	Refused  bool
 }
