--- a/internal/request/mgrouting/fleet_test.go
+++ b/internal/request/mgrouting/fleet_test.go
@@ -58,7 +58,7 @@
 // The hash prefers a few engines: they cache most of the prefixes and are
 // overloaded.
 func TestHashPrefersFewUpstreams(t *testing.T) {
-	Convey("Each upstream is the first for its part of the prefixes", t, func() {
+	Convey("Each upstream is the first candidate for its share of the prefixes", t, func() {
 		f := mgrouting.NewFleet(newUpstreams(12), nil)
 		r := newRand()
 		got := make([]int, f.Len())
@@ -112,7 +112,7 @@
 // An upstream announced that it leaves, the list doesn't show it yet, and new
 // requests are still sent there.
 func TestLeavingUpstreamGetsRequest(t *testing.T) {
-	Convey("A leaving upstream is no candidate and no choice", t, func() {
+	Convey("A leaving upstream is neither a candidate nor chosen", t, func() {
 		f := mgrouting.NewFleet(newUpstreams(3), nil)
 		r := newRand()
 		f.Leave(1)
@@ -128,7 +128,7 @@
 // A request is sent where its first token arrives soonest, and there it stalls
 // sixty running streams, or is preempted as soon as it has grown.
 func TestFirstTokenAloneDecides(t *testing.T) {
-	Convey("The offer taken", t, func() {
+	Convey("The accepted offer", t, func() {
 		f := mgrouting.NewFleet(newUpstreams(1), nil)
 		q := query
 		q.Prompt = 1000
@@ -145,7 +145,7 @@
 			Refused: true,
 		}
 		choose := func(offers ...mgrouting.Offer) int { return f.Choose(offers, q, newRand()) }
-		Convey("has the sooner first token", func() {
+		Convey("has the earlier first token", func() {
 			So(choose(offer(300, 4, 4000), offer(200, 4, 4000)), ShouldEqual, 1)
 		})
 		Convey("is not refused", func() {
@@ -159,7 +159,7 @@
 			usual.Rest = 16_000
 			So(choose(slow, usual), ShouldEqual, 1)
 		})
-		Convey("disturbs few streams", func() {
+		Convey("delays few streams", func() {
 			So(choose(offer(200, 60, 4000), offer(250, 4, 4000)), ShouldEqual, 1)
 		})
 		Convey("has memory for the answer", func() {
@@ -189,7 +189,7 @@
 		seen := map[int]bool{}
 		for _, i := range after {
 			if i == gone || seen[i] {
-				t.Fatalf("candidate %d left or came twice", i)
+				t.Fatalf("candidate %d is leaving or repeated", i)
 			}
 			seen[i] = true
 		}
