--- a/internal/request/mgrouting/fleet_test.go
+++ b/internal/request/mgrouting/fleet_test.go
@@ -55,8 +55,8 @@
 	})
 }
 
-// The hash prefers a few engines: they cache most of the prefixes and are
-// overloaded.
+// A few engines cache most of the prefixes and are overloaded, because the hash
+// prefers them.
 func TestHashPrefersFewUpstreams(t *testing.T) {
 	Convey("Each upstream is the first candidate for its share of the prefixes", t, func() {
 		f := mgrouting.NewFleet(newUpstreams(12), nil)
