--- a/internal/request/mgretry/budget.go
+++ b/internal/request/mgretry/budget.go
@@ -12,12 +12,12 @@
 // lookups that are slower than the 95th percentile.
 const HedgeRatio = 0.05
 
-// Limit is the most retries that a budget holds, and what it begins with:
+// DefaultLimit is the most retries that a budget holds, and what it begins with:
 // enough for the requests that one failed engine leaves behind.
-const Limit = 64
+const DefaultLimit = 64
 
-// milli is a thousandth of a retry, the unit of a budget.
-const milli = 1000
+// unitsPerRetry is a thousandth of a retry, the unit of a budget.
+const unitsPerRetry = 1000
 
 // A Budget bounds retries by a share of successes. The zero Budget is full.
 type Budget struct {
@@ -29,20 +29,20 @@
 // share what one service allows.
 func (b *Budget) Bound(limit int) { b.limit.Store(int64(limit)) }
 
-// most returns the most retries that the budget holds.
-func (b *Budget) most() int64 {
+// maxRetries returns the maxRetries retries that the budget holds.
+func (b *Budget) maxRetries() int64 {
 	if limit := b.limit.Load(); limit > 0 {
 		return limit
 	}
-	return Limit
+	return DefaultLimit
 }
 
 // Earn adds the share of a retry that a success brings.
 func (b *Budget) Earn(ratio float64) {
-	part := int64(ratio * milli)
+	earned := int64(ratio * unitsPerRetry)
 	for {
 		spent := b.spent.Load()
-		if spent <= 0 || b.spent.CompareAndSwap(spent, max(spent-part, 0)) {
+		if spent <= 0 || b.spent.CompareAndSwap(spent, max(spent-earned, 0)) {
 			return
 		}
 	}
@@ -53,14 +53,16 @@
 func (b *Budget) Spend() bool {
 	for {
 		spent := b.spent.Load()
-		if spent+milli > b.most()*milli {
+		if spent+unitsPerRetry > b.maxRetries()*unitsPerRetry {
 			return false
 		}
-		if b.spent.CompareAndSwap(spent, spent+milli) {
+		if b.spent.CompareAndSwap(spent, spent+unitsPerRetry) {
 			return true
 		}
 	}
 }
 
 // Left returns the number of whole retries left.
-func (b *Budget) Left() int { return int(b.most() - (b.spent.Load()+milli-1)/milli) }
+func (b *Budget) Left() int {
+	return int(b.maxRetries() - (b.spent.Load()+unitsPerRetry-1)/unitsPerRetry)
+}
--- a/internal/request/mgretry/budgets.go
+++ b/internal/request/mgretry/budgets.go
@@ -10,8 +10,8 @@
 // takes no lock: the map is copied when a service is new, which is bounded by
 // the services of the table.
 type Budgets struct {
-	mu  sync.Mutex
-	all atomic.Pointer[map[string]*Budget]
+	mu        sync.Mutex
+	byService atomic.Pointer[map[string]*Budget]
 
 	limit int // of each budget, 0 for Limit
 }
@@ -21,7 +21,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit = limit
-	if all := s.all.Load(); all != nil {
+	if all := s.byService.Load(); all != nil {
 		for _, b := range *all {
 			b.Bound(limit)
 		}
@@ -30,7 +30,7 @@
 
 // Of returns the budget of a service, which begins full.
 func (s *Budgets) Of(service string) *Budget {
-	if all := s.all.Load(); all != nil {
+	if all := s.byService.Load(); all != nil {
 		if b := (*all)[service]; b != nil {
 			return b
 		}
@@ -42,7 +42,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := map[string]*Budget{}
-	if all := s.all.Load(); all != nil {
+	if all := s.byService.Load(); all != nil {
 		if b := (*all)[service]; b != nil {
 			return b
 		}
@@ -51,6 +51,6 @@
 	b := new(Budget)
 	b.Bound(s.limit)
 	next[service] = b
-	s.all.Store(&next)
+	s.byService.Store(&next)
 	return b
 }
--- a/internal/request/mgretry/hedge.go
+++ b/internal/request/mgretry/hedge.go
@@ -7,32 +7,32 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// known is the number of delays after which their 95th percentile is believed:
+// minSamples is the number of delays after which their 95th percentile is believed:
 // five lie above it.
-const known = 100
+const minSamples = 100
 
-// faded is the number of delays after which all counts are halved, so that an
+// decayPeriod is the number of delays after which all counts are halved, so that an
 // upstream that turns slow or fast is learnt within about that many.
-const faded = 1000
+const decayPeriod = 1000
 
-// slots is the number of buckets of delays, four an octave, up to hours.
-const slots = 96
+// bucketCount is the number of buckets of delays, four an octave, up to hours.
+const bucketCount = 96
 
 // A Hedge decides when a lookup is sent a second time. The zero Hedge has seen
 // no delay and sends none.
 type Hedge struct {
 	budget Budget
 	total  atomic.Int64
-	counts [slots]atomic.Int64
+	counts [bucketCount]atomic.Int64
 }
 
 // Answered tells that a lookup was answered after a delay. Ratio is the part of
 // a second copy that it earns, from 0 to 1.
 func (h *Hedge) Answered(delay mgclock.Millis, ratio float64) {
 	h.budget.Earn(ratio)
-	h.counts[slot(delay)].Add(1)
-	if h.total.Add(1) == faded {
-		h.fade()
+	h.counts[bucketOf(delay)].Add(1)
+	if h.total.Add(1) == decayPeriod {
+		h.decay()
 	}
 }
 
@@ -40,25 +40,25 @@
 // reports false while too little is known.
 func (h *Hedge) After() (mgclock.Millis, bool) {
 	total := h.total.Load()
-	if total < known {
+	if total < minSamples {
 		return 0, false
 	}
 	above := total / 20
-	for s := slots - 1; s > 0; s-- {
+	for s := bucketCount - 1; s > 0; s-- {
 		above -= h.counts[s].Load()
 		if above < 0 {
-			return edge(s + 1), true
+			return bucketStart(s + 1), true
 		}
 	}
-	return edge(1), true
+	return bucketStart(1), true
 }
 
 // Allow reports whether the budget has a second copy, and takes it.
 func (h *Hedge) Allow() bool { return h.budget.Spend() }
 
-// fade halves all counts. Delays that are counted at the same time may be lost
+// decay halves all counts. Delays that are counted at the same time may be lost
 // or kept whole, which changes no percentile by more than they are.
-func (h *Hedge) fade() {
+func (h *Hedge) decay() {
 	sum := int64(0)
 	for s := range h.counts {
 		half := h.counts[s].Load() / 2
@@ -68,15 +68,15 @@
 	h.total.Store(sum)
 }
 
-// slot returns the bucket of a delay: the octave and its quarter.
-func slot(delay mgclock.Millis) int {
+// bucketOf returns the bucket of a delay: the octave and its quarter.
+func bucketOf(delay mgclock.Millis) int {
 	d := uint64(max(delay, 0)) + 4
 	octave := bits.Len64(d) - 3
 	quarter := int(d>>octave) - 4
-	return min(4*octave+quarter, slots-1)
+	return min(4*octave+quarter, bucketCount-1)
 }
 
-// edge returns the least delay of a bucket.
-func edge(s int) mgclock.Millis {
+// bucketStart returns the least delay of a bucket.
+func bucketStart(s int) mgclock.Millis {
 	return mgclock.Millis((s%4+4)<<(s/4)) - 4
 }
--- a/internal/request/mgretry/retry.go
+++ b/internal/request/mgretry/retry.go
@@ -7,17 +7,17 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// Base and Ceiling bound the random part of a wait. Base is some steps of an
-// engine; Ceiling is the longest that a caller may lag behind the end of an
+// BaseBackoff and MaxBackoff bound the random part of a wait. BaseBackoff is some steps of an
+// engine; MaxBackoff is the longest that a caller may lag behind the end of an
 // outage.
 const (
-	Base    = 100 * mgclock.Millis(1)
-	Ceiling = 30 * mgclock.Second
+	BaseBackoff = 100 * mgclock.Millis(1)
+	MaxBackoff  = 30 * mgclock.Second
 )
 
-// Tries is the most times that one request is tried within the system. Whoever
+// MaxTries is the most times that one request is tried within the system. Whoever
 // failed three times is told so: the next one to try is the caller.
-const Tries = 3
+const MaxTries = 3
 
 // An Attempt is one that failed.
 type Attempt struct {
@@ -32,7 +32,7 @@
 // service's budget, but for what an upstream handed back as it left: that is
 // bounded by what waited there, and it has cost the upstream nothing.
 func (b *Budget) Next(now mgclock.Millis, a Attempt, r *rand.Rand) (mgclock.Millis, bool) {
-	if a.Tries >= Tries || !Allowed(a) {
+	if a.Tries >= MaxTries || !Allowed(a) {
 		return 0, false
 	}
 	wait := mgclock.Millis(0)
@@ -50,7 +50,7 @@
 
 // Allowed reports whether an attempt may be repeated at all.
 func Allowed(a Attempt) bool {
-	if a.Delivered || !passing(a.Problem.Kind()) {
+	if a.Delivered || !isTransient(a.Problem.Kind()) {
 		return false
 	}
 	switch a.Problem.Outcome() {
@@ -63,9 +63,9 @@
 	}
 }
 
-// passing reports whether a problem may be gone at another upstream or after a
+// isTransient reports whether a problem may be gone at another upstream or after a
 // while.
-func passing(kind mgproblem.Kind) bool {
+func isTransient(kind mgproblem.Kind) bool {
 	switch kind {
 	case mgproblem.Crowded, mgproblem.Leaving, mgproblem.Unready, mgproblem.Behind,
 		mgproblem.Incarnation, mgproblem.Interrupted, mgproblem.Unconfirmed, mgproblem.Internal:
@@ -77,10 +77,10 @@
 
 // Backoff returns how long to wait after a number of tries of which the last
 // one was told to come back after told.
-func Backoff(tries int, told mgclock.Millis, r *rand.Rand) mgclock.Millis {
-	bound := Ceiling
+func Backoff(tries int, retryAfter mgclock.Millis, r *rand.Rand) mgclock.Millis {
+	bound := MaxBackoff
 	if shift := max(tries-1, 0); shift < 16 {
-		bound = min(Base<<shift, Ceiling)
+		bound = min(BaseBackoff<<shift, MaxBackoff)
 	}
-	return max(told, 0) + mgclock.Millis(r.Int64N(int64(bound)+1))
+	return max(retryAfter, 0) + mgclock.Millis(r.Int64N(int64(bound)+1))
 }
--- a/internal/request/mgretry/retry_test.go
+++ b/internal/request/mgretry/retry_test.go
@@ -12,19 +12,19 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-func source() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func failed(kind mgproblem.Kind, outcome mgproblem.Outcome) *mgproblem.Problem {
+func newProblem(kind mgproblem.Kind, outcome mgproblem.Outcome) *mgproblem.Problem {
 	return mgproblem.New(kind, outcome, "it failed", "try again")
 }
 
 // An outage of a minute ends, and the engines fall over again within a second:
 // everything that failed in that minute is tried again at once.
-func TestOutage(t *testing.T) {
+func TestRetriesStormAfterOutage(t *testing.T) {
 	Convey("Through an outage of a minute", t, func() {
 		const offered = 100 // new requests a second
 		var b mgretry.Budget
-		r := source()
+		r := newRand()
 		attempts := make([]int, 200)
 		again := make([][]int, 500) // tries of the requests that come back, by second
 		for second := range attempts {
@@ -37,7 +37,7 @@
 				}
 				now := mgclock.Millis(second) * mgclock.Second
 				wait, ok := b.Next(now, mgretry.Attempt{
-					Problem: failed(mgproblem.Crowded, mgproblem.NotRun),
+					Problem: newProblem(mgproblem.Crowded, mgproblem.NotRun),
 					Tries:   tries,
 				}, r)
 				if ok {
@@ -57,7 +57,7 @@
 			for _, n := range attempts[60:120] {
 				sum += n - offered
 			}
-			So(sum, ShouldBeLessThanOrEqualTo, mgretry.Limit)
+			So(sum, ShouldBeLessThanOrEqualTo, mgretry.DefaultLimit)
 		})
 		Convey("and nothing storms after it", func() {
 			for _, n := range attempts[120:] {
@@ -69,9 +69,9 @@
 
 // After an outage all callers come back within the same second, though each of
 // them backed off.
-func TestCallersComeBackApart(t *testing.T) {
+func TestCallersRetryInSameSecond(t *testing.T) {
 	Convey("A thousand callers that failed together", t, func() {
-		r := source()
+		r := newRand()
 		perSecond := map[mgclock.Millis]int{}
 		const outage = 5 * mgclock.Minute
 		for range 1000 {
@@ -79,7 +79,7 @@
 			for tries := 1; now < outage; tries++ {
 				now += mgretry.Backoff(tries, 0, r)
 			}
-			So(now, ShouldBeLessThanOrEqualTo, outage+mgretry.Ceiling)
+			So(now, ShouldBeLessThanOrEqualTo, outage+mgretry.MaxBackoff)
 			perSecond[now/mgclock.Second]++
 		}
 		for _, n := range perSecond {
@@ -90,10 +90,10 @@
 
 // A transfer ticket is booked twice: the connection broke after the write had
 // run, and the system sent it again.
-func TestAllowed(t *testing.T) {
+func TestWriteRetriedAfterItRan(t *testing.T) {
 	allowed := func(kind mgproblem.Kind, outcome mgproblem.Outcome, idempotent, delivered bool) bool {
 		return mgretry.Allowed(mgretry.Attempt{
-			Problem:    failed(kind, outcome),
+			Problem:    newProblem(kind, outcome),
 			Idempotent: idempotent,
 			Delivered:  delivered,
 		})
@@ -118,10 +118,10 @@
 
 // An engine turns slow, each lookup passes the delay after which a second copy
 // is sent, and the copies make it slower.
-func TestHedgesOfSlowUpstream(t *testing.T) {
+func TestHedgesOverloadSlowUpstream(t *testing.T) {
 	Convey("Hedges", t, func() {
 		var h mgretry.Hedge
-		r := source()
+		r := newRand()
 		_, ok := h.After()
 		So(ok, ShouldBeFalse)
 		for range 10_000 {
@@ -139,7 +139,7 @@
 				}
 				h.Answered(2000, mgretry.HedgeRatio)
 			}
-			So(sent, ShouldBeLessThanOrEqualTo, mgretry.Limit+1000/20)
+			So(sent, ShouldBeLessThanOrEqualTo, mgretry.DefaultLimit+1000/20)
 			after, _ := h.After()
 			So(after, ShouldBeGreaterThan, 1500)
 		})
@@ -148,7 +148,7 @@
 
 // However successes and retries mix, retries are at most the limit and the
 // ratio of successes, and a wait is at least what was told.
-func TestBudgetProperties(t *testing.T) {
+func TestBudgetExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b mgretry.Budget
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -160,13 +160,13 @@
 			} else if b.Spend() {
 				spent++
 			}
-			if spent > mgretry.Limit+earned+1e-9 || b.Left() < 0 {
+			if spent > mgretry.DefaultLimit+earned+1e-9 || b.Left() < 0 {
 				t.Fatalf("%v retries for %v earned, %d left", spent, earned, b.Left())
 			}
 		}
 		told := mgclock.Millis(rapid.IntRange(0, 100_000).Draw(t, "told"))
 		wait := mgretry.Backoff(rapid.IntRange(0, 100).Draw(t, "tries"), told, r)
-		if wait < told || wait > told+mgretry.Ceiling {
+		if wait < told || wait > told+mgretry.MaxBackoff {
 			t.Fatalf("told %d, waits %d", told, wait)
 		}
 	})
@@ -174,9 +174,9 @@
 
 func BenchmarkNext(b *testing.B) {
 	var budgets mgretry.Budgets
-	r := source()
+	r := newRand()
 	a := mgretry.Attempt{
-		Problem: failed(mgproblem.Crowded, mgproblem.NotRun),
+		Problem: newProblem(mgproblem.Crowded, mgproblem.NotRun),
 		Tries:   1,
 	}
 	b.ReportAllocs()
@@ -201,7 +201,7 @@
 // An engine fails half of its requests. Five entries hold 64 retries each, a
 // service allows 56 beyond a fifth of its requests, and the retries are what
 // brings the others down.
-func TestShare(t *testing.T) {
+func TestProcessesExceedServiceBudget(t *testing.T) {
 	Convey("Processes hold together what a service allows", t, func() {
 		for _, processes := range []int{1, 2, 5, 24} {
 			So(processes*mgretry.Share(56, processes), ShouldBeLessThanOrEqualTo, 56)
