--- a/internal/request/mgretry/budget.go
+++ b/internal/request/mgretry/budget.go
@@ -2,34 +2,36 @@
 
 import "sync/atomic"
 
-// Ratio is the part of a retry that each success earns. When a share f of the
-// tries fails, it pays for Ratio·(1-f)/f of the retries: for nine tenths of them
-// while one upstream in ten fails, for none while all do. It multiplies the load
-// by 1 + Ratio at most.
+// Ratio is the fraction of a retry that each success earns. If a fraction f of
+// the tries fails, it pays for Ratio·(1-f)/f of the retries: for nine tenths of
+// them while one upstream in ten fails, for none while all do. It multiplies
+// the load by 1 + Ratio at most.
 const Ratio = 0.1
 
-// HedgeRatio is the part of a hedge that each success earns: the share of
-// lookups that are slower than the 95th percentile.
+// HedgeRatio is the fraction of a hedge that each success earns: the fraction
+// of lookups that are slower than the 95th percentile.
 const HedgeRatio = 0.05
 
-// DefaultLimit is the most retries that a budget holds, and what it begins with:
-// enough for the requests that one failed engine leaves behind.
+// DefaultLimit is the maximum of retries in a budget, which is also its initial
+// value: enough for the requests that one failed engine leaves behind.
 const DefaultLimit = 64
 
-// unitsPerRetry is a thousandth of a retry, the unit of a budget.
+// unitsPerRetry is the resolution of a budget, which counts thousandths of a
+// retry.
 const unitsPerRetry = 1000
 
-// A Budget bounds retries by a share of successes. The zero Budget is full.
+// A Budget bounds retries to a fraction of the successes. The zero Budget is
+// full.
 type Budget struct {
 	spent atomic.Int64 // in thousandths of a retry
-	limit atomic.Int64 // whole retries, 0 for Limit
+	limit atomic.Int64 // whole retries, 0 for DefaultLimit
 }
 
-// Bound sets the most retries that the budget holds, where several processes
-// share what one service allows.
+// Bound sets the maximum of retries in the budget, where several processes
+// share a service's budget.
 func (b *Budget) Bound(limit int) { b.limit.Store(int64(limit)) }
 
-// maxRetries returns the maxRetries retries that the budget holds.
+// maxRetries returns the maximum of retries in the budget.
 func (b *Budget) maxRetries() int64 {
 	if limit := b.limit.Load(); limit > 0 {
 		return limit
@@ -37,7 +39,7 @@
 	return DefaultLimit
 }
 
-// Earn adds the share of a retry that a success brings.
+// Earn adds the fraction of a retry that a success earns.
 func (b *Budget) Earn(ratio float64) {
 	earned := int64(ratio * unitsPerRetry)
 	for {
@@ -48,7 +50,7 @@
 	}
 }
 
-// Spend takes one retry. It reports false, and takes none, when there is none
+// Spend takes one retry. It reports false, and takes none, if less than one is
 // left.
 func (b *Budget) Spend() bool {
 	for {
--- a/internal/request/mgretry/budgets.go
+++ b/internal/request/mgretry/budgets.go
@@ -6,17 +6,17 @@
 	"sync/atomic"
 )
 
-// Budgets holds the budgets of the services. The zero Budgets is empty. A read
-// takes no lock: the map is copied when a service is new, which is bounded by
-// the services of the table.
+// Budgets holds the services' budgets. The zero Budgets is empty. A read takes
+// no lock: the map is copied when a service is new, and the table bounds the
+// number of services.
 type Budgets struct {
 	mu        sync.Mutex
 	byService atomic.Pointer[map[string]*Budget]
 
-	limit int // of each budget, 0 for Limit
+	limit int // of each budget, 0 for DefaultLimit
 }
 
-// Bound sets the most retries that each budget holds; see Budget.Bound.
+// Bound sets the maximum of retries in each budget; see Budget.Bound.
 func (s *Budgets) Bound(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,7 +28,7 @@
 	}
 }
 
-// Of returns the budget of a service, which begins full.
+// Of returns the budget of a service, which is full when new.
 func (s *Budgets) Of(service string) *Budget {
 	if all := s.byService.Load(); all != nil {
 		if b := (*all)[service]; b != nil {
--- a/internal/request/mgretry/hedge.go
+++ b/internal/request/mgretry/hedge.go
@@ -7,27 +7,28 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// minSamples is the number of delays after which their 95th percentile is believed:
-// five lie above it.
+// minSamples is the number of delays from which their 95th percentile is used:
+// five of them lie above it.
 const minSamples = 100
 
-// decayPeriod is the number of delays after which all counts are halved, so that an
-// upstream that turns slow or fast is learnt within about that many.
+// decayPeriod is the number of delays after which all counts are halved, so
+// that the percentile follows an upstream that becomes slower or faster within
+// about that many.
 const decayPeriod = 1000
 
-// bucketCount is the number of buckets of delays, four an octave, up to hours.
+// bucketCount is the number of buckets of delays: four per octave, up to hours.
 const bucketCount = 96
 
-// A Hedge decides when a lookup is sent a second time. The zero Hedge has seen
-// no delay and sends none.
+// A Hedge decides when a lookup is sent a second time. The zero Hedge has no
+// delays and sends none.
 type Hedge struct {
 	budget Budget
 	total  atomic.Int64
 	counts [bucketCount]atomic.Int64
 }
 
-// Answered tells that a lookup was answered after a delay. Ratio is the part of
-// a second copy that it earns, from 0 to 1.
+// Answered records the delay of an answered lookup. Ratio is the fraction of a
+// second copy that it earns, from 0 to 1.
 func (h *Hedge) Answered(delay mgclock.Millis, ratio float64) {
 	h.budget.Earn(ratio)
 	h.counts[bucketOf(delay)].Add(1)
@@ -36,8 +37,8 @@
 	}
 }
 
-// After returns the delay after which a lookup is worth a second copy. It
-// reports false while too little is known.
+// After returns the delay after which a second copy should be sent, or false
+// while there are fewer than minSamples delays.
 func (h *Hedge) After() (mgclock.Millis, bool) {
 	total := h.total.Load()
 	if total < minSamples {
@@ -53,11 +54,11 @@
 	return bucketStart(1), true
 }
 
-// Allow reports whether the budget has a second copy, and takes it.
+// Allow reports whether the budget allows a second copy, and spends it.
 func (h *Hedge) Allow() bool { return h.budget.Spend() }
 
-// decay halves all counts. Delays that are counted at the same time may be lost
-// or kept whole, which changes no percentile by more than they are.
+// decay halves all counts. Delays counted concurrently may be lost or not
+// halved, which changes a percentile by no more than their number.
 func (h *Hedge) decay() {
 	sum := int64(0)
 	for s := range h.counts {
@@ -68,7 +69,7 @@
 	h.total.Store(sum)
 }
 
-// bucketOf returns the bucket of a delay: the octave and its quarter.
+// bucketOf returns the bucket of a delay: its octave and the quarter of that.
 func bucketOf(delay mgclock.Millis) int {
 	d := uint64(max(delay, 0)) + 4
 	octave := bits.Len64(d) - 3
@@ -76,7 +77,7 @@
 	return min(4*octave+quarter, bucketCount-1)
 }
 
-// bucketStart returns the least delay of a bucket.
+// bucketStart returns the minimum delay of a bucket.
 func bucketStart(s int) mgclock.Millis {
 	return mgclock.Millis((s%4+4)<<(s/4)) - 4
 }
--- a/internal/request/mgretry/retry.go
+++ b/internal/request/mgretry/retry.go
@@ -7,30 +7,31 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// BaseBackoff and MaxBackoff bound the random part of a wait. BaseBackoff is some steps of an
-// engine; MaxBackoff is the longest that a caller may lag behind the end of an
-// outage.
+// BaseBackoff and MaxBackoff bound the random part of a backoff. BaseBackoff is
+// a few decoding steps of an engine; MaxBackoff is the maximum time by which a
+// caller's retry may follow the end of an outage.
 const (
 	BaseBackoff = 100 * mgclock.Millis(1)
 	MaxBackoff  = 30 * mgclock.Second
 )
 
-// MaxTries is the most times that one request is tried within the system. Whoever
-// failed three times is told so: the next one to try is the caller.
+// MaxTries is the maximum of tries of one request within the system. After
+// three failures the problem goes to the caller, who decides whether to retry.
 const MaxTries = 3
 
-// An Attempt is one that failed.
+// An Attempt is a failed try of a request.
 type Attempt struct {
 	Problem    *mgproblem.Problem
-	Idempotent bool           // may run twice
-	Delivered  bool           // the caller has a part of the answer
-	Tries      int            // made until now, at least 1
-	Deadline   mgclock.Millis // when the answer must begin, 0 for none
+	Idempotent bool           // it may run twice
+	Delivered  bool           // the caller has received part of the answer
+	Tries      int            // tries so far, at least 1
+	Deadline   mgclock.Millis // time by which the answer must begin, 0 for none
 }
 
-// Next tells whether to try again, and after which span. It spends of the
-// service's budget, but for what an upstream handed back as it left: that is
-// bounded by what waited there, and it has cost the upstream nothing.
+// Next returns the backoff before the next try, or false if there is none. A
+// retry spends from the service's budget, unless an upstream returned the
+// request because it is leaving: such retries are bounded by what was queued
+// there, and the request has cost the upstream nothing.
 func (b *Budget) Next(now mgclock.Millis, a Attempt, r *rand.Rand) (mgclock.Millis, bool) {
 	if a.Tries >= MaxTries || !Allowed(a) {
 		return 0, false
@@ -63,8 +64,8 @@
 	}
 }
 
-// isTransient reports whether a problem may be gone at another upstream or after a
-// while.
+// isTransient reports whether a problem may not occur at another upstream or
+// after a while.
 func isTransient(kind mgproblem.Kind) bool {
 	switch kind {
 	case mgproblem.Crowded, mgproblem.Leaving, mgproblem.Unready, mgproblem.Behind,
@@ -75,8 +76,8 @@
 	}
 }
 
-// Backoff returns how long to wait after a number of tries of which the last
-// one was told to come back after told.
+// Backoff returns the backoff after a number of tries, the last of which was
+// answered with retryAfter as the minimum delay.
 func Backoff(tries int, retryAfter mgclock.Millis, r *rand.Rand) mgclock.Millis {
 	bound := MaxBackoff
 	if shift := max(tries-1, 0); shift < 16 {
--- a/internal/request/mgretry/retry_test.go
+++ b/internal/request/mgretry/retry_test.go
@@ -18,15 +18,15 @@
 	return mgproblem.New(kind, outcome, "it failed", "try again")
 }
 
-// An outage of a minute ends, and the engines fall over again within a second:
-// everything that failed in that minute is tried again at once.
+// An outage of a minute ends, and the engines are overloaded within a second
+// because everything that failed in that minute is retried at once.
 func TestRetriesStormAfterOutage(t *testing.T) {
 	Convey("Through an outage of a minute", t, func() {
-		const offered = 100 // new requests a second
+		const offered = 100 // new requests per second
 		var b mgretry.Budget
 		r := newRand()
 		attempts := make([]int, 200)
-		again := make([][]int, 500) // tries of the requests that come back, by second
+		again := make([][]int, 500) // tries of the retried requests, by second
 		for second := range attempts {
 			up := second < 60 || second >= 120
 			try := func(tries int) {
@@ -67,7 +67,7 @@
 	})
 }
 
-// After an outage all callers come back within the same second, though each of
+// After an outage all callers retry within the same second although each of
 // them backed off.
 func TestCallersRetryInSameSecond(t *testing.T) {
 	Convey("A thousand callers that failed together", t, func() {
@@ -88,8 +88,8 @@
 	})
 }
 
-// A transfer ticket is booked twice: the connection broke after the write had
-// run, and the system sent it again.
+// A write runs twice: the connection broke after it had run, and the system
+// sent it again.
 func TestWriteRetriedAfterItRan(t *testing.T) {
 	allowed := func(kind mgproblem.Kind, outcome mgproblem.Outcome, idempotent, delivered bool) bool {
 		return mgretry.Allowed(mgretry.Attempt{
@@ -116,8 +116,8 @@
 	})
 }
 
-// An engine turns slow, each lookup passes the delay after which a second copy
-// is sent, and the copies make it slower.
+// An engine becomes slow, each lookup exceeds the delay after which a second
+// copy is sent, and the copies make it slower.
 func TestHedgesOverloadSlowUpstream(t *testing.T) {
 	Convey("Hedges", t, func() {
 		var h mgretry.Hedge
@@ -146,8 +146,8 @@
 	})
 }
 
-// However successes and retries mix, retries are at most the limit and the
-// ratio of successes, and a wait is at least what was told.
+// For any mix of successes and retries, retries don't exceed the limit plus the
+// fraction of successes, and a backoff is at least the requested delay.
 func TestBudgetExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b mgretry.Budget
@@ -199,8 +199,8 @@
 }
 
 // An engine fails half of its requests. Five entries hold 64 retries each, a
-// service allows 56 beyond a fifth of its requests, and the retries are what
-// brings the others down.
+// service allows 56 beyond a fifth of its requests, and the retries overload
+// the other engines.
 func TestProcessesExceedServiceBudget(t *testing.T) {
 	Convey("Processes hold together what a service allows", t, func() {
 		for _, processes := range []int{1, 2, 5, 24} {
