--- a/internal/request/mgretry/retry_test.go
+++ b/internal/request/mgretry/retry_test.go
@@ -59,7 +59,7 @@
 			}
 			So(sum, ShouldBeLessThanOrEqualTo, mgretry.DefaultLimit)
 		})
-		Convey("and nothing storms after it", func() {
+		Convey("and there is no retry storm after it", func() {
 			for _, n := range attempts[120:] {
 				So(n, ShouldBeLessThan, offered*12/10)
 			}
@@ -98,7 +98,7 @@
 			Delivered:  delivered,
 		})
 	}
-	Convey("Tried again is", t, func() {
+	Convey("Retried is", t, func() {
 		Convey("what did not run", func() {
 			So(allowed(mgproblem.Crowded, mgproblem.NotRun, false, false), ShouldBeTrue)
 		})
@@ -110,7 +110,7 @@
 			So(allowed(mgproblem.Internal, mgproblem.Done, true, false), ShouldBeFalse)
 			So(allowed(mgproblem.Interrupted, mgproblem.Unknown, true, true), ShouldBeFalse)
 		})
-		Convey("nothing that no upstream would take", func() {
+		Convey("nothing that no upstream would accept", func() {
 			So(allowed(mgproblem.Invalid, mgproblem.NotRun, true, false), ShouldBeFalse)
 		})
 	})
@@ -131,7 +131,7 @@
 		So(ok, ShouldBeTrue)
 		So(after, ShouldBeBetween, 100, 130)
 
-		Convey("are ended by the budget when every lookup is slow", func() {
+		Convey("are stopped by the budget when every lookup is slow", func() {
 			sent := 0
 			for range 1000 {
 				if h.Allow() {
@@ -167,7 +167,7 @@
 		told := mgclock.Millis(rapid.IntRange(0, 100_000).Draw(t, "told"))
 		wait := mgretry.Backoff(rapid.IntRange(0, 100).Draw(t, "tries"), told, r)
 		if wait < told || wait > told+mgretry.MaxBackoff {
-			t.Fatalf("told %d, waits %d", told, wait)
+			t.Fatalf("retry after %d, backoff %d", told, wait)
 		}
 	})
 }
@@ -202,7 +202,7 @@
 // service allows 56 beyond a fifth of its requests, and the retries overload
 // the other engines.
 func TestProcessesExceedServiceBudget(t *testing.T) {
-	Convey("Processes hold together what a service allows", t, func() {
+	Convey("Processes together hold at most what a service allows", t, func() {
 		for _, processes := range []int{1, 2, 5, 24} {
 			So(processes*mgretry.Share(56, processes), ShouldBeLessThanOrEqualTo, 56)
 		}
