--- a/internal/request/mglength/curve.go
+++ b/internal/request/mglength/curve.go
@@ -30,59 +30,59 @@
 	return b
 }
 
-// counts is the histogram of one level. Its unit grows with each answer, in
+// histogram is the histogram of one level. Its unit grows with each answer, in
 // place of a decay of all that was counted before.
-type counts struct {
-	risk  [Buckets]float32 // answers that went through the bucket or ended in it
-	ended [Buckets]float32
-	unit  float32
-	turn  uint64 // number of changes
+type histogram struct {
+	atRisk     [Buckets]float32 // answers that went through the bucket or ended in it
+	ended      [Buckets]float32
+	weightUnit float32
+	version    uint64 // number of changes
 }
 
-// fade is the growth of the unit that halves what was counted HalfLife answers
+// weightGrowth is the growth of the unit that halves what was counted HalfLife answers
 // before.
-var fade = float32(math.Exp2(1.0 / HalfLife))
+var weightGrowth = float32(math.Exp2(1.0 / HalfLife))
 
-// heavy is the unit at which all counts are scaled back, well within the
+// maxWeightUnit is the unit at which all counts are scaled back, well within the
 // precision of a float32.
-const heavy = 1 << 16
+const maxWeightUnit = 1 << 16
 
-func (c *counts) pass(b int) {
-	c.risk[b] += c.weight()
-	c.turn++
+func (c *histogram) addPassed(b int) {
+	c.atRisk[b] += c.weight()
+	c.version++
 }
 
-func (c *counts) end(b int) {
+func (c *histogram) addEnded(b int) {
 	w := c.weight()
-	c.risk[b] += w
+	c.atRisk[b] += w
 	c.ended[b] += w
-	c.turn++
-	c.unit = w * fade
-	if c.unit > heavy {
-		c.scale()
+	c.version++
+	c.weightUnit = w * weightGrowth
+	if c.weightUnit > maxWeightUnit {
+		c.rescale()
 	}
 }
 
-func (c *counts) weight() float32 {
-	if c.unit == 0 {
-		c.unit = 1
+func (c *histogram) weight() float32 {
+	if c.weightUnit == 0 {
+		c.weightUnit = 1
 	}
-	return c.unit
+	return c.weightUnit
 }
 
-func (c *counts) scale() {
-	for b := range c.risk {
-		c.risk[b] /= c.unit
-		c.ended[b] /= c.unit
+func (c *histogram) rescale() {
+	for b := range c.atRisk {
+		c.atRisk[b] /= c.weightUnit
+		c.ended[b] /= c.weightUnit
 	}
-	c.unit = 1
+	c.weightUnit = 1
 }
 
 // hazard returns the chance that an answer which reaches bucket b ends in it,
 // given the chance at the level above.
-func (c *counts) hazard(b int, above float64) float64 {
+func (c *histogram) hazard(b int, above float64) float64 {
 	w := float64(c.weight())
-	return (float64(c.ended[b])/w + Trust*above) / (float64(c.risk[b])/w + Trust)
+	return (float64(c.ended[b])/w + PriorWeight*above) / (float64(c.atRisk[b])/w + PriorWeight)
 }
 
 // Curve is a survival function of lengths. The zero Curve is that of answers
@@ -130,8 +130,8 @@
 	return c.survival[b] + (c.survival[b+1]-c.survival[b])*part
 }
 
-// rest returns the integral of the survival from x on.
-func (c *Curve) rest(x int) float64 {
+// areaBeyond returns the integral of the survival from x on.
+func (c *Curve) areaBeyond(x int) float64 {
 	b := bucket(x)
 	width := edges[b+1] - edges[b]
 	left := max(edges[b+1]-float64(x), 0)
@@ -156,9 +156,9 @@
 	if given <= 0 || limit > 0 && produced >= limit {
 		return 0
 	}
-	area := c.rest(produced)
+	area := c.areaBeyond(produced)
 	if limit > 0 {
-		area -= c.rest(limit)
+		area -= c.areaBeyond(limit)
 	}
 	return area / given
 }
--- a/internal/request/mglength/estimator.go
+++ b/internal/request/mglength/estimator.go
@@ -4,16 +4,16 @@
 // weighs half. It leaves enough answers for the tail of a bimodal law.
 const HalfLife = 200
 
-// Trust is the weight, in answers, of the level above in each bucket.
-const Trust = 4
+// PriorWeight is the weight, in answers, of the level above in each bucket.
+const PriorWeight = 4
 
-// Classes is the most classes that an Estimator keeps.
-const Classes = 4096
+// MaxClasses is the most classes that an Estimator keeps.
+const MaxClasses = 4096
 
-// fresh is the most counts that a curve may lack, out of some thousands that
+// maxStaleChanges is the most counts that a curve may lack, out of some thousands that
 // weigh: filling it for each count would be most of a decision's cost. A curve
 // with little behind it lacks a sixteenth.
-const fresh = 64
+const maxStaleChanges = 64
 
 // A Key names a class and the levels above it.
 type Key struct {
@@ -28,16 +28,16 @@
 	classes  map[Key]*class
 	services map[Key]*node // by service and model
 	models   map[string]*node
-	ring     class // of the classes, the most recently used first
+	lru      class // of the classes, the most recently used first
 }
 
 // node is a class, a service or a model.
 type node struct {
-	above  *node // nil for the prior
-	users  int   // nodes below, or answers that run
-	counts counts
-	curve  Curve
-	turn   uint64 // of all counts when curve was filled
+	parent       *node // nil for the prior
+	refCount     int   // nodes below, or answers that run
+	histogram    histogram
+	curve        Curve
+	curveVersion uint64 // of all counts when curve was filled
 }
 
 // class is one account's use of a service.
@@ -51,8 +51,8 @@
 // An Answer is one running answer, as the Estimator follows it. The zero
 // Answer is followed by none.
 type Answer struct {
-	class  *node
-	passed int // buckets left behind
+	class         *node
+	passedBuckets int // buckets left behind
 }
 
 // Classes returns the number of classes kept.
@@ -63,8 +63,8 @@
 
 // Begin starts to follow an answer.
 func (e *Estimator) Begin(key Key) Answer {
-	c := e.class(key)
-	c.users++
+	c := e.classOf(key)
+	c.refCount++
 	return Answer{
 		class: &c.node,
 	}
@@ -75,22 +75,22 @@
 // Estimator or of one of its Answers.
 func (e *Estimator) Curve(key Key) *Curve {
 	if c := e.classes[key]; c != nil {
-		return c.look()
+		return c.currentCurve()
 	}
 	if service := e.services[serviceKey(key)]; service != nil {
-		return service.look()
+		return service.currentCurve()
 	}
-	return e.models[key.Model].look()
+	return e.models[key.Model].currentCurve()
 }
 
 // Curve returns the survival function of the answer's class.
-func (a *Answer) Curve() *Curve { return a.class.look() }
+func (a *Answer) Curve() *Curve { return a.class.currentCurve() }
 
 // Progress tells that the answer has produced a number of tokens in all.
 func (a *Answer) Progress(produced int) {
-	for ; a.passed < Buckets-1 && float64(produced) >= edges[a.passed+1]; a.passed++ {
-		for n := a.class; n != nil; n = n.above {
-			n.counts.pass(a.passed)
+	for ; a.passedBuckets < Buckets-1 && float64(produced) >= edges[a.passedBuckets+1]; a.passedBuckets++ {
+		for n := a.class; n != nil; n = n.parent {
+			n.histogram.addPassed(a.passedBuckets)
 		}
 	}
 }
@@ -98,12 +98,12 @@
 // Skip tells that the answer had produced a number of tokens when it was first
 // seen. That it came so far is no evidence: those that did not were never seen
 // (left truncation).
-func (a *Answer) Skip(produced int) { a.passed = bucket(produced) }
+func (a *Answer) Skip(produced int) { a.passedBuckets = bucket(produced) }
 
 // Stop ends to follow an answer that was cut off.
 func (a *Answer) Stop() {
 	if a.class != nil {
-		a.class.users--
+		a.class.refCount--
 	}
 	a.class = nil
 }
@@ -112,8 +112,8 @@
 // tokens in all.
 func (a *Answer) End(produced int) {
 	a.Progress(produced)
-	for n := a.class; n != nil; n = n.above {
-		n.counts.end(a.passed)
+	for n := a.class; n != nil; n = n.parent {
+		n.histogram.addEnded(a.passedBuckets)
 	}
 	a.Stop()
 }
@@ -123,33 +123,33 @@
 	if n == nil {
 		return priorHazard[b]
 	}
-	return n.counts.hazard(b, n.above.hazard(b))
+	return n.histogram.hazard(b, n.parent.hazard(b))
 }
 
-// look returns the curve, filled anew if enough was counted since.
-func (n *node) look() *Curve {
+// currentCurve returns the curve, filled anew if enough was counted since.
+func (n *node) currentCurve() *Curve {
 	if n == nil {
 		return &prior
 	}
 	turn := uint64(1)
-	for m := n; m != nil; m = m.above {
-		turn += m.counts.turn
+	for m := n; m != nil; m = m.parent {
+		turn += m.histogram.version
 	}
-	if stale := turn - n.turn; n.turn == 0 || stale > min(turn/16, fresh) {
-		n.turn = turn
+	if stale := turn - n.curveVersion; n.curveVersion == 0 || stale > min(turn/16, maxStaleChanges) {
+		n.curveVersion = turn
 		n.curve.fill(n.hazard)
 	}
 	return &n.curve
 }
 
-// class returns the class of a key, which it creates.
-func (e *Estimator) class(key Key) *class {
+// classOf returns the classOf of a key, which it creates.
+func (e *Estimator) classOf(key Key) *class {
 	e.init()
 	c := e.classes[key]
 	if c == nil {
-		c = e.create(key, e.spare())
+		c = e.addClass(key, e.allocClass())
 	}
-	e.touch(c)
+	e.markUsed(c)
 	return c
 }
 
@@ -160,27 +160,27 @@
 	e.classes = make(map[Key]*class)
 	e.services = make(map[Key]*node)
 	e.models = make(map[string]*node)
-	e.ring.next = &e.ring
-	e.ring.prev = &e.ring
+	e.lru.next = &e.lru
+	e.lru.prev = &e.lru
 }
 
-// spare returns an empty class. Once there are Classes it is the one used
+// allocClass returns an empty class. Once there are Classes it is the one used
 // longest ago, unless answers of that one still run: they keep it until they
 // end.
-func (e *Estimator) spare() *class {
-	if len(e.classes) < Classes {
+func (e *Estimator) allocClass() *class {
+	if len(e.classes) < MaxClasses {
 		return new(class)
 	}
-	c := e.ring.prev
-	e.forget(c)
-	if c.users > 0 {
+	c := e.lru.prev
+	e.removeClass(c)
+	if c.refCount > 0 {
 		return new(class)
 	}
 	*c = class{}
 	return c
 }
 
-func (e *Estimator) create(key Key, c *class) *class {
+func (e *Estimator) addClass(key Key, c *class) *class {
 	model := e.models[key.Model]
 	if model == nil {
 		model = new(node)
@@ -189,25 +189,25 @@
 	service := e.services[serviceKey(key)]
 	if service == nil {
 		service = &node{
-			above: model,
+			parent: model,
 		}
-		model.users++
+		model.refCount++
 		e.services[serviceKey(key)] = service
 	}
-	service.users++
+	service.refCount++
 	c.key = key
-	c.above = service
+	c.parent = service
 	e.classes[key] = c
 	return c
 }
 
-// touch moves a class to the front of the ring.
-func (e *Estimator) touch(c *class) {
+// markUsed moves a class to the front of the ring.
+func (e *Estimator) markUsed(c *class) {
 	c.unlink()
-	c.next = e.ring.next
-	c.prev = &e.ring
+	c.next = e.lru.next
+	c.prev = &e.lru
 	c.next.prev = c
-	e.ring.next = c
+	e.lru.next = c
 }
 
 func (c *class) unlink() {
@@ -218,17 +218,17 @@
 	c.prev.next = c.next
 }
 
-// forget drops a class, and the levels above it that have no other.
-func (e *Estimator) forget(c *class) {
+// removeClass drops a class, and the levels above it that have no other.
+func (e *Estimator) removeClass(c *class) {
 	c.unlink()
 	delete(e.classes, c.key)
-	service := c.above
-	if service.users--; service.users > 0 {
+	service := c.parent
+	if service.refCount--; service.refCount > 0 {
 		return
 	}
 	delete(e.services, serviceKey(c.key))
-	model := service.above
-	if model.users--; model.users > 0 {
+	model := service.parent
+	if model.refCount--; model.refCount > 0 {
 		return
 	}
 	delete(e.models, c.key.Model)
--- a/internal/request/mglength/estimator_test.go
+++ b/internal/request/mglength/estimator_test.go
@@ -18,7 +18,7 @@
 	Model:   "small",
 }
 
-func learn(e *mglength.Estimator, key mglength.Key, lengths ...int) {
+func addLengths(e *mglength.Estimator, key mglength.Key, lengths ...int) {
 	for _, n := range lengths {
 		a := e.Begin(key)
 		a.End(n)
@@ -36,13 +36,13 @@
 // Engines thrash in the first minutes of a shift: short notes have ended and
 // long reports still run, so an average of what has ended says that answers
 // are short.
-func TestRunningAnswersCount(t *testing.T) {
+func TestEstimateIgnoresRunningAnswers(t *testing.T) {
 	Convey("Among short answers that ended, long ones that run are seen", t, func() {
 		var e mglength.Estimator
 		running := make([]mglength.Answer, 100)
 		for i := range running {
 			running[i] = e.Begin(report)
-			learn(&e, report, 50)
+			addLengths(&e, report, 50)
 		}
 		for i := range running {
 			running[i].Progress(2000)
@@ -54,24 +54,24 @@
 
 // After a new version of a model the answers are ten times as long, and the
 // engine preempts for as long as the old lengths are believed.
-func TestShift(t *testing.T) {
+func TestOldLengthsOutliveShift(t *testing.T) {
 	Convey("A shift is learnt within two half-lives", t, func() {
 		var e mglength.Estimator
 		r := rand.New(rand.NewPCG(1, 2))
-		learn(&e, report, exponential(r, 100, 5000)...)
+		addLengths(&e, report, exponential(r, 100, 5000)...)
 		So(e.Curve(report).Mean(0, 0), ShouldBeBetween, 80, 125)
-		learn(&e, report, exponential(r, 1000, 2*mglength.HalfLife)...)
+		addLengths(&e, report, exponential(r, 1000, 2*mglength.HalfLife)...)
 		So(e.Curve(report).Mean(0, 0), ShouldBeGreaterThan, 650)
 	})
 }
 
 // A competitor's customers arrive over one weekend: hundreds of accounts that
 // nothing is known of, with services that are well known.
-func TestColdStart(t *testing.T) {
+func TestNewAccountHasNoEstimate(t *testing.T) {
 	Convey("A new account is judged by its service, then by its model", t, func() {
 		var e mglength.Estimator
 		r := rand.New(rand.NewPCG(1, 2))
-		learn(&e, report, exponential(r, 2000, 1000)...)
+		addLengths(&e, report, exponential(r, 2000, 1000)...)
 		stranger := report
 		stranger.Account = "stranger"
 		So(e.Curve(stranger).Mean(0, 0), ShouldBeBetween, 1500, 2600)
@@ -85,11 +85,11 @@
 
 // For lengths of a known law the estimate is that law, also for an answer that
 // has run for a while.
-func TestKnownLaw(t *testing.T) {
+func TestEstimateMissesKnownDistribution(t *testing.T) {
 	Convey("Exponential lengths have no memory", t, func() {
 		var e mglength.Estimator
 		r := rand.New(rand.NewPCG(3, 4))
-		learn(&e, report, exponential(r, 400, 20_000)...)
+		addLengths(&e, report, exponential(r, 400, 20_000)...)
 		for _, produced := range []int{0, 100, 400} {
 			c := e.Curve(report)
 			So(c.Mean(produced, 0), ShouldBeBetween, 300, 520)
@@ -101,7 +101,7 @@
 
 // Whatever is counted, survival falls from 1 to 0, means are finite, and the
 // state is bounded.
-func TestEstimatorProperties(t *testing.T) {
+func TestEstimateOutOfRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var e mglength.Estimator
 		key := report
@@ -131,18 +131,18 @@
 	})
 }
 
-func TestStateIsBounded(t *testing.T) {
+func TestStateGrowsWithAccounts(t *testing.T) {
 	Convey("Accounts that come and go leave nothing behind", t, func() {
 		var e mglength.Estimator
-		for n := range 3 * mglength.Classes {
-			learn(&e, mglength.Key{
+		for n := range 3 * mglength.MaxClasses {
+			addLengths(&e, mglength.Key{
 				Account: fmt.Sprint(n),
 				Service: fmt.Sprint(n / 2),
 				Model:   fmt.Sprint(n / 4),
 			}, n)
 		}
-		So(e.Classes(), ShouldEqual, mglength.Classes)
-		So(e.Levels(), ShouldBeLessThanOrEqualTo, mglength.Classes)
+		So(e.Classes(), ShouldEqual, mglength.MaxClasses)
+		So(e.Levels(), ShouldBeLessThanOrEqualTo, mglength.MaxClasses)
 	})
 }
 
@@ -154,12 +154,12 @@
 			for n := range keys {
 				keys[n] = report
 				keys[n].Account = fmt.Sprint(n)
-				learn(&e, keys[n], n)
+				addLengths(&e, keys[n], n)
 			}
 			n := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				a := e.Begin(keys[n%min(accounts, mglength.Classes)])
+				a := e.Begin(keys[n%min(accounts, mglength.MaxClasses)])
 				a.End(n % 4096)
 				_ = e.Curve(keys[n%accounts]).Mean(100, 0)
 				n++
