--- a/internal/request/mglength/curve.go
+++ b/internal/request/mglength/curve.go
@@ -80,9 +80,9 @@
 
 // hazard returns the chance that an answer which reaches bucket b ends in it,
 // given the chance at the level above.
-func (c *histogram) hazard(b int, above float64) float64 {
+func (c *histogram) hazard(b int, parentHazard float64) float64 {
 	w := float64(c.weight())
-	return (float64(c.ended[b])/w + PriorWeight*above) / (float64(c.atRisk[b])/w + PriorWeight)
+	return (float64(c.ended[b])/w + PriorWeight*parentHazard) / (float64(c.atRisk[b])/w + PriorWeight)
 }
 
 // Curve is a survival function of lengths. The zero Curve is that of answers
@@ -126,39 +126,39 @@
 // Beyond returns the chance of a length beyond x.
 func (c *Curve) Beyond(x int) float64 {
 	b := bucket(x)
-	part := min((float64(x)-edges[b])/(edges[b+1]-edges[b]), 1)
-	return c.survival[b] + (c.survival[b+1]-c.survival[b])*part
+	fraction := min((float64(x)-edges[b])/(edges[b+1]-edges[b]), 1)
+	return c.survival[b] + (c.survival[b+1]-c.survival[b])*fraction
 }
 
 // areaBeyond returns the integral of the survival from x on.
 func (c *Curve) areaBeyond(x int) float64 {
 	b := bucket(x)
 	width := edges[b+1] - edges[b]
-	left := max(edges[b+1]-float64(x), 0)
-	here := c.survival[b+1] + (c.survival[b]-c.survival[b+1])*left/width
-	return c.area[b+1] + left*(here+c.survival[b+1])/2
+	remaining := max(edges[b+1]-float64(x), 0)
+	survivalAtX := c.survival[b+1] + (c.survival[b]-c.survival[b+1])*remaining/width
+	return c.area[b+1] + remaining*(survivalAtX+c.survival[b+1])/2
 }
 
 // Survival returns the chance that an answer which has produced some tokens
 // still runs after ahead more.
 func (c *Curve) Survival(produced, ahead int) float64 {
-	given := c.Beyond(produced)
-	if given <= 0 {
+	reached := c.Beyond(produced)
+	if reached <= 0 {
 		return 0
 	}
-	return c.Beyond(produced+ahead) / given
+	return c.Beyond(produced+ahead) / reached
 }
 
 // Mean returns the expected number of tokens to come of an answer that has
 // produced some and stops at limit, 0 for none.
 func (c *Curve) Mean(produced, limit int) float64 {
-	given := c.Beyond(produced)
-	if given <= 0 || limit > 0 && produced >= limit {
+	reached := c.Beyond(produced)
+	if reached <= 0 || limit > 0 && produced >= limit {
 		return 0
 	}
 	area := c.areaBeyond(produced)
 	if limit > 0 {
 		area -= c.areaBeyond(limit)
 	}
-	return area / given
+	return area / reached
 }
--- a/internal/request/mglength/estimator.go
+++ b/internal/request/mglength/estimator.go
@@ -131,12 +131,12 @@
 	if n == nil {
 		return &prior
 	}
-	turn := uint64(1)
+	version := uint64(1)
 	for m := n; m != nil; m = m.parent {
-		turn += m.histogram.version
+		version += m.histogram.version
 	}
-	if stale := turn - n.curveVersion; n.curveVersion == 0 || stale > min(turn/16, maxStaleChanges) {
-		n.curveVersion = turn
+	if staleChanges := version - n.curveVersion; n.curveVersion == 0 || staleChanges > min(version/16, maxStaleChanges) {
+		n.curveVersion = version
 		n.curve.fill(n.hazard)
 	}
 	return &n.curve
