--- a/internal/request/mglength/curve.go
+++ b/internal/request/mglength/curve.go
@@ -5,11 +5,11 @@
 	"math/bits"
 )
 
-// Buckets is the number of buckets of a histogram: four an octave from 8
-// tokens to beyond 131,072, the longest answer of a present model.
+// Buckets is the number of buckets of a histogram: four per octave from
+// 8 tokens to beyond 131,072, the longest answer of a present model.
 const Buckets = 4*14 + 2
 
-// edges holds the lower edge of each bucket; the last one is open.
+// edges holds the lower edge of each bucket; the last bucket is open.
 var edges = func() (e [Buckets + 1]float64) {
 	for b := 1; b <= Buckets; b++ {
 		e[b] = math.Floor(8 * math.Exp2(float64(b-1)/4))
@@ -17,7 +17,7 @@
 	return e
 }()
 
-// bucket returns the bucket that holds a length.
+// bucket returns the bucket that contains a length.
 func bucket(length int) int {
 	if length < 8 {
 		return 0
@@ -30,21 +30,21 @@
 	return b
 }
 
-// histogram is the histogram of one level. Its unit grows with each answer, in
-// place of a decay of all that was counted before.
+// histogram counts the answers of one level. Its weightUnit grows with each
+// answer, instead of a decay of all earlier counts.
 type histogram struct {
-	atRisk     [Buckets]float32 // answers that went through the bucket or ended in it
+	atRisk     [Buckets]float32 // answers that passed the bucket or ended in it
 	ended      [Buckets]float32
 	weightUnit float32
 	version    uint64 // number of changes
 }
 
-// weightGrowth is the growth of the unit that halves what was counted HalfLife answers
-// before.
+// weightGrowth is the factor by which weightUnit grows with each answer, so
+// that counts from HalfLife answers before weigh half.
 var weightGrowth = float32(math.Exp2(1.0 / HalfLife))
 
-// maxWeightUnit is the unit at which all counts are scaled back, well within the
-// precision of a float32.
+// maxWeightUnit is the weightUnit above which all counts are scaled back, well
+// within the precision of a float32.
 const maxWeightUnit = 1 << 16
 
 func (c *histogram) addPassed(b int) {
@@ -78,33 +78,33 @@
 	c.weightUnit = 1
 }
 
-// hazard returns the chance that an answer which reaches bucket b ends in it,
-// given the chance at the level above.
+// hazard returns the probability that an answer which reaches bucket b ends in
+// it, given that probability at the parent level.
 func (c *histogram) hazard(b int, parentHazard float64) float64 {
 	w := float64(c.weight())
 	return (float64(c.ended[b])/w + PriorWeight*parentHazard) / (float64(c.atRisk[b])/w + PriorWeight)
 }
 
 // Curve is a survival function of lengths. The zero Curve is that of answers
-// which end at once.
+// that end at once.
 type Curve struct {
-	survival [Buckets + 1]float64 // chance of a length of at least the edge
-	area     [Buckets + 1]float64 // integral of the survival from the edge on
+	survival [Buckets + 1]float64 // probability of a length of at least the edge
+	area     [Buckets + 1]float64 // integral of the survival beyond the edge
 }
 
-// priorHazard is that of a log-logistic law with a median of 256 tokens and
-// the shape 2, a long tail: what is unknown is taken for possibly long. Its
-// mean is 402 tokens.
+// priorHazard is the hazard of a log-logistic distribution with a median of
+// 256 tokens and the shape 2. Its long tail accounts for unknown answers
+// possibly being long. Its mean is 402 tokens.
 var priorHazard = func() (h [Buckets]float64) {
-	law := func(length float64) float64 { return 1 / (1 + math.Pow(length/256, 2)) }
+	survival := func(length float64) float64 { return 1 / (1 + math.Pow(length/256, 2)) }
 	for b := range h {
-		h[b] = 1 - law(edges[b+1])/law(edges[b])
+		h[b] = 1 - survival(edges[b+1])/survival(edges[b])
 	}
 	h[Buckets-1] = 1
 	return h
 }()
 
-// prior is the survival function of answers nothing is known of.
+// prior is the survival function of answers without any data.
 var prior = func() (c Curve) {
 	c.fill(func(b int) float64 { return priorHazard[b] })
 	return c
@@ -123,14 +123,14 @@
 	}
 }
 
-// Beyond returns the chance of a length beyond x.
+// Beyond returns the probability of a length beyond x.
 func (c *Curve) Beyond(x int) float64 {
 	b := bucket(x)
 	fraction := min((float64(x)-edges[b])/(edges[b+1]-edges[b]), 1)
 	return c.survival[b] + (c.survival[b+1]-c.survival[b])*fraction
 }
 
-// areaBeyond returns the integral of the survival from x on.
+// areaBeyond returns the integral of the survival beyond x.
 func (c *Curve) areaBeyond(x int) float64 {
 	b := bucket(x)
 	width := edges[b+1] - edges[b]
@@ -139,8 +139,8 @@
 	return c.area[b+1] + remaining*(survivalAtX+c.survival[b+1])/2
 }
 
-// Survival returns the chance that an answer which has produced some tokens
-// still runs after ahead more.
+// Survival returns the probability that an answer of produced tokens still runs
+// after ahead more.
 func (c *Curve) Survival(produced, ahead int) float64 {
 	reached := c.Beyond(produced)
 	if reached <= 0 {
@@ -149,8 +149,8 @@
 	return c.Beyond(produced+ahead) / reached
 }
 
-// Mean returns the expected number of tokens to come of an answer that has
-// produced some and stops at limit, 0 for none.
+// Mean returns the expected number of remaining tokens of an answer that has
+// produced some and stops at limit, 0 for no limit.
 func (c *Curve) Mean(produced, limit int) float64 {
 	reached := c.Beyond(produced)
 	if reached <= 0 || limit > 0 && produced >= limit {
--- a/internal/request/mglength/estimator.go
+++ b/internal/request/mglength/estimator.go
@@ -1,43 +1,44 @@
 package mglength
 
-// HalfLife is the number of answers after which what was counted before them
-// weighs half. It leaves enough answers for the tail of a bimodal law.
+// HalfLife is the number of answers after which earlier counts weigh half. It
+// leaves enough answers for the tail of a bimodal distribution.
 const HalfLife = 200
 
-// PriorWeight is the weight, in answers, of the level above in each bucket.
+// PriorWeight is the weight, in answers, of the parent level in each bucket.
 const PriorWeight = 4
 
-// MaxClasses is the most classes that an Estimator keeps.
+// MaxClasses is the maximum number of classes that an Estimator keeps.
 const MaxClasses = 4096
 
-// maxStaleChanges is the most counts that a curve may lack, out of some thousands that
-// weigh: filling it for each count would be most of a decision's cost. A curve
-// with little behind it lacks a sixteenth.
+// maxStaleChanges is the maximum number of changes that a curve may lag behind
+// its histograms, which hold some thousands: filling it after each change would
+// be most of a decision's cost. A curve with few answers may lag by a sixteenth
+// of its changes.
 const maxStaleChanges = 64
 
-// A Key names a class and the levels above it.
+// A Key names a class and its parent levels.
 type Key struct {
 	Account string
 	Service string
 	Model   string
 }
 
-// An Estimator learns the lengths of answers. The zero Estimator knows only
-// the prior and is ready for use.
+// An Estimator estimates the lengths of answers from earlier ones. The zero
+// Estimator uses the prior only and is ready for use.
 type Estimator struct {
 	classes  map[Key]*class
 	services map[Key]*node // by service and model
 	models   map[string]*node
-	lru      class // of the classes, the most recently used first
+	lru      class // list head of the classes, the most recently used first
 }
 
 // node is a class, a service or a model.
 type node struct {
 	parent       *node // nil for the prior
-	refCount     int   // nodes below, or answers that run
+	refCount     int   // child nodes, or running answers
 	histogram    histogram
 	curve        Curve
-	curveVersion uint64 // of all counts when curve was filled
+	curveVersion uint64 // 1 plus the versions of all levels when curve was filled
 }
 
 // class is one account's use of a service.
@@ -48,11 +49,11 @@
 	prev *class
 }
 
-// An Answer is one running answer, as the Estimator follows it. The zero
-// Answer is followed by none.
+// An Answer is one running answer that an Estimator follows. The zero Answer
+// belongs to no Estimator.
 type Answer struct {
 	class         *node
-	passedBuckets int // buckets left behind
+	passedBuckets int // number of buckets that the answer has passed
 }
 
 // Classes returns the number of classes kept.
@@ -61,7 +62,7 @@
 // Levels returns the number of services and models kept.
 func (e *Estimator) Levels() int { return len(e.services) + len(e.models) }
 
-// Begin starts to follow an answer.
+// Begin starts following an answer.
 func (e *Estimator) Begin(key Key) Answer {
 	c := e.classOf(key)
 	c.refCount++
@@ -70,9 +71,9 @@
 	}
 }
 
-// Curve returns the survival function of a class, or of the lowest level above
-// it that is known. It is valid until the next call of a method of the
-// Estimator or of one of its Answers.
+// Curve returns the survival function of a class, or of the lowest known level
+// above it. It is valid until the next call of a method of the Estimator or of
+// one of its Answers.
 func (e *Estimator) Curve(key Key) *Curve {
 	if c := e.classes[key]; c != nil {
 		return c.currentCurve()
@@ -86,7 +87,7 @@
 // Curve returns the survival function of the answer's class.
 func (a *Answer) Curve() *Curve { return a.class.currentCurve() }
 
-// Progress tells that the answer has produced a number of tokens in all.
+// Progress records how many tokens the answer has produced in all.
 func (a *Answer) Progress(produced int) {
 	for ; a.passedBuckets < Buckets-1 && float64(produced) >= edges[a.passedBuckets+1]; a.passedBuckets++ {
 		for n := a.class; n != nil; n = n.parent {
@@ -95,12 +96,12 @@
 	}
 }
 
-// Skip tells that the answer had produced a number of tokens when it was first
-// seen. That it came so far is no evidence: those that did not were never seen
-// (left truncation).
+// Skip records how many tokens the answer had produced when it was first seen.
+// Reaching that length is no evidence, because answers that ended before were
+// never seen (left truncation).
 func (a *Answer) Skip(produced int) { a.passedBuckets = bucket(produced) }
 
-// Stop ends to follow an answer that was cut off.
+// Stop stops following an answer that was cut off.
 func (a *Answer) Stop() {
 	if a.class != nil {
 		a.class.refCount--
@@ -108,8 +109,8 @@
 	a.class = nil
 }
 
-// End ends to follow an answer that came to its own end after a number of
-// tokens in all.
+// End records that an answer ended by itself after a number of tokens in all,
+// and stops following it.
 func (a *Answer) End(produced int) {
 	a.Progress(produced)
 	for n := a.class; n != nil; n = n.parent {
@@ -118,7 +119,8 @@
 	a.Stop()
 }
 
-// hazard returns the chance that an answer which reaches bucket b ends in it.
+// hazard returns the probability that an answer which reaches bucket b ends in
+// it.
 func (n *node) hazard(b int) float64 {
 	if n == nil {
 		return priorHazard[b]
@@ -126,7 +128,8 @@
 	return n.histogram.hazard(b, n.parent.hazard(b))
 }
 
-// currentCurve returns the curve, filled anew if enough was counted since.
+// currentCurve returns the curve, recomputed if it lags behind too many
+// changes.
 func (n *node) currentCurve() *Curve {
 	if n == nil {
 		return &prior
@@ -142,7 +145,7 @@
 	return &n.curve
 }
 
-// classOf returns the classOf of a key, which it creates.
+// classOf returns the class of a key, which it creates if needed.
 func (e *Estimator) classOf(key Key) *class {
 	e.init()
 	c := e.classes[key]
@@ -164,9 +167,9 @@
 	e.lru.prev = &e.lru
 }
 
-// allocClass returns an empty class. Once there are Classes it is the one used
-// longest ago, unless answers of that one still run: they keep it until they
-// end.
+// allocClass returns an empty class. At MaxClasses it evicts the least recently
+// used one, and reuses its memory unless answers of it still run: they keep it
+// until they end.
 func (e *Estimator) allocClass() *class {
 	if len(e.classes) < MaxClasses {
 		return new(class)
@@ -201,7 +204,7 @@
 	return c
 }
 
-// markUsed moves a class to the front of the ring.
+// markUsed moves a class to the front of the LRU list.
 func (e *Estimator) markUsed(c *class) {
 	c.unlink()
 	c.next = e.lru.next
@@ -218,7 +221,7 @@
 	c.prev.next = c.next
 }
 
-// removeClass drops a class, and the levels above it that have no other.
+// removeClass removes a class, and its parent levels if they have no other.
 func (e *Estimator) removeClass(c *class) {
 	c.unlink()
 	delete(e.classes, c.key)
@@ -234,7 +237,7 @@
 	delete(e.models, c.key.Model)
 }
 
-// serviceKey returns the key of the service over a class.
+// serviceKey returns the key of a class's service.
 func serviceKey(key Key) Key {
 	key.Account = ""
 	return key
--- a/internal/request/mglength/estimator_test.go
+++ b/internal/request/mglength/estimator_test.go
@@ -33,9 +33,8 @@
 	return lengths
 }
 
-// Engines thrash in the first minutes of a shift: short notes have ended and
-// long reports still run, so an average of what has ended says that answers
-// are short.
+// An average of ended answers says that answers are short while long ones still
+// run, and engines preempt in the first minutes of a shift.
 func TestEstimateIgnoresRunningAnswers(t *testing.T) {
 	Convey("Among short answers that ended, long ones that run are seen", t, func() {
 		var e mglength.Estimator
@@ -53,7 +52,7 @@
 }
 
 // After a new version of a model the answers are ten times as long, and the
-// engine preempts for as long as the old lengths are believed.
+// engine preempts for as long as the estimate is based on the old lengths.
 func TestOldLengthsOutliveShift(t *testing.T) {
 	Convey("A shift is learnt within two half-lives", t, func() {
 		var e mglength.Estimator
@@ -65,8 +64,8 @@
 	})
 }
 
-// A competitor's customers arrive over one weekend: hundreds of accounts that
-// nothing is known of, with services that are well known.
+// Hundreds of accounts without any data arrive at once and use services that
+// have been in use for long.
 func TestNewAccountHasNoEstimate(t *testing.T) {
 	Convey("A new account is judged by its service, then by its model", t, func() {
 		var e mglength.Estimator
@@ -83,8 +82,8 @@
 	})
 }
 
-// For lengths of a known law the estimate is that law, also for an answer that
-// has run for a while.
+// For lengths of a known distribution the estimate is that distribution, also
+// for an answer that has run for a while.
 func TestEstimateMissesKnownDistribution(t *testing.T) {
 	Convey("Exponential lengths have no memory", t, func() {
 		var e mglength.Estimator
@@ -99,8 +98,8 @@
 	})
 }
 
-// Whatever is counted, survival falls from 1 to 0, means are finite, and the
-// state is bounded.
+// For any counts, survival falls from 1 to 0, means are finite, and the state
+// is bounded.
 func TestEstimateOutOfRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var e mglength.Estimator
