--- a/internal/request/mglength/estimator_test.go
+++ b/internal/request/mglength/estimator_test.go
@@ -36,7 +36,7 @@
 // An average of ended answers says that answers are short while long ones still
 // run, and engines preempt in the first minutes of a shift.
 func TestEstimateIgnoresRunningAnswers(t *testing.T) {
-	Convey("Among short answers that ended, long ones that run are seen", t, func() {
+	Convey("Long answers that run count among short ones that ended", t, func() {
 		var e mglength.Estimator
 		running := make([]mglength.Answer, 100)
 		for i := range running {
@@ -54,7 +54,7 @@
 // After a new version of a model the answers are ten times as long, and the
 // engine preempts for as long as the estimate is based on the old lengths.
 func TestOldLengthsOutliveShift(t *testing.T) {
-	Convey("A shift is learnt within two half-lives", t, func() {
+	Convey("The estimate follows a shift within two half-lives", t, func() {
 		var e mglength.Estimator
 		r := rand.New(rand.NewPCG(1, 2))
 		addLengths(&e, report, exponential(r, 100, 5000)...)
@@ -67,7 +67,7 @@
 // Hundreds of accounts without any data arrive at once and use services that
 // have been in use for long.
 func TestNewAccountHasNoEstimate(t *testing.T) {
-	Convey("A new account is judged by its service, then by its model", t, func() {
+	Convey("A new account is estimated from its service, then from its model", t, func() {
 		var e mglength.Estimator
 		r := rand.New(rand.NewPCG(1, 2))
 		addLengths(&e, report, exponential(r, 2000, 1000)...)
@@ -131,7 +131,7 @@
 }
 
 func TestStateGrowsWithAccounts(t *testing.T) {
-	Convey("Accounts that come and go leave nothing behind", t, func() {
+	Convey("Accounts that come and go leave no state behind", t, func() {
 		var e mglength.Estimator
 		for n := range 3 * mglength.MaxClasses {
 			addLengths(&e, mglength.Key{
