--- a/internal/request/mgcap/cap.go
+++ b/internal/request/mgcap/cap.go
@@ -7,14 +7,14 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// Burst is the span of its rate that a bucket holds at most. An account that
+// BurstWindow is the span of its rate that a bucket holds at most. An account that
 // sends a page's worth of lookups at once isn't capped for it, and what it may
 // send at once is no more than a lease's worth.
-const Burst = 2 * mgclock.Second
+const BurstWindow = 2 * mgclock.Second
 
-// busy is the span after which a caller may come back when all streams are in
+// busyRetryDelay is the span after which a caller may come back when all streams are in
 // use: about the length of a short answer.
-const busy = mgclock.Second
+const busyRetryDelay = mgclock.Second
 
 // A Lease is a slice of an account's cap.
 type Lease struct {
@@ -26,10 +26,10 @@
 // A Cap holds one account to its slice. The zero Cap has no lease and lets
 // nothing start.
 type Cap struct {
-	lease   Lease
-	level   float64 // tokens that may be taken
-	at      mgclock.Millis
-	streams int // that run
+	lease    Lease
+	tokens   float64 // tokens that may be taken
+	filledAt mgclock.Millis
+	streams  int // that run
 }
 
 // Renew replaces the lease. What the old one has brought stays, as far as the
@@ -37,7 +37,7 @@
 func (c *Cap) Renew(now mgclock.Millis, lease Lease) {
 	c.fill(now)
 	if now < c.lease.End {
-		c.level = min(c.level, c.bound(lease))
+		c.tokens = min(c.tokens, c.capacity(lease))
 	}
 	c.lease = lease
 }
@@ -51,13 +51,13 @@
 	c.fill(now)
 	switch {
 	case now >= c.lease.End || c.lease.Rate <= 0:
-		return problem("the account has no share of its cap here at present", busy)
+		return problem("the account has no share of its cap here at present", busyRetryDelay)
 	case c.streams >= c.lease.Streams:
-		return problem("the account's streams are all in use", busy)
-	case c.level < c.needed(cost):
-		return problem("the account's tokens are used up", c.until(c.needed(cost)))
+		return problem("the account's streams are all in use", busyRetryDelay)
+	case c.tokens < c.requiredTokens(cost):
+		return problem("the account's tokens are used up", c.timeUntil(c.requiredTokens(cost)))
 	}
-	c.level -= max(cost, 0)
+	c.tokens -= max(cost, 0)
 	c.streams++
 	return nil
 }
@@ -66,37 +66,37 @@
 func (c *Cap) End(now mgclock.Millis, expected, cost float64) {
 	c.fill(now)
 	c.streams = max(c.streams-1, 0)
-	c.level = min(c.level+max(expected, 0)-max(cost, 0), c.bound(c.lease))
+	c.tokens = min(c.tokens+max(expected, 0)-max(cost, 0), c.capacity(c.lease))
 }
 
-// needed returns the level at which a cost may be taken. A request of more
+// requiredTokens returns the level at which a cost may be taken. A request of more
 // than a full bucket is let in by a full one, and pays off the rest after.
-func (c *Cap) needed(cost float64) float64 {
-	return min(max(cost, 0), c.bound(c.lease))
+func (c *Cap) requiredTokens(cost float64) float64 {
+	return min(max(cost, 0), c.capacity(c.lease))
 }
 
-// until returns the span until the bucket holds a level.
-func (c *Cap) until(level float64) mgclock.Millis {
-	seconds := (level - c.level) / c.lease.Rate
+// timeUntil returns the span timeUntil the bucket holds a level.
+func (c *Cap) timeUntil(tokens float64) mgclock.Millis {
+	seconds := (tokens - c.tokens) / c.lease.Rate
 	return mgclock.Millis(math.Ceil(min(seconds*1000, float64(mgclock.Minute))))
 }
 
 // fill adds what the lease has brought until now, or takes what is left when
 // it has ended.
 func (c *Cap) fill(now mgclock.Millis) {
-	until := min(now, c.lease.End)
-	if gone := until - c.at; gone > 0 {
-		c.level += c.lease.Rate * float64(gone) / float64(mgclock.Second)
+	end := min(now, c.lease.End)
+	if elapsed := end - c.filledAt; elapsed > 0 {
+		c.tokens += c.lease.Rate * float64(elapsed) / float64(mgclock.Second)
 	}
-	c.at = max(c.at, now)
-	c.level = min(c.level, c.bound(c.lease))
+	c.filledAt = max(c.filledAt, now)
+	c.tokens = min(c.tokens, c.capacity(c.lease))
 	if now >= c.lease.End {
-		c.level = min(c.level, 0)
+		c.tokens = min(c.tokens, 0)
 	}
 }
 
-func (c *Cap) bound(l Lease) float64 {
-	return l.Rate * float64(Burst) / float64(mgclock.Second)
+func (c *Cap) capacity(l Lease) float64 {
+	return l.Rate * float64(BurstWindow) / float64(mgclock.Second)
 }
 
 func problem(detail string, retry mgclock.Millis) *mgproblem.Problem {
--- a/internal/request/mgcap/cap_test.go
+++ b/internal/request/mgcap/cap_test.go
@@ -21,7 +21,7 @@
 
 // A customer's batch job sends ten times its cap and gets it, in short answers
 // that were expected to be shorter.
-func TestHeavyCaller(t *testing.T) {
+func TestCallerExceedsCap(t *testing.T) {
 	Convey("A caller that always asks gets its cap", t, func() {
 		var c mgcap.Cap
 		got := 0.0
@@ -61,7 +61,7 @@
 
 // A partition cuts an entry off from the account's home. Both sides hand out
 // the whole cap until it heals. An entry that slept does the same on waking.
-func TestLeaseDiesByTheClock(t *testing.T) {
+func TestExpiredLeaseAdmits(t *testing.T) {
 	Convey("After its lease an entry lets nothing start", t, func() {
 		var c mgcap.Cap
 		c.Renew(0, lease(0))
@@ -77,7 +77,7 @@
 
 // Whatever is leased, asked and corrected, no more starts than the leases have
 // brought and the corrections gave back, and never more streams than leased.
-func TestCapProperties(t *testing.T) {
+func TestAdmitsMoreThanLeased(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c mgcap.Cap
 		var l mgcap.Lease
