--- a/internal/request/mgcap/cap.go
+++ b/internal/request/mgcap/cap.go
@@ -7,33 +7,33 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// BurstWindow is the span of its rate that a bucket holds at most. An account that
-// sends a page's worth of lookups at once isn't capped for it, and what it may
-// send at once is no more than a lease's worth.
+// BurstWindow is the time at a cap's rate that fills its bucket. An account
+// that sends a page's worth of lookups at once isn't capped for it, and its
+// burst is limited to one lease's worth.
 const BurstWindow = 2 * mgclock.Second
 
-// busyRetryDelay is the span after which a caller may come back when all streams are in
-// use: about the length of a short answer.
+// busyRetryDelay is the retry delay when all streams are in use: about the
+// duration of a short answer.
 const busyRetryDelay = mgclock.Second
 
-// A Lease is a slice of an account's cap.
+// A Lease is an entry's slice of an account's cap.
 type Lease struct {
-	Rate    float64        // tokens a second
+	Rate    float64        // tokens per second
 	Streams int            // concurrent streams
-	End     mgclock.Millis // when it ends, by this process's clock
+	End     mgclock.Millis // expiry by this process's clock
 }
 
-// A Cap holds one account to its slice. The zero Cap has no lease and lets
-// nothing start.
+// A Cap limits one account to its leased slice. The zero Cap has no lease and
+// rejects every start.
 type Cap struct {
 	lease    Lease
-	tokens   float64 // tokens that may be taken
+	tokens   float64 // tokens left in the bucket
 	filledAt mgclock.Millis
-	streams  int // that run
+	streams  int // running streams
 }
 
-// Renew replaces the lease. What the old one has brought stays, as far as the
-// new one holds it.
+// Renew replaces the lease. Tokens from an unexpired lease stay, up to the
+// capacity of the new one.
 func (c *Cap) Renew(now mgclock.Millis, lease Lease) {
 	c.fill(now)
 	if now < c.lease.End {
@@ -42,11 +42,11 @@
 	c.lease = lease
 }
 
-// Streams returns the number of streams that run.
+// Streams returns the number of running streams.
 func (c *Cap) Streams() int { return c.streams }
 
 // Start takes a stream and its expected cost in tokens, or returns the problem
-// for which it may not start.
+// why it may not start.
 func (c *Cap) Start(now mgclock.Millis, cost float64) *mgproblem.Problem {
 	c.fill(now)
 	switch {
@@ -62,27 +62,28 @@
 	return nil
 }
 
-// End gives the stream back and corrects what was taken by the real cost.
+// End releases the stream and replaces its expected cost by the actual one.
 func (c *Cap) End(now mgclock.Millis, expected, cost float64) {
 	c.fill(now)
 	c.streams = max(c.streams-1, 0)
 	c.tokens = min(c.tokens+max(expected, 0)-max(cost, 0), c.capacity(c.lease))
 }
 
-// requiredTokens returns the level at which a cost may be taken. A request of more
-// than a full bucket is let in by a full one, and pays off the rest after.
+// requiredTokens returns the tokens that the bucket must hold for a request of
+// a cost to start. A request that costs more than a full bucket starts at a
+// full one; the remainder is paid off afterwards.
 func (c *Cap) requiredTokens(cost float64) float64 {
 	return min(max(cost, 0), c.capacity(c.lease))
 }
 
-// timeUntil returns the span timeUntil the bucket holds a level.
+// timeUntil returns the time until the bucket holds a number of tokens.
 func (c *Cap) timeUntil(tokens float64) mgclock.Millis {
 	seconds := (tokens - c.tokens) / c.lease.Rate
 	return mgclock.Millis(math.Ceil(min(seconds*1000, float64(mgclock.Minute))))
 }
 
-// fill adds what the lease has brought until now, or takes what is left when
-// it has ended.
+// fill adds the tokens that the lease has earned up to now, and drops those
+// left when it has expired.
 func (c *Cap) fill(now mgclock.Millis) {
 	end := min(now, c.lease.End)
 	if elapsed := end - c.filledAt; elapsed > 0 {
--- a/internal/request/mgcap/cap_test.go
+++ b/internal/request/mgcap/cap_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// A customer's batch job sends ten times its cap and gets it, in short answers
-// that were expected to be shorter.
+// A batch job sends ten times its cap and gets it, because its answers are
+// short but longer than expected.
 func TestCallerExceedsCap(t *testing.T) {
 	Convey("A caller that always asks gets its cap", t, func() {
 		var c mgcap.Cap
@@ -59,8 +59,9 @@
 	})
 }
 
-// A partition cuts an entry off from the account's home. Both sides hand out
-// the whole cap until it heals. An entry that slept does the same on waking.
+// A partition separates an entry from the account's home, and both sides hand
+// out the whole cap until it heals. An entry that was suspended does the same
+// when it wakes.
 func TestExpiredLeaseAdmits(t *testing.T) {
 	Convey("After its lease an entry lets nothing start", t, func() {
 		var c mgcap.Cap
@@ -75,8 +76,9 @@
 	})
 }
 
-// Whatever is leased, asked and corrected, no more starts than the leases have
-// brought and the corrections gave back, and never more streams than leased.
+// For any leases, requests and corrections, no more tokens are spent than the
+// leases earned and the corrections returned, and no more streams run than
+// leased.
 func TestAdmitsMoreThanLeased(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c mgcap.Cap
