--- a/internal/request/mgcap/cap_test.go
+++ b/internal/request/mgcap/cap_test.go
@@ -22,7 +22,7 @@
 // A batch job sends ten times its cap and gets it, because its answers are
 // short but longer than expected.
 func TestCallerExceedsCap(t *testing.T) {
-	Convey("A caller that always asks gets its cap", t, func() {
+	Convey("A caller that sends all the time gets its cap", t, func() {
 		var c mgcap.Cap
 		got := 0.0
 		running := false
@@ -38,7 +38,7 @@
 		}
 		So(got, ShouldBeBetween, 600*95, 600*100.5)
 	})
-	Convey("and who is turned away may come back when told", t, func() {
+	Convey("and a rejected caller may start after the given delay", t, func() {
 		var c mgcap.Cap
 		c.Renew(0, lease(0))
 		p := c.Start(0, 50)
@@ -63,12 +63,12 @@
 // out the whole cap until it heals. An entry that was suspended does the same
 // when it wakes.
 func TestExpiredLeaseAdmits(t *testing.T) {
-	Convey("After its lease an entry lets nothing start", t, func() {
+	Convey("After its lease has expired an entry starts nothing", t, func() {
 		var c mgcap.Cap
 		c.Renew(0, lease(0))
 		So(c.Start(1999, 1), ShouldBeNil)
 		So(c.Start(2000, 1), ShouldNotBeNil)
-		Convey("and what was saved up is gone", func() {
+		Convey("and saved tokens are dropped", func() {
 			c.Renew(10_000, lease(10_000))
 			So(c.Start(10_000, 1), ShouldNotBeNil)
 			So(c.Start(10_020, 1), ShouldBeNil)
