--- a/internal/request/mgwarm/warm.go
+++ b/internal/request/mgwarm/warm.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// placedPart is the part of the rate that one process gives in places: two that
+	// placedFraction is the part of the rate that one process gives in places: two that
 	// take themselves for the one that gives them, as after a partition, give the rate
 	// together.
-	placedPart = 0.5
-	// turnPart is the part that all turns together come to.
-	turnPart = 0.25
-	// fewest is the least number of processes that turns are made for. One that has
+	placedFraction = 0.5
+	// turnFraction is the part that all turns together come to.
+	turnFraction = 0.25
+	// minProcesses is the least number of processes that turns are made for. One that has
 	// just started, or is cut off, knows few of the others.
-	fewest = 360
-	// turnSpan is how long a turn lasts.
-	turnSpan = mgclock.Second
+	minProcesses = 360
+	// turnDuration is how long a turn lasts.
+	turnDuration = mgclock.Second
 )
 
 // Placed returns how many requests one process may give places for at a cold upstream
 // in a second, where so many processes give places there.
 func Placed(rate float64, givers int) int {
-	return max(int(rate*placedPart)/max(givers, 1), 1)
+	return max(int(rate*placedFraction)/max(givers, 1), 1)
 }
 
 // Turns are one process's turns at cold upstreams. The zero Turns has used none and is
@@ -41,10 +41,10 @@
 	if rate <= 0 {
 		return false
 	}
-	interval := max(mgclock.Millis(float64(max(processes, fewest))*float64(mgclock.Second)/(rate*turnPart)), 1)
+	interval := max(mgclock.Millis(float64(max(processes, minProcesses))*float64(mgclock.Second)/(rate*turnFraction)), 1)
 	start := mgclock.Millis(xxhash.Sum64String(self+"\x00"+upstream) % uint64(interval))
 	number := int64((now + start) / interval)
-	if (now+start)%interval >= turnSpan {
+	if (now+start)%interval >= turnDuration {
 		return false
 	}
 	t.mu.Lock()
--- a/internal/request/mgwarm/warm_test.go
+++ b/internal/request/mgwarm/warm_test.go
@@ -12,14 +12,14 @@
 // A hall with nineteen engines comes back cold beside a full line, or one engine is
 // left. Each of hundreds of entries has a report to send, knows few of the others, and
 // sends it to the engine that has nothing to do; the engine crashes with all of them.
-func TestTurns(t *testing.T) {
+func TestColdUpstreamFlooded(t *testing.T) {
 	const (
 		rate  = 25.0
 		bound = 1.5*rate + 5 // in any second, as operators are promised
 	)
 	for _, processes := range []int{1, 31, 100, 300, 1000} {
 		for _, believed := range []int{1, processes} {
-			if believed == 1 && processes > fewest {
+			if believed == 1 && processes > minProcesses {
 				continue // operators of so many are told, see docs/OPERATIONS.md
 			}
 			for _, upstreams := range []int{1, 19} {
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestPlaced(t *testing.T) {
+func TestPlacementsExceedRate(t *testing.T) {
 	Convey("What processes give together", t, func() {
 		for _, c := range []struct {
 			rate   float64
