--- a/internal/request/mgrest/rest_test.go
+++ b/internal/request/mgrest/rest_test.go
@@ -12,7 +12,7 @@
 const sec = mgclock.Second
 
 // An upstream must get nothing during the rest it asked for, nor everything at its end.
-func TestRest(t *testing.T) {
+func TestUpstreamLoadedDuringRest(t *testing.T) {
 	Convey("An upstream that asked for a rest of two seconds", t, func() {
 		var r mgrest.Rests
 		So(r.Takes(0, "a"), ShouldBeTrue)
