--- a/internal/request/mgwarm/warm.go
+++ b/internal/request/mgwarm/warm.go
@@ -42,19 +42,19 @@
 		return false
 	}
 	interval := max(mgclock.Millis(float64(max(processes, minProcesses))*float64(mgclock.Second)/(rate*turnFraction)), 1)
-	start := mgclock.Millis(xxhash.Sum64String(self+"\x00"+upstream) % uint64(interval))
-	number := int64((now + start) / interval)
-	if (now+start)%interval >= turnDuration {
+	phase := mgclock.Millis(xxhash.Sum64String(self+"\x00"+upstream) % uint64(interval))
+	turn := int64((now + phase) / interval)
+	if (now+phase)%interval >= turnDuration {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if last, any := t.used[upstream]; any && last == number {
+	if last, found := t.used[upstream]; found && last == turn {
 		return false
 	}
 	if t.used == nil {
 		t.used = map[string]int64{}
 	}
-	t.used[upstream] = number
+	t.used[upstream] = turn
 	return true
 }
