--- a/internal/request/mgrest/rest.go
+++ b/internal/request/mgrest/rest.go
@@ -47,8 +47,8 @@
 func (r *Rests) Left(now mgclock.Millis, upstream string) mgclock.Millis {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if asked := r.byUpstream[upstream]; asked != nil {
-		return max(asked.until-now, 0)
+	if current := r.byUpstream[upstream]; current != nil {
+		return max(current.until-now, 0)
 	}
 	return 0
 }
@@ -57,8 +57,8 @@
 func (r *Rests) Takes(now mgclock.Millis, upstream string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	asked := r.byUpstream[upstream]
-	return asked == nil || asked.accepts(now)
+	current := r.byUpstream[upstream]
+	return current == nil || current.accepts(now)
 }
 
 func (r *rest) accepts(now mgclock.Millis) bool { return now >= r.until && r.inFlight < r.window }
@@ -68,26 +68,26 @@
 func (r *Rests) Take(now mgclock.Millis, upstream string) (ended func(answered bool), ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	asked := r.byUpstream[upstream]
-	if asked == nil {
+	current := r.byUpstream[upstream]
+	if current == nil {
 		return func(bool) {}, true
 	}
-	if !asked.accepts(now) {
+	if !current.accepts(now) {
 		return nil, false
 	}
-	asked.inFlight++
-	return func(answered bool) { r.end(upstream, asked, answered) }, true
+	current.inFlight++
+	return func(answered bool) { r.end(upstream, current, answered) }, true
 }
 
-func (r *Rests) end(upstream string, asked *rest, answered bool) {
+func (r *Rests) end(upstream string, current *rest, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	asked.inFlight--
+	current.inFlight--
 	if !answered {
 		return
 	}
-	asked.window *= 2
-	if asked.window >= maxWindow && r.byUpstream[upstream] == asked {
+	current.window *= 2
+	if current.window >= maxWindow && r.byUpstream[upstream] == current {
 		delete(r.byUpstream, upstream)
 	}
 }
