--- a/internal/request/mgwarm/doc.go
+++ b/internal/request/mgwarm/doc.go
@@ -1,24 +1,30 @@
-// Package mgwarm bounds how many requests a second cold upstreams are sent.
+// Package mgwarm limits the requests per second that are sent to cold
+// upstreams.
 //
 // # Load
 //
-// An upstream that has just started, or lost what it had in memory, bears a few
-// requests a second for a while and crashes well above that. It is also the emptiest
-// of all, so that everything that waits goes there: when an availability zone with a
-// third of the upstreams comes back at once beside a full line, or one upstream is left
-// of many, hundreds of processes send what they have in the same moment.
+// An upstream that has just started, or lost what it had in memory, can serve a
+// few requests a second for a while and crashes well above that. It is also the
+// least loaded of all, so everything that waits is sent there: when an
+// availability zone with a third of the upstreams comes back at once while the
+// queue is full, or one upstream is left of many, hundreds of processes send
+// what they have at the same moment.
 //
 // # Decision
 //
-// The processes that give places count what they gave. A process that sends without a
-// place, as nobody gives it one or its service has no places, has a turn at each cold
-// upstream now and then. Turns come at fixed intervals, whose start is drawn for each
-// process and upstream, and last a second, so that they don't add up to a burst of
-// those who waited; they sum to a part of the rate whatever processes believe of one
-// another.
+// Processes that assign placements count those that they granted. A process
+// that sends without a placement, because no process assigns it one or its
+// service has none, gets a turn at each cold upstream now and then. Turns recur
+// at a fixed interval with a pseudorandom phase for each process and upstream,
+// and last a second, so that waiting processes don't send in a burst; together
+// they amount to a fraction of the rate, whatever number of processes each of
+// them knows.
 //
 // # Terms
 //
-//   - rate: the requests a second that a cold upstream bears, by the table.
-//   - turn: the time in which a process may send one request to a cold upstream.
+//   - placement: memory reserved for a request at an upstream.
+//   - rate: the requests per second that a cold upstream can serve, by the
+//     table.
+//   - turn: the time slot in which a process may send one request to a cold
+//     upstream.
 package mgwarm
--- a/internal/request/mgwarm/warm.go
+++ b/internal/request/mgwarm/warm.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// placedFraction is the part of the rate that one process gives in places: two that
-	// take themselves for the one that gives them, as after a partition, give the rate
-	// together.
+	// placedFraction is the fraction of the rate that one process grants in
+	// placements: two processes that both assume this role, as after a partition,
+	// grant the whole rate together.
 	placedFraction = 0.5
-	// turnFraction is the part that all turns together come to.
+	// turnFraction is the fraction of the rate that all turns amount to.
 	turnFraction = 0.25
-	// minProcesses is the least number of processes that turns are made for. One that has
-	// just started, or is cut off, knows few of the others.
+	// minProcesses is the minimum number of processes assumed for turns. A process
+	// that has just started, or is partitioned, knows few of the others.
 	minProcesses = 360
 	// turnDuration is how long a turn lasts.
 	turnDuration = mgclock.Second
 )
 
-// Placed returns how many requests one process may give places for at a cold upstream
-// in a second, where so many processes give places there.
+// Placed returns how many placements per second one process may grant at a cold
+// upstream, if givers processes grant placements there.
 func Placed(rate float64, givers int) int {
 	return max(int(rate*placedFraction)/max(givers, 1), 1)
 }
 
-// Turns are one process's turns at cold upstreams. The zero Turns has used none and is
-// ready for use by several goroutines.
+// Turns holds one process's turns at cold upstreams. The zero Turns has used
+// none and is ready for use by several goroutines.
 type Turns struct {
 	mu   sync.Mutex
-	used map[string]int64 // number of the turn, by upstream
+	used map[string]int64 // number of the last used turn, by upstream
 }
 
-// Take reports whether a process may send one request to a cold upstream now, and uses
-// the turn up. Processes is how many it knows of.
+// Take reports whether a process may send one request to a cold upstream now,
+// and if so uses its turn. Processes is how many processes it knows.
 func (t *Turns) Take(now mgclock.Millis, self, upstream string, rate float64, processes int) bool {
 	if rate <= 0 {
 		return false
--- a/internal/request/mgwarm/warm_test.go
+++ b/internal/request/mgwarm/warm_test.go
@@ -9,22 +9,22 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A hall with nineteen engines comes back cold beside a full line, or one engine is
-// left. Each of hundreds of entries has a report to send, knows few of the others, and
-// sends it to the engine that has nothing to do; the engine crashes with all of them.
+// A zone with nineteen engines comes back cold while the queue is full, or one
+// engine is left. Hundreds of entries that know few of each other each send a
+// request to the idle engine, which crashes with all of them.
 func TestColdUpstreamFlooded(t *testing.T) {
 	const (
 		rate  = 25.0
-		bound = 1.5*rate + 5 // in any second, as operators are promised
+		bound = 1.5*rate + 5 // in any second, as promised to operators
 	)
 	for _, processes := range []int{1, 31, 100, 300, 1000} {
 		for _, believed := range []int{1, processes} {
 			if believed == 1 && processes > minProcesses {
-				continue // operators of so many are told, see docs/OPERATIONS.md
+				continue // for so many, see docs/OPERATIONS.md
 			}
 			for _, upstreams := range []int{1, 19} {
 				if upstreams > 1 && processes > 300 {
-					continue // each upstream's turns are its own
+					continue // turns at different upstreams are independent
 				}
 				Convey(fmt.Sprintf("%d entries that know of %d send all they can to %d cold engines", processes, believed, upstreams), t, func() {
 					const (
