--- a/internal/request/mgrest/doc.go
+++ b/internal/request/mgrest/doc.go
@@ -1,24 +1,28 @@
-// Package mgrest keeps requests from upstreams that asked for a rest.
+// Package mgrest holds requests back from upstreams that asked for a rest, a
+// time without requests.
 //
 // # Load
 //
-// An upstream that is overloaded turns requests away and says for how long it wants
-// none. Requests that go on coming cost it the time that it asked for, and those that
-// waited for the end of its rest would all come in the same moment and overload it
-// again.
+// An overloaded upstream rejects requests and says for how long it wants none
+// (Retry-After). Requests that are still sent take up the time in which it
+// would recover, and those that waited for the end of its rest would all arrive
+// at the same moment and overload it again.
 //
 // # Decision
 //
-// A process sends an upstream nothing during the rest that it asked this process for.
-// After it as many requests as one window are in flight there, which begins with one
-// and doubles with each answer (slow start), until it bears no restriction.
+// A process sends nothing to an upstream during the rest that the upstream
+// asked of this process. Afterwards the requests in flight there are limited by
+// a window, which starts at one and doubles with each answer (slow start) until
+// the limit is lifted.
 //
 // # Terms
 //
-//   - rest: the time for which an upstream wants nothing.
-//   - window: how many requests may be in flight at an upstream after its rest.
+//   - rest: the time in which an upstream wants no requests.
+//   - window: the maximum number of requests in flight at an upstream after
+//     its rest.
 //
 // # References
 //
-//   - M. Allman, V. Paxson, E. Blanton, TCP congestion control, RFC 5681 (2009), 3.1.
+//   - M. Allman, V. Paxson, E. Blanton, TCP congestion control, RFC 5681 (2009),
+//     3.1.
 package mgrest
--- a/internal/request/mgrest/rest.go
+++ b/internal/request/mgrest/rest.go
@@ -9,13 +9,13 @@
 const (
 	// maxRest bounds a rest, whatever an upstream asks for.
 	maxRest = 10 * mgclock.Minute
-	// maxWindow is the window from which on an upstream is as any other: about the requests
-	// that one runs at once.
+	// maxWindow is the window at which the limit is lifted: about the number of
+	// requests that an upstream runs at once.
 	maxWindow = 32
 )
 
-// Rests are the upstreams that asked this process for a rest. The zero Rests is empty and
-// ready for use by several goroutines.
+// Rests holds the upstreams that asked this process for a rest. The zero Rests
+// is empty and ready for use by several goroutines.
 type Rests struct {
 	mu         sync.Mutex
 	byUpstream map[string]*rest
@@ -23,11 +23,12 @@
 
 type rest struct {
 	until    mgclock.Millis
-	window   int // after the rest
-	inFlight int // requests in flight that were sent after it
+	window   int // maximum of inFlight after the rest
+	inFlight int // requests in flight that were sent after the rest
 }
 
-// Ask takes that an upstream wants nothing for a span.
+// Ask records that an upstream asked for a rest of a duration. A shorter one
+// doesn't end an earlier one sooner.
 func (r *Rests) Ask(now mgclock.Millis, upstream string, duration mgclock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,7 +44,7 @@
 	current.window = 1
 }
 
-// Left returns how long an upstream still rests, 0 where it doesn't.
+// Left returns the remaining time of an upstream's rest, 0 if it has none.
 func (r *Rests) Left(now mgclock.Millis, upstream string) mgclock.Millis {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,7 +54,7 @@
 	return 0
 }
 
-// Takes reports whether an upstream may be sent a request now.
+// Takes reports whether a request may be sent to an upstream now.
 func (r *Rests) Takes(now mgclock.Millis, upstream string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,8 +64,9 @@
 
 func (r *rest) accepts(now mgclock.Millis) bool { return now >= r.until && r.inFlight < r.window }
 
-// Take reports whether an upstream may be sent a request now, and counts it. What it
-// returns is called at the request's end with whether the upstream answered it.
+// Take reports whether a request may be sent to an upstream now, and counts it.
+// The caller calls ended at the request's end, with whether the upstream
+// answered it.
 func (r *Rests) Take(now mgclock.Millis, upstream string) (ended func(answered bool), ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,7 +94,7 @@
 	}
 }
 
-// Forget drops the upstreams that are gone: keep says which aren't.
+// Forget removes the upstreams for which keep returns false.
 func (r *Rests) Forget(keep func(upstream string) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/request/mgrest/rest_test.go
+++ b/internal/request/mgrest/rest_test.go
@@ -11,7 +11,8 @@
 
 const sec = mgclock.Second
 
-// An upstream must get nothing during the rest it asked for, nor everything at its end.
+// An upstream gets requests during the rest that it asked for, or all of them
+// at its end.
 func TestUpstreamLoadedDuringRest(t *testing.T) {
 	Convey("An upstream that asked for a rest of two seconds", t, func() {
 		var r mgrest.Rests
