--- a/internal/request/mgwarm/warm_test.go
+++ b/internal/request/mgwarm/warm_test.go
@@ -62,7 +62,7 @@
 }
 
 func TestPlacementsExceedRate(t *testing.T) {
-	Convey("What processes give together", t, func() {
+	Convey("What processes grant together", t, func() {
 		for _, c := range []struct {
 			rate   float64
 			givers int
