--- a/internal/request/mgrest/rest_test.go
+++ b/internal/request/mgrest/rest_test.go
@@ -18,7 +18,7 @@
 		var r mgrest.Rests
 		So(r.Takes(0, "a"), ShouldBeTrue)
 		r.Ask(0, "a", 2*sec)
-		Convey("is sent nothing until its end, and others are", func() {
+		Convey("is sent nothing until its end, while others are", func() {
 			So(r.Takes(2*sec-1, "a"), ShouldBeFalse)
 			So(r.Left(500, "a"), ShouldEqual, 1500)
 			So(r.Takes(0, "b"), ShouldBeTrue)
@@ -40,7 +40,7 @@
 				}
 			}
 		})
-		Convey("rests again when it asks again, also at its first request after it", func() {
+		Convey("rests again when it asks again, also at the first request after its rest", func() {
 			end, ok := r.Take(2*sec, "a")
 			So(ok, ShouldBeTrue)
 			r.Ask(2*sec+10, "a", sec)
@@ -48,11 +48,11 @@
 			So(r.Takes(3*sec, "a"), ShouldBeFalse)
 			So(r.Takes(3*sec+10, "a"), ShouldBeTrue)
 		})
-		Convey("isn't brought back sooner by a shorter rest that another request was told", func() {
+		Convey("is not sent requests sooner because a later answer asked for a shorter rest", func() {
 			r.Ask(100, "a", 500)
 			So(r.Takes(sec, "a"), ShouldBeFalse)
 		})
-		Convey("is as any other after some answers", func() {
+		Convey("is no longer limited after some answers", func() {
 			for range 5 {
 				end, ok := r.Take(2*sec, "a")
 				So(ok, ShouldBeTrue)
