--- a/internal/request/mganswer/answer.go
+++ b/internal/request/mganswer/answer.go
@@ -40,14 +40,14 @@
 // A Signer seals names to client accounts. The zero Signer's names hold within
 // one process.
 type Signer struct {
-	seal mgseal.Signer
-	from *mgseal.Signer
+	own    mgseal.Signer
+	shared *mgseal.Signer
 }
 
 // NewSigner returns a Signer over the keys that all processes share.
 func NewSigner(seal *mgseal.Signer) *Signer {
 	return &Signer{
-		from: seal,
+		shared: seal,
 	}
 }
 
@@ -61,16 +61,16 @@
 func (s *Signer) Open(account, text string) (Name, error) {
 	fields, err := s.keys().Open(kind, account, text)
 	if err != nil || len(fields) != 3 {
-		return Name{}, missing()
+		return Name{}, missingProblem()
 	}
 	return NewName(fields[0], fields[1], fields[2]), nil
 }
 
 func (s *Signer) keys() *mgseal.Signer {
-	if s.from != nil {
-		return s.from
+	if s.shared != nil {
+		return s.shared
 	}
-	return &s.seal
+	return &s.own
 }
 
 // FormatEventID returns the SSE id of the event that ends with token seq.
@@ -83,22 +83,22 @@
 func ParseEventID(id string) (answer string, seq uint64, err error) {
 	answer, digits, found := strings.Cut(id, ".")
 	if !found || answer == "" || len(answer) > mgseal.MaxText {
-		return "", 0, invalid()
+		return "", 0, invalidProblem()
 	}
 	seq, err = strconv.ParseUint(digits, 10, 64)
 	if err != nil || FormatEventID(answer, seq) != id {
-		return "", 0, invalid()
+		return "", 0, invalidProblem()
 	}
 	return answer, seq, nil
 }
 
-func missing() error {
+func missingProblem() error {
 	return mgproblem.New(mgproblem.Missing, mgproblem.Unknown,
 		"no such answer for this account",
 		"use the name as it came, with the key of the account that asked")
 }
 
-func invalid() error {
+func invalidProblem() error {
 	return fmt.Errorf("event id: %w", mgproblem.New(mgproblem.Invalid, mgproblem.NotRun,
 		"not the id of an event",
 		"send Last-Event-ID as it came, <answer>.<number>"))
--- a/internal/request/mganswer/answer_test.go
+++ b/internal/request/mganswer/answer_test.go
@@ -33,7 +33,7 @@
 // A caller of one account finds the name of another account's report, in a log
 // or by guessing, and asks for it. Whatever it sends, it gets the answer it
 // would get for a name that never was, so it learns nothing.
-func TestStranger(t *testing.T) {
+func TestForeignNameOpens(t *testing.T) {
 	s := signer(t, newKey, oldKey)
 	name := mganswer.NewName("engine-7", "i1", "g1")
 	text := s.Sign("tankline", name)
@@ -65,7 +65,7 @@
 
 // The operators change the shared key while a dossier streams. The caller
 // resumes with a name made under the old key, and the answer goes on.
-func TestChangeOfKeys(t *testing.T) {
+func TestKeyChangeBreaksNames(t *testing.T) {
 	name := mganswer.NewName("engine-7", "i1", "g1")
 	text := signer(t, oldKey, "").Sign("tankline", name)
 	Convey("A name made before the last change of keys opens", t, func() {
