--- a/internal/request/mgprefix/prefix.go
+++ b/internal/request/mgprefix/prefix.go
@@ -50,27 +50,27 @@
 // A Record remembers the blocks that an engine was given last. The zero Record
 // holds up to DefaultBlocks and is ready for use by several goroutines.
 type Record struct {
-	mu    sync.Mutex
-	order list.List
-	found map[uint64]*list.Element
+	mu       sync.Mutex
+	lru      list.List
+	elements map[uint64]*list.Element
 }
 
 // Add notes that the engine has the blocks.
 func (r *Record) Add(blocks []uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.found == nil {
-		r.found = map[uint64]*list.Element{}
+	if r.elements == nil {
+		r.elements = map[uint64]*list.Element{}
 	}
 	for _, block := range blocks {
-		if element, ok := r.found[block]; ok {
-			r.order.MoveToFront(element)
+		if element, ok := r.elements[block]; ok {
+			r.lru.MoveToFront(element)
 			continue
 		}
-		r.found[block] = r.order.PushFront(block)
+		r.elements[block] = r.lru.PushFront(block)
 	}
-	for r.order.Len() > DefaultBlocks {
-		r.drop(r.order.Back())
+	for r.lru.Len() > DefaultBlocks {
+		r.drop(r.lru.Back())
 	}
 }
 
@@ -78,7 +78,7 @@
 func (r *Record) Remove(block uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if element, ok := r.found[block]; ok {
+	if element, ok := r.elements[block]; ok {
 		r.drop(element)
 	}
 }
@@ -88,8 +88,8 @@
 func (r *Record) Clear() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.order.Init()
-	r.found = nil
+	r.lru.Init()
+	r.elements = nil
 }
 
 // Cached returns how many tokens at the start of a prompt with these blocks
@@ -99,7 +99,7 @@
 	defer r.mu.Unlock()
 	count := 0
 	for _, block := range blocks {
-		if _, ok := r.found[block]; !ok {
+		if _, ok := r.elements[block]; !ok {
 			break
 		}
 		count++
@@ -111,10 +111,10 @@
 func (r *Record) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.order.Len()
+	return r.lru.Len()
 }
 
 func (r *Record) drop(element *list.Element) {
-	delete(r.found, element.Value.(uint64))
-	r.order.Remove(element)
+	delete(r.elements, element.Value.(uint64))
+	r.lru.Remove(element)
 }
--- a/internal/request/mgprefix/prefix_test.go
+++ b/internal/request/mgprefix/prefix_test.go
@@ -9,7 +9,7 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgprefix"
 )
 
-func TestPrefix(t *testing.T) {
+func TestPrefixMiscounted(t *testing.T) {
 	shared := strings.Repeat("tank ", 200)
 	Convey("Prompts share the hashes of the blocks that they share", t, func() {
 		a := mgprefix.Blocks(nil, shared+strings.Repeat("a", 600))
