--- a/internal/request/mgseal/seal.go
+++ b/internal/request/mgseal/seal.go
@@ -63,8 +63,8 @@
 
 // Seal returns the text of a name of a kind that belongs to owner.
 func (s *Signer) Seal(kind, owner string, fields ...string) string {
-	payload := join(fields)
-	return encoding.EncodeToString(append(payload, tag(s.ring()[0], kind, owner, payload)...))
+	payload := encodeFields(fields)
+	return encoding.EncodeToString(append(payload, tag(s.keyRing()[0], kind, owner, payload)...))
 }
 
 // Open returns the fields of a name sealed for owner, or ErrForeign.
@@ -77,18 +77,18 @@
 		return nil, ErrForeign
 	}
 	payload, sum := raw[:len(raw)-tagSize], raw[len(raw)-tagSize:]
-	for _, key := range s.ring() {
+	for _, key := range s.keyRing() {
 		// A tag compared byte by byte can be guessed byte by byte from the time
 		// the answer takes; Equal takes the same time for every tag.
 		if hmac.Equal(sum, tag(key, kind, owner, payload)) {
-			return split(payload)
+			return decodeFields(payload)
 		}
 	}
 	return nil, ErrForeign
 }
 
-// ring returns the keys, the one that seals first.
-func (s *Signer) ring() [][]byte {
+// keyRing returns the keys, the one that seals first.
+func (s *Signer) keyRing() [][]byte {
 	s.once.Do(func() {
 		if s.keys != nil {
 			return
@@ -103,12 +103,12 @@
 func tag(key []byte, kind, owner string, payload []byte) []byte {
 	h := hmac.New(sha256.New, key)
 	// The lengths keep ("ab", "c") and ("a", "bc") apart.
-	h.Write(join([]string{kind, owner}))
+	h.Write(encodeFields([]string{kind, owner}))
 	h.Write(payload)
 	return h.Sum(nil)[:tagSize]
 }
 
-func join(fields []string) []byte {
+func encodeFields(fields []string) []byte {
 	var b []byte
 	for _, field := range fields {
 		b = binary.AppendUvarint(b, uint64(len(field)))
@@ -117,7 +117,7 @@
 	return b
 }
 
-func split(b []byte) ([]string, error) {
+func decodeFields(b []byte) ([]string, error) {
 	var fields []string
 	for len(b) > 0 {
 		size, n := binary.Uvarint(b)
