--- a/internal/request/mganswer/answer.go
+++ b/internal/request/mganswer/answer.go
@@ -9,10 +9,10 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// kind keeps answers' names apart from other sealed names.
+// kind separates answers' names from other sealed names.
 const kind = "answer"
 
-// A Name tells where an answer's generation is.
+// A Name locates an answer's generation.
 type Name struct {
 	agent       string
 	incarnation string
@@ -28,23 +28,23 @@
 	}
 }
 
-// Agent returns the agent that gives the generation's upstream its work.
+// Agent returns the agent of the generation's upstream.
 func (n Name) Agent() string { return n.agent }
 
-// Incarnation returns the agent's life in which the generation started.
+// Incarnation returns the agent's incarnation that started the generation.
 func (n Name) Incarnation() string { return n.incarnation }
 
-// Generation returns the generation's id at the engine.
+// Generation returns the generation's ID at the engine.
 func (n Name) Generation() string { return n.generation }
 
-// A Signer seals names to client accounts. The zero Signer's names hold within
-// one process.
+// A Signer seals names to client accounts. The names of the zero Signer are
+// valid within one process only.
 type Signer struct {
 	own    mgseal.Signer
 	shared *mgseal.Signer
 }
 
-// NewSigner returns a Signer over the keys that all processes share.
+// NewSigner returns a Signer that uses the keys shared by all processes.
 func NewSigner(seal *mgseal.Signer) *Signer {
 	return &Signer{
 		shared: seal,
@@ -56,8 +56,8 @@
 	return s.keys().Seal(kind, account, n.agent, n.incarnation, n.generation)
 }
 
-// Open returns the name that was signed for account. A stranger's name, a
-// forged one and one that never was give the same problem.
+// Open returns the name that was signed for account. Another account's name, a
+// forged one and one that never existed give the same problem.
 func (s *Signer) Open(account, text string) (Name, error) {
 	fields, err := s.keys().Open(kind, account, text)
 	if err != nil || len(fields) != 3 {
@@ -73,13 +73,13 @@
 	return &s.own
 }
 
-// FormatEventID returns the SSE id of the event that ends with token seq.
+// FormatEventID returns the SSE ID of the event that ends with token seq.
 func FormatEventID(answer string, seq uint64) string {
 	return answer + "." + strconv.FormatUint(seq, 10)
 }
 
-// ParseEventID splits an SSE id into the answer's text, still to be opened,
-// and the number of the last token that the caller has.
+// ParseEventID splits an SSE ID into the answer's name, which still has to be
+// opened, and the number of the last token that the caller has.
 func ParseEventID(id string) (answer string, seq uint64, err error) {
 	answer, digits, found := strings.Cut(id, ".")
 	if !found || answer == "" || len(answer) > mgseal.MaxText {
--- a/internal/request/mganswer/answer_test.go
+++ b/internal/request/mganswer/answer_test.go
@@ -30,9 +30,9 @@
 	return mganswer.NewSigner(seal)
 }
 
-// A caller of one account finds the name of another account's report, in a log
-// or by guessing, and asks for it. Whatever it sends, it gets the answer it
-// would get for a name that never was, so it learns nothing.
+// A caller finds or guesses the name of another account's answer and asks for
+// it. Whatever it sends, it must get the problem of a name that never existed,
+// so that it learns nothing.
 func TestForeignNameOpens(t *testing.T) {
 	s := signer(t, newKey, oldKey)
 	name := mganswer.NewName("engine-7", "i1", "g1")
@@ -63,8 +63,8 @@
 	})
 }
 
-// The operators change the shared key while a dossier streams. The caller
-// resumes with a name made under the old key, and the answer goes on.
+// The shared key is changed while an answer streams. The caller resumes with a
+// name made under the old key, and must get the rest.
 func TestKeyChangeBreaksNames(t *testing.T) {
 	name := mganswer.NewName("engine-7", "i1", "g1")
 	text := signer(t, oldKey, "").Sign("tankline", name)
