--- a/internal/request/mgprefix/prefix.go
+++ b/internal/request/mgprefix/prefix.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// TokenBytes is the usual length of a token in bytes of English text. Only
-	// estimates use it; the engine counts for itself.
+	// TokenBytes is the usual length of a token in bytes of English text. It is
+	// used for estimates only; the engine counts tokens itself.
 	TokenBytes = 4
-	// BlockTokens is the length of a block in tokens, long enough that a prompt
-	// of 8,000 tokens has 125 hashes and short enough that system prompts of a
-	// few hundred tokens are told apart.
+	// BlockTokens is the length of a block in tokens, long enough that a prompt of
+	// 8,000 tokens has 125 hashes and short enough to distinguish system prompts of
+	// a few hundred tokens.
 	BlockTokens = 64
 	// MaxBlocks bounds the hashes of a prompt: the longest shared prefixes
-	// (instructions and one document) end before it.
+	// (instructions and one document) are shorter.
 	MaxBlocks = 64
-	// DefaultBlocks bounds a record: 32,768 blocks are 2 M tokens, more than an
-	// engine's memory, in about 4 MB.
+	// DefaultBlocks bounds a Record: 32,768 blocks are 2 M tokens, more than an
+	// engine's memory holds, and take about 4 MB.
 	DefaultBlocks = 1 << 15
 )
 
@@ -29,8 +29,8 @@
 	return 1 + len(text)/TokenBytes
 }
 
-// Blocks appends the hashes of the whole blocks of text to dst, outermost
-// first, and returns it.
+// Blocks appends the hashes of the complete blocks of text to dst, in the order
+// of the text, and returns it.
 func Blocks(dst []uint64, text string) []uint64 {
 	const size = BlockTokens * TokenBytes
 	var chain [8]byte
@@ -47,7 +47,7 @@
 	return dst
 }
 
-// A Record remembers the blocks that an engine was given last. The zero Record
+// A Record holds the blocks most recently sent to an engine. The zero Record
 // holds up to DefaultBlocks and is ready for use by several goroutines.
 type Record struct {
 	mu       sync.Mutex
@@ -55,7 +55,8 @@
 	elements map[uint64]*list.Element
 }
 
-// Add notes that the engine has the blocks.
+// Add records that the engine has the blocks, and drops the least recently used
+// ones beyond DefaultBlocks.
 func (r *Record) Add(blocks []uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,7 +75,7 @@
 	}
 }
 
-// Remove notes that the engine evicted a block.
+// Remove records that the engine evicted a block.
 func (r *Record) Remove(block uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,8 +84,8 @@
 	}
 }
 
-// Clear forgets everything, as after a gap in the engine's events: what was
-// evicted meanwhile isn't known.
+// Clear removes all blocks, as after a gap in the engine's events, when
+// evictions may have been missed.
 func (r *Record) Clear() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,8 +93,8 @@
 	r.elements = nil
 }
 
-// Cached returns how many tokens at the start of a prompt with these blocks
-// the engine is believed to have.
+// Cached returns how many tokens at the start of a prompt with these blocks the
+// engine probably has cached.
 func (r *Record) Cached(blocks []uint64) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
