--- a/internal/request/mgseal/seal.go
+++ b/internal/request/mgseal/seal.go
@@ -14,15 +14,16 @@
 // The bounds of keys and texts in bytes.
 const (
 	MinKey  = 16  // shorter keys can be guessed
-	MaxText = 512 // longer texts are refused before any work is done on them
+	MaxText = 512 // longer texts are refused without any work on them
 	tagSize = 16  // half of SHA-256: as strong as its collision bound
 )
 
 var (
 	// ErrKey is returned for a key that is too short.
 	ErrKey = errors.New("seal: key too short: give at least 16 bytes, the same to every process")
-	// ErrForeign is returned for a text that this owner was not given. It says
-	// no more, so that a stranger learns nothing from it.
+	// ErrForeign is returned for a text that was not sealed for this owner. It
+	// gives no details, so that a caller can't learn anything about names of
+	// others.
 	ErrForeign = errors.New("seal: no such name: use the name as it was given to this account")
 )
 
@@ -30,14 +31,15 @@
 
 // A Spec holds the keys that all processes share.
 type Spec struct {
-	// Current seals and opens.
+	// Current is the key that seals and opens names.
 	Current []byte
-	// Previous opens names made before the last change of keys. It may be empty.
+	// Previous is the key that opens names sealed before the last change of keys.
+	// It may be empty.
 	Previous []byte
 }
 
-// A Signer seals and opens names. The zero Signer uses a random key of its
-// own, so that its names hold within one process.
+// A Signer seals and opens names. The zero Signer uses a random key of its own,
+// so that its names are valid within one process only.
 type Signer struct {
 	once sync.Once
 	keys [][]byte
@@ -78,8 +80,8 @@
 	}
 	payload, sum := raw[:len(raw)-tagSize], raw[len(raw)-tagSize:]
 	for _, key := range s.keyRing() {
-		// A tag compared byte by byte can be guessed byte by byte from the time
-		// the answer takes; Equal takes the same time for every tag.
+		// If tags were compared byte by byte, the response time would reveal one byte
+		// after another; Equal takes the same time for every tag.
 		if hmac.Equal(sum, tag(key, kind, owner, payload)) {
 			return decodeFields(payload)
 		}
@@ -87,7 +89,7 @@
 	return nil, ErrForeign
 }
 
-// keyRing returns the keys, the one that seals first.
+// keyRing returns the keys, beginning with the one that seals.
 func (s *Signer) keyRing() [][]byte {
 	s.once.Do(func() {
 		if s.keys != nil {
@@ -102,7 +104,7 @@
 
 func tag(key []byte, kind, owner string, payload []byte) []byte {
 	h := hmac.New(sha256.New, key)
-	// The lengths keep ("ab", "c") and ("a", "bc") apart.
+	// The length prefixes distinguish ("ab", "c") from ("a", "bc").
 	h.Write(encodeFields([]string{kind, owner}))
 	h.Write(payload)
 	return h.Sum(nil)[:tagSize]
