--- a/internal/request/mganswer/answer_test.go
+++ b/internal/request/mganswer/answer_test.go
@@ -43,14 +43,14 @@
 	}
 	cases := [][3]string{
 		{"another account's name", "cooperativa", text},
-		{"a name that never was", "tankline", "bm9uZQ"},
+		{"a name that never existed", "tankline", "bm9uZQ"},
 		{"a changed agent", "tankline", swapped + text[1:]},
 		{"a cut tag", "tankline", text[:len(text)-2]},
 		{"an empty name", "tankline", ""},
 		{"an endless name", "tankline", strings.Repeat("A", 1<<20)},
-		{"a key of nobody", "tankline", signer(t, "a key that nobody has", "").Sign("tankline", name)},
+		{"an unknown key", "tankline", signer(t, "a key that nobody has", "").Sign("tankline", name)},
 	}
-	Convey("A stranger's name gives nothing", t, func() {
+	Convey("A foreign name opens nothing", t, func() {
 		_, never := s.Open("tankline", "bm9uZQ")
 		for _, c := range cases {
 			Convey(c[0], func() {
