--- a/internal/request/mganswer/answer_test.go
+++ b/internal/request/mganswer/answer_test.go
@@ -85,7 +85,7 @@
 	})
 }
 
-func TestRoundTrip(t *testing.T) {
+func TestNameChangesInRoundTrip(t *testing.T) {
 	var s mganswer.Signer
 	field := rapid.StringN(0, -1, 60)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/request/mgcap/cap.go
+++ b/internal/request/mgcap/cap.go
@@ -46,7 +46,7 @@
 func (c *Cap) Streams() int { return c.streams }
 
 // Start takes a stream and its expected cost in tokens, or returns the problem
-// why it may not start.
+// that prevents it.
 func (c *Cap) Start(now mgclock.Millis, cost float64) *mgproblem.Problem {
 	c.fill(now)
 	switch {
--- a/internal/request/mgcap/cap_test.go
+++ b/internal/request/mgcap/cap_test.go
@@ -83,15 +83,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var c mgcap.Cap
 		var l mgcap.Lease
-		now, until := mgclock.Millis(0), mgclock.Millis(0)
-		brought, used := 0.0, 0.0
+		now, next := mgclock.Millis(0), mgclock.Millis(0)
+		earned, used := 0.0, 0.0
 		var running []float64
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			until = now + mgclock.Millis(rapid.IntRange(0, 3000).Draw(t, "span"))
-			if end := min(until, l.End); end > now {
-				brought += l.Rate * float64(end-now) / 1000
+			next = now + mgclock.Millis(rapid.IntRange(0, 3000).Draw(t, "span"))
+			if end := min(next, l.End); end > now {
+				earned += l.Rate * float64(end-now) / 1000
 			}
-			now = until
+			now = next
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
 				l = mgcap.Lease{
@@ -111,8 +111,8 @@
 					t.Fatalf("%d streams of %d, lease ended %v", len(running), l.Streams, now >= l.End)
 				}
 				// One answer may cost more than a full bucket.
-				if used > brought+100+1e-6 {
-					t.Fatalf("%v tokens of %v", used, brought)
+				if used > earned+100+1e-6 {
+					t.Fatalf("%v tokens of %v", used, earned)
 				}
 			case 2:
 				if len(running) == 0 {
--- a/internal/request/mgdelivery/model_test.go
+++ b/internal/request/mgdelivery/model_test.go
@@ -17,7 +17,7 @@
 	tokens          = 3  // tokens of each generation
 	exhaustiveSteps = 9  // events in an exhaustive schedule
 	seededSteps     = 60 // events in a random schedule
-	eventKinds      = 9  // kinds of events
+	eventKinds      = 9
 )
 
 // fault is a broken variant of the receiver. The model must catch each.
--- a/internal/request/mglength/estimator_test.go
+++ b/internal/request/mglength/estimator_test.go
@@ -145,7 +145,7 @@
 	})
 }
 
-func BenchmarkLook(b *testing.B) {
+func BenchmarkCurve(b *testing.B) {
 	for _, accounts := range []int{10, 35_000} {
 		b.Run(fmt.Sprint(accounts), func(b *testing.B) {
 			var e mglength.Estimator
--- a/internal/request/mgmigration/move.go
+++ b/internal/request/mgmigration/move.go
@@ -52,7 +52,7 @@
 	Copy Step = iota + 1
 	// Stop asks the source to stop the run and copy the rest.
 	Stop
-	// Wait pauses for RetrySpan, then calls Waited.
+	// Wait asks for a pause of RetrySpan and then a call of Waited.
 	Wait
 	// Done: the move is over; see Places.
 	Done
@@ -86,7 +86,7 @@
 	copyUsable  bool // the destination holds a copy to resume from
 }
 
-// Step returns what to do next.
+// Step returns the next step.
 func (m *Move) Step() Step {
 	if m.step == 0 {
 		return Copy
--- a/internal/request/mgmigration/order.go
+++ b/internal/request/mgmigration/order.go
@@ -48,13 +48,14 @@
 	if r.Resumes {
 		return 0
 	}
-	worth := float64(r.Prompt+outputWeight*(r.Made+r.Left())) / float64(r.Prompt+r.Made+1)
-	if ends, known := r.Ends(); known && ends < minRemainingTime {
-		return worth / nearEndDivisor
+	benefit := float64(r.Prompt+outputWeight*(r.Made+r.Left())) / float64(r.Prompt+r.Made+1)
+	if remaining, known := r.Ends(); known && remaining < minRemainingTime {
+		return benefit / nearEndDivisor
 	}
-	return 1 + worth
+	return 1 + benefit
 }
 
 // nearEndDivisor sorts a run that ends soon behind all others that can't resume
-// without their copy: the worth of a run is at most outputWeight.
+// without their copy: the benefit of a run with few remaining tokens is at most
+// outputWeight.
 const nearEndDivisor = 2 * outputWeight
--- a/internal/request/mgmigration/simulation_test.go
+++ b/internal/request/mgmigration/simulation_test.go
@@ -44,16 +44,16 @@
 	prompt  float64
 	made    float64
 	total   float64
-	claimed bool
+	moving  bool
 	stopped mgclock.Millis // time of the stop, 0 while it runs
-	late    bool
+	late    bool           // it paused for more than maxPauseMillis
 }
 
 // job is a copy that waits for or uses a source's link.
 type job struct {
 	run  *simulatedRun
 	left float64 // remaining ms on the link
-	last bool
+	last bool    // copy of the stopped run
 }
 
 // simulation plays reclaims of engines in virtual time.
@@ -66,7 +66,7 @@
 	returnAt  [engineCount]mgclock.Millis
 	links     [engineCount][]*job
 	turns     Turns
-	number    int
+	runCount  int
 
 	done, cut, late int
 }
@@ -111,9 +111,9 @@
 }
 
 func (p *simulation) arrive() {
-	p.number++
+	p.runCount++
 	p.runs = append(p.runs, &simulatedRun{
-		name:   fmt.Sprint(p.number),
+		name:   fmt.Sprint(p.runCount),
 		entry:  p.r.IntN(entryCount),
 		engine: p.leastLoaded(),
 		prompt: 3000 * math.Exp(0.35*p.r.NormFloat64()-0.06),
@@ -164,12 +164,12 @@
 	}
 	busy := map[[2]int]bool{}
 	for _, r := range p.runs {
-		if r.claimed {
+		if r.moving {
 			busy[[2]int{r.engine, r.entry}] = true
 		}
 	}
 	for _, r := range p.runs {
-		if p.reclaimAt[r.engine] == 0 || r.claimed {
+		if p.reclaimAt[r.engine] == 0 || r.moving {
 			continue
 		}
 		switch p.strategy {
@@ -202,7 +202,7 @@
 }
 
 func (p *simulation) startCopy(r *simulatedRun, last bool) {
-	r.claimed = true
+	r.moving = true
 	p.links[r.engine] = append(p.links[r.engine], &job{
 		run:  r,
 		left: copyMillisPerToken * (r.prompt + r.made),
@@ -248,7 +248,7 @@
 	p.turns.End(fmt.Sprint(engine), r.name)
 	r.engine = p.leastLoaded()
 	r.stopped = 0
-	r.claimed = false
+	r.moving = false
 }
 
 // reclaimEngines removes the engines whose notice has ended and cuts the runs
@@ -279,17 +279,17 @@
 // are cut, and how many pause for more than 180 ms.
 func TestReclaimCutsOrPausesRuns(t *testing.T) {
 	cut, late := map[strategy]float64{}, map[strategy]float64{}
-	for _, w := range []strategy{noMove, stopAndCopy, uncoordinated, oneSlot, oneSlotLongNotice} {
+	for _, s := range []strategy{noMove, stopAndCopy, uncoordinated, oneSlot, oneSlotLongNotice} {
 		for seed := range uint64(5) {
 			p := simulation{
-				strategy: w,
+				strategy: s,
 				r:        rand.New(rand.NewPCG(seed, 7)),
 			}
 			p.run()
-			cut[w] += 100 * float64(p.cut) / float64(p.done+p.cut) / 5
-			late[w] += 100 * float64(p.late) / float64(p.done+p.cut) / 5
+			cut[s] += 100 * float64(p.cut) / float64(p.done+p.cut) / 5
+			late[s] += 100 * float64(p.late) / float64(p.done+p.cut) / 5
 		}
-		t.Logf("%-36s cut %5.2f late %5.2f of 100", w, cut[w], late[w])
+		t.Logf("%-36s cut %5.2f late %5.2f of 100", s, cut[s], late[s])
 	}
 	Convey("With one slot per source", t, func() {
 		Convey("hardly any run is cut", func() {
--- a/internal/request/mgmigration/turns.go
+++ b/internal/request/mgmigration/turns.go
@@ -180,9 +180,9 @@
 // and drops the older ones.
 func (t *Turns) recentGrants(now mgclock.Millis, place string) int {
 	kept := t.grants[place][:0]
-	for _, at := range t.grants[place] {
-		if now < at+grantWindow {
-			kept = append(kept, at)
+	for _, granted := range t.grants[place] {
+		if now < granted+grantWindow {
+			kept = append(kept, granted)
 		}
 	}
 	if len(kept) == 0 {
--- a/internal/request/mgoperation/ledger_test.go
+++ b/internal/request/mgoperation/ledger_test.go
@@ -205,7 +205,7 @@
 		{"a UUID with a time in it", "01890a5d-ac96-774b-bcce-b302099a8057", "never", "unpromisable/notrun"},
 		{"an opaque key for calls that may be repeated", opaque, "safe", "repeatable"},
 	}
-	words := map[mgoperation.Promise]string{
+	promiseNames := map[mgoperation.Promise]string{
 		mgoperation.Repeatable: "repeatable",
 		mgoperation.Single:     "single",
 		mgoperation.Pinned:     "pinned",
@@ -219,11 +219,11 @@
 					Key:        c[1],
 					Idempotent: c[2] == "safe",
 				})
-				told := words[promise]
+				got := promiseNames[promise]
 				if err != nil {
-					told = problem(mgproblem.From(err))
+					got = problem(mgproblem.From(err))
 				}
-				So(told, ShouldEqual, c[3])
+				So(got, ShouldEqual, c[3])
 			})
 		}
 	})
--- a/internal/request/mgoperation/model_test.go
+++ b/internal/request/mgoperation/model_test.go
@@ -19,9 +19,9 @@
 	linger          mgclock.Millis = 1
 	exhaustiveSteps                = 7
 	seededSteps                    = 80
-	maxIDs                         = 3 // ids
+	maxIDs                         = 3 // IDs minted in a schedule
 	maxRecords                     = 2 // entries in the ledger
-	eventKinds                     = 9 // kinds of steps
+	eventKinds                     = 9
 )
 
 // fault is a broken variant of the ledger or its agent. The model must catch
--- a/internal/request/mgretry/retry_test.go
+++ b/internal/request/mgretry/retry_test.go
@@ -164,10 +164,10 @@
 				t.Fatalf("%v retries for %v earned, %d left", spent, earned, b.Left())
 			}
 		}
-		told := mgclock.Millis(rapid.IntRange(0, 100_000).Draw(t, "told"))
-		wait := mgretry.Backoff(rapid.IntRange(0, 100).Draw(t, "tries"), told, r)
-		if wait < told || wait > told+mgretry.MaxBackoff {
-			t.Fatalf("retry after %d, backoff %d", told, wait)
+		retryAfter := mgclock.Millis(rapid.IntRange(0, 100_000).Draw(t, "told"))
+		backoff := mgretry.Backoff(rapid.IntRange(0, 100).Draw(t, "tries"), retryAfter, r)
+		if backoff < retryAfter || backoff > retryAfter+mgretry.MaxBackoff {
+			t.Fatalf("retry after %d, backoff %d", retryAfter, backoff)
 		}
 	})
 }
--- a/internal/request/mgrouting/fleet_test.go
+++ b/internal/request/mgrouting/fleet_test.go
@@ -170,7 +170,7 @@
 
 // For any list, candidates are distinct and live, there are as many as
 // possible, and the loss of one upstream moves only its own prefixes.
-func TestCandidateProperties(t *testing.T) {
+func TestCandidatesRepeatedOrLeaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		us := newUpstreams(rapid.IntRange(1, 20).Draw(t, "upstreams"))
 		gone := rapid.IntRange(0, len(us)-1).Draw(t, "gone")
--- a/internal/request/mgwarm/warm_test.go
+++ b/internal/request/mgwarm/warm_test.go
@@ -18,28 +18,28 @@
 		bound = 1.5*rate + 5 // in any second, as promised to operators
 	)
 	for _, processes := range []int{1, 31, 100, 300, 1000} {
-		for _, believed := range []int{1, processes} {
-			if believed == 1 && processes > minProcesses {
-				continue // for so many, see docs/OPERATIONS.md
+		for _, known := range []int{1, processes} {
+			if known == 1 && processes > minProcesses {
+				continue // operators of more entries: see docs/OPERATIONS.md
 			}
 			for _, upstreams := range []int{1, 19} {
 				if upstreams > 1 && processes > 300 {
 					continue // turns at different upstreams are independent
 				}
-				Convey(fmt.Sprintf("%d entries that know of %d send all they can to %d cold engines", processes, believed, upstreams), t, func() {
+				Convey(fmt.Sprintf("%d entries that know of %d send all they can to %d cold engines", processes, known, upstreams), t, func() {
 					const (
-						step = 250 * mgclock.Millis(1)
-						span = 120 * mgclock.Second
+						step     = 250 * mgclock.Millis(1)
+						duration = 120 * mgclock.Second
 					)
 					turns := make([]Turns, processes)
-					total, most := 0, 0
+					total, maxPerSecond := 0, 0
 					for u := range upstreams {
-						var sent [span / step]int
+						var sent [duration / step]int
 						upstream := fmt.Sprint("engine-", u)
 						for p := range processes {
 							self := fmt.Sprint("entry-", p)
 							for at := range sent {
-								if turns[p].Take(mgclock.Millis(at)*step, self, upstream, rate, believed) {
+								if turns[p].Take(mgclock.Millis(at)*step, self, upstream, rate, known) {
 									sent[at]++
 								}
 							}
@@ -49,11 +49,11 @@
 							for _, n := range sent[at:min(at+int(mgclock.Second/step), len(sent))] {
 								second += n
 							}
-							most = max(most, second)
+							maxPerSecond = max(maxPerSecond, second)
 							total += sent[at]
 						}
 					}
-					So(most, ShouldBeLessThanOrEqualTo, bound)
+					So(maxPerSecond, ShouldBeLessThanOrEqualTo, bound)
 					So(total, ShouldBeGreaterThan, 0)
 				})
 			}
@@ -66,25 +66,25 @@
 		for _, c := range []struct {
 			rate   float64
 			givers int
-			most   int
+			want   int
 		}{
 			{
 				rate:   25,
 				givers: 1,
-				most:   12,
+				want:   12,
 			},
 			{
 				rate:   25,
 				givers: 4,
-				most:   3,
+				want:   3,
 			},
 			{
 				rate:   1,
 				givers: 1,
-				most:   1,
+				want:   1,
 			},
 		} {
-			So(Placed(c.rate, c.givers), ShouldEqual, c.most)
+			So(Placed(c.rate, c.givers), ShouldEqual, c.want)
 		}
 	})
 }
