--- a/internal/request/mganswer/answer_test.go
+++ b/internal/request/mganswer/answer_test.go
@@ -30,10 +30,10 @@
 	return mganswer.NewSigner(seal)
 }
 
-// A caller of one account finds the name of another account's report, in a log
-// or by guessing, and asks for it. Whatever it sends, it gets the answer it
-// would get for a name that never was, so it learns nothing.
-func TestStranger(t *testing.T) {
+// A caller finds or guesses the name of another account's answer and asks for
+// it. Whatever it sends, it must get the problem of a name that never existed,
+// so that it learns nothing.
+func TestForeignNameOpens(t *testing.T) {
 	s := signer(t, newKey, oldKey)
 	name := mganswer.NewName("engine-7", "i1", "g1")
 	text := s.Sign("tankline", name)
@@ -43,14 +43,14 @@
 	}
 	cases := [][3]string{
 		{"another account's name", "cooperativa", text},
-		{"a name that never was", "tankline", "bm9uZQ"},
+		{"a name that never existed", "tankline", "bm9uZQ"},
 		{"a changed agent", "tankline", swapped + text[1:]},
 		{"a cut tag", "tankline", text[:len(text)-2]},
 		{"an empty name", "tankline", ""},
 		{"an endless name", "tankline", strings.Repeat("A", 1<<20)},
-		{"a key of nobody", "tankline", signer(t, "a key that nobody has", "").Sign("tankline", name)},
+		{"an unknown key", "tankline", signer(t, "a key that nobody has", "").Sign("tankline", name)},
 	}
-	Convey("A stranger's name gives nothing", t, func() {
+	Convey("A foreign name opens nothing", t, func() {
 		_, never := s.Open("tankline", "bm9uZQ")
 		for _, c := range cases {
 			Convey(c[0], func() {
@@ -63,9 +63,9 @@
 	})
 }
 
-// The operators change the shared key while a dossier streams. The caller
-// resumes with a name made under the old key, and the answer goes on.
-func TestChangeOfKeys(t *testing.T) {
+// The shared key is changed while an answer streams. The caller resumes with a
+// name made under the old key, and must get the rest.
+func TestKeyChangeBreaksNames(t *testing.T) {
 	name := mganswer.NewName("engine-7", "i1", "g1")
 	text := signer(t, oldKey, "").Sign("tankline", name)
 	Convey("A name made before the last change of keys opens", t, func() {
@@ -85,7 +85,7 @@
 	})
 }
 
-func TestRoundTrip(t *testing.T) {
+func TestNameChangesInRoundTrip(t *testing.T) {
 	var s mganswer.Signer
 	field := rapid.StringN(0, -1, 60)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/request/mgcap/cap_test.go
+++ b/internal/request/mgcap/cap_test.go
@@ -19,10 +19,10 @@
 	}
 }
 
-// A customer's batch job sends ten times its cap and gets it, in short answers
-// that were expected to be shorter.
-func TestHeavyCaller(t *testing.T) {
-	Convey("A caller that always asks gets its cap", t, func() {
+// A batch job sends ten times its cap and gets it, because its answers are
+// short but longer than expected.
+func TestCallerExceedsCap(t *testing.T) {
+	Convey("A caller that sends all the time gets its cap", t, func() {
 		var c mgcap.Cap
 		got := 0.0
 		running := false
@@ -38,7 +38,7 @@
 		}
 		So(got, ShouldBeBetween, 600*95, 600*100.5)
 	})
-	Convey("and who is turned away may come back when told", t, func() {
+	Convey("and a rejected caller may start after the given delay", t, func() {
 		var c mgcap.Cap
 		c.Renew(0, lease(0))
 		p := c.Start(0, 50)
@@ -59,15 +59,16 @@
 	})
 }
 
-// A partition cuts an entry off from the account's home. Both sides hand out
-// the whole cap until it heals. An entry that slept does the same on waking.
-func TestLeaseDiesByTheClock(t *testing.T) {
-	Convey("After its lease an entry lets nothing start", t, func() {
+// A partition separates an entry from the account's home, and both sides hand
+// out the whole cap until it heals. An entry that was suspended does the same
+// when it wakes.
+func TestExpiredLeaseAdmits(t *testing.T) {
+	Convey("After its lease has expired an entry starts nothing", t, func() {
 		var c mgcap.Cap
 		c.Renew(0, lease(0))
 		So(c.Start(1999, 1), ShouldBeNil)
 		So(c.Start(2000, 1), ShouldNotBeNil)
-		Convey("and what was saved up is gone", func() {
+		Convey("and saved tokens are dropped", func() {
 			c.Renew(10_000, lease(10_000))
 			So(c.Start(10_000, 1), ShouldNotBeNil)
 			So(c.Start(10_020, 1), ShouldBeNil)
@@ -75,21 +76,22 @@
 	})
 }
 
-// Whatever is leased, asked and corrected, no more starts than the leases have
-// brought and the corrections gave back, and never more streams than leased.
-func TestCapProperties(t *testing.T) {
+// For any leases, requests and corrections, no more tokens are spent than the
+// leases earned and the corrections returned, and no more streams run than
+// leased.
+func TestAdmitsMoreThanLeased(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c mgcap.Cap
 		var l mgcap.Lease
-		now, until := mgclock.Millis(0), mgclock.Millis(0)
-		brought, used := 0.0, 0.0
+		now, next := mgclock.Millis(0), mgclock.Millis(0)
+		earned, used := 0.0, 0.0
 		var running []float64
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			until = now + mgclock.Millis(rapid.IntRange(0, 3000).Draw(t, "span"))
-			if end := min(until, l.End); end > now {
-				brought += l.Rate * float64(end-now) / 1000
+			next = now + mgclock.Millis(rapid.IntRange(0, 3000).Draw(t, "span"))
+			if end := min(next, l.End); end > now {
+				earned += l.Rate * float64(end-now) / 1000
 			}
-			now = until
+			now = next
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
 				l = mgcap.Lease{
@@ -109,8 +111,8 @@
 					t.Fatalf("%d streams of %d, lease ended %v", len(running), l.Streams, now >= l.End)
 				}
 				// One answer may cost more than a full bucket.
-				if used > brought+100+1e-6 {
-					t.Fatalf("%v tokens of %v", used, brought)
+				if used > earned+100+1e-6 {
+					t.Fatalf("%v tokens of %v", used, earned)
 				}
 			case 2:
 				if len(running) == 0 {
--- a/internal/request/mgdelivery/receiver.go
+++ b/internal/request/mgdelivery/receiver.go
@@ -9,48 +9,49 @@
 
 const (
 	// DefaultGenerations bounds the generations started for one answer. Each may
-	// have cost an engine its memory; the entry's retry budget bounds them all.
+	// have occupied an engine's memory; the entry's retry budget bounds their
+	// total.
 	DefaultGenerations = 3
-	// maxRefusals bounds the frames refused in a row. One gap or one crossed
-	// frame is mended by reading again; a stream that goes on with them is lost.
+	// maxRefusals bounds the frames refused in a row. A single gap or foreign frame
+	// is repaired by reading again; a stream that continues with them is given up.
 	maxRefusals = 3
 )
 
-// endCancelled is the end of a generation that was cancelled upstream.
+// endCancelled is the end that a generation reports when it was cancelled
+// upstream.
 const endCancelled = "cancelled"
 
 // A Spec describes an answer.
 type Spec struct {
-	// Whole is set for a caller that takes the answer in one piece.
+	// Whole is set for a caller that gets the answer in one piece.
 	Whole bool
-	// From is the last token that the caller has, for one that resumes.
+	// From is the number of the last token that a resuming caller has.
 	From uint64
-	// Pinned is set for one that resumes: the answer's name holds its
-	// generation, so there is no going elsewhere.
+	// Pinned is set for a resuming caller: the answer's name contains its
+	// generation, so it can't start over elsewhere.
 	Pinned bool
 	// Generations bounds the generations started, by default
 	// DefaultGenerations.
 	Generations int
 }
 
-// A Receiver is the reading end of one answer. The zero Receiver is that of a
-// streaming caller.
+// A Receiver reads one answer. The zero Receiver is that of a streaming caller.
 type Receiver struct {
-	spec       Spec
-	begun      int    // counts Begin
-	reading    int    // the attempt whose frames are taken, or 0
-	started    int    // counts the generations
-	generation string // the one that is read
-	last       uint64 // the last token taken, delivered unless whole
-	kept       []string
-	refusals   int
-	over       bool
+	spec            Spec
+	attemptCount    int    // calls of Begin that returned an attempt
+	currentAttempt  int    // the attempt whose frames are accepted, or 0
+	generationCount int    // generations started
+	generation      string // the generation that is read
+	last            uint64 // number of the last token accepted; delivered unless Whole
+	buffered        []string
+	refusals        int
+	finished        bool
 }
 
 // New returns the Receiver of an answer.
 func New(spec Spec) *Receiver {
 	if spec.Whole {
-		spec.From = 0 // it has had nothing before the end
+		spec.From = 0 // nothing is delivered before the end
 	}
 	return &Receiver{
 		spec: spec,
@@ -58,83 +59,86 @@
 	}
 }
 
-// Begin tells that a generation was started, or is resumed, and returns the
-// number of the attempt that its frames are to come with. No frame is taken
-// under the number 0, which is returned for a generation that can't follow.
+// Begin records that a generation was started or is resumed, and returns the
+// number of the attempt with which its frames are passed to Frame. It returns
+// 0, under which no frame is accepted, for a generation that can't continue the
+// answer.
 func (r *Receiver) Begin(generation string) int {
 	other := generation != r.generation
-	if other && r.started > 0 && r.delivered() > 0 {
+	if other && r.generationCount > 0 && r.delivered() > 0 {
 		// Another generation's tokens after this one's would be a splice.
 		return 0
 	}
 	if other {
-		r.started++
+		r.generationCount++
 		r.generation = generation
 		r.last = r.spec.From
-		r.kept = nil
+		r.buffered = nil
 	}
-	r.begun++
-	r.reading = r.begun
+	r.attemptCount++
+	r.currentAttempt = r.attemptCount
 	r.refusals = 0
-	return r.reading
+	return r.currentAttempt
 }
 
 // Generation returns the generation that is read.
 func (r *Receiver) Generation() string { return r.generation }
 
-// Last returns the last token taken; reading goes on from the next.
+// Last returns the number of the last token accepted. Reading continues with
+// the next.
 func (r *Receiver) Last() uint64 { return r.last }
 
-// Over reports whether the caller has had the last word.
-func (r *Receiver) Over() bool { return r.over }
+// Over reports whether the caller was sent the end or a problem.
+func (r *Receiver) Over() bool { return r.finished }
 
-// Frame takes a frame that came on an attempt's stream.
+// Frame handles a frame received on an attempt's stream.
 func (r *Receiver) Frame(attempt int, f *Frame) Decision {
-	if r.over || attempt == 0 || attempt != r.reading {
-		// A frame of an earlier attempt was on its way when the answer went
-		// elsewhere. Its tokens are of another run of the model, and mixed in
-		// they would make a text that no generation wrote.
+	if r.finished || attempt == 0 || attempt != r.currentAttempt {
+		// A frame of an earlier attempt was in flight when the answer started over
+		// elsewhere. Its tokens are of another run of the model; mixed in, they would
+		// make a text that no generation wrote.
 		return Decision{}
 	}
 	if f.Generation != r.generation {
-		// A stream that was crossed with another, or an agent that started over.
+		// The stream belongs to another generation, or the agent started over.
 		return r.refuse()
 	}
-	if cause := broken(f); cause != "" {
-		return r.lost(cause)
+	if cause := failureOf(f); cause != "" {
+		return r.giveUp(cause)
 	}
 	fresh := r.fresh(f)
-	if r.missing(f, fresh) {
+	if r.hasGap(f, fresh) {
 		return r.refuse()
 	}
-	return r.take(f, fresh)
+	return r.accept(f, fresh)
 }
 
-// broken returns why the generation of f can't be continued, or "".
-func broken(f *Frame) string {
+// failureOf returns why the generation of f can't be continued, or "".
+func failureOf(f *Frame) string {
 	if f.End == endCancelled {
 		return "it was cancelled at the engine"
 	}
 	return f.Fault
 }
 
-// missing reports whether tokens were lost before f, or before the end that it
-// tells. Taken, the text would lack them, and with the end nobody would see it.
-func (r *Receiver) missing(f *Frame, fresh []string) bool {
+// hasGap reports whether tokens are missing before f or before the end that it
+// reports. If f were accepted, the text would lack them, and with the end
+// nobody would notice.
+func (r *Receiver) hasGap(f *Frame, fresh []string) bool {
 	if len(f.Text) > 0 && f.Seq > r.last+1 {
 		return true
 	}
 	return f.End != "" && f.Total != r.last+uint64(len(fresh))
 }
 
-// take notes the fresh tokens and decides what the caller is given.
-func (r *Receiver) take(f *Frame, fresh []string) Decision {
+// accept records the fresh tokens and decides what is delivered.
+func (r *Receiver) accept(f *Frame, fresh []string) Decision {
 	if len(fresh) > 0 {
 		r.refusals = 0
 	}
 	r.last += uint64(len(fresh))
 	if r.spec.Whole {
-		r.kept = append(r.kept, fresh...)
+		r.buffered = append(r.buffered, fresh...)
 	}
 	switch {
 	case f.End != "":
@@ -146,17 +150,17 @@
 	}
 }
 
-// Lost tells that an attempt's generation can't be read any more: its agent or
-// engine is gone, or its link gave up.
+// Lost handles the loss of an attempt's generation: its agent or engine is
+// gone, or its link gave up.
 func (r *Receiver) Lost(attempt int) Decision {
-	if r.over || attempt == 0 || attempt != r.reading {
+	if r.finished || attempt == 0 || attempt != r.currentAttempt {
 		return Decision{}
 	}
-	return r.lost("the connection to its engine is lost")
+	return r.giveUp("the connection to its engine is lost")
 }
 
-// fresh returns the tokens of f that were not taken yet. A reopened stream
-// repeats some, and a frame may hold both.
+// fresh returns the tokens of f that were not accepted before. A reopened
+// stream repeats some, and one frame may contain both.
 func (r *Receiver) fresh(f *Frame) []string {
 	text := f.Text
 	if len(text) == 0 || f.Seq == 0 {
@@ -169,11 +173,11 @@
 	return slices.Clone(text[known:])
 }
 
-// end gives the caller the rest and the end.
+// end delivers the remaining tokens and the end.
 func (r *Receiver) end(f *Frame, fresh []string) Decision {
-	r.over = true
+	r.finished = true
 	if r.spec.Whole {
-		fresh = r.kept
+		fresh = r.buffered
 	}
 	d := r.deliver(Finish, fresh)
 	d.end = f.End
@@ -183,19 +187,19 @@
 func (r *Receiver) refuse() Decision {
 	r.refusals++
 	if r.refusals > maxRefusals {
-		return r.lost("its frames don't follow one another")
+		return r.giveUp("its frames don't follow one another")
 	}
 	return Decision{
 		action: Reopen,
 	}
 }
 
-// lost gives up on the generation. What the caller has had decides: nothing,
-// and the answer starts over elsewhere; something, and it is told so, since no
-// other generation continues this one's text.
-func (r *Receiver) lost(cause string) Decision {
-	if r.delivered() == 0 && !r.spec.Pinned && r.started < r.generations() {
-		r.reading = 0
+// giveUp abandons the generation. If nothing was delivered, the answer starts
+// over elsewhere. Otherwise the caller gets the problem, because no other
+// generation continues this one's text.
+func (r *Receiver) giveUp(cause string) Decision {
+	if r.delivered() == 0 && !r.spec.Pinned && r.generationCount < r.maxGenerations() {
+		r.currentAttempt = 0
 		return Decision{
 			action: Elsewhere,
 			cancel: r.generation,
@@ -207,7 +211,7 @@
 }
 
 func (r *Receiver) fail(problem *mgproblem.Problem) Decision {
-	r.over = true
+	r.finished = true
 	return Decision{
 		action:  Fail,
 		cancel:  r.generation,
@@ -223,7 +227,7 @@
 	}
 }
 
-// delivered counts the tokens that the caller has had.
+// delivered returns how many tokens the caller has received.
 func (r *Receiver) delivered() uint64 {
 	if r.spec.Whole {
 		return r.spec.From
@@ -231,7 +235,7 @@
 	return r.last
 }
 
-func (r *Receiver) generations() int {
+func (r *Receiver) maxGenerations() int {
 	if r.spec.Generations > 0 {
 		return r.spec.Generations
 	}
--- a/internal/request/mgmigration/turns.go
+++ b/internal/request/mgmigration/turns.go
@@ -8,92 +8,95 @@
 )
 
 const (
-	// turnSpan ends a turn that its holder doesn't give back: the holder died, or
-	// its copy is stuck. A copy of 4,000 tokens takes 220 ms in a zone and 440
-	// between zones; moves that shared a destination's link took up to 1.4 s, and
-	// a turn that is given to the next meanwhile makes two of them.
-	turnSpan = 1200 * mgclock.Millis(1)
-	// askSpan is how long a run that asked is taken to be waiting. Its entry
-	// asks again within 150 ms.
-	askSpan = 400 * mgclock.Millis(1)
-	// givenSpan is how long a place counts as given to a run: until the run
-	// shows in what entries see of the place.
-	givenSpan = 2 * mgclock.Second
+	// slotTimeout frees a slot that its holder doesn't release because the holder
+	// died or its copy is stuck. A copy of 4,000 tokens takes 220 ms in a zone and
+	// 440 between zones; moves that shared a destination's link took up to 1.4 s. A
+	// timeout during a copy puts two copies on the link.
+	slotTimeout = 1200 * mgclock.Millis(1)
+	// requestTTL is how long a run counts as waiting after its last request. Its
+	// entry repeats the request within 150 ms.
+	requestTTL = 400 * mgclock.Millis(1)
+	// grantWindow is how long a grant counts against its destination: until the run
+	// shows in the load that entries see there.
+	grantWindow = 2 * mgclock.Second
 )
 
-// An Ask asks for a turn at moving a run away from its source.
+// An Ask requests the slot to move a run away from its source.
 type Ask struct {
 	Source string
 	Run    string
-	Worth  float64 // of moving it now, see Run.Worth
-	Places []Spot  // where it may go
+	Worth  float64 // benefit of moving it now, see Run.Worth
+	Places []Spot  // candidate destinations
 }
 
-// A Spot is an upstream that a run may go to, the cost of that in ms (see
-// mgload.Cost), and the time in ms that the copy takes the source's link.
+// A Spot is a candidate destination: the upstream's name, the cost of placing
+// the run there in ms (see mgload.Cost), and the time in ms that the copy
+// occupies the source's link.
 type Spot struct {
 	Name string
 	Cost float64
 	Span float64
 }
 
-// Turns gives the runs of each source their turns, one at a time, and tells
-// them where to go. One entry does so for a service, and all others ask it.
+// Turns assigns each source's migration slot to one of its runs at a time, and
+// picks that run's destination. One entry does so for a service; all others
+// send their requests to it.
 //
-// Without turns the copies of several entries share the source's link: all take
-// as long as all together, and each stopped run waits for the others' copies.
-// Without one that knows all the places, entries that see the same numbers send
-// their runs to the same engine.
+// Without slots the copies of several entries share the source's link: each
+// takes as long as all together, and each stopped run waits for the others'
+// copies. Without a common choice of destinations, entries that see the same
+// loads send their runs to the same engine.
 //
-// It decides nothing that must be right: an entry that gets no answer moves its
-// runs all the same. The zero Turns is ready for use by several goroutines.
+// Correctness doesn't depend on it: an entry that gets no reply moves its runs
+// all the same. The zero Turns is ready for use by several goroutines.
 type Turns struct {
 	mu      sync.Mutex
-	sources map[string]*turn
-	given   map[string][]mgclock.Millis // by place, when it was given
+	sources map[string]*sourceState
+	grants  map[string][]mgclock.Millis // times of recent grants by destination
 }
 
-// turn is the state of one source.
-type turn struct {
-	holder  string
-	place   string
-	until   mgclock.Millis
-	waiting map[string]waiter
+// sourceState is one source's slot and its waiting list.
+type sourceState struct {
+	holder      string
+	destination string
+	expires     mgclock.Millis
+	waiting     map[string]waiter
 }
 
 type waiter struct {
-	worth float64
-	until mgclock.Millis
+	benefit float64
+	expires mgclock.Millis
 }
 
-// Ask returns where the run should go now, or false while it is not its turn.
+// Ask returns the run's destination if the run gets or holds the slot now, else
+// false.
 func (t *Turns) Ask(now mgclock.Millis, a Ask) (place string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.source(a.Source)
+	s := t.stateOf(a.Source)
 	s.waiting[a.Run] = waiter{
-		worth: a.Worth,
-		until: now + askSpan,
+		benefit: a.Worth,
+		expires: now + requestTTL,
 	}
-	if s.holder != "" && s.holder != a.Run && now < s.until {
+	if s.holder != "" && s.holder != a.Run && now < s.expires {
 		return "", false
 	}
-	if s.first(now) != a.Run {
+	if s.nextRun(now) != a.Run {
 		return "", false
 	}
-	place = t.choose(now, a)
+	place = t.chooseDestination(now, a)
 	if place == "" {
 		return "", false
 	}
 	delete(s.waiting, a.Run)
 	s.holder = a.Run
-	s.place = place
-	s.until = now + turnSpan
-	t.given[place] = append(t.given[place], now)
+	s.destination = place
+	s.expires = now + slotTimeout
+	t.grants[place] = append(t.grants[place], now)
 	return place, true
 }
 
-// End gives a turn back.
+// End releases the slot if the run holds it, and withdraws the run's request.
 func (t *Turns) End(source, run string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,21 +107,21 @@
 	delete(s.waiting, run)
 	if s.holder == run {
 		s.holder = ""
-		s.place = ""
+		s.destination = ""
 	}
 	if s.holder == "" && len(s.waiting) == 0 {
 		delete(t.sources, source)
 	}
 }
 
-func (t *Turns) source(name string) *turn {
+func (t *Turns) stateOf(name string) *sourceState {
 	if t.sources == nil {
-		t.sources = map[string]*turn{}
-		t.given = map[string][]mgclock.Millis{}
+		t.sources = map[string]*sourceState{}
+		t.grants = map[string][]mgclock.Millis{}
 	}
 	s := t.sources[name]
 	if s == nil {
-		s = &turn{
+		s = &sourceState{
 			waiting: map[string]waiter{},
 		}
 		t.sources[name] = s
@@ -126,71 +129,75 @@
 	return s
 }
 
-// first returns the waiting run that gains most by its move.
-func (s *turn) first(now mgclock.Millis) string {
-	first, worth := "", -1.0
+// nextRun returns the waiting run with the greatest benefit. Equal ones go by
+// name.
+func (s *sourceState) nextRun(now mgclock.Millis) string {
+	next, benefit := "", -1.0
 	for run, w := range s.waiting {
-		if now > w.until {
+		if now > w.expires {
 			delete(s.waiting, run)
 			continue
 		}
-		if w.worth > worth || w.worth == worth && run < first {
-			first, worth = run, w.worth
+		if w.benefit > benefit || w.benefit == benefit && run < next {
+			next, benefit = run, w.benefit
 		}
 	}
-	return first
+	return next
 }
 
 const (
-	// takingCost is the cost of a place that takes a copy of another source now.
-	// The last copy queues behind it while the run stands still, and its caller sees
-	// a pause. It outweighs a dozen runs.
-	takingCost = 1500.0
-	// riskCost is the cost of each ms that the run's own copy takes: the notice
-	// may end before it does. Without it the last run of a source went to another
-	// zone for the sake of one run less there, and was cut in the middle of a copy
-	// twice as long.
-	riskCost = 3.0
+	// busyDestinationCost is the cost of a destination that receives a copy from
+	// another source now. The last copy would queue behind it while the run is
+	// stopped, and its caller would see a pause. It outweighs a dozen runs.
+	busyDestinationCost = 1500.0
+	// copyTimeCost is the cost of each ms of the run's own copy: the source may be
+	// reclaimed before the copy ends. Without it the last run of a source was sent
+	// to another zone because it had one run fewer, and was cut in the middle of a
+	// copy twice as long.
+	copyTimeCost = 3.0
 )
 
-// choose returns the cheapest place; among equal ones the first.
-func (t *Turns) choose(now mgclock.Millis, a Ask) string {
-	best, least := "", 0.0
-	// A copy that takes the link for longer holds up all that wait for it, until their
-	// source is gone.
-	others := float64(len(t.source(a.Source).waiting) - 1)
+// chooseDestination returns the destination of least cost; among equal ones the
+// first.
+func (t *Turns) chooseDestination(now mgclock.Millis, a Ask) string {
+	best, minCost := "", 0.0
+	// A longer copy holds up all runs that wait for the link, and their source may
+	// be reclaimed meanwhile.
+	others := float64(len(t.stateOf(a.Source).waiting) - 1)
 	for _, spot := range a.Places {
-		cost := spot.Cost + mgload.RunCost*float64(t.lately(now, spot.Name)) + (others+riskCost)*spot.Span
-		if t.taking(now, spot.Name, a.Source) {
-			cost += takingCost
+		cost := spot.Cost + mgload.RunCost*float64(t.recentGrants(now, spot.Name)) + (others+copyTimeCost)*spot.Span
+		if t.receivesFromOther(now, spot.Name, a.Source) {
+			cost += busyDestinationCost
 		}
-		if best == "" || cost < least {
-			best, least = spot.Name, cost
+		if best == "" || cost < minCost {
+			best, minCost = spot.Name, cost
 		}
 	}
 	return best
 }
 
-// lately returns how often a place was given lately.
-func (t *Turns) lately(now mgclock.Millis, place string) int {
-	kept := t.given[place][:0]
-	for _, at := range t.given[place] {
-		if now < at+givenSpan {
-			kept = append(kept, at)
+// recentGrants returns how many grants a destination got within grantWindow,
+// and drops the older ones.
+func (t *Turns) recentGrants(now mgclock.Millis, place string) int {
+	kept := t.grants[place][:0]
+	for _, granted := range t.grants[place] {
+		if now < granted+grantWindow {
+			kept = append(kept, granted)
 		}
 	}
 	if len(kept) == 0 {
-		delete(t.given, place)
+		delete(t.grants, place)
 		return 0
 	}
-	t.given[place] = kept
+	t.grants[place] = kept
 	return len(kept)
 }
 
-// taking reports whether a place takes a copy of another source now.
-func (t *Turns) taking(now mgclock.Millis, place, source string) bool {
+// receivesFromOther reports whether a destination receives a copy from another
+// source now.
+func (t *Turns) receivesFromOther(now mgclock.Millis, place, source string) bool {
 	for name, s := range t.sources {
-		if name != source && s.place == place && now < s.until {
+		if name != source && s.destination == place && now < s.expires {
 			return true
 		}
 	}
--- a/internal/request/mgoperation/ledger_test.go
+++ b/internal/request/mgoperation/ledger_test.go
@@ -25,13 +25,13 @@
 	}
 }
 
-func ended(outcome mgproblem.Outcome) mgoperation.Result {
+func resultOf(outcome mgproblem.Outcome) mgoperation.Result {
 	return mgoperation.Result{
 		Outcome: outcome,
 	}
 }
 
-func done(body string) mgoperation.Result {
+func doneResult(body string) mgoperation.Result {
 	return mgoperation.Result{
 		Outcome: mgproblem.Done,
 		Status:  200,
@@ -39,50 +39,50 @@
 	}
 }
 
-// A caller is told how its request ended: done, not run or unknown. Each case
-// plays one way to an ending, with the events in order, and gives the words
-// that the events brought.
-func TestEndings(t *testing.T) {
+// A caller gets a wrong outcome of its request: done, not run or unknown. Each
+// case applies the events of one sequence in order and lists the replies.
+func TestCallerToldWrongOutcome(t *testing.T) {
 	cases := [][3]string{
 		{"it runs", "begin submit finish lookup", "run ok - done"},
 		{"its start comes twice", "begin begin submit begin finish begin", "run join ok join - join"},
 		{"cancelled before its start arrives", "cancel begin begin", "notrun tombstone/notrun tombstone/notrun"},
 		{"cancelled while it is queued", "begin cancel submit begin", "run notrun tombstone/notrun tombstone/notrun"},
 		{"cancelled after it was sent", "begin submit cancel finish cancel", "run ok unknown - done"},
-		{"its time runs out in the queue", "begin sleep6 submit begin cancel", "run - late/notrun tombstone/notrun notrun"},
+		{"its deadline passes in the queue", "begin sleep6 submit begin cancel", "run - late/notrun tombstone/notrun notrun"},
 		{"the process pauses with it in the queue", "begin sleep60 submit", "run - late/notrun"},
 		{"its start arrives after the window", "sleep11 begin cancel", "- unconfirmed/unknown unknown"},
 		{"its copy arrives after it was forgotten", "begin submit finish sleep11 begin cancel", "run ok - - unconfirmed/unknown unknown"},
 		{"a tombstone outlives every start", "cancel sleep10 begin sleep1 begin", "notrun - tombstone/notrun - unconfirmed/unknown"},
 		{"the upstream can't be reached", "begin submit fail begin cancel", "run ok - tombstone/notrun notrun"},
-		{"the upstream is silent after the body", "begin submit lose cancel begin", "run ok - unknown join"},
+		{"the upstream doesn't answer after the body", "begin submit lose cancel begin", "run ok - unknown join"},
 		{"it is sent only once", "begin submit submit", "run ok unconfirmed/unknown"},
 		{"it runs past the window", "begin submit sleep30 begin finish begin sleep11 begin", "run ok - join - join - unconfirmed/unknown"},
 		{"another body under its id", "begin other", "run invalid/unknown"},
 	}
-	Convey("What is told at each ending", t, func() {
+	Convey("The replies of each sequence of events", t, func() {
 		for _, c := range cases {
 			Convey(c[0], func() {
-				So(play(c[1]), ShouldEqual, c[2])
+				So(playEvents(c[1]), ShouldEqual, c[2])
 			})
 		}
 	})
 }
 
-// play gives a ledger the events for one entry and returns its words.
-func play(events string) string {
+// playEvents applies the events for one entry to a ledger and returns the
+// replies.
+func playEvents(events string) string {
 	ledger := mgoperation.New(mgoperation.Spec{
 		Window: window,
 	})
 	var now mgclock.Millis
-	var words []string
+	var replies []string
 	for _, event := range strings.Fields(events) {
-		words = append(words, word(ledger, event, &now))
+		replies = append(replies, applyEvent(ledger, event, &now))
 	}
-	return strings.Join(words, " ")
+	return strings.Join(replies, " ")
 }
 
-func word(ledger *mgoperation.Ledger, event string, now *mgclock.Millis) string {
+func applyEvent(ledger *mgoperation.Ledger, event string, now *mgclock.Millis) string {
 	const id = "op"
 	const deadline = 5 * mgclock.Second
 	var seconds int64
@@ -100,11 +100,11 @@
 	case "submit":
 		return problem(ledger.Submit(id, *now))
 	case "finish":
-		ledger.Finish(id, done("ticket"), *now)
+		ledger.Finish(id, doneResult("ticket"), *now)
 	case "fail":
-		ledger.Finish(id, ended(mgproblem.NotRun), *now)
+		ledger.Finish(id, resultOf(mgproblem.NotRun), *now)
 	case "lose":
-		ledger.Finish(id, ended(mgproblem.Unknown), *now)
+		ledger.Finish(id, resultOf(mgproblem.Unknown), *now)
 	case "cancel":
 		return string(ledger.Cancel(id, 0, *now))
 	case "lookup":
@@ -132,13 +132,14 @@
 	return fmt.Sprintf("%s/%s", p.Kind(), p.Outcome())
 }
 
-// A burst of writes fills the record of an agent. It says so instead of growing,
-// and what it refused stays not run when a copy arrives after room was made.
-func TestFull(t *testing.T) {
+// A burst of writes fills an agent's ledger. It must refuse instead of growing,
+// and a refused entry must stay not run when a copy of its start arrives after
+// entries were forgotten.
+func TestFullLedgerForgetsRefusal(t *testing.T) {
 	Convey("A full ledger refuses, and its refusal holds", t, func() {
 		ledger := mgoperation.New(mgoperation.Spec{
-			Window:  window,
-			Records: 2,
+			Window:     window,
+			MaxRecords: 2,
 		})
 		ledger.Cancel("a", 0, 0)
 		ledger.Cancel("b", 0, 0)
@@ -150,13 +151,13 @@
 	})
 	Convey("Old bodies are dropped, their outcomes stay", t, func() {
 		ledger := mgoperation.New(mgoperation.Spec{
-			Window: window,
-			Bytes:  10,
+			Window:       window,
+			MaxBodyBytes: 10,
 		})
 		for _, id := range []string{"a", "b", "c"} {
 			ledger.Begin(start(id, 0, window), 0)
 			ledger.Submit(id, 0)
-			ledger.Finish(id, done("1234"), 0)
+			ledger.Finish(id, doneResult("1234"), 0)
 		}
 		_, first := ledger.Lookup("a")
 		_, last := ledger.Lookup("c")
@@ -166,10 +167,10 @@
 	})
 }
 
-// An agent is replaced while a certificate submission runs. The member's portal
-// repeats it with the same id. The new agent can't know, so it says "unknown"
-// and doesn't run it, whatever the id's age.
-func TestReplaced(t *testing.T) {
+// An agent is replaced while an operation runs, and the caller repeats it with
+// the same ID. The new agent has no record of it, so it must answer "unknown"
+// and not run it, whatever the ID's age.
+func TestReplacedAgentRunsAgain(t *testing.T) {
 	var seal mgseal.Signer
 	old := mgoperation.NewMinter(&seal, "portal-1", "i1")
 	id := old.Mint("cooperativa", "submit", 7)
@@ -190,11 +191,10 @@
 	})
 }
 
-// A control room's client sends a UUID of its own as Idempotency-Key with a
-// transfer ticket, through two entries that see different lists. Each entry
-// would take it to another agent, and two barrels would be booked. So the key is
-// refused before anything runs.
-func TestKeys(t *testing.T) {
+// A client sends its own UUID as Idempotency-Key through two entries with
+// different lists. Each entry would send it to another agent, and the write
+// would run twice. So the key must be refused before anything runs.
+func TestOpaqueKeyPromised(t *testing.T) {
 	var seal mgseal.Signer
 	id := mgoperation.NewMinter(&seal, "app-1", "i1").Mint("tankline", "ticket", 1)
 	const opaque = "ticket-4711"
@@ -205,12 +205,12 @@
 		{"a UUID with a time in it", "01890a5d-ac96-774b-bcce-b302099a8057", "never", "unpromisable/notrun"},
 		{"an opaque key for calls that may be repeated", opaque, "safe", "repeatable"},
 	}
-	words := map[mgoperation.Promise]string{
+	promiseNames := map[mgoperation.Promise]string{
 		mgoperation.Repeatable: "repeatable",
 		mgoperation.Single:     "single",
 		mgoperation.Pinned:     "pinned",
 	}
-	Convey("What a key promises", t, func() {
+	Convey("The guarantee for each key", t, func() {
 		for _, c := range cases {
 			Convey(c[0], func() {
 				promise, _, err := mgoperation.Weigh(&seal, mgoperation.KeySpec{
@@ -219,30 +219,30 @@
 					Key:        c[1],
 					Idempotent: c[2] == "safe",
 				})
-				told := words[promise]
+				got := promiseNames[promise]
 				if err != nil {
-					told = problem(mgproblem.From(err))
+					got = problem(mgproblem.From(err))
 				}
-				So(told, ShouldEqual, c[3])
+				So(got, ShouldEqual, c[3])
 			})
 		}
 	})
 }
 
-// TestBounded plays long histories: memory stays within the window's entries.
-func TestBounded(t *testing.T) {
+// A long history makes the ledger grow beyond the entries of one window.
+func TestLedgerGrowsUnbounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ledger := mgoperation.New(mgoperation.Spec{
-			Window:  window,
-			Records: 50,
-			Bytes:   100,
+			Window:       window,
+			MaxRecords:   50,
+			MaxBodyBytes: 100,
 		})
 		var now mgclock.Millis
 		for i := range 200 {
 			now += mgclock.Millis(rapid.Int64Range(0, 1000).Draw(t, "wait"))
 			id := fmt.Sprint(i)
 			if verdict(ledger.Begin(start(id, now, now+window), now)) == "run" && ledger.Submit(id, now) == nil {
-				ledger.Finish(id, done(strings.Repeat("x", rapid.IntRange(0, 60).Draw(t, "size"))), now)
+				ledger.Finish(id, doneResult(strings.Repeat("x", rapid.IntRange(0, 60).Draw(t, "size"))), now)
 			}
 			if ledger.Len() > 50 {
 				t.Fatalf("%d entries", ledger.Len())
--- a/internal/request/mgrest/rest.go
+++ b/internal/request/mgrest/rest.go
@@ -7,98 +7,100 @@
 )
 
 const (
-	// longest bounds a rest, whatever an upstream asks for.
-	longest = 10 * mgclock.Minute
-	// widest is the window from which on an upstream is as any other: about the requests
-	// that one runs at once.
-	widest = 32
+	// maxRest bounds a rest, whatever an upstream asks for.
+	maxRest = 10 * mgclock.Minute
+	// maxWindow is the window at which the limit is lifted: about the number of
+	// requests that an upstream runs at once.
+	maxWindow = 32
 )
 
-// Rests are the upstreams that asked this process for a rest. The zero Rests is empty and
-// ready for use by several goroutines.
+// Rests holds the upstreams that asked this process for a rest. The zero Rests
+// is empty and ready for use by several goroutines.
 type Rests struct {
-	mu  sync.Mutex
-	all map[string]*rest
+	mu         sync.Mutex
+	byUpstream map[string]*rest
 }
 
 type rest struct {
-	until  mgclock.Millis
-	window int // after the rest
-	flying int // requests in flight that were sent after it
+	until    mgclock.Millis
+	window   int // maximum of inFlight after the rest
+	inFlight int // requests in flight that were sent after the rest
 }
 
-// Ask takes that an upstream wants nothing for a span.
-func (r *Rests) Ask(now mgclock.Millis, upstream string, span mgclock.Millis) {
+// Ask records that an upstream asked for a rest of a duration. A shorter one
+// doesn't end an earlier one sooner.
+func (r *Rests) Ask(now mgclock.Millis, upstream string, duration mgclock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.all == nil {
-		r.all = map[string]*rest{}
+	if r.byUpstream == nil {
+		r.byUpstream = map[string]*rest{}
 	}
-	asked := r.all[upstream]
-	if asked == nil {
-		asked = &rest{}
-		r.all[upstream] = asked
+	current := r.byUpstream[upstream]
+	if current == nil {
+		current = &rest{}
+		r.byUpstream[upstream] = current
 	}
-	asked.until = max(asked.until, now+min(span, longest))
-	asked.window = 1
+	current.until = max(current.until, now+min(duration, maxRest))
+	current.window = 1
 }
 
-// Left returns how long an upstream still rests, 0 where it doesn't.
+// Left returns the remaining time of an upstream's rest, 0 if it has none.
 func (r *Rests) Left(now mgclock.Millis, upstream string) mgclock.Millis {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if asked := r.all[upstream]; asked != nil {
-		return max(asked.until-now, 0)
+	if current := r.byUpstream[upstream]; current != nil {
+		return max(current.until-now, 0)
 	}
 	return 0
 }
 
-// Takes reports whether an upstream may be sent a request now.
+// Takes reports whether a request may be sent to an upstream now.
 func (r *Rests) Takes(now mgclock.Millis, upstream string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	asked := r.all[upstream]
-	return asked == nil || asked.takes(now)
+	current := r.byUpstream[upstream]
+	return current == nil || current.accepts(now)
 }
 
-func (r *rest) takes(now mgclock.Millis) bool { return now >= r.until && r.flying < r.window }
+func (r *rest) accepts(now mgclock.Millis) bool { return now >= r.until && r.inFlight < r.window }
 
-// Take reports whether an upstream may be sent a request now, and counts it. What it
-// returns is called at the request's end with whether the upstream answered it.
+// Take reports whether a request may be sent to an upstream now, and counts it.
+// The caller calls ended at the request's end, with whether the upstream
+// answered it.
 func (r *Rests) Take(now mgclock.Millis, upstream string) (ended func(answered bool), ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	asked := r.all[upstream]
-	if asked == nil {
+	current := r.byUpstream[upstream]
+	if current == nil {
 		return func(bool) {}, true
 	}
-	if !asked.takes(now) {
+	if !current.accepts(now) {
 		return nil, false
 	}
-	asked.flying++
-	return func(answered bool) { r.end(upstream, asked, answered) }, true
+	current.inFlight++
+	return func(answered bool) { r.end(upstream, current, answered) }, true
 }
 
-func (r *Rests) end(upstream string, asked *rest, answered bool) {
+func (r *Rests) end(upstream string, current *rest, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	asked.flying--
+	current.inFlight--
 	if !answered {
 		return
 	}
-	asked.window *= 2
-	if asked.window >= widest && r.all[upstream] == asked {
-		delete(r.all, upstream)
+	current.window *= 2
+	if current.window >= maxWindow && r.byUpstream[upstream] == current {
+		delete(r.byUpstream, upstream)
 	}
 }
 
-// Forget drops the upstreams that are gone: keep says which aren't.
+// Forget removes the upstreams for which keep returns false.
 func (r *Rests) Forget(keep func(upstream string) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for upstream := range r.all {
+	for upstream := range r.byUpstream {
 		if !keep(upstream) {
-			delete(r.all, upstream)
+			delete(r.byUpstream, upstream)
 		}
 	}
 }
--- a/internal/request/mgretry/budgets.go
+++ b/internal/request/mgretry/budgets.go
@@ -6,31 +6,31 @@
 	"sync/atomic"
 )
 
-// Budgets holds the budgets of the services. The zero Budgets is empty. A read
-// takes no lock: the map is copied when a service is new, which is bounded by
-// the services of the table.
+// Budgets holds the services' budgets. The zero Budgets is empty. A read takes
+// no lock: the map is copied when a service is new, and the table bounds the
+// number of services.
 type Budgets struct {
-	mu  sync.Mutex
-	all atomic.Pointer[map[string]*Budget]
+	mu        sync.Mutex
+	byService atomic.Pointer[map[string]*Budget]
 
-	limit int // of each budget, 0 for Limit
+	limit int // of each budget, 0 for DefaultLimit
 }
 
-// Bound sets the most retries that each budget holds; see Budget.Bound.
+// Bound sets the maximum of retries in each budget; see Budget.Bound.
 func (s *Budgets) Bound(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit = limit
-	if all := s.all.Load(); all != nil {
+	if all := s.byService.Load(); all != nil {
 		for _, b := range *all {
 			b.Bound(limit)
 		}
 	}
 }
 
-// Of returns the budget of a service, which begins full.
+// Of returns the budget of a service, which is full when new.
 func (s *Budgets) Of(service string) *Budget {
-	if all := s.all.Load(); all != nil {
+	if all := s.byService.Load(); all != nil {
 		if b := (*all)[service]; b != nil {
 			return b
 		}
@@ -42,7 +42,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := map[string]*Budget{}
-	if all := s.all.Load(); all != nil {
+	if all := s.byService.Load(); all != nil {
 		if b := (*all)[service]; b != nil {
 			return b
 		}
@@ -51,6 +51,6 @@
 	b := new(Budget)
 	b.Bound(s.limit)
 	next[service] = b
-	s.all.Store(&next)
+	s.byService.Store(&next)
 	return b
 }
--- a/internal/request/mgseal/seal.go
+++ b/internal/request/mgseal/seal.go
@@ -14,15 +14,16 @@
 // The bounds of keys and texts in bytes.
 const (
 	MinKey  = 16  // shorter keys can be guessed
-	MaxText = 512 // longer texts are refused before any work is done on them
+	MaxText = 512 // longer texts are refused without any work on them
 	tagSize = 16  // half of SHA-256: as strong as its collision bound
 )
 
 var (
 	// ErrKey is returned for a key that is too short.
 	ErrKey = errors.New("seal: key too short: give at least 16 bytes, the same to every process")
-	// ErrForeign is returned for a text that this owner was not given. It says
-	// no more, so that a stranger learns nothing from it.
+	// ErrForeign is returned for a text that was not sealed for this owner. It
+	// gives no details, so that a caller can't learn anything about names of
+	// others.
 	ErrForeign = errors.New("seal: no such name: use the name as it was given to this account")
 )
 
@@ -30,14 +31,15 @@
 
 // A Spec holds the keys that all processes share.
 type Spec struct {
-	// Current seals and opens.
+	// Current is the key that seals and opens names.
 	Current []byte
-	// Previous opens names made before the last change of keys. It may be empty.
+	// Previous is the key that opens names sealed before the last change of keys.
+	// It may be empty.
 	Previous []byte
 }
 
-// A Signer seals and opens names. The zero Signer uses a random key of its
-// own, so that its names hold within one process.
+// A Signer seals and opens names. The zero Signer uses a random key of its own,
+// so that its names are valid within one process only.
 type Signer struct {
 	once sync.Once
 	keys [][]byte
@@ -63,8 +65,8 @@
 
 // Seal returns the text of a name of a kind that belongs to owner.
 func (s *Signer) Seal(kind, owner string, fields ...string) string {
-	payload := join(fields)
-	return encoding.EncodeToString(append(payload, tag(s.ring()[0], kind, owner, payload)...))
+	payload := encodeFields(fields)
+	return encoding.EncodeToString(append(payload, tag(s.keyRing()[0], kind, owner, payload)...))
 }
 
 // Open returns the fields of a name sealed for owner, or ErrForeign.
@@ -77,18 +79,18 @@
 		return nil, ErrForeign
 	}
 	payload, sum := raw[:len(raw)-tagSize], raw[len(raw)-tagSize:]
-	for _, key := range s.ring() {
-		// A tag compared byte by byte can be guessed byte by byte from the time
-		// the answer takes; Equal takes the same time for every tag.
+	for _, key := range s.keyRing() {
+		// If tags were compared byte by byte, the response time would reveal one byte
+		// after another; Equal takes the same time for every tag.
 		if hmac.Equal(sum, tag(key, kind, owner, payload)) {
-			return split(payload)
+			return decodeFields(payload)
 		}
 	}
 	return nil, ErrForeign
 }
 
-// ring returns the keys, the one that seals first.
-func (s *Signer) ring() [][]byte {
+// keyRing returns the keys, beginning with the one that seals.
+func (s *Signer) keyRing() [][]byte {
 	s.once.Do(func() {
 		if s.keys != nil {
 			return
@@ -102,13 +104,13 @@
 
 func tag(key []byte, kind, owner string, payload []byte) []byte {
 	h := hmac.New(sha256.New, key)
-	// The lengths keep ("ab", "c") and ("a", "bc") apart.
-	h.Write(join([]string{kind, owner}))
+	// The length prefixes distinguish ("ab", "c") from ("a", "bc").
+	h.Write(encodeFields([]string{kind, owner}))
 	h.Write(payload)
 	return h.Sum(nil)[:tagSize]
 }
 
-func join(fields []string) []byte {
+func encodeFields(fields []string) []byte {
 	var b []byte
 	for _, field := range fields {
 		b = binary.AppendUvarint(b, uint64(len(field)))
@@ -117,7 +119,7 @@
 	return b
 }
 
-func split(b []byte) ([]string, error) {
+func decodeFields(b []byte) ([]string, error) {
 	var fields []string
 	for len(b) > 0 {
 		size, n := binary.Uvarint(b)
