--- a/internal/process/mgrelay/attempt.go
+++ b/internal/process/mgrelay/attempt.go
@@ -18,114 +18,114 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// ending is how an attempt ended.
-type ending int
+// attemptOutcome is how an attempt ended.
+type attemptOutcome int
 
 const (
-	delivered ending = iota // the caller has its answer, or was cut off from it
-	unreached               // no connection, so nothing was sent
-	refused                 // the upstream said that it did not run
-	failed                  // it may have run, and there is no answer to deliver
-	severed                 // a stream broke off
+	delivered    attemptOutcome = iota // the caller has its answer, or was cut off from it
+	notConnected                       // no connection, so nothing was sent
+	refused                            // the upstream said that it did not run
+	failed                             // it may have run, and there is no answer to deliver
+	interrupted                        // a stream broke off
 )
 
-// maxKept bounds an answer that is read whole before it is delivered, in bytes.
+// maxBufferedAnswer bounds an answer that is read whole before it is delivered, in bytes.
 // Whole answers can be asked for again when they break off.
-const maxKept = 256 << 10
+const maxBufferedAnswer = 256 << 10
 
 // attempt sends a request to one upstream and delivers its answer.
-func (y *Relay) attempt(ctx context.Context, w http.ResponseWriter, x *exchange, host Host) (end ending) {
-	end = failed // also where the caller's connection is broken
-	defer func() { x.endAttempt(end == delivered) }()
+func (y *Relay) attempt(ctx context.Context, w http.ResponseWriter, x *exchange, host Host) (outcome attemptOutcome) {
+	outcome = failed // also where the caller's connection is broken
+	defer func() { x.endAttempt(outcome == delivered) }()
 	x.tried[host.Name] = true
-	x.last = host.Name
-	defer y.carry(x, host)()
+	x.lastUpstream = host.Name
+	defer y.countLoad(x, host)()
 	// A hang-up of the connection to the upstream tells it to stop.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	x.sent = y.spec.Clock.Now()
-	request := y.request(ctx, x, host)
-	y.resume(x, request)
+	x.sentAt = y.spec.Clock.Now()
+	request := y.newRequest(ctx, x, host)
+	y.addResumeHeaders(x, request)
 	response, err := mgdial.Do(y.spec.Client, request)
 	if err != nil {
-		return y.broken(ctx, x, host, err)
+		return y.classifyFailure(ctx, x, host, err)
 	}
 	defer response.Body.Close()
 	y.spec.Answered(host.Name)
-	y.noteLeaving(x, host, response)
-	y.noteRest(x, host, response)
-	y.noteLimit(x, host, response)
+	y.recordLeaving(x, host, response)
+	y.recordRetryAfter(x, host, response)
+	y.recordLimit(x, host, response)
 	x.attempts++
 	if y.isRefusal(response) {
-		y.noteMisdirected(host, response)
+		y.recordMisdirected(host, response)
 		return y.keepRefusal(x, response)
 	}
-	x.ran = true
-	if problem := y.garbled(x, response); problem != nil {
+	x.mayHaveRun = true
+	if problem := y.checkAnswer(x, response); problem != nil {
 		x.problem = problem
 		y.spec.Metrics.Counter("relay.garbled").Inc(1)
 		y.spec.Load.Fault(y.spec.Clock.Now(), host.Name)
 		return failed
 	}
-	if promises(response.StatusCode) {
+	if impliesNotRun(response.StatusCode) {
 		// Passed on, the status would say "not run", which the upstream didn't.
 		x.problem = mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown,
 			"the upstream failed with a status that promises what it didn't say", "send the request again if it may run twice")
 		return failed
 	}
-	if x.begun && response.StatusCode >= http.StatusMultipleChoices {
+	if x.headerSent && response.StatusCode >= http.StatusMultipleChoices {
 		x.problem = mgproblem.New(mgproblem.Interrupted, mgproblem.Unknown,
 			"the generation does not go on there", "send the request again if it may run twice")
 		return failed
 	}
 	if response.StatusCode >= http.StatusInternalServerError {
-		x.failure = keep(response)
-		y.answered(x)
+		x.failure = bufferAnswer(response)
+		y.recordAnswered(x)
 		return failed
 	}
 	y.spec.Budgets.Of(x.service).Earn(mgretry.Ratio)
 	if x.call.Route.Kind() == mgtable.Stream && response.StatusCode < http.StatusMultipleChoices {
-		return y.stream(ctx, w, x, host, response)
+		return y.deliverStream(ctx, w, x, host, response)
 	}
-	return y.whole(ctx, w, x, host, response)
+	return y.deliverWhole(ctx, w, x, host, response)
 }
 
-// carry counts a request at an upstream, and returns what ends that.
-func (y *Relay) carry(x *exchange, host Host) (end func()) {
-	row := mgload.Row{
+// countLoad counts a request at an upstream, and returns what ends that.
+func (y *Relay) countLoad(x *exchange, host Host) (release func()) {
+	load := mgload.Row{
 		Runs:   1,
 		Memory: x.size.memory(),
 	}
-	x.pending = 0
-	if x.from.copy == "" {
-		x.pending = x.size.prompt
+	x.pendingTokens = 0
+	if x.resumeFrom.copyRef == "" {
+		x.pendingTokens = x.size.prompt
 	}
-	row.Pending = x.pending
-	y.spec.Load.Add(host.Name, row)
+	load.Pending = x.pendingTokens
+	y.spec.Load.Add(host.Name, load)
 	return func() {
 		y.spec.Load.Add(host.Name, mgload.Row{
 			Runs:    -1,
-			Pending: -x.pending,
-			Memory:  -row.Memory,
+			Pending: -x.pendingTokens,
+			Memory:  -load.Memory,
 		})
 	}
 }
 
-// begunAt counts a request's prompt as read at its first answer.
-func (y *Relay) begunAt(x *exchange, host Host) {
-	y.spec.Load.Add(host.Name, mgload.Row{Pending: -x.pending})
-	x.pending = 0
+// countPromptRead counts a request's prompt as read at its first answer.
+func (y *Relay) countPromptRead(x *exchange, host Host) {
+	y.spec.Load.Add(host.Name, mgload.Row{Pending: -x.pendingTokens})
+	x.pendingTokens = 0
 }
 
-// request makes the request for an upstream.
-func (y *Relay) request(ctx context.Context, x *exchange, host Host) *http.Request {
+// newRequest makes the newRequest for an upstream.
+func (y *Relay) newRequest(ctx context.Context, x *exchange, host Host) *http.Request {
 	header := x.header.Clone()
 	form := &y.spec.Form
 	if form.Upstream != "" {
 		header.Set(form.Upstream, host.Name)
 	}
 	if form.Deadline != "" {
-		left := max(x.left(y.spec.Clock.Now()), 1)
+		left := max(x.timeLeft(y.spec.Clock.Now()), 1)
 		header.Set(form.Deadline, strconv.FormatInt(int64(left), 10))
 	}
 	request := &http.Request{
@@ -145,8 +145,8 @@
 	return request.WithContext(ctx)
 }
 
-// broken classes an attempt that brought no answer.
-func (y *Relay) broken(ctx context.Context, x *exchange, host Host, err error) ending {
+// classifyFailure classes an attempt that brought no answer.
+func (y *Relay) classifyFailure(ctx context.Context, x *exchange, host Host, err error) attemptOutcome {
 	var failure *mgdial.Failure
 	unsent := errors.As(err, &failure) && !failure.Sent()
 	if ctx.Err() == nil {
@@ -158,13 +158,13 @@
 	x.problem = mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown,
 		"the upstream gave no answer", "send the request again if it may run twice").WithCause(err)
 	if unsent {
-		x.dials++
-		return unreached
+		x.failedDials++
+		return notConnected
 	}
 	x.attempts++
-	x.ran = true
+	x.mayHaveRun = true
 	if ctx.Err() == nil {
-		y.brokeOff(x, host, remains{})
+		y.recordBrokenAttempt(x, host, partialAnswer{})
 	}
 	return failed
 }
@@ -177,8 +177,8 @@
 	return response.StatusCode >= http.StatusBadRequest && response.Header.Get(y.spec.Form.Refused) != ""
 }
 
-// noteLeaving takes an upstream's word in an answer that it leaves.
-func (y *Relay) noteLeaving(x *exchange, host Host, response *http.Response) {
+// recordLeaving takes an upstream's word in an answer that it leaves.
+func (y *Relay) recordLeaving(x *exchange, host Host, response *http.Response) {
 	name := y.spec.Form.Leaving
 	if name == "" || response.Header.Get(name) == "" || y.spec.Leaving == nil || y.spec.Leaving(host.Name) {
 		return
@@ -189,11 +189,11 @@
 	y.spec.Departed(host.Name)
 }
 
-// noteMisdirected takes that another upstream answers at a host's address: the
+// recordMisdirected takes that another upstream answers at a host's address: the
 // host is gone, and the list doesn't show it yet. Without this the address,
 // which holds none of our work, looks the least loaded and draws each next
 // request. An upstream that refuses under its own name stays.
-func (y *Relay) noteMisdirected(host Host, response *http.Response) {
+func (y *Relay) recordMisdirected(host Host, response *http.Response) {
 	instance := response.Header.Get(y.spec.Form.Instance)
 	if response.StatusCode != http.StatusMisdirectedRequest || instance == "" || instance == host.Name {
 		return
@@ -205,15 +205,15 @@
 }
 
 // keepRefusal keeps what a refusing upstream said, for the caller.
-func (y *Relay) keepRefusal(x *exchange, response *http.Response) ending {
-	x.refusal = keep(response)
+func (y *Relay) keepRefusal(x *exchange, response *http.Response) attemptOutcome {
+	x.refusal = bufferAnswer(response)
 	y.spec.Metrics.Counter("relay.refused").Inc(1)
 	return refused
 }
 
-// keep reads a failure's answer whole, or returns nil when it breaks off.
-func keep(response *http.Response) *answer {
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxKept))
+// bufferAnswer reads a failure's answer whole, or returns nil when it breaks off.
+func bufferAnswer(response *http.Response) *answer {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedAnswer))
 	if err != nil {
 		return nil
 	}
@@ -224,10 +224,10 @@
 	}
 }
 
-// garbled returns what is wrong with an answer that can't be the upstream's own
+// checkAnswer returns what is wrong with an answer that can't be the upstream's own
 // to this request: an earlier request's answer that came late, or bytes of
 // something else at its address.
-func (y *Relay) garbled(x *exchange, response *http.Response) *mgproblem.Problem {
+func (y *Relay) checkAnswer(x *exchange, response *http.Response) *mgproblem.Problem {
 	form := &y.spec.Form
 	why := ""
 	echo := response.Header.Get(form.ID)
@@ -245,47 +245,47 @@
 	return mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown, why, "send the request again if it may run twice")
 }
 
-// whole delivers an answer that is no stream.
-func (y *Relay) whole(ctx context.Context, w http.ResponseWriter, x *exchange, host Host, response *http.Response) ending {
-	kept, err := io.ReadAll(io.LimitReader(response.Body, maxKept))
+// deliverWhole delivers an answer that is no stream.
+func (y *Relay) deliverWhole(ctx context.Context, w http.ResponseWriter, x *exchange, host Host, response *http.Response) attemptOutcome {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedAnswer))
 	if err != nil {
 		x.problem = mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown,
 			"the answer broke off", "send the request again if it may run twice").WithCause(err)
 		if ctx.Err() == nil {
-			y.brokeOff(x, host, remains{
-				begun: true,
+			y.recordBrokenAttempt(x, host, partialAnswer{
+				headerReceived: true,
 			})
 		}
 		return failed
 	}
-	if y.spec.Clock.Now() > x.began+x.limit+writeSlack {
+	if y.spec.Clock.Now() > x.startedAt+x.timeout+writeSlack {
 		y.spec.Metrics.Counter("relay.late").Inc(1)
 	}
-	y.spec.Load.Paced(y.spec.Clock.Now(), x.last, float64(y.spec.Clock.Now()-x.sent))
-	y.spec.Load.Well(y.spec.Clock.Now(), x.last)
-	y.answered(x)
+	y.spec.Load.Paced(y.spec.Clock.Now(), x.lastUpstream, float64(y.spec.Clock.Now()-x.sentAt))
+	y.spec.Load.Well(y.spec.Clock.Now(), x.lastUpstream)
+	y.recordAnswered(x)
 	header := w.Header()
 	copyHeader(header, response.Header)
-	if len(kept) < maxKept && x.method != http.MethodHead {
-		header.Set("Content-Length", strconv.Itoa(len(kept)))
+	if len(body) < maxBufferedAnswer && x.method != http.MethodHead {
+		header.Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	w.WriteHeader(response.StatusCode)
-	_, err = w.Write(kept)
-	if err == nil && len(kept) == maxKept {
+	_, err = w.Write(body)
+	if err == nil && len(body) == maxBufferedAnswer {
 		_, err = io.Copy(w, response.Body)
 	}
 	if err != nil {
 		y.abort(x, err)
 	}
-	x.freeWrites()
-	y.done(x, response.StatusCode)
+	x.clearWriteDeadline()
+	y.recordAnswer(x, response.StatusCode)
 	return delivered
 }
 
 // copyHeader copies an answer's headers. A missing Content-Type stays missing:
 // the library would otherwise guess one.
 func copyHeader(to, from http.Header) {
-	for name, values := range endToEnd(from) {
+	for name, values := range endToEndHeaders(from) {
 		to[name] = values
 	}
 	if _, ok := from["Content-Type"]; !ok {
@@ -293,5 +293,5 @@
 	}
 }
 
-// waited returns how long a request has taken so far.
-func (y *Relay) waited(x *exchange) mgclock.Millis { return y.spec.Clock.Now() - x.began }
+// elapsed returns how long a request has taken so far.
+func (y *Relay) elapsed(x *exchange) mgclock.Millis { return y.spec.Clock.Now() - x.startedAt }
--- /dev/null
+++ b/internal/process/mgrelay/backoff.go
@@ -0,0 +1,89 @@
+package mgrelay
+
+import (
+	"net/http"
+	"strconv"
+
+	"github.com/marjoramgauge/marjoramgauge/internal/process/mglog"
+	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
+)
+
+// recordRetryAfter takes the time for which an upstream that turned a request away wants none
+// from this process.
+func (y *Relay) recordRetryAfter(x *exchange, host Host, response *http.Response) {
+	delay := retryAfter(response)
+	if delay <= 0 {
+		return
+	}
+	y.spec.Metrics.Counter("relay.rests").Inc(1)
+	y.spec.Log.Info("an upstream wants no requests for a while", mglog.Request, x.id, mglog.Upstream, host.Name,
+		"ms", int64(delay))
+	y.backoffs.Ask(y.spec.Clock.Now(), host.Name, delay)
+}
+
+// retryAfter returns the time after which an upstream that is unavailable may be asked
+// again, 0 where it tells none. Upstreams tell seconds, also fractions of them, where the
+// standard knows whole ones and dates (RFC 9110, 10.2.3).
+func retryAfter(response *http.Response) mgclock.Millis {
+	if response.StatusCode != http.StatusServiceUnavailable {
+		return 0
+	}
+	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
+	if err != nil || seconds != seconds {
+		return 0
+	}
+	return mgclock.Millis(min(max(seconds, 0), maxRetryAfterSeconds) * float64(mgclock.Second))
+}
+
+// maxRetryAfterSeconds bounds what is read of an upstream's Retry-After, in seconds.
+const maxRetryAfterSeconds = 1e6
+
+// beginAttempt reports whether an upstream may be sent a request now, and counts it in.
+func (y *Relay) beginAttempt(x *exchange, host Host) bool {
+	ended, ok := y.backoffs.Take(y.spec.Clock.Now(), host.Name)
+	if ok {
+		x.releaseAttempt = ended
+	}
+	return ok
+}
+
+// endAttempt counts an attempt out that was counted in by takes.
+func (x *exchange) endAttempt(answered bool) {
+	if x.releaseAttempt != nil {
+		x.releaseAttempt(answered)
+		x.releaseAttempt = nil
+	}
+}
+
+// backoffLeft returns the time until the first of the upstreams that a request may run at
+// takes requests again, or false where one does now.
+func (y *Relay) backoffLeft(x *exchange) (shortest mgclock.Millis, all bool) {
+	return y.shortestDelay(x, func(now mgclock.Millis, host Host) mgclock.Millis { return y.backoffs.Left(now, host.Name) })
+}
+
+// unavailableFor is restLeft for upstreams that rest or have no permit left.
+func (y *Relay) unavailableFor(x *exchange) (shortest mgclock.Millis, all bool) {
+	return y.shortestDelay(x, func(now mgclock.Millis, host Host) mgclock.Millis {
+		return max(y.backoffs.Left(now, host.Name), y.permitDelay(now, host))
+	})
+}
+
+// shortestDelay returns the least time that is left of the upstreams that a request may run at, or
+// false where one has none left.
+func (y *Relay) shortestDelay(x *exchange, delayAt func(now mgclock.Millis, host Host) mgclock.Millis) (shortest mgclock.Millis, all bool) {
+	now := y.spec.Clock.Now()
+	for _, host := range y.spec.Every(x.service) {
+		if !x.homes.allows(host.Region) {
+			continue
+		}
+		delay := delayAt(now, host)
+		if delay == 0 {
+			return 0, false
+		}
+		if !all || delay < shortest {
+			shortest = delay
+		}
+		all = true
+	}
+	return shortest, all
+}
--- a/internal/process/mgrelay/rest_test.go
+++ b/internal/process/mgrelay/backoff_test.go
@@ -12,8 +12,8 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
 )
 
-// decliningFor turns requests away and says for how long it wants none, in seconds.
-func decliningFor(seconds string) play {
+// refuseFor turns requests away and says for how long it wants none, in seconds.
+func refuseFor(seconds string) upstreamHandler {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Refused", "1")
 		w.Header().Set("Retry-After", seconds)
@@ -22,12 +22,12 @@
 }
 
 // An upstream that asked for a rest must have it, at the cost of no caller's time.
-func TestRetryAfterKeepsRequestsAway(t *testing.T) {
-	ask := func(g *rig, path string) reply {
-		return g.ask(context.Background(), http.MethodPost, path, "x", http.Header{"Tokens": {"30,9"}})
+func TestRetryAfterIgnored(t *testing.T) {
+	ask := func(g *harness, path string) callerReply {
+		return g.send(context.Background(), http.MethodPost, path, "x", http.Header{"Tokens": {"30,9"}})
 	}
 	Convey("After an upstream has asked for a rest", t, func() {
-		g := open(t, decliningFor("30"), say("id: 1\n\n"))
+		g := newHarness(t, refuseFor("30"), answerWith("id: 1\n\n"))
 		Convey("requests of each kind go to another at once", func() {
 			for n := range 5 {
 				for _, path := range []string{"/book/", "/look/", "/note/"} {
@@ -36,11 +36,11 @@
 					So(got.header.Get("Signature"), ShouldEqual, "signed by b")
 				}
 			}
-			So(len(g.runs()), ShouldEqual, 16)
+			So(len(g.requests()), ShouldEqual, 16)
 		})
 		Convey("so do those that are given a place there", func() {
-			g.memory(plan)
-			g.with(func(spec *mgrelay.Spec) {
+			g.useMemory(tableText)
+			g.restart(func(spec *mgrelay.Spec) {
 				spec.Place = func(context.Context, string, mgroom.Wait) (mgroom.Grant, bool) {
 					return mgroom.Grant{Place: "a"}, true
 				}
@@ -48,13 +48,13 @@
 			for n := range 5 {
 				So(ask(g, "/note/"+strconv.Itoa(n)).status, ShouldEqual, http.StatusOK)
 			}
-			So(len(g.runs()), ShouldEqual, 6)
+			So(len(g.requests()), ShouldEqual, 6)
 		})
 	})
 	Convey("Where all upstreams rest", t, func() {
-		g := open(t, decliningFor("30"), decliningFor("20.5"))
+		g := newHarness(t, refuseFor("30"), refuseFor("20.5"))
 		ask(g, "/book/1")
-		So(len(g.runs()), ShouldEqual, 2)
+		So(len(g.requests()), ShouldEqual, 2)
 		Convey("requests are refused at once with the time until the first ends", func() {
 			for _, path := range []string{"/book/2", "/note/2"} {
 				got := ask(g, path)
@@ -63,12 +63,12 @@
 				So(err, ShouldBeNil)
 				So(seconds, ShouldBeBetweenOrEqual, 20, 21)
 			}
-			So(len(g.runs()), ShouldEqual, 2)
+			So(len(g.requests()), ShouldEqual, 2)
 		})
 		Convey("they wait for no place", func() {
-			g.memory(plan)
+			g.useMemory(tableText)
 			asked := 0
-			g.with(func(spec *mgrelay.Spec) {
+			g.restart(func(spec *mgrelay.Spec) {
 				spec.Place = func(context.Context, string, mgroom.Wait) (mgroom.Grant, bool) {
 					asked++
 					return mgroom.Grant{}, false
@@ -81,18 +81,18 @@
 		})
 	})
 	Convey("A caller isn't told the rest of one upstream where another may take its request", t, func() {
-		g := open(t, decliningFor("30"), say("b"))
+		g := newHarness(t, refuseFor("30"), answerWith("b"))
 		got := ask(g, "/once/1")
 		So(got.status, ShouldEqual, http.StatusServiceUnavailable)
 		So(got.header.Get("Retry-After"), ShouldEqual, "1")
 	})
 	Convey("A refusal without a time asks for no rest, nor one that can't be read", t, func() {
 		for _, text := range []string{"", "soon", "-3"} {
-			g := open(t, decliningFor(text), say("b"))
+			g := newHarness(t, refuseFor(text), answerWith("b"))
 			for n := range 2 {
 				ask(g, "/book/"+strconv.Itoa(n))
 			}
-			So(len(g.runs()), ShouldEqual, 4)
+			So(len(g.requests()), ShouldEqual, 4)
 		}
 	})
 }
--- a/internal/process/mgrelay/cold_test.go
+++ b/internal/process/mgrelay/cold_test.go
@@ -14,25 +14,25 @@
 
 // A plain service has one upstream, which has just started. Nobody gives places at it,
 // and each entry sends it all it has.
-func TestColdWithoutPlaces(t *testing.T) {
+func TestColdUpstreamOverloadedWithoutPlacement(t *testing.T) {
 	Convey("Without a place a cold upstream is sent next to nothing", t, func() {
-		g := open(t, say("x"), say("x"))
-		table, err := mgtable.Parse([]byte(strings.Replace(plan, `kind = "plain"`, "kind = \"plain\"\ncold = 1000\nramp = 4", 1)))
+		g := newHarness(t, answerWith("x"), answerWith("x"))
+		table, err := mgtable.Parse([]byte(strings.Replace(tableText, `kind = "plain"`, "kind = \"plain\"\ncold = 1000\nramp = 4", 1)))
 		So(err, ShouldBeNil)
 		g.table = table
-		g.with(func(spec *mgrelay.Spec) {
+		g.restart(func(spec *mgrelay.Spec) {
 			spec.Name = "entry-1"
 			spec.Processes = func() int { return 1 }
 		})
 		Convey("while another one is warm", func() {
 			g.hosts[0].Cold = true
 			for range 20 {
-				got := g.ask(context.Background(), http.MethodPost, "/once/1", "x", nil)
+				got := g.send(context.Background(), http.MethodPost, "/once/1", "x", nil)
 				So(got.status, ShouldEqual, http.StatusOK)
 			}
 			atCold := 0
-			for _, run := range g.runs() {
-				if run.header.Get("Upstream") == "a" {
+			for _, request := range g.requests() {
+				if request.header.Get("Upstream") == "a" {
 					atCold++
 				}
 			}
@@ -43,7 +43,7 @@
 			g.hosts[1].Cold = true
 			refused := 0
 			for range 20 {
-				got := g.ask(context.Background(), http.MethodPost, "/once/1", "x", nil)
+				got := g.send(context.Background(), http.MethodPost, "/once/1", "x", nil)
 				if got.status == http.StatusServiceUnavailable {
 					refused++
 					So(got.header.Get("Retry-After"), ShouldEqual, "1")
--- a/internal/process/mgrelay/cordon_test.go
+++ b/internal/process/mgrelay/cordon_test.go
@@ -15,75 +15,75 @@
 
 // Operators have kept every hall from new work. A caller waits for its whole deadline
 // for an engine that it can't be given, and its answer says nothing of when to return.
-func TestAllCordoned(t *testing.T) {
+func TestRequestWaitsThoughAllCordoned(t *testing.T) {
 	Convey("Where all upstreams of a service are cordoned a request is refused at once", t, func() {
-		g := open(t, say("x"))
-		g.with(func(spec *mgrelay.Spec) {
+		g := newHarness(t, answerWith("x"))
+		g.restart(func(spec *mgrelay.Spec) {
 			spec.Every = func(string) []mgrelay.Host { return nil }
 			spec.Closed = func(string) bool { return true }
 		})
-		got := g.ask(context.Background(), http.MethodPost, "/book/1", "x", nil)
+		got := g.send(context.Background(), http.MethodPost, "/book/1", "x", nil)
 		So(got.status, ShouldEqual, http.StatusServiceUnavailable)
 		So(got.header.Get("Retry-After"), ShouldEqual, "5")
 		So(got.body, ShouldContainSubstring, "cordoned")
-		So(g.runs(), ShouldBeEmpty)
+		So(g.requests(), ShouldBeEmpty)
 	})
 }
 
 // An engine gives notice while its hall is being emptied, or a run is on its way to a
 // hall whose cordon is seen in the middle of the move. The generation goes on in the
 // hall seconds later, and is cut with it.
-func TestMoveAndCordon(t *testing.T) {
+func TestGenerationMovesIntoCordonedZone(t *testing.T) {
 	Convey("A run that is moved", t, func() {
 		var cordoned atomic.Value // the upstream
 		cordoned.Store("")
 		var age atomic.Int64
-		tellCordon := func(move func(s *story, order mgrelay.Order) mgmigration.Reply, plays ...play) (*story, reply) {
-			s := tell(t, move, plays...)
-			s.rig.with(func(spec *mgrelay.Spec) {
-				s.spec(spec)
+		moveWithCordon := func(move func(s *moveScenario, order mgrelay.Order) mgmigration.Reply, handlers ...upstreamHandler) (*moveScenario, callerReply) {
+			s := newMoveScenario(t, move, handlers...)
+			s.harness.restart(func(spec *mgrelay.Spec) {
+				s.configure(spec)
 				spec.Cordoned = func(upstream string) (mgclock.Millis, bool) {
 					return mgclock.Millis(age.Load()), upstream == cordoned.Load()
 				}
 			})
-			return s, s.rig.ask(context.Background(), http.MethodPost, "/write/1", "x", nil)
+			return s, s.harness.send(context.Background(), http.MethodPost, "/write/1", "x", nil)
 		}
 		Convey("goes elsewhere where its destination is cordoned before it is stopped", func() {
-			s, got := tellCordon(func(s *story, order mgrelay.Order) mgmigration.Reply {
-				if order.To == s.rig.hosts[1].Addr {
+			s, got := moveWithCordon(func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
+				if order.To == s.harness.hosts[1].Addr {
 					cordoned.Store("b")
 				}
 				if order.Last {
-					close(s.stop)
+					close(s.breakOff)
 				}
 				return mgmigration.Reply{
 					Outcome: mgmigration.Copied,
 					Handle:  "h",
 				}
-			}, goOn, goOn)
+			}, resumeFromCopy, resumeFromCopy)
 			So(got.cut, ShouldBeFalse)
-			So(got.body, ShouldEqual, whole())
-			So(s.orders[len(s.orders)-1].To, ShouldEqual, s.rig.hosts[2].Addr)
+			So(got.body, ShouldEqual, wholeStream())
+			So(s.orders[len(s.orders)-1].To, ShouldEqual, s.harness.hosts[2].Addr)
 		})
 		Convey("does not go on at a source that was cordoned long before", func() {
 			cordoned.Store("a")
 			age.Store(60_000)
-			s, got := tellCordon(func(s *story, order mgrelay.Order) mgmigration.Reply {
+			s, got := moveWithCordon(func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 				if !order.Last {
 					return mgmigration.Reply{
 						Outcome: mgmigration.Copied,
 						Handle:  "h",
 					}
 				}
-				close(s.stop)
+				close(s.breakOff)
 				return mgmigration.Reply{
 					Outcome: mgmigration.NoRoom,
 					Handle:  "h",
 				}
-			}, decline(http.StatusServiceUnavailable))
+			}, refuseWith(http.StatusServiceUnavailable))
 			So(got.cut, ShouldBeTrue)
-			for _, run := range s.rig.runs()[1:] {
-				So(run.header.Get("Upstream"), ShouldNotEqual, "a")
+			for _, request := range s.harness.requests()[1:] {
+				So(request.header.Get("Upstream"), ShouldNotEqual, "a")
 			}
 		})
 	})
--- a/internal/process/mgrelay/crash_test.go
+++ b/internal/process/mgrelay/crash_test.go
@@ -14,29 +14,31 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
 )
 
-// beginAndHangUp answers with a header and closes the connection.
-func beginAndHangUp(w http.ResponseWriter, _ *http.Request) {
+// headerThenHangUp answers with a header and closes the connection.
+func headerThenHangUp(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusOK)
 	_ = http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-// speakAndHangUp answers with two events and closes the connection.
-func speakAndHangUp(w http.ResponseWriter, _ *http.Request) {
+// eventsThenHangUp answers with two events and closes the connection.
+func eventsThenHangUp(w http.ResponseWriter, _ *http.Request) {
 	_, _ = w.Write([]byte("id: 1\n\nid: 2\n\n"))
 	_ = http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-// ended has each upstream's address refuse connections once it is asked.
-func ended(context.Context, string) (bool, error) { return true, nil }
+// connectionsRefused has each upstream's address refuse connections once it is asked.
+func connectionsRefused(context.Context, string) (bool, error) { return true, nil }
 
-func alive(context.Context, string) (bool, error) { return false, nil }
+func connectionsAccepted(context.Context, string) (bool, error) { return false, nil }
 
-func unknown(context.Context, string) (bool, error) { return false, context.DeadlineExceeded }
+func connectionsUnknown(context.Context, string) (bool, error) {
+	return false, context.DeadlineExceeded
+}
 
-// hold has a quarantine hold what rig.ask sends to a target with a body.
-func hold(q *mgquarantine.Quarantine, target, body string) {
+// holdRequest has a quarantine holdRequest what rig.ask sends to a target with a body.
+func holdRequest(q *mgquarantine.Quarantine, target, body string) {
 	for _, upstream := range []string{"x", "y", "z"} {
 		q.Crashed(0, mgquarantine.Crash{
 			Digest:   mgquarantine.DigestOf("tankline", "tanks.example", target, []byte(body)),
@@ -47,11 +49,11 @@
 }
 
 // A reset, a stop that was told or a lost link must not be held against a request.
-func TestWhatCountsAsCrash(t *testing.T) {
+func TestCrashCountedWithoutEvidence(t *testing.T) {
 	cases := []struct {
 		name    string
 		path    string
-		play    play
+		handler upstreamHandler
 		refuses func(context.Context, string) (bool, error)
 		leaving bool
 		counts  int
@@ -59,81 +61,81 @@
 		{
 			name:    "a generation that had just begun at an upstream that has ended",
 			path:    "/write/1",
-			play:    beginAndHangUp,
-			refuses: ended,
+			handler: headerThenHangUp,
+			refuses: connectionsRefused,
 			counts:  1,
 		},
 		{
 			name:    "one that had made its first events a moment ago",
 			path:    "/write/1",
-			play:    speakAndHangUp,
-			refuses: ended,
+			handler: eventsThenHangUp,
+			refuses: connectionsRefused,
 			counts:  1,
 		},
 		{
 			name:    "a call that was under way",
 			path:    "/book/1",
-			play:    hangUp,
-			refuses: ended,
+			handler: hangUp,
+			refuses: connectionsRefused,
 			counts:  1,
 		},
 		{
 			name:    "a connection that was reset at an upstream that lives",
 			path:    "/write/1",
-			play:    beginAndHangUp,
-			refuses: alive,
+			handler: headerThenHangUp,
+			refuses: connectionsAccepted,
 		},
 		{
 			name:    "an upstream of which nothing is heard any more",
 			path:    "/write/1",
-			play:    beginAndHangUp,
-			refuses: unknown,
+			handler: headerThenHangUp,
+			refuses: connectionsUnknown,
 		},
 		{
 			name:    "an upstream that had said that it leaves",
 			path:    "/write/1",
-			play:    beginAndHangUp,
-			refuses: ended,
+			handler: headerThenHangUp,
+			refuses: connectionsRefused,
 			leaving: true,
 		},
 		{
 			name:    "a refusal",
 			path:    "/book/1",
-			play:    decline(http.StatusServiceUnavailable),
-			refuses: ended,
+			handler: refuseWith(http.StatusServiceUnavailable),
+			refuses: connectionsRefused,
 		},
 		{
 			name:    "a failure of the upstream's own",
 			path:    "/book/1",
-			play:    fail,
-			refuses: ended,
+			handler: failInternally,
+			refuses: connectionsRefused,
 		},
 	}
 	Convey("What is held against a request after", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				g := open(t, c.play)
+				g := newHarness(t, c.handler)
 				q := mgquarantine.New("life", nil)
-				g.with(func(spec *mgrelay.Spec) {
+				g.restart(func(spec *mgrelay.Spec) {
 					spec.Refuses = c.refuses
 					spec.Quarantine = q
 					spec.Leaving = func(string) bool { return c.leaving }
 				})
-				g.ask(context.Background(), http.MethodPost, c.path, "x", nil)
+				g.send(context.Background(), http.MethodPost, c.path, "x", nil)
 				So(q.Occurrences(mgquarantine.DigestOf("tankline", "tanks.example", c.path, []byte("x"))), ShouldEqual, c.counts)
 			})
 		}
 		Convey("its caller left", func() {
 			began, release := make(chan struct{}), make(chan struct{})
-			g := open(t, func(w http.ResponseWriter, r *http.Request) {
-				beginning(w)
+			g := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
+				sendHeader(w)
 				close(began)
 				<-r.Context().Done()
 				close(release)
 			})
 			q := mgquarantine.New("life", nil)
-			g.with(func(spec *mgrelay.Spec) {
-				spec.Refuses = ended
+			g.restart(func(spec *mgrelay.Spec) {
+				spec.Refuses = connectionsRefused
 				spec.Quarantine = q
 			})
 			ctx, leave := context.WithCancel(context.Background())
@@ -141,32 +143,32 @@
 				<-began
 				leave()
 			}()
-			g.ask(ctx, http.MethodPost, "/write/1", "x", nil)
+			g.send(ctx, http.MethodPost, "/write/1", "x", nil)
 			<-release
 			So(q.Watching(), ShouldBeFalse)
 		})
 	})
 }
 
-func beginning(w http.ResponseWriter) {
+func sendHeader(w http.ResponseWriter) {
 	w.WriteHeader(http.StatusOK)
 	_ = http.NewResponseController(w).Flush()
 }
 
 // A request under which two upstreams have ended must not be tried on a third at once.
-func TestCrashesEndRetries(t *testing.T) {
+func TestCrashingRequestRetriedTooOften(t *testing.T) {
 	Convey("A request under which an upstream ends", t, func() {
-		g := open(t, beginAndHangUp, beginAndHangUp, say("id: 1\n\n"))
+		g := newHarness(t, headerThenHangUp, headerThenHangUp, answerWith("id: 1\n\n"))
 		q := mgquarantine.New("life", nil)
-		g.with(func(spec *mgrelay.Spec) {
-			spec.Refuses = ended
+		g.restart(func(spec *mgrelay.Spec) {
+			spec.Refuses = connectionsRefused
 			spec.Quarantine = q
 		})
 		digest := mgquarantine.DigestOf("tankline", "tanks.example", "/note/1", []byte("x"))
 		Convey("is tried on one more", func() {
-			got := g.ask(context.Background(), http.MethodPost, "/note/1", "x", nil)
+			got := g.send(context.Background(), http.MethodPost, "/note/1", "x", nil)
 			So(got.status, ShouldEqual, http.StatusBadGateway)
-			So(len(g.runs()), ShouldEqual, 2)
+			So(len(g.requests()), ShouldEqual, 2)
 			So(q.Occurrences(digest), ShouldEqual, 2)
 		})
 		Convey("is tried on none where one had ended before", func() {
@@ -175,13 +177,13 @@
 				Upstream: "x",
 				Begun:    true,
 			})
-			got := g.ask(context.Background(), http.MethodPost, "/note/1", "x", nil)
+			got := g.send(context.Background(), http.MethodPost, "/note/1", "x", nil)
 			So(got.status, ShouldEqual, http.StatusBadGateway)
-			So(len(g.runs()), ShouldEqual, 1)
+			So(len(g.requests()), ShouldEqual, 1)
 		})
 		Convey("and one that is answered elsewhere has nothing held against it", func() {
 			g.hosts = g.hosts[1:]
-			got := g.ask(context.Background(), http.MethodPost, "/note/1", "x", nil)
+			got := g.send(context.Background(), http.MethodPost, "/note/1", "x", nil)
 			So(got.status, ShouldEqual, http.StatusOK)
 			So(q.Occurrences(digest), ShouldEqual, 0)
 		})
@@ -189,27 +191,27 @@
 }
 
 // A request that is held must not reach an upstream in any way, and "not run" must be true.
-func TestHeldReachesNoUpstream(t *testing.T) {
+func TestHeldRequestReachesUpstream(t *testing.T) {
 	Convey("A request that is held", t, func() {
 		q := mgquarantine.New("life", nil)
 		Convey("is refused at once, as not run, with the time to come back", func() {
 			for _, path := range []string{"/note/1", "/book/1", "/write/1", "/look/1"} {
-				g := open(t, say("id: 1\n\n"))
-				g.with(func(spec *mgrelay.Spec) { spec.Quarantine = q })
-				hold(q, path, "x")
-				got := g.ask(context.Background(), http.MethodPost, path, "x", nil)
+				g := newHarness(t, answerWith("id: 1\n\n"))
+				g.restart(func(spec *mgrelay.Spec) { spec.Quarantine = q })
+				holdRequest(q, path, "x")
+				got := g.send(context.Background(), http.MethodPost, path, "x", nil)
 				So(got.status, ShouldEqual, http.StatusServiceUnavailable)
 				So(got.body, ShouldContainSubstring, `"quarantined"`)
 				So(got.body, ShouldContainSubstring, `"notrun"`)
 				So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
-				So(g.runs(), ShouldBeEmpty)
-				So(g.ask(context.Background(), http.MethodPost, path, "another", nil).status, ShouldEqual, http.StatusOK)
+				So(g.requests(), ShouldBeEmpty)
+				So(g.send(context.Background(), http.MethodPost, path, "another", nil).status, ShouldEqual, http.StatusOK)
 			}
 		})
 		Convey("is given up while it waits for a place", func() {
-			g := open(t, say("id: 1\n\n"))
+			g := newHarness(t, answerWith("id: 1\n\n"))
 			waiting := make(chan struct{})
-			g.with(func(spec *mgrelay.Spec) {
+			g.restart(func(spec *mgrelay.Spec) {
 				spec.Quarantine = q
 				spec.Place = func(ctx context.Context, _ string, _ mgroom.Wait) (mgroom.Grant, bool) {
 					close(waiting)
@@ -217,75 +219,75 @@
 					return mgroom.Grant{}, false
 				}
 			})
-			g.memory(plan)
+			g.useMemory(tableText)
 			go func() {
 				<-waiting
-				hold(q, "/note/1", "x")
+				holdRequest(q, "/note/1", "x")
 			}()
-			got := g.ask(context.Background(), http.MethodPost, "/note/1", "x", http.Header{"Tokens": {"30,9"}})
+			got := g.send(context.Background(), http.MethodPost, "/note/1", "x", http.Header{"Tokens": {"30,9"}})
 			So(got.status, ShouldEqual, http.StatusServiceUnavailable)
 			So(got.body, ShouldContainSubstring, `"notrun"`)
-			So(g.runs(), ShouldBeEmpty)
+			So(g.requests(), ShouldBeEmpty)
 		})
 		Convey("is called back from an upstream that hasn't begun it, and not said not to have run", func() {
 			for _, path := range []string{"/note/1", "/book/1"} {
 				left := make(chan struct{})
-				g := open(t, func(_ http.ResponseWriter, r *http.Request) {
-					hold(q, path, "x")
+				g := newHarness(t, func(_ http.ResponseWriter, r *http.Request) {
+					holdRequest(q, path, "x")
 					<-r.Context().Done()
 					close(left)
 				})
-				g.with(func(spec *mgrelay.Spec) { spec.Quarantine = q })
-				got := g.ask(context.Background(), http.MethodPost, path, "x", nil)
+				g.restart(func(spec *mgrelay.Spec) { spec.Quarantine = q })
+				got := g.send(context.Background(), http.MethodPost, path, "x", nil)
 				<-left
 				So(got.status, ShouldEqual, http.StatusBadGateway)
 				So(got.body, ShouldContainSubstring, `"unknown"`)
 			}
 		})
 		Convey("that its caller has some events of", func() {
-			has, holding := make(chan struct{}), make(chan struct{})
+			firstByte, held := make(chan struct{}), make(chan struct{})
 			go func() {
-				<-has
-				hold(q, "/note/1", "x")
-				close(holding)
+				<-firstByte
+				holdRequest(q, "/note/1", "x")
+				close(held)
 			}()
 			Convey("goes on where it runs", func() {
-				g := open(t, func(w http.ResponseWriter, _ *http.Request) {
-					sayEvent(w, "1")
-					<-holding
-					sayEvent(w, "2")
+				g := newHarness(t, func(w http.ResponseWriter, _ *http.Request) {
+					sendEvent(w, "1")
+					<-held
+					sendEvent(w, "2")
 				})
-				g.with(func(spec *mgrelay.Spec) { spec.Quarantine = q })
-				body, err := g.read("/note/1", "x", has)
+				g.restart(func(spec *mgrelay.Spec) { spec.Quarantine = q })
+				body, err := g.readStream("/note/1", "x", firstByte)
 				So(err, ShouldBeNil)
 				So(body, ShouldEqual, "id: 1\n\nid: 2\n\n")
 			})
 			Convey("is not begun anew elsewhere", func() {
-				g := open(t, func(w http.ResponseWriter, _ *http.Request) {
-					sayEvent(w, "1")
-					<-holding
+				g := newHarness(t, func(w http.ResponseWriter, _ *http.Request) {
+					sendEvent(w, "1")
+					<-held
 					panic(http.ErrAbortHandler)
-				}, say("id: 2\n\n"))
-				g.with(func(spec *mgrelay.Spec) {
+				}, answerWith("id: 2\n\n"))
+				g.restart(func(spec *mgrelay.Spec) {
 					spec.Quarantine = q
-					spec.Refuses = ended
+					spec.Refuses = connectionsRefused
 				})
-				_, err := g.read("/note/1", "x", has)
+				_, err := g.readStream("/note/1", "x", firstByte)
 				So(err, ShouldNotBeNil)
-				So(len(g.runs()), ShouldEqual, 1)
+				So(len(g.requests()), ShouldEqual, 1)
 			})
 		})
 	})
 }
 
-func sayEvent(w http.ResponseWriter, id string) {
+func sendEvent(w http.ResponseWriter, id string) {
 	_, _ = io.WriteString(w, "id: "+id+"\n\n")
 	_ = http.NewResponseController(w).Flush()
 }
 
-// read reads an answer to its end, and closes has once its first byte is there.
-func (g *rig) read(target, body string, has chan<- struct{}) (string, error) {
-	request, err := http.NewRequest(http.MethodPost, "http://"+g.base+target, strings.NewReader(body))
+// readStream reads an answer to its end, and closes has once its first byte is there.
+func (g *harness) readStream(target, body string, firstByte chan<- struct{}) (string, error) {
+	request, err := http.NewRequest(http.MethodPost, "http://"+g.addr+target, strings.NewReader(body))
 	if err != nil {
 		return "", err
 	}
@@ -300,7 +302,7 @@
 	if _, err := io.ReadFull(response.Body, first); err != nil {
 		return "", err
 	}
-	close(has)
+	close(firstByte)
 	rest, err := io.ReadAll(response.Body)
 	return string(append(first, rest...)), err
 }
--- a/internal/process/mgrelay/exchange.go
+++ b/internal/process/mgrelay/exchange.go
@@ -17,50 +17,50 @@
 
 // exchange is one caller's request and what has become of it.
 type exchange struct {
-	call    Call
-	id      string
-	service string
-	homes   homes
-	method  string
-	target  string // path and query as the caller sent them
-	host    string
-	header  http.Header
-	size    size
-	body    []byte
-	began   mgclock.Millis
-	limit   mgclock.Millis // from began, the shorter of deadline and timeout
-	control *http.ResponseController
+	call      Call
+	id        string
+	service   string
+	homes     homes
+	method    string
+	target    string // path and query as the caller sent them
+	host      string
+	header    http.Header
+	size      generationSize
+	body      []byte
+	startedAt mgclock.Millis
+	timeout   mgclock.Millis // from began, the shorter of deadline and timeout
+	control   *http.ResponseController
 
-	sent     mgclock.Millis // when the last attempt was sent
-	pending  int            // prompt tokens that are counted as not yet read
-	tried    map[string]bool
-	attempts int  // sends that may have reached an upstream
-	cold     bool // an upstream was passed over as it is cold
-	dials    int  // upstreams that could not be reached
-	last     string
-	refusal  *answer     // the last upstream's word that it did not run
-	failure  *answer     // the last upstream's answer that it failed
-	ran      bool        // an attempt may have run
-	broken   bool        // an upstream broke an attempt off
-	admitted bool        // the quarantine has let it through
-	begun    bool        // the caller has a stream's header
-	running  atomic.Bool // the same, for other goroutines
-	digested sync.Once
-	sum      mgquarantine.Digest // once digested
-	order    order               // of the events that the caller has
-	heard    mgclock.Millis      // when the caller was given events last
-	arrived  bool                // the next events are the first of another upstream
-	resumed  bool                // the generation goes on after these
-	ended    func(answered bool) // ends the attempt at its upstream's rests
-	from     place               // what the next attempt goes on from, or nothing
-	places   []place             // where else the generation can go on
-	problem  *mgproblem.Problem
+	sentAt           mgclock.Millis // when the last attempt was sent
+	pendingTokens    int            // prompt tokens that are counted as not yet read
+	tried            map[string]bool
+	attempts         int  // sends that may have reached an upstream
+	skippedCold      bool // an upstream was passed over as it is cold
+	failedDials      int  // upstreams that could not be reached
+	lastUpstream     string
+	refusal          *answer     // the last upstream's word that it did not run
+	failure          *answer     // the last upstream's answer that it failed
+	mayHaveRun       bool        // an attempt may have run
+	attemptBroken    bool        // an upstream broke an attempt off
+	admitted         bool        // the quarantine has let it through
+	headerSent       bool        // the caller has a stream's header
+	streaming        atomic.Bool // the same, for other goroutines
+	digestOnce       sync.Once
+	digestValue      mgquarantine.Digest // once digested
+	sequence         eventSequence       // of the events that the caller has
+	lastEventAt      mgclock.Millis      // when the caller was given events last
+	firstAfterResume bool                // the next events are the first of another upstream
+	resumed          bool                // the generation goes on after these
+	releaseAttempt   func(answered bool) // ends the attempt at its upstream's rests
+	resumeFrom       resumePoint         // what the next attempt goes on from, or nothing
+	resumePoints     []resumePoint       // where else the generation can go on
+	problem          *mgproblem.Problem
 }
 
-// place is where a generation can go on, and the copy that it goes on from.
-type place struct {
-	host Host
-	copy string // address/name
+// resumePoint is where a generation can go on, and the copy that it goes on from.
+type resumePoint struct {
+	host    Host
+	copyRef string // address/name
 }
 
 // answer is an upstream's answer that was read whole.
@@ -74,20 +74,20 @@
 // be written before a caller that doesn't read is cut off.
 const writeSlack = mgclock.Second
 
-// read takes a request in. The whole body is read first: it can then be sent
-// to a second upstream, and an upstream that answers before it has read all of
+// newExchange takes a request in. The whole body is newExchange first: it can then be sent
+// to a second upstream, and an upstream that answers before it has newExchange all of
 // a body never gets other bytes in its place.
-func (y *Relay) read(w http.ResponseWriter, r *http.Request, call Call, began mgclock.Millis) (*exchange, *mgproblem.Problem) {
+func (y *Relay) newExchange(w http.ResponseWriter, r *http.Request, call Call, startedAt mgclock.Millis) (*exchange, *mgproblem.Problem) {
 	x := &exchange{
-		call:    call,
-		id:      r.Header.Get(y.spec.Form.ID),
-		method:  r.Method,
-		target:  targetOf(r),
-		host:    r.Host,
-		began:   began,
-		limit:   call.Route.Timeout(),
-		tried:   map[string]bool{},
-		control: http.NewResponseController(w),
+		call:      call,
+		id:        r.Header.Get(y.spec.Form.ID),
+		method:    r.Method,
+		target:    requestTarget(r),
+		host:      r.Host,
+		startedAt: startedAt,
+		timeout:   call.Route.Timeout(),
+		tried:     map[string]bool{},
+		control:   http.NewResponseController(w),
 	}
 	x.service = serviceOf(call.Route, x.id)
 	x.homes = homesOf(call)
@@ -98,24 +98,24 @@
 			return x, mgproblem.New(mgproblem.Invalid, mgproblem.NotRun,
 				"the deadline is not a whole number of ms", "send whole ms, or leave it out")
 		}
-		x.limit = min(x.limit, mgclock.Millis(deadline))
+		x.timeout = min(x.timeout, mgclock.Millis(deadline))
 	}
-	_ = x.control.SetReadDeadline(mgclock.Deadline(x.limit)) // a recorder has no deadlines
+	_ = x.control.SetReadDeadline(mgclock.Deadline(x.timeout)) // a recorder has no deadlines
 	body, err := io.ReadAll(r.Body)
 	_ = x.control.SetReadDeadline(time.Time{})
 	if err != nil {
-		return x, unreadable(err)
+		return x, bodyReadProblem(err)
 	}
 	x.body = body
-	x.header = y.spec.Form.forward(r.Header)
+	x.header = y.spec.Form.forwardedHeaders(r.Header)
 	if call.Account != nil {
 		x.header.Set(y.spec.Form.Account, call.Account.Name())
 	}
 	return x, nil
 }
 
-// unreadable tells why a body could not be read.
-func unreadable(err error) *mgproblem.Problem {
+// bodyReadProblem tells why a body could not be read.
+func bodyReadProblem(err error) *mgproblem.Problem {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		return mgproblem.New(mgproblem.Large, mgproblem.NotRun, "the body is too large", "send less").WithCause(err)
@@ -124,28 +124,28 @@
 		"the body ended early", "send it whole, in the time of the deadline").WithCause(err)
 }
 
-// targetOf returns the path and query of a request as they were sent.
-func targetOf(r *http.Request) string {
+// requestTarget returns the path and query of a request as they were sent.
+func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
 	}
 	return r.URL.RequestURI()
 }
 
-// left returns how long the caller still waits.
-func (x *exchange) left(now mgclock.Millis) mgclock.Millis { return x.began + x.limit - now }
+// timeLeft returns how long the caller still waits.
+func (x *exchange) timeLeft(now mgclock.Millis) mgclock.Millis { return x.startedAt + x.timeout - now }
 
-// guardWrites bounds the time in which the caller takes the answer. A caller
+// setWriteDeadline bounds the time in which the caller takes the answer. A caller
 // that stops reading would keep its answer's memory for good.
-func (x *exchange) guardWrites() {
-	_ = x.control.SetWriteDeadline(mgclock.Deadline(x.limit + writeSlack))
+func (x *exchange) setWriteDeadline() {
+	_ = x.control.SetWriteDeadline(mgclock.Deadline(x.timeout + writeSlack))
 }
 
-// freeWrites ends the bound, for the next request on the connection.
-func (x *exchange) freeWrites() { _ = x.control.SetWriteDeadline(time.Time{}) }
+// clearWriteDeadline ends the bound, for the next request on the connection.
+func (x *exchange) clearWriteDeadline() { _ = x.control.SetWriteDeadline(time.Time{}) }
 
-// listed returns the names in a comma-separated header line.
-func listed(line string) []string {
+// splitList returns the names in a comma-separated header line.
+func splitList(line string) []string {
 	var names []string
 	for _, name := range strings.Split(line, ",") {
 		if name = strings.TrimSpace(name); name != "" {
--- a/internal/process/mgrelay/form.go
+++ b/internal/process/mgrelay/form.go
@@ -26,8 +26,8 @@
 	Fractions bool
 }
 
-// Own returns the form of the product's own interface.
-func Own() Form {
+// DefaultForm returns the form of the product's own interface.
+func DefaultForm() Form {
 	return Form{
 		ID:        "Request-Id",
 		Deadline:  "Deadline",
@@ -45,37 +45,37 @@
 	}
 }
 
-// size is how large a generation is, in tokens.
-type size struct {
+// generationSize is how large a generation is, in tokens.
+type generationSize struct {
 	prompt int
 	output int // expected
 }
 
-// memoryPart is the part of an expected output that counts as memory taken: what
+// outputMemoryFraction is the part of an expected output that counts as memory taken: what
 // a generation holds of it on average while it runs.
-const memoryPart = 0.5
+const outputMemoryFraction = 0.5
 
 // memory returns the tokens of memory that a generation is counted with.
-func (s size) memory() int { return s.prompt + int(memoryPart*float64(s.output)) }
+func (s generationSize) memory() int { return s.prompt + int(outputMemoryFraction*float64(s.output)) }
 
-// unhinted is the part of the most that a generation may make that it is
+// defaultOutputFraction is the part of the most that a generation may make that it is
 // expected to make when its caller gives no estimate.
-const unhinted = 0.5
+const defaultOutputFraction = 0.5
 
 // sizeOf reads a generation's size. What can't be read counts as unknown: the
 // size decides on order and place only.
-func (f *Form) sizeOf(header http.Header) size {
-	prompt, most, _ := strings.Cut(header.Get(f.Tokens), ",")
-	var s size
+func (f *Form) sizeOf(header http.Header) generationSize {
+	prompt, maxText, _ := strings.Cut(header.Get(f.Tokens), ",")
+	var s generationSize
 	s.prompt, _ = strconv.Atoi(prompt)
-	limit, _ := strconv.Atoi(most)
+	maxOutput, _ := strconv.Atoi(maxText)
 	hint, err := strconv.ParseFloat(header.Get(f.Hint), 64)
 	if err != nil {
-		hint = unhinted * float64(limit)
+		hint = defaultOutputFraction * float64(maxOutput)
 	}
 	s.output = int(hint)
-	if limit > 0 {
-		s.output = min(s.output, limit)
+	if maxOutput > 0 {
+		s.output = min(s.output, maxOutput)
 	}
 	return s
 }
@@ -94,11 +94,11 @@
 	"Upgrade",
 }
 
-// forward returns the headers of a caller's request that go on. The key never
+// forwardedHeaders returns the headers of a caller's request that go on. The key never
 // does, and what the system sets is dropped: a caller could otherwise speak in
 // another account's name or use memory that the system reserved.
-func (f *Form) forward(from http.Header) http.Header {
-	to := endToEnd(from)
+func (f *Form) forwardedHeaders(from http.Header) http.Header {
+	to := endToEndHeaders(from)
 	to.Del("Authorization")
 	to.Del("Content-Length")
 	for _, name := range []string{f.Account, f.Upstream, f.Deadline, f.Copy} {
@@ -114,11 +114,11 @@
 	return to
 }
 
-// endToEnd copies the headers that don't concern one connection only.
-func endToEnd(from http.Header) http.Header {
+// endToEndHeaders copies the headers that don't concern one connection only.
+func endToEndHeaders(from http.Header) http.Header {
 	to := from.Clone()
 	for _, line := range from["Connection"] {
-		for _, name := range listed(line) {
+		for _, name := range splitList(line) {
 			to.Del(name)
 		}
 	}
--- a/internal/process/mgrelay/rig_test.go
+++ b/internal/process/mgrelay/harness_test.go
@@ -22,7 +22,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-const plan = `version = 7
+const tableText = `version = 7
 
 [[service]]
 name = "ledger"
@@ -77,8 +77,8 @@
 name = "tankline"
 `
 
-// seen is a request as an upstream got it.
-type seen struct {
+// receivedRequest is a request as an upstream got it.
+type receivedRequest struct {
 	upstream string
 	method   string
 	target   string
@@ -86,40 +86,40 @@
 	header   http.Header
 }
 
-// rig is a relay before upstreams on loopback, each with its own answers.
-type rig struct {
-	t     *testing.T
-	table *mgtable.Table
-	base  string
-	mu    sync.Mutex
-	seen  []seen
-	hosts []mgrelay.Host
+// harness is a relay before upstreams on loopback, each with its own answers.
+type harness struct {
+	t        *testing.T
+	table    *mgtable.Table
+	addr     string
+	mu       sync.Mutex
+	received []receivedRequest
+	hosts    []mgrelay.Host
 }
 
-// play answers one request at an upstream.
-type play func(w http.ResponseWriter, r *http.Request)
+// upstreamHandler answers one request at an upstream.
+type upstreamHandler func(w http.ResponseWriter, r *http.Request)
 
-// open starts the relay before upstreams named a, b and so on, in the order in
+// newHarness starts the relay before upstreams named a, b and so on, in the order in
 // which they are tried.
-func open(t *testing.T, plays ...play) *rig {
+func newHarness(t *testing.T, handlers ...upstreamHandler) *harness {
 	t.Helper()
-	table, err := mgtable.Parse([]byte(plan))
+	table, err := mgtable.Parse([]byte(tableText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &rig{
+	g := &harness{
 		t:     t,
 		table: table,
 	}
-	for i, answer := range plays {
-		g.upstream(t, string(rune('a'+i)), answer)
+	for i, answer := range handlers {
+		g.addUpstream(t, string(rune('a'+i)), answer)
 	}
-	g.with(func(*mgrelay.Spec) {})
+	g.restart(func(*mgrelay.Spec) {})
 	return g
 }
 
-// crowded has each upstream look more loaded than the one before it.
-func (g *rig) crowded() mgload.Report {
+// increasingLoad has each upstream look more loaded than the one before it.
+func (g *harness) increasingLoad() mgload.Report {
 	rows := map[string]mgload.Row{}
 	for i, host := range g.hosts {
 		rows[host.Name] = mgload.Row{Runs: i}
@@ -127,9 +127,9 @@
 	return mgload.Report{Rows: rows}
 }
 
-// memory gives the upstreams of a table's service a memory, so that generations wait for
+// useMemory gives the upstreams of a table's service a useMemory, so that generations wait for
 // places.
-func (g *rig) memory(text string) {
+func (g *harness) useMemory(text string) {
 	text = strings.Replace(text, `kind = "plain"`, "model = \"m\"", 1)
 	text += "\n[[model]]\nname = \"m\"\ncontext = 9000\nmax = 9000\n"
 	table, err := mgtable.Parse([]byte(text))
@@ -139,17 +139,17 @@
 	g.table = table
 }
 
-// with opens the relay anew with some of its spec changed.
-func (g *rig) with(change func(*mgrelay.Spec)) {
+// restart opens the relay anew restart some of its spec changed.
+func (g *harness) restart(change func(*mgrelay.Spec)) {
 	spec := mgrelay.Spec{
-		Form:     mgrelay.Own(),
+		Form:     mgrelay.DefaultForm(),
 		Log:      logr.Discard(),
 		Metrics:  mgmetric.New(),
 		Budgets:  &mgretry.Budgets{},
 		Client:   mgdial.NewClientWith(mgdial.Near(time.Minute)),
 		Every:    func(string) []mgrelay.Host { return g.hosts },
 		Load:     &mgload.Count{},
-		Others:   g.crowded,
+		Others:   g.increasingLoad,
 		Failed:   func(string) {},
 		Answered: func(string) {},
 	}
@@ -167,14 +167,14 @@
 		})
 	}))
 	g.t.Cleanup(server.Close)
-	g.base = server.Listener.Addr().String()
+	g.addr = server.Listener.Addr().String()
 }
 
-func (g *rig) upstream(t *testing.T, name string, answer play) {
+func (g *harness) addUpstream(t *testing.T, name string, answer upstreamHandler) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		g.mu.Lock()
-		g.seen = append(g.seen, seen{
+		g.received = append(g.received, receivedRequest{
 			upstream: name,
 			method:   r.Method,
 			target:   r.RequestURI,
@@ -193,26 +193,26 @@
 	})
 }
 
-// runs returns what the upstreams got.
-func (g *rig) runs() []seen {
+// requests returns what the upstreams got.
+func (g *harness) requests() []receivedRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]seen(nil), g.seen...)
+	return append([]receivedRequest(nil), g.received...)
 }
 
-// reply is what a caller got; cut says that it broke off.
-type reply struct {
+// callerReply is what a caller got; cut says that it broke off.
+type callerReply struct {
 	status int
 	header http.Header
 	body   string
 	cut    bool
 }
 
-// ask sends a request and reads the answer to its end.
-func (g *rig) ask(ctx context.Context, method, target, body string, header http.Header) reply {
-	conn, err := net.Dial("tcp", g.base)
+// send sends a request and reads the answer to its end.
+func (g *harness) send(ctx context.Context, method, target, body string, header http.Header) callerReply {
+	conn, err := net.Dial("tcp", g.addr)
 	if err != nil {
-		return reply{cut: true}
+		return callerReply{cut: true}
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -228,15 +228,15 @@
 		request.Header[name] = values
 	}
 	if request.Write(conn) != nil {
-		return reply{cut: true}
+		return callerReply{cut: true}
 	}
 	response, err := http.ReadResponse(bufio.NewReader(conn), request)
 	if err != nil {
-		return reply{cut: true}
+		return callerReply{cut: true}
 	}
 	defer response.Body.Close()
 	got, err := io.ReadAll(response.Body)
-	return reply{
+	return callerReply{
 		status: response.StatusCode,
 		header: response.Header,
 		body:   string(got),
@@ -244,27 +244,29 @@
 	}
 }
 
-// say returns an answer with a text.
-func say(text string) play {
+// answerWith returns an answer with a text.
+func answerWith(text string) upstreamHandler {
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
 }
 
-// decline says that the request did not run.
-func decline(status int) play {
+// refuseWith says that the request did not run.
+func refuseWith(status int) upstreamHandler {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Refused", "1")
 		w.WriteHeader(status)
 	}
 }
 
-// fail answers with a failure of the upstream's own.
-func fail(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
+// failInternally answers with a failure of the upstream's own.
+func failInternally(w http.ResponseWriter, _ *http.Request) {
+	w.WriteHeader(http.StatusInternalServerError)
+}
 
 // hangUp closes the connection without an answer.
 func hangUp(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// raw writes bytes of its own to the connection and closes it.
-func raw(text string) play {
+// rawBytes writes bytes of its own to the connection and closes it.
+func rawBytes(text string) upstreamHandler {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err != nil {
--- a/internal/process/mgrelay/home.go
+++ b/internal/process/mgrelay/home.go
@@ -19,18 +19,18 @@
 	return h
 }
 
-// allow reports whether a request may run in a region.
-func (h homes) allow(region string) bool {
+// allows reports whether a request may run in a region.
+func (h homes) allows(region string) bool {
 	return (len(h.route) == 0 || slices.Contains(h.route, region)) &&
 		(len(h.account) == 0 || slices.Contains(h.account, region))
 }
 
-// bind reports whether some of the upstreams are not allowed.
-func (h homes) bind(hosts []Host) bool {
-	return slices.ContainsFunc(hosts, func(host Host) bool { return !h.allow(host.Region) })
+// excludesAny reports whether some of the upstreams are not allowed.
+func (h homes) excludesAny(hosts []Host) bool {
+	return slices.ContainsFunc(hosts, func(host Host) bool { return !h.allows(host.Region) })
 }
 
-// shut reports whether none of the upstreams is allowed.
-func (h homes) shut(hosts []Host) bool {
-	return !slices.ContainsFunc(hosts, func(host Host) bool { return h.allow(host.Region) })
+// excludesAll reports whether none of the upstreams is allowed.
+func (h homes) excludesAll(hosts []Host) bool {
+	return !slices.ContainsFunc(hosts, func(host Host) bool { return h.allows(host.Region) })
 }
--- a/internal/process/mgrelay/home_test.go
+++ b/internal/process/mgrelay/home_test.go
@@ -15,7 +15,7 @@
 
 // A customer's documents may not leave their country. The nearest engine with room is
 // across the border, or the one that is left once another has failed is.
-func TestHomes(t *testing.T) {
+func TestRequestRunsOutsideHomes(t *testing.T) {
 	Convey("A request runs at home only", t, func() {
 		for name, c := range map[string]struct {
 			route   string // homes
@@ -54,8 +54,8 @@
 			},
 		} {
 			Convey(name, func() {
-				g := open(t, say("x"), say("x"), say("x"))
-				text := strings.Replace(plan, `prefix = "/once/"`, "prefix = \"/once/\"\n"+c.route, 1)
+				g := newHarness(t, answerWith("x"), answerWith("x"), answerWith("x"))
+				text := strings.Replace(tableText, `prefix = "/once/"`, "prefix = \"/once/\"\n"+c.route, 1)
 				text = strings.Replace(text, `[[account]]`, "[[account]]\n"+c.account, 1)
 				table, err := mgtable.Parse([]byte(text))
 				So(err, ShouldBeNil)
@@ -63,15 +63,15 @@
 				for i, region := range c.regions {
 					g.hosts[i].Region = region
 				}
-				got := g.ask(context.Background(), http.MethodPost, "/once/1", "x", nil)
+				got := g.send(context.Background(), http.MethodPost, "/once/1", "x", nil)
 				if c.signed == "" {
 					So(got.status, ShouldEqual, http.StatusServiceUnavailable)
 					So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
-					So(g.runs(), ShouldBeEmpty)
+					So(g.requests(), ShouldBeEmpty)
 					return
 				}
 				So(got.header.Get("Signature"), ShouldEqual, c.signed)
-				So(len(g.runs()), ShouldEqual, 1)
+				So(len(g.requests()), ShouldEqual, 1)
 			})
 		}
 	})
@@ -81,18 +81,18 @@
 			`homes = ["south", "north"]`: "signed by a", // nobody is left out
 		} {
 			Convey(homes, func() {
-				g := open(t, say("x"), say("x"))
-				g.memory(strings.Replace(plan, `prefix = "/write/"`, "prefix = \"/write/\"\n"+homes, 1))
+				g := newHarness(t, answerWith("x"), answerWith("x"))
+				g.useMemory(strings.Replace(tableText, `prefix = "/write/"`, "prefix = \"/write/\"\n"+homes, 1))
 				g.hosts[0].Region = "north"
 				g.hosts[1].Region = "south"
 				asked := 0
-				g.with(func(spec *mgrelay.Spec) {
+				g.restart(func(spec *mgrelay.Spec) {
 					spec.Place = func(context.Context, string, mgroom.Wait) (mgroom.Grant, bool) {
 						asked++
 						return mgroom.Grant{Place: "a"}, true
 					}
 				})
-				got := g.ask(context.Background(), http.MethodPost, "/write/1", "x", http.Header{"Tokens": {"100,50"}})
+				got := g.send(context.Background(), http.MethodPost, "/write/1", "x", http.Header{"Tokens": {"100,50"}})
 				So(got.header.Get("Signature"), ShouldEqual, signed)
 				So(asked == 0, ShouldEqual, signed == "signed by b")
 			})
--- a/internal/process/mgrelay/host.go
+++ b/internal/process/mgrelay/host.go
@@ -22,40 +22,40 @@
 	Givers  int   // processes that give places at it, 1 at least
 }
 
-// spot is an upstream and what a request costs there.
-type spot struct {
-	host Host
-	cost float64 // ms
-	slow float64 // part of cost, ms for each token
-	free int     // tokens of memory that nothing takes, where that is known
-	read int     // prompt tokens that are yet to be read
-	shun bool    // it failed lately, and others are well
-	cold bool    // it bears few requests now; see mgwarm
+// candidate is an upstream and what a request costs there.
+type candidate struct {
+	host          Host
+	cost          float64 // ms
+	tokenDelay    float64 // part of cost, ms for each token
+	freeTokens    int     // tokens of memory that nothing takes, where that is known
+	pendingTokens int     // prompt tokens that are yet to be read
+	avoid         bool    // it failed lately, and others are well
+	cold          bool    // it bears few requests now; see mgwarm
 }
 
-// shunCost puts upstreams that failed lately behind all others, in ms.
-const shunCost = 1e6
+// avoidPenalty puts upstreams that failed lately behind all others, in ms.
+const avoidPenalty = 1e6
 
-// spots returns the upstreams that may take a request, the cheapest first, with
+// candidates returns the upstreams that may take a request, the cheapest first, with
 // equal ones in random order.
-func (y *Relay) spots(x *exchange, query mgload.Query) []spot {
+func (y *Relay) candidates(x *exchange, query mgload.Query) []candidate {
 	query.Memory = x.size.memory()
-	query.Capacity = capacity(x.call.Table, x.service)
+	query.Capacity = upstreamCapacity(x.call.Table, x.service)
 	query.Tokens = max(x.size.output, 1)
 	now := y.spec.Clock.Now()
-	list := slices.DeleteFunc(y.costs(x.service, query, y.others()), func(s spot) bool {
-		return !x.homes.allow(s.host.Region) || !y.rests.Takes(now, s.host.Name) || y.permitLeft(now, s.host) > 0
+	list := slices.DeleteFunc(y.allCandidates(x.service, query, y.otherEntriesLoad()), func(s candidate) bool {
+		return !x.homes.allows(s.host.Region) || !y.backoffs.Takes(now, s.host.Name) || y.permitDelay(now, s.host) > 0
 	})
 	if query.Copy {
 		// A generation that is moved reads and takes memory there as any other does.
 		for i := range list {
 			if _, limited := y.spec.Limits.Rate(list[i].host.Name, list[i].host.Born); limited {
-				list[i].cost += shunCost
+				list[i].cost += avoidPenalty
 			}
 		}
 	}
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	slices.SortStableFunc(list, func(a, b spot) int {
+	slices.SortStableFunc(list, func(a, b candidate) int {
 		switch {
 		case a.cost < b.cost:
 			return -1
@@ -67,17 +67,17 @@
 	return list
 }
 
-// others returns what the other entries have sent, as far as it is known.
-func (y *Relay) others() mgload.Report {
+// otherEntriesLoad returns what the other entries have sent, as far as it is known.
+func (y *Relay) otherEntriesLoad() mgload.Report {
 	if y.spec.Others == nil {
 		return mgload.Report{}
 	}
 	return y.spec.Others()
 }
 
-// capacity returns the memory of a service's upstreams in tokens, 0 where it
+// upstreamCapacity returns the memory of a service's upstreams in tokens, 0 where it
 // isn't known.
-func capacity(table *mgtable.Table, name string) int {
+func upstreamCapacity(table *mgtable.Table, name string) int {
 	service := table.Service(name)
 	if service == nil {
 		return 0
@@ -89,46 +89,46 @@
 	return model.Context()
 }
 
-// costs returns a service's upstreams with what a request costs at each.
-func (y *Relay) costs(service string, query mgload.Query, others mgload.Report) []spot {
+// allCandidates returns a service's upstreams with what a request allCandidates at each.
+func (y *Relay) allCandidates(service string, query mgload.Query, others mgload.Report) []candidate {
 	hosts := y.spec.Every(service)
 	paces := y.spec.Load.Paces(y.spec.Clock.Now())
 	faults := y.spec.Load.Faults(y.spec.Clock.Now())
-	var known []float64
+	var knownPaces []float64
 	for _, host := range hosts {
 		if pace, ok := mgload.Pace(paces, others.Paces, host.Name); ok {
-			known = append(known, pace)
+			knownPaces = append(knownPaces, pace)
 		}
 	}
-	slow := mgload.Slow(known)
-	weights := make([]float64, len(hosts))
+	slowdown := mgload.Slow(knownPaces)
+	faultWeights := make([]float64, len(hosts))
 	for i, host := range hosts {
-		weights[i] = faults[host.Name] + others.Faults[host.Name]
+		faultWeights[i] = faults[host.Name] + others.Faults[host.Name]
 	}
-	faulty := mgload.Faulty(weights)
-	list := make([]spot, 0, len(hosts))
+	isFaulty := mgload.Faulty(faultWeights)
+	list := make([]candidate, 0, len(hosts))
 	for i, host := range hosts {
 		pace, _ := mgload.Pace(paces, others.Paces, host.Name)
 		state := mgload.State{
 			Row:    y.spec.Load.Row(host.Name).Add(others.Rows[host.Name]),
 			Zone:   host.Zone,
-			Slow:   slow(pace),
-			Faults: weights[i],
+			Slow:   slowdown(pace),
+			Faults: faultWeights[i],
 		}
-		spot := spot{
-			host: host,
-			cost: mgload.Cost(state, query),
-			slow: state.Slow,
-			free: query.Capacity - state.Row.Memory,
-			read: state.Row.Pending,
-			shun: host.Suspect || faulty(weights[i]),
+		c := candidate{
+			host:          host,
+			cost:          mgload.Cost(state, query),
+			tokenDelay:    state.Slow,
+			freeTokens:    query.Capacity - state.Row.Memory,
+			pendingTokens: state.Row.Pending,
+			avoid:         host.Suspect || isFaulty(faultWeights[i]),
 			// Others may have seen it fail, and start anew, where this process didn't.
-			cold: host.Cold || weights[i] > 0,
+			cold: host.Cold || faultWeights[i] > 0,
 		}
-		if spot.shun {
-			spot.cost += shunCost
+		if c.avoid {
+			c.cost += avoidPenalty
 		}
-		list = append(list, spot)
+		list = append(list, c)
 	}
 	return list
 }
@@ -139,9 +139,9 @@
 func (y *Relay) Places(table *mgtable.Table, service string, others mgload.Report) []mgroom.Place {
 	query := mgload.Query{
 		Zone:     y.spec.Zone,
-		Capacity: capacity(table, service),
+		Capacity: upstreamCapacity(table, service),
 	}
-	spots := y.costs(service, query, others)
+	spots := y.allCandidates(service, query, others)
 	if len(spots) == 0 {
 		return nil
 	}
@@ -150,22 +150,22 @@
 		ramp = found.Ramp()
 	}
 	places := make([]mgroom.Place, 0, len(spots))
-	for _, spot := range spots {
-		if spot.shun {
+	for _, c := range spots {
+		if c.avoid {
 			continue
 		}
 		place := mgroom.Place{
-			Name:    spot.host.Name,
-			Cost:    spot.cost,
-			Slow:    spot.slow,
-			Free:    spot.free,
-			Pending: spot.read,
+			Name:    c.host.Name,
+			Cost:    c.cost,
+			Slow:    c.tokenDelay,
+			Free:    c.freeTokens,
+			Pending: c.pendingTokens,
 		}
-		if spot.cold && ramp > 0 {
-			place.Ramp = mgwarm.Placed(ramp, spot.host.Givers)
+		if c.cold && ramp > 0 {
+			place.Ramp = mgwarm.Placed(ramp, c.host.Givers)
 		}
-		place.Rate, place.Limited = y.spec.Limits.Rate(spot.host.Name, spot.host.Born)
-		place.Givers = spot.host.Givers
+		place.Rate, place.Limited = y.spec.Limits.Rate(c.host.Name, c.host.Born)
+		place.Givers = c.host.Givers
 		places = append(places, place)
 	}
 	return places
--- a/internal/process/mgrelay/limit.go
+++ b/internal/process/mgrelay/limit.go
@@ -11,15 +11,15 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// noteLimit takes the rate that an upstream names in an answer, or that it names none.
-func (y *Relay) noteLimit(x *exchange, host Host, response *http.Response) {
+// recordLimit takes the rate that an upstream names in an answer, or that it names none.
+func (y *Relay) recordLimit(x *exchange, host Host, response *http.Response) {
 	if y.spec.Form.Limit == "" || response.StatusCode == http.StatusMisdirectedRequest {
 		return // another upstream may have the address
 	}
 	text := response.Header.Get(y.spec.Form.Limit)
 	if text == "" {
 		// An answer that came late is of an earlier request.
-		if response.Header.Get(y.spec.Form.ID) == x.id && y.spec.Limits.Unnamed(y.spec.Clock.Now(), x.sent, host.Name, host.Born) {
+		if response.Header.Get(y.spec.Form.ID) == x.id && y.spec.Limits.Unnamed(y.spec.Clock.Now(), x.sentAt, host.Name, host.Born) {
 			y.spec.Log.Info("an upstream names no limit any more", mglog.Request, x.id, mglog.Upstream, host.Name)
 		}
 		return
@@ -37,29 +37,29 @@
 	}
 }
 
-// permitted takes leave to send a request to an upstream, and reports whether there is any.
-func (y *Relay) permitted(ctx context.Context, x *exchange, host Host) bool {
+// takePermit takes leave to send a request to an upstream, and reports whether there is any.
+func (y *Relay) takePermit(ctx context.Context, x *exchange, host Host) bool {
 	if _, limited := y.spec.Limits.Rate(host.Name, host.Born); !limited {
 		return true
 	}
-	wait, ok := y.spec.Permit(ctx, x.permit(host, false))
+	wait, ok := y.spec.Permit(ctx, x.permitRequest(host, false))
 	if !ok {
 		y.spec.Metrics.Counter("relay.limit.denied").Inc(1)
-		y.waits.Put(y.spec.Clock.Now(), host.Name, wait)
+		y.permitWaits.Put(y.spec.Clock.Now(), host.Name, wait)
 	}
 	return ok
 }
 
-// countForced counts a request that goes to a limited upstream in any case.
-func (y *Relay) countForced(ctx context.Context, x *exchange, host Host) {
+// takeForcedPermit counts a request that goes to a limited upstream in any case.
+func (y *Relay) takeForcedPermit(ctx context.Context, x *exchange, host Host) {
 	if _, limited := y.spec.Limits.Rate(host.Name, host.Born); !limited {
 		return
 	}
 	y.spec.Metrics.Counter("relay.limit.forced").Inc(1)
-	go y.spec.Permit(context.WithoutCancel(ctx), x.permit(host, true))
+	go y.spec.Permit(context.WithoutCancel(ctx), x.permitRequest(host, true))
 }
 
-func (x *exchange) permit(host Host, forced bool) Permit {
+func (x *exchange) permitRequest(host Host, forced bool) Permit {
 	return Permit{
 		Ask: mglimit.Ask{
 			Upstream: host.Name,
@@ -78,19 +78,19 @@
 	Givers int   // see Host
 }
 
-// permitAlone gives permits where no other process does.
-func (y *Relay) permitAlone(_ context.Context, permit Permit) (mgclock.Millis, bool) {
+// takeLocalPermit gives permits where no other process does.
+func (y *Relay) takeLocalPermit(_ context.Context, permit Permit) (mgclock.Millis, bool) {
 	rate, limited := y.spec.Limits.Rate(permit.Ask.Upstream, permit.Born)
 	if !limited {
 		return 0, true
 	}
-	return y.permits.Take(y.spec.Clock.Now(), permit.Ask, mglimit.PartOf(rate, 1, 1))
+	return y.localPermits.Take(y.spec.Clock.Now(), permit.Ask, mglimit.PartOf(rate, 1, 1))
 }
 
-// permitLeft returns the time until there may be a permit for an upstream, 0 where it needs
+// permitDelay returns the time until there may be a permit for an upstream, 0 where it needs
 // none.
-func (y *Relay) permitLeft(now mgclock.Millis, host Host) mgclock.Millis {
-	left := y.waits.Left(now, host.Name)
+func (y *Relay) permitDelay(now mgclock.Millis, host Host) mgclock.Millis {
+	left := y.permitWaits.Left(now, host.Name)
 	if left == 0 {
 		return 0
 	}
@@ -100,56 +100,56 @@
 	return left
 }
 
-// longestReturn bounds the span over which callers are told to come back.
-const longestReturn = 5 * mgclock.Second
+// maxRetrySpread bounds the span over which callers are told to come back.
+const maxRetrySpread = 5 * mgclock.Second
 
-// spreadReturn returns when a caller should come back to a service whose upstreams are
+// spreadRetryDelay returns when a caller should come back to a service whose upstreams are
 // limited: those that were turned away lately come back one after another, at the rate
 // that the limits allow.
-func (y *Relay) spreadReturn(x *exchange, soonest mgclock.Millis) mgclock.Millis {
-	supply := 0.0
+func (y *Relay) spreadRetryDelay(x *exchange, shortest mgclock.Millis) mgclock.Millis {
+	totalRate := 0.0
 	for _, host := range y.spec.Every(x.service) {
 		if rate, limited := y.spec.Limits.Rate(host.Name, host.Born); limited {
-			supply += mglimit.PartOf(rate, 1, 1).Rate()
+			totalRate += mglimit.PartOf(rate, 1, 1).Rate()
 		}
 	}
-	if supply == 0 {
-		return soonest
+	if totalRate == 0 {
+		return shortest
 	}
-	rejected := y.rejections.count(y.spec.Clock.Now(), x.service)
+	rejected := y.rejections.add(y.spec.Clock.Now(), x.service)
 	if y.spec.Processes != nil {
 		rejected *= float64(y.spec.Processes())
 	}
-	span := min(rejected/supply*float64(mgclock.Second), float64(longestReturn))
-	return soonest + mgclock.Millis(rand.Float64()*span)
+	spread := min(rejected/totalRate*float64(mgclock.Second), float64(maxRetrySpread))
+	return shortest + mgclock.Millis(rand.Float64()*spread)
 }
 
 // rejections counts the requests that were turned away lately, by service. The zero
 // rejections has counted none.
 type rejections struct {
-	mu  sync.Mutex
-	all map[string]*recent
+	mu        sync.Mutex
+	byService map[string]*decayingCount
 }
 
-// recent is a count that decays within a second or so.
-type recent struct {
-	count float64
-	at    mgclock.Millis
+// decayingCount is a count that decays within a second or so.
+type decayingCount struct {
+	count     float64
+	updatedAt mgclock.Millis
 }
 
-// count counts one more and returns how many there were within a second.
-func (t *rejections) count(now mgclock.Millis, service string) float64 {
+// add counts one more and returns how many there were within a second.
+func (t *rejections) add(now mgclock.Millis, service string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.all == nil {
-		t.all = map[string]*recent{}
+	if t.byService == nil {
+		t.byService = map[string]*decayingCount{}
 	}
-	r := t.all[service]
+	r := t.byService[service]
 	if r == nil {
-		r = &recent{}
-		t.all[service] = r
+		r = &decayingCount{}
+		t.byService[service] = r
 	}
-	r.count = r.count*max(0, 1-float64(now-r.at)/float64(mgclock.Second)) + 1
-	r.at = now
+	r.count = r.count*max(0, 1-float64(now-r.updatedAt)/float64(mgclock.Second)) + 1
+	r.updatedAt = now
 	return r.count
 }
--- a/internal/process/mgrelay/limit_test.go
+++ b/internal/process/mgrelay/limit_test.go
@@ -17,44 +17,44 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// limiting answers, and names a limit while there is one.
-func limiting(limit *atomic.Pointer[string], text string) play {
+// answerWithLimit answers, and names a limit while there is one.
+func answerWithLimit(limit *atomic.Pointer[string], text string) upstreamHandler {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if named := limit.Load(); named != nil {
 			w.Header().Set("Limit", *named)
 		}
-		say(text)(w, r)
+		answerWith(text)(w, r)
 	}
 }
 
-func named(text string) *atomic.Pointer[string] {
+func newLimit(text string) *atomic.Pointer[string] {
 	var limit atomic.Pointer[string]
 	limit.Store(&text)
 	return &limit
 }
 
 // An upstream that named a limit must have no more, at the cost of no caller's time.
-func TestLimitKeepsRequestsAway(t *testing.T) {
-	ask := func(g *rig, path string) reply {
-		return g.ask(context.Background(), http.MethodPost, path, "x", http.Header{
+func TestUpstreamLimitExceeded(t *testing.T) {
+	ask := func(g *harness, path string) callerReply {
+		return g.send(context.Background(), http.MethodPost, path, "x", http.Header{
 			"Tokens":     {"30,9"},
 			"Request-Id": {path},
 		})
 	}
-	// at returns what an upstream got.
-	at := func(g *rig, name string) int {
+	// requestsAt returns what an upstream got.
+	requestsAt := func(g *harness, name string) int {
 		count := 0
-		for _, ran := range g.runs() {
-			if ran.upstream == name {
+		for _, request := range g.requests() {
+			if request.upstream == name {
 				count++
 			}
 		}
 		return count
 	}
-	bound := func(rate float64, began time.Time) int { return int(1.5*rate*time.Since(began).Seconds() + 5) }
+	maxRequests := func(rate float64, began time.Time) int { return int(1.5*rate*time.Since(began).Seconds() + 5) }
 	Convey("Once an upstream has named a limit", t, func() {
-		limit := named("2")
-		g := open(t, limiting(limit, "id: 1\n\n"), say("id: 1\n\n"))
+		limit := newLimit("2")
+		g := newHarness(t, answerWithLimit(limit, "id: 1\n\n"), answerWith("id: 1\n\n"))
 		began := time.Now()
 		Convey("requests of each kind go to another at once", func() {
 			for n := range 40 {
@@ -62,11 +62,11 @@
 					So(ask(g, path+strconv.Itoa(n)).status, ShouldEqual, http.StatusOK)
 				}
 			}
-			So(at(g, "a"), ShouldBeLessThanOrEqualTo, bound(2, began))
+			So(requestsAt(g, "a"), ShouldBeLessThanOrEqualTo, maxRequests(2, began))
 		})
 		Convey("so do those that are given a place there", func() {
-			g.memory(plan)
-			g.with(func(spec *mgrelay.Spec) {
+			g.useMemory(tableText)
+			g.restart(func(spec *mgrelay.Spec) {
 				spec.Place = func(context.Context, string, mgroom.Wait) (mgroom.Grant, bool) {
 					return mgroom.Grant{Place: "a"}, true
 				}
@@ -75,27 +75,27 @@
 			for n := range 60 {
 				So(ask(g, "/note/"+strconv.Itoa(n)).status, ShouldEqual, http.StatusOK)
 			}
-			So(at(g, "a"), ShouldBeLessThanOrEqualTo, bound(2, began))
+			So(requestsAt(g, "a"), ShouldBeLessThanOrEqualTo, maxRequests(2, began))
 		})
 		Convey("they come back once an answer names none", func() {
 			ask(g, "/book/first")
 			limit.Store(nil)
 			ticker := time.NewTicker(10 * time.Millisecond)
 			defer ticker.Stop()
-			for n := 0; at(g, "a") < 20; n++ {
+			for n := 0; requestsAt(g, "a") < 20; n++ {
 				So(ask(g, "/book/"+strconv.Itoa(n)).status, ShouldEqual, http.StatusOK)
 				<-ticker.C
 			}
 		})
 	})
 	Convey("Where all upstreams have as many as they take", t, func() {
-		g := open(t, limiting(named("0"), "a"), limiting(named("0.1"), "b"))
+		g := newHarness(t, answerWithLimit(newLimit("0"), "a"), answerWithLimit(newLimit("0.1"), "b"))
 		for n := range 2 {
 			So(ask(g, "/once/"+strconv.Itoa(n)).status, ShouldEqual, http.StatusOK)
 		}
 		Convey("requests are refused at once, with times to come back that differ", func() {
 			times := map[string]bool{}
-			g.with(func(spec *mgrelay.Spec) { spec.Form.Fractions = true })
+			g.restart(func(spec *mgrelay.Spec) { spec.Form.Fractions = true })
 			for n := range 2 {
 				ask(g, "/once/again"+strconv.Itoa(n))
 			}
@@ -113,7 +113,7 @@
 	})
 	Convey("A limit that can't be read is none", t, func() {
 		for _, text := range []string{"few", "-1", "NaN", ""} {
-			g := open(t, limiting(named(text), "a"))
+			g := newHarness(t, answerWithLimit(newLimit(text), "a"))
 			for n := range 30 {
 				So(ask(g, "/book/"+strconv.Itoa(n)).status, ShouldEqual, http.StatusOK)
 			}
@@ -123,21 +123,21 @@
 		for limitedHost, forcedSends := range map[string]int64{"b": 0, "both": 1} {
 			var forced atomic.Int64
 			limits := &mglimit.Limits{}
-			s := tell(t, func(s *story, order mgrelay.Order) mgmigration.Reply {
+			s := newMoveScenario(t, func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 				if order.Last {
-					close(s.stop)
+					close(s.breakOff)
 				}
 				return mgmigration.Reply{
 					Outcome: mgmigration.Copied,
 					Handle:  "h",
 				}
-			}, goOn, goOn)
+			}, resumeFromCopy, resumeFromCopy)
 			limits.Named(0, "b", 0, 1)
 			if limitedHost == "both" {
 				limits.Named(0, "c", 0, 1)
 			}
-			s.rig.with(func(spec *mgrelay.Spec) {
-				s.spec(spec)
+			s.harness.restart(func(spec *mgrelay.Spec) {
+				s.configure(spec)
 				spec.Limits = limits
 				spec.Permit = func(_ context.Context, permit mgrelay.Permit) (mgclock.Millis, bool) {
 					if permit.Ask.Forced {
@@ -146,11 +146,11 @@
 					return 0, true
 				}
 			})
-			got := s.rig.ask(context.Background(), http.MethodPost, "/write/1", "x", nil)
-			So(got.body, ShouldEqual, whole())
-			runs := s.rig.runs()
+			got := s.harness.send(context.Background(), http.MethodPost, "/write/1", "x", nil)
+			So(got.body, ShouldEqual, wholeStream())
+			requests := s.harness.requests()
 			if limitedHost == "b" {
-				So(runs[len(runs)-1].upstream, ShouldEqual, "c")
+				So(requests[len(requests)-1].upstream, ShouldEqual, "c")
 			}
 			So(forced.Load(), ShouldEqual, forcedSends)
 		}
--- /dev/null
+++ b/internal/process/mgrelay/move.go
@@ -0,0 +1,254 @@
+package mgrelay
+
+import (
+	"context"
+
+	"github.com/marjoramgauge/marjoramgauge/internal/process/mglog"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgload"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgmigration"
+	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
+)
+
+// Run moves generations away from upstreams that leave and drops requests that come to
+// be held, until ctx ends.
+func (y *Relay) Run(ctx context.Context) {
+	go y.watchHeld(ctx)
+	if y.spec.Move == nil {
+		return
+	}
+	go y.probeWhileStale(ctx)
+	for ctx.Err() == nil {
+		changed := y.spec.Changed()
+		added := y.generations.nextAdded()
+		stays := func(upstream string) bool { return !y.spec.Leaving(upstream) }
+		y.backoffs.Forget(stays)
+		y.permitWaits.Forget(stays)
+		y.localPermits.Forget(stays)
+		for _, host := range y.generations.hostsNotEvacuating() {
+			if y.spec.Leaving(host.Name) {
+				y.generations.setEvacuating(host.Name, true)
+				go y.evacuate(ctx, host)
+			}
+		}
+		select {
+		case <-changed:
+		case <-added:
+		case <-ctx.Done():
+		}
+	}
+}
+
+// lateStartWindow is how long a mover looks for runs that begin on an upstream whose
+// leaving was known too late to send them elsewhere.
+const lateStartWindow = 3 * mgclock.Second
+
+// evacuate moves the runs of one upstream, one after another: they share its
+// link.
+func (y *Relay) evacuate(ctx context.Context, host Host) {
+	name := host.Name
+	defer y.generations.setEvacuating(name, false)
+	if y.awaitReturn(ctx, host) {
+		return
+	}
+	until := y.spec.Clock.Now() + lateStartWindow
+	for ctx.Err() == nil && y.spec.Clock.Now() < until {
+		if r := y.generations.claimNext(y.spec.Clock.Now(), name); r != nil {
+			y.moveGeneration(r)
+			continue
+		}
+		if !y.generations.hasAny(name) && !y.spec.Leaving(name) {
+			return
+		}
+		y.spec.Clock.Sleep(ctx, mgmigration.RetrySpan)
+	}
+}
+
+// moveGeneration moves one run.
+func (y *Relay) moveGeneration(r *generation) {
+	if service := r.exchange.call.Table.Service(r.exchange.service); service == nil || !service.Move() {
+		close(r.moveDone)
+		return
+	}
+	startedAt := y.spec.Clock.Now()
+	m := migration{
+		tried: map[string]bool{},
+	}
+	m.destination, m.hasDestination = y.findDestination(r, m.tried)
+	m.slotWait = y.spec.Clock.Now() - startedAt
+	y.executeMove(r, &m)
+	r.resumePoints = resumePointsOf(&m.move, r.host, m.destination)
+	m.duration = y.spec.Clock.Now() - startedAt
+	// The stream goes on first: giving the turn back may wait for a dead entry.
+	close(r.moveDone)
+	y.releaseSlot(r)
+	y.recordMove(r, &m)
+}
+
+// migration is a move under way.
+type migration struct {
+	move           mgmigration.Move
+	destination    Host
+	hasDestination bool            // there is a destination
+	tried          map[string]bool // since the last pause
+	refusedCount   int             // destinations without room
+	lastReply      mgmigration.Reply
+	slotWait       mgclock.Millis // for the turn
+	duration       mgclock.Millis
+}
+
+// executeMove does the move's steps until it is over or the run's stream has ended.
+func (y *Relay) executeMove(r *generation, m *migration) {
+	for m.hasDestination && r.ctx.Err() == nil && m.move.Step() != mgmigration.Done {
+		if y.isDestinationCordoned(m) {
+			// No request may reach it by the time that the run is stopped.
+			m.tried[m.destination.Name] = true
+			m.move = mgmigration.Move{}
+			m.destination, m.hasDestination = y.findDestination(r, m.tried)
+			continue
+		}
+		if m.move.Step() == mgmigration.Wait {
+			y.spec.Clock.Sleep(r.ctx, mgmigration.RetrySpan)
+			m.move.Waited()
+			y.retryDestinations(r, m)
+			continue
+		}
+		m.lastReply = y.spec.Move(r.ctx, r.host, Order{
+			Run:  r.exchange.id,
+			To:   m.destination.Addr,
+			Last: m.move.Step() == mgmigration.Stop,
+		})
+		m.move.Take(m.lastReply)
+		if m.move.Step() != mgmigration.Stop && m.lastReply.Outcome == mgmigration.NoRoom {
+			m.refusedCount++
+			m.tried[m.destination.Name] = true
+		}
+		if m.move.Step() == mgmigration.Copy && m.lastReply.Outcome == mgmigration.NoRoom {
+			m.destination, m.hasDestination = y.findDestination(r, m.tried)
+		}
+		if !m.hasDestination {
+			y.spec.Clock.Sleep(r.ctx, mgmigration.RetrySpan)
+			y.retryDestinations(r, m)
+		}
+	}
+}
+
+// isDestinationCordoned reports whether a move's destination was cordoned before its run
+// was stopped.
+func (y *Relay) isDestinationCordoned(m *migration) bool {
+	if y.spec.Cordoned == nil || m.move.Stopped() {
+		return false
+	}
+	_, cordoned := y.spec.Cordoned(m.destination.Name)
+	return cordoned
+}
+
+// retryDestinations looks for a destination among those that had no room before, too.
+func (y *Relay) retryDestinations(r *generation, m *migration) {
+	if len(m.tried) == 0 {
+		return
+	}
+	clear(m.tried)
+	m.destination, m.hasDestination = y.findDestination(r, m.tried)
+}
+
+// recordMove counts and logs a move.
+func (y *Relay) recordMove(r *generation, m *migration) {
+	y.spec.Metrics.Counter("relay.moves").Inc(1)
+	y.spec.Metrics.Histogram("relay.move.ms").Update(int64(m.duration))
+	what := "a generation was moved"
+	if len(r.resumePoints) == 0 {
+		what = "a generation was not moved"
+	}
+	y.spec.Log.Info(what, append(y.logBasis(),
+		mglog.Request, r.exchange.id, mglog.Upstream, r.host.Name, "to", m.destination.Name, "found", m.hasDestination,
+		"outcome", m.lastReply.Outcome.String(), "tried", m.refusedCount, "stopped", m.move.Stopped(),
+		"places", len(r.resumePoints), "ms", int64(m.duration), "waited", int64(m.slotWait))...)
+}
+
+// resumePointsOf returns where a run can go on after its move, the best first.
+func resumePointsOf(move *mgmigration.Move, source, to Host) []resumePoint {
+	var points []resumePoint
+	for _, at := range move.Places() {
+		host := to
+		if at == mgmigration.AtSource {
+			host = source
+		}
+		points = append(points, resumePoint{
+			host:    host,
+			copyRef: source.Addr + "/" + move.Handle(),
+		})
+	}
+	return points
+}
+
+// findDestination returns where a run should go, once it is its turn: an upstream of
+// its service that stays, by its own word where the list may be stale.
+func (y *Relay) findDestination(r *generation, tried map[string]bool) (Host, bool) {
+	for {
+		host, found := y.chooseDestination(r, tried)
+		if !found || y.canTakeOver(r.ctx, host) {
+			return host, found
+		}
+		if r.ctx.Err() != nil {
+			return Host{}, false
+		}
+		tried[host.Name] = true
+	}
+}
+
+// chooseDestination returns the best destination by the list, once it is the run's turn.
+func (y *Relay) chooseDestination(r *generation, tried map[string]bool) (Host, bool) {
+	ask := mgmigration.Ask{
+		Source: r.host.Name,
+		Run:    r.exchange.id,
+		Worth:  r.state(y.spec.Clock.Now()).Worth(),
+	}
+	hosts := map[string]Host{}
+	copyTime := r.copyTime()
+	for _, c := range y.candidates(r.exchange, mgload.Query{Zone: r.host.Zone, Copy: true}) {
+		if c.host.Name == r.host.Name || tried[c.host.Name] {
+			continue
+		}
+		hosts[c.host.Name] = c.host
+		ask.Places = append(ask.Places, mgmigration.Spot{
+			Name: c.host.Name,
+			Cost: c.cost,
+			Span: copyTime * crossZoneFactor(c.host.Zone != r.host.Zone),
+		})
+	}
+	if len(ask.Places) == 0 {
+		return Host{}, false
+	}
+	if y.spec.Turn != nil {
+		if name, ok := y.spec.Turn(r.ctx, r.exchange.service, ask); ok {
+			host, known := hosts[name]
+			return host, known
+		}
+	}
+	return hosts[ask.Places[0].Name], true
+}
+
+// copyTime returns the time in ms in which the run's memory is copied within an
+// availability zone.
+func (r *generation) copyTime() float64 {
+	service := r.exchange.call.Table.Service(r.exchange.service)
+	if service == nil {
+		return 0
+	}
+	tokens := r.exchange.size.prompt + r.tokensPerEvent()*int(r.eventCount.Load())
+	return float64(tokens) * float64(service.Copy()) / 1000
+}
+
+// crossZoneFactor is how many times as long a copy to another availability zone takes.
+func crossZoneFactor(crossZone bool) float64 {
+	if crossZone {
+		return 2
+	}
+	return 1
+}
+
+func (y *Relay) releaseSlot(r *generation) {
+	if y.spec.EndTurn != nil {
+		y.spec.EndTurn(r.exchange.service, r.host.Name, r.exchange.id)
+	}
+}
--- a/internal/process/mgrelay/move_test.go
+++ b/internal/process/mgrelay/move_test.go
@@ -14,35 +14,35 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgmigration"
 )
 
-// story is a generation of six events that leaves its engine after the third.
-type story struct {
-	rig     *rig
-	mu      sync.Mutex
-	leaving bool
-	changed chan struct{}
-	stop    chan struct{} // closed when the source is to break its stream off
-	orders  []mgrelay.Order
-	reply   func(order mgrelay.Order) mgmigration.Reply
+// moveScenario is a generation of six events that leaves its engine after the third.
+type moveScenario struct {
+	harness  *harness
+	mu       sync.Mutex
+	leaving  bool
+	changed  chan struct{}
+	breakOff chan struct{} // closed when the source is to break its stream off
+	orders   []mgrelay.Order
+	reply    func(order mgrelay.Order) mgmigration.Reply
 }
 
-func event(n int) string { return fmt.Sprintf("id: %d\ndata: e%d\n\n", n, n) }
+func eventText(n int) string { return fmt.Sprintf("id: %d\ndata: e%d\n\n", n, n) }
 
 // source makes three events and then breaks off when it is told to.
-func (s *story) source(w http.ResponseWriter, r *http.Request) {
+func (s *moveScenario) source(w http.ResponseWriter, r *http.Request) {
 	for n := 1; n <= 3; n++ {
-		_, _ = fmt.Fprint(w, event(n))
+		_, _ = fmt.Fprint(w, eventText(n))
 	}
 	_ = http.NewResponseController(w).Flush()
 	s.leave()
 	select {
-	case <-s.stop:
+	case <-s.breakOff:
 	case <-r.Context().Done():
 	}
 	panic(http.ErrAbortHandler)
 }
 
 // leave has the source named a as leaving.
-func (s *story) leave() {
+func (s *moveScenario) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
@@ -50,8 +50,8 @@
 	s.changed = make(chan struct{})
 }
 
-// goOn makes the events after the one that the request names.
-func goOn(w http.ResponseWriter, r *http.Request) {
+// resumeFromCopy makes the events after the one that the request names.
+func resumeFromCopy(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Copy") == "" {
 		w.Header().Set("Refused", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -60,52 +60,52 @@
 	first := 1
 	_, _ = fmt.Sscan(r.Header.Get("Last-Event-Id"), &first)
 	for n := first + 1; n <= 6; n++ {
-		_, _ = fmt.Fprint(w, event(n))
+		_, _ = fmt.Fprint(w, eventText(n))
 	}
 }
 
-// tell opens the relay before a source a and destinations b and c.
-func tell(t *testing.T, reply func(s *story, order mgrelay.Order) mgmigration.Reply, others ...play) *story {
-	s := &story{
-		changed: make(chan struct{}),
-		stop:    make(chan struct{}),
+// newMoveScenario opens the relay before a source a and destinations b and c.
+func newMoveScenario(t *testing.T, reply func(s *moveScenario, order mgrelay.Order) mgmigration.Reply, others ...upstreamHandler) *moveScenario {
+	s := &moveScenario{
+		changed:  make(chan struct{}),
+		breakOff: make(chan struct{}),
 	}
-	s.rig = open(t, append([]play{s.source}, others...)...)
+	s.harness = newHarness(t, append([]upstreamHandler{s.source}, others...)...)
 	s.reply = func(order mgrelay.Order) mgmigration.Reply { return reply(s, order) }
 	return s
 }
 
 // An answer that may be resumed breaks off with its engine, without a notice.
 // The caller's own client would ask again from the start of its patience.
-func TestResumed(t *testing.T) {
+func TestInterruptedStreamNotResumed(t *testing.T) {
 	Convey("A stream that may be resumed goes on at another upstream", t, func() {
 		fromEvent := func(w http.ResponseWriter, r *http.Request) {
 			first := 0
 			_, _ = fmt.Sscan(r.Header.Get("Last-Event-Id"), &first)
 			for n := first + 1; n <= 6; n++ {
-				_, _ = fmt.Fprint(w, event(n))
+				_, _ = fmt.Fprint(w, eventText(n))
 			}
 		}
 		breakOff := func(w http.ResponseWriter, _ *http.Request) {
-			_, _ = fmt.Fprint(w, event(1), event(2), "id: 3\ndata: e")
+			_, _ = fmt.Fprint(w, eventText(1), eventText(2), "id: 3\ndata: e")
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}
-		g := open(t, breakOff, fromEvent)
-		got := g.ask(context.Background(), http.MethodPost, "/note/1", "x", nil)
+		g := newHarness(t, breakOff, fromEvent)
+		got := g.send(context.Background(), http.MethodPost, "/note/1", "x", nil)
 		So(got.cut, ShouldBeFalse)
-		So(got.body, ShouldEqual, whole())
+		So(got.body, ShouldEqual, wholeStream())
 		So(got.header.Get("Signature"), ShouldEqual, "signed by a")
 		Convey("but not more often than the route allows", func() {
-			g := open(t, breakOff, breakOff, fromEvent)
-			got := g.ask(context.Background(), http.MethodPost, "/note/1", "x", nil)
+			g := newHarness(t, breakOff, breakOff, fromEvent)
+			got := g.send(context.Background(), http.MethodPost, "/note/1", "x", nil)
 			So(got.cut, ShouldBeTrue)
-			So(len(g.runs()), ShouldEqual, 2)
+			So(len(g.requests()), ShouldEqual, 2)
 		})
 	})
 }
 
-func (s *story) spec(spec *mgrelay.Spec) {
+func (s *moveScenario) configure(spec *mgrelay.Spec) {
 	spec.Leaving = func(name string) bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -118,9 +118,9 @@
 	}
 	spec.Every = func(string) []mgrelay.Host {
 		if spec.Leaving("a") {
-			return s.rig.hosts[1:]
+			return s.harness.hosts[1:]
 		}
-		return s.rig.hosts
+		return s.harness.hosts
 	}
 	spec.Move = func(_ context.Context, _ mgrelay.Host, order mgrelay.Order) mgmigration.Reply {
 		s.mu.Lock()
@@ -130,10 +130,10 @@
 	}
 }
 
-func whole() string {
+func wholeStream() string {
 	var all strings.Builder
 	for n := 1; n <= 6; n++ {
-		all.WriteString(event(n))
+		all.WriteString(eventText(n))
 	}
 	return all.String()
 }
@@ -142,29 +142,29 @@
 // woven into one: the engine that had taken it over was gone when the entry
 // went there, nothing had been sent to it, and the entry took that for a
 // request that had never run.
-func TestCopyGone(t *testing.T) {
+func TestGenerationRestartsAfterCopyLost(t *testing.T) {
 	Convey("A generation whose copy can't be reached ends visibly", t, func() {
-		s := tell(t, func(s *story, order mgrelay.Order) mgmigration.Reply {
+		s := newMoveScenario(t, func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 			if order.Last {
-				close(s.stop)
+				close(s.breakOff)
 				return mgmigration.Reply{Outcome: mgmigration.Lost}
 			}
 			return mgmigration.Reply{
 				Outcome: mgmigration.Copied,
 				Handle:  "h",
 			}
-		}, say("never reached"), func(w http.ResponseWriter, _ *http.Request) {
+		}, answerWith("never reached"), func(w http.ResponseWriter, _ *http.Request) {
 			for n := 1; n <= 6; n++ {
-				_, _ = fmt.Fprint(w, event(n))
+				_, _ = fmt.Fprint(w, eventText(n))
 			}
 		})
-		s.rig.hosts[1].Addr = "127.0.0.1:1"
-		s.rig.with(s.spec)
-		got := s.rig.ask(context.Background(), http.MethodPost, "/write/1", "x", nil)
+		s.harness.hosts[1].Addr = "127.0.0.1:1"
+		s.harness.restart(s.configure)
+		got := s.harness.send(context.Background(), http.MethodPost, "/write/1", "x", nil)
 		So(got.cut, ShouldBeTrue)
-		So(strings.HasPrefix(whole(), got.body), ShouldBeTrue)
-		for _, run := range s.rig.runs()[1:] {
-			So(run.header.Get("Copy"), ShouldNotBeEmpty)
+		So(strings.HasPrefix(wholeStream(), got.body), ShouldBeTrue)
+		for _, request := range s.harness.requests()[1:] {
+			So(request.header.Get("Copy"), ShouldNotBeEmpty)
 		}
 	})
 }
@@ -172,38 +172,38 @@
 // An engine is reclaimed two seconds after its notice, and a gauger's report of
 // seven seconds is cut in its middle; or it goes on elsewhere with events
 // missing or repeated, because one step of its move failed.
-func TestMoved(t *testing.T) {
+func TestMovedGenerationCutOrGarbled(t *testing.T) {
 	copied := func(handle string) mgmigration.Reply {
 		return mgmigration.Reply{
 			Outcome: mgmigration.Copied,
 			Handle:  handle,
 		}
 	}
-	stopped := func(s *story, reply mgmigration.Reply) mgmigration.Reply {
-		close(s.stop)
+	stopped := func(s *moveScenario, reply mgmigration.Reply) mgmigration.Reply {
+		close(s.breakOff)
 		return reply
 	}
 	cases := []struct {
 		name   string
-		reply  func(s *story, order mgrelay.Order) mgmigration.Reply
-		others []play
+		reply  func(s *moveScenario, order mgrelay.Order) mgmigration.Reply
+		others []upstreamHandler
 		whole  bool
 	}{
 		{
 			name: "every step goes well",
-			reply: func(s *story, order mgrelay.Order) mgmigration.Reply {
+			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 				if !order.Last {
 					return copied("h1")
 				}
 				return stopped(s, copied("h2"))
 			},
-			others: []play{goOn},
+			others: []upstreamHandler{resumeFromCopy},
 			whole:  true,
 		},
 		{
 			name: "the first destination has no room",
-			reply: func(s *story, order mgrelay.Order) mgmigration.Reply {
-				if order.To == s.rig.hosts[1].Addr {
+			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
+				if order.To == s.harness.hosts[1].Addr {
 					return mgmigration.Reply{Outcome: mgmigration.NoRoom}
 				}
 				if !order.Last {
@@ -211,7 +211,7 @@
 				}
 				return stopped(s, copied("h2"))
 			},
-			others: []play{hangUp, goOn},
+			others: []upstreamHandler{hangUp, resumeFromCopy},
 			whole:  true,
 		},
 		{
@@ -219,7 +219,7 @@
 			// ms, and one of them has room a moment later. A mover that gives up
 			// after three refusals lets the answer be cut a second later.
 			name: "nobody has room at first",
-			reply: func(s *story, order mgrelay.Order) mgmigration.Reply {
+			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 				s.mu.Lock()
 				asked := len(s.orders)
 				s.mu.Unlock()
@@ -231,69 +231,69 @@
 				}
 				return stopped(s, copied("h2"))
 			},
-			others: []play{goOn},
+			others: []upstreamHandler{resumeFromCopy},
 			whole:  true,
 		},
 		{
 			name: "the answer to the stop is lost",
-			reply: func(s *story, order mgrelay.Order) mgmigration.Reply {
+			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 				if !order.Last {
 					return copied("h1")
 				}
 				return stopped(s, mgmigration.Reply{Outcome: mgmigration.Lost})
 			},
-			others: []play{goOn},
+			others: []upstreamHandler{resumeFromCopy},
 			whole:  true,
 		},
 		{
 			name: "the engine dies before the stop",
-			reply: func(s *story, order mgrelay.Order) mgmigration.Reply {
+			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 				if !order.Last {
-					defer close(s.stop)
+					defer close(s.breakOff)
 					return copied("h1")
 				}
 				return mgmigration.Reply{Outcome: mgmigration.Lost}
 			},
-			others: []play{goOn},
+			others: []upstreamHandler{resumeFromCopy},
 			whole:  true,
 		},
 		{
 			name: "nobody has room: the stream ends visibly with its engine",
-			reply: func(s *story, order mgrelay.Order) mgmigration.Reply {
+			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				if len(s.orders) == 1 {
-					close(s.stop)
+					close(s.breakOff)
 				}
 				return mgmigration.Reply{Outcome: mgmigration.NoRoom}
 			},
-			others: []play{goOn},
+			others: []upstreamHandler{resumeFromCopy},
 		},
 		{
 			name: "the destination refuses the copy",
-			reply: func(s *story, order mgrelay.Order) mgmigration.Reply {
+			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 				if !order.Last {
 					return copied("h1")
 				}
 				return stopped(s, copied("h2"))
 			},
-			others: []play{decline(http.StatusServiceUnavailable)},
+			others: []upstreamHandler{refuseWith(http.StatusServiceUnavailable)},
 		},
 	}
 	Convey("A generation whose engine leaves, when", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				s := tell(t, c.reply, c.others...)
-				s.rig.with(s.spec)
-				got := s.rig.ask(context.Background(), http.MethodPost, "/write/1", "x", nil)
+				s := newMoveScenario(t, c.reply, c.others...)
+				s.harness.restart(s.configure)
+				got := s.harness.send(context.Background(), http.MethodPost, "/write/1", "x", nil)
 				So(got.status, ShouldEqual, http.StatusOK)
 				So(got.header.Get("Signature"), ShouldEqual, "signed by a")
 				So(!got.cut, ShouldEqual, c.whole)
 				if c.whole {
-					So(got.body, ShouldEqual, whole())
+					So(got.body, ShouldEqual, wholeStream())
 					return
 				}
-				So(strings.HasPrefix(whole(), got.body), ShouldBeTrue)
+				So(strings.HasPrefix(wholeStream(), got.body), ShouldBeTrue)
 			})
 		}
 	})
--- a/internal/process/mgrelay/wait.go
+++ b/internal/process/mgrelay/placement.go
@@ -11,44 +11,44 @@
 )
 
 const (
-	// patience is how many times a generation's goal it waits for a place at most:
+	// maxWaitGoals is how many times a generation's goal it waits for a place at most:
 	// its caller leaves after four times the goal, and one that is told so before
 	// can come back.
-	patience = 3
-	// firstSlack is the time from a request's place to its first event beside the
+	maxWaitGoals = 3
+	// firstEventSlack is the time from a request's place to its first event beside the
 	// reading of its prompt: the ways, a step, and prompts that are read before.
-	firstSlack = 100 * mgclock.Millis(1)
+	firstEventSlack = 100 * mgclock.Millis(1)
 )
 
-// admit asks for the place of a generation's first attempt, which waits there
+// awaitPlacement asks for the place of a generation's first attempt, which waits there
 // while no upstream has memory for it, or is given up. It returns false for other
 // requests, and where nobody could be asked.
-func (y *Relay) admit(ctx context.Context, x *exchange) (host Host, settled bool) {
-	if y.spec.Place == nil || x.attempts+x.dials > 0 || x.call.Route.Kind() != mgtable.Stream || x.size.prompt == 0 {
+func (y *Relay) awaitPlacement(ctx context.Context, x *exchange) (host Host, decided bool) {
+	if y.spec.Place == nil || x.attempts+x.failedDials > 0 || x.call.Route.Kind() != mgtable.Stream || x.size.prompt == 0 {
 		return Host{}, false
 	}
 	hosts := y.spec.Every(x.service)
-	if capacity(x.call.Table, x.service) == 0 || len(hosts) == 0 || x.homes.bind(hosts) {
+	if upstreamCapacity(x.call.Table, x.service) == 0 || len(hosts) == 0 || x.homes.excludesAny(hosts) {
 		// Who gives places doesn't know of homes and would give what can't be used.
 		return Host{}, false
 	}
-	if _, all := y.restLeft(x); all {
-		x.problem = y.crowded(x)
+	if _, all := y.backoffLeft(x); all {
+		x.problem = y.noCapacityProblem(x)
 		return Host{}, true
 	}
-	began := y.spec.Clock.Now()
-	grant, ok := y.spec.Place(ctx, x.service, x.wait(y.spec.Clock.Now()))
-	y.spec.Metrics.Histogram("relay.wait.ms").Update(int64(y.spec.Clock.Now() - began))
+	startedAt := y.spec.Clock.Now()
+	grant, ok := y.spec.Place(ctx, x.service, x.waitingRequest(y.spec.Clock.Now()))
+	y.spec.Metrics.Histogram("relay.wait.ms").Update(int64(y.spec.Clock.Now() - startedAt))
 	if !ok {
 		return Host{}, false
 	}
 	for _, host := range y.spec.Every(x.service) { // as it is after the wait
 		if host.Name == grant.Place {
 			// Who gives places doesn't know of rests that others were asked for.
-			if !y.takes(x, host) {
+			if !y.beginAttempt(x, host) {
 				return Host{}, false
 			}
-			if !y.permitted(ctx, x, host) {
+			if !y.takePermit(ctx, x, host) {
 				x.endAttempt(false)
 				return Host{}, false
 			}
@@ -63,12 +63,12 @@
 	return Host{}, false
 }
 
-// wait describes a request that waits for a place.
-func (x *exchange) wait(now mgclock.Millis) mgroom.Wait {
-	read := mgclock.Millis(float64(x.size.prompt)/mgload.ReadRate) + firstSlack
-	end := x.began + patience*x.call.Route.Goal()
+// waitingRequest describes a request that waits for a place.
+func (x *exchange) waitingRequest(now mgclock.Millis) mgroom.Wait {
+	promptTime := mgclock.Millis(float64(x.size.prompt)/mgload.ReadRate) + firstEventSlack
+	end := x.startedAt + maxWaitGoals*x.call.Route.Goal()
 	if x.call.Route.Goal() == 0 {
-		end = x.began + x.limit
+		end = x.startedAt + x.timeout
 	}
 	account := ""
 	if x.call.Account != nil {
@@ -79,9 +79,9 @@
 		Account: account,
 		Need:    x.size.memory(),
 		Made:    x.size.output,
-		Span:    read + tokenSpan*mgclock.Millis(x.size.output),
-		Due:     x.began + x.call.Route.Goal() - read,
-		Came:    x.began,
+		Span:    promptTime + msPerToken*mgclock.Millis(x.size.output),
+		Due:     x.startedAt + x.call.Route.Goal() - promptTime,
+		Came:    x.startedAt,
 		End:     end,
 	}
 }
--- a/internal/process/mgrelay/relay.go
+++ b/internal/process/mgrelay/relay.go
@@ -104,17 +104,17 @@
 
 // A Relay passes requests through. Make one with New.
 type Relay struct {
-	spec       Spec
-	exchanges  exchanges
-	runs       runs
-	turns      mgwarm.Turns
-	rests      mgrest.Rests
-	waits      mglimit.Waits
-	permits    mglimit.Permits // where nobody else gives any
-	rejections rejections
-	count      atomic.Uint64 // ordinary answers
-	// outage is when the platform was away last, ms of the clock; 0 for never.
-	outage atomic.Int64
+	spec         Spec
+	exchanges    exchanges
+	generations  generations
+	coldTurns    mgwarm.Turns
+	backoffs     mgrest.Rests
+	permitWaits  mglimit.Waits
+	localPermits mglimit.Permits // where nobody else gives any
+	rejections   rejections
+	answerCount  atomic.Uint64 // ordinary answers
+	// lastOutageAt is when the platform was away last, ms of the clock; 0 for never.
+	lastOutageAt atomic.Int64
 }
 
 // New returns a relay.
@@ -129,7 +129,7 @@
 		spec: spec,
 	}
 	if spec.Permit == nil {
-		y.spec.Permit = y.permitAlone
+		y.spec.Permit = y.takeLocalPermit
 	}
 	return y
 }
@@ -142,46 +142,46 @@
 }
 
 // maxDials bounds the upstreams that a request tries to connect to, and
-// dialPart the part of its time that it spends so. Nothing was sent to those
+// dialTimeDivisor the part of its time that it spends so. Nothing was sent to those
 // that could not be reached, so they are no attempts. An entry that was cut off
 // for twelve seconds has a list of which half may be gone.
 const (
-	maxDials = 8
-	dialPart = 4
+	maxDials        = 8
+	dialTimeDivisor = 4
 )
 
 // Serve answers a request.
 func (y *Relay) Serve(w http.ResponseWriter, r *http.Request, call Call) {
-	began := y.spec.Clock.Now()
-	x, problem := y.read(w, r, call, began)
+	startedAt := y.spec.Clock.Now()
+	x, problem := y.newExchange(w, r, call, startedAt)
 	if problem != nil {
 		y.refuse(w, x, problem)
 		return
 	}
 	if y.spec.Left != nil {
-		if left, stopping := y.spec.Left(); stopping && x.expected() > left {
+		if left, stopping := y.spec.Left(); stopping && x.expectedDuration() > left {
 			y.refuse(w, x, mgproblem.New(mgproblem.Leaving, mgproblem.NotRun,
-				"this entry ends before the answer would", "send the request again on a new connection").WithRetry(comeBack))
+				"this entry ends before the answer would", "send the request again on a new connection").WithRetry(retryDelay))
 			return
 		}
 	}
-	ctx, drop := context.WithCancelCause(r.Context())
-	defer drop(nil)
-	ctx, cancel := context.WithTimeout(ctx, x.limit.Duration())
+	ctx, cancelCause := context.WithCancelCause(r.Context())
+	defer cancelCause(nil)
+	ctx, cancel := context.WithTimeout(ctx, x.timeout.Duration())
 	defer cancel()
-	y.exchanges.add(x, drop)
+	y.exchanges.add(x, cancelCause)
 	defer y.exchanges.remove(x)
-	x.guardWrites()
+	x.setWriteDeadline()
 	y.serve(ctx, w, x)
 }
 
 // serve sends a request until an answer can be delivered.
 func (y *Relay) serve(ctx context.Context, w http.ResponseWriter, x *exchange) {
 	for {
-		if y.endHeld(w, x) {
+		if y.endIfHeld(w, x) {
 			return
 		}
-		host, ok := y.next(ctx, x)
+		host, ok := y.nextHost(ctx, x)
 		if ctx.Err() != nil {
 			y.expire(ctx, w, x)
 			return
@@ -190,73 +190,73 @@
 			y.giveUp(w, x)
 			return
 		}
-		end := y.attempt(ctx, w, x, host)
-		if end == delivered {
+		outcome := y.attempt(ctx, w, x, host)
+		if outcome == delivered {
 			return
 		}
 		if ctx.Err() != nil {
 			y.expire(ctx, w, x)
 			return
 		}
-		if y.carryOn(x) {
+		if y.prepareResume(x) {
 			continue
 		}
-		if !y.again(x, end) {
+		if !y.mayRetry(x, outcome) {
 			y.giveUp(w, x)
 			return
 		}
 	}
 }
 
-// next returns the upstream that has a copy to go on from, the one with memory
+// nextHost returns the upstream that has a copy to go on from, the one with memory
 // for a request that waited, or the best that was not tried.
-func (y *Relay) next(ctx context.Context, x *exchange) (Host, bool) {
-	if x.from.copy != "" {
-		y.takes(x, x.from.host) // only there is the copy
-		y.countForced(ctx, x, x.from.host)
-		return x.from.host, true
+func (y *Relay) nextHost(ctx context.Context, x *exchange) (Host, bool) {
+	if x.resumeFrom.copyRef != "" {
+		y.beginAttempt(x, x.resumeFrom.host) // only there is the copy
+		y.takeForcedPermit(ctx, x, x.resumeFrom.host)
+		return x.resumeFrom.host, true
 	}
-	if host, settled := y.admit(ctx, x); settled {
+	if host, settled := y.awaitPlacement(ctx, x); settled {
 		return host, x.problem == nil
 	}
-	for _, spot := range y.spots(x, mgload.Query{Zone: y.spec.Zone}) {
-		if x.tried[spot.host.Name] {
+	for _, c := range y.candidates(x, mgload.Query{Zone: y.spec.Zone}) {
+		if x.tried[c.host.Name] {
 			continue
 		}
-		if !y.takes(x, spot.host) {
+		if !y.beginAttempt(x, c.host) {
 			continue
 		}
-		warm := !spot.host.Cold || y.warmTurn(x, spot.host)
-		if warm && y.permitted(ctx, x, spot.host) {
-			return spot.host, true
+		warm := !c.host.Cold || y.takeColdTurn(x, c.host)
+		if warm && y.takePermit(ctx, x, c.host) {
+			return c.host, true
 		}
 		x.endAttempt(false)
-		x.cold = x.cold || !warm
+		x.skippedCold = x.skippedCold || !warm
 	}
 	return Host{}, false
 }
 
-// warmTurn reports whether a request may be sent to a cold upstream without a place.
-func (y *Relay) warmTurn(x *exchange, host Host) bool {
+// takeColdTurn reports whether a request may be sent to a cold upstream without a place.
+func (y *Relay) takeColdTurn(x *exchange, host Host) bool {
 	service := x.call.Table.Service(x.service)
 	if service == nil || service.Ramp() == 0 || y.spec.Processes == nil {
 		return true
 	}
-	return y.turns.Take(y.spec.Clock.Now(), y.spec.Name, host.Name, service.Ramp(), y.spec.Processes())
+	return y.coldTurns.Take(y.spec.Clock.Now(), y.spec.Name, host.Name, service.Ramp(), y.spec.Processes())
 }
 
-// again reports whether a request may go to another upstream after an attempt
+// mayRetry reports whether a request may go to another upstream after an attempt
 // that ended so.
-func (y *Relay) again(x *exchange, end ending) bool {
-	if x.ran && !x.call.Route.Repeatable() {
+func (y *Relay) mayRetry(x *exchange, outcome attemptOutcome) bool {
+	if x.mayHaveRun && !x.call.Route.Repeatable() {
 		return false
 	}
-	if x.broken && y.dangerous(x) {
+	if x.attemptBroken && y.mayCrashAnother(x) {
 		y.spec.Metrics.Counter("relay.dangerous").Inc(1)
 		return false
 	}
-	if end == unreached {
-		return x.dials < maxDials && y.waited(x) < x.limit/dialPart
+	if outcome == notConnected {
+		return x.failedDials < maxDials && y.elapsed(x) < x.timeout/dialTimeDivisor
 	}
 	if x.attempts >= x.call.Route.Attempts() {
 		return false
@@ -274,56 +274,56 @@
 	return route.Pick(xxhash.Sum64String(id))
 }
 
-// crowded is told when no upstream can take a request now.
-func (y *Relay) crowded(x *exchange) *mgproblem.Problem {
+// noCapacityProblem is told when no upstream can take a request now.
+func (y *Relay) noCapacityProblem(x *exchange) *mgproblem.Problem {
 	if y.spec.Closed != nil && y.spec.Closed(x.service) {
 		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
 			"all availability zones with upstreams of the service are cordoned",
-			"send it again after the time given").WithRetry(comeBackClosed)
+			"send it again after the time given").WithRetry(retryDelayCordoned)
 	}
-	if left, all := y.restLeft(x); all {
+	if left, all := y.backoffLeft(x); all {
 		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
 			"all upstreams of the service asked for a rest", "send it again after the time given").WithRetry(left)
 	}
-	if left, all := y.awayLeft(x); all {
+	if left, all := y.unavailableFor(x); all {
 		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
 			"all upstreams of the service have as many requests as they take", "send it again after the time given").
-			WithRetry(y.spreadReturn(x, left))
+			WithRetry(y.spreadRetryDelay(x, left))
 	}
 	hosts := y.spec.Every(x.service)
-	if len(hosts) > 0 && x.homes.shut(hosts) {
+	if len(hosts) > 0 && x.homes.excludesAll(hosts) {
 		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
 			"no upstream of the service is in a region where the request may run",
-			"send it again after the time given").WithRetry(comeBackClosed)
+			"send it again after the time given").WithRetry(retryDelayCordoned)
 	}
-	if x.cold {
-		span := comeBack
+	if x.skippedCold {
+		delay := retryDelay
 		if service := x.call.Table.Service(x.service); service != nil {
-			span = max(span, service.Cold())
+			delay = max(delay, service.Cold())
 		}
 		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
 			"the upstreams of the service have just started and bear no more requests now",
-			"send it again after the time given").WithRetry(span)
+			"send it again after the time given").WithRetry(delay)
 	}
 	if len(hosts) == 0 {
 		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-			"no upstream of the service is known now", "send it again after the time given").WithRetry(comeBackNone)
+			"no upstream of the service is known now", "send it again after the time given").WithRetry(retryDelayNoUpstream)
 	}
 	return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-		"no upstream can take the request now", "send it again after the time given").WithRetry(comeBack)
+		"no upstream can take the request now", "send it again after the time given").WithRetry(retryDelay)
 }
 
-// comeBackNone is how long a caller should wait while no upstream is known: most
+// retryDelayNoUpstream is how long a caller should wait while no upstream is known: most
 // callers come back once, and the platform says that upstreams are listed again
 // within two seconds of an outage's end. On the one day that had it they were
 // after 0.2 to 0.35 s.
-const comeBackNone = mgclock.Second
+const retryDelayNoUpstream = mgclock.Second
 
-// comeBackClosed is how long a caller should wait while operators keep every upstream
+// retryDelayCordoned is how long a caller should wait while operators keep every upstream
 // from new work, which they do for minutes and take back at any moment: callers shorten
 // it to a part of the time that they have.
-const comeBackClosed = 5 * mgclock.Second
+const retryDelayCordoned = 5 * mgclock.Second
 
-// comeBack is how long a caller that was turned away should wait: long enough
+// retryDelay is how long a caller that was turned away should wait: long enough
 // for another entry's view to be newer, short against the deadline of a lookup.
-const comeBack = 100 * mgclock.Millis(1)
+const retryDelay = 100 * mgclock.Millis(1)
--- a/internal/process/mgrelay/relay_test.go
+++ b/internal/process/mgrelay/relay_test.go
@@ -15,7 +15,7 @@
 
 // A call whose path, query or body changed on the way is another call: the
 // service books what nobody asked for.
-func TestUnchanged(t *testing.T) {
+func TestRequestAlteredOnTheWay(t *testing.T) {
 	targets := []string{
 		"/book/2f",
 		"/book/a%2Fb%20c?x=1&x=2&y=%C3%A9",
@@ -24,10 +24,10 @@
 		"/book/;v=1?q=a+b",
 	}
 	Convey("An upstream gets what the caller sent", t, func() {
-		g := open(t, say("booked"))
+		g := newHarness(t, answerWith("booked"))
 		for _, target := range targets {
 			Convey(target, func() {
-				got := g.ask(context.Background(), http.MethodPost, target, `{"barrels":1}`, http.Header{
+				got := g.send(context.Background(), http.MethodPost, target, `{"barrels":1}`, http.Header{
 					"X-Own":         {"one", "two"},
 					"Account":       {"another"},
 					"Upstream":      {"another"},
@@ -38,19 +38,19 @@
 				So(got.status, ShouldEqual, http.StatusOK)
 				So(got.body, ShouldEqual, "booked")
 				So(got.header.Get("Signature"), ShouldEqual, "signed by a")
-				runs := g.runs()
-				run := runs[len(runs)-1]
-				So(run.method, ShouldEqual, http.MethodPost)
-				So(run.target, ShouldEqual, target)
-				So(run.body, ShouldEqual, `{"barrels":1}`)
-				So(run.header["X-Own"], ShouldResemble, []string{"one", "two"})
-				So(run.header.Get("Request-Id"), ShouldEqual, "request-1")
-				So(run.header.Get("Account"), ShouldEqual, "tankline")
-				So(run.header.Get("Upstream"), ShouldEqual, "a")
-				So(run.header.Get("Last-Event-Id"), ShouldEqual, "4")
-				So(run.header, ShouldNotContainKey, "Authorization")
-				So(run.header, ShouldNotContainKey, "X-Hop")
-				So(run.header, ShouldNotContainKey, "User-Agent")
+				requests := g.requests()
+				request := requests[len(requests)-1]
+				So(request.method, ShouldEqual, http.MethodPost)
+				So(request.target, ShouldEqual, target)
+				So(request.body, ShouldEqual, `{"barrels":1}`)
+				So(request.header["X-Own"], ShouldResemble, []string{"one", "two"})
+				So(request.header.Get("Request-Id"), ShouldEqual, "request-1")
+				So(request.header.Get("Account"), ShouldEqual, "tankline")
+				So(request.header.Get("Upstream"), ShouldEqual, "a")
+				So(request.header.Get("Last-Event-Id"), ShouldEqual, "4")
+				So(request.header, ShouldNotContainKey, "Authorization")
+				So(request.header, ShouldNotContainKey, "X-Hop")
+				So(request.header, ShouldNotContainKey, "User-Agent")
 			})
 		}
 	})
@@ -59,32 +59,32 @@
 // An engine works for seconds on an answer that nobody waits for any more: it
 // was told the caller's whole deadline again, or nobody told it that the caller
 // had left.
-func TestTimeLeft(t *testing.T) {
+func TestUpstreamWorksPastDeadline(t *testing.T) {
 	Convey("An upstream learns what is left of the deadline", t, func() {
-		g := open(t, say("a"))
-		got := g.ask(context.Background(), http.MethodPost, "/look/1", "", http.Header{
+		g := newHarness(t, answerWith("a"))
+		got := g.send(context.Background(), http.MethodPost, "/look/1", "", http.Header{
 			"Deadline": {"900"},
 		})
 		So(got.status, ShouldEqual, http.StatusOK)
-		left, err := strconv.Atoi(g.runs()[0].header.Get("Deadline"))
+		left, err := strconv.Atoi(g.requests()[0].header.Get("Deadline"))
 		So(err, ShouldBeNil)
 		So(left, ShouldBeBetweenOrEqual, 1, 900)
 	})
 	Convey("The route's timeout is the longest", t, func() {
-		g := open(t, say("a"))
-		g.ask(context.Background(), http.MethodPost, "/look/1", "", http.Header{
+		g := newHarness(t, answerWith("a"))
+		g.send(context.Background(), http.MethodPost, "/look/1", "", http.Header{
 			"Deadline": {"60000"},
 		})
-		left, _ := strconv.Atoi(g.runs()[0].header.Get("Deadline"))
+		left, _ := strconv.Atoi(g.requests()[0].header.Get("Deadline"))
 		So(left, ShouldBeBetweenOrEqual, 1, 5000)
 	})
 	Convey("A request that is over is answered, and says that it may have run", t, func() {
 		released := make(chan struct{})
-		g := open(t, func(_ http.ResponseWriter, r *http.Request) {
+		g := newHarness(t, func(_ http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
 			close(released)
 		})
-		got := g.ask(context.Background(), http.MethodPost, "/book/1", "x", http.Header{
+		got := g.send(context.Background(), http.MethodPost, "/book/1", "x", http.Header{
 			"Deadline": {"50"},
 		})
 		So(got.status, ShouldEqual, http.StatusGatewayTimeout)
@@ -93,7 +93,7 @@
 	Convey("A caller that leaves ends its upstream's work", t, func() {
 		began := make(chan struct{})
 		released := make(chan struct{})
-		g := open(t, func(_ http.ResponseWriter, r *http.Request) {
+		g := newHarness(t, func(_ http.ResponseWriter, r *http.Request) {
 			close(began)
 			<-r.Context().Done()
 			close(released)
@@ -103,27 +103,27 @@
 			<-began
 			leave()
 		}()
-		g.ask(ctx, http.MethodPost, "/write/1", "x", nil)
+		g.send(ctx, http.MethodPost, "/write/1", "x", nil)
 		<-released
 	})
 }
 
 // A deadline that can't be read must not become "wait for ever".
-func TestOddRequests(t *testing.T) {
+func TestUnreadableDeadlineIgnored(t *testing.T) {
 	Convey("A request that can't be understood does not run", t, func() {
-		g := open(t, say("a"))
-		got := g.ask(context.Background(), http.MethodPost, "/book/1", "x", http.Header{
+		g := newHarness(t, answerWith("a"))
+		got := g.send(context.Background(), http.MethodPost, "/book/1", "x", http.Header{
 			"Deadline": {"soon"},
 		})
 		So(got.status, ShouldEqual, http.StatusBadRequest)
 		So(strings.Contains(got.body, "deadline"), ShouldBeTrue)
-		So(g.runs(), ShouldBeEmpty)
+		So(g.requests(), ShouldBeEmpty)
 	})
 }
 
 // An entry that stops within eight seconds takes a report of nine, and cuts it;
 // or it turns away a lookup that it could have answered a hundred times over.
-func TestStopping(t *testing.T) {
+func TestStoppingEntryTakesLongRequest(t *testing.T) {
 	cases := []struct {
 		name   string
 		path   string
@@ -161,16 +161,16 @@
 	Convey("While the entry stops", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				g := open(t, say("id: 1\n\n"))
-				g.with(func(spec *mgrelay.Spec) {
+				g := newHarness(t, answerWith("id: 1\n\n"))
+				g.restart(func(spec *mgrelay.Spec) {
 					spec.Left = func() (mgclock.Millis, bool) { return c.left, true }
 				})
-				got := g.ask(context.Background(), http.MethodPost, c.path, "x", http.Header{
+				got := g.send(context.Background(), http.MethodPost, c.path, "x", http.Header{
 					"Tokens": {c.tokens},
 					"Hint":   {strings.TrimPrefix(c.tokens, "3000,")},
 				})
 				So(got.status, ShouldEqual, c.status)
-				So(len(g.runs()) > 0, ShouldEqual, c.status == http.StatusOK)
+				So(len(g.requests()) > 0, ShouldEqual, c.status == http.StatusOK)
 			})
 		}
 	})
--- a/internal/process/mgrelay/resend_test.go
+++ b/internal/process/mgrelay/resend_test.go
@@ -13,94 +13,94 @@
 // A write is booked, its answer is lost, and the entry sends it to the next
 // host of the service: two barrels where one moved. Or the caller is told "not
 // run" although it ran, and sends it again itself.
-func TestSentAgain(t *testing.T) {
+func TestRequestRunsTwice(t *testing.T) {
 	cases := []struct {
-		name   string
-		path   string
-		plays  []play
-		runs   int
-		status int
-		cut    bool
-		retry  bool
+		name     string
+		path     string
+		handlers []upstreamHandler
+		requests int
+		status   int
+		cut      bool
+		retry    bool
 	}{
 		{
-			name:   "a write whose answer is lost is not repeated",
-			path:   "/book/1",
-			plays:  []play{hangUp, say("b")},
-			runs:   1,
-			status: http.StatusBadGateway,
+			name:     "a write whose answer is lost is not repeated",
+			path:     "/book/1",
+			handlers: []upstreamHandler{hangUp, answerWith("b")},
+			requests: 1,
+			status:   http.StatusBadGateway,
 		},
 		{
-			name:   "a write that failed at its host is not repeated",
-			path:   "/book/1",
-			plays:  []play{fail, say("b")},
-			runs:   1,
-			status: http.StatusInternalServerError,
+			name:     "a write that failed at its host is not repeated",
+			path:     "/book/1",
+			handlers: []upstreamHandler{failInternally, answerWith("b")},
+			requests: 1,
+			status:   http.StatusInternalServerError,
 		},
 		{
-			name:   "a write that a host refused goes to the next",
-			path:   "/book/1",
-			plays:  []play{decline(http.StatusServiceUnavailable), say("b")},
-			runs:   2,
-			status: http.StatusOK,
+			name:     "a write that a host refused goes to the next",
+			path:     "/book/1",
+			handlers: []upstreamHandler{refuseWith(http.StatusServiceUnavailable), answerWith("b")},
+			requests: 2,
+			status:   http.StatusOK,
 		},
 		{
-			name:   "a write that met another host at the address goes to the next",
-			path:   "/book/1",
-			plays:  []play{decline(http.StatusMisdirectedRequest), say("b")},
-			runs:   2,
-			status: http.StatusOK,
+			name:     "a write that met another host at the address goes to the next",
+			path:     "/book/1",
+			handlers: []upstreamHandler{refuseWith(http.StatusMisdirectedRequest), answerWith("b")},
+			requests: 2,
+			status:   http.StatusOK,
 		},
 		{
-			name:   "a write that may go to one host only is refused with a time to come back",
-			path:   "/once/1",
-			plays:  []play{decline(http.StatusServiceUnavailable), say("b")},
-			runs:   1,
-			status: http.StatusServiceUnavailable,
-			retry:  true,
+			name:     "a write that may go to one host only is refused with a time to come back",
+			path:     "/once/1",
+			handlers: []upstreamHandler{refuseWith(http.StatusServiceUnavailable), answerWith("b")},
+			requests: 1,
+			status:   http.StatusServiceUnavailable,
+			retry:    true,
 		},
 		{
-			name:   "a host's own 503 without its word is no promise",
-			path:   "/book/1",
-			plays:  []play{func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, say("b")},
-			runs:   1,
-			status: http.StatusBadGateway,
+			name:     "a host's own 503 without its word is no promise",
+			path:     "/book/1",
+			handlers: []upstreamHandler{func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, answerWith("b")},
+			requests: 1,
+			status:   http.StatusBadGateway,
 		},
 		{
-			name:   "a lookup whose answer is lost is repeated",
-			path:   "/look/1",
-			plays:  []play{hangUp, say("b")},
-			runs:   2,
-			status: http.StatusOK,
+			name:     "a lookup whose answer is lost is repeated",
+			path:     "/look/1",
+			handlers: []upstreamHandler{hangUp, answerWith("b")},
+			requests: 2,
+			status:   http.StatusOK,
 		},
 		{
-			name:   "a lookup that failed is repeated once",
-			path:   "/look/1",
-			plays:  []play{fail, fail, say("c")},
-			runs:   2,
-			status: http.StatusInternalServerError,
+			name:     "a lookup that failed is repeated once",
+			path:     "/look/1",
+			handlers: []upstreamHandler{failInternally, failInternally, answerWith("c")},
+			requests: 2,
+			status:   http.StatusInternalServerError,
 		},
 		{
-			name:   "a lookup that failed and was then refused has run",
-			path:   "/look/1",
-			plays:  []play{hangUp, decline(http.StatusServiceUnavailable)},
-			runs:   2,
-			status: http.StatusBadGateway,
+			name:     "a lookup that failed and was then refused has run",
+			path:     "/look/1",
+			handlers: []upstreamHandler{hangUp, refuseWith(http.StatusServiceUnavailable)},
+			requests: 2,
+			status:   http.StatusBadGateway,
 		},
 		{
-			name:   "a lookup whose answer breaks off is repeated",
-			path:   "/look/1",
-			plays:  []play{raw("HTTP/1.1 200 OK\r\nRequest-Id: request-1\r\nSignature: s\r\nContent-Length: 9\r\n\r\nhal"), say("b")},
-			runs:   2,
-			status: http.StatusOK,
+			name:     "a lookup whose answer breaks off is repeated",
+			path:     "/look/1",
+			handlers: []upstreamHandler{rawBytes("HTTP/1.1 200 OK\r\nRequest-Id: request-1\r\nSignature: s\r\nContent-Length: 9\r\n\r\nhal"), answerWith("b")},
+			requests: 2,
+			status:   http.StatusOK,
 		},
 	}
 	Convey("Who is sent a request after a failure", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				g := open(t, c.plays...)
-				got := g.ask(context.Background(), http.MethodPost, c.path, "x", nil)
-				So(len(g.runs()), ShouldEqual, c.runs)
+				g := newHarness(t, c.handlers...)
+				got := g.send(context.Background(), http.MethodPost, c.path, "x", nil)
+				So(len(g.requests()), ShouldEqual, c.requests)
 				So(got.status, ShouldEqual, c.status)
 				So(got.header.Get("Retry-After") != "", ShouldEqual, c.retry)
 			})
@@ -110,29 +110,29 @@
 
 // The host of a service crashed and its address refuses connections. Nothing
 // was sent, so that even a write may go to the next host.
-func TestUnreached(t *testing.T) {
+func TestFailedDialCountsAsAttempt(t *testing.T) {
 	Convey("A host that can't be reached costs no attempt", t, func() {
-		g := open(t, say("a"))
+		g := newHarness(t, answerWith("a"))
 		g.hosts = append(g.hosts[:0:0], g.hosts[0], g.hosts[0])
 		g.hosts[0].Addr = "127.0.0.1:1"
 		g.hosts[0].Name = "gone"
-		got := g.ask(context.Background(), http.MethodPost, "/once/1", "x", nil)
+		got := g.send(context.Background(), http.MethodPost, "/once/1", "x", nil)
 		So(got.status, ShouldEqual, http.StatusOK)
 		So(got.body, ShouldEqual, "a")
 	})
 	Convey("Where none can be reached the caller learns that it did not run", t, func() {
-		g := open(t, say("a"))
+		g := newHarness(t, answerWith("a"))
 		g.hosts[0].Addr = "127.0.0.1:1"
-		got := g.ask(context.Background(), http.MethodPost, "/once/1", "x", nil)
+		got := g.send(context.Background(), http.MethodPost, "/once/1", "x", nil)
 		So(got.status, ShouldEqual, http.StatusServiceUnavailable)
 		So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
 	})
 	Convey("Where none is known the caller comes back when there may be one", t, func() {
 		// Callers that are told a tenth of a second come back once, too early:
 		// entries that ran out are listed again within two seconds.
-		g := open(t)
-		g.with(func(spec *mgrelay.Spec) { spec.Form.Fractions = true })
-		got := g.ask(context.Background(), http.MethodPost, "/once/1", "x", nil)
+		g := newHarness(t)
+		g.restart(func(spec *mgrelay.Spec) { spec.Form.Fractions = true })
+		got := g.send(context.Background(), http.MethodPost, "/once/1", "x", nil)
 		So(got.status, ShouldEqual, http.StatusServiceUnavailable)
 		So(got.header.Get("Retry-After"), ShouldEqual, "1.000")
 	})
@@ -141,79 +141,79 @@
 // A member reads half a dossier, or another member's, and takes it for the
 // whole of the own one: an upstream broke off, or its bytes were not an answer
 // to this request, and the entry passed them on as if they were.
-func TestNotItsAnswer(t *testing.T) {
+func TestForeignOrPartialAnswerDelivered(t *testing.T) {
 	signed := "HTTP/1.1 200 OK\r\nRequest-Id: request-1\r\nSignature: s\r\n"
 	cases := []struct {
-		name  string
-		path  string
-		plays []play
-		got   string // what a caller may have, when it isn't whole
-		whole bool
+		name     string
+		path     string
+		handlers []upstreamHandler
+		got      string // what a caller may have, when it isn't whole
+		whole    bool
 	}{
 		{
-			name:  "an answer for another request",
-			path:  "/book/1",
-			plays: []play{raw("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nSignature: s\r\nContent-Length: 5\r\n\r\nother")},
+			name:     "an answer for another request",
+			path:     "/book/1",
+			handlers: []upstreamHandler{rawBytes("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nSignature: s\r\nContent-Length: 5\r\n\r\nother")},
 		},
 		{
-			name:  "an answer without a signature",
-			path:  "/book/1",
-			plays: []play{raw("HTTP/1.1 200 OK\r\nRequest-Id: request-1\r\nContent-Length: 5\r\n\r\nother")},
+			name:     "an answer without a signature",
+			path:     "/book/1",
+			handlers: []upstreamHandler{rawBytes("HTTP/1.1 200 OK\r\nRequest-Id: request-1\r\nContent-Length: 5\r\n\r\nother")},
 		},
 		{
-			name:  "an answer that breaks off",
-			path:  "/book/1",
-			plays: []play{raw(signed + "Content-Length: 9\r\n\r\nhalf")},
+			name:     "an answer that breaks off",
+			path:     "/book/1",
+			handlers: []upstreamHandler{rawBytes(signed + "Content-Length: 9\r\n\r\nhalf")},
 		},
 		{
-			name:  "a chunked answer that breaks off",
-			path:  "/book/1",
-			plays: []play{raw(signed + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")},
+			name:     "a chunked answer that breaks off",
+			path:     "/book/1",
+			handlers: []upstreamHandler{rawBytes(signed + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")},
 		},
 		{
-			name:  "bytes that are no answer",
-			path:  "/book/1",
-			plays: []play{raw("\x00\x01\x02 nonsense\r\n\r\n")},
+			name:     "bytes that are no answer",
+			path:     "/book/1",
+			handlers: []upstreamHandler{rawBytes("\x00\x01\x02 nonsense\r\n\r\n")},
 		},
 		{
-			name:  "a second answer after the first",
-			path:  "/book/1",
-			plays: []play{raw(signed + "Content-Length: 5\r\n\r\nright" + signed + "Content-Length: 5\r\n\r\nwrong")},
-			got:   "right",
-			whole: true,
+			name:     "a second answer after the first",
+			path:     "/book/1",
+			handlers: []upstreamHandler{rawBytes(signed + "Content-Length: 5\r\n\r\nright" + signed + "Content-Length: 5\r\n\r\nwrong")},
+			got:      "right",
+			whole:    true,
 		},
 		{
-			name:  "an answer that ends with its connection",
-			path:  "/book/1",
-			plays: []play{raw(signed + "\r\nright")},
-			got:   "right",
-			whole: true,
+			name:     "an answer that ends with its connection",
+			path:     "/book/1",
+			handlers: []upstreamHandler{rawBytes(signed + "\r\nright")},
+			got:      "right",
+			whole:    true,
 		},
 		{
-			name:  "a stream that stops in the middle of an event",
-			path:  "/write/1",
-			plays: []play{raw(signed + "Transfer-Encoding: chunked\r\n\r\n16\r\nid: 1\ndata: a\n\nid: 2\r\n")},
-			got:   "id: 1\ndata: a\n\n",
+			name:     "a stream that stops in the middle of an event",
+			path:     "/write/1",
+			handlers: []upstreamHandler{rawBytes(signed + "Transfer-Encoding: chunked\r\n\r\n16\r\nid: 1\ndata: a\n\nid: 2\r\n")},
+			got:      "id: 1\ndata: a\n\n",
 		},
 		{
-			name:  "a stream that stops between two events",
-			path:  "/write/1",
-			plays: []play{raw(signed + "Transfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n")},
-			got:   "id: 1\ndata: a\n\n",
+			name:     "a stream that stops between two events",
+			path:     "/write/1",
+			handlers: []upstreamHandler{rawBytes(signed + "Transfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n")},
+			got:      "id: 1\ndata: a\n\n",
 		},
 		{
-			name:  "a whole stream",
-			path:  "/write/1",
-			plays: []play{raw(signed + "Transfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n")},
-			got:   "id: 1\ndata: a\n\n",
-			whole: true,
+			name:     "a whole stream",
+			path:     "/write/1",
+			handlers: []upstreamHandler{rawBytes(signed + "Transfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n")},
+			got:      "id: 1\ndata: a\n\n",
+			whole:    true,
 		},
 	}
 	Convey("A caller takes for whole only what is", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				g := open(t, c.plays...)
-				got := g.ask(context.Background(), http.MethodPost, c.path, "x", nil)
+				g := newHarness(t, c.handlers...)
+				got := g.send(context.Background(), http.MethodPost, c.path, "x", nil)
 				So(got.status == http.StatusOK && !got.cut, ShouldEqual, c.whole)
 				if got.status == http.StatusOK {
 					So(got.body, ShouldEqual, c.got)
@@ -227,7 +227,7 @@
 // Engines crash while the store is away, and their addresses go to another
 // service. It answers each request at once that it is not the one that is
 // meant, holds no work of ours, looks the least loaded, and draws them all.
-func TestAnotherAtTheAddress(t *testing.T) {
+func TestReusedAddressAttractsRequests(t *testing.T) {
 	cases := []struct {
 		name     string
 		instance string
@@ -249,17 +249,17 @@
 	Convey("An upstream whose address answers \"misdirected\" is gone, when", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				g := open(t, func(w http.ResponseWriter, _ *http.Request) {
+				g := newHarness(t, func(w http.ResponseWriter, _ *http.Request) {
 					if c.instance != "" {
 						w.Header().Set("Instance", c.instance)
 					}
 					w.WriteHeader(http.StatusMisdirectedRequest)
-				}, say("b"))
+				}, answerWith("b"))
 				var departed []string
-				g.with(func(spec *mgrelay.Spec) {
+				g.restart(func(spec *mgrelay.Spec) {
 					spec.Departed = func(name string) { departed = append(departed, name) }
 				})
-				got := g.ask(context.Background(), http.MethodPost, "/book/1", "x", nil)
+				got := g.send(context.Background(), http.MethodPost, "/book/1", "x", nil)
 				So(got.status, ShouldEqual, http.StatusOK)
 				So(got.body, ShouldEqual, "b")
 				So(departed, ShouldResemble, c.departed)
--- a/internal/process/mgrelay/refuse.go
+++ b/internal/process/mgrelay/respond.go
@@ -13,23 +13,23 @@
 
 // giveUp answers a request that no upstream will be asked about any more.
 func (y *Relay) giveUp(w http.ResponseWriter, x *exchange) {
-	if y.endHeld(w, x) {
+	if y.endIfHeld(w, x) {
 		return
 	}
 	switch {
-	case x.begun:
+	case x.headerSent:
 		y.abort(x, x.cause())
 	case x.failure != nil:
-		y.pass(w, x, x.failure)
-	case x.ran:
+		y.passOn(w, x, x.failure)
+	case x.mayHaveRun:
 		y.refuse(w, x, mgproblem.New(mgproblem.Interrupted, mgproblem.Unknown,
 			"no upstream brought an answer", "send the request again if it may run twice").WithCause(x.cause()))
 	case x.refusal != nil:
-		y.pass(w, x, x.refusal)
+		y.passOn(w, x, x.refusal)
 	case x.problem != nil && x.problem.Retry() > 0:
 		y.refuse(w, x, x.problem)
 	default:
-		y.refuse(w, x, y.crowded(x).WithCause(x.cause()))
+		y.refuse(w, x, y.noCapacityProblem(x).WithCause(x.cause()))
 	}
 }
 
@@ -42,35 +42,35 @@
 		y.spec.Metrics.Counter("relay.left").Inc(1)
 		y.log(x, "the caller left", 0)
 		panic(http.ErrAbortHandler)
-	case x.begun:
+	case x.headerSent:
 		y.abort(x, x.cause())
-	case x.ran:
+	case x.mayHaveRun:
 		y.refuse(w, x, mgproblem.New(mgproblem.Late, mgproblem.Unknown,
 			"the time for the request is over", "ask for more time").WithCause(x.cause()))
 	default:
-		y.refuse(w, x, y.crowded(x).WithCause(x.cause()))
+		y.refuse(w, x, y.noCapacityProblem(x).WithCause(x.cause()))
 	}
 }
 
-// pass passes on an upstream's own refusal or failure, with the time to come
+// passOn passes on an upstream's own refusal or failure, with the time to come
 // back where a refusal gives none.
-func (y *Relay) pass(w http.ResponseWriter, x *exchange, kept *answer) {
-	copyHeader(w.Header(), kept.header)
-	if kept.status == http.StatusServiceUnavailable || promises(kept.status) && w.Header().Get("Retry-After") == "" {
+func (y *Relay) passOn(w http.ResponseWriter, x *exchange, upstreamAnswer *answer) {
+	copyHeader(w.Header(), upstreamAnswer.header)
+	if upstreamAnswer.status == http.StatusServiceUnavailable || impliesNotRun(upstreamAnswer.status) && w.Header().Get("Retry-After") == "" {
 		// The upstream's own time is for this process and that upstream.
-		y.setRetry(w, y.crowded(x).Retry())
+		y.setRetryAfter(w, y.noCapacityProblem(x).Retry())
 	}
-	w.Header().Set("Content-Length", strconv.Itoa(len(kept.body)))
-	w.WriteHeader(kept.status)
-	_, _ = w.Write(kept.body) // a caller that left needs no refusal
-	x.freeWrites()
-	y.spec.Metrics.Counter("relay.passed." + strconv.Itoa(kept.status)).Inc(1)
-	y.log(x, "the upstream's refusal or failure was passed on", kept.status)
+	w.Header().Set("Content-Length", strconv.Itoa(len(upstreamAnswer.body)))
+	w.WriteHeader(upstreamAnswer.status)
+	_, _ = w.Write(upstreamAnswer.body) // a caller that left needs no refusal
+	x.clearWriteDeadline()
+	y.spec.Metrics.Counter("relay.passed." + strconv.Itoa(upstreamAnswer.status)).Inc(1)
+	y.log(x, "the upstream's refusal or failure was passed on", upstreamAnswer.status)
 }
 
-// promises reports whether callers take a status for the word that their
+// impliesNotRun reports whether callers take a status for the word that their
 // request did not run, and never will.
-func promises(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -81,36 +81,36 @@
 // refuse answers with a problem of the system's own.
 func (y *Relay) refuse(w http.ResponseWriter, x *exchange, problem *mgproblem.Problem) {
 	y.Write(w, problem)
-	x.freeWrites()
+	x.clearWriteDeadline()
 	y.spec.Metrics.Counter("relay.failed." + string(problem.Kind())).Inc(1)
-	keys := y.basis()
+	keys := y.logBasis()
 	if problem.Kind() == mgproblem.Quarantined {
 		keys = append(keys, "digest", x.digest().String())
 	}
 	y.spec.Log.Info("a request failed", append(keys,
 		mglog.Request, x.id, mglog.Route, x.call.Route.Name(), mglog.Service, x.service,
-		mglog.Version, x.call.Table.Version(), mglog.Upstream, x.last, mglog.Kind, string(problem.Kind()),
-		"status", problem.Status(), "attempts", x.attempts, "dials", x.dials, "ran", x.ran,
-		"ms", int64(y.waited(x)), "why", problem.Error())...)
+		mglog.Version, x.call.Table.Version(), mglog.Upstream, x.lastUpstream, mglog.Kind, string(problem.Kind()),
+		"status", problem.Status(), "attempts", x.attempts, "dials", x.failedDials, "ran", x.mayHaveRun,
+		"ms", int64(y.elapsed(x)), "why", problem.Error())...)
 }
 
 // Write answers with a problem, with the time to come back in the deployment's
 // form.
 func (y *Relay) Write(w http.ResponseWriter, problem *mgproblem.Problem) {
 	if problem.Retry() > 0 {
-		y.setRetry(w, problem.Retry())
+		y.setRetryAfter(w, problem.Retry())
 		problem = problem.WithRetry(0)
 	}
 	mgproblem.Write(w, problem)
 }
 
-// setRetry tells the caller when to come back.
-func (y *Relay) setRetry(w http.ResponseWriter, span mgclock.Millis) {
+// setRetryAfter tells the caller when to come back.
+func (y *Relay) setRetryAfter(w http.ResponseWriter, delay mgclock.Millis) {
 	if y.spec.Form.Fractions {
-		w.Header().Set("Retry-After", strconv.FormatFloat(float64(span)/float64(mgclock.Second), 'f', 3, 64))
+		w.Header().Set("Retry-After", strconv.FormatFloat(float64(delay)/float64(mgclock.Second), 'f', 3, 64))
 		return
 	}
-	seconds := (span + mgclock.Second - 1) / mgclock.Second
+	seconds := (delay + mgclock.Second - 1) / mgclock.Second
 	w.Header().Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
 }
 
@@ -118,37 +118,37 @@
 // look whole.
 func (y *Relay) abort(x *exchange, cause error) {
 	y.spec.Metrics.Counter("relay.cut").Inc(1)
-	y.spec.Log.Info("an answer was cut", append(y.basis(),
+	y.spec.Log.Info("an answer was cut", append(y.logBasis(),
 		mglog.Request, x.id, mglog.Route, x.call.Route.Name(), mglog.Service, x.service,
-		mglog.Version, x.call.Table.Version(), mglog.Upstream, x.last,
-		"attempts", x.attempts, "ms", int64(y.waited(x)), "why", cause.Error())...)
+		mglog.Version, x.call.Table.Version(), mglog.Upstream, x.lastUpstream,
+		"attempts", x.attempts, "ms", int64(y.elapsed(x)), "why", cause.Error())...)
 	panic(http.ErrAbortHandler)
 }
 
-// done notes an answer that was delivered.
-func (y *Relay) done(x *exchange, status int) {
+// recordAnswer notes an answer that was delivered.
+func (y *Relay) recordAnswer(x *exchange, status int) {
 	y.spec.Metrics.Counter("relay.answers").Inc(1)
-	y.spec.Metrics.Histogram("relay.ms").Update(int64(y.waited(x)))
+	y.spec.Metrics.Histogram("relay.ms").Update(int64(y.elapsed(x)))
 	if status >= http.StatusBadRequest {
 		y.log(x, "the upstream answered with a failure", status)
 		return
 	}
-	if x.attempts > 1 || x.dials > 0 {
+	if x.attempts > 1 || x.failedDials > 0 {
 		y.log(x, "answered after another attempt", status)
 		return
 	}
-	if y.count.Add(1)%sampled == 0 {
+	if y.answerCount.Add(1)%logSampleInterval == 0 {
 		y.log(x, "answered", status)
 	}
 }
 
-// sampled is how many ordinary answers one line of the log stands for. Whatever
+// logSampleInterval is how many ordinary answers one line of the log stands for. Whatever
 // did not go as usual is logged each time.
-const sampled = 20
+const logSampleInterval = 20
 
-// basis returns what the decisions of this moment go by: the version of the list
+// logBasis returns what the decisions of this moment go by: the version of the list
 // of upstreams and the age of what other entries told of their load.
-func (y *Relay) basis() []any {
+func (y *Relay) logBasis() []any {
 	if y.spec.Basis == nil {
 		return nil
 	}
@@ -157,10 +157,10 @@
 }
 
 func (y *Relay) log(x *exchange, what string, status int) {
-	y.spec.Log.Info(what, append(y.basis(),
+	y.spec.Log.Info(what, append(y.logBasis(),
 		mglog.Request, x.id, mglog.Route, x.call.Route.Name(), mglog.Service, x.service,
-		mglog.Version, x.call.Table.Version(), mglog.Upstream, x.last,
-		"status", status, "attempts", x.attempts, "dials", x.dials, "ms", int64(y.waited(x)))...)
+		mglog.Version, x.call.Table.Version(), mglog.Upstream, x.lastUpstream,
+		"status", status, "attempts", x.attempts, "dials", x.failedDials, "ms", int64(y.elapsed(x)))...)
 }
 
 // cause returns what the last attempt failed of.
--- /dev/null
+++ b/internal/process/mgrelay/sequence.go
@@ -0,0 +1,83 @@
+package mgrelay
+
+import (
+	"bytes"
+	"fmt"
+	"strconv"
+)
+
+// eventSequence follows the ids of a stream's events. A generation that goes on at
+// another upstream may begin too early, where that one doesn't heed the last
+// event that it was told, or too late, where its copy was of another moment. The
+// caller must see neither.
+type eventSequence struct {
+	lastID    string // id of the last event that was delivered
+	nextID    int64  // the id to come, where ids are whole numbers in a row
+	unordered bool   // they are not
+}
+
+// record notes whole events of the first upstream.
+func (o *eventSequence) record(events []byte) {
+	for rest := events; len(rest) > 0; {
+		event, after := cutEvent(rest)
+		rest = after
+		id := eventID(event)
+		if id == "" {
+			continue
+		}
+		o.lastID = id
+		n, err := strconv.ParseInt(id, 10, 64)
+		if err != nil || o.nextID != 0 && n != o.nextID {
+			o.unordered = true
+		}
+		o.nextID = n + 1
+	}
+}
+
+// undelivered returns the events of a later upstream that the caller lacks.
+func (o *eventSequence) undelivered(events []byte) ([]byte, error) {
+	if o.unordered || o.nextID == 0 {
+		o.record(events)
+		return events, nil
+	}
+	var missing []byte
+	for rest := events; len(rest) > 0; {
+		event, after := cutEvent(rest)
+		rest = after
+		if id := eventID(event); id != "" {
+			n, err := strconv.ParseInt(id, 10, 64)
+			if err != nil || n > o.nextID {
+				return nil, fmt.Errorf("a generation goes on with event %q in place of %d: its copy is of another moment", id, o.nextID)
+			}
+			if n < o.nextID {
+				continue
+			}
+			o.lastID = id
+			o.nextID++
+		}
+		missing = append(missing, event...)
+	}
+	return missing, nil
+}
+
+// cutEvent returns the first event with what ends it, and the rest.
+func cutEvent(events []byte) (event, rest []byte) {
+	end := bytes.Index(events, eventSeparator)
+	if end < 0 {
+		return events, nil
+	}
+	end += len(eventSeparator)
+	return events[:end], events[end:]
+}
+
+// eventID returns an event's id, or "".
+func eventID(event []byte) string {
+	for len(event) > 0 {
+		line, rest, _ := bytes.Cut(event, []byte("\n"))
+		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
+			return string(bytes.TrimSpace(id))
+		}
+		event = rest
+	}
+	return ""
+}
--- a/internal/process/mgrelay/order_test.go
+++ b/internal/process/mgrelay/sequence_test.go
@@ -8,7 +8,7 @@
 
 // A report goes on at another engine with a line twice, or with one missing,
 // and nobody notices until the shift lead has signed it.
-func TestOrder(t *testing.T) {
+func TestResumedStreamRepeatsOrSkipsEvents(t *testing.T) {
 	const first = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
 	cases := []struct {
 		name   string
@@ -56,9 +56,9 @@
 	Convey("A stream that goes on elsewhere brings", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				var o order
-				o.deliver([]byte(c.before))
-				got, err := o.resume([]byte(c.after))
+				var o eventSequence
+				o.record([]byte(c.before))
+				got, err := o.undelivered([]byte(c.after))
 				So(err != nil, ShouldEqual, c.faulty)
 				So(string(got), ShouldEqual, c.got)
 			})
--- a/internal/process/mgrelay/stale_test.go
+++ b/internal/process/mgrelay/stale_test.go
@@ -17,28 +17,28 @@
 // The platform is silent, and the engine that looks emptiest went a moment ago. A
 // report's engine gives notice; its memory is sent to the one that is gone for more
 // than a second, and the report is cut with its engine.
-func TestDestinationGone(t *testing.T) {
-	tell := func(probe func(host mgrelay.Host) (bool, error)) (*story, reply) {
-		s := tell(t, func(s *story, order mgrelay.Order) mgmigration.Reply {
-			if order.To == s.rig.hosts[1].Addr {
-				close(s.stop) // the notice is over before the source gives up
+func TestMoveToGoneDestination(t *testing.T) {
+	moveWithProbe := func(probe func(host mgrelay.Host) (bool, error)) (*moveScenario, callerReply) {
+		s := newMoveScenario(t, func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
+			if order.To == s.harness.hosts[1].Addr {
+				close(s.breakOff) // the notice is over before the source gives up
 				return mgmigration.Reply{Outcome: mgmigration.NoRoom}
 			}
 			if order.Last {
-				close(s.stop)
+				close(s.breakOff)
 			}
 			return mgmigration.Reply{
 				Outcome: mgmigration.Copied,
 				Handle:  "h",
 			}
-		}, hangUp, goOn)
-		s.rig.with(func(spec *mgrelay.Spec) {
-			s.spec(spec)
+		}, hangUp, resumeFromCopy)
+		s.harness.restart(func(spec *mgrelay.Spec) {
+			s.configure(spec)
 			spec.Stale = func() bool { return true }
 			spec.Departed = func(string) {}
 			spec.Probe = func(_ context.Context, host mgrelay.Host) (bool, error) { return probe(host) }
 		})
-		return s, s.rig.ask(context.Background(), http.MethodPost, "/write/1", "x", nil)
+		return s, s.harness.send(context.Background(), http.MethodPost, "/write/1", "x", nil)
 	}
 	gone := errors.New("no answer")
 	Convey("While the list is stale no run goes to an upstream that", t, func() {
@@ -52,11 +52,11 @@
 			"says that it leaves, too": func(host mgrelay.Host) (bool, error) { return host.Name == "b", nil },
 		} {
 			Convey(name, func() {
-				s, got := tell(probe)
+				s, got := moveWithProbe(probe)
 				So(got.cut, ShouldBeFalse)
-				So(got.body, ShouldEqual, whole())
+				So(got.body, ShouldEqual, wholeStream())
 				for _, order := range s.orders {
-					So(order.To, ShouldEqual, s.rig.hosts[2].Addr)
+					So(order.To, ShouldEqual, s.harness.hosts[2].Addr)
 				}
 			})
 		}
@@ -67,31 +67,31 @@
 // while it was away. Every report is moved to the three engines that it still lists,
 // where one copy waits for another, and callers see pauses of half a second; two
 // seconds later all entries are back.
-func TestLapsedStays(t *testing.T) {
+func TestMoveFromLapsedUpstream(t *testing.T) {
 	Convey("After the platform was away an upstream that its list lacks", t, func() {
 		for name, c := range map[string]struct {
-			looks  int64 // at which the list is stale, a quarter of a second apart
-			leaves bool
-			moved  bool
+			staleChecks int64 // at which the list is stale, a quarter of a second apart
+			leaves      bool
+			moved       bool
 		}{
 			"keeps its runs while it says that it stays": {
-				looks: 10,
+				staleChecks: 10,
 			},
 			"is left at once where it says that it leaves": {
-				looks:  10,
-				leaves: true,
-				moved:  true,
+				staleChecks: 10,
+				leaves:      true,
+				moved:       true,
 			},
 			"is left at once after a watch that was late only": {
-				looks: 1,
-				moved: true,
+				staleChecks: 1,
+				moved:       true,
 			},
 		} {
 			Convey(name, func() {
-				var looks atomic.Int64 // at whether the list is stale
-				copied := func(s *story, order mgrelay.Order) mgmigration.Reply {
+				var staleChecks atomic.Int64 // at whether the list is stale
+				copied := func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 					if order.Last {
-						close(s.stop)
+						close(s.breakOff)
 					}
 					return mgmigration.Reply{
 						Outcome: mgmigration.Copied,
@@ -101,34 +101,34 @@
 				back := make(chan struct{})   // the list is stale no more
 				enough := make(chan struct{}) // the upstream was asked twice since it left the list
 				var asked atomic.Int64
-				s := tell(t, copied, goOn)
+				s := newMoveScenario(t, copied, resumeFromCopy)
 				source := func(w http.ResponseWriter, r *http.Request) {
 					for n := 1; n <= 3; n++ {
-						_, _ = fmt.Fprint(w, event(n))
+						_, _ = fmt.Fprint(w, eventText(n))
 					}
 					_ = http.NewResponseController(w).Flush()
 					<-back // the list was stale until now
 					s.leave()
 					select {
-					case <-s.stop:
+					case <-s.breakOff:
 						panic(http.ErrAbortHandler)
 					case <-enough:
 					}
 					for n := 4; n <= 6; n++ {
-						_, _ = fmt.Fprint(w, event(n))
+						_, _ = fmt.Fprint(w, eventText(n))
 					}
 				}
-				s.rig = open(t, source, goOn)
-				s.rig.with(func(spec *mgrelay.Spec) {
-					s.spec(spec)
+				s.harness = newHarness(t, source, resumeFromCopy)
+				s.harness.restart(func(spec *mgrelay.Spec) {
+					s.configure(spec)
 					spec.Missing = spec.Leaving
 					spec.Departed = func(string) {}
 					spec.Stale = func() bool {
-						look := looks.Add(1)
-						if look == c.looks+1 {
+						check := staleChecks.Add(1)
+						if check == c.staleChecks+1 {
 							close(back)
 						}
-						return look <= c.looks
+						return check <= c.staleChecks
 					}
 					spec.Probe = func(context.Context, mgrelay.Host) (bool, error) {
 						if spec.Leaving("a") && asked.Add(1) == 2 {
@@ -137,9 +137,9 @@
 						return c.leaves, nil
 					}
 				})
-				got := s.rig.ask(context.Background(), http.MethodPost, "/write/1", "x", nil)
+				got := s.harness.send(context.Background(), http.MethodPost, "/write/1", "x", nil)
 				So(got.cut, ShouldBeFalse)
-				So(got.body, ShouldEqual, whole())
+				So(got.body, ShouldEqual, wholeStream())
 				So(len(s.orders) > 0, ShouldEqual, c.moved)
 			})
 		}
