--- a/internal/process/mgrelay/attempt.go
+++ b/internal/process/mgrelay/attempt.go
@@ -22,25 +22,25 @@
 type attemptOutcome int
 
 const (
-	delivered    attemptOutcome = iota // the caller has its answer, or was cut off from it
+	delivered    attemptOutcome = iota // the caller has its answer, or its connection was closed
 	notConnected                       // no connection, so nothing was sent
-	refused                            // the upstream said that it did not run
-	failed                             // it may have run, and there is no answer to deliver
+	refused                            // the upstream stated that the request did not run
+	failed                             // the request may have run, and there is no answer to deliver
 	interrupted                        // a stream broke off
 )
 
-// maxBufferedAnswer bounds an answer that is read whole before it is delivered, in bytes.
-// Whole answers can be asked for again when they break off.
+// maxBufferedAnswer bounds in bytes an answer that is read completely before it is
+// delivered. Such an answer can be requested again when it breaks off.
 const maxBufferedAnswer = 256 << 10
 
 // attempt sends a request to one upstream and delivers its answer.
 func (y *Relay) attempt(ctx context.Context, w http.ResponseWriter, x *exchange, host Host) (outcome attemptOutcome) {
-	outcome = failed // also where the caller's connection is broken
+	outcome = failed // also if the caller's connection is broken
 	defer func() { x.endAttempt(outcome == delivered) }()
 	x.tried[host.Name] = true
 	x.lastUpstream = host.Name
 	defer y.countLoad(x, host)()
-	// A hang-up of the connection to the upstream tells it to stop.
+	// Closing the connection tells the upstream to stop.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	x.sentAt = y.spec.Clock.Now()
@@ -68,7 +68,8 @@
 		return failed
 	}
 	if impliesNotRun(response.StatusCode) {
-		// Passed on, the status would say "not run", which the upstream didn't.
+		// If passed on, the status would say "not run", which the upstream didn't
+		// state.
 		x.problem = mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown,
 			"the upstream failed with a status that promises what it didn't say", "send the request again if it may run twice")
 		return failed
@@ -90,7 +91,8 @@
 	return y.deliverWhole(ctx, w, x, host, response)
 }
 
-// countLoad counts a request at an upstream, and returns what ends that.
+// countLoad adds a request to the load of an upstream, and returns the function that
+// subtracts it again.
 func (y *Relay) countLoad(x *exchange, host Host) (release func()) {
 	load := mgload.Row{
 		Runs:   1,
@@ -111,13 +113,13 @@
 	}
 }
 
-// countPromptRead counts a request's prompt as read at its first answer.
+// countPromptRead counts a request's prompt as read when the answer begins.
 func (y *Relay) countPromptRead(x *exchange, host Host) {
 	y.spec.Load.Add(host.Name, mgload.Row{Pending: -x.pendingTokens})
 	x.pendingTokens = 0
 }
 
-// newRequest makes the newRequest for an upstream.
+// newRequest returns the request to send to an upstream.
 func (y *Relay) newRequest(ctx context.Context, x *exchange, host Host) *http.Request {
 	header := x.header.Clone()
 	form := &y.spec.Form
@@ -145,7 +147,7 @@
 	return request.WithContext(ctx)
 }
 
-// classifyFailure classes an attempt that brought no answer.
+// classifyFailure returns the outcome of an attempt that got no answer.
 func (y *Relay) classifyFailure(ctx context.Context, x *exchange, host Host, err error) attemptOutcome {
 	var failure *mgdial.Failure
 	unsent := errors.As(err, &failure) && !failure.Sent()
@@ -169,7 +171,7 @@
 	return failed
 }
 
-// isRefusal reports whether an answer says that the request did not run.
+// isRefusal reports whether an answer states that the request did not run.
 func (y *Relay) isRefusal(response *http.Response) bool {
 	if response.StatusCode == http.StatusMisdirectedRequest {
 		return true
@@ -177,7 +179,7 @@
 	return response.StatusCode >= http.StatusBadRequest && response.Header.Get(y.spec.Form.Refused) != ""
 }
 
-// recordLeaving takes an upstream's word in an answer that it leaves.
+// recordLeaving reports an upstream as leaving if its answer says so.
 func (y *Relay) recordLeaving(x *exchange, host Host, response *http.Response) {
 	name := y.spec.Form.Leaving
 	if name == "" || response.Header.Get(name) == "" || y.spec.Leaving == nil || y.spec.Leaving(host.Name) {
@@ -189,10 +191,10 @@
 	y.spec.Departed(host.Name)
 }
 
-// recordMisdirected takes that another upstream answers at a host's address: the
-// host is gone, and the list doesn't show it yet. Without this the address,
-// which holds none of our work, looks the least loaded and draws each next
-// request. An upstream that refuses under its own name stays.
+// recordMisdirected reports a host as gone if another upstream answers at its
+// address and the list doesn't show this yet. Otherwise the address, which runs none
+// of our requests, would appear least loaded and attract every further request. An
+// upstream that refuses under its own name isn't reported.
 func (y *Relay) recordMisdirected(host Host, response *http.Response) {
 	instance := response.Header.Get(y.spec.Form.Instance)
 	if response.StatusCode != http.StatusMisdirectedRequest || instance == "" || instance == host.Name {
@@ -204,14 +206,14 @@
 	}
 }
 
-// keepRefusal keeps what a refusing upstream said, for the caller.
+// keepRefusal keeps the answer of a refusing upstream for the caller.
 func (y *Relay) keepRefusal(x *exchange, response *http.Response) attemptOutcome {
 	x.refusal = bufferAnswer(response)
 	y.spec.Metrics.Counter("relay.refused").Inc(1)
 	return refused
 }
 
-// bufferAnswer reads a failure's answer whole, or returns nil when it breaks off.
+// bufferAnswer reads a failure's answer completely, or returns nil if it breaks off.
 func bufferAnswer(response *http.Response) *answer {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedAnswer))
 	if err != nil {
@@ -224,9 +226,9 @@
 	}
 }
 
-// checkAnswer returns what is wrong with an answer that can't be the upstream's own
-// to this request: an earlier request's answer that came late, or bytes of
-// something else at its address.
+// checkAnswer returns a problem if an answer can't be the upstream's own answer to
+// this request: it may be the late answer to an earlier request, or come from
+// another program at the address.
 func (y *Relay) checkAnswer(x *exchange, response *http.Response) *mgproblem.Problem {
 	form := &y.spec.Form
 	why := ""
@@ -245,7 +247,7 @@
 	return mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown, why, "send the request again if it may run twice")
 }
 
-// deliverWhole delivers an answer that is no stream.
+// deliverWhole delivers an answer that is not a stream.
 func (y *Relay) deliverWhole(ctx context.Context, w http.ResponseWriter, x *exchange, host Host, response *http.Response) attemptOutcome {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedAnswer))
 	if err != nil {
@@ -283,7 +285,7 @@
 }
 
 // copyHeader copies an answer's headers. A missing Content-Type stays missing:
-// the library would otherwise guess one.
+// otherwise the library would guess one.
 func copyHeader(to, from http.Header) {
 	for name, values := range endToEndHeaders(from) {
 		to[name] = values
--- a/internal/process/mgrelay/backoff.go
+++ b/internal/process/mgrelay/backoff.go
@@ -8,8 +8,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// recordRetryAfter takes the time for which an upstream that turned a request away wants none
-// from this process.
+// recordRetryAfter starts a backoff if an upstream answers 503 with Retry-After.
 func (y *Relay) recordRetryAfter(x *exchange, host Host, response *http.Response) {
 	delay := retryAfter(response)
 	if delay <= 0 {
@@ -21,9 +20,9 @@
 	y.backoffs.Ask(y.spec.Clock.Now(), host.Name, delay)
 }
 
-// retryAfter returns the time after which an upstream that is unavailable may be asked
-// again, 0 where it tells none. Upstreams tell seconds, also fractions of them, where the
-// standard knows whole ones and dates (RFC 9110, 10.2.3).
+// retryAfter returns the time after which an unavailable upstream may be sent
+// requests again, 0 if it gives none. Upstreams send seconds, also with fractions,
+// whereas the standard allows whole seconds and dates (RFC 9110, 10.2.3).
 func retryAfter(response *http.Response) mgclock.Millis {
 	if response.StatusCode != http.StatusServiceUnavailable {
 		return 0
@@ -35,10 +34,11 @@
 	return mgclock.Millis(min(max(seconds, 0), maxRetryAfterSeconds) * float64(mgclock.Second))
 }
 
-// maxRetryAfterSeconds bounds what is read of an upstream's Retry-After, in seconds.
+// maxRetryAfterSeconds bounds the value of an upstream's Retry-After.
 const maxRetryAfterSeconds = 1e6
 
-// beginAttempt reports whether an upstream may be sent a request now, and counts it in.
+// beginAttempt reports whether an upstream may be sent a request now, and if so
+// registers the attempt.
 func (y *Relay) beginAttempt(x *exchange, host Host) bool {
 	ended, ok := y.backoffs.Take(y.spec.Clock.Now(), host.Name)
 	if ok {
@@ -47,7 +47,7 @@
 	return ok
 }
 
-// endAttempt counts an attempt out that was counted in by takes.
+// endAttempt unregisters an attempt that beginAttempt registered.
 func (x *exchange) endAttempt(answered bool) {
 	if x.releaseAttempt != nil {
 		x.releaseAttempt(answered)
@@ -55,21 +55,22 @@
 	}
 }
 
-// backoffLeft returns the time until the first of the upstreams that a request may run at
-// takes requests again, or false where one does now.
+// backoffLeft returns the time until the first of the upstreams at which a request
+// may run ends its backoff, or false if one is in no backoff.
 func (y *Relay) backoffLeft(x *exchange) (shortest mgclock.Millis, all bool) {
 	return y.shortestDelay(x, func(now mgclock.Millis, host Host) mgclock.Millis { return y.backoffs.Left(now, host.Name) })
 }
 
-// unavailableFor is restLeft for upstreams that rest or have no permit left.
+// unavailableFor is backoffLeft for upstreams that are in a backoff or have no
+// permit left.
 func (y *Relay) unavailableFor(x *exchange) (shortest mgclock.Millis, all bool) {
 	return y.shortestDelay(x, func(now mgclock.Millis, host Host) mgclock.Millis {
 		return max(y.backoffs.Left(now, host.Name), y.permitDelay(now, host))
 	})
 }
 
-// shortestDelay returns the least time that is left of the upstreams that a request may run at, or
-// false where one has none left.
+// shortestDelay returns the shortest delay of the upstreams at which a request may
+// run, or false if one has no delay.
 func (y *Relay) shortestDelay(x *exchange, delayAt func(now mgclock.Millis, host Host) mgclock.Millis) (shortest mgclock.Millis, all bool) {
 	now := y.spec.Clock.Now()
 	for _, host := range y.spec.Every(x.service) {
--- a/internal/process/mgrelay/backoff_test.go
+++ b/internal/process/mgrelay/backoff_test.go
@@ -12,7 +12,7 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
 )
 
-// refuseFor turns requests away and says for how long it wants none, in seconds.
+// refuseFor returns a handler that refuses requests with a Retry-After in seconds.
 func refuseFor(seconds string) upstreamHandler {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Refused", "1")
@@ -21,7 +21,8 @@
 	}
 }
 
-// An upstream that asked for a rest must have it, at the cost of no caller's time.
+// An upstream receives requests during the time for which it sent Retry-After, or
+// callers wait because of it.
 func TestRetryAfterIgnored(t *testing.T) {
 	ask := func(g *harness, path string) callerReply {
 		return g.send(context.Background(), http.MethodPost, path, "x", http.Header{"Tokens": {"30,9"}})
--- a/internal/process/mgrelay/cold_test.go
+++ b/internal/process/mgrelay/cold_test.go
@@ -12,8 +12,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// A plain service has one upstream, which has just started. Nobody gives places at it,
-// and each entry sends it all it has.
+// The only upstream of a plain service has just started. Since no placements are
+// assigned at it, each entry sends it all its requests.
 func TestColdUpstreamOverloadedWithoutPlacement(t *testing.T) {
 	Convey("Without a place a cold upstream is sent next to nothing", t, func() {
 		g := newHarness(t, answerWith("x"), answerWith("x"))
--- a/internal/process/mgrelay/cordon_test.go
+++ b/internal/process/mgrelay/cordon_test.go
@@ -13,8 +13,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Operators have kept every hall from new work. A caller waits for its whole deadline
-// for an engine that it can't be given, and its answer says nothing of when to return.
+// Operators have cordoned all availability zones. A caller waits for its whole
+// deadline for an engine that it can't get, and its answer has no Retry-After.
 func TestRequestWaitsThoughAllCordoned(t *testing.T) {
 	Convey("Where all upstreams of a service are cordoned a request is refused at once", t, func() {
 		g := newHarness(t, answerWith("x"))
@@ -30,12 +30,12 @@
 	})
 }
 
-// An engine gives notice while its hall is being emptied, or a run is on its way to a
-// hall whose cordon is seen in the middle of the move. The generation goes on in the
-// hall seconds later, and is cut with it.
+// An engine gives notice while its availability zone is being emptied, or the
+// destination's zone is cordoned in the middle of a move. The generation continues
+// in the cordoned zone and is cut with it seconds later.
 func TestGenerationMovesIntoCordonedZone(t *testing.T) {
 	Convey("A run that is moved", t, func() {
-		var cordoned atomic.Value // the upstream
+		var cordoned atomic.Value // name of the cordoned upstream
 		cordoned.Store("")
 		var age atomic.Int64
 		moveWithCordon := func(move func(s *moveScenario, order mgrelay.Order) mgmigration.Reply, handlers ...upstreamHandler) (*moveScenario, callerReply) {
--- a/internal/process/mgrelay/crash.go
+++ b/internal/process/mgrelay/crash.go
@@ -14,30 +14,33 @@
 )
 
 const (
-	// startWindow is how long after its first event a generation has just begun: what
-	// crashes an engine as it begins may have made some tokens by then.
+	// startWindow is how long after its first event a generation counts as just
+	// started: a request that crashes an engine at the start may have produced some
+	// tokens by then.
 	startWindow = 300 * mgclock.Millis(1)
-	// crashCheckTimeout is how long a retry waits for the word whether the upstream before
-	// has ended. An address without a listener answers in one round trip.
+	// crashCheckTimeout is how long a retry waits for the check whether the previous
+	// upstream has ended. An address without a listener answers in one round trip.
 	crashCheckTimeout = 50 * mgclock.Millis(1)
 )
 
-// errHeld is the cause with which the attempt of a request ends that is held from then on.
+// errHeld is the cause for which the attempts of a request are cancelled when it
+// becomes held.
 var errHeld = errors.New("mgrelay: the request crashes upstreams: send another")
 
-// partialAnswer is what an attempt had brought when its upstream broke it off.
+// partialAnswer is what an attempt had received when its upstream broke it off.
 type partialAnswer struct {
-	headerReceived bool           // the answer's header had come
+	headerReceived bool
 	eventCount     int64          // of a stream
-	firstEventAt   mgclock.Millis // when the first of them came
+	firstEventAt   mgclock.Millis // 0 before the first event
 }
 
-// justStarted reports whether the attempt was about to begin or had just begun.
+// justStarted reports whether the attempt had delivered no events or only just
+// started.
 func (r partialAnswer) justStarted(now mgclock.Millis) bool {
 	return r.eventCount == 0 || now < r.firstEventAt+startWindow
 }
 
-// digest names what the caller asked for.
+// digest identifies the content of the request.
 func (x *exchange) digest() mgquarantine.Digest {
 	x.digestOnce.Do(func() {
 		account := ""
@@ -49,8 +52,8 @@
 	return x.digestValue
 }
 
-// recordBrokenAttempt notes an attempt that its upstream broke off. It returns once it is known
-// whether the upstream has ended, or soon.
+// recordBrokenAttempt records an attempt that its upstream broke off. It returns
+// when it is known whether the upstream has ended, or after crashCheckTimeout.
 func (y *Relay) recordBrokenAttempt(x *exchange, host Host, partial partialAnswer) {
 	y.spec.Metrics.Counter("relay.broken").Inc(1)
 	x.attemptBroken = true
@@ -63,7 +66,7 @@
 	if x.call.Account != nil {
 		keys = append(keys, mglog.Account, x.call.Account.Name())
 	}
-	// An answer that is no stream begins only once it is whole.
+	// An answer that is not a stream begins only when it is complete.
 	crash := mgquarantine.Crash{
 		Digest:   x.digest(),
 		Request:  x.id,
@@ -82,7 +85,8 @@
 		y.spec.Log.Info("an upstream broke an attempt off", append(keys, "ended", ended, "evidence", evidence)...)
 		if evidence {
 			y.spec.Metrics.Counter("relay.crashed").Inc(1)
-			// The refusal took its way, as the word of the end did before it.
+			// The report of the end may have been delayed on the network for as
+			// long as the refused connection took.
 			crash.Delay = y.spec.Clock.Now() - now
 			y.spec.Quarantine.Crashed(now, crash)
 		}
@@ -93,10 +97,12 @@
 	}
 }
 
-// errNoCrashCheck says that nothing tells whether upstreams have ended.
+// errNoCrashCheck means that there is no means to check whether upstreams have
+// ended.
 var errNoCrashCheck = errors.New("mgrelay: whether the upstream has ended can't be asked: set Refuses")
 
-// hasEnded reports whether an upstream has hasEnded. An error says that it isn't known.
+// hasEnded reports whether an upstream has ended. An error means that this is
+// unknown.
 func (y *Relay) hasEnded(host Host) (bool, error) {
 	if y.spec.Refuses == nil {
 		return false, errNoCrashCheck
@@ -104,7 +110,7 @@
 	return y.spec.Refuses(context.Background(), host.Addr)
 }
 
-// heldProblem returns what to tell the caller of a request that is heldProblem, or nil.
+// heldProblem returns the problem to answer with if a request is held, or nil.
 func (y *Relay) heldProblem(x *exchange) *mgproblem.Problem {
 	if !y.spec.Quarantine.Watching() {
 		x.admitted = true
@@ -125,20 +131,20 @@
 	return mgquarantine.Problem(left, x.mayHaveRun)
 }
 
-// mayCrashAnother reports whether a request under which an upstream has just ended should not
-// be tried on another one.
+// mayCrashAnother reports whether a request under which an upstream has just ended
+// should not be tried on another one.
 func (y *Relay) mayCrashAnother(x *exchange) bool {
 	return y.spec.Quarantine.Watching() && !y.spec.Quarantine.Retryable(x.digest())
 }
 
-// recordAnswered takes that an upstream recordAnswered a request.
+// recordAnswered reports to the quarantine that an upstream answered a request.
 func (y *Relay) recordAnswered(x *exchange) {
 	if y.spec.Quarantine.Watching() {
 		y.spec.Quarantine.Answered(y.spec.Clock.Now(), x.digest())
 	}
 }
 
-// exchanges are the requests that are in progress. The zero exchanges is empty.
+// exchanges are the requests in progress. The zero value is empty.
 type exchanges struct {
 	mu      sync.Mutex
 	cancels map[*exchange]context.CancelCauseFunc
@@ -159,7 +165,8 @@
 	delete(s.cancels, x)
 }
 
-// cancelHeld ends the requests that wait, here or at an upstream, and are held since.
+// cancelHeld cancels the requests that wait, here or at an upstream, and have become
+// held.
 func (y *Relay) cancelHeld() {
 	if !y.spec.Quarantine.Watching() {
 		return
@@ -174,7 +181,7 @@
 	}
 }
 
-// watchHeld drops requests as they come to be held, until ctx ends.
+// watchHeld cancels requests when they become held, until ctx is done.
 func (y *Relay) watchHeld(ctx context.Context) {
 	for {
 		changed := y.spec.Quarantine.Changed()
@@ -187,8 +194,8 @@
 	}
 }
 
-// endIfHeld ends a request that is held, and reports whether it is. A generation that goes
-// on from a copy has begun before, and runs.
+// endIfHeld ends a request that is held, and reports whether it is. A generation
+// that continues from a copy started before and is not ended.
 func (y *Relay) endIfHeld(w http.ResponseWriter, x *exchange) bool {
 	problem := y.heldProblem(x)
 	switch {
--- a/internal/process/mgrelay/crash_test.go
+++ b/internal/process/mgrelay/crash_test.go
@@ -28,7 +28,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// connectionsRefused has each upstream's address refuse connections once it is asked.
+// connectionsRefused reports that each upstream's address refuses connections.
 func connectionsRefused(context.Context, string) (bool, error) { return true, nil }
 
 func connectionsAccepted(context.Context, string) (bool, error) { return false, nil }
@@ -37,7 +37,8 @@
 	return false, context.DeadlineExceeded
 }
 
-// holdRequest has a quarantine holdRequest what rig.ask sends to a target with a body.
+// holdRequest makes a quarantine hold the request that harness.send sends with this
+// target and body.
 func holdRequest(q *mgquarantine.Quarantine, target, body string) {
 	for _, upstream := range []string{"x", "y", "z"} {
 		q.Crashed(0, mgquarantine.Crash{
@@ -48,7 +49,7 @@
 	}
 }
 
-// A reset, a stop that was told or a lost link must not be held against a request.
+// A reset, an announced stop or a lost link is counted as a crash under a request.
 func TestCrashCountedWithoutEvidence(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -155,7 +156,7 @@
 	_ = http.NewResponseController(w).Flush()
 }
 
-// A request under which two upstreams have ended must not be tried on a third at once.
+// A request under which two upstreams have ended is tried on a third at once.
 func TestCrashingRequestRetriedTooOften(t *testing.T) {
 	Convey("A request under which an upstream ends", t, func() {
 		g := newHarness(t, headerThenHangUp, headerThenHangUp, answerWith("id: 1\n\n"))
@@ -190,7 +191,8 @@
 	})
 }
 
-// A request that is held must not reach an upstream in any way, and "not run" must be true.
+// A held request reaches an upstream, or its caller gets "not run" although it may
+// have run.
 func TestHeldRequestReachesUpstream(t *testing.T) {
 	Convey("A request that is held", t, func() {
 		q := mgquarantine.New("life", nil)
@@ -285,7 +287,8 @@
 	_ = http.NewResponseController(w).Flush()
 }
 
-// readStream reads an answer to its end, and closes has once its first byte is there.
+// readStream reads an answer to its end, and closes firstByte when its first byte
+// has arrived.
 func (g *harness) readStream(target, body string, firstByte chan<- struct{}) (string, error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+g.addr+target, strings.NewReader(body))
 	if err != nil {
--- a/internal/process/mgrelay/doc.go
+++ b/internal/process/mgrelay/doc.go
@@ -1,31 +1,49 @@
-// Package mgrelay passes callers' requests through to upstreams unchanged, and
-// the answers back, by the routes of the table.
+// Package mgrelay is the reverse proxy of an entry: it forwards callers' requests to
+// upstreams unchanged, and the answers back, along the routes of the table.
 //
-// Method, path, query and body go through byte by byte. A Form names the
-// headers in which a deployment carries what the system reads and sets: the
-// request's id, its deadline, the account, the upstream that is meant, the
-// upstream's word that a request did not run.
+// Method, path, query and body are forwarded byte for byte. A Form names the headers
+// in which a deployment carries what the proxy reads and sets: the request's id, its
+// deadline, the account, the intended upstream, and the upstream's statement that a
+// request did not run.
 //
-// # What is promised
+// # Guarantees
 //
-//   - A request that may not be repeated goes to a second upstream only when the
-//     first has said that it did not run, or when no connection was made.
-//   - A caller is told "not run" only then, too.
+//   - A request that must not be repeated is sent to a second upstream only if the
+//     first stated that it did not run, or if no connection was made.
+//   - The caller gets "not run" only in these two cases, too.
 //   - An answer that breaks off upstream breaks off at the caller. It never
-//     looks whole.
-//   - An answer that names another request is nobody's: its connection is
+//     appears complete.
+//   - An answer that names another request is discarded: its connection is
 //     closed, and the request counts as failed.
-//   - An upstream is told how long the caller still waits. When the caller
-//     leaves, the upstream's connection is closed.
+//   - An upstream receives the time for which the caller still waits. When the
+//     caller disconnects, the connection to the upstream is closed.
 //
-// Each send has a connection of its own (see mgdial). Bytes that an upstream
-// sends beyond an answer, or too late, have no other request to reach, and a
-// connection that has gone silent costs one request at most.
+// Each attempt has a connection of its own (see mgdial). Bytes that an upstream
+// sends after the end of an answer, or too late, can't reach another request, and a
+// connection that has gone silent costs at most one request.
 //
 // # Terms
 //
+//   - list: the upstreams, as last reported by the platform. It is stale while the
+//     platform can't be reached.
 //   - attempt: one send of a request to one upstream.
-//   - refused: the upstream's word that an attempt did not run.
+//   - refused: the upstream stated that an attempt did not run.
 //   - garbled: an answer without the upstream's signature, or for another
 //     request.
+//   - generation: a streamed answer that an upstream is producing for a caller.
+//   - copy: the memory of a generation, copied from the upstream that runs it to
+//     another one, so that the generation can continue there.
+//   - placement: memory that is reserved at an upstream for a generation. The
+//     entries choose one process that assigns the placements of a service.
+//   - migration slot: the permission to move a generation away from an upstream
+//     that leaves.
+//   - backoff: the time during which an upstream that sent Retry-After gets no
+//     requests from this process.
+//   - cold: an upstream that started a short time ago and handles few requests yet.
+//   - home: a region in which a request may run.
+//   - permit: the permission to send one request to an upstream that has announced
+//     a rate limit. All entries together give at most as many as it allows.
+//   - cordon: operators keep new work away from an availability zone.
+//   - quarantine: requests under which upstreams crashed are held, that is refused
+//     for a time.
 package mgrelay
--- a/internal/process/mgrelay/exchange.go
+++ b/internal/process/mgrelay/exchange.go
@@ -15,7 +15,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// exchange is one caller's request and what has become of it.
+// exchange is a caller's request and the state of its processing.
 type exchange struct {
 	call      Call
 	id        string
@@ -28,55 +28,56 @@
 	size      generationSize
 	body      []byte
 	startedAt mgclock.Millis
-	timeout   mgclock.Millis // from began, the shorter of deadline and timeout
+	timeout   mgclock.Millis // from startedAt, the shorter of deadline and timeout of the route
 	control   *http.ResponseController
 
 	sentAt           mgclock.Millis // when the last attempt was sent
 	pendingTokens    int            // prompt tokens that are counted as not yet read
 	tried            map[string]bool
-	attempts         int  // sends that may have reached an upstream
-	skippedCold      bool // an upstream was passed over as it is cold
-	failedDials      int  // upstreams that could not be reached
-	lastUpstream     string
-	refusal          *answer     // the last upstream's word that it did not run
+	attempts         int         // sends that may have reached an upstream
+	skippedCold      bool        // an upstream was skipped because it is cold
+	failedDials      int         // upstreams that could not be reached
+	lastUpstream     string      // of the last attempt
+	refusal          *answer     // the last upstream's statement that it did not run
 	failure          *answer     // the last upstream's answer that it failed
-	mayHaveRun       bool        // an attempt may have run
-	attemptBroken    bool        // an upstream broke an attempt off
-	admitted         bool        // the quarantine has let it through
-	headerSent       bool        // the caller has a stream's header
-	streaming        atomic.Bool // the same, for other goroutines
+	mayHaveRun       bool        // at an upstream
+	attemptBroken    bool        // an upstream closed the connection of an attempt
+	admitted         bool        // by the quarantine
+	headerSent       bool        // of a stream, to the caller
+	streaming        atomic.Bool // headerSent for other goroutines
 	digestOnce       sync.Once
-	digestValue      mgquarantine.Digest // once digested
+	digestValue      mgquarantine.Digest // valid after digestOnce
 	sequence         eventSequence       // of the events that the caller has
-	lastEventAt      mgclock.Millis      // when the caller was given events last
-	firstAfterResume bool                // the next events are the first of another upstream
-	resumed          bool                // the generation goes on after these
-	releaseAttempt   func(answered bool) // ends the attempt at its upstream's rests
-	resumeFrom       resumePoint         // what the next attempt goes on from, or nothing
-	resumePoints     []resumePoint       // where else the generation can go on
+	lastEventAt      mgclock.Millis      // when the caller was last sent events
+	firstAfterResume bool                // the next events are the first ones of another upstream
+	resumed          bool                // the generation continues after the events in sequence
+	releaseAttempt   func(answered bool) // unregisters the attempt from backoffs; nil if none is registered
+	resumeFrom       resumePoint         // what the next attempt continues from, or zero
+	resumePoints     []resumePoint       // where else the generation can continue
 	problem          *mgproblem.Problem
 }
 
-// resumePoint is where a generation can go on, and the copy that it goes on from.
+// resumePoint is an upstream at which a generation can continue, and the copy from
+// which it does.
 type resumePoint struct {
 	host    Host
 	copyRef string // address/name
 }
 
-// answer is an upstream's answer that was read whole.
+// answer is an upstream's answer that was read completely.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// writeSlack is how much longer than its limit a request's answer may take to
-// be written before a caller that doesn't read is cut off.
+// writeSlack is how much longer than its timeout a request's answer may take to be
+// written before a caller that doesn't read is disconnected.
 const writeSlack = mgclock.Second
 
-// newExchange takes a request in. The whole body is newExchange first: it can then be sent
-// to a second upstream, and an upstream that answers before it has newExchange all of
-// a body never gets other bytes in its place.
+// newExchange reads a request. It reads the whole body first: the body can then be
+// sent to a second upstream, and an upstream that answers before it has read the
+// whole body never receives bytes of another body in its place.
 func (y *Relay) newExchange(w http.ResponseWriter, r *http.Request, call Call, startedAt mgclock.Millis) (*exchange, *mgproblem.Problem) {
 	x := &exchange{
 		call:      call,
@@ -114,7 +115,7 @@
 	return x, nil
 }
 
-// bodyReadProblem tells why a body could not be read.
+// bodyReadProblem returns the problem for a body that could not be read.
 func bodyReadProblem(err error) *mgproblem.Problem {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
@@ -135,13 +136,14 @@
 // timeLeft returns how long the caller still waits.
 func (x *exchange) timeLeft(now mgclock.Millis) mgclock.Millis { return x.startedAt + x.timeout - now }
 
-// setWriteDeadline bounds the time in which the caller takes the answer. A caller
-// that stops reading would keep its answer's memory for good.
+// setWriteDeadline bounds the time in which the caller reads the answer. A caller
+// that stops reading would otherwise keep the memory of its answer allocated
+// forever.
 func (x *exchange) setWriteDeadline() {
 	_ = x.control.SetWriteDeadline(mgclock.Deadline(x.timeout + writeSlack))
 }
 
-// clearWriteDeadline ends the bound, for the next request on the connection.
+// clearWriteDeadline removes the bound, for the next request on the connection.
 func (x *exchange) clearWriteDeadline() { _ = x.control.SetWriteDeadline(time.Time{}) }
 
 // splitList returns the names in a comma-separated header line.
--- a/internal/process/mgrelay/form.go
+++ b/internal/process/mgrelay/form.go
@@ -6,27 +6,27 @@
 	"strings"
 )
 
-// A Form names the headers of a deployment. A name that is empty isn't used.
+// Form names the headers of a deployment. An empty name isn't used.
 type Form struct {
-	ID        string // the request's id, which upstreams echo
-	Deadline  string // how long the caller still waits, ms
-	Account   string // the account that an upstream is told
-	Upstream  string // the upstream that is meant; another one refuses
-	Instance  string // of answers: the upstream that answered
-	Refused   string // of answers: the upstream did not run the request
-	Leaving   string // of answers: the upstream leaves
-	Limit     string // of answers: the requests a second that the upstream takes in all
-	Signature string // of answers: the upstream made this answer
-	Tokens    string // "prompt,most": tokens of the prompt, and most of the output
-	Hint      string // the caller's estimate of the output's tokens
-	Event     string // the last event that a caller, or the system, has
-	Copy      string // the copy that a generation goes on from, address/name
-	Private   []string
-	// Fractions says that callers read fractions of a second in Retry-After.
+	ID        string   // the request's id, which upstreams echo
+	Deadline  string   // how long the caller still waits, ms
+	Account   string   // the account, as sent to upstreams
+	Upstream  string   // the intended upstream; another one refuses the request
+	Instance  string   // in answers: the upstream that answered
+	Refused   string   // in answers: the upstream did not run the request
+	Leaving   string   // in answers: the upstream is leaving
+	Limit     string   // in answers: the rate limit of the upstream for all entries, in requests a second
+	Signature string   // in answers: proves that the upstream produced the answer
+	Tokens    string   // "prompt,max": number of tokens of the prompt, and maximum for the output
+	Hint      string   // the caller's estimate of the number of output tokens
+	Event     string   // id of the last event that a caller, or the relay, has received
+	Copy      string   // the copy from which a generation continues, address/name
+	Private   []string // further headers that are never forwarded to upstreams
+	// Fractions reports whether callers accept fractions of a second in Retry-After.
 	Fractions bool
 }
 
-// DefaultForm returns the form of the product's own interface.
+// DefaultForm returns the headers of the project's own interface.
 func DefaultForm() Form {
 	return Form{
 		ID:        "Request-Id",
@@ -45,25 +45,25 @@
 	}
 }
 
-// generationSize is how large a generation is, in tokens.
+// generationSize is the size of a generation in tokens.
 type generationSize struct {
 	prompt int
 	output int // expected
 }
 
-// outputMemoryFraction is the part of an expected output that counts as memory taken: what
-// a generation holds of it on average while it runs.
+// outputMemoryFraction is the part of an expected output that counts as used memory:
+// what a generation holds of it on average while it runs.
 const outputMemoryFraction = 0.5
 
-// memory returns the tokens of memory that a generation is counted with.
+// memory returns the tokens of memory that are counted for a generation.
 func (s generationSize) memory() int { return s.prompt + int(outputMemoryFraction*float64(s.output)) }
 
-// defaultOutputFraction is the part of the most that a generation may make that it is
-// expected to make when its caller gives no estimate.
+// defaultOutputFraction is the part of its maximum output that a generation is
+// expected to produce if its caller gives no estimate.
 const defaultOutputFraction = 0.5
 
-// sizeOf reads a generation's size. What can't be read counts as unknown: the
-// size decides on order and place only.
+// sizeOf reads a generation's size. A value that can't be parsed counts as unknown:
+// the size affects only the order and the choice of the upstream.
 func (f *Form) sizeOf(header http.Header) generationSize {
 	prompt, maxText, _ := strings.Cut(header.Get(f.Tokens), ",")
 	var s generationSize
@@ -80,7 +80,7 @@
 	return s
 }
 
-// hopHeaders concern one connection only (RFC 9110, 7.6.1).
+// hopHeaders apply to a single connection (RFC 9110, 7.6.1).
 var hopHeaders = []string{
 	"Connection",
 	"Expect",
@@ -94,9 +94,9 @@
 	"Upgrade",
 }
 
-// forwardedHeaders returns the headers of a caller's request that go on. The key never
-// does, and what the system sets is dropped: a caller could otherwise speak in
-// another account's name or use memory that the system reserved.
+// forwardedHeaders returns the headers of a caller's request that are forwarded. The
+// key never is, and headers that the relay sets are dropped: otherwise a caller
+// could act as another account or use memory that the system reserved.
 func (f *Form) forwardedHeaders(from http.Header) http.Header {
 	to := endToEndHeaders(from)
 	to.Del("Authorization")
@@ -108,13 +108,13 @@
 		to.Del(name)
 	}
 	if _, ok := to["User-Agent"]; !ok {
-		// Without a value of ours the library adds its own name.
+		// Without this entry the library adds its own name.
 		to["User-Agent"] = nil
 	}
 	return to
 }
 
-// endToEndHeaders copies the headers that don't concern one connection only.
+// endToEndHeaders copies the headers that don't apply to a single connection.
 func endToEndHeaders(from http.Header) http.Header {
 	to := from.Clone()
 	for _, line := range from["Connection"] {
--- a/internal/process/mgrelay/generation.go
+++ b/internal/process/mgrelay/generation.go
@@ -9,31 +9,34 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// generation is a generation that runs at an upstream for a caller of this relay.
+// generation is a streamed answer that an upstream produces for a caller of this
+// relay.
 type generation struct {
-	ctx          context.Context // ends with the attempt
+	ctx          context.Context // done when the attempt ends
 	exchange     *exchange
 	host         Host
-	firstEventAt atomic.Int64   // time of the first event, ms of the relay's clock
+	firstEventAt atomic.Int64   // ms of the relay's clock; 0 before the first event
 	eventCount   atomic.Int64   // events delivered
-	lastEventAt  mgclock.Millis // when events were delivered last
+	lastEventAt  mgclock.Millis // when events were last delivered
 
-	claimed      bool          // a mover is at work on it; guarded by runs.mu
-	moveDone     chan struct{} // closed when the mover is done with it
-	resumePoints []resumePoint // where the mover let it go on; read after ended
+	claimed      bool          // it is or was being moved; guarded by generations.mu
+	moveDone     chan struct{} // closed when its move is done
+	resumePoints []resumePoint // where it can continue after the move; read after moveDone is closed
 	registry     *generations
 }
 
-// generations are the generations that run now, by upstream. The zero generations is empty.
+// generations are the generations that run now, by upstream. The zero value is
+// empty.
 type generations struct {
 	mu         sync.Mutex
 	byUpstream map[string]map[*generation]bool
-	evacuating map[string]bool // upstreams with a mover
-	added      chan struct{}   // closed when a run is added
+	evacuating map[string]bool // upstreams that are being evacuated
+	added      chan struct{}   // closed when a generation is added
 }
 
-// nextAdded returns a channel that is closed when a run is next added: one may begin
-// at an upstream that was found to leave while it was sent there.
+// nextAdded returns a channel that is closed when the next generation is added. One
+// may start at an upstream that was found to be leaving while the request was on its
+// way there.
 func (s *generations) nextAdded() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +80,8 @@
 	}
 }
 
-// hostsNotEvacuating returns the upstreams with runs and without a mover.
+// hostsNotEvacuating returns the upstreams that run generations and are not being
+// evacuated.
 func (s *generations) hostsNotEvacuating() []Host {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +98,7 @@
 	return hosts
 }
 
-// setEvacuating notes that an upstream has a setEvacuating, or has none any more.
+// setEvacuating records whether an upstream is being evacuated.
 func (s *generations) setEvacuating(name string, isEvacuating bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,8 +109,8 @@
 	delete(s.evacuating, name)
 }
 
-// claimNext returns the run of an upstream to move next, the one that gains most by
-// it first, or nil.
+// claimNext claims the unclaimed generation of an upstream whose move is worth most,
+// and returns it, or nil.
 func (s *generations) claimNext(now mgclock.Millis, name string) *generation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,16 +130,16 @@
 	return best
 }
 
-// isClaimed reports whether a mover is, or was, at work on a run: it has the upstream end
-// the run's stream.
+// isClaimed reports whether a generation was claimed for a move, which makes the
+// upstream end the generation's stream.
 func (s *generations) isClaimed(r *generation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return r.claimed
 }
 
-// recordEvents counts events that were delivered, and returns the time that each of
-// their tokens took since the events before, or false for the first.
+// recordEvents counts delivered events. It returns the time per token since the
+// previous events, or false for the first events.
 func (r *generation) recordEvents(now mgclock.Millis, events int64) (perToken float64, ok bool) {
 	elapsed := now - r.lastEventAt
 	ok = !r.firstEventAt.CompareAndSwap(0, int64(now)) && events > 0
@@ -147,7 +151,7 @@
 	return float64(elapsed) / float64(events*int64(r.tokensPerEvent())), true
 }
 
-// tokensPerEvent returns the tokens of an event.
+// tokensPerEvent returns the number of tokens in an event.
 func (r *generation) tokensPerEvent() int {
 	if service := r.exchange.call.Table.Service(r.exchange.service); service != nil {
 		return service.Stride()
@@ -155,7 +159,8 @@
 	return 1
 }
 
-// state returns what is known of the run.
+// state returns the generation's progress, from which the worth of its move is
+// computed.
 func (r *generation) state(now mgclock.Millis) mgmigration.Run {
 	state := mgmigration.Run{
 		Prompt:  r.exchange.size.prompt,
@@ -169,23 +174,23 @@
 	return state
 }
 
-// hasAny reports whether an upstream has runs.
+// hasAny reports whether an upstream runs generations.
 func (s *generations) hasAny(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.byUpstream[name]) > 0
 }
 
-// moveOutcomeTimeout bounds how long a stream that ended waits for what its mover
-// learns of it: a call to the source that is on its way. The caller sees it as
+// moveOutcomeTimeout bounds how long a stream that ended waits for the outcome of
+// its move: a call to the source may still be in flight. The caller sees the wait as
 // a pause, and a stream that pauses for longer is late in any case.
 const moveOutcomeTimeout = mgclock.Second
 
-// awaitMove returns where a generation whose stream has ended can go on.
+// awaitMove returns where a generation whose stream has ended can continue.
 func (r *generation) awaitMove(clock mgclock.Clock) []resumePoint {
 	r.registry.mu.Lock()
 	claimed := r.claimed
-	r.claimed = true // no mover may begin with it any more
+	r.claimed = true // no move may start from now on
 	r.registry.mu.Unlock()
 	if !claimed {
 		return nil
--- a/internal/process/mgrelay/harness_test.go
+++ b/internal/process/mgrelay/harness_test.go
@@ -77,7 +77,7 @@
 name = "tankline"
 `
 
-// receivedRequest is a request as an upstream got it.
+// receivedRequest is a request as an upstream received it.
 type receivedRequest struct {
 	upstream string
 	method   string
@@ -86,7 +86,7 @@
 	header   http.Header
 }
 
-// harness is a relay before upstreams on loopback, each with its own answers.
+// harness is a relay in front of upstreams on loopback, each with its own handler.
 type harness struct {
 	t        *testing.T
 	table    *mgtable.Table
@@ -99,8 +99,8 @@
 // upstreamHandler answers one request at an upstream.
 type upstreamHandler func(w http.ResponseWriter, r *http.Request)
 
-// newHarness starts the relay before upstreams named a, b and so on, in the order in
-// which they are tried.
+// newHarness starts a relay in front of upstreams named a, b and so on, in the order
+// in which they are tried.
 func newHarness(t *testing.T, handlers ...upstreamHandler) *harness {
 	t.Helper()
 	table, err := mgtable.Parse([]byte(tableText))
@@ -118,7 +118,7 @@
 	return g
 }
 
-// increasingLoad has each upstream look more loaded than the one before it.
+// increasingLoad reports each upstream as more loaded than the one before it.
 func (g *harness) increasingLoad() mgload.Report {
 	rows := map[string]mgload.Row{}
 	for i, host := range g.hosts {
@@ -127,8 +127,8 @@
 	return mgload.Report{Rows: rows}
 }
 
-// useMemory gives the upstreams of a table's service a useMemory, so that generations wait for
-// places.
+// useMemory gives the upstreams of a table's service a memory, so that generations
+// wait for placements.
 func (g *harness) useMemory(text string) {
 	text = strings.Replace(text, `kind = "plain"`, "model = \"m\"", 1)
 	text += "\n[[model]]\nname = \"m\"\ncontext = 9000\nmax = 9000\n"
@@ -139,7 +139,7 @@
 	g.table = table
 }
 
-// restart opens the relay anew restart some of its spec changed.
+// restart opens the relay again with some of its spec changed.
 func (g *harness) restart(change func(*mgrelay.Spec)) {
 	spec := mgrelay.Spec{
 		Form:     mgrelay.DefaultForm(),
@@ -193,14 +193,14 @@
 	})
 }
 
-// requests returns what the upstreams got.
+// requests returns what the upstreams received.
 func (g *harness) requests() []receivedRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]receivedRequest(nil), g.received...)
 }
 
-// callerReply is what a caller got; cut says that it broke off.
+// callerReply is what a caller received; cut reports whether it broke off.
 type callerReply struct {
 	status int
 	header http.Header
@@ -244,12 +244,12 @@
 	}
 }
 
-// answerWith returns an answer with a text.
+// answerWith returns a handler that answers with a text.
 func answerWith(text string) upstreamHandler {
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
 }
 
-// refuseWith says that the request did not run.
+// refuseWith returns a handler that states that the request did not run.
 func refuseWith(status int) upstreamHandler {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Refused", "1")
@@ -265,7 +265,7 @@
 // hangUp closes the connection without an answer.
 func hangUp(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// rawBytes writes bytes of its own to the connection and closes it.
+// rawBytes returns a handler that writes bytes to the connection and closes it.
 func rawBytes(text string) upstreamHandler {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
--- a/internal/process/mgrelay/home.go
+++ b/internal/process/mgrelay/home.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// homes are the regions in which a request may run: those of its route and of its
-// account, which both bind. A list that is empty allows all.
+// homes are the regions in which a request may run. It must run in a region of the
+// route's list and in one of the account's list. An empty list allows all.
 type homes struct {
 	route   []string
 	account []string
@@ -25,12 +25,12 @@
 		(len(h.account) == 0 || slices.Contains(h.account, region))
 }
 
-// excludesAny reports whether some of the upstreams are not allowed.
+// excludesAny reports whether the request may not run at some of the upstreams.
 func (h homes) excludesAny(hosts []Host) bool {
 	return slices.ContainsFunc(hosts, func(host Host) bool { return !h.allows(host.Region) })
 }
 
-// excludesAll reports whether none of the upstreams is allowed.
+// excludesAll reports whether the request may not run at any of the upstreams.
 func (h homes) excludesAll(hosts []Host) bool {
 	return !slices.ContainsFunc(hosts, func(host Host) bool { return h.allows(host.Region) })
 }
--- a/internal/process/mgrelay/home_test.go
+++ b/internal/process/mgrelay/home_test.go
@@ -13,15 +13,15 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// A customer's documents may not leave their country. The nearest engine with room is
-// across the border, or the one that is left once another has failed is.
+// A customer's documents may not leave their country. The nearest engine with free
+// memory, or the one that is left after another failed, is in another country.
 func TestRequestRunsOutsideHomes(t *testing.T) {
 	Convey("A request runs at home only", t, func() {
 		for name, c := range map[string]struct {
 			route   string // homes
 			account string
 			regions []string // of the upstreams a, b and c
-			signed  string   // who answers, or nobody
+			signed  string   // who answers, or ""
 		}{
 			"where its route has homes": {
 				route:   `homes = ["south"]`,
@@ -78,7 +78,7 @@
 	Convey("Who gives places isn't asked where homes leave upstreams out", t, func() {
 		for homes, signed := range map[string]string{
 			`homes = ["south"]`:          "signed by b",
-			`homes = ["south", "north"]`: "signed by a", // nobody is left out
+			`homes = ["south", "north"]`: "signed by a", // excludes none
 		} {
 			Convey(homes, func() {
 				g := newHarness(t, answerWith("x"), answerWith("x"))
--- a/internal/process/mgrelay/host.go
+++ b/internal/process/mgrelay/host.go
@@ -10,34 +10,35 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// A Host is an upstream that may be sent a request.
+// Host is an upstream to which a request may be sent.
 type Host struct {
-	Name    string // the upstream's name, which it checks
+	Name    string // the upstream's name, which it checks in requests
 	Addr    string // IP and port
 	Zone    string
 	Region  string
-	Suspect bool  // it failed lately
-	Cold    bool  // it may have started a moment ago
-	Born    int64 // start of its present life by the list, 0 where it tells none
-	Givers  int   // processes that give places at it, 1 at least
+	Suspect bool  // it failed recently
+	Cold    bool  // it may have started a short time ago
+	Born    int64 // start of its current incarnation by the list, 0 if the list gives none
+	Givers  int   // processes that assign placements at it, at least 1
 }
 
-// candidate is an upstream and what a request costs there.
+// candidate is an upstream and the cost of a request there.
 type candidate struct {
 	host          Host
 	cost          float64 // ms
-	tokenDelay    float64 // part of cost, ms for each token
-	freeTokens    int     // tokens of memory that nothing takes, where that is known
+	tokenDelay    float64 // part of cost, ms per token
+	freeTokens    int     // unused memory in tokens, if known
 	pendingTokens int     // prompt tokens that are yet to be read
-	avoid         bool    // it failed lately, and others are well
-	cold          bool    // it bears few requests now; see mgwarm
+	avoid         bool    // it failed recently, and others are healthy
+	cold          bool    // it handles few requests now; see mgwarm
 }
 
-// avoidPenalty puts upstreams that failed lately behind all others, in ms.
+// avoidPenalty is added to the cost of upstreams that failed recently, to rank them
+// after all others, in ms.
 const avoidPenalty = 1e6
 
-// candidates returns the upstreams that may take a request, the cheapest first, with
-// equal ones in random order.
+// candidates returns the upstreams that may take a request by ascending cost, those
+// of equal cost in random order.
 func (y *Relay) candidates(x *exchange, query mgload.Query) []candidate {
 	query.Memory = x.size.memory()
 	query.Capacity = upstreamCapacity(x.call.Table, x.service)
@@ -47,7 +48,8 @@
 		return !x.homes.allows(s.host.Region) || !y.backoffs.Takes(now, s.host.Name) || y.permitDelay(now, s.host) > 0
 	})
 	if query.Copy {
-		// A generation that is moved reads and takes memory there as any other does.
+		// A moved generation reads and uses memory at its destination like any other
+		// request.
 		for i := range list {
 			if _, limited := y.spec.Limits.Rate(list[i].host.Name, list[i].host.Born); limited {
 				list[i].cost += avoidPenalty
@@ -75,8 +77,8 @@
 	return y.spec.Others()
 }
 
-// upstreamCapacity returns the memory of a service's upstreams in tokens, 0 where it
-// isn't known.
+// upstreamCapacity returns the memory of each upstream of a service in tokens, or 0
+// if it isn't known.
 func upstreamCapacity(table *mgtable.Table, name string) int {
 	service := table.Service(name)
 	if service == nil {
@@ -89,7 +91,8 @@
 	return model.Context()
 }
 
-// allCandidates returns a service's upstreams with what a request allCandidates at each.
+// allCandidates returns all upstreams of a service with the cost of a request at
+// each.
 func (y *Relay) allCandidates(service string, query mgload.Query, others mgload.Report) []candidate {
 	hosts := y.spec.Every(service)
 	paces := y.spec.Load.Paces(y.spec.Clock.Now())
@@ -122,7 +125,8 @@
 			freeTokens:    query.Capacity - state.Row.Memory,
 			pendingTokens: state.Row.Pending,
 			avoid:         host.Suspect || isFaulty(faultWeights[i]),
-			// Others may have seen it fail, and start anew, where this process didn't.
+			// Other entries may have seen it fail and start again when this process
+			// didn't.
 			cold: host.Cold || faultWeights[i] > 0,
 		}
 		if c.avoid {
@@ -133,24 +137,24 @@
 	return list
 }
 
-// Places returns the upstreams of a service as they are seen by what the other
-// entries have sent, for requests that wait for a place. It returns nil where the
-// service has none that may be given work.
+// Places returns the upstreams of a service, given what the other entries have sent,
+// for the assignment of placements. It returns nil if the service has no upstreams
+// that accept new work.
 func (y *Relay) Places(table *mgtable.Table, service string, others mgload.Report) []mgroom.Place {
 	query := mgload.Query{
 		Zone:     y.spec.Zone,
 		Capacity: upstreamCapacity(table, service),
 	}
-	spots := y.allCandidates(service, query, others)
-	if len(spots) == 0 {
+	list := y.allCandidates(service, query, others)
+	if len(list) == 0 {
 		return nil
 	}
 	ramp := 0.0
 	if found := table.Service(service); found != nil {
 		ramp = found.Ramp()
 	}
-	places := make([]mgroom.Place, 0, len(spots))
-	for _, c := range spots {
+	places := make([]mgroom.Place, 0, len(list))
+	for _, c := range list {
 		if c.avoid {
 			continue
 		}
--- a/internal/process/mgrelay/limit.go
+++ b/internal/process/mgrelay/limit.go
@@ -11,14 +11,15 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// recordLimit takes the rate that an upstream names in an answer, or that it names none.
+// recordLimit records the rate limit that an upstream announces in an answer, or
+// that it announces none.
 func (y *Relay) recordLimit(x *exchange, host Host, response *http.Response) {
 	if y.spec.Form.Limit == "" || response.StatusCode == http.StatusMisdirectedRequest {
 		return // another upstream may have the address
 	}
 	text := response.Header.Get(y.spec.Form.Limit)
 	if text == "" {
-		// An answer that came late is of an earlier request.
+		// A late answer belongs to an earlier request.
 		if response.Header.Get(y.spec.Form.ID) == x.id && y.spec.Limits.Unnamed(y.spec.Clock.Now(), x.sentAt, host.Name, host.Born) {
 			y.spec.Log.Info("an upstream names no limit any more", mglog.Request, x.id, mglog.Upstream, host.Name)
 		}
@@ -37,7 +38,8 @@
 	}
 }
 
-// takePermit takes leave to send a request to an upstream, and reports whether there is any.
+// takePermit takes a permit to send a request to an upstream, and reports whether it
+// got one.
 func (y *Relay) takePermit(ctx context.Context, x *exchange, host Host) bool {
 	if _, limited := y.spec.Limits.Rate(host.Name, host.Born); !limited {
 		return true
@@ -50,7 +52,8 @@
 	return ok
 }
 
-// takeForcedPermit counts a request that goes to a limited upstream in any case.
+// takeForcedPermit counts a request that is sent to a rate-limited upstream with or
+// without a permit.
 func (y *Relay) takeForcedPermit(ctx context.Context, x *exchange, host Host) {
 	if _, limited := y.spec.Limits.Rate(host.Name, host.Born); !limited {
 		return
@@ -71,14 +74,15 @@
 	}
 }
 
-// A Permit asks for leave to send one request to an upstream that has named a limit.
+// Permit asks for permission to send one request to an upstream that has announced a
+// rate limit.
 type Permit struct {
 	Ask    mglimit.Ask
-	Born   int64 // of the upstream's life
+	Born   int64 // the upstream's incarnation
 	Givers int   // see Host
 }
 
-// takeLocalPermit gives permits where no other process does.
+// takeLocalPermit gives permits if no other process gives any.
 func (y *Relay) takeLocalPermit(_ context.Context, permit Permit) (mgclock.Millis, bool) {
 	rate, limited := y.spec.Limits.Rate(permit.Ask.Upstream, permit.Born)
 	if !limited {
@@ -87,8 +91,8 @@
 	return y.localPermits.Take(y.spec.Clock.Now(), permit.Ask, mglimit.PartOf(rate, 1, 1))
 }
 
-// permitDelay returns the time until there may be a permit for an upstream, 0 where it needs
-// none.
+// permitDelay returns the time until there may be a permit for an upstream, 0 if it
+// needs none.
 func (y *Relay) permitDelay(now mgclock.Millis, host Host) mgclock.Millis {
 	left := y.permitWaits.Left(now, host.Name)
 	if left == 0 {
@@ -100,12 +104,12 @@
 	return left
 }
 
-// maxRetrySpread bounds the span over which callers are told to come back.
+// maxRetrySpread bounds the window over which the retries of callers are spread.
 const maxRetrySpread = 5 * mgclock.Second
 
-// spreadRetryDelay returns when a caller should come back to a service whose upstreams are
-// limited: those that were turned away lately come back one after another, at the rate
-// that the limits allow.
+// spreadRetryDelay returns the Retry-After for a service whose upstreams are
+// rate-limited. It spreads the recently rejected callers, so that they retry at the
+// rate that the limits allow.
 func (y *Relay) spreadRetryDelay(x *exchange, shortest mgclock.Millis) mgclock.Millis {
 	totalRate := 0.0
 	for _, host := range y.spec.Every(x.service) {
@@ -124,20 +128,20 @@
 	return shortest + mgclock.Millis(rand.Float64()*spread)
 }
 
-// rejections counts the requests that were turned away lately, by service. The zero
-// rejections has counted none.
+// rejections counts the recently rejected requests by service. The zero value is
+// empty.
 type rejections struct {
 	mu        sync.Mutex
 	byService map[string]*decayingCount
 }
 
-// decayingCount is a count that decays within a second or so.
+// decayingCount is a count that decays to zero within about one second.
 type decayingCount struct {
 	count     float64
 	updatedAt mgclock.Millis
 }
 
-// add counts one more and returns how many there were within a second.
+// add counts one rejection and returns the decayed count of about the last second.
 func (t *rejections) add(now mgclock.Millis, service string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/process/mgrelay/limit_test.go
+++ b/internal/process/mgrelay/limit_test.go
@@ -17,7 +17,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// answerWithLimit answers, and names a limit while there is one.
+// answerWithLimit answers with a text, and announces a limit while there is one.
 func answerWithLimit(limit *atomic.Pointer[string], text string) upstreamHandler {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if named := limit.Load(); named != nil {
@@ -33,7 +33,8 @@
 	return &limit
 }
 
-// An upstream that named a limit must have no more, at the cost of no caller's time.
+// An upstream that announced a rate limit receives more requests than that, or
+// callers wait because of it.
 func TestUpstreamLimitExceeded(t *testing.T) {
 	ask := func(g *harness, path string) callerReply {
 		return g.send(context.Background(), http.MethodPost, path, "x", http.Header{
@@ -41,7 +42,7 @@
 			"Request-Id": {path},
 		})
 	}
-	// requestsAt returns what an upstream got.
+	// requestsAt returns how many requests an upstream received.
 	requestsAt := func(g *harness, name string) int {
 		count := 0
 		for _, request := range g.requests() {
--- a/internal/process/mgrelay/move.go
+++ b/internal/process/mgrelay/move.go
@@ -9,8 +9,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Run moves generations away from upstreams that leave and drops requests that come to
-// be held, until ctx ends.
+// Run moves generations away from upstreams that leave and cancels requests that
+// become held, until ctx is done.
 func (y *Relay) Run(ctx context.Context) {
 	go y.watchHeld(ctx)
 	if y.spec.Move == nil {
@@ -38,12 +38,13 @@
 	}
 }
 
-// lateStartWindow is how long a mover looks for runs that begin on an upstream whose
-// leaving was known too late to send them elsewhere.
+// lateStartWindow is how long evacuate waits for generations that start on an upstream
+// after its departure began, because the departure became known too late to send them
+// elsewhere.
 const lateStartWindow = 3 * mgclock.Second
 
-// evacuate moves the runs of one upstream, one after another: they share its
-// link.
+// evacuate moves the generations of one upstream one after another, since they share
+// its link.
 func (y *Relay) evacuate(ctx context.Context, host Host) {
 	name := host.Name
 	defer y.generations.setEvacuating(name, false)
@@ -63,7 +64,7 @@
 	}
 }
 
-// moveGeneration moves one run.
+// moveGeneration moves one generation.
 func (y *Relay) moveGeneration(r *generation) {
 	if service := r.exchange.call.Table.Service(r.exchange.service); service == nil || !service.Move() {
 		close(r.moveDone)
@@ -78,29 +79,31 @@
 	y.executeMove(r, &m)
 	r.resumePoints = resumePointsOf(&m.move, r.host, m.destination)
 	m.duration = y.spec.Clock.Now() - startedAt
-	// The stream goes on first: giving the turn back may wait for a dead entry.
+	// The stream continues first: releasing the slot may wait for a dead entry.
 	close(r.moveDone)
 	y.releaseSlot(r)
 	y.recordMove(r, &m)
 }
 
-// migration is a move under way.
+// migration is a move in progress.
 type migration struct {
 	move           mgmigration.Move
 	destination    Host
-	hasDestination bool            // there is a destination
+	hasDestination bool
 	tried          map[string]bool // since the last pause
-	refusedCount   int             // destinations without room
+	refusedCount   int             // destinations without memory
 	lastReply      mgmigration.Reply
-	slotWait       mgclock.Millis // for the turn
+	slotWait       mgclock.Millis // time until a migration slot and destination were found
 	duration       mgclock.Millis
 }
 
-// executeMove does the move's steps until it is over or the run's stream has ended.
+// executeMove executes the steps of a move until it is done or the generation's
+// stream has ended.
 func (y *Relay) executeMove(r *generation, m *migration) {
 	for m.hasDestination && r.ctx.Err() == nil && m.move.Step() != mgmigration.Done {
 		if y.isDestinationCordoned(m) {
-			// No request may reach it by the time that the run is stopped.
+			// Requests may be barred there by the time that the generation is
+			// stopped.
 			m.tried[m.destination.Name] = true
 			m.move = mgmigration.Move{}
 			m.destination, m.hasDestination = y.findDestination(r, m.tried)
@@ -132,8 +135,8 @@
 	}
 }
 
-// isDestinationCordoned reports whether a move's destination was cordoned before its run
-// was stopped.
+// isDestinationCordoned reports whether a move's destination was cordoned before the
+// generation was stopped.
 func (y *Relay) isDestinationCordoned(m *migration) bool {
 	if y.spec.Cordoned == nil || m.move.Stopped() {
 		return false
@@ -142,7 +145,8 @@
 	return cordoned
 }
 
-// retryDestinations looks for a destination among those that had no room before, too.
+// retryDestinations looks for a destination again, including those that had no
+// memory before.
 func (y *Relay) retryDestinations(r *generation, m *migration) {
 	if len(m.tried) == 0 {
 		return
@@ -165,7 +169,8 @@
 		"places", len(r.resumePoints), "ms", int64(m.duration), "waited", int64(m.slotWait))...)
 }
 
-// resumePointsOf returns where a run can go on after its move, the best first.
+// resumePointsOf returns where a generation can continue after its move, the best
+// first.
 func resumePointsOf(move *mgmigration.Move, source, to Host) []resumePoint {
 	var points []resumePoint
 	for _, at := range move.Places() {
@@ -181,8 +186,9 @@
 	return points
 }
 
-// findDestination returns where a run should go, once it is its turn: an upstream of
-// its service that stays, by its own word where the list may be stale.
+// findDestination waits for a migration slot and returns where to move a generation:
+// an upstream of its service that isn't leaving. While the list may be stale, the
+// upstream itself confirms that.
 func (y *Relay) findDestination(r *generation, tried map[string]bool) (Host, bool) {
 	for {
 		host, found := y.chooseDestination(r, tried)
@@ -196,7 +202,8 @@
 	}
 }
 
-// chooseDestination returns the best destination by the list, once it is the run's turn.
+// chooseDestination waits for a migration slot and returns the best destination by
+// the list.
 func (y *Relay) chooseDestination(r *generation, tried map[string]bool) (Host, bool) {
 	ask := mgmigration.Ask{
 		Source: r.host.Name,
@@ -228,7 +235,7 @@
 	return hosts[ask.Places[0].Name], true
 }
 
-// copyTime returns the time in ms in which the run's memory is copied within an
+// copyTime returns the time in ms to copy the generation's memory within an
 // availability zone.
 func (r *generation) copyTime() float64 {
 	service := r.exchange.call.Table.Service(r.exchange.service)
@@ -239,7 +246,8 @@
 	return float64(tokens) * float64(service.Copy()) / 1000
 }
 
-// crossZoneFactor is how many times as long a copy to another availability zone takes.
+// crossZoneFactor is how many times as long a copy to another availability zone
+// takes.
 func crossZoneFactor(crossZone bool) float64 {
 	if crossZone {
 		return 2
--- a/internal/process/mgrelay/move_test.go
+++ b/internal/process/mgrelay/move_test.go
@@ -14,20 +14,20 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgmigration"
 )
 
-// moveScenario is a generation of six events that leaves its engine after the third.
+// moveScenario is a generation of six events whose engine leaves after the third.
 type moveScenario struct {
 	harness  *harness
 	mu       sync.Mutex
 	leaving  bool
 	changed  chan struct{}
-	breakOff chan struct{} // closed when the source is to break its stream off
+	breakOff chan struct{} // closed when the source must break off its stream
 	orders   []mgrelay.Order
 	reply    func(order mgrelay.Order) mgmigration.Reply
 }
 
 func eventText(n int) string { return fmt.Sprintf("id: %d\ndata: e%d\n\n", n, n) }
 
-// source makes three events and then breaks off when it is told to.
+// source produces three events and breaks off when breakOff is closed.
 func (s *moveScenario) source(w http.ResponseWriter, r *http.Request) {
 	for n := 1; n <= 3; n++ {
 		_, _ = fmt.Fprint(w, eventText(n))
@@ -41,7 +41,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// leave has the source named a as leaving.
+// leave marks the source, upstream a, as leaving.
 func (s *moveScenario) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,7 +50,7 @@
 	s.changed = make(chan struct{})
 }
 
-// resumeFromCopy makes the events after the one that the request names.
+// resumeFromCopy produces the events after the one that the request names.
 func resumeFromCopy(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Copy") == "" {
 		w.Header().Set("Refused", "1")
@@ -64,7 +64,7 @@
 	}
 }
 
-// newMoveScenario opens the relay before a source a and destinations b and c.
+// newMoveScenario starts a relay in front of a source a and destinations b and c.
 func newMoveScenario(t *testing.T, reply func(s *moveScenario, order mgrelay.Order) mgmigration.Reply, others ...upstreamHandler) *moveScenario {
 	s := &moveScenario{
 		changed:  make(chan struct{}),
@@ -75,8 +75,9 @@
 	return s
 }
 
-// An answer that may be resumed breaks off with its engine, without a notice.
-// The caller's own client would ask again from the start of its patience.
+// A resumable stream breaks off with its engine, without a notice, and isn't resumed
+// at another upstream. The caller's own client would start the request again from
+// the beginning.
 func TestInterruptedStreamNotResumed(t *testing.T) {
 	Convey("A stream that may be resumed goes on at another upstream", t, func() {
 		fromEvent := func(w http.ResponseWriter, r *http.Request) {
@@ -138,10 +139,9 @@
 	return all.String()
 }
 
-// A gauger's report is written a second time from its beginning, and the two are
-// woven into one: the engine that had taken it over was gone when the entry
-// went there, nothing had been sent to it, and the entry took that for a
-// request that had never run.
+// A report is produced a second time from its beginning and mixed with the first:
+// the engine with the copy was gone when the relay connected to it, nothing had been
+// sent to it, and the relay mistook this for a request that had never run.
 func TestGenerationRestartsAfterCopyLost(t *testing.T) {
 	Convey("A generation whose copy can't be reached ends visibly", t, func() {
 		s := newMoveScenario(t, func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
@@ -169,9 +169,9 @@
 	})
 }
 
-// An engine is reclaimed two seconds after its notice, and a gauger's report of
-// seven seconds is cut in its middle; or it goes on elsewhere with events
-// missing or repeated, because one step of its move failed.
+// An engine is reclaimed two seconds after its notice, and a report of seven seconds
+// is cut in the middle; or one step of its move fails, and it continues elsewhere
+// with events missing or repeated.
 func TestMovedGenerationCutOrGarbled(t *testing.T) {
 	copied := func(handle string) mgmigration.Reply {
 		return mgmigration.Reply{
@@ -216,7 +216,7 @@
 		},
 		{
 			// Memory is nearly full everywhere: each destination refuses within some
-			// ms, and one of them has room a moment later. A mover that gives up
+			// ms, and one of them has memory a moment later. A relay that gives up
 			// after three refusals lets the answer be cut a second later.
 			name: "nobody has room at first",
 			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
--- a/internal/process/mgrelay/placement.go
+++ b/internal/process/mgrelay/placement.go
@@ -11,25 +11,27 @@
 )
 
 const (
-	// maxWaitGoals is how many times a generation's goal it waits for a place at most:
-	// its caller leaves after four times the goal, and one that is told so before
-	// can come back.
+	// maxWaitGoals times its goal is how long a generation waits for a placement at
+	// most: its caller leaves after four times the goal, and one that is refused
+	// before that can retry.
 	maxWaitGoals = 3
-	// firstEventSlack is the time from a request's place to its first event beside the
-	// reading of its prompt: the ways, a step, and prompts that are read before.
+	// firstEventSlack is the time from the grant of a placement to the first event,
+	// apart from reading the prompt: network round trips, a step, and prompts that
+	// are read before.
 	firstEventSlack = 100 * mgclock.Millis(1)
 )
 
-// awaitPlacement asks for the place of a generation's first attempt, which waits there
-// while no upstream has memory for it, or is given up. It returns false for other
-// requests, and where nobody could be asked.
+// awaitPlacement requests the placement of a generation's first attempt, and waits
+// until an upstream has memory for it or the request is given up. It returns false
+// for other requests, and if no process could be asked.
 func (y *Relay) awaitPlacement(ctx context.Context, x *exchange) (host Host, decided bool) {
 	if y.spec.Place == nil || x.attempts+x.failedDials > 0 || x.call.Route.Kind() != mgtable.Stream || x.size.prompt == 0 {
 		return Host{}, false
 	}
 	hosts := y.spec.Every(x.service)
 	if upstreamCapacity(x.call.Table, x.service) == 0 || len(hosts) == 0 || x.homes.excludesAny(hosts) {
-		// Who gives places doesn't know of homes and would give what can't be used.
+		// The process that assigns placements doesn't know about homes and might
+		// choose an upstream that the request may not use.
 		return Host{}, false
 	}
 	if _, all := y.backoffLeft(x); all {
@@ -42,9 +44,10 @@
 	if !ok {
 		return Host{}, false
 	}
-	for _, host := range y.spec.Every(x.service) { // as it is after the wait
+	for _, host := range y.spec.Every(x.service) { // may have changed during the wait
 		if host.Name == grant.Place {
-			// Who gives places doesn't know of rests that others were asked for.
+			// The process that assigns placements doesn't know about backoffs that
+			// upstreams requested from other processes.
 			if !y.beginAttempt(x, host) {
 				return Host{}, false
 			}
@@ -63,7 +66,7 @@
 	return Host{}, false
 }
 
-// waitingRequest describes a request that waits for a place.
+// waitingRequest describes the request for the waiting list.
 func (x *exchange) waitingRequest(now mgclock.Millis) mgroom.Wait {
 	promptTime := mgclock.Millis(float64(x.size.prompt)/mgload.ReadRate) + firstEventSlack
 	end := x.startedAt + maxWaitGoals*x.call.Route.Goal()
--- a/internal/process/mgrelay/probe.go
+++ b/internal/process/mgrelay/probe.go
@@ -8,34 +8,37 @@
 )
 
 const (
-	// probeInterval is the interval at which upstreams are asked whether they leave
-	// while the list may be stale. A notice is one to two seconds long, and a
-	// move takes 200 ms and more.
+	// probeInterval is the interval at which upstreams are asked whether they are
+	// leaving while the list may be stale. A notice is one to two seconds long, and
+	// a move takes at least 200 ms.
 	probeInterval = 250 * mgclock.Millis(1)
 	// probeTimeout bounds one answer.
 	probeTimeout = 150 * mgclock.Millis(1)
-	// destinationProbeTimeout bounds the answer of a destination, for which a run waits: an
-	// upstream answers in 3 ms, and one that is gone not at all.
+	// destinationProbeTimeout bounds the answer of a destination, for which a
+	// generation waits: an upstream answers in 3 ms, and one that is gone not at
+	// all.
 	destinationProbeTimeout = 60 * mgclock.Millis(1)
-	// outageStaleChecks is the looks in a row, probeSpan apart, at which the list is stale
-	// before the platform counts as away: entries run out after three heartbeats, 3.6 s.
-	// A watch that is late by a second says nothing of that kind, and an upstream that
-	// is gone from the list then leaves, though some never say so.
+	// outageStaleChecks is the number of consecutive checks, probeInterval apart,
+	// that must find the list stale before the platform counts as unavailable: list
+	// entries expire after three heartbeats, 3.6 s. A watch that is late by a second
+	// is no outage; an upstream that is missing from the list is then leaving,
+	// though some never report it.
 	outageStaleChecks = 8
-	// lapseWindow is how long after an outage an upstream that the list lacks may have
-	// run out there only: the platform says that those that live are back within two
-	// seconds of its return, which is noticed 0.25 s late.
+	// lapseWindow is how long after an outage a missing upstream may merely have
+	// expired from the list: the platform states that live upstreams are listed
+	// again within two seconds of its return, which is noticed 0.25 s late.
 	lapseWindow = 2500 * mgclock.Millis(1)
 )
 
-// probeWhileStale asks the upstreams with runs whether they leave, while the list may be
-// stale, until ctx ends. An engine is reclaimed while the platform is down, and
-// without its own word its generations are cut.
+// probeWhileStale asks the upstreams that run generations whether they are leaving,
+// while the list may be stale, until ctx is done. An engine may be reclaimed while
+// the platform is down, and its generations are cut if the relay doesn't learn of it
+// from the engine itself.
 func (y *Relay) probeWhileStale(ctx context.Context) {
 	if y.spec.Probe == nil {
 		return
 	}
-	staleChecks := 0 // in a row at which the list was stale
+	staleChecks := 0 // consecutive checks that found the list stale
 	for y.spec.Clock.Sleep(ctx, probeInterval) {
 		if !y.spec.Stale() {
 			staleChecks = 0
@@ -54,17 +57,18 @@
 func (y *Relay) probe(ctx context.Context, host Host) {
 	leaving, err := y.askLeaving(ctx, host, probeTimeout)
 	if err != nil || !leaving {
-		// A lost answer says nothing; the next one comes in probeSpan.
+		// A lost answer is no evidence; the next probe follows after probeInterval.
 		return
 	}
 	y.recordDeparted(host)
 }
 
-// awaitReturn waits while an upstream that the list lacks may have run out there only,
-// and reports whether the list has it again. Entries run out while the platform is
-// away; moved at once, the runs of living engines would all go to the few that the list
-// still has, and pause behind one another's copies. One that says that it leaves, or
-// nothing, isn't waited for.
+// awaitReturn waits while an upstream that is missing from the list may merely have
+// expired there, and reports whether the list has it again. List entries expire
+// while the platform is unavailable. If the generations of live engines were moved
+// at once, they would all go to the few upstreams that the list still has, and pause
+// while one copy waits for another. An upstream that answers that it is leaving, or
+// doesn't answer, isn't waited for.
 func (y *Relay) awaitReturn(ctx context.Context, host Host) bool {
 	if y.spec.Missing == nil || y.spec.Probe == nil || y.lastOutageAt.Load() == 0 {
 		return false
@@ -77,16 +81,16 @@
 	return !y.spec.Leaving(host.Name)
 }
 
-// confirmsStaying reports whether an upstream says that it stays.
+// confirmsStaying reports whether an upstream answers that it isn't leaving.
 func (y *Relay) confirmsStaying(ctx context.Context, host Host) bool {
 	leaving, err := y.askLeaving(ctx, host, destinationProbeTimeout)
 	return err == nil && !leaving
 }
 
-// canTakeOver reports whether an upstream can take a run over. While the list may be
-// stale it is asked: one that is gone looks the emptiest of all, and its source
-// tries to reach it for 1.2 s, which is most of a notice, before all others that
-// wait for the source's link.
+// canTakeOver reports whether an upstream can take over a generation. While the list
+// may be stale, the upstream is asked: one that is gone appears emptiest of all, and
+// the source tries to reach it for 1.2 s, which is most of a notice, before the
+// other generations that wait for the source's link.
 func (y *Relay) canTakeOver(ctx context.Context, host Host) bool {
 	if y.spec.Probe == nil || !y.spec.Stale() {
 		return true
@@ -94,7 +98,7 @@
 	leaving, err := y.askLeaving(ctx, host, destinationProbeTimeout)
 	switch {
 	case ctx.Err() != nil:
-		return false // the run has ended meanwhile, which says nothing of the upstream
+		return false // the generation ended meanwhile, which is no evidence against the upstream
 	case err != nil:
 		y.spec.Log.Info("an upstream that the list shows gives no report, no run goes there",
 			mglog.Upstream, host.Name, "why", err.Error())
@@ -108,7 +112,7 @@
 	return true
 }
 
-// askLeaving asks an upstream whether it leaves.
+// askLeaving asks an upstream whether it is leaving.
 func (y *Relay) askLeaving(ctx context.Context, host Host, timeout mgclock.Millis) (leaving bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
@@ -116,7 +120,7 @@
 	return y.spec.Probe(ctx, host)
 }
 
-// recordDeparted tells of an upstream that says that it leaves.
+// recordDeparted logs and reports an upstream that says that it is leaving.
 func (y *Relay) recordDeparted(host Host) {
 	y.spec.Log.Info("an upstream says that it leaves, which the list doesn't show", mglog.Upstream, host.Name)
 	y.spec.Departed(host.Name)
--- a/internal/process/mgrelay/relay.go
+++ b/internal/process/mgrelay/relay.go
@@ -22,87 +22,91 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// Spec is what a relay is made of.
+// Spec configures a relay.
 type Spec struct {
 	Form    Form
 	Clock   mgclock.Clock
 	Log     logr.Logger
 	Metrics *mgmetric.Set
 	Budgets *mgretry.Budgets
-	// Client sends to upstreams; see mgdial.NewClientWith.
+	// Client sends requests to upstreams; see mgdial.NewClientWith.
 	Client *http.Client
-	// Every returns all upstreams that run a service and stay, in any order.
+	// Every returns all upstreams that run a service and aren't leaving, in any
+	// order.
 	Every func(service string) []Host
-	// Load counts what is sent to each upstream, and Others returns what other
-	// entries have sent. Zone is this entry's.
+	// Load counts what this process sends to each upstream. Others returns what
+	// other entries have sent. Zone is this entry's availability zone.
 	Load   *mgload.Count
 	Others func() mgload.Report
 	Zone   string
-	// Name is this process's, and Processes returns how many it knows of, itself
-	// included; see mgwarm. Nil bounds nothing.
+	// Name is the name of this process. Processes returns how many processes it
+	// knows of, itself included; see mgwarm. If Processes is nil, cold upstreams are
+	// not protected.
 	Name      string
 	Processes func() int
-	// Failed tells of an upstream that could not be reached, Answered of one
-	// that answered.
+	// Failed reports an upstream that could not be reached, Answered one that
+	// answered.
 	Failed   func(upstream string)
 	Answered func(upstream string)
-	// Leaving reports whether an upstream leaves or is gone, and Changed returns
-	// a channel that is closed when that may have changed.
+	// Leaving reports whether an upstream is leaving or gone. Changed returns a
+	// channel that is closed when that may have changed.
 	Leaving func(upstream string) bool
 	Changed func() <-chan struct{}
-	// Missing reports whether an upstream is not in the list, which has no word of
-	// its leaving. Nil reports none.
+	// Missing reports whether an upstream is absent from the list, though it hasn't
+	// been reported as leaving. Nil reports none.
 	Missing func(upstream string) bool
-	// Cordoned reports whether an upstream's availability zone gets no new work, and
-	// how long ago that was learned. Every leaves such upstreams out. Nil reports none.
+	// Cordoned reports whether an upstream's availability zone is cordoned, and how
+	// long this has been known. Every leaves such upstreams out. Nil reports none.
 	Cordoned func(upstream string) (age mgclock.Millis, cordoned bool)
-	// Closed reports whether a service has upstreams that stay and all of them are
-	// cordoned. Nil reports none.
+	// Closed reports whether a service has upstreams that aren't leaving and all of
+	// them are cordoned. Nil reports none.
 	Closed func(service string) bool
-	// Turn asks for a turn at moving a run of a service, and EndTurn gives it
-	// back; see mgmigration.Turns. Without Turn there are no turns. It returns
-	// false where nobody could be asked.
+	// Turn acquires a migration slot for a generation of a service, and EndTurn
+	// releases it; see mgmigration.Turns. It returns false if no process could be
+	// asked. If Turn is nil, moves need no slot.
 	Turn    func(ctx context.Context, service string, ask mgmigration.Ask) (place string, ok bool)
 	EndTurn func(service, source, run string)
-	// Place has one entry choose the upstream of a generation, as soon as one has
-	// memory for it, or give it up. It returns false where nobody could be asked.
-	// Without it each entry chooses by what it knows.
+	// Place asks the process that assigns placements for an upstream. It returns as
+	// soon as one has memory for the generation, or when the request is given up,
+	// and returns false if no process could be asked. If Place is nil, each entry
+	// chooses by what it knows.
 	Place func(ctx context.Context, service string, wait mgroom.Wait) (grant mgroom.Grant, ok bool)
-	// Stale reports whether the list of upstreams may lack what has changed.
-	// Upstreams with runs are then asked by Probe whether they leave, and
-	// Departed is told of those that do. Without Probe none are asked.
+	// Stale reports whether the list of upstreams may be out of date. While it is,
+	// Probe asks the upstreams that run generations whether they are leaving, and
+	// Departed reports those that are. If Probe is nil, none are asked.
 	Stale    func() bool
 	Probe    func(ctx context.Context, upstream Host) (leaving bool, err error)
 	Departed func(upstream string)
-	// Basis returns the version of the list of upstreams, and the age of what
-	// Others returns, for logs. Nil logs neither.
+	// Basis returns the version of the list of upstreams and the age of the result
+	// of Others, for logs. If it is nil, neither is logged.
 	Basis func() (list uint64, age mgclock.Millis)
-	// Left returns how long this process still lives, or false when it doesn't
-	// stop.
+	// Left returns how long this process continues to run, or false if it isn't
+	// stopping.
 	Left func() (mgclock.Millis, bool)
-	// Quarantine holds requests back that crash upstreams. New makes one of its own
-	// where it is nil.
+	// Quarantine holds requests under which upstreams crash. New creates one if it
+	// is nil.
 	Quarantine *mgquarantine.Quarantine
-	// Limits are the rates that upstreams name in their answers, and Permit takes leave to
-	// send to one of them, or returns the time until there may be some. New makes what this
-	// process needs alone where they are nil.
+	// Limits are the rate limits that upstreams announce in their answers. Permit
+	// takes a permit to send to one of them, or returns the time until there may be
+	// one. New creates both for this process alone if they are nil.
 	Limits *mglimit.Limits
 	Permit func(ctx context.Context, permit Permit) (wait mgclock.Millis, ok bool)
-	// Refuses reports whether an upstream's address refuses connections, as after its
-	// process has ended; an error says that it isn't known. Nil never knows.
+	// Refuses reports whether an upstream's address refuses connections, as it does
+	// after its process has ended. An error means that this is unknown. If Refuses
+	// is nil, it is always unknown.
 	Refuses func(ctx context.Context, addr string) (bool, error)
-	// Move makes a call to a source of a move. Without it nothing is moved.
+	// Move sends an order to the source of a move. If it is nil, nothing is moved.
 	Move func(ctx context.Context, source Host, order Order) mgmigration.Reply
 }
 
-// Order is a call to the source of a move.
+// Order is a step of a move, sent to the source.
 type Order struct {
 	Run  string // the request's id
 	To   string // the destination's address
-	Last bool   // stop the run first
+	Last bool   // stop the generation first
 }
 
-// A Relay passes requests through. Make one with New.
+// Relay forwards requests to upstreams. Create one with New.
 type Relay struct {
 	spec         Spec
 	exchanges    exchanges
@@ -110,10 +114,11 @@
 	coldTurns    mgwarm.Turns
 	backoffs     mgrest.Rests
 	permitWaits  mglimit.Waits
-	localPermits mglimit.Permits // where nobody else gives any
+	localPermits mglimit.Permits // if Spec.Permit is nil
 	rejections   rejections
-	answerCount  atomic.Uint64 // ordinary answers
-	// lastOutageAt is when the platform was away last, ms of the clock; 0 for never.
+	answerCount  atomic.Uint64 // successful answers to the first attempt
+	// lastOutageAt is when the platform was last unavailable, in ms of the clock; 0
+	// for never.
 	lastOutageAt atomic.Int64
 }
 
@@ -134,17 +139,18 @@
 	return y
 }
 
-// Call is a request that was found to be allowed.
+// Call is a request that the table allows.
 type Call struct {
 	Table   *mgtable.Table
 	Route   *mgtable.Route
-	Account *mgtable.Account // nil where the route needs none
+	Account *mgtable.Account // nil if the route needs none
 }
 
 // maxDials bounds the upstreams that a request tries to connect to, and
-// dialTimeDivisor the part of its time that it spends so. Nothing was sent to those
-// that could not be reached, so they are no attempts. An entry that was cut off
-// for twelve seconds has a list of which half may be gone.
+// 1/dialTimeDivisor is the part of its time that it may spend on this. Nothing was
+// sent to an upstream that could not be reached, so it doesn't count as an attempt.
+// Half of the upstreams in the list of an entry that was cut off for twelve seconds
+// may be gone.
 const (
 	maxDials        = 8
 	dialTimeDivisor = 4
@@ -175,7 +181,8 @@
 	y.serve(ctx, w, x)
 }
 
-// serve sends a request until an answer can be delivered.
+// serve sends a request to upstreams until an answer can be delivered or none may be
+// tried any more.
 func (y *Relay) serve(ctx context.Context, w http.ResponseWriter, x *exchange) {
 	for {
 		if y.endIfHeld(w, x) {
@@ -208,15 +215,15 @@
 	}
 }
 
-// nextHost returns the upstream that has a copy to go on from, the one with memory
-// for a request that waited, or the best that was not tried.
+// nextHost returns the upstream that has a copy to continue from, else the one with
+// a placement for the request, else the best one that hasn't been tried.
 func (y *Relay) nextHost(ctx context.Context, x *exchange) (Host, bool) {
 	if x.resumeFrom.copyRef != "" {
-		y.beginAttempt(x, x.resumeFrom.host) // only there is the copy
+		y.beginAttempt(x, x.resumeFrom.host) // no other upstream has the copy
 		y.takeForcedPermit(ctx, x, x.resumeFrom.host)
 		return x.resumeFrom.host, true
 	}
-	if host, settled := y.awaitPlacement(ctx, x); settled {
+	if host, decided := y.awaitPlacement(ctx, x); decided {
 		return host, x.problem == nil
 	}
 	for _, c := range y.candidates(x, mgload.Query{Zone: y.spec.Zone}) {
@@ -236,7 +243,8 @@
 	return Host{}, false
 }
 
-// takeColdTurn reports whether a request may be sent to a cold upstream without a place.
+// takeColdTurn reports whether a request without a placement may be sent to a cold
+// upstream now.
 func (y *Relay) takeColdTurn(x *exchange, host Host) bool {
 	service := x.call.Table.Service(x.service)
 	if service == nil || service.Ramp() == 0 || y.spec.Processes == nil {
@@ -245,8 +253,8 @@
 	return y.coldTurns.Take(y.spec.Clock.Now(), y.spec.Name, host.Name, service.Ramp(), y.spec.Processes())
 }
 
-// mayRetry reports whether a request may go to another upstream after an attempt
-// that ended so.
+// mayRetry reports whether a request may be sent to another upstream after an
+// attempt with this outcome.
 func (y *Relay) mayRetry(x *exchange, outcome attemptOutcome) bool {
 	if x.mayHaveRun && !x.call.Route.Repeatable() {
 		return false
@@ -268,13 +276,14 @@
 	return true
 }
 
-// serviceOf picks the service by the request's id, so that the parts of a split
-// route are what the operator said and a log line can be checked.
+// serviceOf picks the service by a hash of the request's id. The shares of a split
+// route are then as configured, and the choice can be recomputed from a log line.
 func serviceOf(route *mgtable.Route, id string) string {
 	return route.Pick(xxhash.Sum64String(id))
 }
 
-// noCapacityProblem is told when no upstream can take a request now.
+// noCapacityProblem returns the problem to answer with when no upstream can take a
+// request now.
 func (y *Relay) noCapacityProblem(x *exchange) *mgproblem.Problem {
 	if y.spec.Closed != nil && y.spec.Closed(x.service) {
 		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
@@ -313,17 +322,17 @@
 		"no upstream can take the request now", "send it again after the time given").WithRetry(retryDelay)
 }
 
-// retryDelayNoUpstream is how long a caller should wait while no upstream is known: most
-// callers come back once, and the platform says that upstreams are listed again
-// within two seconds of an outage's end. On the one day that had it they were
-// after 0.2 to 0.35 s.
+// retryDelayNoUpstream is the Retry-After while no upstream is known. Most callers
+// retry once, and the platform states that upstreams are listed again within two
+// seconds of an outage's end. In the one recorded outage it took 0.2 to 0.35 s.
 const retryDelayNoUpstream = mgclock.Second
 
-// retryDelayCordoned is how long a caller should wait while operators keep every upstream
-// from new work, which they do for minutes and take back at any moment: callers shorten
-// it to a part of the time that they have.
+// retryDelayCordoned is the Retry-After while all upstreams are cordoned. Operators
+// do this for minutes and may end it at any moment: callers shorten the delay to a
+// part of the time that they have. It is also used if no upstream is in a region
+// where the request may run.
 const retryDelayCordoned = 5 * mgclock.Second
 
-// retryDelay is how long a caller that was turned away should wait: long enough
-// for another entry's view to be newer, short against the deadline of a lookup.
+// retryDelay is the Retry-After in all other cases: long enough for another entry to
+// have newer information, short compared with the deadline of a lookup.
 const retryDelay = 100 * mgclock.Millis(1)
--- a/internal/process/mgrelay/relay_test.go
+++ b/internal/process/mgrelay/relay_test.go
@@ -13,8 +13,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A call whose path, query or body changed on the way is another call: the
-// service books what nobody asked for.
+// A call whose path, query or body is changed while it is forwarded is a different
+// call: the service books something that nobody requested.
 func TestRequestAlteredOnTheWay(t *testing.T) {
 	targets := []string{
 		"/book/2f",
@@ -57,8 +57,8 @@
 }
 
 // An engine works for seconds on an answer that nobody waits for any more: it
-// was told the caller's whole deadline again, or nobody told it that the caller
-// had left.
+// received the caller's whole deadline again, or its connection stayed open after
+// the caller had disconnected.
 func TestUpstreamWorksPastDeadline(t *testing.T) {
 	Convey("An upstream learns what is left of the deadline", t, func() {
 		g := newHarness(t, answerWith("a"))
@@ -108,7 +108,7 @@
 	})
 }
 
-// A deadline that can't be read must not become "wait for ever".
+// A deadline that can't be parsed is treated as no deadline.
 func TestUnreadableDeadlineIgnored(t *testing.T) {
 	Convey("A request that can't be understood does not run", t, func() {
 		g := newHarness(t, answerWith("a"))
@@ -121,8 +121,8 @@
 	})
 }
 
-// An entry that stops within eight seconds takes a report of nine, and cuts it;
-// or it turns away a lookup that it could have answered a hundred times over.
+// An entry that stops within eight seconds accepts a report of nine, and cuts it; or
+// it refuses a lookup that it could have answered a hundred times over.
 func TestStoppingEntryTakesLongRequest(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/internal/process/mgrelay/resend_test.go
+++ b/internal/process/mgrelay/resend_test.go
@@ -10,9 +10,9 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mgrelay"
 )
 
-// A write is booked, its answer is lost, and the entry sends it to the next
-// host of the service: two barrels where one moved. Or the caller is told "not
-// run" although it ran, and sends it again itself.
+// A write is booked, its answer is lost, and the relay sends it to the next host of
+// the service: it is booked twice. Or the caller gets "not run" although it ran, and
+// repeats it.
 func TestRequestRunsTwice(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -108,8 +108,8 @@
 	})
 }
 
-// The host of a service crashed and its address refuses connections. Nothing
-// was sent, so that even a write may go to the next host.
+// A host has crashed and its address refuses connections. Nothing was sent, so even
+// a write may go to the next host.
 func TestFailedDialCountsAsAttempt(t *testing.T) {
 	Convey("A host that can't be reached costs no attempt", t, func() {
 		g := newHarness(t, answerWith("a"))
@@ -128,8 +128,8 @@
 		So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
 	})
 	Convey("Where none is known the caller comes back when there may be one", t, func() {
-		// Callers that are told a tenth of a second come back once, too early:
-		// entries that ran out are listed again within two seconds.
+		// With a Retry-After of a tenth of a second callers retry once, too early:
+		// expired list entries are listed again within two seconds.
 		g := newHarness(t)
 		g.restart(func(spec *mgrelay.Spec) { spec.Form.Fractions = true })
 		got := g.send(context.Background(), http.MethodPost, "/once/1", "x", nil)
@@ -138,16 +138,16 @@
 	})
 }
 
-// A member reads half a dossier, or another member's, and takes it for the
-// whole of the own one: an upstream broke off, or its bytes were not an answer
-// to this request, and the entry passed them on as if they were.
+// A caller reads half an answer, or another caller's, and takes it for its own
+// complete one: an upstream broke off, or its bytes were not an answer to this
+// request, and the relay forwarded them anyway.
 func TestForeignOrPartialAnswerDelivered(t *testing.T) {
 	signed := "HTTP/1.1 200 OK\r\nRequest-Id: request-1\r\nSignature: s\r\n"
 	cases := []struct {
 		name     string
 		path     string
 		handlers []upstreamHandler
-		got      string // what a caller may have, when it isn't whole
+		got      string // what a caller may receive if it isn't complete
 		whole    bool
 	}{
 		{
@@ -224,9 +224,9 @@
 	})
 }
 
-// Engines crash while the store is away, and their addresses go to another
-// service. It answers each request at once that it is not the one that is
-// meant, holds no work of ours, looks the least loaded, and draws them all.
+// Engines crash while the platform is unavailable, and their addresses are reused by
+// another service. It answers each request at once as misdirected, runs none of our
+// requests, appears least loaded, and attracts them all.
 func TestReusedAddressAttractsRequests(t *testing.T) {
 	cases := []struct {
 		name     string
--- a/internal/process/mgrelay/respond.go
+++ b/internal/process/mgrelay/respond.go
@@ -11,7 +11,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// giveUp answers a request that no upstream will be asked about any more.
+// giveUp answers a request for which no further upstream is tried.
 func (y *Relay) giveUp(w http.ResponseWriter, x *exchange) {
 	if y.endIfHeld(w, x) {
 		return
@@ -33,7 +33,8 @@
 	}
 }
 
-// expire answers a request whose time is over or whose caller has left.
+// expire answers a request that timed out, was cancelled as held, or whose caller
+// has disconnected.
 func (y *Relay) expire(ctx context.Context, w http.ResponseWriter, x *exchange) {
 	switch {
 	case errors.Is(context.Cause(ctx), errHeld):
@@ -52,24 +53,25 @@
 	}
 }
 
-// passOn passes on an upstream's own refusal or failure, with the time to come
-// back where a refusal gives none.
+// passOn forwards an upstream's own refusal or failure, and adds Retry-After if a
+// refusal gives none.
 func (y *Relay) passOn(w http.ResponseWriter, x *exchange, upstreamAnswer *answer) {
 	copyHeader(w.Header(), upstreamAnswer.header)
 	if upstreamAnswer.status == http.StatusServiceUnavailable || impliesNotRun(upstreamAnswer.status) && w.Header().Get("Retry-After") == "" {
-		// The upstream's own time is for this process and that upstream.
+		// The upstream's own Retry-After applies to this process and that upstream
+		// only.
 		y.setRetryAfter(w, y.noCapacityProblem(x).Retry())
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(upstreamAnswer.body)))
 	w.WriteHeader(upstreamAnswer.status)
-	_, _ = w.Write(upstreamAnswer.body) // a caller that left needs no refusal
+	_, _ = w.Write(upstreamAnswer.body) // a caller that disconnected needs no refusal
 	x.clearWriteDeadline()
 	y.spec.Metrics.Counter("relay.passed." + strconv.Itoa(upstreamAnswer.status)).Inc(1)
 	y.log(x, "the upstream's refusal or failure was passed on", upstreamAnswer.status)
 }
 
-// impliesNotRun reports whether callers take a status for the word that their
-// request did not run, and never will.
+// impliesNotRun reports whether callers understand a status to mean that their
+// request did not run and never will.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -78,7 +80,7 @@
 	return false
 }
 
-// refuse answers with a problem of the system's own.
+// refuse answers with a problem of the relay's own.
 func (y *Relay) refuse(w http.ResponseWriter, x *exchange, problem *mgproblem.Problem) {
 	y.Write(w, problem)
 	x.clearWriteDeadline()
@@ -94,8 +96,7 @@
 		"ms", int64(y.elapsed(x)), "why", problem.Error())...)
 }
 
-// Write answers with a problem, with the time to come back in the deployment's
-// form.
+// Write answers with a problem, with Retry-After in the deployment's format.
 func (y *Relay) Write(w http.ResponseWriter, problem *mgproblem.Problem) {
 	if problem.Retry() > 0 {
 		y.setRetryAfter(w, problem.Retry())
@@ -104,7 +105,8 @@
 	mgproblem.Write(w, problem)
 }
 
-// setRetryAfter tells the caller when to come back.
+// setRetryAfter sets Retry-After, rounded up to whole seconds unless the form allows
+// fractions.
 func (y *Relay) setRetryAfter(w http.ResponseWriter, delay mgclock.Millis) {
 	if y.spec.Form.Fractions {
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(delay)/float64(mgclock.Second), 'f', 3, 64))
@@ -114,8 +116,8 @@
 	w.Header().Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
 }
 
-// abort breaks the caller's connection, so that what it has of the answer can't
-// look whole.
+// abort closes the caller's connection, so that the part of the answer that it has
+// can't appear complete.
 func (y *Relay) abort(x *exchange, cause error) {
 	y.spec.Metrics.Counter("relay.cut").Inc(1)
 	y.spec.Log.Info("an answer was cut", append(y.logBasis(),
@@ -125,7 +127,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// recordAnswer notes an answer that was delivered.
+// recordAnswer counts an answer that was delivered, and logs it if it was unusual or
+// sampled.
 func (y *Relay) recordAnswer(x *exchange, status int) {
 	y.spec.Metrics.Counter("relay.answers").Inc(1)
 	y.spec.Metrics.Histogram("relay.ms").Update(int64(y.elapsed(x)))
@@ -142,12 +145,12 @@
 	}
 }
 
-// logSampleInterval is how many ordinary answers one line of the log stands for. Whatever
-// did not go as usual is logged each time.
+// logSampleInterval is the number of ordinary answers per logged one. Unusual
+// answers are all logged.
 const logSampleInterval = 20
 
-// logBasis returns what the decisions of this moment go by: the version of the list
-// of upstreams and the age of what other entries told of their load.
+// logBasis returns log keys for the data on which current decisions are based: the
+// version of the list of upstreams and the age of the other entries' load reports.
 func (y *Relay) logBasis() []any {
 	if y.spec.Basis == nil {
 		return nil
@@ -163,7 +166,7 @@
 		"status", status, "attempts", x.attempts, "dials", x.failedDials, "ms", int64(y.elapsed(x)))...)
 }
 
-// cause returns what the last attempt failed of.
+// cause returns why the last attempt failed.
 func (x *exchange) cause() error {
 	if x.problem == nil {
 		return nil
--- a/internal/process/mgrelay/resume.go
+++ b/internal/process/mgrelay/resume.go
@@ -8,12 +8,12 @@
 )
 
 // cordonGrace is how long after its availability zone is known to be cordoned an
-// upstream still takes a generation whose copy was on its way there: without it the
-// caller loses the answer. A cordon must be in force within seconds.
+// upstream still accepts a generation whose copy was on its way there: otherwise the
+// caller would lose the answer. A cordon must be in force within seconds.
 const cordonGrace = 2 * mgclock.Second
 
-// isBarred reports whether no generation may go on at an upstream: its availability zone
-// is cordoned, and not only since the copy was made.
+// isBarred reports whether generations must not continue at an upstream because its
+// availability zone has been cordoned for at least cordonGrace.
 func (y *Relay) isBarred(upstream string) bool {
 	if y.spec.Cordoned == nil {
 		return false
@@ -22,8 +22,8 @@
 	return cordoned && age >= cordonGrace
 }
 
-// addResumeHeaders has a request go on from a copy, after the last event that the caller
-// has.
+// addResumeHeaders sets the headers with which an upstream continues a generation
+// from a copy, after the last event that the caller has.
 func (y *Relay) addResumeHeaders(x *exchange, request *http.Request) {
 	form := &y.spec.Form
 	if x.resumeFrom.copyRef != "" {
@@ -36,7 +36,8 @@
 	}
 }
 
-// prepareResume reports whether a generation that broke off goes on from a copy.
+// prepareResume chooses the next resume point of a generation that broke off, and
+// reports whether there is one.
 func (y *Relay) prepareResume(x *exchange) bool {
 	for len(x.resumePoints) > 0 && y.isBarred(x.resumePoints[0].host.Name) {
 		y.spec.Log.Info("a copy is left unused, its upstream's availability zone is cordoned",
--- a/internal/process/mgrelay/sequence.go
+++ b/internal/process/mgrelay/sequence.go
@@ -6,17 +6,17 @@
 	"strconv"
 )
 
-// eventSequence follows the ids of a stream's events. A generation that goes on at
-// another upstream may begin too early, where that one doesn't heed the last
-// event that it was told, or too late, where its copy was of another moment. The
-// caller must see neither.
+// eventSequence tracks the ids of a stream's events. A generation that continues at
+// another upstream may start too early, if that upstream ignores the last event id
+// that it was sent, or too late, if its copy was taken at another moment. The caller
+// must see neither.
 type eventSequence struct {
 	lastID    string // id of the last event that was delivered
-	nextID    int64  // the id to come, where ids are whole numbers in a row
-	unordered bool   // they are not
+	nextID    int64  // the expected id, if ids are consecutive whole numbers
+	unordered bool   // ids are not consecutive whole numbers
 }
 
-// record notes whole events of the first upstream.
+// record records complete events of the first upstream.
 func (o *eventSequence) record(events []byte) {
 	for rest := events; len(rest) > 0; {
 		event, after := cutEvent(rest)
@@ -34,7 +34,8 @@
 	}
 }
 
-// undelivered returns the events of a later upstream that the caller lacks.
+// undelivered returns the events of a later upstream that the caller doesn't have
+// yet.
 func (o *eventSequence) undelivered(events []byte) ([]byte, error) {
 	if o.unordered || o.nextID == 0 {
 		o.record(events)
@@ -60,7 +61,7 @@
 	return missing, nil
 }
 
-// cutEvent returns the first event with what ends it, and the rest.
+// cutEvent returns the first event with its separator, and the remaining events.
 func cutEvent(events []byte) (event, rest []byte) {
 	end := bytes.Index(events, eventSeparator)
 	if end < 0 {
--- a/internal/process/mgrelay/sequence_test.go
+++ b/internal/process/mgrelay/sequence_test.go
@@ -6,8 +6,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A report goes on at another engine with a line twice, or with one missing,
-// and nobody notices until the shift lead has signed it.
+// A report continues at another engine with an event repeated or missing, and nobody
+// notices.
 func TestResumedStreamRepeatsOrSkipsEvents(t *testing.T) {
 	const first = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
 	cases := []struct {
--- a/internal/process/mgrelay/stale_test.go
+++ b/internal/process/mgrelay/stale_test.go
@@ -14,14 +14,14 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgmigration"
 )
 
-// The platform is silent, and the engine that looks emptiest went a moment ago. A
-// report's engine gives notice; its memory is sent to the one that is gone for more
-// than a second, and the report is cut with its engine.
+// The platform is unavailable, and the engine that appears emptiest has just gone. A
+// report's engine gives notice; for more than a second its memory is sent to the one
+// that is gone, and the report is cut with its engine.
 func TestMoveToGoneDestination(t *testing.T) {
 	moveWithProbe := func(probe func(host mgrelay.Host) (bool, error)) (*moveScenario, callerReply) {
 		s := newMoveScenario(t, func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 			if order.To == s.harness.hosts[1].Addr {
-				close(s.breakOff) // the notice is over before the source gives up
+				close(s.breakOff) // the notice ends before the source gives up
 				return mgmigration.Reply{Outcome: mgmigration.NoRoom}
 			}
 			if order.Last {
@@ -63,14 +63,13 @@
 	})
 }
 
-// The platform comes back without the entries of engines that live, which ran out
-// while it was away. Every report is moved to the three engines that it still lists,
-// where one copy waits for another, and callers see pauses of half a second; two
-// seconds later all entries are back.
+// The platform returns without the list entries of live engines, which expired meanwhile.
+// All reports are moved to the three engines still listed and pause for half a second while
+// copies wait for one another; two seconds later all entries are listed again.
 func TestMoveFromLapsedUpstream(t *testing.T) {
 	Convey("After the platform was away an upstream that its list lacks", t, func() {
 		for name, c := range map[string]struct {
-			staleChecks int64 // at which the list is stale, a quarter of a second apart
+			staleChecks int64 // for which the list is stale, a quarter of a second apart
 			leaves      bool
 			moved       bool
 		}{
@@ -88,7 +87,7 @@
 			},
 		} {
 			Convey(name, func() {
-				var staleChecks atomic.Int64 // at whether the list is stale
+				var staleChecks atomic.Int64 // number of checks so far
 				copied := func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 					if order.Last {
 						close(s.breakOff)
@@ -98,7 +97,7 @@
 						Handle:  "h",
 					}
 				}
-				back := make(chan struct{})   // the list is stale no more
+				back := make(chan struct{})   // the list is no longer stale
 				enough := make(chan struct{}) // the upstream was asked twice since it left the list
 				var asked atomic.Int64
 				s := newMoveScenario(t, copied, resumeFromCopy)
--- a/internal/process/mgrelay/stream.go
+++ b/internal/process/mgrelay/stream.go
@@ -12,7 +12,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// maxEventBytes bounds one event of a stream in bytes.
+// maxEventBytes bounds one event of a stream.
 const maxEventBytes = 1 << 20
 
 // eventSeparator separates the events of a stream (HTML Living Standard, 9.2).
@@ -20,8 +20,8 @@
 
 var errEventTooLarge = errors.New("an event exceeds 1 MiB: raise the bound or send smaller events")
 
-// deliverStream delivers events as they come. Only whole events go on: an upstream
-// that stops in the middle of one must not leave half of it with the caller.
+// deliverStream forwards events as they arrive. It forwards only complete events: if
+// an upstream stops in the middle of one, the caller must not receive half of it.
 func (y *Relay) deliverStream(ctx context.Context, w http.ResponseWriter, x *exchange, host Host, response *http.Response) attemptOutcome {
 	gen := y.generations.add(ctx, x, host)
 	defer y.generations.remove(gen)
@@ -35,7 +35,8 @@
 	y.countPromptRead(x, host)
 	y.spec.Load.Well(y.spec.Clock.Now(), host.Name)
 	x.firstAfterResume = x.resumed
-	// The places of an earlier move are over: its copies were used or are gone.
+	// The resume points of an earlier move are void: their copies were used or are
+	// gone.
 	x.resumePoints = nil
 	y.writeHeader(w, x, response)
 	for err == nil {
@@ -56,7 +57,7 @@
 		return y.streamInterrupted(ctx, x, gen, err)
 	}
 	if len(events) > 0 {
-		// The end of a stream need not be followed by an empty line.
+		// The last event of a stream need not be followed by an empty line.
 		if err := y.deliverEvents(w, x, events); err != nil {
 			y.abort(x, err)
 		}
@@ -68,8 +69,8 @@
 	return delivered
 }
 
-// recordTokenTime notes the time that a token of a whole stream took, µs. It counts from
-// where its upstream's part began.
+// recordTokenTime records the average time per token of a complete stream in µs,
+// measured over the part that the last upstream produced.
 func (y *Relay) recordTokenTime(r *generation) {
 	tokens := int64(r.tokensPerEvent()) * r.eventCount.Load()
 	if elapsed := int64(y.spec.Clock.Now()) - r.firstEventAt.Load(); tokens > 0 && elapsed > 0 {
@@ -77,8 +78,8 @@
 	}
 }
 
-// writeHeader writes a stream's header, once: a generation that goes on elsewhere
-// keeps the header and signature of its first upstream.
+// writeHeader writes a stream's header, once: a generation that continues at another
+// upstream keeps the header and signature of the first one.
 func (y *Relay) writeHeader(w http.ResponseWriter, x *exchange, response *http.Response) {
 	if x.headerSent {
 		return
@@ -91,8 +92,8 @@
 	y.spec.Metrics.Histogram("relay.first").Update(int64(y.elapsed(x)))
 }
 
-// recordPause notes a recordPause between two events that is longer than the route's callers
-// expect, and whether the generation had just come from another upstream.
+// recordPause records a pause between two events that is longer than the route's
+// callers expect, and whether the generation had just been resumed at this upstream.
 func (y *Relay) recordPause(x *exchange, host Host, now mgclock.Millis) {
 	pause := now - x.lastEventAt
 	moved := x.firstAfterResume
@@ -109,7 +110,8 @@
 		"ms", int64(pause), "moved", moved, "attempts", x.attempts)...)
 }
 
-// streamInterrupted notes a stream that broke off, and where the generation can go on.
+// streamInterrupted records a stream that broke off, and where the generation can
+// continue.
 func (y *Relay) streamInterrupted(ctx context.Context, x *exchange, gen *generation, cause error) attemptOutcome {
 	if ctx.Err() == nil && !y.generations.isClaimed(gen) {
 		y.recordBrokenAttempt(x, gen.host, partialAnswer{
@@ -124,7 +126,7 @@
 	return interrupted
 }
 
-// deliverEvents writes events.
+// deliverEvents writes events to the caller.
 func (y *Relay) deliverEvents(w http.ResponseWriter, x *exchange, events []byte) error {
 	if x.resumed {
 		missing, err := x.sequence.undelivered(events)
@@ -148,12 +150,12 @@
 type eventReader struct {
 	source   io.Reader
 	buffer   []byte // read and not yet returned
-	consumed int    // bytes of kept that were returned
+	consumed int    // bytes of buffer that were returned
 	chunk    [4096]byte
 }
 
-// next returns the next whole events with what ends them: as many as have
-// arrived. At the end it returns what is left, with io.EOF.
+// next returns all complete events that have arrived, at least one, with their
+// separators. At the end of the stream it returns the remaining bytes with io.EOF.
 func (e *eventReader) next() ([]byte, error) {
 	e.buffer = append(e.buffer[:0], e.buffer[e.consumed:]...)
 	e.consumed = 0
