--- a/internal/process/mgrelay/attempt.go
+++ b/internal/process/mgrelay/attempt.go
@@ -186,7 +186,7 @@
 		return
 	}
 	y.spec.Metrics.Counter("relay.leaving").Inc(1)
-	y.spec.Log.Info("an upstream says in an answer that it leaves, which the list doesn't show",
+	y.spec.Log.Info("an upstream reports in an answer that it is leaving, which the list doesn't show",
 		mglog.Request, x.id, mglog.Upstream, host.Name)
 	y.spec.Departed(host.Name)
 }
@@ -200,7 +200,7 @@
 	if response.StatusCode != http.StatusMisdirectedRequest || instance == "" || instance == host.Name {
 		return
 	}
-	y.spec.Log.Info("another upstream has the address", mglog.Upstream, host.Name, "answered", instance, "address", host.Addr)
+	y.spec.Log.Info("another upstream answers at the address", mglog.Upstream, host.Name, "answered", instance, "address", host.Addr)
 	if y.spec.Departed != nil {
 		y.spec.Departed(host.Name)
 	}
--- a/internal/process/mgrelay/backoff.go
+++ b/internal/process/mgrelay/backoff.go
@@ -15,7 +15,7 @@
 		return
 	}
 	y.spec.Metrics.Counter("relay.rests").Inc(1)
-	y.spec.Log.Info("an upstream wants no requests for a while", mglog.Request, x.id, mglog.Upstream, host.Name,
+	y.spec.Log.Info("an upstream sent Retry-After", mglog.Request, x.id, mglog.Upstream, host.Name,
 		"ms", int64(delay))
 	y.backoffs.Ask(y.spec.Clock.Now(), host.Name, delay)
 }
--- a/internal/process/mgrelay/backoff_test.go
+++ b/internal/process/mgrelay/backoff_test.go
@@ -27,7 +27,7 @@
 	ask := func(g *harness, path string) callerReply {
 		return g.send(context.Background(), http.MethodPost, path, "x", http.Header{"Tokens": {"30,9"}})
 	}
-	Convey("After an upstream has asked for a rest", t, func() {
+	Convey("After an upstream has sent Retry-After", t, func() {
 		g := newHarness(t, refuseFor("30"), answerWith("id: 1\n\n"))
 		Convey("requests of each kind go to another at once", func() {
 			for n := range 5 {
@@ -39,7 +39,7 @@
 			}
 			So(len(g.requests()), ShouldEqual, 16)
 		})
-		Convey("so do those that are given a place there", func() {
+		Convey("so do those with a placement there", func() {
 			g.useMemory(tableText)
 			g.restart(func(spec *mgrelay.Spec) {
 				spec.Place = func(context.Context, string, mgroom.Wait) (mgroom.Grant, bool) {
@@ -52,11 +52,11 @@
 			So(len(g.requests()), ShouldEqual, 6)
 		})
 	})
-	Convey("Where all upstreams rest", t, func() {
+	Convey("While all upstreams are in backoff", t, func() {
 		g := newHarness(t, refuseFor("30"), refuseFor("20.5"))
 		ask(g, "/book/1")
 		So(len(g.requests()), ShouldEqual, 2)
-		Convey("requests are refused at once with the time until the first ends", func() {
+		Convey("requests are refused at once with the time until the first backoff ends", func() {
 			for _, path := range []string{"/book/2", "/note/2"} {
 				got := ask(g, path)
 				So(got.status, ShouldEqual, http.StatusServiceUnavailable)
@@ -66,7 +66,7 @@
 			}
 			So(len(g.requests()), ShouldEqual, 2)
 		})
-		Convey("they wait for no place", func() {
+		Convey("requests don't wait for a placement", func() {
 			g.useMemory(tableText)
 			asked := 0
 			g.restart(func(spec *mgrelay.Spec) {
@@ -81,13 +81,13 @@
 			So(asked, ShouldEqual, 1)
 		})
 	})
-	Convey("A caller isn't told the rest of one upstream where another may take its request", t, func() {
+	Convey("A caller doesn't get the Retry-After of one upstream if another may take its request", t, func() {
 		g := newHarness(t, refuseFor("30"), answerWith("b"))
 		got := ask(g, "/once/1")
 		So(got.status, ShouldEqual, http.StatusServiceUnavailable)
 		So(got.header.Get("Retry-After"), ShouldEqual, "1")
 	})
-	Convey("A refusal without a time asks for no rest, nor one that can't be read", t, func() {
+	Convey("A refusal without a valid Retry-After starts no backoff", t, func() {
 		for _, text := range []string{"", "soon", "-3"} {
 			g := newHarness(t, refuseFor(text), answerWith("b"))
 			for n := range 2 {
--- a/internal/process/mgrelay/cold_test.go
+++ b/internal/process/mgrelay/cold_test.go
@@ -15,7 +15,7 @@
 // The only upstream of a plain service has just started. Since no placements are
 // assigned at it, each entry sends it all its requests.
 func TestColdUpstreamOverloadedWithoutPlacement(t *testing.T) {
-	Convey("Without a place a cold upstream is sent next to nothing", t, func() {
+	Convey("Without placements a cold upstream receives almost no requests", t, func() {
 		g := newHarness(t, answerWith("x"), answerWith("x"))
 		table, err := mgtable.Parse([]byte(strings.Replace(tableText, `kind = "plain"`, "kind = \"plain\"\ncold = 1000\nramp = 4", 1)))
 		So(err, ShouldBeNil)
@@ -38,7 +38,7 @@
 			}
 			So(atCold, ShouldBeLessThanOrEqualTo, 1)
 		})
-		Convey("also where it is all there is, and callers are told when to come back", func() {
+		Convey("also if there is no other upstream, and callers get Retry-After", func() {
 			g.hosts[0].Cold = true
 			g.hosts[1].Cold = true
 			refused := 0
--- a/internal/process/mgrelay/cordon_test.go
+++ b/internal/process/mgrelay/cordon_test.go
@@ -16,7 +16,7 @@
 // Operators have cordoned all availability zones. A caller waits for its whole
 // deadline for an engine that it can't get, and its answer has no Retry-After.
 func TestRequestWaitsThoughAllCordoned(t *testing.T) {
-	Convey("Where all upstreams of a service are cordoned a request is refused at once", t, func() {
+	Convey("If all upstreams of a service are cordoned a request is refused at once", t, func() {
 		g := newHarness(t, answerWith("x"))
 		g.restart(func(spec *mgrelay.Spec) {
 			spec.Every = func(string) []mgrelay.Host { return nil }
@@ -34,7 +34,7 @@
 // destination's zone is cordoned in the middle of a move. The generation continues
 // in the cordoned zone and is cut with it seconds later.
 func TestGenerationMovesIntoCordonedZone(t *testing.T) {
-	Convey("A run that is moved", t, func() {
+	Convey("A generation that is moved", t, func() {
 		var cordoned atomic.Value // name of the cordoned upstream
 		cordoned.Store("")
 		var age atomic.Int64
@@ -48,7 +48,7 @@
 			})
 			return s, s.harness.send(context.Background(), http.MethodPost, "/write/1", "x", nil)
 		}
-		Convey("goes elsewhere where its destination is cordoned before it is stopped", func() {
+		Convey("goes elsewhere if its destination is cordoned before it is stopped", func() {
 			s, got := moveWithCordon(func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 				if order.To == s.harness.hosts[1].Addr {
 					cordoned.Store("b")
@@ -65,7 +65,7 @@
 			So(got.body, ShouldEqual, wholeStream())
 			So(s.orders[len(s.orders)-1].To, ShouldEqual, s.harness.hosts[2].Addr)
 		})
-		Convey("does not go on at a source that was cordoned long before", func() {
+		Convey("does not continue at a source that was cordoned long before", func() {
 			cordoned.Store("a")
 			age.Store(60_000)
 			s, got := moveWithCordon(func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
--- a/internal/process/mgrelay/crash.go
+++ b/internal/process/mgrelay/crash.go
@@ -82,7 +82,7 @@
 			keys = append(keys, "why", err.Error())
 		}
 		evidence := ended && !leaving && partial.justStarted(now)
-		y.spec.Log.Info("an upstream broke an attempt off", append(keys, "ended", ended, "evidence", evidence)...)
+		y.spec.Log.Info("an upstream broke off an attempt", append(keys, "ended", ended, "evidence", evidence)...)
 		if evidence {
 			y.spec.Metrics.Counter("relay.crashed").Inc(1)
 			// The report of the end may have been delayed on the network for as
@@ -99,7 +99,7 @@
 
 // errNoCrashCheck means that there is no means to check whether upstreams have
 // ended.
-var errNoCrashCheck = errors.New("mgrelay: whether the upstream has ended can't be asked: set Refuses")
+var errNoCrashCheck = errors.New("mgrelay: can't check whether the upstream has ended: set Spec.Refuses")
 
 // hasEnded reports whether an upstream has ended. An error means that this is
 // unknown.
--- a/internal/process/mgrelay/crash_test.go
+++ b/internal/process/mgrelay/crash_test.go
@@ -67,33 +67,33 @@
 			counts:  1,
 		},
 		{
-			name:    "one that had made its first events a moment ago",
+			name:    "a generation that had just produced its first events",
 			path:    "/write/1",
 			handler: eventsThenHangUp,
 			refuses: connectionsRefused,
 			counts:  1,
 		},
 		{
-			name:    "a call that was under way",
+			name:    "a plain call in progress",
 			path:    "/book/1",
 			handler: hangUp,
 			refuses: connectionsRefused,
 			counts:  1,
 		},
 		{
-			name:    "a connection that was reset at an upstream that lives",
+			name:    "a connection reset by a live upstream",
 			path:    "/write/1",
 			handler: headerThenHangUp,
 			refuses: connectionsAccepted,
 		},
 		{
-			name:    "an upstream of which nothing is heard any more",
+			name:    "an upstream that can't be checked",
 			path:    "/write/1",
 			handler: headerThenHangUp,
 			refuses: connectionsUnknown,
 		},
 		{
-			name:    "an upstream that had said that it leaves",
+			name:    "an upstream that had reported that it is leaving",
 			path:    "/write/1",
 			handler: headerThenHangUp,
 			refuses: connectionsRefused,
@@ -112,7 +112,7 @@
 			refuses: connectionsRefused,
 		},
 	}
-	Convey("What is held against a request after", t, func() {
+	Convey("What counts as a crash under a request after", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				g := newHarness(t, c.handler)
@@ -126,7 +126,7 @@
 				So(q.Occurrences(mgquarantine.DigestOf("tankline", "tanks.example", c.path, []byte("x"))), ShouldEqual, c.counts)
 			})
 		}
-		Convey("its caller left", func() {
+		Convey("its caller disconnected", func() {
 			began, release := make(chan struct{}), make(chan struct{})
 			g := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
 				sendHeader(w)
@@ -166,13 +166,13 @@
 			spec.Quarantine = q
 		})
 		digest := mgquarantine.DigestOf("tankline", "tanks.example", "/note/1", []byte("x"))
-		Convey("is tried on one more", func() {
+		Convey("is tried on one more upstream", func() {
 			got := g.send(context.Background(), http.MethodPost, "/note/1", "x", nil)
 			So(got.status, ShouldEqual, http.StatusBadGateway)
 			So(len(g.requests()), ShouldEqual, 2)
 			So(q.Occurrences(digest), ShouldEqual, 2)
 		})
-		Convey("is tried on none where one had ended before", func() {
+		Convey("is not retried if another upstream had ended under it before", func() {
 			q.Crashed(0, mgquarantine.Crash{
 				Digest:   digest,
 				Upstream: "x",
@@ -182,7 +182,7 @@
 			So(got.status, ShouldEqual, http.StatusBadGateway)
 			So(len(g.requests()), ShouldEqual, 1)
 		})
-		Convey("and one that is answered elsewhere has nothing held against it", func() {
+		Convey("has no crashes counted once it is answered elsewhere", func() {
 			g.hosts = g.hosts[1:]
 			got := g.send(context.Background(), http.MethodPost, "/note/1", "x", nil)
 			So(got.status, ShouldEqual, http.StatusOK)
@@ -196,7 +196,7 @@
 func TestHeldRequestReachesUpstream(t *testing.T) {
 	Convey("A request that is held", t, func() {
 		q := mgquarantine.New("life", nil)
-		Convey("is refused at once, as not run, with the time to come back", func() {
+		Convey("is refused at once, as not run, with Retry-After", func() {
 			for _, path := range []string{"/note/1", "/book/1", "/write/1", "/look/1"} {
 				g := newHarness(t, answerWith("id: 1\n\n"))
 				g.restart(func(spec *mgrelay.Spec) { spec.Quarantine = q })
@@ -210,7 +210,7 @@
 				So(g.send(context.Background(), http.MethodPost, path, "another", nil).status, ShouldEqual, http.StatusOK)
 			}
 		})
-		Convey("is given up while it waits for a place", func() {
+		Convey("is given up while it waits for a placement", func() {
 			g := newHarness(t, answerWith("id: 1\n\n"))
 			waiting := make(chan struct{})
 			g.restart(func(spec *mgrelay.Spec) {
@@ -231,7 +231,7 @@
 			So(got.body, ShouldContainSubstring, `"notrun"`)
 			So(g.requests(), ShouldBeEmpty)
 		})
-		Convey("is called back from an upstream that hasn't begun it, and not said not to have run", func() {
+		Convey("is cancelled at an upstream that hasn't begun it, and is not reported as not run", func() {
 			for _, path := range []string{"/note/1", "/book/1"} {
 				left := make(chan struct{})
 				g := newHarness(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -246,14 +246,14 @@
 				So(got.body, ShouldContainSubstring, `"unknown"`)
 			}
 		})
-		Convey("that its caller has some events of", func() {
+		Convey("of which its caller has some events", func() {
 			firstByte, held := make(chan struct{}), make(chan struct{})
 			go func() {
 				<-firstByte
 				holdRequest(q, "/note/1", "x")
 				close(held)
 			}()
-			Convey("goes on where it runs", func() {
+			Convey("continues where it runs", func() {
 				g := newHarness(t, func(w http.ResponseWriter, _ *http.Request) {
 					sendEvent(w, "1")
 					<-held
@@ -264,7 +264,7 @@
 				So(err, ShouldBeNil)
 				So(body, ShouldEqual, "id: 1\n\nid: 2\n\n")
 			})
-			Convey("is not begun anew elsewhere", func() {
+			Convey("is not restarted elsewhere", func() {
 				g := newHarness(t, func(w http.ResponseWriter, _ *http.Request) {
 					sendEvent(w, "1")
 					<-held
--- a/internal/process/mgrelay/home_test.go
+++ b/internal/process/mgrelay/home_test.go
@@ -16,39 +16,39 @@
 // A customer's documents may not leave their country. The nearest engine with free
 // memory, or the one that is left after another failed, is in another country.
 func TestRequestRunsOutsideHomes(t *testing.T) {
-	Convey("A request runs at home only", t, func() {
+	Convey("A request runs in its homes only", t, func() {
 		for name, c := range map[string]struct {
 			route   string // homes
 			account string
 			regions []string // of the upstreams a, b and c
 			signed  string   // who answers, or ""
 		}{
-			"where its route has homes": {
+			"if its route has homes": {
 				route:   `homes = ["south"]`,
 				regions: []string{"north", "south", "south"},
 				signed:  "signed by b",
 			},
-			"where its account has homes": {
+			"if its account has homes": {
 				account: `homes = ["south"]`,
 				regions: []string{"north", "north", "south"},
 				signed:  "signed by c",
 			},
-			"where both have homes, which both bind": {
+			"if both have homes, in a region of both": {
 				route:   `homes = ["south", "east"]`,
 				account: `homes = ["north", "east"]`,
 				regions: []string{"north", "south", "east"},
 				signed:  "signed by c",
 			},
-			"and is refused at once where no upstream is at home": {
+			"and is refused at once if no upstream is in a home": {
 				route:   `homes = ["south"]`,
 				regions: []string{"north", "north", "east"},
 			},
-			"and is refused at once where its route and its account have no home in common": {
+			"and is refused at once if its route and its account have no home in common": {
 				route:   `homes = ["south"]`,
 				account: `homes = ["north"]`,
 				regions: []string{"north", "south", "east"},
 			},
-			"anywhere where nothing is said": {
+			"or anywhere if there are no homes": {
 				regions: []string{"north", "south", "east"},
 				signed:  "signed by a",
 			},
@@ -75,7 +75,7 @@
 			})
 		}
 	})
-	Convey("Who gives places isn't asked where homes leave upstreams out", t, func() {
+	Convey("No placement is requested if homes exclude upstreams", t, func() {
 		for homes, signed := range map[string]string{
 			`homes = ["south"]`:          "signed by b",
 			`homes = ["south", "north"]`: "signed by a", // excludes none
--- a/internal/process/mgrelay/limit.go
+++ b/internal/process/mgrelay/limit.go
@@ -21,20 +21,20 @@
 	if text == "" {
 		// A late answer belongs to an earlier request.
 		if response.Header.Get(y.spec.Form.ID) == x.id && y.spec.Limits.Unnamed(y.spec.Clock.Now(), x.sentAt, host.Name, host.Born) {
-			y.spec.Log.Info("an upstream names no limit any more", mglog.Request, x.id, mglog.Upstream, host.Name)
+			y.spec.Log.Info("an upstream no longer announces a limit", mglog.Request, x.id, mglog.Upstream, host.Name)
 		}
 		return
 	}
 	rate, err := mglimit.Parse(text)
 	if err != nil {
 		y.spec.Metrics.Counter("relay.limit.unreadable").Inc(1)
-		y.spec.Log.Info("an upstream's limit can't be read, what was known of it stays", mglog.Request, x.id,
+		y.spec.Log.Info("an upstream's limit can't be parsed, the previous one is kept", mglog.Request, x.id,
 			mglog.Upstream, host.Name, "why", err.Error())
 		return
 	}
 	y.spec.Metrics.Counter("relay.limit.named").Inc(1)
 	if y.spec.Limits.Named(y.spec.Clock.Now(), host.Name, host.Born, rate) {
-		y.spec.Log.Info("an upstream names a limit", mglog.Request, x.id, mglog.Upstream, host.Name, "rate", rate)
+		y.spec.Log.Info("an upstream announces a limit", mglog.Request, x.id, mglog.Upstream, host.Name, "rate", rate)
 	}
 }
 
--- a/internal/process/mgrelay/limit_test.go
+++ b/internal/process/mgrelay/limit_test.go
@@ -53,7 +53,7 @@
 		return count
 	}
 	maxRequests := func(rate float64, began time.Time) int { return int(1.5*rate*time.Since(began).Seconds() + 5) }
-	Convey("Once an upstream has named a limit", t, func() {
+	Convey("Once an upstream has announced a limit", t, func() {
 		limit := newLimit("2")
 		g := newHarness(t, answerWithLimit(limit, "id: 1\n\n"), answerWith("id: 1\n\n"))
 		began := time.Now()
@@ -65,7 +65,7 @@
 			}
 			So(requestsAt(g, "a"), ShouldBeLessThanOrEqualTo, maxRequests(2, began))
 		})
-		Convey("so do those that are given a place there", func() {
+		Convey("so do those with a placement there", func() {
 			g.useMemory(tableText)
 			g.restart(func(spec *mgrelay.Spec) {
 				spec.Place = func(context.Context, string, mgroom.Wait) (mgroom.Grant, bool) {
@@ -78,7 +78,7 @@
 			}
 			So(requestsAt(g, "a"), ShouldBeLessThanOrEqualTo, maxRequests(2, began))
 		})
-		Convey("they come back once an answer names none", func() {
+		Convey("they return once an answer announces none", func() {
 			ask(g, "/book/first")
 			limit.Store(nil)
 			ticker := time.NewTicker(10 * time.Millisecond)
@@ -89,12 +89,12 @@
 			}
 		})
 	})
-	Convey("Where all upstreams have as many as they take", t, func() {
+	Convey("If all upstreams have reached their limits", t, func() {
 		g := newHarness(t, answerWithLimit(newLimit("0"), "a"), answerWithLimit(newLimit("0.1"), "b"))
 		for n := range 2 {
 			So(ask(g, "/once/"+strconv.Itoa(n)).status, ShouldEqual, http.StatusOK)
 		}
-		Convey("requests are refused at once, with times to come back that differ", func() {
+		Convey("requests are refused at once, with different Retry-After", func() {
 			times := map[string]bool{}
 			g.restart(func(spec *mgrelay.Spec) { spec.Form.Fractions = true })
 			for n := range 2 {
@@ -112,7 +112,7 @@
 			So(len(times), ShouldBeGreaterThan, 5)
 		})
 	})
-	Convey("A limit that can't be read is none", t, func() {
+	Convey("A limit that can't be parsed is ignored", t, func() {
 		for _, text := range []string{"few", "-1", "NaN", ""} {
 			g := newHarness(t, answerWithLimit(newLimit(text), "a"))
 			for n := range 30 {
@@ -120,7 +120,7 @@
 			}
 		}
 	})
-	Convey("A generation that is moved goes where there is no limit, else it counts", t, func() {
+	Convey("A moved generation goes to an upstream without a limit, else it is counted as forced", t, func() {
 		for limitedHost, forcedSends := range map[string]int64{"b": 0, "both": 1} {
 			var forced atomic.Int64
 			limits := &mglimit.Limits{}
--- a/internal/process/mgrelay/move_test.go
+++ b/internal/process/mgrelay/move_test.go
@@ -79,7 +79,7 @@
 // at another upstream. The caller's own client would start the request again from
 // the beginning.
 func TestInterruptedStreamNotResumed(t *testing.T) {
-	Convey("A stream that may be resumed goes on at another upstream", t, func() {
+	Convey("A resumable stream continues at another upstream", t, func() {
 		fromEvent := func(w http.ResponseWriter, r *http.Request) {
 			first := 0
 			_, _ = fmt.Sscan(r.Header.Get("Last-Event-Id"), &first)
@@ -143,7 +143,7 @@
 // the engine with the copy was gone when the relay connected to it, nothing had been
 // sent to it, and the relay mistook this for a request that had never run.
 func TestGenerationRestartsAfterCopyLost(t *testing.T) {
-	Convey("A generation whose copy can't be reached ends visibly", t, func() {
+	Convey("A generation whose copy can't be reached breaks off visibly", t, func() {
 		s := newMoveScenario(t, func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 			if order.Last {
 				close(s.breakOff)
@@ -190,7 +190,7 @@
 		whole  bool
 	}{
 		{
-			name: "every step goes well",
+			name: "every step succeeds",
 			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 				if !order.Last {
 					return copied("h1")
@@ -201,7 +201,7 @@
 			whole:  true,
 		},
 		{
-			name: "the first destination has no room",
+			name: "the first destination has no memory",
 			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 				if order.To == s.harness.hosts[1].Addr {
 					return mgmigration.Reply{Outcome: mgmigration.NoRoom}
@@ -218,7 +218,7 @@
 			// Memory is nearly full everywhere: each destination refuses within some
 			// ms, and one of them has memory a moment later. A relay that gives up
 			// after three refusals lets the answer be cut a second later.
-			name: "nobody has room at first",
+			name: "no destination has memory at first",
 			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 				s.mu.Lock()
 				asked := len(s.orders)
@@ -246,7 +246,7 @@
 			whole:  true,
 		},
 		{
-			name: "the engine dies before the stop",
+			name: "the engine crashes before the stop",
 			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 				if !order.Last {
 					defer close(s.breakOff)
@@ -258,7 +258,7 @@
 			whole:  true,
 		},
 		{
-			name: "nobody has room: the stream ends visibly with its engine",
+			name: "no destination has memory: the stream breaks off visibly with its engine",
 			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
 				s.mu.Lock()
 				defer s.mu.Unlock()
--- a/internal/process/mgrelay/probe.go
+++ b/internal/process/mgrelay/probe.go
@@ -100,7 +100,7 @@
 	case ctx.Err() != nil:
 		return false // the generation ended meanwhile, which is no evidence against the upstream
 	case err != nil:
-		y.spec.Log.Info("an upstream that the list shows gives no report, no run goes there",
+		y.spec.Log.Info("a listed upstream doesn't answer a probe, no generation is moved there",
 			mglog.Upstream, host.Name, "why", err.Error())
 		y.spec.Failed(host.Name)
 		y.spec.Load.Fault(y.spec.Clock.Now(), host.Name)
@@ -122,6 +122,6 @@
 
 // recordDeparted logs and reports an upstream that says that it is leaving.
 func (y *Relay) recordDeparted(host Host) {
-	y.spec.Log.Info("an upstream says that it leaves, which the list doesn't show", mglog.Upstream, host.Name)
+	y.spec.Log.Info("an upstream reports that it is leaving, which the list doesn't show", mglog.Upstream, host.Name)
 	y.spec.Departed(host.Name)
 }
--- a/internal/process/mgrelay/relay_test.go
+++ b/internal/process/mgrelay/relay_test.go
@@ -23,7 +23,7 @@
 		"/book/?",
 		"/book/;v=1?q=a+b",
 	}
-	Convey("An upstream gets what the caller sent", t, func() {
+	Convey("An upstream receives what the caller sent", t, func() {
 		g := newHarness(t, answerWith("booked"))
 		for _, target := range targets {
 			Convey(target, func() {
@@ -60,7 +60,7 @@
 // received the caller's whole deadline again, or its connection stayed open after
 // the caller had disconnected.
 func TestUpstreamWorksPastDeadline(t *testing.T) {
-	Convey("An upstream learns what is left of the deadline", t, func() {
+	Convey("An upstream receives the remaining time of the deadline", t, func() {
 		g := newHarness(t, answerWith("a"))
 		got := g.send(context.Background(), http.MethodPost, "/look/1", "", http.Header{
 			"Deadline": {"900"},
@@ -70,7 +70,7 @@
 		So(err, ShouldBeNil)
 		So(left, ShouldBeBetweenOrEqual, 1, 900)
 	})
-	Convey("The route's timeout is the longest", t, func() {
+	Convey("The route's timeout bounds the deadline", t, func() {
 		g := newHarness(t, answerWith("a"))
 		g.send(context.Background(), http.MethodPost, "/look/1", "", http.Header{
 			"Deadline": {"60000"},
@@ -78,7 +78,7 @@
 		left, _ := strconv.Atoi(g.requests()[0].header.Get("Deadline"))
 		So(left, ShouldBeBetweenOrEqual, 1, 5000)
 	})
-	Convey("A request that is over is answered, and says that it may have run", t, func() {
+	Convey("A request that times out is answered as possibly run", t, func() {
 		released := make(chan struct{})
 		g := newHarness(t, func(_ http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
@@ -90,7 +90,7 @@
 		So(got.status, ShouldEqual, http.StatusGatewayTimeout)
 		<-released
 	})
-	Convey("A caller that leaves ends its upstream's work", t, func() {
+	Convey("When a caller disconnects its upstream's work is cancelled", t, func() {
 		began := make(chan struct{})
 		released := make(chan struct{})
 		g := newHarness(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -110,7 +110,7 @@
 
 // A deadline that can't be parsed is treated as no deadline.
 func TestUnreadableDeadlineIgnored(t *testing.T) {
-	Convey("A request that can't be understood does not run", t, func() {
+	Convey("A request with an invalid deadline does not run", t, func() {
 		g := newHarness(t, answerWith("a"))
 		got := g.send(context.Background(), http.MethodPost, "/book/1", "x", http.Header{
 			"Deadline": {"soon"},
@@ -139,20 +139,20 @@
 			status: http.StatusServiceUnavailable,
 		},
 		{
-			name:   "a note that does is taken",
+			name:   "a note that ends in time is accepted",
 			path:   "/write/1",
 			tokens: "2000,20",
 			left:   4 * mgclock.Second,
 			status: http.StatusOK,
 		},
 		{
-			name:   "a lookup is taken",
+			name:   "a lookup is accepted",
 			path:   "/look/1",
 			left:   4 * mgclock.Second,
 			status: http.StatusOK,
 		},
 		{
-			name:   "a lookup in the last moment is refused",
+			name:   "a lookup at the last moment is refused",
 			path:   "/look/1",
 			left:   100,
 			status: http.StatusServiceUnavailable,
--- a/internal/process/mgrelay/resend_test.go
+++ b/internal/process/mgrelay/resend_test.go
@@ -45,14 +45,14 @@
 			status:   http.StatusOK,
 		},
 		{
-			name:     "a write that met another host at the address goes to the next",
+			name:     "a write that reached another host at the address goes to the next",
 			path:     "/book/1",
 			handlers: []upstreamHandler{refuseWith(http.StatusMisdirectedRequest), answerWith("b")},
 			requests: 2,
 			status:   http.StatusOK,
 		},
 		{
-			name:     "a write that may go to one host only is refused with a time to come back",
+			name:     "a write that may go to one host only is refused with Retry-After",
 			path:     "/once/1",
 			handlers: []upstreamHandler{refuseWith(http.StatusServiceUnavailable), answerWith("b")},
 			requests: 1,
@@ -60,7 +60,7 @@
 			retry:    true,
 		},
 		{
-			name:     "a host's own 503 without its word is no promise",
+			name:     "a host's own 503 without the refusal header doesn't mean not run",
 			path:     "/book/1",
 			handlers: []upstreamHandler{func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, answerWith("b")},
 			requests: 1,
@@ -95,7 +95,7 @@
 			status:   http.StatusOK,
 		},
 	}
-	Convey("Who is sent a request after a failure", t, func() {
+	Convey("After a failure", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				g := newHarness(t, c.handlers...)
@@ -111,7 +111,7 @@
 // A host has crashed and its address refuses connections. Nothing was sent, so even
 // a write may go to the next host.
 func TestFailedDialCountsAsAttempt(t *testing.T) {
-	Convey("A host that can't be reached costs no attempt", t, func() {
+	Convey("A host that can't be reached counts as no attempt", t, func() {
 		g := newHarness(t, answerWith("a"))
 		g.hosts = append(g.hosts[:0:0], g.hosts[0], g.hosts[0])
 		g.hosts[0].Addr = "127.0.0.1:1"
@@ -120,14 +120,14 @@
 		So(got.status, ShouldEqual, http.StatusOK)
 		So(got.body, ShouldEqual, "a")
 	})
-	Convey("Where none can be reached the caller learns that it did not run", t, func() {
+	Convey("If no host can be reached the caller gets \"not run\"", t, func() {
 		g := newHarness(t, answerWith("a"))
 		g.hosts[0].Addr = "127.0.0.1:1"
 		got := g.send(context.Background(), http.MethodPost, "/once/1", "x", nil)
 		So(got.status, ShouldEqual, http.StatusServiceUnavailable)
 		So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
 	})
-	Convey("Where none is known the caller comes back when there may be one", t, func() {
+	Convey("If no host is known Retry-After is the time until there may be one", t, func() {
 		// With a Retry-After of a tenth of a second callers retry once, too early:
 		// expired list entries are listed again within two seconds.
 		g := newHarness(t)
@@ -209,7 +209,7 @@
 			whole:    true,
 		},
 	}
-	Convey("A caller takes for whole only what is", t, func() {
+	Convey("An answer appears complete to the caller only if it is", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				g := newHarness(t, c.handlers...)
@@ -239,14 +239,14 @@
 			departed: []string{"a"},
 		},
 		{
-			name:     "the upstream itself refuses, for the weights that the caller wants",
+			name:     "the upstream itself refuses, because of the requested weights",
 			instance: "a",
 		},
 		{
-			name: "nothing says who answered",
+			name: "the answer doesn't name its upstream",
 		},
 	}
-	Convey("An upstream whose address answers \"misdirected\" is gone, when", t, func() {
+	Convey("Whether an upstream whose address answers \"misdirected\" is reported as gone, when", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				g := newHarness(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/process/mgrelay/respond.go
+++ b/internal/process/mgrelay/respond.go
@@ -41,7 +41,7 @@
 		y.giveUp(w, x)
 	case errors.Is(ctx.Err(), context.Canceled):
 		y.spec.Metrics.Counter("relay.left").Inc(1)
-		y.log(x, "the caller left", 0)
+		y.log(x, "the caller disconnected", 0)
 		panic(http.ErrAbortHandler)
 	case x.headerSent:
 		y.abort(x, x.cause())
@@ -67,7 +67,7 @@
 	_, _ = w.Write(upstreamAnswer.body) // a caller that disconnected needs no refusal
 	x.clearWriteDeadline()
 	y.spec.Metrics.Counter("relay.passed." + strconv.Itoa(upstreamAnswer.status)).Inc(1)
-	y.log(x, "the upstream's refusal or failure was passed on", upstreamAnswer.status)
+	y.log(x, "the upstream's refusal or failure was forwarded", upstreamAnswer.status)
 }
 
 // impliesNotRun reports whether callers understand a status to mean that their
@@ -137,7 +137,7 @@
 		return
 	}
 	if x.attempts > 1 || x.failedDials > 0 {
-		y.log(x, "answered after another attempt", status)
+		y.log(x, "answered after a retry", status)
 		return
 	}
 	if y.answerCount.Add(1)%logSampleInterval == 0 {
--- a/internal/process/mgrelay/resume.go
+++ b/internal/process/mgrelay/resume.go
@@ -50,6 +50,6 @@
 	x.resumeFrom = x.resumePoints[0]
 	x.resumePoints = x.resumePoints[1:]
 	y.spec.Metrics.Counter("relay.carried").Inc(1)
-	y.log(x, "a generation goes on from a copy at "+x.resumeFrom.host.Name, 0)
+	y.log(x, "a generation continues from a copy at "+x.resumeFrom.host.Name, 0)
 	return true
 }
--- a/internal/process/mgrelay/sequence.go
+++ b/internal/process/mgrelay/sequence.go
@@ -48,7 +48,7 @@
 		if id := eventID(event); id != "" {
 			n, err := strconv.ParseInt(id, 10, 64)
 			if err != nil || n > o.nextID {
-				return nil, fmt.Errorf("a generation goes on with event %q in place of %d: its copy is of another moment", id, o.nextID)
+				return nil, fmt.Errorf("a generation continues with event %q instead of %d: its copy was taken at another moment", id, o.nextID)
 			}
 			if n < o.nextID {
 				continue
--- a/internal/process/mgrelay/sequence_test.go
+++ b/internal/process/mgrelay/sequence_test.go
@@ -30,7 +30,7 @@
 			got:    "id: 3\ndata: c\n\nid: 4\ndata: d\n\n",
 		},
 		{
-			name:   "an event that leaves one out",
+			name:   "no event after a gap",
 			before: first,
 			after:  "id: 4\ndata: d\n\n",
 			faulty: true,
@@ -47,13 +47,13 @@
 			got:   "id: 7\ndata: g\n\n",
 		},
 		{
-			name:   "ids that are no numbers in a row say nothing",
+			name:   "any event if ids are not consecutive numbers",
 			before: "id: x\ndata: a\n\n",
 			after:  "id: z\ndata: c\n\n",
 			got:    "id: z\ndata: c\n\n",
 		},
 	}
-	Convey("A stream that goes on elsewhere brings", t, func() {
+	Convey("A stream that continues elsewhere delivers", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				var o eventSequence
--- a/internal/process/mgrelay/stale_test.go
+++ b/internal/process/mgrelay/stale_test.go
@@ -41,15 +41,15 @@
 		return s, s.harness.send(context.Background(), http.MethodPost, "/write/1", "x", nil)
 	}
 	gone := errors.New("no answer")
-	Convey("While the list is stale no run goes to an upstream that", t, func() {
+	Convey("While the list is stale no generation is moved to an upstream that", t, func() {
 		for name, probe := range map[string]func(host mgrelay.Host) (bool, error){
-			"gives no report": func(host mgrelay.Host) (bool, error) {
+			"doesn't answer the probe": func(host mgrelay.Host) (bool, error) {
 				if host.Name == "b" {
 					return false, gone
 				}
 				return false, nil
 			},
-			"says that it leaves, too": func(host mgrelay.Host) (bool, error) { return host.Name == "b", nil },
+			"answers that it is leaving, too": func(host mgrelay.Host) (bool, error) { return host.Name == "b", nil },
 		} {
 			Convey(name, func() {
 				s, got := moveWithProbe(probe)
@@ -67,21 +67,21 @@
 // All reports are moved to the three engines still listed and pause for half a second while
 // copies wait for one another; two seconds later all entries are listed again.
 func TestMoveFromLapsedUpstream(t *testing.T) {
-	Convey("After the platform was away an upstream that its list lacks", t, func() {
+	Convey("After an outage of the platform an upstream that is missing from its list", t, func() {
 		for name, c := range map[string]struct {
 			staleChecks int64 // for which the list is stale, a quarter of a second apart
 			leaves      bool
 			moved       bool
 		}{
-			"keeps its runs while it says that it stays": {
+			"keeps its generations while it answers that it stays": {
 				staleChecks: 10,
 			},
-			"is left at once where it says that it leaves": {
+			"is evacuated at once if it answers that it is leaving": {
 				staleChecks: 10,
 				leaves:      true,
 				moved:       true,
 			},
-			"is left at once after a watch that was late only": {
+			"is evacuated at once after a mere delay of the watch": {
 				staleChecks: 1,
 				moved:       true,
 			},
