--- a/internal/process/mgrelay/relay_test.go
+++ b/internal/process/mgrelay/relay_test.go
@@ -15,7 +15,7 @@
 
 // A call whose path, query or body is changed while it is forwarded is a different
 // call: the service books something that nobody requested.
-func TestRequestAlteredOnTheWay(t *testing.T) {
+func TestRequestAlteredInTransit(t *testing.T) {
 	targets := []string{
 		"/book/2f",
 		"/book/a%2Fb%20c?x=1&x=2&y=%C3%A9",
