--- /dev/null
+++ b/internal/process/mgrelay/generation.go
@@ -0,0 +1,206 @@
+package mgrelay
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgmigration"
+	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
+)
+
+// generation is a streamed answer that an upstream produces for a caller of this
+// relay.
+type generation struct {
+	ctx          context.Context // done when the attempt ends
+	exchange     *exchange
+	host         Host
+	firstEventAt atomic.Int64   // ms of the relay's clock; 0 before the first event
+	eventCount   atomic.Int64   // events delivered
+	lastEventAt  mgclock.Millis // when events were last delivered
+
+	claimed      bool          // it is or was being moved; guarded by generations.mu
+	moveDone     chan struct{} // closed when its move is done
+	resumePoints []resumePoint // where it can continue after the move; read after moveDone is closed
+	registry     *generations
+}
+
+// generations are the generations that run now, by upstream. The zero value is
+// empty.
+type generations struct {
+	mu         sync.Mutex
+	byUpstream map[string]map[*generation]bool
+	evacuating map[string]bool // upstreams that are being evacuated
+	added      chan struct{}   // closed when a generation is added
+}
+
+// nextAdded returns a channel that is closed when the next generation is added. One
+// may start at an upstream that was found to be leaving while the request was on its
+// way there.
+func (s *generations) nextAdded() <-chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.added == nil {
+		s.added = make(chan struct{})
+	}
+	return s.added
+}
+
+func (s *generations) add(ctx context.Context, x *exchange, host Host) *generation {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r := &generation{
+		ctx:      ctx,
+		exchange: x,
+		host:     host,
+		moveDone: make(chan struct{}),
+		registry: s,
+	}
+	if s.byUpstream == nil {
+		s.byUpstream = map[string]map[*generation]bool{}
+		s.evacuating = map[string]bool{}
+	}
+	if s.byUpstream[host.Name] == nil {
+		s.byUpstream[host.Name] = map[*generation]bool{}
+	}
+	s.byUpstream[host.Name][r] = true
+	if s.added != nil {
+		close(s.added)
+		s.added = nil
+	}
+	return r
+}
+
+func (s *generations) remove(r *generation) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.byUpstream[r.host.Name], r)
+	if len(s.byUpstream[r.host.Name]) == 0 {
+		delete(s.byUpstream, r.host.Name)
+	}
+}
+
+// hostsNotEvacuating returns the upstreams that run generations and are not being
+// evacuated.
+func (s *generations) hostsNotEvacuating() []Host {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var hosts []Host
+	for name, at := range s.byUpstream {
+		if s.evacuating[name] {
+			continue
+		}
+		for r := range at {
+			hosts = append(hosts, r.host)
+			break
+		}
+	}
+	return hosts
+}
+
+// setEvacuating records whether an upstream is being evacuated.
+func (s *generations) setEvacuating(name string, isEvacuating bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if isEvacuating {
+		s.evacuating[name] = true
+		return
+	}
+	delete(s.evacuating, name)
+}
+
+// claimNext claims the unclaimed generation of an upstream whose move is worth most,
+// and returns it, or nil.
+func (s *generations) claimNext(now mgclock.Millis, name string) *generation {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var best *generation
+	maxWorth := 0.0
+	for r := range s.byUpstream[name] {
+		if r.claimed {
+			continue
+		}
+		if worth := r.state(now).Worth(); best == nil || worth > maxWorth {
+			best, maxWorth = r, worth
+		}
+	}
+	if best != nil {
+		best.claimed = true
+	}
+	return best
+}
+
+// isClaimed reports whether a generation was claimed for a move, which makes the
+// upstream end the generation's stream.
+func (s *generations) isClaimed(r *generation) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return r.claimed
+}
+
+// recordEvents counts delivered events. It returns the time per token since the
+// previous events, or false for the first events.
+func (r *generation) recordEvents(now mgclock.Millis, events int64) (perToken float64, ok bool) {
+	elapsed := now - r.lastEventAt
+	ok = !r.firstEventAt.CompareAndSwap(0, int64(now)) && events > 0
+	r.lastEventAt = now
+	r.eventCount.Add(events)
+	if !ok {
+		return 0, false
+	}
+	return float64(elapsed) / float64(events*int64(r.tokensPerEvent())), true
+}
+
+// tokensPerEvent returns the number of tokens in an event.
+func (r *generation) tokensPerEvent() int {
+	if service := r.exchange.call.Table.Service(r.exchange.service); service != nil {
+		return service.Stride()
+	}
+	return 1
+}
+
+// state returns the generation's progress, from which the worth of its move is
+// computed.
+func (r *generation) state(now mgclock.Millis) mgmigration.Run {
+	state := mgmigration.Run{
+		Prompt:  r.exchange.size.prompt,
+		Output:  r.exchange.size.output,
+		Made:    r.tokensPerEvent() * int(r.eventCount.Load()),
+		Resumes: r.exchange.call.Route.Resumes(),
+	}
+	if first := r.firstEventAt.Load(); first > 0 {
+		state.Running = now - mgclock.Millis(first)
+	}
+	return state
+}
+
+// hasAny reports whether an upstream runs generations.
+func (s *generations) hasAny(name string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.byUpstream[name]) > 0
+}
+
+// moveOutcomeTimeout bounds how long a stream that ended waits for the outcome of
+// its move: a call to the source may still be in flight. The caller sees the wait as
+// a pause, and a stream that pauses for longer is late in any case.
+const moveOutcomeTimeout = mgclock.Second
+
+// awaitMove returns where a generation whose stream has ended can continue.
+func (r *generation) awaitMove(clock mgclock.Clock) []resumePoint {
+	r.registry.mu.Lock()
+	claimed := r.claimed
+	r.claimed = true // no move may start from now on
+	r.registry.mu.Unlock()
+	if !claimed {
+		return nil
+	}
+	select {
+	case <-r.moveDone:
+		return r.resumePoints
+	case <-clock.After(moveOutcomeTimeout):
+		return nil
+	case <-r.ctx.Done():
+		return nil
+	}
+}
--- a/internal/process/mgrelay/home_test.go
+++ b/internal/process/mgrelay/home_test.go
@@ -13,49 +13,49 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// A customer's documents may not leave their country. The nearest engine with room is
-// across the border, or the one that is left once another has failed is.
-func TestHomes(t *testing.T) {
-	Convey("A request runs at home only", t, func() {
+// A customer's documents may not leave their country. The nearest engine with free
+// memory, or the one that is left after another failed, is in another country.
+func TestRequestRunsOutsideHomes(t *testing.T) {
+	Convey("A request runs in its homes only", t, func() {
 		for name, c := range map[string]struct {
 			route   string // homes
 			account string
 			regions []string // of the upstreams a, b and c
-			signed  string   // who answers, or nobody
+			signed  string   // who answers, or ""
 		}{
-			"where its route has homes": {
+			"if its route has homes": {
 				route:   `homes = ["south"]`,
 				regions: []string{"north", "south", "south"},
 				signed:  "signed by b",
 			},
-			"where its account has homes": {
+			"if its account has homes": {
 				account: `homes = ["south"]`,
 				regions: []string{"north", "north", "south"},
 				signed:  "signed by c",
 			},
-			"where both have homes, which both bind": {
+			"if both have homes, in a region of both": {
 				route:   `homes = ["south", "east"]`,
 				account: `homes = ["north", "east"]`,
 				regions: []string{"north", "south", "east"},
 				signed:  "signed by c",
 			},
-			"and is refused at once where no upstream is at home": {
+			"and is refused at once if no upstream is in a home": {
 				route:   `homes = ["south"]`,
 				regions: []string{"north", "north", "east"},
 			},
-			"and is refused at once where its route and its account have no home in common": {
+			"and is refused at once if its route and its account have no home in common": {
 				route:   `homes = ["south"]`,
 				account: `homes = ["north"]`,
 				regions: []string{"north", "south", "east"},
 			},
-			"anywhere where nothing is said": {
+			"or anywhere if there are no homes": {
 				regions: []string{"north", "south", "east"},
 				signed:  "signed by a",
 			},
 		} {
 			Convey(name, func() {
-				g := open(t, say("x"), say("x"), say("x"))
-				text := strings.Replace(plan, `prefix = "/once/"`, "prefix = \"/once/\"\n"+c.route, 1)
+				g := newHarness(t, answerWith("x"), answerWith("x"), answerWith("x"))
+				text := strings.Replace(tableText, `prefix = "/once/"`, "prefix = \"/once/\"\n"+c.route, 1)
 				text = strings.Replace(text, `[[account]]`, "[[account]]\n"+c.account, 1)
 				table, err := mgtable.Parse([]byte(text))
 				So(err, ShouldBeNil)
@@ -63,36 +63,36 @@
 				for i, region := range c.regions {
 					g.hosts[i].Region = region
 				}
-				got := g.ask(context.Background(), http.MethodPost, "/once/1", "x", nil)
+				got := g.send(context.Background(), http.MethodPost, "/once/1", "x", nil)
 				if c.signed == "" {
 					So(got.status, ShouldEqual, http.StatusServiceUnavailable)
 					So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
-					So(g.runs(), ShouldBeEmpty)
+					So(g.requests(), ShouldBeEmpty)
 					return
 				}
 				So(got.header.Get("Signature"), ShouldEqual, c.signed)
-				So(len(g.runs()), ShouldEqual, 1)
+				So(len(g.requests()), ShouldEqual, 1)
 			})
 		}
 	})
-	Convey("Who gives places isn't asked where homes leave upstreams out", t, func() {
+	Convey("No placement is requested if homes exclude upstreams", t, func() {
 		for homes, signed := range map[string]string{
 			`homes = ["south"]`:          "signed by b",
-			`homes = ["south", "north"]`: "signed by a", // nobody is left out
+			`homes = ["south", "north"]`: "signed by a", // excludes none
 		} {
 			Convey(homes, func() {
-				g := open(t, say("x"), say("x"))
-				g.memory(strings.Replace(plan, `prefix = "/write/"`, "prefix = \"/write/\"\n"+homes, 1))
+				g := newHarness(t, answerWith("x"), answerWith("x"))
+				g.useMemory(strings.Replace(tableText, `prefix = "/write/"`, "prefix = \"/write/\"\n"+homes, 1))
 				g.hosts[0].Region = "north"
 				g.hosts[1].Region = "south"
 				asked := 0
-				g.with(func(spec *mgrelay.Spec) {
+				g.restart(func(spec *mgrelay.Spec) {
 					spec.Place = func(context.Context, string, mgroom.Wait) (mgroom.Grant, bool) {
 						asked++
 						return mgroom.Grant{Place: "a"}, true
 					}
 				})
-				got := g.ask(context.Background(), http.MethodPost, "/write/1", "x", http.Header{"Tokens": {"100,50"}})
+				got := g.send(context.Background(), http.MethodPost, "/write/1", "x", http.Header{"Tokens": {"100,50"}})
 				So(got.header.Get("Signature"), ShouldEqual, signed)
 				So(asked == 0, ShouldEqual, signed == "signed by b")
 			})
--- /dev/null
+++ b/internal/process/mgrelay/placement.go
@@ -0,0 +1,90 @@
+package mgrelay
+
+import (
+	"context"
+
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgload"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
+	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
+	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
+	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
+)
+
+const (
+	// maxWaitGoals times its goal is how long a generation waits for a placement at
+	// most: its caller leaves after four times the goal, and one that is refused
+	// before that can retry.
+	maxWaitGoals = 3
+	// firstEventSlack is the time from the grant of a placement to the first event,
+	// apart from reading the prompt: network round trips, a step, and prompts that
+	// are read before.
+	firstEventSlack = 100 * mgclock.Millis(1)
+)
+
+// awaitPlacement requests the placement of a generation's first attempt, and waits
+// until an upstream has memory for it or the request is given up. It returns false
+// for other requests, and if no process could be asked.
+func (y *Relay) awaitPlacement(ctx context.Context, x *exchange) (host Host, decided bool) {
+	if y.spec.Place == nil || x.attempts+x.failedDials > 0 || x.call.Route.Kind() != mgtable.Stream || x.size.prompt == 0 {
+		return Host{}, false
+	}
+	hosts := y.spec.Every(x.service)
+	if upstreamCapacity(x.call.Table, x.service) == 0 || len(hosts) == 0 || x.homes.excludesAny(hosts) {
+		// The process that assigns placements doesn't know about homes and might
+		// choose an upstream that the request may not use.
+		return Host{}, false
+	}
+	if _, all := y.backoffLeft(x); all {
+		x.problem = y.noCapacityProblem(x)
+		return Host{}, true
+	}
+	startedAt := y.spec.Clock.Now()
+	grant, ok := y.spec.Place(ctx, x.service, x.waitingRequest(y.spec.Clock.Now()))
+	y.spec.Metrics.Histogram("relay.wait.ms").Update(int64(y.spec.Clock.Now() - startedAt))
+	if !ok {
+		return Host{}, false
+	}
+	for _, host := range y.spec.Every(x.service) { // may have changed during the wait
+		if host.Name == grant.Place {
+			// The process that assigns placements doesn't know about backoffs that
+			// upstreams requested from other processes.
+			if !y.beginAttempt(x, host) {
+				return Host{}, false
+			}
+			if !y.takePermit(ctx, x, host) {
+				x.endAttempt(false)
+				return Host{}, false
+			}
+			return host, true
+		}
+	}
+	if grant.Place == "" {
+		x.problem = mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
+			"no upstream had memory for the generation in time", "send it again after the time given").WithRetry(grant.Retry)
+		return Host{}, true
+	}
+	return Host{}, false
+}
+
+// waitingRequest describes the request for the waiting list.
+func (x *exchange) waitingRequest(now mgclock.Millis) mgroom.Wait {
+	promptTime := mgclock.Millis(float64(x.size.prompt)/mgload.ReadRate) + firstEventSlack
+	end := x.startedAt + maxWaitGoals*x.call.Route.Goal()
+	if x.call.Route.Goal() == 0 {
+		end = x.startedAt + x.timeout
+	}
+	account := ""
+	if x.call.Account != nil {
+		account = x.call.Account.Name()
+	}
+	return mgroom.Wait{
+		Name:    x.id,
+		Account: account,
+		Need:    x.size.memory(),
+		Made:    x.size.output,
+		Span:    promptTime + msPerToken*mgclock.Millis(x.size.output),
+		Due:     x.startedAt + x.call.Route.Goal() - promptTime,
+		Came:    x.startedAt,
+		End:     end,
+	}
+}
--- a/internal/process/mgrelay/relay.go
+++ b/internal/process/mgrelay/relay.go
@@ -22,99 +22,104 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// Spec is what a relay is made of.
+// Spec configures a relay.
 type Spec struct {
 	Form    Form
 	Clock   mgclock.Clock
 	Log     logr.Logger
 	Metrics *mgmetric.Set
 	Budgets *mgretry.Budgets
-	// Client sends to upstreams; see mgdial.NewClientWith.
+	// Client sends requests to upstreams; see mgdial.NewClientWith.
 	Client *http.Client
-	// Every returns all upstreams that run a service and stay, in any order.
+	// Every returns all upstreams that run a service and aren't leaving, in any
+	// order.
 	Every func(service string) []Host
-	// Load counts what is sent to each upstream, and Others returns what other
-	// entries have sent. Zone is this entry's.
+	// Load counts what this process sends to each upstream. Others returns what
+	// other entries have sent. Zone is this entry's availability zone.
 	Load   *mgload.Count
 	Others func() mgload.Report
 	Zone   string
-	// Name is this process's, and Processes returns how many it knows of, itself
-	// included; see mgwarm. Nil bounds nothing.
+	// Name is the name of this process. Processes returns how many processes it
+	// knows of, itself included; see mgwarm. If Processes is nil, cold upstreams are
+	// not protected.
 	Name      string
 	Processes func() int
-	// Failed tells of an upstream that could not be reached, Answered of one
-	// that answered.
+	// Failed reports an upstream that could not be reached, Answered one that
+	// answered.
 	Failed   func(upstream string)
 	Answered func(upstream string)
-	// Leaving reports whether an upstream leaves or is gone, and Changed returns
-	// a channel that is closed when that may have changed.
+	// Leaving reports whether an upstream is leaving or gone. Changed returns a
+	// channel that is closed when that may have changed.
 	Leaving func(upstream string) bool
 	Changed func() <-chan struct{}
-	// Missing reports whether an upstream is not in the list, which has no word of
-	// its leaving. Nil reports none.
+	// Missing reports whether an upstream is absent from the list, though it hasn't
+	// been reported as leaving. Nil reports none.
 	Missing func(upstream string) bool
-	// Cordoned reports whether an upstream's availability zone gets no new work, and
-	// how long ago that was learned. Every leaves such upstreams out. Nil reports none.
+	// Cordoned reports whether an upstream's availability zone is cordoned, and how
+	// long this has been known. Every leaves such upstreams out. Nil reports none.
 	Cordoned func(upstream string) (age mgclock.Millis, cordoned bool)
-	// Closed reports whether a service has upstreams that stay and all of them are
-	// cordoned. Nil reports none.
+	// Closed reports whether a service has upstreams that aren't leaving and all of
+	// them are cordoned. Nil reports none.
 	Closed func(service string) bool
-	// Turn asks for a turn at moving a run of a service, and EndTurn gives it
-	// back; see mgmigration.Turns. Without Turn there are no turns. It returns
-	// false where nobody could be asked.
+	// Turn acquires a migration slot for a generation of a service, and EndTurn
+	// releases it; see mgmigration.Turns. It returns false if no process could be
+	// asked. If Turn is nil, moves need no slot.
 	Turn    func(ctx context.Context, service string, ask mgmigration.Ask) (place string, ok bool)
 	EndTurn func(service, source, run string)
-	// Place has one entry choose the upstream of a generation, as soon as one has
-	// memory for it, or give it up. It returns false where nobody could be asked.
-	// Without it each entry chooses by what it knows.
+	// Place asks the process that assigns placements for an upstream. It returns as
+	// soon as one has memory for the generation, or when the request is given up,
+	// and returns false if no process could be asked. If Place is nil, each entry
+	// chooses by what it knows.
 	Place func(ctx context.Context, service string, wait mgroom.Wait) (grant mgroom.Grant, ok bool)
-	// Stale reports whether the list of upstreams may lack what has changed.
-	// Upstreams with runs are then asked by Probe whether they leave, and
-	// Departed is told of those that do. Without Probe none are asked.
+	// Stale reports whether the list of upstreams may be out of date. While it is,
+	// Probe asks the upstreams that run generations whether they are leaving, and
+	// Departed reports those that are. If Probe is nil, none are asked.
 	Stale    func() bool
 	Probe    func(ctx context.Context, upstream Host) (leaving bool, err error)
 	Departed func(upstream string)
-	// Basis returns the version of the list of upstreams, and the age of what
-	// Others returns, for logs. Nil logs neither.
+	// Basis returns the version of the list of upstreams and the age of the result
+	// of Others, for logs. If it is nil, neither is logged.
 	Basis func() (list uint64, age mgclock.Millis)
-	// Left returns how long this process still lives, or false when it doesn't
-	// stop.
+	// Left returns how long this process continues to run, or false if it isn't
+	// stopping.
 	Left func() (mgclock.Millis, bool)
-	// Quarantine holds requests back that crash upstreams. New makes one of its own
-	// where it is nil.
+	// Quarantine holds requests under which upstreams crash. New creates one if it
+	// is nil.
 	Quarantine *mgquarantine.Quarantine
-	// Limits are the rates that upstreams name in their answers, and Permit takes leave to
-	// send to one of them, or returns the time until there may be some. New makes what this
-	// process needs alone where they are nil.
+	// Limits are the rate limits that upstreams announce in their answers. Permit
+	// takes a permit to send to one of them, or returns the time until there may be
+	// one. New creates both for this process alone if they are nil.
 	Limits *mglimit.Limits
 	Permit func(ctx context.Context, permit Permit) (wait mgclock.Millis, ok bool)
-	// Refuses reports whether an upstream's address refuses connections, as after its
-	// process has ended; an error says that it isn't known. Nil never knows.
+	// Refuses reports whether an upstream's address refuses connections, as it does
+	// after its process has ended. An error means that this is unknown. If Refuses
+	// is nil, it is always unknown.
 	Refuses func(ctx context.Context, addr string) (bool, error)
-	// Move makes a call to a source of a move. Without it nothing is moved.
+	// Move sends an order to the source of a move. If it is nil, nothing is moved.
 	Move func(ctx context.Context, source Host, order Order) mgmigration.Reply
 }
 
-// Order is a call to the source of a move.
+// Order is a step of a move, sent to the source.
 type Order struct {
 	Run  string // the request's id
 	To   string // the destination's address
-	Last bool   // stop the run first
+	Last bool   // stop the generation first
 }
 
-// A Relay passes requests through. Make one with New.
+// Relay forwards requests to upstreams. Create one with New.
 type Relay struct {
-	spec       Spec
-	exchanges  exchanges
-	runs       runs
-	turns      mgwarm.Turns
-	rests      mgrest.Rests
-	waits      mglimit.Waits
-	permits    mglimit.Permits // where nobody else gives any
-	rejections rejections
-	count      atomic.Uint64 // ordinary answers
-	// outage is when the platform was away last, ms of the clock; 0 for never.
-	outage atomic.Int64
+	spec         Spec
+	exchanges    exchanges
+	generations  generations
+	coldTurns    mgwarm.Turns
+	backoffs     mgrest.Rests
+	permitWaits  mglimit.Waits
+	localPermits mglimit.Permits // if Spec.Permit is nil
+	rejections   rejections
+	answerCount  atomic.Uint64 // successful answers to the first attempt
+	// lastOutageAt is when the platform was last unavailable, in ms of the clock; 0
+	// for never.
+	lastOutageAt atomic.Int64
 }
 
 // New returns a relay.
@@ -129,59 +134,61 @@
 		spec: spec,
 	}
 	if spec.Permit == nil {
-		y.spec.Permit = y.permitAlone
+		y.spec.Permit = y.takeLocalPermit
 	}
 	return y
 }
 
-// Call is a request that was found to be allowed.
+// Call is a request that the table allows.
 type Call struct {
 	Table   *mgtable.Table
 	Route   *mgtable.Route
-	Account *mgtable.Account // nil where the route needs none
+	Account *mgtable.Account // nil if the route needs none
 }
 
 // maxDials bounds the upstreams that a request tries to connect to, and
-// dialPart the part of its time that it spends so. Nothing was sent to those
-// that could not be reached, so they are no attempts. An entry that was cut off
-// for twelve seconds has a list of which half may be gone.
+// 1/dialTimeDivisor is the part of its time that it may spend on this. Nothing was
+// sent to an upstream that could not be reached, so it doesn't count as an attempt.
+// Half of the upstreams in the list of an entry that was cut off for twelve seconds
+// may be gone.
 const (
-	maxDials = 8
-	dialPart = 4
+	maxDials        = 8
+	dialTimeDivisor = 4
 )
 
 // Serve answers a request.
 func (y *Relay) Serve(w http.ResponseWriter, r *http.Request, call Call) {
-	began := y.spec.Clock.Now()
-	x, problem := y.read(w, r, call, began)
+	startedAt := y.spec.Clock.Now()
+	x, problem := y.newExchange(w, r, call, startedAt)
 	if problem != nil {
 		y.refuse(w, x, problem)
 		return
 	}
 	if y.spec.Left != nil {
-		if left, stopping := y.spec.Left(); stopping && x.expected() > left {
+		if left, stopping := y.spec.Left(); stopping && x.expectedDuration() > left {
 			y.refuse(w, x, mgproblem.New(mgproblem.Leaving, mgproblem.NotRun,
-				"this entry ends before the answer would", "send the request again on a new connection").WithRetry(comeBack))
+				"this entry ends before the answer would", "send the request again on a new connection").WithRetry(retryDelay))
 			return
 		}
 	}
-	ctx, drop := context.WithCancelCause(r.Context())
-	defer drop(nil)
-	ctx, cancel := context.WithTimeout(ctx, x.limit.Duration())
+	ctx, cancelCause := context.WithCancelCause(r.Context())
+	defer cancelCause(nil)
+	ctx, cancel := context.WithTimeout(ctx, x.timeout.Duration())
 	defer cancel()
-	y.exchanges.add(x, drop)
+	y.exchanges.add(x, cancelCause)
 	defer y.exchanges.remove(x)
-	x.guardWrites()
+	x.setWriteDeadline()
 	y.serve(ctx, w, x)
 }
 
-// serve sends a request until an answer can be delivered.
+// serve sends a request to upstreams until an answer can be delivered or none may be
+// tried any more.
 func (y *Relay) serve(ctx context.Context, w http.ResponseWriter, x *exchange) {
 	for {
-		if y.endHeld(w, x) {
+		if y.endIfHeld(w, x) {
 			return
 		}
-		host, ok := y.next(ctx, x)
+		host, ok := y.nextHost(ctx, x)
 		if ctx.Err() != nil {
 			y.expire(ctx, w, x)
 			return
@@ -190,73 +197,74 @@
 			y.giveUp(w, x)
 			return
 		}
-		end := y.attempt(ctx, w, x, host)
-		if end == delivered {
+		outcome := y.attempt(ctx, w, x, host)
+		if outcome == delivered {
 			return
 		}
 		if ctx.Err() != nil {
 			y.expire(ctx, w, x)
 			return
 		}
-		if y.carryOn(x) {
+		if y.prepareResume(x) {
 			continue
 		}
-		if !y.again(x, end) {
+		if !y.mayRetry(x, outcome) {
 			y.giveUp(w, x)
 			return
 		}
 	}
 }
 
-// next returns the upstream that has a copy to go on from, the one with memory
-// for a request that waited, or the best that was not tried.
-func (y *Relay) next(ctx context.Context, x *exchange) (Host, bool) {
-	if x.from.copy != "" {
-		y.takes(x, x.from.host) // only there is the copy
-		y.countForced(ctx, x, x.from.host)
-		return x.from.host, true
+// nextHost returns the upstream that has a copy to continue from, else the one with
+// a placement for the request, else the best one that hasn't been tried.
+func (y *Relay) nextHost(ctx context.Context, x *exchange) (Host, bool) {
+	if x.resumeFrom.copyRef != "" {
+		y.beginAttempt(x, x.resumeFrom.host) // no other upstream has the copy
+		y.takeForcedPermit(ctx, x, x.resumeFrom.host)
+		return x.resumeFrom.host, true
 	}
-	if host, settled := y.admit(ctx, x); settled {
+	if host, decided := y.awaitPlacement(ctx, x); decided {
 		return host, x.problem == nil
 	}
-	for _, spot := range y.spots(x, mgload.Query{Zone: y.spec.Zone}) {
-		if x.tried[spot.host.Name] {
+	for _, c := range y.candidates(x, mgload.Query{Zone: y.spec.Zone}) {
+		if x.tried[c.host.Name] {
 			continue
 		}
-		if !y.takes(x, spot.host) {
+		if !y.beginAttempt(x, c.host) {
 			continue
 		}
-		warm := !spot.host.Cold || y.warmTurn(x, spot.host)
-		if warm && y.permitted(ctx, x, spot.host) {
-			return spot.host, true
+		warm := !c.host.Cold || y.takeColdTurn(x, c.host)
+		if warm && y.takePermit(ctx, x, c.host) {
+			return c.host, true
 		}
 		x.endAttempt(false)
-		x.cold = x.cold || !warm
+		x.skippedCold = x.skippedCold || !warm
 	}
 	return Host{}, false
 }
 
-// warmTurn reports whether a request may be sent to a cold upstream without a place.
-func (y *Relay) warmTurn(x *exchange, host Host) bool {
+// takeColdTurn reports whether a request without a placement may be sent to a cold
+// upstream now.
+func (y *Relay) takeColdTurn(x *exchange, host Host) bool {
 	service := x.call.Table.Service(x.service)
 	if service == nil || service.Ramp() == 0 || y.spec.Processes == nil {
 		return true
 	}
-	return y.turns.Take(y.spec.Clock.Now(), y.spec.Name, host.Name, service.Ramp(), y.spec.Processes())
+	return y.coldTurns.Take(y.spec.Clock.Now(), y.spec.Name, host.Name, service.Ramp(), y.spec.Processes())
 }
 
-// again reports whether a request may go to another upstream after an attempt
-// that ended so.
-func (y *Relay) again(x *exchange, end ending) bool {
-	if x.ran && !x.call.Route.Repeatable() {
+// mayRetry reports whether a request may be sent to another upstream after an
+// attempt with this outcome.
+func (y *Relay) mayRetry(x *exchange, outcome attemptOutcome) bool {
+	if x.mayHaveRun && !x.call.Route.Repeatable() {
 		return false
 	}
-	if x.broken && y.dangerous(x) {
+	if x.attemptBroken && y.mayCrashAnother(x) {
 		y.spec.Metrics.Counter("relay.dangerous").Inc(1)
 		return false
 	}
-	if end == unreached {
-		return x.dials < maxDials && y.waited(x) < x.limit/dialPart
+	if outcome == notConnected {
+		return x.failedDials < maxDials && y.elapsed(x) < x.timeout/dialTimeDivisor
 	}
 	if x.attempts >= x.call.Route.Attempts() {
 		return false
@@ -268,62 +276,63 @@
 	return true
 }
 
-// serviceOf picks the service by the request's id, so that the parts of a split
-// route are what the operator said and a log line can be checked.
+// serviceOf picks the service by a hash of the request's id. The shares of a split
+// route are then as configured, and the choice can be recomputed from a log line.
 func serviceOf(route *mgtable.Route, id string) string {
 	return route.Pick(xxhash.Sum64String(id))
 }
 
-// crowded is told when no upstream can take a request now.
-func (y *Relay) crowded(x *exchange) *mgproblem.Problem {
+// noCapacityProblem returns the problem to answer with when no upstream can take a
+// request now.
+func (y *Relay) noCapacityProblem(x *exchange) *mgproblem.Problem {
 	if y.spec.Closed != nil && y.spec.Closed(x.service) {
 		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
 			"all availability zones with upstreams of the service are cordoned",
-			"send it again after the time given").WithRetry(comeBackClosed)
+			"send it again after the time given").WithRetry(retryDelayCordoned)
 	}
-	if left, all := y.restLeft(x); all {
+	if left, all := y.backoffLeft(x); all {
 		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
 			"all upstreams of the service asked for a rest", "send it again after the time given").WithRetry(left)
 	}
-	if left, all := y.awayLeft(x); all {
+	if left, all := y.unavailableFor(x); all {
 		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
 			"all upstreams of the service have as many requests as they take", "send it again after the time given").
-			WithRetry(y.spreadReturn(x, left))
+			WithRetry(y.spreadRetryDelay(x, left))
 	}
 	hosts := y.spec.Every(x.service)
-	if len(hosts) > 0 && x.homes.shut(hosts) {
+	if len(hosts) > 0 && x.homes.excludesAll(hosts) {
 		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
 			"no upstream of the service is in a region where the request may run",
-			"send it again after the time given").WithRetry(comeBackClosed)
+			"send it again after the time given").WithRetry(retryDelayCordoned)
 	}
-	if x.cold {
-		span := comeBack
+	if x.skippedCold {
+		delay := retryDelay
 		if service := x.call.Table.Service(x.service); service != nil {
-			span = max(span, service.Cold())
+			delay = max(delay, service.Cold())
 		}
 		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
 			"the upstreams of the service have just started and bear no more requests now",
-			"send it again after the time given").WithRetry(span)
+			"send it again after the time given").WithRetry(delay)
 	}
 	if len(hosts) == 0 {
 		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-			"no upstream of the service is known now", "send it again after the time given").WithRetry(comeBackNone)
+			"no upstream of the service is known now", "send it again after the time given").WithRetry(retryDelayNoUpstream)
 	}
 	return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-		"no upstream can take the request now", "send it again after the time given").WithRetry(comeBack)
+		"no upstream can take the request now", "send it again after the time given").WithRetry(retryDelay)
 }
 
-// comeBackNone is how long a caller should wait while no upstream is known: most
-// callers come back once, and the platform says that upstreams are listed again
-// within two seconds of an outage's end. On the one day that had it they were
-// after 0.2 to 0.35 s.
-const comeBackNone = mgclock.Second
+// retryDelayNoUpstream is the Retry-After while no upstream is known. Most callers
+// retry once, and the platform states that upstreams are listed again within two
+// seconds of an outage's end. In the one recorded outage it took 0.2 to 0.35 s.
+const retryDelayNoUpstream = mgclock.Second
 
-// comeBackClosed is how long a caller should wait while operators keep every upstream
-// from new work, which they do for minutes and take back at any moment: callers shorten
-// it to a part of the time that they have.
-const comeBackClosed = 5 * mgclock.Second
+// retryDelayCordoned is the Retry-After while all upstreams are cordoned. Operators
+// do this for minutes and may end it at any moment: callers shorten the delay to a
+// part of the time that they have. It is also used if no upstream is in a region
+// where the request may run.
+const retryDelayCordoned = 5 * mgclock.Second
 
-// comeBack is how long a caller that was turned away should wait: long enough
-// for another entry's view to be newer, short against the deadline of a lookup.
-const comeBack = 100 * mgclock.Millis(1)
+// retryDelay is the Retry-After in all other cases: long enough for another entry to
+// have newer information, short compared with the deadline of a lookup.
+const retryDelay = 100 * mgclock.Millis(1)
--- a/internal/process/mgrelay/order_test.go
+++ b/internal/process/mgrelay/sequence_test.go
@@ -6,9 +6,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A report goes on at another engine with a line twice, or with one missing,
-// and nobody notices until the shift lead has signed it.
-func TestOrder(t *testing.T) {
+// A report continues at another engine with an event repeated or missing, and nobody
+// notices.
+func TestResumedStreamRepeatsOrSkipsEvents(t *testing.T) {
 	const first = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
 	cases := []struct {
 		name   string
@@ -30,7 +30,7 @@
 			got:    "id: 3\ndata: c\n\nid: 4\ndata: d\n\n",
 		},
 		{
-			name:   "an event that leaves one out",
+			name:   "no event after a gap",
 			before: first,
 			after:  "id: 4\ndata: d\n\n",
 			faulty: true,
@@ -47,18 +47,18 @@
 			got:   "id: 7\ndata: g\n\n",
 		},
 		{
-			name:   "ids that are no numbers in a row say nothing",
+			name:   "any event if ids are not consecutive numbers",
 			before: "id: x\ndata: a\n\n",
 			after:  "id: z\ndata: c\n\n",
 			got:    "id: z\ndata: c\n\n",
 		},
 	}
-	Convey("A stream that goes on elsewhere brings", t, func() {
+	Convey("A stream that continues elsewhere delivers", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				var o order
-				o.deliver([]byte(c.before))
-				got, err := o.resume([]byte(c.after))
+				var o eventSequence
+				o.record([]byte(c.before))
+				got, err := o.undelivered([]byte(c.after))
 				So(err != nil, ShouldEqual, c.faulty)
 				So(string(got), ShouldEqual, c.got)
 			})
