--- a/internal/process/mgagent/adopt.go
+++ b/internal/process/mgagent/adopt.go
@@ -14,19 +14,19 @@
 const (
 	// followEvery is the interval of the reads of the engine's load and cache
 	// events, which lag by about as much.
-	followEvery = 500 * mgclock.Millis(1)
+	pollInterval = 500 * mgclock.Millis(1)
 	// followWait bounds one such read.
-	followWait = mgclock.Second
+	pollTimeout = mgclock.Second
 )
 
 // adopt picks up the generations that a predecessor left in the engine, so
 // that their memory is counted and their readers find them. An engine that
 // can't be asked now is asked again when a reader comes.
 func (a *Agent) adopt(ctx context.Context) {
-	if !a.besideEngine() {
+	if !a.upstreamIsEngine() {
 		return
 	}
-	held, err := a.list(ctx)
+	held, err := a.listGenerations(ctx)
 	if err != nil {
 		return
 	}
@@ -35,8 +35,8 @@
 	}
 }
 
-func (a *Agent) list(ctx context.Context) ([]mgengine.Generation, error) {
-	ctx, cancel := context.WithTimeout(ctx, followWait.Duration())
+func (a *Agent) listGenerations(ctx context.Context) ([]mgengine.Generation, error) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout.Duration())
 	defer cancel()
 	return a.spec.Engine.List(ctx)
 }
@@ -53,7 +53,7 @@
 		ID:    found.ID,
 		Model: found.Model,
 	}, now)
-	g.had = int(found.Produced)
+	g.priorDelivered = int(found.Produced)
 	a.generations[g.id] = g
 	a.counts.adopted++
 	if !found.Done {
@@ -64,11 +64,11 @@
 			Weight: 1,
 		}, int(found.Produced))
 	}
-	a.running.Go(func() {
+	a.tasks.Go(func() {
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
 		g.setCancel(cancel)
-		a.read(ctx, g)
+		a.readTokens(ctx, g)
 	})
 	return g
 }
@@ -78,7 +78,7 @@
 	if g := a.generation(id); g != nil {
 		return g
 	}
-	held, err := a.list(ctx)
+	held, err := a.listGenerations(ctx)
 	if err != nil {
 		return nil
 	}
@@ -86,7 +86,7 @@
 		if found.ID == id {
 			// It is read on when this reader goes, and no longer than the agent
 			// runs: its stop waits for it.
-			return a.adoptOne(a.life, found)
+			return a.adoptOne(a.lifetime, found)
 		}
 	}
 	return nil
@@ -95,52 +95,52 @@
 // besideEngine reports whether the upstream is an engine, as one that no table
 // names is taken to be. A plain service is called for callers only: it may take
 // any request for work.
-func (a *Agent) besideEngine() bool {
-	upstream := upstreamOf(a.spec)
+func (a *Agent) upstreamIsEngine() bool {
+	upstream := upstreamRow(a.spec)
 	return upstream == nil || upstream.Kind() == mgtable.Engine
 }
 
 // follow keeps up with the engine; a plain service has no such reports.
-func (a *Agent) follow(ctx context.Context) {
-	if a.besideEngine() {
-		a.followEngine(ctx)
+func (a *Agent) pollUpstream(ctx context.Context) {
+	if a.upstreamIsEngine() {
+		a.pollEngine(ctx)
 	}
 }
 
 // followEngine reads the engine's lagging load report and cache events.
-func (a *Agent) followEngine(ctx context.Context) {
+func (a *Agent) pollEngine(ctx context.Context) {
 	after := uint64(0)
-	for a.spec.Clock.Sleep(ctx, followEvery) {
-		after = a.followOnce(ctx, after)
+	for a.spec.Clock.Sleep(ctx, pollInterval) {
+		after = a.pollEngineOnce(ctx, after)
 	}
 }
 
-func (a *Agent) followOnce(ctx context.Context, after uint64) uint64 {
-	ctx, cancel := context.WithTimeout(ctx, followWait.Duration())
+func (a *Agent) pollEngineOnce(ctx context.Context, after uint64) uint64 {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout.Duration())
 	defer cancel()
 	load, err := a.spec.Engine.Load(ctx)
-	a.warm(a.sick.Load() && err == nil)
-	if a.sick.Swap(err != nil) != (err != nil) {
+	a.updateWarmUp(a.engineDown.Load() && err == nil)
+	if a.engineDown.Swap(err != nil) != (err != nil) {
 		a.spec.Log.Info("the engine's reachability changed", mglog.Upstream, a.spec.Settings.Upstream, "sick", err != nil)
 	}
 	if err != nil {
 		return after
 	}
-	a.orders.held.Store(&load.Models)
+	a.orders.reportedModels.Store(&load.Models)
 	a.mu.Lock()
 	a.scheduler.Used(a.spec.Clock.Now(), load.Capacity-load.Free)
 	a.mu.Unlock()
-	a.notice(load)
+	a.updateReclaimTime(load)
 	if load.Leaving {
 		a.Leave()
 	}
-	a.beginMoves()
+	a.startMoves()
 	events, err := a.spec.Engine.Events(ctx, after)
 	if err != nil {
 		return after
 	}
 	for _, event := range events {
-		a.note(event, after)
+		a.applyCacheEvent(event, after)
 		after = event.Seq
 	}
 	return after
@@ -149,28 +149,28 @@
 // warm lets an engine that has come back take part of its batch, and more as it
 // warms up: its caches are empty, and as the idlest of all it would be given
 // everything at once.
-func (a *Agent) warm(back bool) {
+func (a *Agent) updateWarmUp(hasReturned bool) {
 	now := a.spec.Clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if back {
-		a.ramp.Begin(now)
-		a.warming = true
+	if hasReturned {
+		a.ramp.Start(now)
+		a.isWarming = true
 	}
-	if !a.warming {
+	if !a.isWarming {
 		return
 	}
 	batch := mgadmission.DefaultBatch
-	if upstream := upstreamOf(a.spec); upstream != nil && upstream.Batch() > 0 {
+	if upstream := upstreamRow(a.spec); upstream != nil && upstream.Batch() > 0 {
 		batch = upstream.Batch()
 	}
-	a.warming = a.ramp.Share(now) < 1
+	a.isWarming = a.ramp.Share(now) < 1
 	a.scheduler.Limit(now, a.ramp.Limit(now, batch))
 }
 
 // note applies a cache event. After a gap the lost events may have been
 // evictions, so the record starts over rather than promise what is gone.
-func (a *Agent) note(event mgengine.Event, after uint64) {
+func (a *Agent) applyCacheEvent(event mgengine.Event, after uint64) {
 	if event.Seq != after+1 {
 		a.prefix.Clear()
 	}
@@ -185,24 +185,24 @@
 func (a *Agent) sweep(ctx context.Context) {
 	for a.spec.Clock.Sleep(ctx, mgclock.Second) {
 		a.sweepOnce(ctx, a.spec.Clock.Now())
-		a.drain(a.spec.Clock.Now())
+		a.drainGenerations(a.spec.Clock.Now())
 	}
 }
 
 func (a *Agent) sweepOnce(ctx context.Context, now mgclock.Millis) {
-	var unread []string
+	var abandoned []string
 	a.mu.Lock()
 	for id, g := range a.generations {
-		if g.expired(now - mgclock.Millis(a.spec.Settings.Keep)) {
+		if g.isExpired(now - mgclock.Millis(a.spec.Settings.Keep)) {
 			delete(a.generations, id)
 			continue
 		}
-		if g.unread(now - mgclock.Millis(a.spec.Settings.Grace)) {
-			unread = append(unread, id)
+		if g.isAbandoned(now - mgclock.Millis(a.spec.Settings.Grace)) {
+			abandoned = append(abandoned, id)
 		}
 	}
 	a.mu.Unlock()
-	for _, id := range unread {
+	for _, id := range abandoned {
 		a.spec.Metrics.Counter("abandoned").Inc(1)
 		a.cancel(ctx, id)
 	}
--- a/internal/process/mgagent/adopt_test.go
+++ b/internal/process/mgagent/adopt_test.go
@@ -24,12 +24,12 @@
 }
 
 func (e *idleEngine) seams() mgengine.Seams {
-	engine := quiet()
+	engine := idleSeams()
 	engine.Start = func(context.Context, mgengine.StartSpec) error {
 		e.starts.Add(1)
 		return nil
 	}
-	engine.Stream = endless
+	engine.Stream = silentStream
 	engine.Load = func(context.Context) (mgengine.Load, error) {
 		if e.sick.Load() {
 			return mgengine.Load{}, errDown
@@ -40,10 +40,10 @@
 	return engine
 }
 
-// beside plays with an agent beside the engine in virtual time.
-func beside(t *testing.T, e *idleEngine, play func(ctx context.Context, agent *mgagent.Agent)) {
+// runWithEngine plays with an agent runWithEngine the engine in virtual time.
+func runWithEngine(t *testing.T, e *idleEngine, play func(ctx context.Context, agent *mgagent.Agent)) {
 	synctest.Test(t, func(t *testing.T) {
-		agent, err := newAgent(strings.Replace(table, "batch = 1\n", "batch = 16\n", 1), e.seams(), asIs)
+		agent, err := newAgent(strings.Replace(table, "batch = 1\n", "batch = 16\n", 1), e.seams(), unchanged)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -58,7 +58,7 @@
 // An agent is replaced while its engine is full of dossiers. The new one counts
 // its own starts only, takes the engine for empty, lets new work in, and the
 // engine preempts the dossiers.
-func TestAdoptedCounts(t *testing.T) {
+func TestAdoptedGenerationsUncounted(t *testing.T) {
 	Convey("What the engine runs already takes its memory", t, func() {
 		e := &idleEngine{
 			held: []mgengine.Generation{{
@@ -68,7 +68,7 @@
 			}},
 		}
 		headroom := int64(-1)
-		beside(t, e, func(ctx context.Context, agent *mgagent.Agent) {
+		runWithEngine(t, e, func(ctx context.Context, agent *mgagent.Agent) {
 			offer, err := agent.Probe(ctx, &mgrpc.ProbeRequest{
 				Account: "tankline",
 				Service: "report",
@@ -86,11 +86,11 @@
 
 // An engine comes back from a crash with empty caches. As the idlest of all it
 // is given a full batch at once, and every caller there waits.
-func TestReturnedEngineWarmsUp(t *testing.T) {
+func TestReturnedEngineOverloaded(t *testing.T) {
 	Convey("An engine that has come back takes part of its batch first", t, func() {
 		e := &idleEngine{}
 		early, late := int64(0), int64(0)
-		beside(t, e, func(ctx context.Context, agent *mgagent.Agent) {
+		runWithEngine(t, e, func(ctx context.Context, agent *mgagent.Agent) {
 			e.sick.Store(true)
 			mgclock.Clock{}.Sleep(ctx, mgclock.Second)
 			e.sick.Store(false)
--- a/internal/process/mgagent/agent.go
+++ b/internal/process/mgagent/agent.go
@@ -56,82 +56,82 @@
 
 // An Agent gives one upstream its work. Make one with New, then Run it.
 type Agent struct {
-	spec     Spec
-	attempts *mgoperation.Ledger
-	writes   *mgoperation.Ledger
-	minter   *mgoperation.Minter
-	prefix   mgprefix.Record
-	wake     chan struct{}
-	slots    chan struct{}
-	orders   *orders
-	calls    atomic.Int64
-	leaving  atomic.Bool
-	sick     atomic.Bool // the engine can't be reached
-	moving   atomic.Bool // generations are being moved to other engines
-	running  sync.WaitGroup
-	life     context.Context // of what outlives the call that began it
-	endLife  context.CancelFunc
+	spec        Spec
+	attempts    *mgoperation.Ledger
+	operations  *mgoperation.Ledger
+	minter      *mgoperation.Minter
+	prefix      mgprefix.Record
+	wake        chan struct{}
+	slots       chan struct{}
+	orders      *orderState
+	calls       atomic.Int64
+	isLeaving   atomic.Bool
+	engineDown  atomic.Bool // the engine can't be reached
+	isMoving    atomic.Bool // generations are being moved to other engines
+	tasks       sync.WaitGroup
+	lifetime    context.Context // of what outlives the call that began it
+	endLifetime context.CancelFunc
 
 	mu          sync.Mutex // guards what follows
 	scheduler   *mgscheduler.Scheduler
 	generations map[string]*generation
 	counts      counts
 	ramp        mgpace.Ramp
-	warming     bool           // the engine takes part of its batch only
-	noticed     bool           // the engine has said when it is gone
-	gone        mgclock.Millis // when
+	isWarming   bool           // the engine takes part of its batch only
+	hasNotice   bool           // the engine has said when it is gone
+	goneAt      mgclock.Millis // when
 }
 
 // counts are the agent's totals, for the dump.
 type counts struct {
-	started, finished, refused, broken, adopted int64
+	started, finished, refused, failed, adopted int64
 }
 
 // callSlots bounds the calls that run at once in a plain service whose table
 // row names no batch.
-const callSlots = 64
+const defaultCallSlots = 64
 
 // New returns an agent that has not started. The table must be in force, for
 // the upstream's row sizes the queue and the memory budget.
 func New(spec Spec) (*Agent, error) {
-	upstream := upstreamOf(spec)
+	upstream := upstreamRow(spec)
 	policy, err := mgscheduler.Named(spec.Settings.Policy)
 	if err != nil {
 		return nil, fmt.Errorf("key policy: %w", err)
 	}
-	slots := callSlots
+	slots := defaultCallSlots
 	if upstream != nil && upstream.Batch() > 0 {
 		slots = upstream.Batch()
 	}
-	life, endLife := context.WithCancel(context.Background())
+	lifetime, endLifetime := context.WithCancel(context.Background())
 	return &Agent{
 		spec:        spec,
-		life:        life,
-		endLife:     endLife,
+		lifetime:    lifetime,
+		endLifetime: endLifetime,
 		attempts:    mgoperation.New(mgoperation.Spec{Window: mgoperation.AttemptWindow}),
-		writes:      mgoperation.New(mgoperation.Spec{Window: mgoperation.OperationWindow}),
+		operations:  mgoperation.New(mgoperation.Spec{Window: mgoperation.OperationWindow}),
 		minter:      mgoperation.NewMinter(spec.Seal, spec.Settings.Upstream, spec.Incarnation),
 		wake:        make(chan struct{}, 1),
 		slots:       make(chan struct{}, slots),
-		orders:      newOrders(spec, upstream),
+		orders:      newOrderState(spec, upstream),
 		scheduler:   mgscheduler.New(schedulerSpec(spec, policy, upstream)),
 		generations: map[string]*generation{},
 	}, nil
 }
 
 func schedulerSpec(spec Spec, policy mgscheduler.Policy, upstream *mgtable.Upstream) mgscheduler.Spec {
-	made := mgscheduler.Spec{
+	schedulerSpec := mgscheduler.Spec{
 		Queue:  int(spec.Settings.Queue),
 		Policy: policy,
 	}
 	if upstream != nil {
-		made.Memory = int64(upstream.Memory())
-		made.Batch = upstream.Batch()
+		schedulerSpec.Memory = int64(upstream.Memory())
+		schedulerSpec.Batch = upstream.Batch()
 	}
-	return made
+	return schedulerSpec
 }
 
-func upstreamOf(spec Spec) *mgtable.Upstream {
+func upstreamRow(spec Spec) *mgtable.Upstream {
 	table := spec.Table()
 	if table == nil {
 		return nil
@@ -146,27 +146,27 @@
 	var loops sync.WaitGroup
 	loops.Go(func() { a.pump(ctx) })
 	loops.Go(func() { a.sweep(ctx) })
-	loops.Go(func() { a.follow(ctx) })
-	loops.Go(func() { a.order(ctx) })
+	loops.Go(func() { a.pollUpstream(ctx) })
+	loops.Go(func() { a.orderLoop(ctx) })
 	loops.Wait()
-	a.endLife()
-	a.running.Wait()
+	a.endLifetime()
+	a.tasks.Wait()
 }
 
 // Leave makes the agent refuse new work from now on; what it holds goes on.
 func (a *Agent) Leave() {
-	if a.leaving.Swap(true) {
+	if a.isLeaving.Swap(true) {
 		return
 	}
 	a.mu.Lock()
 	a.scheduler.Leaving(a.spec.Clock.Now())
 	a.mu.Unlock()
-	a.poke()
+	a.wakePump()
 	a.spec.Log.Info("leaving: no new work is taken")
 }
 
 // Leaving reports whether the agent takes no new work.
-func (a *Agent) Leaving() bool { return a.leaving.Load() }
+func (a *Agent) Leaving() bool { return a.isLeaving.Load() }
 
 // Busy returns how many generations and calls a stop would cut off.
 func (a *Agent) Busy() int {
@@ -174,7 +174,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, g := range a.generations {
-		if g.busy() {
+		if g.isBusy() {
 			busy++
 		}
 	}
@@ -182,7 +182,7 @@
 }
 
 // poke wakes the pump.
-func (a *Agent) poke() {
+func (a *Agent) wakePump() {
 	select {
 	case a.wake <- struct{}{}:
 	default:
@@ -197,7 +197,7 @@
 }
 
 // fault turns a problem into its message.
-func fault(p *mgproblem.Problem) *mgrpc.Fault {
+func faultFromProblem(p *mgproblem.Problem) *mgrpc.Fault {
 	return &mgrpc.Fault{
 		Kind:    string(p.Kind()),
 		Detail:  p.Detail(),
@@ -234,18 +234,18 @@
 	return State{
 		Incarnation: a.spec.Incarnation,
 		Upstream:    a.spec.Settings.Upstream,
-		Leaving:     a.leaving.Load(),
-		Sick:        a.sick.Load(),
+		Leaving:     a.isLeaving.Load(),
+		Sick:        a.engineDown.Load(),
 		Generations: len(a.generations),
 		Busy:        busy,
 		Calls:       a.calls.Load(),
 		Attempts:    a.attempts.Len(),
-		Operations:  a.writes.Len(),
+		Operations:  a.operations.Len(),
 		Blocks:      a.prefix.Len(),
 		Started:     a.counts.started,
 		Finished:    a.counts.finished,
 		Refused:     a.counts.refused,
-		Broken:      a.counts.broken,
+		Broken:      a.counts.failed,
 		Adopted:     a.counts.adopted,
 	}
 }
--- a/internal/process/mgagent/crash_test.go
+++ b/internal/process/mgagent/crash_test.go
@@ -12,8 +12,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// crashing returns a stream that gives some tokens, breaks, and can't be opened again.
-func crashing(tokens uint64, cause error) streamSeam {
+// crashingStream returns a stream that gives some tokens, breaks, and can't be opened again.
+func crashingStream(tokens uint64, cause error) streamSeam {
 	opened := false
 	return func(context.Context, string, uint64) (*mgengine.TokenStream, error) {
 		if opened {
@@ -35,46 +35,46 @@
 }
 
 // Entries can't tell an engine that a request ends from one that is cut off.
-func TestCrashTold(t *testing.T) {
+func TestCrashMisreported(t *testing.T) {
 	refused := mgengine.NewFailure(mgengine.NotStarted, "stream", "", syscall.ECONNREFUSED)
 	cases := []struct {
 		name   string
 		tokens uint64
 		cause  error
-		told   string
+		want   string
 	}{
 		{
 			name:  "that has ended as it began a generation",
 			cause: refused,
-			told:  "crashed",
+			want:  "crashed",
 		},
 		{
 			name:  "that has started again since",
 			cause: mgengine.NewFailure(mgengine.Missing, "stream", "", nil),
-			told:  "crashed",
+			want:  "crashed",
 		},
 		{
 			name:  "that gives no answer",
 			cause: mgengine.NewFailure(mgengine.Unknown, "stream", "", context.DeadlineExceeded),
-			told:  "interrupted",
+			want:  "interrupted",
 		},
 		{
 			name:   "that has ended after some tokens",
 			tokens: 2,
 			cause:  refused,
-			told:   "interrupted",
+			want:   "interrupted",
 		},
 	}
 	Convey("What is told of an engine", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				var got string
-				bubbleWith(t, crashing(c.tokens, c.cause), func(r *rig) {
-					r.begin("a", "i1")
+				runHarnessWith(t, crashingStream(c.tokens, c.cause), func(r *harness) {
+					r.startAttempt("a", "i1")
 					r.sleep(3 * mgclock.Second)
 					got = r.frames("a")
 				})
-				So(got, ShouldContainSubstring, c.told)
+				So(got, ShouldContainSubstring, c.want)
 			})
 		}
 	})
--- a/internal/process/mgagent/drain.go
+++ b/internal/process/mgagent/drain.go
@@ -10,59 +10,59 @@
 // notice keeps when the engine is gone, as it says. Its reports lag, and each
 // tells the span that was left when it was made: the earliest end is the
 // nearest to the truth. An engine that stays after all has no end.
-func (a *Agent) notice(load mgengine.Load) {
+func (a *Agent) updateReclaimTime(load mgengine.Load) {
 	end := a.spec.Clock.Now() + load.Notice
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case !load.Leaving:
-		a.noticed = false
-	case load.Notice > 0 && (!a.noticed || end < a.gone):
-		a.noticed = true
-		a.gone = end
+		a.hasNotice = false
+	case load.Notice > 0 && (!a.hasNotice || end < a.goneAt):
+		a.hasNotice = true
+		a.goneAt = end
 	}
 }
 
 // drain ends what can't end in time at an engine that is to be gone, while its
 // callers can still be told.
-func (a *Agent) drain(now mgclock.Millis) {
-	for g, fate := range a.fates(now) {
-		if fate == mgpace.Close && (g.departing() || a.mayMove(g)) {
+func (a *Agent) drainGenerations(now mgclock.Millis) {
+	for g, action := range a.drainActions(now) {
+		if action == mgpace.Close && (g.isMoving() || a.canMove(g)) {
 			continue
 		}
-		if !g.finish("", reclaimed(fate), now) {
+		if !g.finish("", reclaimedProblem(action), now) {
 			continue
 		}
 		a.spec.Metrics.Counter("drained").Inc(1)
-		g.stop() // its reader tells the engine and frees its place
+		g.cancelStream() // its reader tells the engine and frees its place
 	}
 }
 
 // fates returns what becomes of the generations that don't stay.
-func (a *Agent) fates(now mgclock.Millis) map[*generation]mgpace.Fate {
+func (a *Agent) drainActions(now mgclock.Millis) map[*generation]mgpace.Action {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.noticed {
+	if !a.hasNotice {
 		return nil
 	}
-	fates := map[*generation]mgpace.Fate{}
+	actions := map[*generation]mgpace.Action{}
 	for id, g := range a.generations {
-		fate := mgpace.Drain(now, a.gone, mgpace.Stream{
-			Rest:      a.scheduler.Rest(id),
-			Delivered: g.delivered(),
-			Whole:     g.whole,
+		action := mgpace.ActionFor(now, a.goneAt, mgpace.Stream{
+			Remaining: a.scheduler.Rest(id),
+			Delivered: g.deliveredTokens(),
+			Whole:     g.wholeOnly,
 		})
-		if fate != mgpace.Stay && !g.ended() {
-			fates[g] = fate
+		if action != mgpace.Stay && !g.isEnded() {
+			actions[g] = action
 		}
 	}
-	return fates
+	return actions
 }
 
 // reclaimed is the last word on a generation that an engine has no time for.
 // The engine has begun it, so that nobody can say that it did not run.
-func reclaimed(fate mgpace.Fate) *mgproblem.Problem {
-	if fate == mgpace.Move {
+func reclaimedProblem(action mgpace.Action) *mgproblem.Problem {
+	if action == mgpace.Restart {
 		return mgproblem.New(mgproblem.Leaving, mgproblem.Unknown,
 			"the engine is gone before the answer would end", "start it at another upstream")
 	}
--- a/internal/process/mgagent/drain_test.go
+++ b/internal/process/mgagent/drain_test.go
@@ -29,15 +29,15 @@
 // reclaimedEngine gives each generation a token a second, but for "mute", which
 // gets none, and "short", which ends with its tenth.
 type reclaimedEngine struct {
-	leaves atomic.Bool
-	gone   atomic.Int64 // when, 0 if it doesn't say
+	leaving atomic.Bool
+	goneAt  atomic.Int64 // when, 0 if it doesn't say
 }
 
 func (e *reclaimedEngine) load(context.Context) (mgengine.Load, error) {
 	load := mgengine.Load{
-		Leaving: e.leaves.Load(),
+		Leaving: e.leaving.Load(),
 	}
-	if gone := e.gone.Load(); gone != 0 {
+	if gone := e.goneAt.Load(); gone != 0 {
 		load.Notice = mgclock.Millis(gone) - mgclock.Clock{}.Now()
 	}
 	return load, nil
@@ -62,19 +62,19 @@
 	}, nil), nil
 }
 
-// An ending is how a generation ended for its reader.
-type ending struct {
-	told   string
+// An readResult is how a generation ended for its reader.
+type readResult struct {
+	end    string
 	tokens int
 	at     mgclock.Millis
 }
 
-// follow reads a generation to its end.
-func follow(agent *mgagent.Agent, id string) ending {
+// readToEnd reads a generation to its end.
+func readToEnd(agent *mgagent.Agent, id string) readResult {
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodGet, mgrpc.FramesPath+id+"?from=1", nil)
 	agent.Routes().ServeHTTP(recorder, request)
-	seen := ending{
+	seen := readResult{
 		at: mgclock.Clock{}.Now(),
 	}
 	in := bufio.NewReader(recorder.Body)
@@ -84,12 +84,12 @@
 			return seen
 		}
 		seen.tokens += len(frame.GetText())
-		seen.told = frame.GetEnd()
+		seen.end = frame.GetEnd()
 		if frame.GetMoved() != "" {
-			seen.told = "moved to " + frame.GetMoved()
+			seen.end = "moved to " + frame.GetMoved()
 		}
 		if frame.GetFault() != "" {
-			seen.told = frame.GetFault() + "/" + frame.GetOutcome()
+			seen.end = frame.GetFault() + "/" + frame.GetOutcome()
 		}
 	}
 }
@@ -97,10 +97,10 @@
 // An engine is reclaimed with half a minute's notice. Its answers go on as if
 // nothing were: those that nobody has a word of yet could have begun elsewhere,
 // and the others break off without a word when it dies.
-func TestReclaim(t *testing.T) {
+func TestReclaimCutsAnswers(t *testing.T) {
 	const notice = 30 * mgclock.Second
-	play := func(t *testing.T, say bool) map[string]ending {
-		endings := map[string]ending{}
+	play := func(t *testing.T, say bool) map[string]readResult {
+		endings := map[string]readResult{}
 		synctest.Test(t, func(t *testing.T) {
 			e := &reclaimedEngine{}
 			agent, err := reclaimedAgent(e)
@@ -127,7 +127,7 @@
 					Stamp:       int64(clock.Now()),
 				})
 				readers.Go(func() {
-					seen := follow(agent, id)
+					seen := readToEnd(agent, id)
 					mu.Lock()
 					defer mu.Unlock()
 					endings[id] = seen
@@ -136,9 +136,9 @@
 			clock.Sleep(ctx, 5*mgclock.Second)
 			start := clock.Now()
 			if say {
-				e.gone.Store(int64(start + notice))
+				e.goneAt.Store(int64(start + notice))
 			}
-			e.leaves.Store(true)
+			e.leaving.Store(true)
 			clock.Sleep(ctx, notice)
 			cancel() // the engine is gone, and the agent with it
 			readers.Wait()
@@ -153,17 +153,17 @@
 	Convey("Of the answers of an engine that is reclaimed", t, func() {
 		seen := play(t, true)
 		Convey("one that ends in time does so", func() {
-			So(seen["short"].told, ShouldEqual, "stop")
+			So(seen["short"].end, ShouldEqual, "stop")
 			So(seen["short"].tokens, ShouldEqual, 10)
 		})
 		Convey("one that has delivered nothing is given up at once, to begin elsewhere", func() {
 			for _, id := range []string{"mute", "whole"} {
-				So(fmt.Sprint(id, " ", seen[id].told), ShouldEqual, id+" leaving/unknown")
+				So(fmt.Sprint(id, " ", seen[id].end), ShouldEqual, id+" leaving/unknown")
 				So(seen[id].at, ShouldBeLessThan, 3*mgclock.Second)
 			}
 		})
 		Convey("one that has begun to arrive goes on to the margin, and its caller is told", func() {
-			So(seen["long"].told, ShouldEqual, "leaving/unknown")
+			So(seen["long"].end, ShouldEqual, "leaving/unknown")
 			So(seen["long"].at, ShouldBeBetween, notice-4*mgclock.Second, notice)
 			So(seen["long"].tokens, ShouldBeGreaterThan, 30)
 		})
@@ -171,9 +171,9 @@
 	Convey("An engine that doesn't say when it is gone keeps its answers", t, func() {
 		seen := play(t, false)
 		for _, id := range []string{"mute", "whole", "long"} {
-			So(seen[id].told, ShouldNotStartWith, "leaving")
+			So(seen[id].end, ShouldNotStartWith, "leaving")
 		}
-		So(seen["short"].told, ShouldEqual, "stop")
+		So(seen["short"].end, ShouldEqual, "stop")
 	})
 }
 
--- a/internal/process/mgagent/frames.go
+++ b/internal/process/mgagent/frames.go
@@ -16,11 +16,11 @@
 func (a *Agent) Routes() http.Handler {
 	router := chi.NewRouter()
 	router.Mount(mgrpc.AgentPathPrefix, mglink.Alive(mgrpc.NewAgentServer(a), a.spec.Clock, mgclock.Millis(a.spec.Settings.Beat)))
-	router.Get(mgrpc.FramesPath+"{generation}", a.frames)
+	router.Get(mgrpc.FramesPath+"{generation}", a.serveFrames)
 	return router
 }
 
-func (a *Agent) frames(w http.ResponseWriter, r *http.Request) {
+func (a *Agent) serveFrames(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "generation")
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil || from == 0 {
@@ -34,34 +34,34 @@
 			"no such generation", "send the request again for a new answer"))
 		return
 	}
-	g.join()
-	defer func() { g.leave(a.spec.Clock.Now()) }()
-	a.copy(w, r, g, from)
+	g.addReader()
+	defer func() { g.removeReader(a.spec.Clock.Now()) }()
+	a.streamFrames(w, r, g, from)
 }
 
 // copy writes the generation's frames from a token on until its end.
-func (a *Agent) copy(w http.ResponseWriter, r *http.Request, g *generation, from uint64) {
+func (a *Agent) streamFrames(w http.ResponseWriter, r *http.Request, g *generation, from uint64) {
 	writer := mglink.Response(w, g.id, a.spec.Clock, mgclock.Millis(a.spec.Settings.Beat))
 	if writer.Beat() != nil {
 		return
 	}
 	sent := from - 1
 	for {
-		seen := g.after(sent)
-		if len(seen.tokens) > 0 || seen.over() {
-			if writer.Write(frame(g.id, sent, seen)) != nil || seen.over() {
+		current := g.viewAfter(sent)
+		if len(current.tokens) > 0 || current.isFinal() {
+			if writer.Write(newFrame(g.id, sent, current)) != nil || current.isFinal() {
 				return
 			}
-			sent += uint64(len(seen.tokens))
+			sent += uint64(len(current.tokens))
 		}
-		if !seen.more && !await(r, writer, seen.changed) {
+		if !current.hasMore && !waitForChange(r, writer, current.changed) {
 			return
 		}
 	}
 }
 
 // await waits for the next change and keeps the stream alive meanwhile.
-func await(r *http.Request, writer *mglink.Writer, changed <-chan struct{}) bool {
+func waitForChange(r *http.Request, writer *mglink.Writer, changed <-chan struct{}) bool {
 	for {
 		select {
 		case <-changed:
@@ -76,26 +76,26 @@
 	}
 }
 
-func frame(id string, sent uint64, seen view) *mgrpc.Frame {
+func newFrame(id string, sent uint64, current view) *mgrpc.Frame {
 	f := &mgrpc.Frame{
 		Generation: id,
 		Seq:        sent + 1,
-		Text:       seen.tokens,
-		End:        seen.end,
-		Preempted:  seen.preempted,
+		Text:       current.tokens,
+		End:        current.end,
+		Preempted:  current.preemptions,
 	}
-	if seen.end != "" {
-		f.Total = seen.total
+	if current.end != "" {
+		f.Total = current.total
 	}
-	if seen.next.agent != "" {
-		f.Moved = seen.next.agent
-		f.Incarnation = seen.next.incarnation
+	if current.movedTo.agent != "" {
+		f.Moved = current.movedTo.agent
+		f.Incarnation = current.movedTo.incarnation
 	}
-	if seen.problem != nil {
-		f.Fault = string(seen.problem.Kind())
-		f.Outcome = string(seen.problem.Outcome())
-		f.Remedy = seen.problem.Remedy()
-		f.Retry = int64(seen.problem.Retry())
+	if current.problem != nil {
+		f.Fault = string(current.problem.Kind())
+		f.Outcome = string(current.problem.Outcome())
+		f.Remedy = current.problem.Remedy()
+		f.Retry = int64(current.problem.Retry())
 	}
 	return f
 }
--- a/internal/process/mgagent/frames_test.go
+++ b/internal/process/mgagent/frames_test.go
@@ -22,7 +22,7 @@
 // A shift report of 30,000 tokens was whole, its caller's connection broke, and
 // it could never be read again: the agent put all of it into one frame, which
 // the link refuses as too large, each time anew.
-func TestLongAnswerIsReadAgain(t *testing.T) {
+func TestLongAnswerUnreadable(t *testing.T) {
 	const tokens = 30_000
 	Convey("A long answer is read again from its first token", t, func() {
 		var produced atomic.Bool
@@ -45,7 +45,7 @@
 
 // longEngine holds one generation, called long, of 16 bytes a token.
 func longEngine(tokens int, produced *atomic.Bool) mgengine.Seams {
-	engine := quiet()
+	engine := idleSeams()
 	engine.List = func(context.Context) ([]mgengine.Generation, error) {
 		return []mgengine.Generation{{
 			ID: "long",
--- a/internal/process/mgagent/generation.go
+++ b/internal/process/mgagent/generation.go
@@ -12,37 +12,37 @@
 // A generation is one run of a model as the agent holds it: the tokens so far,
 // for every reader that comes, and how it ended.
 type generation struct {
-	id      string
-	account string
-	service string
-	spec    mgengine.StartSpec
-	whole   bool     // its caller takes nothing but the whole answer
-	had     int      // tokens that a predecessor may have delivered
-	via     []string // agents that had it before
-
-	mu        sync.Mutex
-	tokens    []string
-	end       string
-	problem   *mgproblem.Problem
-	preempted uint32
-	changed   chan struct{}
-	readers   int
-	idle      mgclock.Millis // when the last reader left
-	over      mgclock.Millis // when it ended
-	cancel    func()         // ends the engine's stream, nil while it waits
-	parting   chan struct{}  // while a move of it is under way; closed at its end
-	next      successor      // who goes on with it, once it has moved
-	unmoved   bool           // a move of it has been tried
+	id             string
+	account        string
+	service        string
+	spec           mgengine.StartSpec
+	wholeOnly      bool     // its caller takes nothing but the whole answer
+	priorDelivered int      // tokens that a predecessor may have delivered
+	previousAgents []string // agents that had it before
+
+	mu          sync.Mutex
+	tokens      []string
+	end         string
+	problem     *mgproblem.Problem
+	preemptions uint32
+	changed     chan struct{}
+	readers     int
+	idleSince   mgclock.Millis // when the last reader left
+	endedAt     mgclock.Millis // when it ended
+	cancel      func()         // ends the engine's stream, nil while it waits
+	moveDone    chan struct{}  // while a move of it is under way; closed at its end
+	movedTo     successor      // who goes on with it, once it has moved
+	moveTried   bool           // a move of it has been tried
 }
 
 func newGeneration(id, account, service string, spec mgengine.StartSpec, now mgclock.Millis) *generation {
 	return &generation{
-		id:      id,
-		account: account,
-		service: service,
-		spec:    spec,
-		idle:    now,
-		changed: make(chan struct{}),
+		id:        id,
+		account:   account,
+		service:   service,
+		spec:      spec,
+		idleSince: now,
+		changed:   make(chan struct{}),
 	}
 }
 
@@ -54,33 +54,33 @@
 
 // view is what a reader sees of a generation at one time.
 type view struct {
-	tokens    []string
-	end       string
-	problem   *mgproblem.Problem
-	preempted uint32
-	total     uint64
-	more      bool // there are more tokens than one frame holds
-	next      successor
-	changed   <-chan struct{}
+	tokens      []string
+	end         string
+	problem     *mgproblem.Problem
+	preemptions uint32
+	total       uint64
+	hasMore     bool // there are more tokens than one frame holds
+	movedTo     successor
+	changed     <-chan struct{}
 }
 
 // over reports whether nothing will follow.
-func (v view) over() bool { return v.end != "" || v.problem != nil || v.next.agent != "" }
+func (v view) isFinal() bool { return v.end != "" || v.problem != nil || v.movedTo.agent != "" }
 
 // The bounds of one frame. A reader that begins anew may be behind by a whole
 // answer; in one frame a long one is above what the link takes, and could never
 // be read again.
 const (
-	frameTokens = 1024
-	frameBytes  = 64 << 10
+	maxFrameTokens = 1024
+	maxFrameBytes  = 64 << 10
 )
 
 // portion returns how many of the tokens one frame holds, at least one.
-func portion(tokens []string) int {
+func frameTokenCount(tokens []string) int {
 	bytes := 0
 	for i, text := range tokens {
 		bytes += len(text)
-		if i > 0 && (i == frameTokens || bytes > frameBytes) {
+		if i > 0 && (i == maxFrameTokens || bytes > maxFrameBytes) {
 			return i
 		}
 	}
@@ -90,150 +90,150 @@
 // after returns the tokens that follow the first count, as many as one frame
 // holds, and a channel that is closed when there is more. How the generation
 // ended goes with its last token. The tokens are shared and never change.
-func (g *generation) after(count uint64) view {
+func (g *generation) viewAfter(count uint64) view {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	seen := view{
-		preempted: g.preempted,
-		total:     uint64(len(g.tokens)),
-		changed:   g.changed,
+	current := view{
+		preemptions: g.preemptions,
+		total:       uint64(len(g.tokens)),
+		changed:     g.changed,
 	}
-	if count < seen.total {
-		end := count + uint64(portion(g.tokens[count:]))
-		seen.tokens = g.tokens[count:end:end]
-		seen.more = end < seen.total
+	if count < current.total {
+		end := count + uint64(frameTokenCount(g.tokens[count:]))
+		current.tokens = g.tokens[count:end:end]
+		current.hasMore = end < current.total
 	}
-	if !seen.more {
-		seen.end = g.end
-		seen.problem = g.problem
-		seen.next = g.next
+	if !current.hasMore {
+		current.end = g.end
+		current.problem = g.problem
+		current.movedTo = g.movedTo
 	}
-	return seen
+	return current
 }
 
 // produced returns the number of tokens.
-func (g *generation) produced() int {
+func (g *generation) tokenCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.tokens)
 }
 
 // delivered returns the number of tokens that its caller may have.
-func (g *generation) delivered() int { return max(g.produced(), g.had) }
+func (g *generation) deliveredTokens() int { return max(g.tokenCount(), g.priorDelivered) }
 
 // accept takes the engine's token and reports whether it was the next one, and
 // whether the engine evicted the generation since the last. A stream that was
 // opened again repeats what the agent has; it is dropped.
-func (g *generation) accept(token mgengine.Token) (next, evicted bool) {
+func (g *generation) appendToken(token mgengine.Token) (appended, preempted bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.endedLocked() || token.Seq != uint64(len(g.tokens))+1 {
+	if g.isEndedLocked() || token.Seq != uint64(len(g.tokens))+1 {
 		return false, false
 	}
-	evicted = uint32(token.Preempted) > g.preempted
+	preempted = uint32(token.Preempted) > g.preemptions
 	g.tokens = append(g.tokens, token.Text)
-	g.preempted = uint32(token.Preempted)
+	g.preemptions = uint32(token.Preempted)
 	g.wakeLocked()
-	return true, evicted
+	return true, preempted
 }
 
 // endedLocked reports whether the generation is over.
-func (g *generation) endedLocked() bool {
-	return g.end != "" || g.problem != nil || g.next.agent != ""
+func (g *generation) isEndedLocked() bool {
+	return g.end != "" || g.problem != nil || g.movedTo.agent != ""
 }
 
 // finish ends the generation; only the first end counts.
 func (g *generation) finish(end string, problem *mgproblem.Problem, now mgclock.Millis) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.endedLocked() {
+	if g.isEndedLocked() {
 		return false
 	}
 	g.end = end
 	g.problem = problem
-	g.over = now
+	g.endedAt = now
 	g.wakeLocked()
 	return true
 }
 
 // part begins a move, unless the generation is over, has no token yet, or is
 // being moved already.
-func (g *generation) part() bool {
+func (g *generation) beginMove() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.endedLocked() || g.parting != nil || len(g.tokens) == 0 {
+	if g.isEndedLocked() || g.moveDone != nil || len(g.tokens) == 0 {
 		return false
 	}
-	g.parting = make(chan struct{})
+	g.moveDone = make(chan struct{})
 	return true
 }
 
 // parted ends a move. With a successor the generation is over here; its readers
 // are told who goes on.
-func (g *generation) parted(next successor, now mgclock.Millis) {
+func (g *generation) finishMove(next successor, now mgclock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if next.agent != "" && !g.endedLocked() {
-		g.next = next
-		g.over = now
+	if next.agent != "" && !g.isEndedLocked() {
+		g.movedTo = next
+		g.endedAt = now
 		g.wakeLocked()
 	}
-	close(g.parting)
-	g.parting = nil
+	close(g.moveDone)
+	g.moveDone = nil
 }
 
 // settle waits for a move that is under way. A stream that broke off may have
 // been stopped by it.
-func (g *generation) settle(ctx context.Context) {
+func (g *generation) awaitMove(ctx context.Context) {
 	g.mu.Lock()
-	parting := g.parting
+	moveDone := g.moveDone
 	g.mu.Unlock()
-	if parting == nil {
+	if moveDone == nil {
 		return
 	}
 	select {
-	case <-parting:
+	case <-moveDone:
 	case <-ctx.Done():
 	}
 }
 
 // departing reports whether a move is under way.
-func (g *generation) departing() bool {
+func (g *generation) isMoving() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.parting != nil
+	return g.moveDone != nil
 }
 
 // moved reports whether another agent goes on with the generation.
-func (g *generation) moved() bool {
+func (g *generation) hasMoved() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.next.agent != ""
+	return g.movedTo.agent != ""
 }
 
 // text returns the tokens so far; they are shared and never change.
-func (g *generation) text() []string {
+func (g *generation) tokensSoFar() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.tokens[:len(g.tokens):len(g.tokens)]
 }
 
 // ended reports whether the generation is over.
-func (g *generation) ended() bool {
+func (g *generation) isEnded() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.endedLocked()
+	return g.isEndedLocked()
 }
 
 // cause returns why a generation that was stopped ended: its caller cancelled
 // it, or its engine is reclaimed.
-func (g *generation) cause() *mgproblem.Problem {
+func (g *generation) endCause() *mgproblem.Problem {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.problem != nil {
 		return g.problem
 	}
-	return cancelled(mgproblem.Unknown)
+	return cancelledProblem(mgproblem.Unknown)
 }
 
 func (g *generation) wakeLocked() {
@@ -242,41 +242,41 @@
 }
 
 // join counts a reader in.
-func (g *generation) join() {
+func (g *generation) addReader() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.readers++
 }
 
 // leave counts a reader out.
-func (g *generation) leave(now mgclock.Millis) {
+func (g *generation) removeReader(now mgclock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.readers--
-	g.idle = now
+	g.idleSince = now
 }
 
 // unread reports whether a generation in progress has had no reader since
 // before the time.
-func (g *generation) unread(before mgclock.Millis) bool {
+func (g *generation) isAbandoned(before mgclock.Millis) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return !g.endedLocked() && g.readers == 0 && g.idle <= before
+	return !g.isEndedLocked() && g.readers == 0 && g.idleSince <= before
 }
 
 // expired reports whether a generation ended before the time and nobody reads.
-func (g *generation) expired(before mgclock.Millis) bool {
+func (g *generation) isExpired(before mgclock.Millis) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.endedLocked() && g.over <= before && g.readers == 0
+	return g.isEndedLocked() && g.endedAt <= before && g.readers == 0
 }
 
 // busy reports whether a stop would cut something off: the generation runs, or
 // somebody still reads it.
-func (g *generation) busy() bool {
+func (g *generation) isBusy() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.readers > 0 || !g.endedLocked()
+	return g.readers > 0 || !g.isEndedLocked()
 }
 
 // setCancel keeps what ends the engine's stream.
@@ -287,7 +287,7 @@
 }
 
 // stop ends the engine's stream, if one is open.
-func (g *generation) stop() {
+func (g *generation) cancelStream() {
 	g.mu.Lock()
 	cancel := g.cancel
 	g.mu.Unlock()
--- a/internal/process/mgagent/handover.go
+++ b/internal/process/mgagent/handover.go
@@ -13,18 +13,18 @@
 )
 
 // target is where a generation may go.
-type target struct {
+type moveTarget struct {
 	other Other
 	offer *mgrpc.Offer
 }
 
 // targets returns where a generation may go, the one that would begin soonest
 // first, those of this availability zone before others.
-func (a *Agent) targets(ctx context.Context, g *generation) []target {
-	ctx, cancel := context.WithTimeout(ctx, offerWait.Duration())
+func (a *Agent) moveTargets(ctx context.Context, g *generation) []moveTarget {
+	ctx, cancel := context.WithTimeout(ctx, offerTimeout.Duration())
 	defer cancel()
-	others := a.candidates(g)
-	found := make(chan target, len(others))
+	others := a.moveCandidates(g)
+	found := make(chan moveTarget, len(others))
 	for _, other := range others {
 		go func() {
 			offer, err := other.Agent.Probe(ctx, &mgrpc.ProbeRequest{
@@ -32,41 +32,41 @@
 				Service: g.service,
 				Model:   g.spec.Model,
 				Prefix:  g.spec.Prefix,
-				Prompt:  uint32(g.spec.Tokens + g.produced()),
-				Budget:  int64(takeSpan),
+				Prompt:  uint32(g.spec.Tokens + g.tokenCount()),
+				Budget:  int64(handOverBudget),
 			})
 			if err != nil {
 				offer = nil
 			}
-			found <- target{
+			found <- moveTarget{
 				other: other,
 				offer: offer,
 			}
 		}()
 	}
-	var list []target
+	var usable []moveTarget
 	for range others {
 		if t := <-found; t.offer != nil && !t.offer.GetLeaving() && t.offer.GetEngine() != "" {
-			list = append(list, t)
+			usable = append(usable, t)
 		}
 	}
-	slices.SortStableFunc(list, func(x, y target) int { return int(a.distance(x) - a.distance(y)) })
-	return list
+	slices.SortStableFunc(usable, func(x, y moveTarget) int { return int(a.targetCost(x) - a.targetCost(y)) })
+	return usable
 }
 
 // candidates returns the agents to ask: some, those of this availability zone
 // first. One that had the generation before has a record of it as finished, and
 // would send its readers back here.
-func (a *Agent) candidates(g *generation) []Other {
+func (a *Agent) moveCandidates(g *generation) []Other {
 	others := a.spec.Others(g.spec.Model)
-	others = slices.DeleteFunc(others, func(o Other) bool { return slices.Contains(g.via, o.Name) })
+	others = slices.DeleteFunc(others, func(o Other) bool { return slices.Contains(g.previousAgents, o.Name) })
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	slices.SortStableFunc(others, func(x, y Other) int { return a.apart(x) - a.apart(y) })
-	return others[:min(len(others), moveAsks)]
+	slices.SortStableFunc(others, func(x, y Other) int { return a.zoneDistance(x) - a.zoneDistance(y) })
+	return others[:min(len(others), maxMoveCandidates)]
 }
 
 // apart returns 0 for an agent of this availability zone, 1 for others.
-func (a *Agent) apart(o Other) int {
+func (a *Agent) zoneDistance(o Other) int {
 	if o.Zone == a.spec.Settings.Zone {
 		return 0
 	}
@@ -75,15 +75,15 @@
 
 // farWait is what another availability zone counts for beside an offer's wait:
 // the copy takes twice as long, some 200 ms more.
-const farWait = 200 * mgclock.Millis(1)
+const crossZonePenalty = 200 * mgclock.Millis(1)
 
-func (a *Agent) distance(t target) mgclock.Millis {
-	return mgclock.Millis(t.offer.GetWait()) + farWait*mgclock.Millis(a.apart(t.other))
+func (a *Agent) targetCost(t moveTarget) mgclock.Millis {
+	return mgclock.Millis(t.offer.GetWait()) + crossZonePenalty*mgclock.Millis(a.zoneDistance(t.other))
 }
 
 // handOver has the agent beside the other engine go on with the generation, and
 // returns it, or nobody when it refuses or doesn't answer.
-func (a *Agent) handOver(ctx context.Context, g *generation, to target, handle string) successor {
+func (a *Agent) handOver(ctx context.Context, g *generation, to moveTarget, handle string) successor {
 	request := &mgrpc.StartRequest{
 		Attempt:     g.id,
 		Incarnation: to.offer.GetIncarnation(),
@@ -93,15 +93,15 @@
 		Model:       g.spec.Model,
 		Prompt:      g.spec.Prompt,
 		Max:         uint32(g.spec.Max),
-		Budget:      int64(takeSpan),
+		Budget:      int64(handOverBudget),
 		Prefix:      g.spec.Prefix,
-		Whole:       g.whole,
+		Whole:       g.wholeOnly,
 		Copy:        handle,
-		Had:         g.text(),
-		Via:         append(slices.Clone(g.via), a.spec.Settings.Name),
+		Had:         g.tokensSoFar(),
+		Via:         append(slices.Clone(g.previousAgents), a.spec.Settings.Name),
 	}
-	for range takeTries {
-		reply, err := a.takeOnce(ctx, to, request)
+	for range maxHandOverTries {
+		reply, err := a.startAtTarget(ctx, to, request)
 		if err != nil {
 			continue
 		}
@@ -118,8 +118,8 @@
 	return successor{}
 }
 
-func (a *Agent) takeOnce(ctx context.Context, to target, request *mgrpc.StartRequest) (*mgrpc.StartReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, offerWait.Duration())
+func (a *Agent) startAtTarget(ctx context.Context, to moveTarget, request *mgrpc.StartRequest) (*mgrpc.StartReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, offerTimeout.Duration())
 	defer cancel()
 	return to.other.Agent.Start(ctx, request)
 }
@@ -128,7 +128,7 @@
 // engine holds. It counts against memory and batch, and waits in no queue: its
 // caller has its first tokens.
 func (a *Agent) takeOver(table *mgtable.Table, in *mgrpc.StartRequest, now mgclock.Millis) *mgproblem.Problem {
-	if a.leaving.Load() {
+	if a.isLeaving.Load() {
 		return mgproblem.New(mgproblem.Leaving, mgproblem.NotRun,
 			"the upstream leaves, too", "hand the generation over to another one")
 	}
@@ -137,6 +137,6 @@
 	a.generations[g.id] = g
 	a.scheduler.Resume(now, request, len(g.tokens))
 	a.mu.Unlock()
-	a.running.Go(func() { a.run(a.life, g) })
+	a.tasks.Go(func() { a.runGeneration(a.lifetime, g) })
 	return nil
 }
--- a/internal/process/mgagent/rig_test.go
+++ b/internal/process/mgagent/harness_test.go
@@ -80,11 +80,11 @@
 	return mgagent.New(spec)
 }
 
-// asIs changes nothing of newAgent's spec.
-func asIs(*mgagent.Spec) {}
+// unchanged changes nothing of newAgent's spec.
+func unchanged(*mgagent.Spec) {}
 
-// quiet is an engine that runs nothing and has nothing to say.
-func quiet() mgengine.Seams {
+// idleSeams is an engine that runs nothing and has nothing to say.
+func idleSeams() mgengine.Seams {
 	return mgengine.Seams{
 		Load:   func(context.Context) (mgengine.Load, error) { return mgengine.Load{}, nil },
 		Events: func(context.Context, uint64) ([]mgengine.Event, error) { return nil, nil },
@@ -104,35 +104,35 @@
 	return ctx, cancel, done
 }
 
-// rig is an agent in virtual time with an engine and a service that do as they
+// harness is an agent in virtual time with an engine and a service that do as they
 // are told. It counts what truly ran.
-type rig struct {
+type harness struct {
 	agent *mgagent.Agent
 	clock mgclock.Clock
 	ctx   context.Context
 	stop  func()
 	done  chan struct{} // closed once the agent has ended
 
-	mu     sync.Mutex
-	starts func(n int) error     // the engine's word on its n-th start
-	sick   atomic.Bool           // the engine's load can't be read
-	held   []mgengine.Generation // what the engine lists
-	tried  int
-	ran    map[string]int
-	told   []string
+	mu                sync.Mutex
+	startResult       func(n int) error     // the engine's word on its n-th start
+	engineDown        atomic.Bool           // the engine's load can't be read
+	engineGenerations []mgengine.Generation // what the engine lists
+	startCount        int
+	ran               map[string]int
+	results           []string
 }
 
 var errDown = mgengine.NewFailure(mgengine.NotStarted, "start", "refused", nil)
 
-var errSilent = mgengine.NewFailure(mgengine.Unknown, "start", "no answer", nil)
+var errNoAnswer = mgengine.NewFailure(mgengine.Unknown, "start", "no answer", nil)
 
-func newRig(stream streamSeam) (*rig, error) {
-	r := &rig{
-		ran:    map[string]int{},
-		starts: func(int) error { return nil },
+func newHarness(stream streamSeam) (*harness, error) {
+	r := &harness{
+		ran:         map[string]int{},
+		startResult: func(int) error { return nil },
 	}
-	engine := quiet()
-	engine.Start = r.start
+	engine := idleSeams()
+	engine.Start = r.engineStart
 	engine.Stream = stream
 	engine.Load = r.load
 	engine.List = r.list
@@ -146,12 +146,12 @@
 	return r, err
 }
 
-// start runs the generation unless the engine attests that it did not.
-func (r *rig) start(_ context.Context, spec mgengine.StartSpec) error {
+// engineStart runs the generation unless the engine attests that it did not.
+func (r *harness) engineStart(_ context.Context, spec mgengine.StartSpec) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tried++
-	err := r.starts(r.tried)
+	r.startCount++
+	err := r.startResult(r.startCount)
 	if mgengine.KindOf(err) != mgengine.NotStarted || err == nil {
 		r.ran[spec.ID]++
 	}
@@ -161,9 +161,9 @@
 // streamSeam opens a generation's stream.
 type streamSeam func(ctx context.Context, id string, from uint64) (*mgengine.TokenStream, error)
 
-// endless gives no token until its reader leaves: generations run on and hold
+// silentStream gives no token until its reader leaves: generations run on and hold
 // the batch.
-func endless(context.Context, string, uint64) (*mgengine.TokenStream, error) {
+func silentStream(context.Context, string, uint64) (*mgengine.TokenStream, error) {
 	return mgengine.NewTokenStream(func(ctx context.Context) (mgengine.Token, error) {
 		var clock mgclock.Clock
 		clock.Sleep(ctx, mgclock.Second)
@@ -171,20 +171,20 @@
 	}, nil), nil
 }
 
-func (r *rig) list(context.Context) ([]mgengine.Generation, error) {
+func (r *harness) list(context.Context) ([]mgengine.Generation, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.held, nil
+	return r.engineGenerations, nil
 }
 
-func (r *rig) load(context.Context) (mgengine.Load, error) {
-	if r.sick.Load() {
+func (r *harness) load(context.Context) (mgengine.Load, error) {
+	if r.engineDown.Load() {
 		return mgengine.Load{}, errDown
 	}
 	return mgengine.Load{}, nil
 }
 
-func (r *rig) call(_ context.Context, spec mgservice.CallSpec) (mgservice.Reply, error) {
+func (r *harness) call(_ context.Context, spec mgservice.CallSpec) (mgservice.Reply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ran[spec.Operation]++
@@ -193,8 +193,8 @@
 	}, nil
 }
 
-// begin sends a copy of an attempt's start and notes what is told.
-func (r *rig) begin(id, incarnation string) {
+// startAttempt sends a copy of an attempt's start and notes what is told.
+func (r *harness) startAttempt(id, incarnation string) {
 	reply, err := r.agent.Start(r.ctx, &mgrpc.StartRequest{
 		Attempt:     id,
 		Incarnation: incarnation,
@@ -207,34 +207,34 @@
 	})
 	switch {
 	case err != nil:
-		r.told = append(r.told, err.Error())
+		r.results = append(r.results, err.Error())
 	case reply.GetFault() != nil:
-		r.told = append(r.told, reply.GetFault().GetKind()+"/"+reply.GetFault().GetOutcome())
+		r.results = append(r.results, reply.GetFault().GetKind()+"/"+reply.GetFault().GetOutcome())
 	default:
-		r.told = append(r.told, "ok")
+		r.results = append(r.results, "ok")
 	}
 }
 
-func (r *rig) cancel(id string, stamp mgclock.Millis) {
+func (r *harness) cancel(id string, stamp mgclock.Millis) {
 	reply, err := r.agent.Cancel(r.ctx, &mgrpc.CancelRequest{
 		Attempt:     id,
 		Incarnation: "i1",
 		Stamp:       int64(stamp),
 	})
 	if err != nil {
-		r.told = append(r.told, err.Error())
+		r.results = append(r.results, err.Error())
 		return
 	}
-	r.told = append(r.told, reply.GetOutcome())
+	r.results = append(r.results, reply.GetOutcome())
 }
 
-func (r *rig) sleep(span mgclock.Millis) {
+func (r *harness) sleep(span mgclock.Millis) {
 	r.clock.Sleep(r.ctx, span)
 	synctest.Wait()
 }
 
 // invoke makes a write under an operation minted before.
-func (r *rig) invoke(operation string) {
+func (r *harness) invoke(operation string) {
 	reply, err := r.agent.Invoke(r.ctx, &mgrpc.InvokeRequest{
 		Account:   "tankline",
 		Service:   "ticket",
@@ -244,30 +244,30 @@
 		Budget:    5000,
 	})
 	if err != nil {
-		r.told = append(r.told, err.Error())
+		r.results = append(r.results, err.Error())
 		return
 	}
-	r.told = append(r.told, reply.GetFault().GetKind()+"/"+reply.GetOutcome())
+	r.results = append(r.results, reply.GetFault().GetKind()+"/"+reply.GetOutcome())
 }
 
-func (r *rig) mint() string {
+func (r *harness) mint() string {
 	reply, err := r.agent.Mint(r.ctx, &mgrpc.MintRequest{
 		Account: "tankline",
 		Service: "ticket",
 	})
 	if err != nil {
-		r.told = append(r.told, err.Error())
+		r.results = append(r.results, err.Error())
 	}
 	return reply.GetOperation()
 }
 
-// bubble plays with an agent in virtual time.
-func bubble(t *testing.T, play func(r *rig)) { bubbleWith(t, endless, play) }
+// runHarness plays with an agent in virtual time.
+func runHarness(t *testing.T, play func(r *harness)) { runHarnessWith(t, silentStream, play) }
 
-// bubbleWith is bubble with streams of the caller's.
-func bubbleWith(t *testing.T, stream streamSeam, play func(r *rig)) {
+// runHarnessWith is bubble with streams of the caller's.
+func runHarnessWith(t *testing.T, stream streamSeam, play func(r *harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		r, err := newRig(stream)
+		r, err := newHarness(stream)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/process/mgagent/invoke.go
+++ b/internal/process/mgagent/invoke.go
@@ -18,8 +18,8 @@
 	reply := &mgrpc.MintReply{
 		Incarnation: a.spec.Incarnation,
 	}
-	if a.leaving.Load() {
-		reply.Fault = fault(leavingProblem())
+	if a.isLeaving.Load() {
+		reply.Fault = faultFromProblem(leavingProblem())
 		return reply, nil
 	}
 	reply.Operation = a.minter.Mint(in.GetAccount(), in.GetService(), a.spec.Clock.Now())
@@ -39,9 +39,9 @@
 	var result mgoperation.Result
 	var problem *mgproblem.Problem
 	if in.GetOperation() == "" {
-		result, problem = a.call(ctx, in)
+		result, problem = a.callService(ctx, in)
 	} else {
-		result, problem = a.operate(ctx, in)
+		result, problem = a.runOperation(ctx, in)
 	}
 	reply := &mgrpc.InvokeReply{
 		Incarnation: a.spec.Incarnation,
@@ -51,14 +51,14 @@
 		Outcome:     string(result.Outcome),
 	}
 	if problem != nil {
-		reply.Fault = fault(problem)
+		reply.Fault = faultFromProblem(problem)
 		reply.Outcome = string(problem.Outcome())
 	}
 	return reply, nil
 }
 
 // operate runs an operation at most once and answers all that ask for it.
-func (a *Agent) operate(ctx context.Context, in *mgrpc.InvokeRequest) (mgoperation.Result, *mgproblem.Problem) {
+func (a *Agent) runOperation(ctx context.Context, in *mgrpc.InvokeRequest) (mgoperation.Result, *mgproblem.Problem) {
 	operation, err := mgoperation.Open(a.spec.Seal, in.GetAccount(), in.GetService(), in.GetOperation())
 	if err != nil {
 		return mgoperation.Result{}, mgproblem.From(err)
@@ -67,35 +67,35 @@
 		return mgoperation.Result{}, problem
 	}
 	now := a.spec.Clock.Now()
-	verdict := a.writes.Begin(mgoperation.StartSpec{
+	verdict := a.operations.Begin(mgoperation.StartSpec{
 		ID:       in.GetOperation(),
 		Stamp:    operation.Stamp(),
 		Deadline: now + mgclock.Millis(in.GetBudget()),
-		Digest:   digest(in),
+		Digest:   callDigest(in),
 	}, now)
 	switch verdict.Action() {
 	case mgoperation.Refuse:
 		return mgoperation.Result{}, verdict.Problem()
 	case mgoperation.Run:
-		if a.leaving.Load() {
+		if a.isLeaving.Load() {
 			// A leaving upstream gets no new work, minted before or not. The
 			// tombstone keeps a copy of the call from running after all.
-			a.writes.Cancel(in.GetOperation(), operation.Stamp(), now)
+			a.operations.Cancel(in.GetOperation(), operation.Stamp(), now)
 			return mgoperation.Result{}, leavingProblem()
 		}
 		// The call outlives the entry that asked for it: what was sent to the
 		// service is recorded, so that the caller's next try learns its result.
 		a.calls.Add(1)
-		a.running.Go(func() {
+		a.tasks.Go(func() {
 			defer a.calls.Add(-1)
-			a.write(context.WithoutCancel(ctx), in)
+			a.executeOperation(context.WithoutCancel(ctx), in)
 		})
 	}
-	return a.result(ctx, in.GetOperation(), verdict.Done())
+	return a.awaitResult(ctx, in.GetOperation(), verdict.Done())
 }
 
 // digest tells two different calls under one operation id apart.
-func digest(in *mgrpc.InvokeRequest) uint64 {
+func callDigest(in *mgrpc.InvokeRequest) uint64 {
 	hash := xxhash.New()
 	for _, part := range []string{in.GetMethod(), in.GetPath(), in.GetMime()} {
 		_, _ = hash.WriteString(part)
@@ -106,70 +106,70 @@
 }
 
 // write makes the one call of an operation and records how it ended.
-func (a *Agent) write(ctx context.Context, in *mgrpc.InvokeRequest) {
+func (a *Agent) executeOperation(ctx context.Context, in *mgrpc.InvokeRequest) {
 	ctx, cancel := context.WithTimeout(ctx, mgclock.Millis(in.GetBudget()).Duration())
 	defer cancel()
-	if !a.acquire(ctx) {
-		a.writes.Cancel(in.GetOperation(), a.spec.Clock.Now(), a.spec.Clock.Now())
+	if !a.acquireSlot(ctx) {
+		a.operations.Cancel(in.GetOperation(), a.spec.Clock.Now(), a.spec.Clock.Now())
 		return
 	}
-	defer a.release()
-	if problem := a.writes.Submit(in.GetOperation(), a.spec.Clock.Now()); problem != nil {
+	defer a.releaseSlot()
+	if problem := a.operations.Submit(in.GetOperation(), a.spec.Clock.Now()); problem != nil {
 		return
 	}
-	result, problem := a.send(ctx, in)
+	result, problem := a.sendCall(ctx, in)
 	if problem != nil {
 		result.Outcome = problem.Outcome()
 	}
-	a.writes.Finish(in.GetOperation(), result, a.spec.Clock.Now())
+	a.operations.Finish(in.GetOperation(), result, a.spec.Clock.Now())
 }
 
 // result waits for an operation's end.
-func (a *Agent) result(ctx context.Context, id string, done <-chan struct{}) (mgoperation.Result, *mgproblem.Problem) {
+func (a *Agent) awaitResult(ctx context.Context, id string, done <-chan struct{}) (mgoperation.Result, *mgproblem.Problem) {
 	select {
 	case <-done:
 	case <-ctx.Done():
-		return mgoperation.Result{}, unconfirmed("the call is still running")
+		return mgoperation.Result{}, unconfirmedProblem("the call is still running")
 	}
-	state, result := a.writes.Lookup(id)
+	state, result := a.operations.Lookup(id)
 	switch {
 	case state == mgoperation.Tombstone:
-		return result, busy()
+		return result, busyProblem()
 	case result.Outcome == mgproblem.NotRun:
 		return result, mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
 			"the service could not be reached", "mint a new operation and send it again").WithRetry(mgclock.Second)
 	case result.Outcome != mgproblem.Done:
-		return result, unconfirmed("the service did not answer")
+		return result, unconfirmedProblem("the service did not answer")
 	}
 	return result, nil
 }
 
-func unconfirmed(detail string) *mgproblem.Problem {
+func unconfirmedProblem(detail string) *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown, detail,
 		"ask again with the same operation, or look in the service whether it ran")
 }
 
-func busy() *mgproblem.Problem {
+func busyProblem() *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
 		"the service's calls are all in use", "come back later").WithRetry(mgclock.Second)
 }
 
 // call makes a call that may be repeated.
-func (a *Agent) call(ctx context.Context, in *mgrpc.InvokeRequest) (mgoperation.Result, *mgproblem.Problem) {
-	if a.leaving.Load() {
+func (a *Agent) callService(ctx context.Context, in *mgrpc.InvokeRequest) (mgoperation.Result, *mgproblem.Problem) {
+	if a.isLeaving.Load() {
 		return mgoperation.Result{}, leavingProblem()
 	}
 	ctx, cancel := context.WithTimeout(ctx, mgclock.Millis(in.GetBudget()).Duration())
 	defer cancel()
-	if !a.acquire(ctx) {
-		return mgoperation.Result{}, busy()
+	if !a.acquireSlot(ctx) {
+		return mgoperation.Result{}, busyProblem()
 	}
-	defer a.release()
-	return a.send(ctx, in)
+	defer a.releaseSlot()
+	return a.sendCall(ctx, in)
 }
 
 // acquire waits for one of the upstream's slots, no longer than the caller.
-func (a *Agent) acquire(ctx context.Context) bool {
+func (a *Agent) acquireSlot(ctx context.Context) bool {
 	select {
 	case a.slots <- struct{}{}:
 		return true
@@ -178,9 +178,9 @@
 	}
 }
 
-func (a *Agent) release() { <-a.slots }
+func (a *Agent) releaseSlot() { <-a.slots }
 
-func (a *Agent) send(ctx context.Context, in *mgrpc.InvokeRequest) (mgoperation.Result, *mgproblem.Problem) {
+func (a *Agent) sendCall(ctx context.Context, in *mgrpc.InvokeRequest) (mgoperation.Result, *mgproblem.Problem) {
 	reply, err := a.spec.Service.Call(ctx, mgservice.CallSpec{
 		Method:    in.GetMethod(),
 		Path:      in.GetPath(),
@@ -200,5 +200,5 @@
 		return mgoperation.Result{}, mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
 			"the service could not be reached", "try another upstream").WithRetry(mgclock.Second).WithCause(err)
 	}
-	return mgoperation.Result{}, unconfirmed("the service did not answer").WithCause(err)
+	return mgoperation.Result{}, unconfirmedProblem("the service did not answer").WithCause(err)
 }
--- a/internal/process/mgagent/move_test.go
+++ b/internal/process/mgagent/move_test.go
@@ -18,42 +18,42 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// mover is an engine whose generation is to be moved, and the agent that may
+// movingEngine is an engine whose generation is to be moved, and the agent that may
 // take it. It keeps what was asked of both, in order.
-type mover struct {
+type movingEngine struct {
 	reclaimedEngine
-	copy  func() error // the engine's word on a copy
-	stop  func() error // on the last copy
-	end   func() error // on a cancel
-	taker func(n int) (*mgrpc.StartReply, error)
+	copyErr   func() error // the engine's word on a copy
+	stopErr   func() error // on the last copy
+	cancelErr func() error // on a cancel
+	takeOver  func(n int) (*mgrpc.StartReply, error)
 
-	mu    sync.Mutex
-	asked []string
-	took  *mgrpc.StartRequest
+	mu         sync.Mutex
+	calls      []string
+	handedOver *mgrpc.StartRequest
 }
 
-func (m *mover) note(what string) int {
+func (m *movingEngine) recordCall(what string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if what == "copy" && slices.Contains(m.asked, what) {
+	if what == "copy" && slices.Contains(m.calls, what) {
 		return 0 // it is tried again for as long as there is time
 	}
-	m.asked = append(m.asked, what)
+	m.calls = append(m.calls, what)
 	count := 0
-	for _, asked := range m.asked {
-		if asked == what {
+	for _, call := range m.calls {
+		if call == what {
 			count++
 		}
 	}
 	return count
 }
 
-func (m *mover) move(_ context.Context, spec mgengine.MoveSpec) (mgengine.Copy, error) {
-	what, say := "copy", m.copy
+func (m *movingEngine) move(_ context.Context, spec mgengine.MoveSpec) (mgengine.Copy, error) {
+	what, say := "copy", m.copyErr
 	if spec.Last {
-		what, say = "stop", m.stop
+		what, say = "stop", m.stopErr
 	}
-	m.note(what)
+	m.recordCall(what)
 	if say != nil {
 		if err := say(); err != nil {
 			return mgengine.Copy{}, err
@@ -64,44 +64,44 @@
 	}, nil
 }
 
-func (m *mover) cancel(context.Context, string) error {
-	m.note("cancel")
-	if m.end != nil {
-		return m.end()
+func (m *movingEngine) cancel(context.Context, string) error {
+	m.recordCall("cancel")
+	if m.cancelErr != nil {
+		return m.cancelErr()
 	}
 	return nil
 }
 
-// taking is the other agent.
-type taking struct {
+// targetAgent is the other agent.
+type targetAgent struct {
 	mgrpc.Agent
-	m *mover
+	engine *movingEngine
 }
 
-func (taking) Probe(context.Context, *mgrpc.ProbeRequest) (*mgrpc.Offer, error) {
+func (targetAgent) Probe(context.Context, *mgrpc.ProbeRequest) (*mgrpc.Offer, error) {
 	return &mgrpc.Offer{
 		Incarnation: "i2",
 		Engine:      "http://engine-2",
 	}, nil
 }
 
-func (t taking) Start(_ context.Context, in *mgrpc.StartRequest) (*mgrpc.StartReply, error) {
-	n := t.m.note("hand over")
-	t.m.mu.Lock()
-	t.m.took = in
-	t.m.mu.Unlock()
-	if t.m.taker != nil {
-		return t.m.taker(n)
+func (t targetAgent) Start(_ context.Context, in *mgrpc.StartRequest) (*mgrpc.StartReply, error) {
+	n := t.engine.recordCall("hand over")
+	t.engine.mu.Lock()
+	t.engine.handedOver = in
+	t.engine.mu.Unlock()
+	if t.engine.takeOver != nil {
+		return t.engine.takeOver(n)
 	}
 	return &mgrpc.StartReply{Generation: in.GetAttempt()}, nil
 }
 
-// playMove has an engine with one long generation given two seconds' notice, and
+// runMove has an engine with one long generation given two seconds' notice, and
 // returns how its reader saw it end.
-func playMove(t *testing.T, m *mover) (seen ending) {
+func runMove(t *testing.T, m *movingEngine) (seen readResult) {
 	const notice = 2 * mgclock.Second
 	synctest.Test(t, func(t *testing.T) {
-		engine := quiet()
+		engine := idleSeams()
 		engine.Start = func(context.Context, mgengine.StartSpec) error { return nil }
 		engine.Stream = m.stream
 		engine.Load = m.load
@@ -113,7 +113,7 @@
 			spec.Others = func(string) []mgagent.Other {
 				return []mgagent.Other{{
 					Name:  "agent-2",
-					Agent: taking{m: m},
+					Agent: targetAgent{engine: m},
 				}}
 			}
 		})
@@ -134,10 +134,10 @@
 			Stamp:       int64(clock.Now()),
 		})
 		var reader sync.WaitGroup
-		reader.Go(func() { seen = follow(agent, "long") })
+		reader.Go(func() { seen = readToEnd(agent, "long") })
 		clock.Sleep(ctx, 5*mgclock.Second+10)
-		m.gone.Store(int64(clock.Now() + notice))
-		m.leaves.Store(true)
+		m.goneAt.Store(int64(clock.Now() + notice))
+		m.leaving.Store(true)
 		clock.Sleep(ctx, notice)
 		cancel()
 		reader.Wait()
@@ -157,68 +157,68 @@
 	full := func() error { return mgengine.NewRefusal("move", errors.New("no room")) }
 	lost := func() error { return mgengine.NewFailure(mgengine.Unknown, "move", "", errLost) }
 	cases := []struct {
-		name  string
-		mover mover
-		told  string
-		asked string
+		name      string
+		mover     movingEngine
+		want      string
+		wantCalls string
 	}{
 		{
-			name:  "nothing fails",
-			told:  "moved to agent-2",
-			asked: "copy, stop, hand over",
+			name:      "nothing fails",
+			want:      "moved to agent-2",
+			wantCalls: "copy, stop, hand over",
 		},
 		{
-			name:  "the other engine has no room",
-			mover: mover{copy: full},
-			told:  "leaving/unknown",
-			asked: "copy, cancel",
+			name:      "the other engine has no room",
+			mover:     movingEngine{copyErr: full},
+			want:      "leaving/unknown",
+			wantCalls: "copy, cancel",
 		},
 		{
-			name:  "the answer to the stop is lost",
-			mover: mover{stop: lost},
-			told:  "moved to agent-2",
-			asked: "copy, stop, cancel, hand over",
+			name:      "the answer to the stop is lost",
+			mover:     movingEngine{stopErr: lost},
+			want:      "moved to agent-2",
+			wantCalls: "copy, stop, cancel, hand over",
 		},
 		{
 			name: "the answers to the stop and to the cancel are lost",
-			mover: mover{
-				stop: lost,
-				end:  lost,
+			mover: movingEngine{
+				stopErr:   lost,
+				cancelErr: lost,
 			},
-			told:  "leaving/unknown",
-			asked: "copy, stop, cancel, cancel",
+			want:      "leaving/unknown",
+			wantCalls: "copy, stop, cancel, cancel",
 		},
 		{
 			name: "the other agent refuses",
-			mover: mover{taker: func(int) (*mgrpc.StartReply, error) {
+			mover: movingEngine{takeOver: func(int) (*mgrpc.StartReply, error) {
 				return &mgrpc.StartReply{Fault: &mgrpc.Fault{Kind: string(mgproblem.Leaving)}}, nil
 			}},
-			told:  "leaving/unknown",
-			asked: "copy, stop, hand over, cancel",
+			want:      "leaving/unknown",
+			wantCalls: "copy, stop, hand over, cancel",
 		},
 		{
 			name: "the other agent's first answer is lost",
-			mover: mover{taker: func(n int) (*mgrpc.StartReply, error) {
+			mover: movingEngine{takeOver: func(n int) (*mgrpc.StartReply, error) {
 				if n == 1 {
 					return nil, errLost
 				}
 				return &mgrpc.StartReply{}, nil
 			}},
-			told:  "moved to agent-2",
-			asked: "copy, stop, hand over, hand over",
+			want:      "moved to agent-2",
+			wantCalls: "copy, stop, hand over, hand over",
 		},
 	}
 	Convey("A generation leaves its engine, and", t, func() {
 		for i := range cases {
 			c := &cases[i]
 			Convey(c.name, func() {
-				seen := playMove(t, &c.mover)
-				So(seen.told, ShouldEqual, c.told)
-				So(strings.Join(c.mover.asked, ", "), ShouldEqual, c.asked)
-				if c.mover.took != nil {
-					So(len(c.mover.took.GetHad()), ShouldEqual, seen.tokens)
-					So(c.mover.took.GetCopy(), ShouldEqual, "copy of long")
-					So(c.mover.took.GetVia(), ShouldResemble, []string{"agent-1"})
+				seen := runMove(t, &c.mover)
+				So(seen.end, ShouldEqual, c.want)
+				So(strings.Join(c.mover.calls, ", "), ShouldEqual, c.wantCalls)
+				if c.mover.handedOver != nil {
+					So(len(c.mover.handedOver.GetHad()), ShouldEqual, seen.tokens)
+					So(c.mover.handedOver.GetCopy(), ShouldEqual, "copy of long")
+					So(c.mover.handedOver.GetVia(), ShouldResemble, []string{"agent-1"})
 				}
 			})
 		}
--- a/internal/process/mgagent/notrun_test.go
+++ b/internal/process/mgagent/notrun_test.go
@@ -15,90 +15,90 @@
 // A shift lead is told "not run" and finds that the job ran, or is left in
 // doubt where none is due. Each case plays one ending of a request, with what
 // is told at each step; in none did something run that was told not to have.
-func TestTold(t *testing.T) {
+func TestFalseNotRun(t *testing.T) {
 	cases := []struct {
 		story string
-		play  func(r *rig)
-		told  string
+		play  func(r *harness)
+		want  string
 		ran   int
 	}{
 		{
 			story: "the engine's first answer is lost, then it refuses",
-			play: func(r *rig) {
-				r.starts = func(n int) error { return []error{errSilent, errDown}[n-1] }
+			play: func(r *harness) {
+				r.startResult = func(n int) error { return []error{errNoAnswer, errDown}[n-1] }
 				stamp := r.clock.Now()
-				r.begin("a", "i1")
+				r.startAttempt("a", "i1")
 				r.sleep(mgclock.Second)
 				r.cancel("a", stamp)
 			},
-			told: "[ok unknown]",
+			want: "[ok unknown]",
 			ran:  1,
 		},
 		{
 			story: "the engine refuses at once",
-			play: func(r *rig) {
-				r.starts = func(int) error { return errDown }
+			play: func(r *harness) {
+				r.startResult = func(int) error { return errDown }
 				stamp := r.clock.Now()
-				r.begin("a", "i1")
+				r.startAttempt("a", "i1")
 				r.sleep(mgclock.Second)
 				r.cancel("a", stamp)
 			},
-			told: "[ok notrun]",
+			want: "[ok notrun]",
 		},
 		{
 			story: "a copy of its start comes when the engine has become unreachable",
-			play: func(r *rig) {
-				r.begin("a", "i1")
-				r.sick.Store(true)
+			play: func(r *harness) {
+				r.startAttempt("a", "i1")
+				r.engineDown.Store(true)
 				r.sleep(mgclock.Second)
-				r.begin("a", "i1")
+				r.startAttempt("a", "i1")
 			},
-			told: "[ok ok]",
+			want: "[ok ok]",
 			ran:  1,
 		},
 		{
 			story: "refused while the engine is unreachable, and a copy comes later",
-			play: func(r *rig) {
-				r.sick.Store(true)
+			play: func(r *harness) {
+				r.engineDown.Store(true)
 				r.sleep(mgclock.Second)
-				r.begin("a", "i1")
-				r.sick.Store(false)
+				r.startAttempt("a", "i1")
+				r.engineDown.Store(false)
 				r.sleep(mgclock.Second)
-				r.begin("a", "i1")
+				r.startAttempt("a", "i1")
 				r.sleep(mgclock.Second)
 			},
-			told: "[crowded/notrun tombstone/notrun]",
+			want: "[crowded/notrun tombstone/notrun]",
 		},
 		{
 			story: "cancelled before its start arrives",
-			play: func(r *rig) {
+			play: func(r *harness) {
 				r.cancel("a", r.clock.Now())
-				r.begin("a", "i1")
+				r.startAttempt("a", "i1")
 				r.sleep(mgclock.Second)
 			},
-			told: "[notrun tombstone/notrun]",
+			want: "[notrun tombstone/notrun]",
 		},
 		{
 			story: "cancelled in the queue",
-			play: func(r *rig) {
-				r.begin("a", "i1")
+			play: func(r *harness) {
+				r.startAttempt("a", "i1")
 				r.sleep(mgclock.Second)
-				r.begin("b", "i1")
+				r.startAttempt("b", "i1")
 				r.cancel("b", r.clock.Now())
 				r.cancel("a", r.clock.Now())
 				r.sleep(mgclock.Minute)
 			},
-			told: "[ok ok notrun unknown]",
+			want: "[ok ok notrun unknown]",
 			ran:  1,
 		},
 		{
 			story: "its start was meant for the agent before",
-			play:  func(r *rig) { r.begin("a", "i0") },
-			told:  "[incarnation/unknown]",
+			play:  func(r *harness) { r.startAttempt("a", "i0") },
+			want:  "[incarnation/unknown]",
 		},
 		{
 			story: "a write begins when the upstream is leaving",
-			play: func(r *rig) {
+			play: func(r *harness) {
 				early, late := r.mint(), r.mint()
 				r.invoke(early)
 				r.agent.Leave()
@@ -106,25 +106,25 @@
 				r.invoke(late)
 				r.invoke(late)
 			},
-			told: "[/done /done leaving/notrun tombstone/notrun]",
+			want: "[/done /done leaving/notrun tombstone/notrun]",
 			ran:  1,
 		},
 	}
 	Convey("What is told is true", t, func() {
 		for _, c := range cases {
 			Convey(c.story, func() {
-				var told string
+				var got string
 				var ran int
-				bubble(t, func(r *rig) {
+				runHarness(t, func(r *harness) {
 					c.play(r)
-					told = fmt.Sprint(r.told)
+					got = fmt.Sprint(r.results)
 					r.mu.Lock()
 					defer r.mu.Unlock()
 					for _, n := range r.ran {
 						ran += n
 					}
 				})
-				So(told, ShouldEqual, c.told)
+				So(got, ShouldEqual, c.want)
 				So(ran, ShouldEqual, c.ran)
 			})
 		}
@@ -133,12 +133,12 @@
 
 // An agent refuses all work after some hours. Callers had left while their
 // requests waited, and the record kept an entry for each for good.
-func TestRecordIsFreed(t *testing.T) {
+func TestLedgerLeak(t *testing.T) {
 	Convey("A request that nobody reads leaves the record", t, func() {
 		held := -1
-		bubble(t, func(r *rig) {
+		runHarness(t, func(r *harness) {
 			for _, id := range []string{"a", "b", "c", "d"} {
-				r.begin(id, "i1")
+				r.startAttempt(id, "i1")
 			}
 			r.sleep(2 * mgclock.Minute)
 			r.cancel("e", r.clock.Now()) // lets the record forget
@@ -151,19 +151,19 @@
 // A planned stop takes longer than its longest drain. The agent had picked up a
 // generation of its predecessor's when a reader asked for it, and read it on
 // after it was told to end.
-func TestStopEndsAdopted(t *testing.T) {
+func TestStopHangsOnAdopted(t *testing.T) {
 	Convey("A generation picked up late ends with the agent", t, func() {
 		ended := false
-		bubble(t, func(r *rig) {
+		runHarness(t, func(r *harness) {
 			r.mu.Lock()
-			r.held = []mgengine.Generation{{
+			r.engineGenerations = []mgengine.Generation{{
 				ID: "x",
 			}}
 			r.mu.Unlock()
-			asked, gone := context.WithCancel(r.ctx)
-			go r.agent.Routes().ServeHTTP(httptest.NewRecorder(), httptest.NewRequestWithContext(asked, "GET", "/frames/x?from=1", nil))
+			readerCtx, disconnect := context.WithCancel(r.ctx)
+			go r.agent.Routes().ServeHTTP(httptest.NewRecorder(), httptest.NewRequestWithContext(readerCtx, "GET", "/frames/x?from=1", nil))
 			r.sleep(mgclock.Second)
-			gone()
+			disconnect()
 			r.stop()
 			select {
 			case <-r.done:
--- a/internal/process/mgagent/orders.go
+++ b/internal/process/mgagent/orders.go
@@ -17,37 +17,37 @@
 const (
 	// orderEvery is the interval at which the plan is compared with what the
 	// engine holds. It is well below mgfence's bound on an unseen pause.
-	orderEvery = 500 * mgclock.Millis(1)
+	orderInterval = 500 * mgclock.Millis(1)
 	// orderWait bounds an order: a load of weights takes tens of seconds.
-	orderWait = 2 * mgclock.Minute
+	orderTimeout = 2 * mgclock.Minute
 	// reportLag is how long an engine's report may lag behind an order that it
 	// has carried out. Without it the agent orders the same load again.
-	reportLag = 30 * mgclock.Second
+	maxReportLag = 30 * mgclock.Second
 )
 
 // orders gives the engine its orders: which model to load.
-type orders struct {
-	guard   *mgfence.Guard
-	pacer   *mgplacement.Pacer
-	pending atomic.Bool              // an order is on its way
-	refused atomic.Bool              // the last one was refused
-	done    atomic.Pointer[load]     // the last one that was carried out
-	held    atomic.Pointer[[]string] // models that the engine reports, nil before the first
+type orderState struct {
+	guard          *mgfence.Guard
+	pacer          *mgplacement.Pacer
+	isPending      atomic.Bool                   // an order is on its way
+	wasRefused     atomic.Bool                   // the last one was refused
+	lastLoad       atomic.Pointer[completedLoad] // the last one that was carried out
+	reportedModels atomic.Pointer[[]string]      // models that the engine reports, nil before the first
 }
 
 // load is a model that the engine was ordered to load, and did.
-type load struct {
+type completedLoad struct {
 	model string
 	at    mgclock.Millis
 }
 
-func newOrders(spec Spec, upstream *mgtable.Upstream) *orders {
-	checks := upstream != nil && upstream.Orders() == mgtable.Checked
-	return &orders{
+func newOrderState(spec Spec, upstream *mgtable.Upstream) *orderState {
+	checksFence := upstream != nil && upstream.Orders() == mgtable.Checked
+	return &orderState{
 		guard: mgfence.New(mgfence.Spec{
 			Started: spec.Started,
 			Begun:   spec.Clock.Now(),
-			Checks:  checks,
+			Checks:  checksFence,
 		}),
 		pacer: mgplacement.NewPacer(spec.Settings.Upstream, 0, uint64(spec.Started)),
 	}
@@ -55,35 +55,35 @@
 
 // lacks reports whether the engine says that it has other models and not this
 // one. An engine that reports none is tried: it refuses what it can't run.
-func (o *orders) lacks(model string) bool {
-	held := o.held.Load()
+func (o *orderState) lacksModel(model string) bool {
+	held := o.reportedModels.Load()
 	return held != nil && len(*held) > 0 && !slices.Contains(*held, model)
 }
 
 // order gives orders as they fall due, until ctx ends.
-func (a *Agent) order(ctx context.Context) {
-	if a.spec.Plan == nil || !a.besideEngine() {
+func (a *Agent) orderLoop(ctx context.Context) {
+	if a.spec.Plan == nil || !a.upstreamIsEngine() {
 		return
 	}
-	for a.spec.Clock.Sleep(ctx, orderEvery) {
+	for a.spec.Clock.Sleep(ctx, orderInterval) {
 		a.orderOnce(ctx)
 	}
 }
 
 func (a *Agent) orderOnce(ctx context.Context) {
 	now := a.spec.Clock.Now()
-	a.renew(now)
-	held := a.orders.held.Load()
+	a.renewLease(now)
+	held := a.orders.reportedModels.Load()
 	table := a.spec.Table()
-	if held == nil || table == nil || a.orders.pending.Load() {
+	if held == nil || table == nil || a.orders.isPending.Load() {
 		return
 	}
 	plan := a.spec.Plan()
 	a.orders.pacer.Plan(now, plan)
-	if a.orders.refused.Swap(false) {
+	if a.orders.wasRefused.Swap(false) {
 		a.orders.pacer.Refused(now)
 	}
-	a.orders.pacer.Loaded(now, a.orders.holding(now, *held, plan.Model(a.spec.Settings.Upstream)))
+	a.orders.pacer.Loaded(now, a.orders.heldModel(now, *held, plan.Model(a.spec.Settings.Upstream)))
 	if model := a.orders.pacer.Due(now); model != "" {
 		a.loadModel(ctx, table.Version(), model)
 	}
@@ -91,9 +91,9 @@
 
 // renew keeps the lease on the engine's orders while this agent is the
 // engine's own as far as anybody knows.
-func (a *Agent) renew(now mgclock.Millis) {
+func (a *Agent) renewLease(now mgclock.Millis) {
 	a.orders.guard.Look(now)
-	if asked, ours := a.spec.Ours(); ours && !a.leaving.Load() {
+	if asked, ours := a.spec.Ours(); ours && !a.isLeaving.Load() {
 		a.orders.guard.Renew(asked, now)
 		return
 	}
@@ -102,9 +102,9 @@
 
 // holding returns the wanted model if the engine holds it by its report or by
 // an order since, else any that it holds, or "".
-func (o *orders) holding(now mgclock.Millis, held []string, wanted string) string {
-	done := o.done.Load()
-	if done != nil && done.model == wanted && now < done.at+reportLag || slices.Contains(held, wanted) {
+func (o *orderState) heldModel(now mgclock.Millis, held []string, wanted string) string {
+	lastLoad := o.lastLoad.Load()
+	if lastLoad != nil && lastLoad.model == wanted && now < lastLoad.at+maxReportLag || slices.Contains(held, wanted) {
 		return wanted
 	}
 	if len(held) > 0 {
@@ -119,15 +119,15 @@
 	if err != nil {
 		return // no lease yet; the next look tries again
 	}
-	a.orders.pending.Store(true)
-	a.running.Go(func() {
-		defer a.orders.pending.Store(false)
+	a.orders.isPending.Store(true)
+	a.tasks.Go(func() {
+		defer a.orders.isPending.Store(false)
 		a.sendLoad(ctx, order, model)
 	})
 }
 
 func (a *Agent) sendLoad(ctx context.Context, order mgfence.Order, model string) {
-	ctx, cancel := context.WithTimeout(ctx, orderWait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout.Duration())
 	defer cancel()
 	mglog.Debug(a.spec.Log).Info("an order is about to leave", "model", model, "fence", order.Number())
 	// A process that was paused since the order was planned learns it here. The
@@ -141,7 +141,7 @@
 		Fence: order.Number(),
 	})
 	if err == nil {
-		a.orders.done.Store(&load{
+		a.orders.lastLoad.Store(&completedLoad{
 			model: model,
 			at:    a.spec.Clock.Now(),
 		})
@@ -153,6 +153,6 @@
 	if errors.As(err, &fenced) {
 		a.orders.guard.Refused(fenced.Newest())
 	}
-	a.orders.refused.Store(true)
+	a.orders.wasRefused.Store(true)
 	a.spec.Log.Info("an order was refused", "model", model, mglog.Upstream, a.spec.Settings.Upstream, "cause", err.Error())
 }
--- a/internal/process/mgagent/orders_test.go
+++ b/internal/process/mgagent/orders_test.go
@@ -21,29 +21,29 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// ordered is an engine that notes its orders and when they came.
-type ordered struct {
-	mu     sync.Mutex
-	clock  mgclock.Clock
-	held   []string
-	newest uint64      // the highest fencing number it has seen
-	lost   atomic.Bool // another agent is the engine's own by now
-	orders []mgengine.OrderSpec
-	times  []mgclock.Millis
-	ends   mgclock.Millis // when it restarts without its models, 0 for never
+// orderedEngine is an engine that notes its orders and when they came.
+type orderedEngine struct {
+	mu         sync.Mutex
+	clock      mgclock.Clock
+	held       []string
+	newest     uint64      // the highest fencing number it has seen
+	isReplaced atomic.Bool // another agent is the engine's own by now
+	orders     []mgengine.OrderSpec
+	times      []mgclock.Millis
+	restartAt  mgclock.Millis // when it restarts without its models, 0 for never
 }
 
-func (o *ordered) load(context.Context) (mgengine.Load, error) {
+func (o *orderedEngine) load(context.Context) (mgengine.Load, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.ends != 0 && o.clock.Now() >= o.ends {
+	if o.restartAt != 0 && o.clock.Now() >= o.restartAt {
 		o.held = nil
-		o.ends = 0
+		o.restartAt = 0
 	}
 	return mgengine.Load{Models: o.held}, nil
 }
 
-func (o *ordered) order(_ context.Context, spec mgengine.OrderSpec) error {
+func (o *orderedEngine) order(_ context.Context, spec mgengine.OrderSpec) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.orders = append(o.orders, spec)
@@ -59,7 +59,7 @@
 // An engine loads a model for minutes that nobody asked it for, or the one
 // model that callers wait for is on no engine: an agent that was replaced gave
 // an order, or its successor gave none. Each case plays two minutes.
-func TestOrders(t *testing.T) {
+func TestStaleOrMissingOrder(t *testing.T) {
 	const others = 1 << 62 // far above the numbers of this agent
 	cases := []struct {
 		name   string
@@ -134,7 +134,7 @@
 	Convey("Orders", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				engine := &ordered{
+				engine := &orderedEngine{
 					held:   c.held,
 					newest: c.newest,
 				}
@@ -142,7 +142,7 @@
 					held := false
 					log := logr.Discard()
 					if c.paused {
-						log = holding(t.Context(), engine, &held)
+						log = pausingLog(t.Context(), engine, &held)
 					}
 					agent, err := orderAgent(engine, log, c.checks, c.ours)
 					if err != nil {
@@ -155,7 +155,7 @@
 					}
 					start := engine.clock.Now()
 					if c.ends > 0 {
-						engine.ends = start + c.ends
+						engine.restartAt = start + c.ends
 					}
 					agent.Run(ctx)
 					if held != c.paused {
@@ -178,22 +178,22 @@
 	})
 }
 
-// holding returns a log that holds the agent for three seconds at the line
+// pausingLog returns a log that holds the agent for three seconds at the line
 // before an order leaves, while another agent becomes the engine's own.
-func holding(ctx context.Context, engine *ordered, held *bool) logr.Logger {
+func pausingLog(ctx context.Context, engine *orderedEngine, paused *bool) logr.Logger {
 	return funcr.New(func(_, line string) {
 		if !strings.Contains(line, "an order is about to leave") {
 			return
 		}
-		*held = true
-		engine.lost.Store(true)
+		*paused = true
+		engine.isReplaced.Store(true)
 		engine.clock.Sleep(ctx, 3*mgclock.Second)
 	}, funcr.Options{
 		Verbosity: 9, // all lines
 	})
 }
 
-func orderAgent(engine *ordered, log logr.Logger, checks string, ours bool) (*mgagent.Agent, error) {
+func orderAgent(engine *orderedEngine, log logr.Logger, checks string, ours bool) (*mgagent.Agent, error) {
 	text := strings.Replace(table, `orders = "checked"`, `orders = "`+checks+`"`, 1)
 	members := mgmember.New("agent-1")
 	members.List(0, mgplatform.List{
@@ -207,12 +207,12 @@
 			State:    mgplatform.Live,
 		}},
 	})
-	seams := quiet()
+	seams := idleSeams()
 	seams.Load = engine.load
 	seams.Order = engine.order
 	return newAgent(text, seams, func(spec *mgagent.Spec) {
 		spec.Plan = func() *mgplacement.Plan { return mgplacement.Assign(spec.Table(), members.View()) }
-		spec.Ours = func() (mgclock.Millis, bool) { return engine.clock.Now(), ours && !engine.lost.Load() }
+		spec.Ours = func() (mgclock.Millis, bool) { return engine.clock.Now(), ours && !engine.isReplaced.Load() }
 		spec.Log = log
 		spec.Started = mgclock.UnixMillis()
 	})
--- a/internal/process/mgagent/behind_test.go
+++ b/internal/process/mgagent/outdated_test.go
@@ -19,21 +19,21 @@
 // agent that has not heard of it queues the account's request by the old one.
 // The agent learns of the version from the request, and from whom to fetch it:
 // it decides by the new table, or refuses.
-func TestBehind(t *testing.T) {
+func TestDecisionByOutdatedTable(t *testing.T) {
 	cases := []struct {
-		name  string
-		comes mgclock.Millis // when the newer table is in force here
-		told  string
+		name         string
+		appearsAfter mgclock.Millis // when the newer table is in force here
+		want         string
 	}{
 		{
-			name:  "the newer table is there in time",
-			comes: 50,
-			told:  "",
+			name:         "the newer table is there in time",
+			appearsAfter: 50,
+			want:         "",
 		},
 		{
-			name:  "it is not",
-			comes: 5000,
-			told:  "behind/notrun",
+			name:         "it is not",
+			appearsAfter: 5000,
+			want:         "behind/notrun",
 		},
 	}
 	Convey("An agent behind its caller", t, func() {
@@ -41,15 +41,15 @@
 		So(err, ShouldBeNil)
 		for _, c := range cases {
 			Convey(c.name, func() {
-				var told, asked string
+				var got, reportedBy string
 				synctest.Test(t, func(t *testing.T) {
-					agent, err := newAgent(table, quiet(), func(spec *mgagent.Spec) {
+					agent, err := newAgent(table, idleSeams(), func(spec *mgagent.Spec) {
 						var now atomic.Pointer[mgtable.Table]
 						now.Store(spec.Table())
 						spec.Table = now.Load
-						spec.Seen = func(_ uint64, from string) { asked = from }
+						spec.Seen = func(_ uint64, from string) { reportedBy = from }
 						spec.Await = func(ctx context.Context, _ uint64) error {
-							if !spec.Clock.Sleep(ctx, c.comes) {
+							if !spec.Clock.Sleep(ctx, c.appearsAfter) {
 								return ctx.Err()
 							}
 							now.Store(newer)
@@ -75,11 +75,11 @@
 						t.Fatal(err)
 					}
 					if f := reply.GetFault(); f != nil {
-						told = f.GetKind() + "/" + f.GetOutcome()
+						got = f.GetKind() + "/" + f.GetOutcome()
 					}
 				})
-				So(told, ShouldEqual, c.told)
-				So(asked, ShouldEqual, "entry-1")
+				So(got, ShouldEqual, c.want)
+				So(reportedBy, ShouldEqual, "entry-1")
 			})
 		}
 	})
--- a/internal/process/mgagent/pump.go
+++ b/internal/process/mgagent/pump.go
@@ -18,21 +18,21 @@
 const (
 	// longestNap bounds the pump's sleep, so that a wake-up that the scheduler
 	// computed from an estimate is never far off.
-	longestNap = mgclock.Second
+	maxPumpSleep = mgclock.Second
 	// startTries bounds the starts of one generation at its engine; a start is
 	// idempotent by id there.
-	startTries = 3
+	maxStartTries = 3
 	// startWait is the wait for the engine's word on a start, well under the
 	// shortest deadline to the first token.
-	startWait = 2 * mgclock.Second
+	startTimeout = 2 * mgclock.Second
 	// streamTries bounds the connections in a row that bring no token; with
 	// streamPause they outlast an engine's short stall and still end within a
 	// few seconds.
-	streamTries = 5
-	streamPause = 200 * mgclock.Millis(1)
+	maxEmptyConnections = 5
+	reconnectDelay      = 200 * mgclock.Millis(1)
 	// streamSilence is how long an engine's stream may say nothing. Engines send
 	// a heartbeat each second while a generation waits.
-	streamSilence = 3 * mgclock.Second
+	streamSilenceTimeout = 3 * mgclock.Second
 )
 
 // pump carries out the scheduler's decisions as they fall due.
@@ -45,21 +45,21 @@
 		next := a.scheduler.NextWake(now)
 		a.mu.Unlock()
 		for _, decision := range decisions {
-			a.carryOut(ctx, decision)
+			a.applyDecision(ctx, decision)
 		}
-		nap := longestNap
+		sleep := maxPumpSleep
 		if next > 0 {
-			nap = min(nap, max(next-now, 1))
+			sleep = min(sleep, max(next-now, 1))
 		}
 		select {
 		case <-ctx.Done():
 		case <-a.wake:
-		case <-a.spec.Clock.After(nap):
+		case <-a.spec.Clock.After(sleep):
 		}
 	}
 }
 
-func (a *Agent) carryOut(ctx context.Context, decision mgscheduler.Decision) {
+func (a *Agent) applyDecision(ctx context.Context, decision mgscheduler.Decision) {
 	g := a.generation(decision.ID)
 	if g == nil {
 		return
@@ -71,42 +71,42 @@
 		g.finish("", problem, now)
 		return
 	}
-	a.running.Go(func() { a.run(ctx, g) })
+	a.tasks.Go(func() { a.runGeneration(ctx, g) })
 }
 
 // run starts a generation at the engine and reads it to its end.
-func (a *Agent) run(ctx context.Context, g *generation) {
+func (a *Agent) runGeneration(ctx context.Context, g *generation) {
 	// A process that was paused between the decision and this line may be past
 	// the deadline or the cancel: the ledger looks at the clock again.
 	if problem := a.attempts.Submit(g.id, a.spec.Clock.Now()); problem != nil {
-		a.end(g, "", problem)
+		a.endGeneration(g, "", problem)
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g.setCancel(cancel)
-	if g.ended() {
+	if g.isEnded() {
 		// It was cancelled between the ledger's leave and this line, when there
 		// was nothing yet to stop: it would run with nobody to read it.
-		a.end(g, "", g.cause())
+		a.endGeneration(g, "", g.endCause())
 		return
 	}
-	if problem := a.startAt(ctx, g); problem != nil {
-		a.end(g, "", problem)
+	if problem := a.startAtEngine(ctx, g); problem != nil {
+		a.endGeneration(g, "", problem)
 		return
 	}
 	a.mu.Lock()
 	a.counts.started++
 	a.mu.Unlock()
 	a.prefix.Add(g.spec.Prefix)
-	a.read(ctx, g)
+	a.readTokens(ctx, g)
 }
 
 // startAt starts the generation, which the engine does once per id.
-func (a *Agent) startAt(ctx context.Context, g *generation) *mgproblem.Problem {
+func (a *Agent) startAtEngine(ctx context.Context, g *generation) *mgproblem.Problem {
 	var err error
-	doubt := false // a try before may have started it
-	for range startTries {
+	mayHaveStarted := false // a try before may have started it
+	for range maxStartTries {
 		err = a.tryStart(ctx, g)
 		if err == nil {
 			return nil
@@ -115,8 +115,8 @@
 			// Until the next load report. A refusal of the engine's own is about
 			// this request: without the difference one account's faulty requests
 			// take the engines from all others.
-			a.sick.Store(!mgengine.Refused(err) || a.sick.Load())
-			if doubt {
+			a.engineDown.Store(!mgengine.Refused(err) || a.engineDown.Load())
+			if mayHaveStarted {
 				// A refusal speaks for this try alone. The one before was sent and
 				// not answered, so that the engine may have run it until it died.
 				break
@@ -124,78 +124,78 @@
 			return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
 				"the engine refused the generation", "try another upstream").WithCause(err)
 		}
-		doubt = true
+		mayHaveStarted = true
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	a.cancelAt(context.WithoutCancel(ctx), g.id)
+	a.cancelAtEngine(context.WithoutCancel(ctx), g.id)
 	return mgproblem.New(mgproblem.Interrupted, mgproblem.Unknown,
 		"the engine did not answer", "try another upstream").WithCause(err)
 }
 
 // cancelAt tells the engine to end a generation. A silent engine would hold the
 // caller for good, and with it the sweep or the agent's stop.
-func (a *Agent) cancelAt(ctx context.Context, id string) {
-	ctx, cancel := context.WithTimeout(ctx, startWait.Duration())
+func (a *Agent) cancelAtEngine(ctx context.Context, id string) {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout.Duration())
 	defer cancel()
 	_ = a.spec.Engine.Cancel(ctx, id)
 }
 
 func (a *Agent) tryStart(ctx context.Context, g *generation) error {
-	ctx, cancel := context.WithTimeout(ctx, startWait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, startTimeout.Duration())
 	defer cancel()
 	return a.spec.Engine.Start(ctx, g.spec)
 }
 
 // read takes the generation's tokens over as many connections as it needs.
-func (a *Agent) read(ctx context.Context, g *generation) {
-	barren := 0
+func (a *Agent) readTokens(ctx context.Context, g *generation) {
+	emptyConnections := 0
 	for {
-		before := g.produced()
-		token, err := a.readOnce(ctx, g)
+		before := g.tokenCount()
+		token, err := a.readConnection(ctx, g)
 		if err != nil {
-			g.settle(ctx)
+			g.awaitMove(ctx)
 		}
 		switch {
-		case g.moved():
-			a.free(g, mgproblem.Unknown)
+		case g.hasMoved():
+			a.releaseGeneration(g, mgproblem.Unknown)
 			return
-		case g.ended():
+		case g.isEnded():
 			// The cancel may have reached the engine before the start.
-			a.cancelAt(context.WithoutCancel(ctx), g.id)
-			a.end(g, "", g.cause())
+			a.cancelAtEngine(context.WithoutCancel(ctx), g.id)
+			a.endGeneration(g, "", g.endCause())
 			return
 		case err == nil && token.End != "":
-			a.end(g, token.End, nil)
+			a.endGeneration(g, token.End, nil)
 			return
 		case err == nil:
-			a.end(g, "", interrupted(token.Fault))
+			a.endGeneration(g, "", interruptedProblem(token.Fault))
 			return
 		case mgengine.KindOf(err) == mgengine.Missing:
-			a.end(g, "", a.lost(g, "the engine lost the generation"))
+			a.endGeneration(g, "", a.lostProblem(g, "the engine lost the generation"))
 			return
 		}
-		barren++
-		if g.produced() > before {
-			barren = 0
+		emptyConnections++
+		if g.tokenCount() > before {
+			emptyConnections = 0
 		}
-		if barren >= streamTries || !a.spec.Clock.Sleep(ctx, streamPause) {
-			problem := interrupted("the engine can't be reached")
+		if emptyConnections >= maxEmptyConnections || !a.spec.Clock.Sleep(ctx, reconnectDelay) {
+			problem := interruptedProblem("the engine can't be reached")
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				problem = a.lost(g, "the engine has ended")
+				problem = a.lostProblem(g, "the engine has ended")
 			}
-			a.end(g, "", problem)
+			a.endGeneration(g, "", problem)
 			return
 		}
 	}
 }
 
 // readOnce reads one connection up to the token that ends the generation.
-func (a *Agent) readOnce(ctx context.Context, g *generation) (mgengine.Token, error) {
+func (a *Agent) readConnection(ctx context.Context, g *generation) (mgengine.Token, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stream, err := a.spec.Engine.Stream(ctx, g.id, uint64(g.produced())+1)
+	stream, err := a.spec.Engine.Stream(ctx, g.id, uint64(g.tokenCount())+1)
 	if err != nil {
 		return mgengine.Token{}, err
 	}
@@ -203,20 +203,20 @@
 	// A connection that says nothing for streamSilence is given up: the engine's
 	// heartbeats would have come, so something between has lost track of it, and
 	// a new connection works. One timer serves all its tokens.
-	silence := time.AfterFunc(streamSilence.Duration(), cancel)
-	defer silence.Stop()
+	silenceTimer := time.AfterFunc(streamSilenceTimeout.Duration(), cancel)
+	defer silenceTimer.Stop()
 	for {
 		token, err := stream.Next(ctx)
 		if err != nil {
-			return mgengine.Token{}, broken(err)
+			return mgengine.Token{}, unexpectedEOF(err)
 		}
-		silence.Reset(streamSilence.Duration())
-		if token.Seq > uint64(g.produced())+1 {
+		silenceTimer.Reset(streamSilenceTimeout.Duration())
+		if token.Seq > uint64(g.tokenCount())+1 {
 			// Tokens between were lost. Dropped, this one would be the first of a
 			// tail that is missing from an answer that then ends as if whole.
 			return mgengine.Token{}, mgengine.NewFailure(mgengine.Broken, "stream", "tokens are missing", nil)
 		}
-		a.take(g, token)
+		a.applyToken(g, token)
 		if token.End != "" || token.Fault != "" {
 			return token, nil
 		}
@@ -224,46 +224,46 @@
 }
 
 // broken tells a stream that ended without its last token from one that did.
-func broken(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-func (a *Agent) take(g *generation, token mgengine.Token) {
+func (a *Agent) applyToken(g *generation, token mgengine.Token) {
 	if token.Seq == 0 {
 		return
 	}
-	next, evicted := g.accept(token)
-	if !next {
+	appended, preempted := g.appendToken(token)
+	if !appended {
 		return
 	}
 	now := a.spec.Clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if evicted {
+	if preempted {
 		a.scheduler.Preempted(now, g.id)
-		a.ramp.Trouble(now)
+		a.ramp.Halve(now)
 	}
 	a.scheduler.Progress(now, g.id, int(token.Seq))
 }
 
 // lost returns why a generation ended whose engine ended without a word: it may be what
 // ended the engine, unless it has made tokens.
-func (a *Agent) lost(g *generation, detail string) *mgproblem.Problem {
-	if a.leaving.Load() || g.produced() > 0 {
-		return interrupted(detail)
+func (a *Agent) lostProblem(g *generation, detail string) *mgproblem.Problem {
+	if a.isLeaving.Load() || g.tokenCount() > 0 {
+		return interruptedProblem(detail)
 	}
 	return mgproblem.New(mgproblem.Crashed, mgproblem.Unknown, detail, "send the request again for a new answer")
 }
 
-func interrupted(detail string) *mgproblem.Problem {
+func interruptedProblem(detail string) *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Interrupted, mgproblem.Unknown, detail, "send the request again for a new answer")
 }
 
 // end closes a generation and frees its place.
-func (a *Agent) end(g *generation, end string, problem *mgproblem.Problem) {
+func (a *Agent) endGeneration(g *generation, end string, problem *mgproblem.Problem) {
 	now := a.spec.Clock.Now()
 	outcome := mgproblem.Done
 	if problem != nil {
@@ -276,10 +276,10 @@
 		a.counts.finished++
 		a.mu.Unlock()
 	}
-	a.free(g, outcome)
+	a.releaseGeneration(g, outcome)
 	if problem != nil {
 		a.mu.Lock()
-		a.counts.broken++
+		a.counts.failed++
 		a.mu.Unlock()
 		a.spec.Log.Info("generation ended early", mglog.Attempt, g.id, mglog.Account, g.account,
 			mglog.Service, g.service, mglog.Kind, string(problem.Kind()), "cause", problem.Error())
@@ -287,11 +287,11 @@
 }
 
 // free gives back what a generation that is over here holds.
-func (a *Agent) free(g *generation, outcome mgproblem.Outcome) {
+func (a *Agent) releaseGeneration(g *generation, outcome mgproblem.Outcome) {
 	now := a.spec.Clock.Now()
 	a.attempts.Finish(g.id, mgoperation.Result{Outcome: outcome}, now)
 	a.mu.Lock()
 	a.scheduler.Abandon(now, g.id)
 	a.mu.Unlock()
-	a.poke()
+	a.wakePump()
 }
--- a/internal/process/mgagent/refused_test.go
+++ b/internal/process/mgagent/refused_test.go
@@ -16,7 +16,7 @@
 // One account sends prompts that engines refuse, and everybody's lookups are
 // turned away: each refusal made the agent take its engine for unreachable until
 // the next report, at one engine after another.
-func TestRefusedRequest(t *testing.T) {
+func TestRefusalMarksEngineDown(t *testing.T) {
 	cause := errors.New("status 400: the prompt is too long")
 	cases := []struct {
 		name    string
@@ -38,9 +38,9 @@
 			Convey(c.name, func() {
 				var refused string
 				synctest.Test(t, func(t *testing.T) {
-					engine := quiet()
+					engine := idleSeams()
 					engine.Start = func(context.Context, mgengine.StartSpec) error { return c.failure }
-					agent, err := newAgent(table, engine, asIs)
+					agent, err := newAgent(table, engine, unchanged)
 					if err != nil {
 						t.Fatal(err)
 					}
--- a/internal/process/mgagent/start.go
+++ b/internal/process/mgagent/start.go
@@ -22,7 +22,7 @@
 		Agent:       a.spec.Settings.Name,
 		Incarnation: a.spec.Incarnation,
 		Zone:        a.spec.Settings.Zone,
-		Leaving:     a.leaving.Load(),
+		Leaving:     a.isLeaving.Load(),
 		Cached:      uint32(a.prefix.Cached(in.GetPrefix())),
 		Stamp:       int64(now),
 		Engine:      a.spec.Settings.Address,
@@ -33,24 +33,24 @@
 		return offer, nil
 	}
 	offer.Version = table.Version()
-	if a.sick.Load() || a.orders.lacks(in.GetModel()) {
+	if a.engineDown.Load() || a.orders.lacksModel(in.GetModel()) {
 		offer.Refused = string(mgproblem.Crowded)
-		offer.Retry = int64(followEvery)
+		offer.Retry = int64(pollInterval)
 		return offer, nil
 	}
-	request := a.request(table, "", in.GetAccount(), in.GetService(), in.GetModel())
+	request := a.newRequest(table, "", in.GetAccount(), in.GetService(), in.GetModel())
 	request.Prompt = int(in.GetPrompt())
 	request.Cached = int(offer.GetCached())
 	request.Deadline = now + mgclock.Millis(in.GetBudget())
 	a.mu.Lock()
-	seen := a.scheduler.Offer(now, request)
+	estimate := a.scheduler.Offer(now, request)
 	a.mu.Unlock()
-	offer.Wait = int64(seen.Wait)
-	offer.Rest = int64(seen.Rest)
-	offer.Headroom = seen.Headroom
-	offer.Running = uint32(seen.Running)
-	offer.Queued = uint32(seen.Queued)
-	if problem := seen.Refused; problem != nil {
+	offer.Wait = int64(estimate.Wait)
+	offer.Rest = int64(estimate.Rest)
+	offer.Headroom = estimate.Headroom
+	offer.Running = uint32(estimate.Running)
+	offer.Queued = uint32(estimate.Queued)
+	if problem := estimate.Refused; problem != nil {
 		offer.Refused = string(problem.Kind())
 		offer.Retry = int64(problem.Retry())
 	}
@@ -58,7 +58,7 @@
 }
 
 // request fills in what the table says of an account's use of a service.
-func (a *Agent) request(table *mgtable.Table, id, account, service, model string) mgscheduler.Request {
+func (a *Agent) newRequest(table *mgtable.Table, id, account, service, model string) mgscheduler.Request {
 	request := mgscheduler.Request{
 		ID:      id,
 		Account: account,
@@ -85,17 +85,17 @@
 	reply := &mgrpc.StartReply{
 		Incarnation: a.spec.Incarnation,
 	}
-	generation, problem := a.start(ctx, in)
+	generation, problem := a.startAttempt(ctx, in)
 	if problem != nil {
 		a.spec.Metrics.Counter("refused").Inc(1)
-		reply.Fault = fault(problem)
+		reply.Fault = faultFromProblem(problem)
 		return reply, nil
 	}
 	reply.Generation = generation
 	return reply, nil
 }
 
-func (a *Agent) start(ctx context.Context, in *mgrpc.StartRequest) (string, *mgproblem.Problem) {
+func (a *Agent) startAttempt(ctx context.Context, in *mgrpc.StartRequest) (string, *mgproblem.Problem) {
 	now := a.spec.Clock.Now()
 	if in.GetIncarnation() != a.spec.Incarnation {
 		return "", mgproblem.New(mgproblem.Incarnation, mgproblem.Unknown,
@@ -133,10 +133,10 @@
 		return mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
 			"the agent has no configuration yet", "try another upstream")
 	}
-	if a.sick.Load() {
-		return unreachable()
+	if a.engineDown.Load() {
+		return unreachableProblem()
 	}
-	if a.orders.lacks(in.GetModel()) {
+	if a.orders.lacksModel(in.GetModel()) {
 		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
 			"the engine has not loaded the model", "try another upstream").WithRetry(mgclock.Second)
 	}
@@ -148,7 +148,7 @@
 
 // catchUpWait bounds the wait for a newer version: a page from the caller takes
 // some tens of milliseconds.
-const catchUpWait = 300 * mgclock.Millis(1)
+const catchUpTimeout = 300 * mgclock.Millis(1)
 
 // catchUp waits until this agent goes by the caller's version. An agent that
 // decided by an older one would use an account's old weight, or refuse a service
@@ -158,11 +158,11 @@
 	if a.spec.Await == nil || table != nil && table.Version() >= version {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, catchUpWait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout.Duration())
 	defer cancel()
 	if err := a.spec.Await(ctx, version); err != nil {
 		return mgproblem.New(mgproblem.Behind, mgproblem.NotRun,
-			"the agent has an older configuration", "try another upstream").WithRetry(catchUpWait).WithCause(err)
+			"the agent has an older configuration", "try another upstream").WithRetry(catchUpTimeout).WithCause(err)
 	}
 	return nil
 }
@@ -170,9 +170,9 @@
 // unreachable refuses work while the engine can't be reached. An agent whose
 // engine is gone has an empty queue and would make the best offer: without this
 // it draws all requests and fails each.
-func unreachable() *mgproblem.Problem {
+func unreachableProblem() *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-		"the engine can't be reached", "try another upstream").WithRetry(followEvery)
+		"the engine can't be reached", "try another upstream").WithRetry(pollInterval)
 }
 
 // enqueue gives the attempt to the scheduler.
@@ -188,13 +188,13 @@
 		a.counts.refused++
 	}
 	a.mu.Unlock()
-	a.poke()
+	a.wakePump()
 	return problem
 }
 
 // prepare describes an attempt to the scheduler and to the engine.
 func (a *Agent) prepare(table *mgtable.Table, in *mgrpc.StartRequest, now mgclock.Millis) (mgscheduler.Request, *generation) {
-	request := a.request(table, in.GetAttempt(), in.GetAccount(), in.GetService(), in.GetModel())
+	request := a.newRequest(table, in.GetAttempt(), in.GetAccount(), in.GetService(), in.GetModel())
 	request.Prompt = mgprefix.Tokens(in.GetPrompt())
 	if max := int(in.GetMax()); max > 0 {
 		request.Max = max
@@ -210,9 +210,9 @@
 		Copy:     in.GetCopy(),
 	}
 	g := newGeneration(in.GetAttempt(), in.GetAccount(), in.GetService(), spec, now)
-	g.whole = in.GetWhole()
+	g.wholeOnly = in.GetWhole()
 	g.tokens = in.GetHad()
-	g.via = in.GetVia()
+	g.previousAgents = in.GetVia()
 	return request, g
 }
 
@@ -245,16 +245,16 @@
 		// Nobody else tells the ledger when the generation is swept because its
 		// callers left; its entry would be held for good.
 		a.attempts.Cancel(id, now, now)
-		g.finish("", cancelled(mgproblem.NotRun), now)
+		g.finish("", cancelledProblem(mgproblem.NotRun), now)
 		return
 	}
-	a.cancelAt(ctx, id)
+	a.cancelAtEngine(ctx, id)
 	if g != nil {
-		g.finish("", cancelled(mgproblem.Unknown), now)
-		g.stop()
+		g.finish("", cancelledProblem(mgproblem.Unknown), now)
+		g.cancelStream()
 	}
 }
 
-func cancelled(outcome mgproblem.Outcome) *mgproblem.Problem {
+func cancelledProblem(outcome mgproblem.Outcome) *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Cancelled, outcome, "the caller cancelled it", "send it again if it is still wanted")
 }
--- a/internal/process/mgagent/start_test.go
+++ b/internal/process/mgagent/start_test.go
@@ -18,7 +18,7 @@
 // The agent asks again and the engine, or what stands in its place, refuses.
 // The refusal speaks for the second start only: the first may have generated
 // for a while, so "not run" would be a claim too many.
-func TestStartDoubt(t *testing.T) {
+func TestFalseNotRunAfterLostAnswer(t *testing.T) {
 	lost := mgengine.NewFailure(mgengine.Unknown, "start", "", errors.New("the answer was lost"))
 	refused := mgengine.NewFailure(mgengine.NotStarted, "start", "", errors.New("nobody listens"))
 	cases := []struct {
@@ -45,15 +45,15 @@
 	Convey("An attempt whose start at the engine is", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				So(cancelledAfter(c.answers), ShouldEqual, string(c.outcome))
+				So(cancelOutcome(c.answers), ShouldEqual, string(c.outcome))
 			})
 		}
 	})
 }
 
-// cancelledAfter plays an attempt whose starts at the engine get answers, one
+// cancelOutcome plays an attempt whose starts at the engine get answers, one
 // after another, and returns the outcome that its cancel is told.
-func cancelledAfter(answers []error) string {
+func cancelOutcome(answers []error) string {
 	agent, err := newAgent(table, mgengine.Seams{
 		Start: func(context.Context, mgengine.StartSpec) error {
 			answer := answers[0]
@@ -78,12 +78,12 @@
 	for clock := (mgclock.Clock{}); agent.State().Broken == 0; {
 		So(clock.Sleep(ctx, 1), ShouldBeTrue)
 	}
-	told, err := agent.Cancel(ctx, &mgrpc.CancelRequest{
+	canceled, err := agent.Cancel(ctx, &mgrpc.CancelRequest{
 		Attempt:     "a",
 		Incarnation: "i1",
 	})
 	So(err, ShouldBeNil)
 	cancel()
 	<-done
-	return told.GetOutcome()
+	return canceled.GetOutcome()
 }
--- a/internal/process/mgagent/stream_test.go
+++ b/internal/process/mgagent/stream_test.go
@@ -16,9 +16,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// scripted returns a stream seam whose n-th connection gives the tokens of the
+// scriptedStream returns a stream seam whose n-th connection gives the tokens of the
 // n-th script; 0 stands for the end, and after its script a connection breaks.
-func scripted(scripts [][]uint64) func(context.Context, string, uint64) (*mgengine.TokenStream, error) {
+func scriptedStream(scripts [][]uint64) func(context.Context, string, uint64) (*mgengine.TokenStream, error) {
 	opened := 0
 	return func(context.Context, string, uint64) (*mgengine.TokenStream, error) {
 		script := scripts[min(opened, len(scripts)-1)]
@@ -43,7 +43,7 @@
 }
 
 // frames reads a generation's frames to their end.
-func (r *rig) frames(id string) string {
+func (r *harness) frames(id string) string {
 	response := httptest.NewRecorder()
 	r.agent.Routes().ServeHTTP(response, httptest.NewRequest("GET", "/frames/"+id+"?from=1", nil))
 	in := bufio.NewReader(response.Body)
@@ -62,7 +62,7 @@
 
 // A report lacks a line, or has one twice, and looks whole. The engine's stream
 // came again from an earlier token, or left some out.
-func TestEngineStream(t *testing.T) {
+func TestStreamRepeatsOrSkipsTokens(t *testing.T) {
 	cases := map[string][][]uint64{
 		"as it should":               {{1, 2, 3, 0}},
 		"again from the first token": {{1, 2}, {1, 2, 3, 0}},
@@ -72,8 +72,8 @@
 		for story, scripts := range cases {
 			Convey(story, func() {
 				var got string
-				bubbleWith(t, scripted(scripts), func(r *rig) {
-					r.begin("a", "i1")
+				runHarnessWith(t, scriptedStream(scripts), func(r *harness) {
+					r.startAttempt("a", "i1")
 					r.sleep(2 * mgclock.Second)
 					got = r.frames("a")
 				})
--- a/internal/process/mgpace/ramp.go
+++ b/internal/process/mgpace/ramp.go
@@ -2,27 +2,27 @@
 
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 
-// Warm is the span over which a new engine comes to take its full batch: some
+// WarmUpTime is the span over which a new engine comes to take its full batch: some
 // answers long, in which its prefix cache fills.
-const Warm = 30 * mgclock.Second
+const WarmUpTime = 30 * mgclock.Second
 
-// least is the share that a ramp begins with: enough that something is
+// minShare is the share that a ramp begins with: enough that something is
 // learned of the engine, and an idle fleet can use it at once.
-const least = 0.1
+const minShare = 0.1
 
 // A Ramp is the share of its batch that an engine takes. The zero Ramp is that
 // of an engine that began at time 0.
 type Ramp struct {
-	began mgclock.Millis
+	startedAt mgclock.Millis
 }
 
-// Begin starts the ramp of a new or returned engine.
-func (r *Ramp) Begin(now mgclock.Millis) { r.began = now }
+// Start starts the ramp of a new or returned engine.
+func (r *Ramp) Start(now mgclock.Millis) { r.startedAt = now }
 
 // Share returns the part of the batch that the engine may take now.
 func (r *Ramp) Share(now mgclock.Millis) float64 {
-	part := float64(now-r.began) / float64(Warm)
-	return min(max(least+(1-least)*part, least), 1)
+	part := float64(now-r.startedAt) / float64(WarmUpTime)
+	return min(max(minShare+(1-minShare)*part, minShare), 1)
 }
 
 // Limit returns the number of answers that an engine with a full batch of
@@ -31,11 +31,11 @@
 	return max(int(r.Share(now)*float64(batch)), 1)
 }
 
-// Trouble halves the share, after a preemption or a stall while warming up. An
+// Halve halves the share, after a preemption or a stall while warming up. An
 // engine that is warm is left alone: its gate looks after it.
-func (r *Ramp) Trouble(now mgclock.Millis) {
-	gone := now - r.began
-	if gone < Warm {
-		r.began = now - max(gone, 0)/2
+func (r *Ramp) Halve(now mgclock.Millis) {
+	gone := now - r.startedAt
+	if gone < WarmUpTime {
+		r.startedAt = now - max(gone, 0)/2
 	}
 }
