--- a/internal/process/mgagent/adopt.go
+++ b/internal/process/mgagent/adopt.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// followEvery is the interval of the reads of the engine's load and cache
-	// events, which lag by about as much.
+	// pollInterval is the interval at which the engine's load and cache events
+	// are read. They lag by about as much.
 	pollInterval = 500 * mgclock.Millis(1)
-	// followWait bounds one such read.
+	// pollTimeout limits one such read.
 	pollTimeout = mgclock.Second
 )
 
-// adopt picks up the generations that a predecessor left in the engine, so
-// that their memory is counted and their readers find them. An engine that
-// can't be asked now is asked again when a reader comes.
+// adopt registers the generations that a predecessor left in the engine, so that
+// their memory is counted and their readers find them. If the engine can't be
+// reached, it is queried again when a reader asks for a generation.
 func (a *Agent) adopt(ctx context.Context) {
 	if !a.upstreamIsEngine() {
 		return
@@ -41,7 +41,8 @@
 	return a.spec.Engine.List(ctx)
 }
 
-// adoptOne reads a generation of the engine's from its first token on.
+// adoptOne registers one of the engine's generations and reads it from its first
+// token.
 func (a *Agent) adoptOne(ctx context.Context, found mgengine.Generation) *generation {
 	now := a.spec.Clock.Now()
 	a.mu.Lock()
@@ -57,7 +58,8 @@
 	a.generations[g.id] = g
 	a.counts.adopted++
 	if !found.Done {
-		// Its memory counts; the engine doesn't say what its prompt took.
+		// Its memory counts, although the engine doesn't report the size of its
+		// prompt.
 		a.scheduler.Resume(now, mgscheduler.Request{
 			ID:     found.ID,
 			Model:  found.Model,
@@ -73,7 +75,7 @@
 	return g
 }
 
-// find returns a generation, adopting it when only the engine has it.
+// find returns a generation, adopting it if only the engine knows it.
 func (a *Agent) find(ctx context.Context, id string) *generation {
 	if g := a.generation(id); g != nil {
 		return g
@@ -84,30 +86,32 @@
 	}
 	for _, found := range held {
 		if found.ID == id {
-			// It is read on when this reader goes, and no longer than the agent
-			// runs: its stop waits for it.
+			// Reading continues after this reader disconnects, but not after the
+			// agent stops: the stop waits for it.
 			return a.adoptOne(a.lifetime, found)
 		}
 	}
 	return nil
 }
 
-// besideEngine reports whether the upstream is an engine, as one that no table
-// names is taken to be. A plain service is called for callers only: it may take
-// any request for work.
+// upstreamIsEngine reports whether the upstream is an engine, which is also
+// assumed of an upstream that the table lacks. A plain service is called on
+// behalf of callers only, because it may treat any request as work.
 func (a *Agent) upstreamIsEngine() bool {
 	upstream := upstreamRow(a.spec)
 	return upstream == nil || upstream.Kind() == mgtable.Engine
 }
 
-// follow keeps up with the engine; a plain service has no such reports.
+// pollUpstream polls the upstream's reports if it is an engine; a plain service
+// has none.
 func (a *Agent) pollUpstream(ctx context.Context) {
 	if a.upstreamIsEngine() {
 		a.pollEngine(ctx)
 	}
 }
 
-// followEngine reads the engine's lagging load report and cache events.
+// pollEngine polls the engine's lagging load report and its cache events until
+// ctx ends.
 func (a *Agent) pollEngine(ctx context.Context) {
 	after := uint64(0)
 	for a.spec.Clock.Sleep(ctx, pollInterval) {
@@ -146,9 +150,9 @@
 	return after
 }
 
-// warm lets an engine that has come back take part of its batch, and more as it
-// warms up: its caches are empty, and as the idlest of all it would be given
-// everything at once.
+// updateWarmUp limits an engine that has come back to a share of its batch,
+// which grows as it warms up. Its caches are empty, and as the least loaded
+// engine it would otherwise be assigned every request at once.
 func (a *Agent) updateWarmUp(hasReturned bool) {
 	now := a.spec.Clock.Now()
 	a.mu.Lock()
@@ -168,8 +172,9 @@
 	a.scheduler.Limit(now, a.ramp.Limit(now, batch))
 }
 
-// note applies a cache event. After a gap the lost events may have been
-// evictions, so the record starts over rather than promise what is gone.
+// applyCacheEvent applies a cache event. After a gap in the sequence the lost
+// events may have been evictions, so the record of cached prefixes is cleared
+// rather than kept with entries that may be gone.
 func (a *Agent) applyCacheEvent(event mgengine.Event, after uint64) {
 	if event.Seq != after+1 {
 		a.prefix.Clear()
@@ -181,7 +186,8 @@
 	a.prefix.Add([]uint64{event.Block})
 }
 
-// sweep cancels generations that nobody reads and forgets finished ones.
+// sweep cancels generations without readers and deletes finished ones that have
+// expired.
 func (a *Agent) sweep(ctx context.Context) {
 	for a.spec.Clock.Sleep(ctx, mgclock.Second) {
 		a.sweepOnce(ctx, a.spec.Clock.Now())
--- a/internal/process/mgagent/adopt_test.go
+++ b/internal/process/mgagent/adopt_test.go
@@ -16,7 +16,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// idleEngine runs every generation without a token, and starts count.
+// idleEngine accepts every generation, produces no token, and counts the starts.
 type idleEngine struct {
 	held   []mgengine.Generation
 	sick   atomic.Bool
@@ -40,7 +40,7 @@
 	return engine
 }
 
-// runWithEngine plays with an agent runWithEngine the engine in virtual time.
+// runWithEngine runs an agent with the engine in virtual time.
 func runWithEngine(t *testing.T, e *idleEngine, play func(ctx context.Context, agent *mgagent.Agent)) {
 	synctest.Test(t, func(t *testing.T) {
 		agent, err := newAgent(strings.Replace(table, "batch = 1\n", "batch = 16\n", 1), e.seams(), unchanged)
@@ -55,11 +55,11 @@
 	})
 }
 
-// An agent is replaced while its engine is full of dossiers. The new one counts
-// its own starts only, takes the engine for empty, lets new work in, and the
-// engine preempts the dossiers.
+// An agent is replaced while its engine is full of long generations. If the new
+// agent counts only its own starts, it takes the engine for empty and admits new
+// work, and the engine preempts the old generations.
 func TestAdoptedGenerationsUncounted(t *testing.T) {
-	Convey("What the engine runs already takes its memory", t, func() {
+	Convey("Generations that the engine already runs count against its memory", t, func() {
 		e := &idleEngine{
 			held: []mgengine.Generation{{
 				ID:       "dossier",
@@ -84,10 +84,10 @@
 	})
 }
 
-// An engine comes back from a crash with empty caches. As the idlest of all it
-// is given a full batch at once, and every caller there waits.
+// An engine comes back from a crash with empty caches. As the least loaded of
+// all it is assigned a full batch at once, and every caller there waits.
 func TestReturnedEngineOverloaded(t *testing.T) {
-	Convey("An engine that has come back takes part of its batch first", t, func() {
+	Convey("A recovered engine is limited to a share of its batch first", t, func() {
 		e := &idleEngine{}
 		early, late := int64(0), int64(0)
 		runWithEngine(t, e, func(ctx context.Context, agent *mgagent.Agent) {
--- a/internal/process/mgagent/agent.go
+++ b/internal/process/mgagent/agent.go
@@ -24,7 +24,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// Spec is what an agent is made of.
+// Spec holds an agent's settings and dependencies.
 type Spec struct {
 	Settings    mgsettings.Agent
 	Incarnation string
@@ -34,27 +34,29 @@
 	Seal        *mgseal.Signer
 	Engine      mgengine.Client
 	Service     mgservice.Client
-	// Table returns the table in force, or nil while there is none.
+	// Table returns the table in force, or nil before the first one.
 	Table func() *mgtable.Table
-	// Seen tells that another process goes by a version.
+	// Seen reports that another process uses a version of the table.
 	Seen func(version uint64, from string)
-	// Await returns once a version is in force here, or an error when ctx ends
-	// before. Without it the agent goes by what it has.
+	// Await returns once a version is in force in this process, or an error if
+	// ctx ends first. If it is nil, the agent decides by the version that it
+	// has.
 	Await func(ctx context.Context, version uint64) error
-	// Plan returns which engine holds which model. Without it the agent gives
-	// no orders and takes its engine to have every model.
+	// Plan returns the assignment of models to engines. If it is nil, the agent
+	// sends no orders and assumes that its engine has every model.
 	Plan func() *mgplacement.Plan
-	// Ours reports whether this agent is the engine's own as far as the list of
-	// VMs and the peers know, and when that was asked.
+	// Ours reports whether this agent is the engine's current agent, according
+	// to the list of VMs and the peers, and when they were last asked.
 	Ours func() (mgclock.Millis, bool)
-	// Others returns the agents beside other engines that hold a model. Without
-	// it no generation is moved.
+	// Others returns the agents of other engines that hold a model. If it is
+	// nil, no generation is moved.
 	Others func(model string) []Other
-	// Started is the process's start in Unix ms.
+	// Started is when the process started, in Unix ms.
 	Started int64
 }
 
-// An Agent gives one upstream its work. Make one with New, then Run it.
+// An Agent admits and schedules the work of one upstream. Create it with New,
+// then call Run.
 type Agent struct {
 	spec        Spec
 	attempts    *mgoperation.Ledger
@@ -67,32 +69,32 @@
 	calls       atomic.Int64
 	isLeaving   atomic.Bool
 	engineDown  atomic.Bool // the engine can't be reached
-	isMoving    atomic.Bool // generations are being moved to other engines
+	isMoving    atomic.Bool // a background loop is moving generations to other engines
 	tasks       sync.WaitGroup
-	lifetime    context.Context // of what outlives the call that began it
+	lifetime    context.Context // context of work that outlives the call that started it
 	endLifetime context.CancelFunc
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	scheduler   *mgscheduler.Scheduler
 	generations map[string]*generation
 	counts      counts
 	ramp        mgpace.Ramp
-	isWarming   bool           // the engine takes part of its batch only
-	hasNotice   bool           // the engine has said when it is gone
-	goneAt      mgclock.Millis // when
+	isWarming   bool           // the engine is limited to a share of its batch
+	hasNotice   bool           // the engine has announced when it will be gone
+	goneAt      mgclock.Millis // valid if hasNotice
 }
 
-// counts are the agent's totals, for the dump.
+// counts are the agent's totals, shown in the dump.
 type counts struct {
 	started, finished, refused, failed, adopted int64
 }
 
-// callSlots bounds the calls that run at once in a plain service whose table
-// row names no batch.
+// defaultCallSlots is the maximum number of concurrent calls to a plain service
+// whose table row sets no batch.
 const defaultCallSlots = 64
 
-// New returns an agent that has not started. The table must be in force, for
-// the upstream's row sizes the queue and the memory budget.
+// New returns an agent that has not started. The table must be in force, because
+// the upstream's row sets the batch size and the memory budget.
 func New(spec Spec) (*Agent, error) {
 	upstream := upstreamRow(spec)
 	policy, err := mgscheduler.Named(spec.Settings.Policy)
@@ -139,8 +141,8 @@
 	return table.Upstream(spec.Settings.Upstream)
 }
 
-// Run does the agent's work until ctx ends. Work in progress is then cut off,
-// so Drain comes first on a planned stop.
+// Run runs the agent's loops until ctx ends. Work in progress is then aborted,
+// so a planned stop drains the agent first.
 func (a *Agent) Run(ctx context.Context) {
 	a.adopt(ctx)
 	var loops sync.WaitGroup
@@ -153,7 +155,7 @@
 	a.tasks.Wait()
 }
 
-// Leave makes the agent refuse new work from now on; what it holds goes on.
+// Leave makes the agent refuse new work. Work already admitted continues.
 func (a *Agent) Leave() {
 	if a.isLeaving.Swap(true) {
 		return
@@ -165,10 +167,10 @@
 	a.spec.Log.Info("leaving: no new work is taken")
 }
 
-// Leaving reports whether the agent takes no new work.
+// Leaving reports whether the agent refuses new work.
 func (a *Agent) Leaving() bool { return a.isLeaving.Load() }
 
-// Busy returns how many generations and calls a stop would cut off.
+// Busy returns the number of generations and calls that a stop would abort.
 func (a *Agent) Busy() int {
 	busy := int(a.calls.Load())
 	a.mu.Lock()
@@ -181,7 +183,7 @@
 	return busy
 }
 
-// poke wakes the pump.
+// wakePump wakes the pump loop.
 func (a *Agent) wakePump() {
 	select {
 	case a.wake <- struct{}{}:
@@ -189,14 +191,14 @@
 	}
 }
 
-// generation returns the one of that id, or nil.
+// generation returns the generation with that id, or nil.
 func (a *Agent) generation(id string) *generation {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.generations[id]
 }
 
-// fault turns a problem into its message.
+// faultFromProblem converts a problem to its message.
 func faultFromProblem(p *mgproblem.Problem) *mgrpc.Fault {
 	return &mgrpc.Fault{
 		Kind:    string(p.Kind()),
@@ -207,7 +209,7 @@
 	}
 }
 
-// State is the agent's part of the dump.
+// State is the agent's section of the dump.
 type State struct {
 	Incarnation string `json:"incarnation"`
 	Upstream    string `json:"upstream"`
@@ -226,7 +228,7 @@
 	Adopted     int64  `json:"adopted"`
 }
 
-// State returns what the agent holds, in numbers.
+// State returns a summary of the agent's state.
 func (a *Agent) State() State {
 	busy := a.Busy()
 	a.mu.Lock()
--- a/internal/process/mgagent/crash_test.go
+++ b/internal/process/mgagent/crash_test.go
@@ -12,7 +12,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// crashingStream returns a stream that gives some tokens, breaks, and can't be opened again.
+// crashingStream returns a stream that delivers some tokens, breaks, and can't
+// be opened again.
 func crashingStream(tokens uint64, cause error) streamSeam {
 	opened := false
 	return func(context.Context, string, uint64) (*mgengine.TokenStream, error) {
@@ -34,7 +35,8 @@
 	}
 }
 
-// Entries can't tell an engine that a request ends from one that is cut off.
+// An entry must learn whether a request crashed the engine or was merely cut
+// off; otherwise it sends a crashing request to the next engine.
 func TestCrashMisreported(t *testing.T) {
 	refused := mgengine.NewFailure(mgengine.NotStarted, "stream", "", syscall.ECONNREFUSED)
 	cases := []struct {
@@ -65,7 +67,7 @@
 			want:   "interrupted",
 		},
 	}
-	Convey("What is told of an engine", t, func() {
+	Convey("The fault reported for an engine", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				var got string
--- a/internal/process/mgagent/drain.go
+++ b/internal/process/mgagent/drain.go
@@ -7,9 +7,10 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// notice keeps when the engine is gone, as it says. Its reports lag, and each
-// tells the span that was left when it was made: the earliest end is the
-// nearest to the truth. An engine that stays after all has no end.
+// updateReclaimTime records when the engine will be gone, according to its load
+// report. Reports lag, and each gives the time that was left when it was made,
+// so the earliest end is the most accurate. An engine that is not leaving after
+// all has no end.
 func (a *Agent) updateReclaimTime(load mgengine.Load) {
 	end := a.spec.Clock.Now() + load.Notice
 	a.mu.Lock()
@@ -23,8 +24,8 @@
 	}
 }
 
-// drain ends what can't end in time at an engine that is to be gone, while its
-// callers can still be told.
+// drainGenerations ends the generations that can't finish before the engine is
+// gone, while their callers can still be informed.
 func (a *Agent) drainGenerations(now mgclock.Millis) {
 	for g, action := range a.drainActions(now) {
 		if action == mgpace.Close && (g.isMoving() || a.canMove(g)) {
@@ -34,11 +35,12 @@
 			continue
 		}
 		a.spec.Metrics.Counter("drained").Inc(1)
-		g.cancelStream() // its reader tells the engine and frees its place
+		g.cancelStream() // readTokens then cancels it at the engine and releases its capacity
 	}
 }
 
-// fates returns what becomes of the generations that don't stay.
+// drainActions returns the action for each generation that should not stay at
+// the engine.
 func (a *Agent) drainActions(now mgclock.Millis) map[*generation]mgpace.Action {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -59,8 +61,8 @@
 	return actions
 }
 
-// reclaimed is the last word on a generation that an engine has no time for.
-// The engine has begun it, so that nobody can say that it did not run.
+// reclaimedProblem is reported for a generation that its engine has no time to
+// finish. The engine has started it, so its outcome can't be "not run".
 func reclaimedProblem(action mgpace.Action) *mgproblem.Problem {
 	if action == mgpace.Restart {
 		return mgproblem.New(mgproblem.Leaving, mgproblem.Unknown,
--- a/internal/process/mgagent/drain_test.go
+++ b/internal/process/mgagent/drain_test.go
@@ -26,11 +26,11 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// reclaimedEngine gives each generation a token a second, but for "mute", which
-// gets none, and "short", which ends with its tenth.
+// reclaimedEngine produces a token a second for each generation, except for
+// "mute", which gets none, and "short", which ends with its tenth.
 type reclaimedEngine struct {
 	leaving atomic.Bool
-	goneAt  atomic.Int64 // when, 0 if it doesn't say
+	goneAt  atomic.Int64 // when the engine will be gone, 0 if it doesn't announce it
 }
 
 func (e *reclaimedEngine) load(context.Context) (mgengine.Load, error) {
@@ -62,7 +62,7 @@
 	}, nil), nil
 }
 
-// An readResult is how a generation ended for its reader.
+// A readResult is how a generation ended for its reader.
 type readResult struct {
 	end    string
 	tokens int
@@ -94,9 +94,9 @@
 	}
 }
 
-// An engine is reclaimed with half a minute's notice. Its answers go on as if
-// nothing were: those that nobody has a word of yet could have begun elsewhere,
-// and the others break off without a word when it dies.
+// An engine is reclaimed with half a minute's notice and its agent ignores it.
+// Answers without a token could have been restarted elsewhere, and the others
+// break off without a fault when the engine dies.
 func TestReclaimCutsAnswers(t *testing.T) {
 	const notice = 30 * mgclock.Second
 	play := func(t *testing.T, say bool) map[string]readResult {
@@ -140,7 +140,7 @@
 			}
 			e.leaving.Store(true)
 			clock.Sleep(ctx, notice)
-			cancel() // the engine is gone, and the agent with it
+			cancel() // the engine is gone and the agent stops
 			readers.Wait()
 			all.Wait()
 			for id, seen := range endings {
@@ -150,25 +150,25 @@
 		})
 		return endings
 	}
-	Convey("Of the answers of an engine that is reclaimed", t, func() {
+	Convey("Of the answers of a reclaimed engine", t, func() {
 		seen := play(t, true)
-		Convey("one that ends in time does so", func() {
+		Convey("one that ends in time is completed", func() {
 			So(seen["short"].end, ShouldEqual, "stop")
 			So(seen["short"].tokens, ShouldEqual, 10)
 		})
-		Convey("one that has delivered nothing is given up at once, to begin elsewhere", func() {
+		Convey("one that has delivered nothing is ended at once, to be restarted elsewhere", func() {
 			for _, id := range []string{"mute", "whole"} {
 				So(fmt.Sprint(id, " ", seen[id].end), ShouldEqual, id+" leaving/unknown")
 				So(seen[id].at, ShouldBeLessThan, 3*mgclock.Second)
 			}
 		})
-		Convey("one that has begun to arrive goes on to the margin, and its caller is told", func() {
+		Convey("one that has delivered tokens goes on until the margin, and its caller gets a fault", func() {
 			So(seen["long"].end, ShouldEqual, "leaving/unknown")
 			So(seen["long"].at, ShouldBeBetween, notice-4*mgclock.Second, notice)
 			So(seen["long"].tokens, ShouldBeGreaterThan, 30)
 		})
 	})
-	Convey("An engine that doesn't say when it is gone keeps its answers", t, func() {
+	Convey("An engine that doesn't announce its end keeps its answers", t, func() {
 		seen := play(t, false)
 		for _, id := range []string{"mute", "whole", "long"} {
 			So(seen[id].end, ShouldNotStartWith, "leaving")
--- a/internal/process/mgagent/frames.go
+++ b/internal/process/mgagent/frames.go
@@ -12,7 +12,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// Routes returns the handler of the agent's calls and frames for entries.
+// Routes returns the handler of the RPC calls and frame streams that entries
+// use.
 func (a *Agent) Routes() http.Handler {
 	router := chi.NewRouter()
 	router.Mount(mgrpc.AgentPathPrefix, mglink.Alive(mgrpc.NewAgentServer(a), a.spec.Clock, mgclock.Millis(a.spec.Settings.Beat)))
@@ -39,7 +40,8 @@
 	a.streamFrames(w, r, g, from)
 }
 
-// copy writes the generation's frames from a token on until its end.
+// streamFrames writes the generation's frames, starting with token number from,
+// until the generation ends.
 func (a *Agent) streamFrames(w http.ResponseWriter, r *http.Request, g *generation, from uint64) {
 	writer := mglink.Response(w, g.id, a.spec.Clock, mgclock.Millis(a.spec.Settings.Beat))
 	if writer.Beat() != nil {
@@ -60,7 +62,8 @@
 	}
 }
 
-// await waits for the next change and keeps the stream alive meanwhile.
+// waitForChange waits for the generation's next change and sends heartbeats
+// meanwhile. It returns false if the reader is gone.
 func waitForChange(r *http.Request, writer *mglink.Writer, changed <-chan struct{}) bool {
 	for {
 		select {
--- a/internal/process/mgagent/frames_test.go
+++ b/internal/process/mgagent/frames_test.go
@@ -19,9 +19,9 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mgagent"
 )
 
-// A shift report of 30,000 tokens was whole, its caller's connection broke, and
-// it could never be read again: the agent put all of it into one frame, which
-// the link refuses as too large, each time anew.
+// A finished answer of 30,000 tokens could not be read again after its caller's
+// connection broke: the agent put all of it into one frame, which the link
+// refuses as too large, on every retry.
 func TestLongAnswerUnreadable(t *testing.T) {
 	const tokens = 30_000
 	Convey("A long answer is read again from its first token", t, func() {
@@ -37,13 +37,13 @@
 		}()
 		server := httptest.NewServer(agent.Routes())
 		defer server.Close()
-		So(readAll(server.URL), ShouldEqual, tokens) // the reader for whom it is made
+		So(readAll(server.URL), ShouldEqual, tokens) // read while it is produced
 		So(produced.Load(), ShouldBeTrue)
 		So(readAll(server.URL), ShouldEqual, tokens)
 	})
 }
 
-// longEngine holds one generation, called long, of 16 bytes a token.
+// longEngine has one generation, "long", with 16 bytes per token.
 func longEngine(tokens int, produced *atomic.Bool) mgengine.Seams {
 	engine := idleSeams()
 	engine.List = func(context.Context) ([]mgengine.Generation, error) {
@@ -69,7 +69,8 @@
 	return engine
 }
 
-// readAll returns how many tokens of the generation come, in order, to its end.
+// readAll returns how many tokens of the generation arrive, in order, up to its
+// end.
 func readAll(base string) int {
 	response, err := http.Get(base + mgrpc.FramesPath + "long?from=1")
 	So(err, ShouldBeNil)
@@ -79,7 +80,7 @@
 	for {
 		frame, err := mglink.ReadFrame(in)
 		if err == io.EOF {
-			return -count // it ended without its end
+			return -count // the stream ended without a final frame
 		}
 		So(err, ShouldBeNil)
 		for i, text := range frame.GetText() {
--- a/internal/process/mgagent/generation.go
+++ b/internal/process/mgagent/generation.go
@@ -9,16 +9,16 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// A generation is one run of a model as the agent holds it: the tokens so far,
-// for every reader that comes, and how it ended.
+// A generation is the agent's record of one run of a model: its tokens so far,
+// which any number of readers may read, and how it ended.
 type generation struct {
 	id             string
 	account        string
 	service        string
 	spec           mgengine.StartSpec
-	wholeOnly      bool     // its caller takes nothing but the whole answer
-	priorDelivered int      // tokens that a predecessor may have delivered
-	previousAgents []string // agents that had it before
+	wholeOnly      bool     // the caller accepts only the complete answer
+	priorDelivered int      // tokens that a previous agent may have delivered
+	previousAgents []string // agents that held it before
 
 	mu          sync.Mutex
 	tokens      []string
@@ -27,12 +27,12 @@
 	preemptions uint32
 	changed     chan struct{}
 	readers     int
-	idleSince   mgclock.Millis // when the last reader left
-	endedAt     mgclock.Millis // when it ended
-	cancel      func()         // ends the engine's stream, nil while it waits
-	moveDone    chan struct{}  // while a move of it is under way; closed at its end
-	movedTo     successor      // who goes on with it, once it has moved
-	moveTried   bool           // a move of it has been tried
+	idleSince   mgclock.Millis // when the last reader disconnected
+	endedAt     mgclock.Millis // valid if the generation has ended
+	cancel      func()         // closes the engine's stream; nil while the generation waits
+	moveDone    chan struct{}  // non-nil during a move; closed when the move ends
+	movedTo     successor      // the agent that continues it, once it has moved
+	moveTried   bool           // a move was tried and is not repeated
 }
 
 func newGeneration(id, account, service string, spec mgengine.StartSpec, now mgclock.Millis) *generation {
@@ -46,36 +46,37 @@
 	}
 }
 
-// successor is the agent that goes on with a generation.
+// successor is the agent that continues a moved generation.
 type successor struct {
 	agent       string
 	incarnation string
 }
 
-// view is what a reader sees of a generation at one time.
+// view is a snapshot of a generation as seen by one reader.
 type view struct {
 	tokens      []string
 	end         string
 	problem     *mgproblem.Problem
 	preemptions uint32
 	total       uint64
-	hasMore     bool // there are more tokens than one frame holds
+	hasMore     bool // more tokens follow than one frame holds
 	movedTo     successor
 	changed     <-chan struct{}
 }
 
-// over reports whether nothing will follow.
+// isFinal reports whether nothing follows this view.
 func (v view) isFinal() bool { return v.end != "" || v.problem != nil || v.movedTo.agent != "" }
 
-// The bounds of one frame. A reader that begins anew may be behind by a whole
-// answer; in one frame a long one is above what the link takes, and could never
-// be read again.
+// Limits of one frame. A new reader may have to catch up on a whole answer; a
+// long answer in one frame would exceed the link's size limit and could never be
+// read again.
 const (
 	maxFrameTokens = 1024
 	maxFrameBytes  = 64 << 10
 )
 
-// portion returns how many of the tokens one frame holds, at least one.
+// frameTokenCount returns how many of the tokens fit into one frame, at least
+// one.
 func frameTokenCount(tokens []string) int {
 	bytes := 0
 	for i, text := range tokens {
@@ -87,9 +88,10 @@
 	return len(tokens)
 }
 
-// after returns the tokens that follow the first count, as many as one frame
-// holds, and a channel that is closed when there is more. How the generation
-// ended goes with its last token. The tokens are shared and never change.
+// viewAfter returns the tokens after the first count ones, as many as one frame
+// holds, and a channel that is closed at the next change. The view with the last
+// token also contains how the generation ended. The tokens are shared and must
+// not be modified.
 func (g *generation) viewAfter(count uint64) view {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -111,19 +113,20 @@
 	return current
 }
 
-// produced returns the number of tokens.
 func (g *generation) tokenCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.tokens)
 }
 
-// delivered returns the number of tokens that its caller may have.
+// deliveredTokens returns the number of tokens that the caller may have
+// received.
 func (g *generation) deliveredTokens() int { return max(g.tokenCount(), g.priorDelivered) }
 
-// accept takes the engine's token and reports whether it was the next one, and
-// whether the engine evicted the generation since the last. A stream that was
-// opened again repeats what the agent has; it is dropped.
+// appendToken appends the engine's token if it is the next one. It reports
+// whether it was, and whether the engine preempted the generation since the
+// previous token. A reopened stream repeats tokens that the agent has; these are
+// dropped.
 func (g *generation) appendToken(token mgengine.Token) (appended, preempted bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -137,12 +140,13 @@
 	return true, preempted
 }
 
-// endedLocked reports whether the generation is over.
+// isEndedLocked reports whether the generation has ended or moved; g.mu is held.
 func (g *generation) isEndedLocked() bool {
 	return g.end != "" || g.problem != nil || g.movedTo.agent != ""
 }
 
-// finish ends the generation; only the first end counts.
+// finish records how the generation ended and reports whether it had not ended
+// before; only the first end counts.
 func (g *generation) finish(end string, problem *mgproblem.Problem, now mgclock.Millis) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -156,8 +160,8 @@
 	return true
 }
 
-// part begins a move, unless the generation is over, has no token yet, or is
-// being moved already.
+// beginMove marks the generation as being moved. It returns false if the
+// generation has ended, has no token yet, or is already being moved.
 func (g *generation) beginMove() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -168,8 +172,8 @@
 	return true
 }
 
-// parted ends a move. With a successor the generation is over here; its readers
-// are told who goes on.
+// finishMove ends a move. If there is a successor, the generation ends here and
+// its readers are redirected to it.
 func (g *generation) finishMove(next successor, now mgclock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -182,8 +186,8 @@
 	g.moveDone = nil
 }
 
-// settle waits for a move that is under way. A stream that broke off may have
-// been stopped by it.
+// awaitMove waits for a move in progress, which may be the reason why the
+// engine's stream broke off.
 func (g *generation) awaitMove(ctx context.Context) {
 	g.mu.Lock()
 	moveDone := g.moveDone
@@ -197,36 +201,37 @@
 	}
 }
 
-// departing reports whether a move is under way.
+// isMoving reports whether a move is in progress.
 func (g *generation) isMoving() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.moveDone != nil
 }
 
-// moved reports whether another agent goes on with the generation.
+// hasMoved reports whether another agent continues the generation.
 func (g *generation) hasMoved() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.movedTo.agent != ""
 }
 
-// text returns the tokens so far; they are shared and never change.
+// tokensSoFar returns the tokens so far. They are shared and must not be
+// modified.
 func (g *generation) tokensSoFar() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.tokens[:len(g.tokens):len(g.tokens)]
 }
 
-// ended reports whether the generation is over.
+// isEnded reports whether the generation has ended or moved.
 func (g *generation) isEnded() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.isEndedLocked()
 }
 
-// cause returns why a generation that was stopped ended: its caller cancelled
-// it, or its engine is reclaimed.
+// endCause returns why a generation whose stream was cancelled ended: its caller
+// cancelled it, or its engine is being reclaimed.
 func (g *generation) endCause() *mgproblem.Problem {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -241,14 +246,12 @@
 	g.changed = make(chan struct{})
 }
 
-// join counts a reader in.
 func (g *generation) addReader() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.readers++
 }
 
-// leave counts a reader out.
 func (g *generation) removeReader(now mgclock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -256,37 +259,38 @@
 	g.idleSince = now
 }
 
-// unread reports whether a generation in progress has had no reader since
-// before the time.
+// isAbandoned reports whether a generation in progress has had no reader since
+// the given time.
 func (g *generation) isAbandoned(before mgclock.Millis) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return !g.isEndedLocked() && g.readers == 0 && g.idleSince <= before
 }
 
-// expired reports whether a generation ended before the time and nobody reads.
+// isExpired reports whether a generation ended before the given time and has no
+// readers.
 func (g *generation) isExpired(before mgclock.Millis) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.isEndedLocked() && g.endedAt <= before && g.readers == 0
 }
 
-// busy reports whether a stop would cut something off: the generation runs, or
-// somebody still reads it.
+// isBusy reports whether a stop would interrupt something: the generation runs,
+// or a reader is still connected.
 func (g *generation) isBusy() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.readers > 0 || !g.isEndedLocked()
 }
 
-// setCancel keeps what ends the engine's stream.
+// setCancel sets the function that closes the engine's stream.
 func (g *generation) setCancel(cancel func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.cancel = cancel
 }
 
-// stop ends the engine's stream, if one is open.
+// cancelStream closes the engine's stream, if one is open.
 func (g *generation) cancelStream() {
 	g.mu.Lock()
 	cancel := g.cancel
--- a/internal/process/mgagent/handover.go
+++ b/internal/process/mgagent/handover.go
@@ -12,14 +12,14 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// target is where a generation may go.
+// moveTarget is an agent that may continue a generation, with its offer.
 type moveTarget struct {
 	other Other
 	offer *mgrpc.Offer
 }
 
-// targets returns where a generation may go, the one that would begin soonest
-// first, those of this availability zone before others.
+// moveTargets returns the agents that offer to continue a generation, ordered by
+// their expected wait plus a penalty for other availability zones.
 func (a *Agent) moveTargets(ctx context.Context, g *generation) []moveTarget {
 	ctx, cancel := context.WithTimeout(ctx, offerTimeout.Duration())
 	defer cancel()
@@ -54,9 +54,10 @@
 	return usable
 }
 
-// candidates returns the agents to ask: some, those of this availability zone
-// first. One that had the generation before has a record of it as finished, and
-// would send its readers back here.
+// moveCandidates returns the agents to probe: at most maxMoveCandidates, in
+// random order with those of this availability zone first. An agent that held
+// the generation before is excluded: it has a record of it as finished and would
+// redirect the readers back here.
 func (a *Agent) moveCandidates(g *generation) []Other {
 	others := a.spec.Others(g.spec.Model)
 	others = slices.DeleteFunc(others, func(o Other) bool { return slices.Contains(g.previousAgents, o.Name) })
@@ -65,7 +66,8 @@
 	return others[:min(len(others), maxMoveCandidates)]
 }
 
-// apart returns 0 for an agent of this availability zone, 1 for others.
+// zoneDistance returns 0 for an agent of this availability zone and 1 for
+// others.
 func (a *Agent) zoneDistance(o Other) int {
 	if o.Zone == a.spec.Settings.Zone {
 		return 0
@@ -73,16 +75,16 @@
 	return 1
 }
 
-// farWait is what another availability zone counts for beside an offer's wait:
-// the copy takes twice as long, some 200 ms more.
+// crossZonePenalty is added to the expected wait of a target in another
+// availability zone: the copy takes twice as long, some 200 ms more.
 const crossZonePenalty = 200 * mgclock.Millis(1)
 
 func (a *Agent) targetCost(t moveTarget) mgclock.Millis {
 	return mgclock.Millis(t.offer.GetWait()) + crossZonePenalty*mgclock.Millis(a.zoneDistance(t.other))
 }
 
-// handOver has the agent beside the other engine go on with the generation, and
-// returns it, or nobody when it refuses or doesn't answer.
+// handOver asks the agent of the other engine to continue the generation. It
+// returns that agent, or the zero successor if it refuses or doesn't answer.
 func (a *Agent) handOver(ctx context.Context, g *generation, to moveTarget, handle string) successor {
 	request := &mgrpc.StartRequest{
 		Attempt:     g.id,
@@ -124,9 +126,9 @@
 	return to.other.Agent.Start(ctx, request)
 }
 
-// takeOver goes on with a generation of another agent's, whose copy this one's
-// engine holds. It counts against memory and batch, and waits in no queue: its
-// caller has its first tokens.
+// takeOver continues another agent's generation, of which this agent's engine
+// holds a copy. It counts against memory and batch but skips the waiting list,
+// because its caller already has its first tokens.
 func (a *Agent) takeOver(table *mgtable.Table, in *mgrpc.StartRequest, now mgclock.Millis) *mgproblem.Problem {
 	if a.isLeaving.Load() {
 		return mgproblem.New(mgproblem.Leaving, mgproblem.NotRun,
--- a/internal/process/mgagent/harness_test.go
+++ b/internal/process/mgagent/harness_test.go
@@ -54,8 +54,8 @@
 services = ["report", "ticket"]
 `
 
-// newAgent makes the agent i1 beside engine-1, with a table and an engine; change
-// sets what a test has otherwise.
+// newAgent returns the agent i1 of engine-1, with a table and an engine; change
+// modifies its spec.
 func newAgent(text string, engine mgengine.Seams, change func(spec *mgagent.Spec)) (*mgagent.Agent, error) {
 	parsed, err := mgtable.Parse([]byte(text))
 	if err != nil {
@@ -80,10 +80,11 @@
 	return mgagent.New(spec)
 }
 
-// unchanged changes nothing of newAgent's spec.
+// unchanged leaves newAgent's spec as it is.
 func unchanged(*mgagent.Spec) {}
 
-// idleSeams is an engine that runs nothing and has nothing to say.
+// idleSeams returns the calls of an engine that runs nothing and reports
+// nothing.
 func idleSeams() mgengine.Seams {
 	return mgengine.Seams{
 		Load:   func(context.Context) (mgengine.Load, error) { return mgengine.Load{}, nil },
@@ -93,7 +94,7 @@
 	}
 }
 
-// runAgent runs an agent; done is closed once it has ended after cancel.
+// runAgent runs an agent until cancel; done is closed when it has ended.
 func runAgent(agent *mgagent.Agent) (ctx context.Context, cancel func(), done chan struct{}) {
 	ctx, cancel = context.WithCancel(context.Background())
 	done = make(chan struct{})
@@ -104,8 +105,8 @@
 	return ctx, cancel, done
 }
 
-// harness is an agent in virtual time with an engine and a service that do as they
-// are told. It counts what truly ran.
+// harness is an agent in virtual time with a scripted engine and service. It
+// counts what actually ran.
 type harness struct {
 	agent *mgagent.Agent
 	clock mgclock.Clock
@@ -114,9 +115,9 @@
 	done  chan struct{} // closed once the agent has ended
 
 	mu                sync.Mutex
-	startResult       func(n int) error     // the engine's word on its n-th start
-	engineDown        atomic.Bool           // the engine's load can't be read
-	engineGenerations []mgengine.Generation // what the engine lists
+	startResult       func(n int) error     // the engine's answer to the n-th start
+	engineDown        atomic.Bool           // the engine's load report can't be read
+	engineGenerations []mgengine.Generation // the generations that the engine lists
 	startCount        int
 	ran               map[string]int
 	results           []string
@@ -161,8 +162,8 @@
 // streamSeam opens a generation's stream.
 type streamSeam func(ctx context.Context, id string, from uint64) (*mgengine.TokenStream, error)
 
-// silentStream gives no token until its reader leaves: generations run on and hold
-// the batch.
+// silentStream sends no token until its reader leaves, so generations keep
+// running and occupy the batch.
 func silentStream(context.Context, string, uint64) (*mgengine.TokenStream, error) {
 	return mgengine.NewTokenStream(func(ctx context.Context) (mgengine.Token, error) {
 		var clock mgclock.Clock
@@ -193,7 +194,7 @@
 	}, nil
 }
 
-// startAttempt sends a copy of an attempt's start and notes what is told.
+// startAttempt sends a copy of an attempt's start and records the result.
 func (r *harness) startAttempt(id, incarnation string) {
 	reply, err := r.agent.Start(r.ctx, &mgrpc.StartRequest{
 		Attempt:     id,
@@ -233,7 +234,8 @@
 	synctest.Wait()
 }
 
-// invoke makes a write under an operation minted before.
+// invoke calls the service under an operation minted before and records the
+// result.
 func (r *harness) invoke(operation string) {
 	reply, err := r.agent.Invoke(r.ctx, &mgrpc.InvokeRequest{
 		Account:   "tankline",
@@ -261,10 +263,10 @@
 	return reply.GetOperation()
 }
 
-// runHarness plays with an agent in virtual time.
+// runHarness runs play with an agent in virtual time.
 func runHarness(t *testing.T, play func(r *harness)) { runHarnessWith(t, silentStream, play) }
 
-// runHarnessWith is bubble with streams of the caller's.
+// runHarnessWith is like runHarness with the given token stream.
 func runHarnessWith(t *testing.T, stream streamSeam, play func(r *harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		r, err := newHarness(stream)
--- a/internal/process/mgagent/invoke.go
+++ b/internal/process/mgagent/invoke.go
@@ -12,7 +12,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// Mint names an operation that only this incarnation may run.
+// Mint issues the id of an operation that only this incarnation may run.
 func (a *Agent) Mint(_ context.Context, in *mgrpc.MintRequest) (*mgrpc.MintReply, error) {
 	a.spec.Seen(in.GetVersion(), in.GetEntry())
 	reply := &mgrpc.MintReply{
@@ -30,8 +30,8 @@
 	return mgproblem.New(mgproblem.Leaving, mgproblem.NotRun, "the upstream is leaving", "try another upstream")
 }
 
-// Invoke makes one call of a plain service: once for an operation, however
-// often it is asked for.
+// Invoke makes one call to a plain service. A call with an operation id is made
+// once, however often it is requested.
 func (a *Agent) Invoke(ctx context.Context, in *mgrpc.InvokeRequest) (*mgrpc.InvokeReply, error) {
 	a.spec.Seen(in.GetVersion(), in.GetEntry())
 	a.calls.Add(1)
@@ -57,7 +57,7 @@
 	return reply, nil
 }
 
-// operate runs an operation at most once and answers all that ask for it.
+// runOperation runs an operation at most once and answers every request for it.
 func (a *Agent) runOperation(ctx context.Context, in *mgrpc.InvokeRequest) (mgoperation.Result, *mgproblem.Problem) {
 	operation, err := mgoperation.Open(a.spec.Seal, in.GetAccount(), in.GetService(), in.GetOperation())
 	if err != nil {
@@ -78,13 +78,13 @@
 		return mgoperation.Result{}, verdict.Problem()
 	case mgoperation.Run:
 		if a.isLeaving.Load() {
-			// A leaving upstream gets no new work, minted before or not. The
-			// tombstone keeps a copy of the call from running after all.
+			// A leaving upstream gets no new work, whether minted before or not.
+			// The tombstone prevents a repeated call from running later.
 			a.operations.Cancel(in.GetOperation(), operation.Stamp(), now)
 			return mgoperation.Result{}, leavingProblem()
 		}
-		// The call outlives the entry that asked for it: what was sent to the
-		// service is recorded, so that the caller's next try learns its result.
+		// The call outlives the request of the entry: what was sent to the
+		// service is recorded, so that the caller's next try gets its result.
 		a.calls.Add(1)
 		a.tasks.Go(func() {
 			defer a.calls.Add(-1)
@@ -94,7 +94,7 @@
 	return a.awaitResult(ctx, in.GetOperation(), verdict.Done())
 }
 
-// digest tells two different calls under one operation id apart.
+// callDigest distinguishes different calls with the same operation id.
 func callDigest(in *mgrpc.InvokeRequest) uint64 {
 	hash := xxhash.New()
 	for _, part := range []string{in.GetMethod(), in.GetPath(), in.GetMime()} {
@@ -105,7 +105,7 @@
 	return hash.Sum64()
 }
 
-// write makes the one call of an operation and records how it ended.
+// executeOperation makes an operation's one call and records its outcome.
 func (a *Agent) executeOperation(ctx context.Context, in *mgrpc.InvokeRequest) {
 	ctx, cancel := context.WithTimeout(ctx, mgclock.Millis(in.GetBudget()).Duration())
 	defer cancel()
@@ -124,7 +124,7 @@
 	a.operations.Finish(in.GetOperation(), result, a.spec.Clock.Now())
 }
 
-// result waits for an operation's end.
+// awaitResult waits for an operation's end and returns its result.
 func (a *Agent) awaitResult(ctx context.Context, id string, done <-chan struct{}) (mgoperation.Result, *mgproblem.Problem) {
 	select {
 	case <-done:
@@ -154,7 +154,7 @@
 		"the service's calls are all in use", "come back later").WithRetry(mgclock.Second)
 }
 
-// call makes a call that may be repeated.
+// callService makes a call that may be repeated.
 func (a *Agent) callService(ctx context.Context, in *mgrpc.InvokeRequest) (mgoperation.Result, *mgproblem.Problem) {
 	if a.isLeaving.Load() {
 		return mgoperation.Result{}, leavingProblem()
@@ -168,7 +168,7 @@
 	return a.sendCall(ctx, in)
 }
 
-// acquire waits for one of the upstream's slots, no longer than the caller.
+// acquireSlot waits for one of the upstream's call slots until ctx ends.
 func (a *Agent) acquireSlot(ctx context.Context) bool {
 	select {
 	case a.slots <- struct{}{}:
--- a/internal/process/mgagent/move.go
+++ b/internal/process/mgagent/move.go
@@ -11,7 +11,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Other is an agent that may take a generation over.
+// Other is an agent that may take over a generation.
 type Other struct {
 	Name  string
 	Zone  string
@@ -19,26 +19,31 @@
 }
 
 const (
-	// lastWord is the time before an engine's end at which what has not moved is
-	// closed, so that its caller hears of it: some ways between processes.
+	// moveMargin is how long before an engine's end the generations that have
+	// not moved are closed, so that their callers are informed: several network
+	// delays between processes.
 	moveMargin = 300 * mgclock.Millis(1)
-	// moveWait bounds one copy: one of 8,000 tokens between zones takes about
-	// 900 ms, and the notice is one or two seconds.
+	// copyTimeout limits one copy. A copy of 8,000 tokens between zones takes
+	// about 900 ms, and the notice is one or two seconds.
 	copyTimeout = 1500 * mgclock.Millis(1)
-	// offerWait bounds the other agents' offers.
+	// offerTimeout limits the wait for other agents' offers and for other short
+	// calls during a move.
 	offerTimeout = 200 * mgclock.Millis(1)
-	// moveAsks is how many agents are asked to take a generation: of a few drawn
-	// at random one has room, and asking all of a region costs hundreds of calls.
+	// maxMoveCandidates is how many agents are probed for a move. Among a few
+	// random ones at least one usually has capacity, and probing a whole region
+	// would cost hundreds of calls.
 	maxMoveCandidates = 4
-	// takeTries bounds the tries to hand a generation over. The other agent
-	// takes it once, however often it is asked.
+	// maxHandOverTries is the maximum number of hand-over requests for a
+	// generation. The other agent takes it over once, however often it is asked.
 	maxHandOverTries = 3
-	// takeSpan is how long a hand-over may wait in the other agent's record.
+	// handOverBudget is how long a hand-over may wait in the other agent's
+	// ledger.
 	handOverBudget = 10 * mgclock.Second
 )
 
-// beginMoves begins to move generations once the engine has said when it is
-// gone. Moves go one after another: they share the engine's link.
+// startMoves starts moving generations once the engine has announced when it
+// will be gone. Moves run one after another because they share the engine's
+// network link.
 func (a *Agent) startMoves() {
 	a.mu.Lock()
 	noticed := a.hasNotice
@@ -63,7 +68,8 @@
 	})
 }
 
-// remains reports whether the notice holds and generations are left.
+// hasRemaining reports whether the notice still holds and generations or calls
+// are left.
 func (a *Agent) hasRemaining() bool {
 	a.mu.Lock()
 	noticed := a.hasNotice
@@ -71,7 +77,8 @@
 	return noticed && a.Busy() > 0
 }
 
-// nextMove returns the generation that gains most by its move, or nil.
+// nextMove returns the generation that gains most from a move and marks it as
+// being moved, or returns nil.
 func (a *Agent) nextMove(now mgclock.Millis) *generation {
 	var best *generation
 	maxPriority := 0.0
@@ -86,8 +93,8 @@
 	return best
 }
 
-// hopeless returns the generations with tokens that aren't expected to end
-// before the engine is gone.
+// unfinishable returns the generations with tokens that aren't expected to
+// finish before the engine is gone.
 func (a *Agent) unfinishable(now mgclock.Millis) []*generation {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -103,14 +110,14 @@
 	return unfinishable
 }
 
-// movable reports whether a move may begin.
+// isMovable reports whether a move may begin.
 func (g *generation) isMovable() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return !g.isEndedLocked() && g.moveDone == nil && len(g.tokens) > 0 && !g.moveTried
 }
 
-// worth returns the order of a generation among those to move.
+// movePriority returns the generation's priority among those to move.
 func (g *generation) movePriority() float64 {
 	return mgmigration.Run{
 		Prompt: g.spec.Tokens,
@@ -119,18 +126,18 @@
 	}.Worth()
 }
 
-// mayMove reports whether there is time yet to move a generation.
+// canMove reports whether there is still time to move a generation.
 func (a *Agent) canMove(g *generation) bool {
 	return a.hasTimeToMove() && a.spec.Others != nil && g.isMovable()
 }
 
-// move moves one generation: copied while it goes on, then stopped and the rest
-// copied, then handed over to the agent beside the other engine.
+// moveGeneration moves one generation. It is copied while it runs, then stopped,
+// the rest is copied, and the agent of the other engine takes it over.
 func (a *Agent) moveGeneration(ctx context.Context, g *generation) {
 	var next successor
 	defer func() { g.finishMove(next, a.spec.Clock.Now()) }()
 	targets := a.moveTargets(ctx, g)
-	noRoom := false // one of them had no room
+	noRoom := false // a target had no capacity
 	var m mgmigration.Move
 	for len(targets) > 0 && !g.isEnded() && m.Step() != mgmigration.Done && (m.Step() == mgmigration.Stop || a.hasTimeToMove()) {
 		if m.Step() == mgmigration.Wait {
@@ -163,24 +170,26 @@
 		"to", next.agent, "stopped", m.Stopped(), "tokens", g.tokenCount(), "targets", len(targets))
 }
 
-// timeToMove reports whether the engine stays for long enough to begin a copy.
+// hasTimeToMove reports whether the engine stays for long enough to start a
+// copy.
 func (a *Agent) hasTimeToMove() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.hasNotice && a.spec.Clock.Now() < a.goneAt-moveMargin
 }
 
-// tried notes that a move of the generation is over: without a successor it
-// stays, and ends here or with the engine.
+// markMoveTried records that a move of the generation has ended. Without a
+// successor the generation stays, and ends here or with the engine.
 func (g *generation) markMoveTried() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.moveTried = true
 }
 
-// stopped makes sure that the engine runs the generation no more. Where its word
-// on the stop was lost, it is cancelled; an engine that answers neither may run
-// it yet, and nobody goes on with it.
+// confirmStopped makes sure that the engine no longer runs the generation. If
+// the answer to the stop was lost, the generation is cancelled. If the engine
+// doesn't answer that either, it may still be running it, so no other agent may
+// continue it.
 func (a *Agent) confirmStopped(ctx context.Context, g *generation, m *mgmigration.Move) bool {
 	if m.Stopped() {
 		return true
@@ -190,7 +199,8 @@
 	return a.spec.Engine.Cancel(ctx, g.id) == nil
 }
 
-// copyTo asks the engine for a copy.
+// copyTo asks the engine to copy the generation to the target. With last set,
+// the engine stops the generation and copies the rest.
 func (a *Agent) copyTo(ctx context.Context, g *generation, to moveTarget, last bool) mgmigration.Reply {
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout.Duration())
 	defer cancel()
--- a/internal/process/mgagent/move_test.go
+++ b/internal/process/mgagent/move_test.go
@@ -18,13 +18,13 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// movingEngine is an engine whose generation is to be moved, and the agent that may
-// take it. It keeps what was asked of both, in order.
+// movingEngine is an engine whose generation is to be moved, with the agent that
+// may take it over. It records the calls to both, in order.
 type movingEngine struct {
 	reclaimedEngine
-	copyErr   func() error // the engine's word on a copy
-	stopErr   func() error // on the last copy
-	cancelErr func() error // on a cancel
+	copyErr   func() error // the engine's answer to a copy
+	stopErr   func() error // its answer to the last copy
+	cancelErr func() error // its answer to a cancel
 	takeOver  func(n int) (*mgrpc.StartReply, error)
 
 	mu         sync.Mutex
@@ -36,7 +36,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if what == "copy" && slices.Contains(m.calls, what) {
-		return 0 // it is tried again for as long as there is time
+		return 0 // a copy is retried while there is time; record it once
 	}
 	m.calls = append(m.calls, what)
 	count := 0
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// targetAgent is the other agent.
+// targetAgent is the agent that may take over the generation.
 type targetAgent struct {
 	mgrpc.Agent
 	engine *movingEngine
@@ -96,8 +96,8 @@
 	return &mgrpc.StartReply{Generation: in.GetAttempt()}, nil
 }
 
-// runMove has an engine with one long generation given two seconds' notice, and
-// returns how its reader saw it end.
+// runMove reclaims an engine that has one long generation, with two seconds'
+// notice, and returns how its reader saw it end.
 func runMove(t *testing.T, m *movingEngine) (seen readResult) {
 	const notice = 2 * mgclock.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -148,11 +148,11 @@
 
 var errLost = errors.New("connection reset")
 
-// An engine is reclaimed while a dossier streams from it, and a step of its move
-// fails: the other engine has no room, an answer is lost, the other agent
-// refuses or dies. The caller must see the rest from the same generation or a
-// visible end, and no two engines may run it: an agent that hands it over while
-// its own engine may still run it makes a second run.
+// An engine is reclaimed during a long answer and a step of the move fails: no
+// capacity at the other engine, a lost answer, or a refusing or dead agent. The
+// caller must get the rest of the same generation or a visible end, and an agent
+// that hands over a generation that its own engine may still run causes a second
+// run.
 func TestMoveFails(t *testing.T) {
 	full := func() error { return mgengine.NewRefusal("move", errors.New("no room")) }
 	lost := func() error { return mgengine.NewFailure(mgengine.Unknown, "move", "", errLost) }
@@ -168,7 +168,7 @@
 			wantCalls: "copy, stop, hand over",
 		},
 		{
-			name:      "the other engine has no room",
+			name:      "the other engine has no capacity",
 			mover:     movingEngine{copyErr: full},
 			want:      "leaving/unknown",
 			wantCalls: "copy, cancel",
@@ -208,7 +208,7 @@
 			wantCalls: "copy, stop, hand over, hand over",
 		},
 	}
-	Convey("A generation leaves its engine, and", t, func() {
+	Convey("A generation is moved from its engine, and", t, func() {
 		for i := range cases {
 			c := &cases[i]
 			Convey(c.name, func() {
--- a/internal/process/mgagent/notrun_test.go
+++ b/internal/process/mgagent/notrun_test.go
@@ -12,9 +12,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A shift lead is told "not run" and finds that the job ran, or is left in
-// doubt where none is due. Each case plays one ending of a request, with what
-// is told at each step; in none did something run that was told not to have.
+// A caller is told "not run" although the request ran, or "unknown" where "not
+// run" is certain. Each case plays one ending of a request with the result of
+// each step; nothing may have run that was reported as not run.
 func TestFalseNotRun(t *testing.T) {
 	cases := []struct {
 		story string
@@ -46,7 +46,7 @@
 			want: "[ok notrun]",
 		},
 		{
-			story: "a copy of its start comes when the engine has become unreachable",
+			story: "a copy of its start arrives when the engine has become unreachable",
 			play: func(r *harness) {
 				r.startAttempt("a", "i1")
 				r.engineDown.Store(true)
@@ -57,7 +57,7 @@
 			ran:  1,
 		},
 		{
-			story: "refused while the engine is unreachable, and a copy comes later",
+			story: "refused while the engine is unreachable, and a copy arrives later",
 			play: func(r *harness) {
 				r.engineDown.Store(true)
 				r.sleep(mgclock.Second)
@@ -79,7 +79,7 @@
 			want: "[notrun tombstone/notrun]",
 		},
 		{
-			story: "cancelled in the queue",
+			story: "cancelled in the waiting list",
 			play: func(r *harness) {
 				r.startAttempt("a", "i1")
 				r.sleep(mgclock.Second)
@@ -92,7 +92,7 @@
 			ran:  1,
 		},
 		{
-			story: "its start was meant for the agent before",
+			story: "its start was meant for the previous incarnation",
 			play:  func(r *harness) { r.startAttempt("a", "i0") },
 			want:  "[incarnation/unknown]",
 		},
@@ -110,7 +110,7 @@
 			ran:  1,
 		},
 	}
-	Convey("What is told is true", t, func() {
+	Convey("The reported outcome is true", t, func() {
 		for _, c := range cases {
 			Convey(c.story, func() {
 				var got string
@@ -131,28 +131,28 @@
 	})
 }
 
-// An agent refuses all work after some hours. Callers had left while their
-// requests waited, and the record kept an entry for each for good.
+// An agent refused all work after some hours: callers had left while their
+// requests waited, and the ledger kept each of these entries forever.
 func TestLedgerLeak(t *testing.T) {
-	Convey("A request that nobody reads leaves the record", t, func() {
+	Convey("An abandoned request is removed from the ledger", t, func() {
 		held := -1
 		runHarness(t, func(r *harness) {
 			for _, id := range []string{"a", "b", "c", "d"} {
 				r.startAttempt(id, "i1")
 			}
 			r.sleep(2 * mgclock.Minute)
-			r.cancel("e", r.clock.Now()) // lets the record forget
+			r.cancel("e", r.clock.Now()) // makes the ledger drop expired entries
 			held = r.agent.State().Attempts
 		})
 		So(held, ShouldEqual, 1)
 	})
 }
 
-// A planned stop takes longer than its longest drain. The agent had picked up a
-// generation of its predecessor's when a reader asked for it, and read it on
-// after it was told to end.
+// A planned stop took longer than its maximum drain time: the agent had adopted
+// a predecessor's generation when a reader asked for it, and kept reading it
+// after it was told to stop.
 func TestStopHangsOnAdopted(t *testing.T) {
-	Convey("A generation picked up late ends with the agent", t, func() {
+	Convey("A generation adopted on demand ends with the agent", t, func() {
 		ended := false
 		runHarness(t, func(r *harness) {
 			r.mu.Lock()
--- a/internal/process/mgagent/orders.go
+++ b/internal/process/mgagent/orders.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	// orderEvery is the interval at which the plan is compared with what the
-	// engine holds. It is well below mgfence's bound on an unseen pause.
+	// orderInterval is the interval at which the plan is compared with the
+	// models that the engine holds. It is well below mgfence's bound on an
+	// undetected pause.
 	orderInterval = 500 * mgclock.Millis(1)
-	// orderWait bounds an order: a load of weights takes tens of seconds.
+	// orderTimeout limits one order: loading weights takes tens of seconds.
 	orderTimeout = 2 * mgclock.Minute
-	// reportLag is how long an engine's report may lag behind an order that it
-	// has carried out. Without it the agent orders the same load again.
+	// maxReportLag is how long an engine's report may lag behind an order that
+	// it has executed. Without it the agent would order the same load again.
 	maxReportLag = 30 * mgclock.Second
 )
 
-// orders gives the engine its orders: which model to load.
+// orderState tracks the orders to the engine: which model to load.
 type orderState struct {
 	guard          *mgfence.Guard
 	pacer          *mgplacement.Pacer
-	isPending      atomic.Bool                   // an order is on its way
-	wasRefused     atomic.Bool                   // the last one was refused
-	lastLoad       atomic.Pointer[completedLoad] // the last one that was carried out
-	reportedModels atomic.Pointer[[]string]      // models that the engine reports, nil before the first
+	isPending      atomic.Bool                   // an order was sent and is not answered yet
+	wasRefused     atomic.Bool                   // the last order was refused
+	lastLoad       atomic.Pointer[completedLoad] // the last order that was executed
+	reportedModels atomic.Pointer[[]string]      // models in the engine's last report, nil before the first
 }
 
-// load is a model that the engine was ordered to load, and did.
+// completedLoad is a load order that the engine has executed.
 type completedLoad struct {
 	model string
 	at    mgclock.Millis
@@ -53,14 +54,15 @@
 	}
 }
 
-// lacks reports whether the engine says that it has other models and not this
-// one. An engine that reports none is tried: it refuses what it can't run.
+// lacksModel reports whether the engine reports other models but not this one.
+// An engine that reports no models is tried anyway: it refuses what it can't
+// run.
 func (o *orderState) lacksModel(model string) bool {
 	held := o.reportedModels.Load()
 	return held != nil && len(*held) > 0 && !slices.Contains(*held, model)
 }
 
-// order gives orders as they fall due, until ctx ends.
+// orderLoop sends orders as they become due, until ctx ends.
 func (a *Agent) orderLoop(ctx context.Context) {
 	if a.spec.Plan == nil || !a.upstreamIsEngine() {
 		return
@@ -89,8 +91,8 @@
 	}
 }
 
-// renew keeps the lease on the engine's orders while this agent is the
-// engine's own as far as anybody knows.
+// renewLease renews the lease on the engine's orders while this agent is known
+// to be the engine's current agent, and revokes it otherwise.
 func (a *Agent) renewLease(now mgclock.Millis) {
 	a.orders.guard.Look(now)
 	if asked, ours := a.spec.Ours(); ours && !a.isLeaving.Load() {
@@ -100,8 +102,8 @@
 	a.orders.guard.Revoke()
 }
 
-// holding returns the wanted model if the engine holds it by its report or by
-// an order since, else any that it holds, or "".
+// heldModel returns the wanted model if the engine holds it according to its
+// report or to a recent order, else any model that it holds, or "".
 func (o *orderState) heldModel(now mgclock.Millis, held []string, wanted string) string {
 	lastLoad := o.lastLoad.Load()
 	if lastLoad != nil && lastLoad.model == wanted && now < lastLoad.at+maxReportLag || slices.Contains(held, wanted) {
@@ -113,11 +115,12 @@
 	return ""
 }
 
-// loadModel orders the engine to load a model, in the background: it takes long.
+// loadModel orders the engine to load a model, in the background because it
+// takes long.
 func (a *Agent) loadModel(ctx context.Context, version uint64, model string) {
 	order, err := a.orders.guard.Plan(version, a.spec.Clock.Now())
 	if err != nil {
-		return // no lease yet; the next look tries again
+		return // no lease yet; the next interval tries again
 	}
 	a.orders.isPending.Store(true)
 	a.tasks.Go(func() {
@@ -130,8 +133,8 @@
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout.Duration())
 	defer cancel()
 	mglog.Debug(a.spec.Log).Info("an order is about to leave", "model", model, "fence", order.Number())
-	// A process that was paused since the order was planned learns it here. The
-	// line above may have held it: what takes the log may be full.
+	// A process that was paused since the order was planned detects it here. The
+	// log line above may have blocked it, if the log's reader is stalled.
 	if err := a.orders.guard.Send(order, a.spec.Clock.Now()); err != nil {
 		return
 	}
--- a/internal/process/mgagent/orders_test.go
+++ b/internal/process/mgagent/orders_test.go
@@ -21,13 +21,13 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// orderedEngine is an engine that notes its orders and when they came.
+// orderedEngine is an engine that records its orders and when they arrived.
 type orderedEngine struct {
 	mu         sync.Mutex
 	clock      mgclock.Clock
 	held       []string
 	newest     uint64      // the highest fencing number it has seen
-	isReplaced atomic.Bool // another agent is the engine's own by now
+	isReplaced atomic.Bool // another agent has replaced this one at the engine
 	orders     []mgengine.OrderSpec
 	times      []mgclock.Millis
 	restartAt  mgclock.Millis // when it restarts without its models, 0 for never
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// An engine loads a model for minutes that nobody asked it for, or the one
-// model that callers wait for is on no engine: an agent that was replaced gave
-// an order, or its successor gave none. Each case plays two minutes.
+// An agent that was replaced still sends an order, and its engine spends minutes
+// on loading a model that nobody requested; or its successor sends none, and no
+// engine has the model that callers wait for. Each case runs for two minutes.
 func TestStaleOrMissingOrder(t *testing.T) {
 	const others = 1 << 62 // far above the numbers of this agent
 	cases := []struct {
@@ -71,7 +71,7 @@
 		paused bool // between the decision on an order and its sending
 		ends   mgclock.Millis
 		orders int
-		first  mgclock.Millis // no order before it
+		first  mgclock.Millis // earliest time of an order
 	}{
 		{
 			name:   "the engine lacks its model and gets it by one order",
@@ -87,7 +87,7 @@
 			ours:   true,
 		},
 		{
-			name:   "another agent is the engine's own",
+			name:   "another agent has replaced this one",
 			checks: mgtable.Checked,
 			held:   []string{"old"},
 		},
@@ -99,7 +99,7 @@
 			leaves: true,
 		},
 		{
-			name:   "the engine doesn't check: the predecessor's orders are waited out",
+			name:   "the engine ignores fencing numbers: the agent waits until its predecessor's orders have expired",
 			checks: mgtable.Ignored,
 			held:   []string{"old"},
 			ours:   true,
@@ -124,7 +124,7 @@
 			first:  mgclock.Minute,
 		},
 		{
-			name:   "the process is held before it sends, and is replaced meanwhile",
+			name:   "the process is paused before it sends, and is replaced meanwhile",
 			checks: mgtable.Ignored,
 			held:   []string{"old"},
 			ours:   true,
@@ -178,8 +178,8 @@
 	})
 }
 
-// pausingLog returns a log that holds the agent for three seconds at the line
-// before an order leaves, while another agent becomes the engine's own.
+// pausingLog returns a log that pauses the agent for three seconds at the line
+// before an order is sent, while another agent replaces it.
 func pausingLog(ctx context.Context, engine *orderedEngine, paused *bool) logr.Logger {
 	return funcr.New(func(_, line string) {
 		if !strings.Contains(line, "an order is about to leave") {
--- a/internal/process/mgagent/outdated_test.go
+++ b/internal/process/mgagent/outdated_test.go
@@ -15,10 +15,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// An operator raises an account's weight; an entry goes by it at once, and an
-// agent that has not heard of it queues the account's request by the old one.
-// The agent learns of the version from the request, and from whom to fetch it:
-// it decides by the new table, or refuses.
+// An operator raises an account's weight. An entry already uses the new table,
+// and an agent that doesn't have it yet enqueues the request by the old weight.
+// It must fetch the version that the request names, or refuse.
 func TestDecisionByOutdatedTable(t *testing.T) {
 	cases := []struct {
 		name         string
@@ -31,12 +30,12 @@
 			want:         "",
 		},
 		{
-			name:         "it is not",
+			name:         "the newer table is late",
 			appearsAfter: 5000,
 			want:         "behind/notrun",
 		},
 	}
-	Convey("An agent behind its caller", t, func() {
+	Convey("An agent with an older table than its caller", t, func() {
 		newer, err := mgtable.Parse([]byte(strings.Replace(table, "version = 1", "version = 2", 1)))
 		So(err, ShouldBeNil)
 		for _, c := range cases {
--- a/internal/process/mgagent/pump.go
+++ b/internal/process/mgagent/pump.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	// longestNap bounds the pump's sleep, so that a wake-up that the scheduler
+	// maxPumpSleep limits the pump's sleep, so that a wake-up that the scheduler
 	// computed from an estimate is never far off.
 	maxPumpSleep = mgclock.Second
-	// startTries bounds the starts of one generation at its engine; a start is
-	// idempotent by id there.
+	// maxStartTries is the maximum number of start requests for one generation.
+	// The engine treats starts as idempotent by id.
 	maxStartTries = 3
-	// startWait is the wait for the engine's word on a start, well under the
-	// shortest deadline to the first token.
+	// startTimeout limits the wait for the engine's answer to a start. It is
+	// well below the shortest deadline to the first token.
 	startTimeout = 2 * mgclock.Second
-	// streamTries bounds the connections in a row that bring no token; with
-	// streamPause they outlast an engine's short stall and still end within a
-	// few seconds.
+	// maxEmptyConnections is the maximum number of consecutive connections
+	// without a new token. With reconnectDelay between them they outlast a short
+	// stall of the engine and still end within a few seconds.
 	maxEmptyConnections = 5
 	reconnectDelay      = 200 * mgclock.Millis(1)
-	// streamSilence is how long an engine's stream may say nothing. Engines send
-	// a heartbeat each second while a generation waits.
+	// streamSilenceTimeout is how long an engine's stream may send nothing.
+	// Engines send a heartbeat each second while a generation waits.
 	streamSilenceTimeout = 3 * mgclock.Second
 )
 
-// pump carries out the scheduler's decisions as they fall due.
+// pump executes the scheduler's decisions as they become due.
 func (a *Agent) pump(ctx context.Context) {
 	var decisions []mgscheduler.Decision
 	for ctx.Err() == nil {
@@ -74,10 +74,10 @@
 	a.tasks.Go(func() { a.runGeneration(ctx, g) })
 }
 
-// run starts a generation at the engine and reads it to its end.
+// runGeneration starts a generation at the engine and reads it to its end.
 func (a *Agent) runGeneration(ctx context.Context, g *generation) {
 	// A process that was paused between the decision and this line may be past
-	// the deadline or the cancel: the ledger looks at the clock again.
+	// the deadline or the cancel: the ledger checks the time again.
 	if problem := a.attempts.Submit(g.id, a.spec.Clock.Now()); problem != nil {
 		a.endGeneration(g, "", problem)
 		return
@@ -86,8 +86,8 @@
 	defer cancel()
 	g.setCancel(cancel)
 	if g.isEnded() {
-		// It was cancelled between the ledger's leave and this line, when there
-		// was nothing yet to stop: it would run with nobody to read it.
+		// It was cancelled after the ledger's approval and before setCancel,
+		// when there was no stream to cancel. It would run without a reader.
 		a.endGeneration(g, "", g.endCause())
 		return
 	}
@@ -102,23 +102,24 @@
 	a.readTokens(ctx, g)
 }
 
-// startAt starts the generation, which the engine does once per id.
+// startAtEngine starts the generation, retrying if the engine doesn't answer.
+// The engine starts an id only once.
 func (a *Agent) startAtEngine(ctx context.Context, g *generation) *mgproblem.Problem {
 	var err error
-	mayHaveStarted := false // a try before may have started it
+	mayHaveStarted := false // an earlier try may have started it
 	for range maxStartTries {
 		err = a.tryStart(ctx, g)
 		if err == nil {
 			return nil
 		}
 		if mgengine.KindOf(err) == mgengine.NotStarted {
-			// Until the next load report. A refusal of the engine's own is about
-			// this request: without the difference one account's faulty requests
-			// take the engines from all others.
+			// The engine counts as down until its next load report, unless it
+			// refused the request itself: otherwise one account's invalid
+			// requests would take the engines away from all others.
 			a.engineDown.Store(!mgengine.Refused(err) || a.engineDown.Load())
 			if mayHaveStarted {
-				// A refusal speaks for this try alone. The one before was sent and
-				// not answered, so that the engine may have run it until it died.
+				// A refusal covers this try alone. An earlier one was sent and
+				// not answered, so the engine may have run it until it crashed.
 				break
 			}
 			return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
@@ -134,8 +135,9 @@
 		"the engine did not answer", "try another upstream").WithCause(err)
 }
 
-// cancelAt tells the engine to end a generation. A silent engine would hold the
-// caller for good, and with it the sweep or the agent's stop.
+// cancelAtEngine asks the engine to cancel a generation. Without the timeout an
+// unresponsive engine would block the caller forever, and with it the sweep or
+// the agent's stop.
 func (a *Agent) cancelAtEngine(ctx context.Context, id string) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout.Duration())
 	defer cancel()
@@ -148,7 +150,7 @@
 	return a.spec.Engine.Start(ctx, g.spec)
 }
 
-// read takes the generation's tokens over as many connections as it needs.
+// readTokens reads the generation's tokens, reconnecting as often as needed.
 func (a *Agent) readTokens(ctx context.Context, g *generation) {
 	emptyConnections := 0
 	for {
@@ -191,7 +193,7 @@
 	}
 }
 
-// readOnce reads one connection up to the token that ends the generation.
+// readConnection reads one connection up to the token that ends the generation.
 func (a *Agent) readConnection(ctx context.Context, g *generation) (mgengine.Token, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -200,9 +202,9 @@
 		return mgengine.Token{}, err
 	}
 	defer stream.Close()
-	// A connection that says nothing for streamSilence is given up: the engine's
-	// heartbeats would have come, so something between has lost track of it, and
-	// a new connection works. One timer serves all its tokens.
+	// A connection that sends nothing for streamSilenceTimeout is closed.
+	// Heartbeats should have arrived, so something on the network path has lost
+	// track of the connection, and a new one works. One timer serves all tokens.
 	silenceTimer := time.AfterFunc(streamSilenceTimeout.Duration(), cancel)
 	defer silenceTimer.Stop()
 	for {
@@ -212,8 +214,8 @@
 		}
 		silenceTimer.Reset(streamSilenceTimeout.Duration())
 		if token.Seq > uint64(g.tokenCount())+1 {
-			// Tokens between were lost. Dropped, this one would be the first of a
-			// tail that is missing from an answer that then ends as if whole.
+			// Tokens were lost. If this one were only dropped, the answer would
+			// lack its tail and still end as if complete.
 			return mgengine.Token{}, mgengine.NewFailure(mgengine.Broken, "stream", "tokens are missing", nil)
 		}
 		a.applyToken(g, token)
@@ -223,7 +225,8 @@
 	}
 }
 
-// broken tells a stream that ended without its last token from one that did.
+// unexpectedEOF replaces the end of a stream before the last token by an error
+// that is not io.EOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -249,8 +252,9 @@
 	a.scheduler.Progress(now, g.id, int(token.Seq))
 }
 
-// lost returns why a generation ended whose engine ended without a word: it may be what
-// ended the engine, unless it has made tokens.
+// lostProblem returns the problem of a generation whose engine ended
+// unexpectedly. Unless the generation has tokens, it may itself be what crashed
+// the engine.
 func (a *Agent) lostProblem(g *generation, detail string) *mgproblem.Problem {
 	if a.isLeaving.Load() || g.tokenCount() > 0 {
 		return interruptedProblem(detail)
@@ -262,7 +266,7 @@
 	return mgproblem.New(mgproblem.Interrupted, mgproblem.Unknown, detail, "send the request again for a new answer")
 }
 
-// end closes a generation and frees its place.
+// endGeneration records a generation's end and releases its capacity.
 func (a *Agent) endGeneration(g *generation, end string, problem *mgproblem.Problem) {
 	now := a.spec.Clock.Now()
 	outcome := mgproblem.Done
@@ -286,7 +290,8 @@
 	}
 }
 
-// free gives back what a generation that is over here holds.
+// releaseGeneration releases the capacity of a generation that has ended at this
+// agent.
 func (a *Agent) releaseGeneration(g *generation, outcome mgproblem.Outcome) {
 	now := a.spec.Clock.Now()
 	a.attempts.Finish(g.id, mgoperation.Result{Outcome: outcome}, now)
--- a/internal/process/mgagent/refused_test.go
+++ b/internal/process/mgagent/refused_test.go
@@ -13,9 +13,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// One account sends prompts that engines refuse, and everybody's lookups are
-// turned away: each refusal made the agent take its engine for unreachable until
-// the next report, at one engine after another.
+// One account sends prompts that engines refuse, and everybody's requests are
+// rejected: each refusal made the agent treat its engine as unreachable until
+// the next load report, at one engine after another.
 func TestRefusalMarksEngineDown(t *testing.T) {
 	cause := errors.New("status 400: the prompt is too long")
 	cases := []struct {
@@ -24,12 +24,12 @@
 		offers  bool
 	}{
 		{
-			name:    "an engine that refuses a request takes others",
+			name:    "an engine that refuses a request accepts others",
 			failure: mgengine.NewRefusal("start", cause),
 			offers:  true,
 		},
 		{
-			name:    "an engine that can't be reached takes none",
+			name:    "an engine that can't be reached accepts none",
 			failure: mgengine.NewFailure(mgengine.NotStarted, "start", "", cause),
 		},
 	}
--- a/internal/process/mgagent/start.go
+++ b/internal/process/mgagent/start.go
@@ -13,8 +13,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// Probe answers what the upstream could do for a request now. It reserves
-// nothing: what holds is Start's answer.
+// Probe returns an offer: what the upstream could do for a request now. It
+// reserves nothing; only Start's answer is binding.
 func (a *Agent) Probe(_ context.Context, in *mgrpc.ProbeRequest) (*mgrpc.Offer, error) {
 	a.spec.Seen(in.GetVersion(), in.GetEntry())
 	now := a.spec.Clock.Now()
@@ -57,7 +57,8 @@
 	return offer, nil
 }
 
-// request fills in what the table says of an account's use of a service.
+// newRequest returns a scheduler request with the table's settings for the
+// account and the service.
 func (a *Agent) newRequest(table *mgtable.Table, id, account, service, model string) mgscheduler.Request {
 	request := mgscheduler.Request{
 		ID:      id,
@@ -79,7 +80,8 @@
 	return request
 }
 
-// Start queues an attempt, or joins the one that has begun by its id.
+// Start enqueues an attempt, or joins it if it was started before under the same
+// id.
 func (a *Agent) Start(ctx context.Context, in *mgrpc.StartRequest) (*mgrpc.StartReply, error) {
 	a.spec.Seen(in.GetVersion(), in.GetEntry())
 	reply := &mgrpc.StartReply{
@@ -121,9 +123,9 @@
 	return in.GetAttempt(), nil
 }
 
-// admit takes an attempt that has begun in the ledger. It comes after the
-// ledger, which knows whether another copy of the start was taken before, and
-// keeps a copy that comes later from making a refusal's "not run" false.
+// admit checks and enqueues an attempt that is registered in the ledger. The
+// ledger comes first because it knows whether a copy of the start was accepted
+// before, and it prevents a later copy from making a refusal's "not run" false.
 func (a *Agent) admit(ctx context.Context, in *mgrpc.StartRequest, deadline mgclock.Millis) *mgproblem.Problem {
 	if problem := a.catchUp(ctx, in.GetVersion()); problem != nil {
 		return problem
@@ -146,13 +148,13 @@
 	return a.enqueue(table, in, a.spec.Clock.Now(), deadline)
 }
 
-// catchUpWait bounds the wait for a newer version: a page from the caller takes
-// some tens of milliseconds.
+// catchUpTimeout limits the wait for a newer version: fetching a page from the
+// caller takes some tens of milliseconds.
 const catchUpTimeout = 300 * mgclock.Millis(1)
 
-// catchUp waits until this agent goes by the caller's version. An agent that
-// decided by an older one would use an account's old weight, or refuse a service
-// that is in force at the entry.
+// catchUp waits until this agent has the caller's version of the table. With an
+// older one it would use an account's old weight, or refuse a service that is
+// already in force at the entry.
 func (a *Agent) catchUp(ctx context.Context, version uint64) *mgproblem.Problem {
 	table := a.spec.Table()
 	if a.spec.Await == nil || table != nil && table.Version() >= version {
@@ -167,15 +169,15 @@
 	return nil
 }
 
-// unreachable refuses work while the engine can't be reached. An agent whose
-// engine is gone has an empty queue and would make the best offer: without this
-// it draws all requests and fails each.
+// unreachableProblem refuses work while the engine can't be reached. An agent
+// whose engine is down has an empty waiting list and would make the best offer:
+// without this refusal it would attract all requests and fail each.
 func unreachableProblem() *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
 		"the engine can't be reached", "try another upstream").WithRetry(pollInterval)
 }
 
-// enqueue gives the attempt to the scheduler.
+// enqueue submits the attempt to the scheduler.
 func (a *Agent) enqueue(table *mgtable.Table, in *mgrpc.StartRequest, now, deadline mgclock.Millis) *mgproblem.Problem {
 	request, g := a.prepare(table, in, now)
 	request.Cached = a.prefix.Cached(in.GetPrefix())
@@ -192,7 +194,7 @@
 	return problem
 }
 
-// prepare describes an attempt to the scheduler and to the engine.
+// prepare builds the scheduler's request and the generation of an attempt.
 func (a *Agent) prepare(table *mgtable.Table, in *mgrpc.StartRequest, now mgclock.Millis) (mgscheduler.Request, *generation) {
 	request := a.newRequest(table, in.GetAttempt(), in.GetAccount(), in.GetService(), in.GetModel())
 	request.Prompt = mgprefix.Tokens(in.GetPrompt())
@@ -216,7 +218,7 @@
 	return request, g
 }
 
-// Cancel ends an attempt and attests what became of it.
+// Cancel cancels an attempt and attests its outcome.
 func (a *Agent) Cancel(ctx context.Context, in *mgrpc.CancelRequest) (*mgrpc.CancelReply, error) {
 	reply := &mgrpc.CancelReply{
 		Incarnation: a.spec.Incarnation,
@@ -233,8 +235,9 @@
 	return reply, nil
 }
 
-// cancel stops a generation, waiting or running. One that this agent doesn't
-// hold may be a predecessor's and still run in the engine.
+// cancel cancels a waiting or running generation. One that this agent doesn't
+// hold may have been started by a predecessor and still run in the engine, so it
+// is cancelled there too.
 func (a *Agent) cancel(ctx context.Context, id string) {
 	now := a.spec.Clock.Now()
 	a.mu.Lock()
@@ -242,8 +245,8 @@
 	withdrawn := g != nil && a.scheduler.Withdraw(now, id)
 	a.mu.Unlock()
 	if withdrawn {
-		// Nobody else tells the ledger when the generation is swept because its
-		// callers left; its entry would be held for good.
+		// Nothing else informs the ledger when a generation is swept because its
+		// callers have left; its entry would be held forever.
 		a.attempts.Cancel(id, now, now)
 		g.finish("", cancelledProblem(mgproblem.NotRun), now)
 		return
--- a/internal/process/mgagent/start_test.go
+++ b/internal/process/mgagent/start_test.go
@@ -14,10 +14,10 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// An engine takes a start and its answer is lost, as when it dies right then.
-// The agent asks again and the engine, or what stands in its place, refuses.
-// The refusal speaks for the second start only: the first may have generated
-// for a while, so "not run" would be a claim too many.
+// An engine accepts a start and its answer is lost, as when it crashes right
+// then. The agent retries and the engine, or its replacement, refuses. The
+// refusal covers the second start only: the first may have run, so "not run"
+// would be false.
 func TestFalseNotRunAfterLostAnswer(t *testing.T) {
 	lost := mgengine.NewFailure(mgengine.Unknown, "start", "", errors.New("the answer was lost"))
 	refused := mgengine.NewFailure(mgengine.NotStarted, "start", "", errors.New("nobody listens"))
@@ -51,8 +51,8 @@
 	})
 }
 
-// cancelOutcome plays an attempt whose starts at the engine get answers, one
-// after another, and returns the outcome that its cancel is told.
+// cancelOutcome runs an attempt whose starts at the engine get answers, in
+// order, and returns the outcome of its cancel.
 func cancelOutcome(answers []error) string {
 	agent, err := newAgent(table, mgengine.Seams{
 		Start: func(context.Context, mgengine.StartSpec) error {
--- a/internal/process/mgagent/stream_test.go
+++ b/internal/process/mgagent/stream_test.go
@@ -16,8 +16,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// scriptedStream returns a stream seam whose n-th connection gives the tokens of the
-// n-th script; 0 stands for the end, and after its script a connection breaks.
+// scriptedStream returns a stream seam whose n-th connection delivers the tokens
+// of the n-th script. 0 stands for the end; after its script a connection
+// breaks.
 func scriptedStream(scripts [][]uint64) func(context.Context, string, uint64) (*mgengine.TokenStream, error) {
 	opened := 0
 	return func(context.Context, string, uint64) (*mgengine.TokenStream, error) {
@@ -42,7 +43,7 @@
 	}
 }
 
-// frames reads a generation's frames to their end.
+// frames returns a generation's frames as text, up to their end.
 func (r *harness) frames(id string) string {
 	response := httptest.NewRecorder()
 	r.agent.Routes().ServeHTTP(response, httptest.NewRequest("GET", "/frames/"+id+"?from=1", nil))
@@ -60,11 +61,11 @@
 	}
 }
 
-// A report lacks a line, or has one twice, and looks whole. The engine's stream
-// came again from an earlier token, or left some out.
+// An answer lacks a token or contains one twice and looks complete, because the
+// engine's reopened stream started at an earlier token or skipped some.
 func TestStreamRepeatsOrSkipsTokens(t *testing.T) {
 	cases := map[string][][]uint64{
-		"as it should":               {{1, 2, 3, 0}},
+		"in order":                   {{1, 2, 3, 0}},
 		"again from the first token": {{1, 2}, {1, 2, 3, 0}},
 		"with a gap, then whole":     {{1, 3, 0}, {2, 3, 0}},
 	}
--- a/internal/process/mgpace/doc.go
+++ b/internal/process/mgpace/doc.go
@@ -1,21 +1,23 @@
-// Package mgpace decides how an engine comes and goes: how much a new one takes,
-// and what becomes of the streams of one that leaves. Loads of weights and
-// changes of placement are paced by mgplacement.Pacer, which knows the plan.
+// Package mgpace controls how load is added to a new engine and removed from a
+// leaving one: the share of its batch that a new engine may use, and the action
+// for each stream of a leaving engine. Loading of weights and changes of the
+// model plan are paced by mgplacement.Pacer, which knows the plan.
 //
 // # Load
 //
-// Capacity comes and goes while requests keep coming. A new engine is the
-// idlest of all, gets everything at once with cold caches, and is slow for it.
-// A leaving engine's long streams are cut although there was time to end them,
-// or nobody is told before it dies.
+// Engines come and go while requests keep arriving. A new engine is the least
+// loaded of all, so it would be assigned every request at once while its caches
+// are empty, and would be slow. On a leaving engine, long streams would be cut
+// off although there was time to finish them, or the engine would be gone before
+// their callers were informed.
 //
 // # Decisions
 //
-//   - Ramp lets a new or returned engine take part of its batch, growing
-//     evenly over Warm; trouble sends it back by half.
-//   - Drain looks at each stream of a leaving engine: it stays where it can end
-//     before the notice is over, moves where nothing was delivered, and is
-//     otherwise closed in time for its caller to hear of it.
+//   - Ramp limits a new or returned engine to a share of its batch, which grows
+//     linearly over WarmUpTime. A preemption or stall halves the share.
+//   - ActionFor decides on each stream of a leaving engine: it stays if it can
+//     end before the notice is over, is restarted elsewhere if nothing was
+//     delivered, and is otherwise closed early enough to inform its caller.
 //
 // No type is safe for concurrent use.
 package mgpace
--- a/internal/process/mgpace/drain.go
+++ b/internal/process/mgpace/drain.go
@@ -2,31 +2,31 @@
 
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 
-// CloseMargin is the time before the end of a notice at which the last streams are
-// closed, so that each caller hears of it while the process still lives: some
-// heartbeats of a link.
+// CloseMargin is how long before the end of a notice the last streams are
+// closed, so that their callers are informed while the process is still alive:
+// several heartbeats of a link.
 const CloseMargin = 2 * mgclock.Second
 
-// Action is what becomes of a stream of a leaving engine.
+// Action is what to do with a stream of a leaving engine.
 type Action string
 
-// The fates.
+// The actions.
 const (
-	Stay    Action = "stay"  // it goes on here
-	Restart Action = "move"  // it is cancelled here and begun anew elsewhere
-	Close   Action = "close" // it ends now, and its caller is told how far it came
+	Stay    Action = "stay"  // continue it at this engine
+	Restart Action = "move"  // cancel it and restart it at another engine
+	Close   Action = "close" // end it now and report to its caller how much was delivered
 )
 
-// A Stream is one answer of a leaving engine.
+// A Stream is one answer that a leaving engine is generating.
 type Stream struct {
 	Remaining mgclock.Millis // until its expected end
-	Delivered int            // tokens that its caller has
-	Whole     bool           // its caller takes nothing but the whole answer
+	Delivered int            // tokens that the caller has received
+	Whole     bool           // the caller accepts only the complete answer
 }
 
-// ActionFor returns the fate of a stream on an engine that is gone at end. It is
-// asked again as the stream goes on: an answer that was expected to end in time
-// and does not is found out while there is time to move it.
+// ActionFor returns the action for a stream of an engine that will be gone at
+// end. Call it repeatedly while the stream runs: an answer that takes longer
+// than expected is then detected while there is time to restart it.
 func ActionFor(now, end mgclock.Millis, s Stream) Action {
 	left := end - CloseMargin - now
 	switch {
@@ -35,7 +35,7 @@
 	case s.Delivered == 0 || s.Whole:
 		return Restart
 	case left > 0:
-		return Stay // it may yet end: lengths are unknown
+		return Stay // it may still finish: answer lengths are unknown
 	default:
 		return Close
 	}
--- a/internal/process/mgpace/pace_test.go
+++ b/internal/process/mgpace/pace_test.go
@@ -9,7 +9,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// An engine comes back, is the idlest of all, gets every request of the minute
+// A returned engine is the least loaded, is assigned every request of the minute
 // and answers none of them in time.
 func TestRamp(t *testing.T) {
 	Convey("A returned engine", t, func() {
@@ -28,7 +28,8 @@
 }
 
 // An engine is reclaimed with half a minute's notice. Short streams are cut
-// though they would have ended, and a long one ends without a word.
+// although they would have ended in time, and a long one ends without a report
+// to its caller.
 func TestDrain(t *testing.T) {
 	const end = 30 * mgclock.Second
 	stream := func(tokens mgclock.Millis, delivered int, whole bool) mgpace.Stream {
