--- a/internal/process/mgagent/agent.go
+++ b/internal/process/mgagent/agent.go
@@ -164,7 +164,7 @@
 	a.scheduler.Leaving(a.spec.Clock.Now())
 	a.mu.Unlock()
 	a.wakePump()
-	a.spec.Log.Info("leaving: no new work is taken")
+	a.spec.Log.Info("leaving: new work is refused")
 }
 
 // Leaving reports whether the agent refuses new work.
--- a/internal/process/mgagent/orders.go
+++ b/internal/process/mgagent/orders.go
@@ -132,7 +132,7 @@
 func (a *Agent) sendLoad(ctx context.Context, order mgfence.Order, model string) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout.Duration())
 	defer cancel()
-	mglog.Debug(a.spec.Log).Info("an order is about to leave", "model", model, "fence", order.Number())
+	mglog.Debug(a.spec.Log).Info("an order is about to be sent", "model", model, "fence", order.Number())
 	// A process that was paused since the order was planned detects it here. The
 	// log line above may have blocked it, if the log's reader is stalled.
 	if err := a.orders.guard.Send(order, a.spec.Clock.Now()); err != nil {
--- a/internal/process/mgagent/orders_test.go
+++ b/internal/process/mgagent/orders_test.go
@@ -182,7 +182,7 @@
 // before an order is sent, while another agent replaces it.
 func pausingLog(ctx context.Context, engine *orderedEngine, paused *bool) logr.Logger {
 	return funcr.New(func(_, line string) {
-		if !strings.Contains(line, "an order is about to leave") {
+		if !strings.Contains(line, "an order is about to be sent") {
 			return
 		}
 		*paused = true
