--- a/internal/process/mgagent/orders.go
+++ b/internal/process/mgagent/orders.go
@@ -46,9 +46,9 @@
 	checksFence := upstream != nil && upstream.Orders() == mgtable.Checked
 	return &orderState{
 		guard: mgfence.New(mgfence.Spec{
-			Started: spec.Started,
-			Begun:   spec.Clock.Now(),
-			Checks:  checksFence,
+			StartedUnix:  spec.Started,
+			StartedAt:    spec.Clock.Now(),
+			EngineChecks: checksFence,
 		}),
 		pacer: mgplacement.NewPacer(spec.Settings.Upstream, 0, uint64(spec.Started)),
 	}
@@ -94,7 +94,7 @@
 // renewLease renews the lease on the engine's orders while this agent is known
 // to be the engine's current agent, and revokes it otherwise.
 func (a *Agent) renewLease(now mgclock.Millis) {
-	a.orders.guard.Look(now)
+	a.orders.guard.ObserveClock(now)
 	if asked, ours := a.spec.Ours(); ours && !a.isLeaving.Load() {
 		a.orders.guard.Renew(asked, now)
 		return
@@ -135,7 +135,7 @@
 	mglog.Debug(a.spec.Log).Info("an order is about to be sent", "model", model, "fence", order.Number())
 	// A process that was paused since the order was planned detects it here. The
 	// log line above may have blocked it, if the log's reader is stalled.
-	if err := a.orders.guard.Send(order, a.spec.Clock.Now()); err != nil {
+	if err := a.orders.guard.CheckSend(order, a.spec.Clock.Now()); err != nil {
 		return
 	}
 	err := a.spec.Engine.Order(ctx, mgengine.OrderSpec{
@@ -154,7 +154,7 @@
 	}
 	var fenced *mgengine.FenceError
 	if errors.As(err, &fenced) {
-		a.orders.guard.Refused(fenced.Newest())
+		a.orders.guard.ObserveRefusal(fenced.Newest())
 	}
 	a.orders.wasRefused.Store(true)
 	a.spec.Log.Info("an order was refused", "model", model, mglog.Upstream, a.spec.Settings.Upstream, "cause", err.Error())
--- a/internal/process/mgfence/fence.go
+++ b/internal/process/mgfence/fence.go
@@ -9,16 +9,16 @@
 
 // The defaults of a Spec.
 const (
-	// DefaultLease is short against the seconds in which a change must be in
+	// DefaultLeaseTTL is short against the seconds in which a change must be in
 	// force, and long against a look at the list.
-	DefaultLease = 5 * mgclock.Second
-	// DefaultLag is how far the list of VMs may lag behind the platform.
-	DefaultLag = 5 * mgclock.Second
-	// DefaultPause is the longest pause that may go unseen between the last look
+	DefaultLeaseTTL = 5 * mgclock.Second
+	// DefaultListLag is how far the list of VMs may lag behind the platform.
+	DefaultListLag = 5 * mgclock.Second
+	// DefaultMaxPause is the longest pause that may go unseen between the last look
 	// at the clock and the sending.
-	DefaultPause = 2 * mgclock.Second
-	// DefaultHold is how long an order may wait between decision and sending.
-	DefaultHold = mgclock.Second
+	DefaultMaxPause = 2 * mgclock.Second
+	// DefaultMaxHold is how long an order may wait between decision and sending.
+	DefaultMaxHold = mgclock.Second
 )
 
 const (
@@ -30,49 +30,49 @@
 
 // A Spec describes an agent's life. Spans left 0 take the defaults.
 type Spec struct {
-	// Started is the process's start in Unix ms.
-	Started int64
-	// Begun is the same moment by the clock of the other calls.
-	Begun mgclock.Millis
-	// Checks is set when the engine refuses old fencing numbers.
-	Checks bool
+	// StartedUnix is the process's start in Unix ms.
+	StartedUnix int64
+	// StartedAt is the same moment by the clock of the other calls.
+	StartedAt mgclock.Millis
+	// EngineChecks is set when the engine refuses old fencing numbers.
+	EngineChecks bool
 
-	Lease mgclock.Millis
-	Lag   mgclock.Millis
-	Pause mgclock.Millis
-	Hold  mgclock.Millis
+	LeaseTTL mgclock.Millis
+	ListLag  mgclock.Millis
+	MaxPause mgclock.Millis
+	MaxHold  mgclock.Millis
 }
 
 func (s Spec) withDefaults() Spec {
-	s.Lease = orDefault(s.Lease, DefaultLease)
-	s.Lag = orDefault(s.Lag, DefaultLag)
-	s.Pause = orDefault(s.Pause, DefaultPause)
-	s.Hold = orDefault(s.Hold, DefaultHold)
+	s.LeaseTTL = orDefault(s.LeaseTTL, DefaultLeaseTTL)
+	s.ListLag = orDefault(s.ListLag, DefaultListLag)
+	s.MaxPause = orDefault(s.MaxPause, DefaultMaxPause)
+	s.MaxHold = orDefault(s.MaxHold, DefaultMaxHold)
 	return s
 }
 
-func orDefault(span, otherwise mgclock.Millis) mgclock.Millis {
-	if span <= 0 {
-		return otherwise
+func orDefault(value, fallback mgclock.Millis) mgclock.Millis {
+	if value <= 0 {
+		return fallback
 	}
-	return span
+	return value
 }
 
 // wait is how long a new agent holds its first order back: until its
 // predecessor has learnt of it, its lease has run out, and what it sent before
 // has left.
-func (s Spec) wait() mgclock.Millis {
-	if s.Checks {
+func (s Spec) startupDelay() mgclock.Millis {
+	if s.EngineChecks {
 		return 0
 	}
-	return s.Lag + s.Lease + s.Pause
+	return s.ListLag + s.LeaseTTL + s.MaxPause
 }
 
 // An Order is leave to send one order, for a short time.
 type Order struct {
-	number uint64
-	life   uint64
-	until  mgclock.Millis
+	number        uint64
+	invalidations uint64
+	expiresAt     mgclock.Millis
 }
 
 // Number returns the fencing number that goes with the order.
@@ -84,13 +84,13 @@
 type Guard struct {
 	spec Spec
 
-	mu    sync.Mutex
-	last  uint64         // the highest number given or seen
-	lease mgclock.Millis // orders may be sent before it
-	held  bool           // there is a lease
-	life  uint64         // counts pauses; orders of an earlier one are dead
-	saw   mgclock.Millis // the last look at the clock
-	looks bool           // there was one
+	mu            sync.Mutex
+	lastNumber    uint64         // the highest number given or seen
+	leaseUntil    mgclock.Millis // orders may be sent before it
+	hasLease      bool           // there is a lease
+	invalidations uint64         // counts pauses; orders of an earlier one are dead
+	lastObserved  mgclock.Millis // the last look at the clock
+	hasObserved   bool           // there was one
 }
 
 // New returns the Guard of an agent's life.
@@ -105,11 +105,11 @@
 func (g *Guard) Renew(asked, now mgclock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.look(now)
-	until := asked + g.spec.withDefaults().Lease
-	if until > now && (!g.held || until > g.lease) {
-		g.held = true
-		g.lease = until
+	g.observeClock(now)
+	until := asked + g.spec.withDefaults().LeaseTTL
+	if until > now && (!g.hasLease || until > g.leaseUntil) {
+		g.hasLease = true
+		g.leaseUntil = until
 	}
 }
 
@@ -117,48 +117,48 @@
 func (g *Guard) Revoke() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pause()
+	g.invalidate()
 }
 
-// Look looks at the clock. It is called every so often, so that a pause shows.
-func (g *Guard) Look(now mgclock.Millis) {
+// ObserveClock looks at the clock. It is called every so often, so that a pause shows.
+func (g *Guard) ObserveClock(now mgclock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.look(now)
+	g.observeClock(now)
 }
 
 // look drops the lease and all orders not yet sent if the process was paused:
 // what it decided before, it decided on what was true before.
-func (g *Guard) look(now mgclock.Millis) {
-	if g.looks && now-g.saw > g.spec.withDefaults().Pause {
-		g.pause()
+func (g *Guard) observeClock(now mgclock.Millis) {
+	if g.hasObserved && now-g.lastObserved > g.spec.withDefaults().MaxPause {
+		g.invalidate()
 	}
-	g.looks = true
-	g.saw = max(g.saw, now)
+	g.hasObserved = true
+	g.lastObserved = max(g.lastObserved, now)
 }
 
-func (g *Guard) pause() {
-	g.held = false
-	g.life++
+func (g *Guard) invalidate() {
+	g.hasLease = false
+	g.invalidations++
 }
 
 // Plan returns leave to send one order decided on a configuration's version.
 func (g *Guard) Plan(version uint64, now mgclock.Millis) (Order, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.look(now)
+	g.observeClock(now)
 	spec := g.spec.withDefaults()
-	if wait := spec.Begun + spec.wait() - now; wait > 0 {
-		return Order{}, problemEarly(wait)
+	if delay := spec.StartedAt + spec.startupDelay() - now; delay > 0 {
+		return Order{}, earlyProblem(delay)
 	}
-	if !g.held || now >= g.lease {
-		return Order{}, problemLease()
+	if !g.hasLease || now >= g.leaseUntil {
+		return Order{}, noLeaseProblem()
 	}
-	g.last = max(g.last+1, g.base(version))
+	g.lastNumber = max(g.lastNumber+1, g.firstNumber(version))
 	return Order{
-		number: g.last,
-		life:   g.life,
-		until:  min(g.lease, now+spec.Hold),
+		number:        g.lastNumber,
+		invalidations: g.invalidations,
+		expiresAt:     min(g.leaseUntil, now+spec.MaxHold),
 	}, nil
 }
 
@@ -167,40 +167,40 @@
 // A successor outranks its predecessor by the later start; both outrank those
 // with older versions. One order a millisecond would be needed for the numbers
 // given out to catch up with a later start.
-func (g *Guard) base(version uint64) uint64 {
-	started := uint64(max(g.spec.Started-epoch, 0))
+func (g *Guard) firstNumber(version uint64) uint64 {
+	started := uint64(max(g.spec.StartedUnix-epoch, 0))
 	return version<<startBits | started&(1<<startBits-1)
 }
 
-// Send is the last check, made just before the order leaves. An agent that was
+// CheckSend is the last check, made just before the order leaves. An agent that was
 // paused since Plan learns it here, from the clock.
-func (g *Guard) Send(o Order, now mgclock.Millis) error {
+func (g *Guard) CheckSend(o Order, now mgclock.Millis) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.look(now)
-	if o.life != g.life || now >= o.until || o.number == 0 {
-		return problemLease()
+	g.observeClock(now)
+	if o.invalidations != g.invalidations || now >= o.expiresAt || o.number == 0 {
+		return noLeaseProblem()
 	}
 	return nil
 }
 
-// Refused tells that the engine refused an order since it has seen number.
+// ObserveRefusal tells that the engine refused an order since it has seen number.
 // Another agent may be the engine's own by now, so that the lease is dropped;
 // if it isn't so, the next number is higher than that one.
-func (g *Guard) Refused(number uint64) {
+func (g *Guard) ObserveRefusal(number uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.last = max(g.last, number)
-	g.pause()
+	g.lastNumber = max(g.lastNumber, number)
+	g.invalidate()
 }
 
-func problemEarly(wait mgclock.Millis) error {
+func earlyProblem(wait mgclock.Millis) error {
 	return mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
 		"an order of the agent before may still arrive",
 		"wait; the engine ignores fencing numbers").WithRetry(wait)
 }
 
-func problemLease() error {
+func noLeaseProblem() error {
 	return mgproblem.New(mgproblem.Incarnation, mgproblem.NotRun,
 		"no lease on the engine's orders",
 		"look at the list again and decide anew")
