--- a/internal/process/mgfence/fence.go
+++ b/internal/process/mgfence/fence.go
@@ -9,32 +9,35 @@
 
 // The defaults of a Spec.
 const (
-	// DefaultLeaseTTL is short against the seconds in which a change must be in
-	// force, and long against a look at the list.
+	// DefaultLeaseTTL is short compared with the seconds in which a change must
+	// be in force, and long compared with the interval at which the list is
+	// read.
 	DefaultLeaseTTL = 5 * mgclock.Second
 	// DefaultListLag is how far the list of VMs may lag behind the platform.
 	DefaultListLag = 5 * mgclock.Second
-	// DefaultMaxPause is the longest pause that may go unseen between the last look
-	// at the clock and the sending.
+	// DefaultMaxPause is the longest pause that may go undetected between the
+	// last check of the time and the sending.
 	DefaultMaxPause = 2 * mgclock.Second
-	// DefaultMaxHold is how long an order may wait between decision and sending.
+	// DefaultMaxHold is how long an order may wait between Plan and Send.
 	DefaultMaxHold = mgclock.Second
 )
 
 const (
-	// startBits hold the start of a process in ms from the epoch: 69 years.
+	// startBits is the number of bits for the process's start in ms since epoch:
+	// 69 years.
 	startBits = 41
 	// epoch is 2026-01-01 in Unix ms.
 	epoch = 1767225600000
 )
 
-// A Spec describes an agent's life. Spans left 0 take the defaults.
+// A Spec configures a Guard for one incarnation of an agent. Durations of 0 take
+// the defaults.
 type Spec struct {
 	// StartedUnix is the process's start in Unix ms.
 	StartedUnix int64
-	// StartedAt is the same moment by the clock of the other calls.
+	// StartedAt is the same moment by the clock that the Guard's methods use.
 	StartedAt mgclock.Millis
-	// EngineChecks is set when the engine refuses old fencing numbers.
+	// EngineChecks is true if the engine refuses old fencing numbers.
 	EngineChecks bool
 
 	LeaseTTL mgclock.Millis
@@ -58,9 +61,9 @@
 	return value
 }
 
-// wait is how long a new agent holds its first order back: until its
-// predecessor has learnt of it, its lease has run out, and what it sent before
-// has left.
+// startupDelay is how long a new agent must wait before its first order: until
+// its predecessor has learned that it was replaced, its lease has expired, and
+// the orders that it sent before have arrived.
 func (s Spec) startupDelay() mgclock.Millis {
 	if s.EngineChecks {
 		return 0
@@ -68,7 +71,7 @@
 	return s.ListLag + s.LeaseTTL + s.MaxPause
 }
 
-// An Order is leave to send one order, for a short time.
+// An Order is the permission to send one order within a short time.
 type Order struct {
 	number        uint64
 	invalidations uint64
@@ -78,30 +81,30 @@
 // Number returns the fencing number that goes with the order.
 func (o Order) Number() uint64 { return o.number }
 
-// A Guard gives leave for orders. The zero Guard is that of an engine that
-// ignores numbers, and gives none before Renew. It is ready for use by several
-// goroutines.
+// A Guard decides whether orders may be sent. The zero Guard is that of an
+// engine that ignores fencing numbers, and permits no order before Renew. It is
+// safe for concurrent use.
 type Guard struct {
 	spec Spec
 
 	mu            sync.Mutex
-	lastNumber    uint64         // the highest number given or seen
-	leaseUntil    mgclock.Millis // orders may be sent before it
-	hasLease      bool           // there is a lease
-	invalidations uint64         // counts pauses; orders of an earlier one are dead
-	lastObserved  mgclock.Millis // the last look at the clock
-	hasObserved   bool           // there was one
+	lastNumber    uint64         // the highest number issued or seen
+	leaseUntil    mgclock.Millis // orders may be sent until this time
+	hasLease      bool           // leaseUntil is valid
+	invalidations uint64         // counts calls of invalidate; orders planned before the last one are invalid
+	lastObserved  mgclock.Millis // the last time passed to observeClock
+	hasObserved   bool           // lastObserved is valid
 }
 
-// New returns the Guard of an agent's life.
+// New returns the Guard of one incarnation of an agent.
 func New(spec Spec) *Guard {
 	return &Guard{
 		spec: spec,
 	}
 }
 
-// Renew tells that this agent was found to be the engine's own, by a question
-// asked at asked.
+// Renew renews the lease: a query made at asked confirmed that this agent is the
+// engine's current agent.
 func (g *Guard) Renew(asked, now mgclock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -113,22 +116,24 @@
 	}
 }
 
-// Revoke tells that this agent isn't the engine's own, or that it is leaving.
+// Revoke drops the lease because this agent isn't the engine's current agent, or
+// is leaving.
 func (g *Guard) Revoke() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.invalidate()
 }
 
-// ObserveClock looks at the clock. It is called every so often, so that a pause shows.
+// ObserveClock detects pauses of the process by the time since the last call. It
+// must be called regularly.
 func (g *Guard) ObserveClock(now mgclock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.observeClock(now)
 }
 
-// look drops the lease and all orders not yet sent if the process was paused:
-// what it decided before, it decided on what was true before.
+// observeClock drops the lease and all unsent orders if the process was paused,
+// because they were decided on outdated state.
 func (g *Guard) observeClock(now mgclock.Millis) {
 	if g.hasObserved && now-g.lastObserved > g.spec.withDefaults().MaxPause {
 		g.invalidate()
@@ -142,7 +147,8 @@
 	g.invalidations++
 }
 
-// Plan returns leave to send one order decided on a configuration's version.
+// Plan returns the permission to send one order that was decided on a version of
+// the configuration.
 func (g *Guard) Plan(version uint64, now mgclock.Millis) (Order, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -162,18 +168,18 @@
 	}, nil
 }
 
-// base returns the first number of this life for a version.
+// firstNumber returns this incarnation's first fencing number for a version.
 //
-// A successor outranks its predecessor by the later start; both outrank those
-// with older versions. One order a millisecond would be needed for the numbers
-// given out to catch up with a later start.
+// A successor's numbers are higher because it started later, and numbers of
+// newer versions are higher than both agents' numbers for older ones. Issued
+// numbers would catch up with a later start only at one order per millisecond.
 func (g *Guard) firstNumber(version uint64) uint64 {
 	started := uint64(max(g.spec.StartedUnix-epoch, 0))
 	return version<<startBits | started&(1<<startBits-1)
 }
 
-// CheckSend is the last check, made just before the order leaves. An agent that was
-// paused since Plan learns it here, from the clock.
+// CheckSend is the last check, made just before the order is sent. It detects a
+// pause of the process since Plan.
 func (g *Guard) CheckSend(o Order, now mgclock.Millis) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -184,9 +190,10 @@
 	return nil
 }
 
-// ObserveRefusal tells that the engine refused an order since it has seen number.
-// Another agent may be the engine's own by now, so that the lease is dropped;
-// if it isn't so, the next number is higher than that one.
+// ObserveRefusal records that the engine refused an order because it has seen
+// the given number. The lease is dropped, since another agent may be the
+// engine's current one; if it is not, the next number is higher than the one
+// seen.
 func (g *Guard) ObserveRefusal(number uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/process/mgfence/fence_test.go
+++ b/internal/process/mgfence/fence_test.go
@@ -11,7 +11,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// guard returns one with a lease at 0, past its wait.
+// leasedGuard returns a Guard with a lease from time 0 and no startup delay.
 func leasedGuard(started int64) *Guard {
 	g := New(Spec{
 		StartedUnix:  epoch + started,
@@ -21,8 +21,8 @@
 	return g
 }
 
-// The agent beside an engine is replaced. Its successor's orders must outrank
-// all of its own, though neither has a disk to count on.
+// The agent of an engine is replaced. All orders of its successor must have
+// higher numbers than its own, although neither has a disk for a counter.
 func TestSuccessorOutranked(t *testing.T) {
 	Convey("Fencing numbers rise", t, func() {
 		old := leasedGuard(1000)
@@ -51,9 +51,9 @@
 	})
 }
 
-// An agent decides to load a model and is paused. It wakes up when its place has
-// been taken, and its order would undo its successor's. Each case gives what
-// happens between the decision and the sending.
+// An agent decides to load a model and is paused. When it resumes it has been
+// replaced, and its order would undo its successor's. Each case gives what
+// happens between Plan and CheckSend.
 func TestOutdatedOrderSent(t *testing.T) {
 	cases := map[string]func(g *Guard) mgclock.Millis{
 		"a pause longer than the lease":  func(*Guard) mgclock.Millis { return DefaultLeaseTTL },
@@ -72,7 +72,7 @@
 			return 1
 		},
 	}
-	Convey("An order of a past life isn't sent after", t, func() {
+	Convey("An outdated order isn't sent after", t, func() {
 		for story, event := range cases {
 			Convey(story, func() {
 				g := leasedGuard(1)
@@ -84,7 +84,7 @@
 			})
 		}
 	})
-	Convey("The zero Guard gives no leave", t, func() {
+	Convey("The zero Guard permits no order", t, func() {
 		var g Guard
 		_, err := g.Plan(1, 100*mgclock.Second)
 		So(err, ShouldNotBeNil)
@@ -92,7 +92,7 @@
 	})
 }
 
-// The spans of the model, in steps of the clock.
+// The durations of the model, in steps of its clock.
 const (
 	leaseTTL mgclock.Millis = 2
 	listLag  mgclock.Millis = 1
@@ -101,15 +101,15 @@
 	maxSteps                = 12
 )
 
-// world is an engine that ignores numbers, an agent that was replaced at time 0,
-// and its successor.
+// world models an engine that ignores fencing numbers, an agent that was
+// replaced at time 0, and its successor.
 type world struct {
 	now               mgclock.Millis
 	old, successor    *Guard
-	planned           []Order // by the old one
+	planned           []Order // by the old agent
 	sentAt            []mgclock.Millis
-	successorExecuted bool // the engine had an order of the young one
-	successorUndone   bool // and then one of the old one
+	successorExecuted bool // the engine executed an order of the successor
+	successorUndone   bool // and then one of the old agent
 }
 
 func newWorld(waits bool) *world {
@@ -128,13 +128,13 @@
 	return w
 }
 
-// step plays what happens next. A pause is any number of steps in which an agent
-// does nothing; one between the last check and the sending is bounded.
+// step executes one event. A pause is any number of steps in which an agent does
+// nothing; one between the last check and the sending is bounded.
 func (w *world) step(choice int, defect string) {
 	switch choice {
 	case 0:
 		w.now++
-	case 1: // the list lags: the old one still finds itself on it
+	case 1: // the list lags: the old agent is still on it
 		if w.now < listLag {
 			w.old.Renew(w.now, w.now)
 		}
@@ -142,14 +142,14 @@
 		if order, err := w.old.Plan(1, w.now); err == nil {
 			w.planned = append(w.planned, order)
 		}
-	case 3: // the old one checks its orders
+	case 3: // the old agent checks its orders
 		for _, order := range w.planned {
 			if defect == "no check before sending" || w.old.CheckSend(order, w.now) == nil {
 				w.sentAt = append(w.sentAt, w.now)
 			}
 		}
 		w.planned = nil
-	case 4: // what it checked arrives
+	case 4: // the orders that it checked arrive
 		for _, at := range w.sentAt {
 			w.successorUndone = w.successorUndone || w.successorExecuted && w.now-at <= maxPause
 		}
@@ -171,7 +171,7 @@
 			}
 			w.step(c.Choose(6), defect)
 			if w.successorUndone {
-				return fmt.Errorf("%s: an order of the past life undid one of the new", defect)
+				return fmt.Errorf("%s: an order of the replaced agent undid one of its successor", defect)
 			}
 		}
 		return nil
@@ -183,8 +183,8 @@
 	return fmt.Sprint(w.now, w.planned, w.sentAt, w.successorExecuted, o.leaseUntil, o.hasLease, o.invalidations, o.lastObserved, o.lastNumber, y.leaseUntil, y.hasLease, y.invalidations, y.lastObserved, y.lastNumber)
 }
 
-// An engine that ignores fencing numbers loads a model and drops it again: an
-// order of the agent that was replaced arrived after its successor's.
+// An engine that ignores fencing numbers loads a model and drops it again,
+// because an order of the replaced agent arrived after its successor's.
 func TestEverySchedule(t *testing.T) {
 	report := mgexplore.Exhaust(5_000_000, model(true, "sound"))
 	t.Logf("orders, %d steps: %v", maxSteps, report)
