--- a/internal/process/mgevent/bus.go
+++ b/internal/process/mgevent/bus.go
@@ -20,9 +20,9 @@
 	topic = "control"
 	// queueMost bounds the events that wait. Control events come by the second;
 	// this many mean that a handler hangs.
-	queueMost = 4096
+	maxQueued = 4096
 	// traceMost bounds the trace.
-	traceMost = 128
+	maxTrace = 128
 )
 
 // ErrFull is the error of an event that was dropped.
@@ -61,7 +61,7 @@
 func (b *Bus) Publish(kind Kind, subject, detail string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.queue) >= queueMost {
+	if len(b.queue) >= maxQueued {
 		return ErrFull
 	}
 	b.seq++
@@ -93,7 +93,7 @@
 	go func() {
 		defer handling.Done()
 		for m := range messages {
-			b.handle(m)
+			b.dispatch(m)
 		}
 	}()
 	err = b.pump(ctx, channel)
@@ -105,7 +105,7 @@
 // pump publishes the queued events one by one.
 func (b *Bus) pump(ctx context.Context, channel *gochannel.GoChannel) error {
 	for {
-		event, ok := b.next()
+		event, ok := b.dequeue()
 		if !ok {
 			select {
 			case <-b.wake:
@@ -124,7 +124,7 @@
 }
 
 // next takes the first queued event.
-func (b *Bus) next() (Event, bool) {
+func (b *Bus) dequeue() (Event, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.queue) == 0 {
@@ -136,7 +136,7 @@
 }
 
 // handle runs an event's handlers.
-func (b *Bus) handle(m *message.Message) {
+func (b *Bus) dispatch(m *message.Message) {
 	defer m.Ack()
 	var event Event
 	if err := json.Unmarshal(m.Payload, &event); err != nil {
@@ -145,22 +145,22 @@
 	b.mu.Lock()
 	handlers := b.handlers[event.Kind]
 	b.mu.Unlock()
-	begun := b.clock.Now()
+	startedAt := b.clock.Now()
 	for _, handle := range handlers {
 		handle(event)
 	}
-	b.note(Trace{
+	b.appendTrace(Trace{
 		Event:  event,
-		Waited: begun - event.At,
-		Took:   b.clock.Now() - begun,
+		Waited: startedAt - event.At,
+		Took:   b.clock.Now() - startedAt,
 	})
 }
 
-func (b *Bus) note(t Trace) {
+func (b *Bus) appendTrace(t Trace) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.trace = append(b.trace, t)
-	if len(b.trace) > traceMost {
+	if len(b.trace) > maxTrace {
 		b.trace = b.trace[1:]
 	}
 }
--- a/internal/process/mgevent/bus_test.go
+++ b/internal/process/mgevent/bus_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestBus(t *testing.T) {
+func TestEventsReorderedOrBlocking(t *testing.T) {
 	Convey("Events are handled one by one, in one order", t, func() {
 		bus := NewBus(mgclock.Clock{})
 		var seen []uint64 // without a lock: the race detector checks the claim
@@ -48,11 +48,11 @@
 		}
 		cancel()
 		So(<-ended, ShouldBeNil)
-		So(bus.Trace(), ShouldHaveLength, traceMost)
+		So(bus.Trace(), ShouldHaveLength, maxTrace)
 	})
 	Convey("A handler that hangs makes events drop, not publishers wait", t, func() {
 		bus := NewBus(mgclock.Clock{})
-		for range queueMost {
+		for range maxQueued {
 			So(bus.Publish(Paused, "", ""), ShouldBeNil)
 		}
 		So(bus.Publish(Paused, "", ""), ShouldWrap, ErrFull)
@@ -71,13 +71,13 @@
 // update takes a change whose consequences need work to work out.
 func (s *store) update(version uint64) {
 	s.version = version
-	work()
+	simulateWork()
 	s.derived = version
 	s.current.Store(version)
 }
 
 // work stands for the adoption of an edit: about a hundred microseconds.
-func work() {
+func simulateWork() {
 	for begun := time.Now(); time.Since(begun) < 100*time.Microsecond; {
 	}
 }
@@ -141,7 +141,7 @@
 				s.mu.Unlock()
 			}
 		}()
-		blocked(b, func() {
+		measureReads(b, func() {
 			s.mu.RLock()
 			_ = s.derived
 			s.mu.RUnlock()
@@ -169,22 +169,22 @@
 				_ = bus.Publish(Adopted, "", "")
 			}
 		}()
-		blocked(b, func() { _ = s.current.Load() })
+		measureReads(b, func() { _ = s.current.Load() })
 		close(stop)
 		publisher.Wait()
 	})
 }
 
 // blocked reports the mean and the longest time of a read.
-func blocked(b *testing.B, read func()) {
+func measureReads(b *testing.B, read func()) {
 	var longest, total time.Duration
 	count := 0
 	for b.Loop() {
-		begun := time.Now()
+		startedAt := time.Now()
 		read()
-		span := time.Since(begun)
-		total += span
-		longest = max(longest, span)
+		elapsed := time.Since(startedAt)
+		total += elapsed
+		longest = max(longest, elapsed)
 		count++
 	}
 	b.ReportMetric(float64(total.Nanoseconds())/float64(count), "mean-ns")
