--- a/internal/process/mgfleet/edit_test.go
+++ b/internal/process/mgfleet/edit_test.go
@@ -15,15 +15,15 @@
 )
 
 // edited returns a version of the table whose mark is one more service.
-func edited(version int, mark string) string {
+func tableWithMark(version int, mark string) string {
 	return table(version, 4) + fmt.Sprintf("\n[[service]]\nname = %q\nmodel = \"tank\"\npriority = 5\ndeadline = 20000\nmax = 512\n", mark)
 }
 
 // away stands for an entry that doesn't answer.
-const away = "away"
+const unreachableMark = "away"
 
 // once uses a connection for each request.
-var once = mgdial.NewClient()
+var perRequestClient = mgdial.NewClient()
 
 // marks returns the mark of the table in force at each entry. One response
 // shows it, so that it can't be taken from two tables.
@@ -41,9 +41,9 @@
 		f.t.Fatal(err)
 	}
 	r.Header.Set("Authorization", "Bearer sample-tankline")
-	response, err := mgdial.Do(once, r)
+	response, err := mgdial.Do(perRequestClient, r)
 	if err != nil {
-		return away
+		return unreachableMark
 	}
 	defer response.Body.Close()
 	var list struct {
@@ -52,7 +52,7 @@
 		} `json:"data"`
 	}
 	if response.StatusCode != http.StatusOK || json.NewDecoder(response.Body).Decode(&list) != nil {
-		return away
+		return unreachableMark
 	}
 	mark := ""
 	for _, model := range list.Data {
@@ -66,47 +66,47 @@
 // moves waits until a table is in force at each entry, by its mark, and reports
 // what was seen on the way besides it and the table before: nothing else may be
 // in force, nor the old one come back.
-func (f *fleet) moves(from, to string) []string {
+func (f *fleet) awaitTable(from, to string) []string {
 	f.t.Helper()
-	var odd []string
+	var anomalies []string
 	arrived := make([]bool, len(f.entries))
-	until(f.t, "in force everywhere: "+to, func() bool {
+	waitFor(f.t, "in force everywhere: "+to, func() bool {
 		everywhere := true
 		for i, mark := range f.marks() {
 			reverted := arrived[i] && mark != to
-			if reverted || mark != from && mark != to && mark != away {
-				odd = append(odd, fmt.Sprintf("entry %d goes by %q", i, mark))
+			if reverted || mark != from && mark != to && mark != unreachableMark {
+				anomalies = append(anomalies, fmt.Sprintf("entry %d goes by %q", i, mark))
 			}
 			arrived[i] = arrived[i] || mark == to
 			everywhere = everywhere && mark == to
 		}
 		return everywhere
 	})
-	return odd
+	return anomalies
 }
 
 // edit publishes a version of the table by its mark.
 func (f *fleet) edit(version int, mark string) {
 	f.t.Helper()
-	post(f.t, f.standins["platform"]+"/standin/table", edited(version, mark))
+	post(f.t, f.standins["platform"]+"/standin/table", tableWithMark(version, mark))
 }
 
 // An edit is a step of operators' work and what must come of it.
-type edit struct {
+type editCase struct {
 	name string
-	play func(f *fleet) []string // returns what is wrong
+	run  func(f *fleet) []string // returns what is wrong
 }
 
-var edits = []edit{
+var editCases = []editCase{
 	{
 		name: "made by two operators at once is alike everywhere",
-		play: func(f *fleet) []string {
+		run: func(f *fleet) []string {
 			var both sync.WaitGroup
 			for _, mark := range []string{"harbour", "crew"} {
 				both.Go(func() { f.edit(2, mark) })
 			}
 			both.Wait()
-			until(f.t, "one of the two in force on both entries", func() bool {
+			waitFor(f.t, "one of the two in force on both entries", func() bool {
 				marks := f.marks()
 				return marks[0] == marks[1] && (marks[0] == "harbour" || marks[0] == "crew")
 			})
@@ -115,66 +115,66 @@
 	},
 	{
 		name: "made after it wins",
-		play: func(f *fleet) []string {
+		run: func(f *fleet) []string {
 			f.edit(3, "pilots")
-			return f.moves(f.marks()[0], "pilots")
+			return f.awaitTable(f.marks()[0], "pilots")
 		},
 	},
 	{
 		name: "that is older and comes late changes nothing",
-		play: func(f *fleet) []string {
+		run: func(f *fleet) []string {
 			f.edit(2, "crew")
 			f.edit(4, "harbour")
-			return f.moves("pilots", "harbour")
+			return f.awaitTable("pilots", "harbour")
 		},
 	},
 	{
 		name: "that is faulty is in force nowhere",
-		play: func(f *fleet) []string {
+		run: func(f *fleet) []string {
 			post(f.t, f.standins["platform"]+"/standin/put?key=manifest", `{"version":9,"pages":["00"]}`)
 			f.edit(10, "crew")
-			return f.moves("harbour", "crew")
+			return f.awaitTable("harbour", "crew")
 		},
 	},
 	{
 		name: "made while the platform is stale is in force once it is well",
-		play: func(f *fleet) []string {
-			f.fault("platform", mgstandin.Fault{Kind: mgstandin.Stale})
+		run: func(f *fleet) []string {
+			f.setFault("platform", mgstandin.Fault{Kind: mgstandin.Stale})
 			f.edit(11, "pilots")
-			f.fault("platform", mgstandin.Fault{Kind: mgstandin.Heal})
-			return f.moves("crew", "pilots")
+			f.setFault("platform", mgstandin.Fault{Kind: mgstandin.Heal})
+			return f.awaitTable("crew", "pilots")
 		},
 	},
 	{
 		name: "in force is so in a process that starts while the configuration service is down",
-		play: func(f *fleet) []string {
-			f.fault("platform", mgstandin.Fault{Kind: mgstandin.Down, Spare: mgplatform.ListKey})
-			defer f.fault("platform", mgstandin.Fault{Kind: mgstandin.Heal})
+		run: func(f *fleet) []string {
+			f.setFault("platform", mgstandin.Fault{Kind: mgstandin.Down, Spare: mgplatform.ListKey})
+			defer f.setFault("platform", mgstandin.Fault{Kind: mgstandin.Heal})
 			f.processes["entry-a"].restart(f.t)
-			until(f.t, "the new entry is ready", func() bool { return f.ready("entry-a") })
-			return f.moves("pilots", "pilots")
+			waitFor(f.t, "the new entry is ready", func() bool { return f.ready("entry-a") })
+			return f.awaitTable("pilots", "pilots")
 		},
 	},
 	{
 		name: "in force is so in a process that starts while it is stale",
-		play: func(f *fleet) []string {
-			f.fault("platform", mgstandin.Fault{Kind: mgstandin.Stale, Spare: mgplatform.ListKey})
+		run: func(f *fleet) []string {
+			f.setFault("platform", mgstandin.Fault{Kind: mgstandin.Stale, Spare: mgplatform.ListKey})
 			f.edit(12, "crew")
 			f.processes["entry-a"].restart(f.t)
-			until(f.t, "the new entry is ready", func() bool { return f.ready("entry-a") })
-			odd := f.moves("pilots", "pilots")
-			f.fault("platform", mgstandin.Fault{Kind: mgstandin.Heal})
-			return append(odd, f.moves("pilots", "crew")...)
+			waitFor(f.t, "the new entry is ready", func() bool { return f.ready("entry-a") })
+			anomalies := f.awaitTable("pilots", "pilots")
+			f.setFault("platform", mgstandin.Fault{Kind: mgstandin.Heal})
+			return append(anomalies, f.awaitTable("pilots", "crew")...)
 		},
 	},
 	{
 		name: "made after the links to the platform fell silent is in force all the same",
-		play: func(f *fleet) []string {
+		run: func(f *fleet) []string {
 			if f.relays["platform"].Silence() == 0 {
 				return []string{"no link to the platform was struck"}
 			}
 			f.edit(13, "tide")
-			return f.moves("crew", "tide")
+			return f.awaitTable("crew", "tide")
 		},
 	},
 }
@@ -183,15 +183,15 @@
 // A service that one entry knows and the next doesn't, or that comes and goes
 // without an edit, is what a table that isn't in force everywhere, or reverts,
 // looks like.
-func TestEdits(t *testing.T) {
+func TestTableDiffersOrReverts(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts nine processes")
 	}
 	f := newFleet(t)
 	Convey("An edit", t, func() {
-		for _, e := range edits {
+		for _, e := range editCases {
 			Convey(e.name, func() {
-				So(e.play(f), ShouldBeEmpty)
+				So(e.run(f), ShouldBeEmpty)
 			})
 		}
 	})
--- a/internal/process/mgfleet/fleet_test.go
+++ b/internal/process/mgfleet/fleet_test.go
@@ -25,15 +25,15 @@
 // three agents, their three upstreams and the platform. Callers, entries and
 // agents reach what may be cut off over relays.
 type fleet struct {
-	t         *testing.T
-	binary    string
-	folder    string
-	processes map[string]*process
-	admins    map[string]string // admin addresses of entries and agents
-	standins  map[string]string // base URLs of the stand-ins
-	relays    map[string]*mgproc.Link
-	entries   []string // base URLs for callers
-	struck    string   // the agent that the last harm chose
+	t           *testing.T
+	binary      string
+	dir         string
+	processes   map[string]*process
+	admins      map[string]string // admin addresses of entries and agents
+	standins    map[string]string // base URLs of the stand-ins
+	relays      map[string]*mgproc.Link
+	entries     []string // base URLs for callers
+	struckAgent string   // the agent that the last harm chose
 }
 
 // The upstreams and the agents beside them.
@@ -48,8 +48,8 @@
 	t.Helper()
 	f := &fleet{
 		t:         t,
-		binary:    build(t),
-		folder:    t.TempDir(),
+		binary:    buildBinary(t),
+		dir:       t.TempDir(),
 		processes: map[string]*process{},
 		admins:    map[string]string{},
 		standins:  map[string]string{},
@@ -77,8 +77,8 @@
 }
 
 // settings writes a settings file and returns its path.
-func (f *fleet) settings(name, format string, args ...any) string {
-	path := filepath.Join(f.folder, name+".toml")
+func (f *fleet) writeSettings(name, format string, args ...any) string {
+	path := filepath.Join(f.dir, name+".toml")
 	if err := os.WriteFile(path, fmt.Appendf(nil, format, args...), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 }
 
 // link puts a relay before an address and returns the relay's.
-func (f *fleet) link(name, target string) string {
+func (f *fleet) addRelay(name, target string) string {
 	r, err := mgproc.NewLink(target)
 	if err != nil {
 		f.t.Fatal(err)
@@ -106,21 +106,21 @@
 		case "platform":
 			kind, extra = "platform", "lag = 200\n"
 		}
-		file := f.settings(name, "listen = %q\n%s", addrs[i], extra)
-		f.processes[name] = start(f.t, f.binary, name, "standin", kind, "--settings", file)
+		file := f.writeSettings(name, "listen = %q\n%s", addrs[i], extra)
+		f.processes[name] = startProcess(f.t, f.binary, name, "standin", kind, "--settings", file)
 		f.standins[name] = "http://" + addrs[i]
 	}
 	for name, base := range f.standins {
-		until(f.t, name+" serves", func() bool {
+		waitFor(f.t, name+" serves", func() bool {
 			status, _ := fetch(base + "/standin/counts")
 			return status == http.StatusOK
 		})
 	}
-	f.link("platform", strings.TrimPrefix(f.standins["platform"], "http://"))
+	f.addRelay("platform", strings.TrimPrefix(f.standins["platform"], "http://"))
 }
 
 // common returns the settings that entries and agents share.
-func (f *fleet) common(name, zone, peer, admin string) string {
+func (f *fleet) commonSettings(name, zone, peer, admin string) string {
 	return fmt.Sprintf("name = %q\nzone = %q\nregion = \"south\"\npeer = %q\nadmin = %q\nplatform = %q\nsecret = \"sample-secret-of-a-test\"\nspread = 0\n",
 		name, zone, peer, admin, "http://"+f.relays["platform"].Addr())
 }
@@ -128,14 +128,14 @@
 func (f *fleet) startAgent(upstream, zone string) mgplatform.VM {
 	name := upstreams[upstream]
 	addrs := freePorts(f.t, 2)
-	address := "http://" + f.link(upstream, strings.TrimPrefix(f.standins[upstream], "http://"))
-	file := f.settings(name, "%supstream = %q\naddress = %q\n", f.common(name, zone, addrs[0], addrs[1]), upstream, address)
-	f.processes[name] = start(f.t, f.binary, name, "agent", "--settings", file)
+	address := "http://" + f.addRelay(upstream, strings.TrimPrefix(f.standins[upstream], "http://"))
+	file := f.writeSettings(name, "%supstream = %q\naddress = %q\n", f.commonSettings(name, zone, addrs[0], addrs[1]), upstream, address)
+	f.processes[name] = startProcess(f.t, f.binary, name, "agent", "--settings", file)
 	f.admins[name] = addrs[1]
 	vm := mgplatform.VM{
 		Name:     name,
 		Kind:     mgplatform.AgentKind,
-		Addr:     f.link(name, addrs[0]),
+		Addr:     f.addRelay(name, addrs[0]),
 		Zone:     zone,
 		Region:   "south",
 		Upstream: upstream,
@@ -151,10 +151,10 @@
 
 func (f *fleet) startEntry(name, zone string) mgplatform.VM {
 	addrs := freePorts(f.t, 3)
-	file := f.settings(name, "%slisten = %q\n", f.common(name, zone, addrs[0], addrs[1]), addrs[2])
-	f.processes[name] = start(f.t, f.binary, name, "entry", "--settings", file)
+	file := f.writeSettings(name, "%slisten = %q\n", f.commonSettings(name, zone, addrs[0], addrs[1]), addrs[2])
+	f.processes[name] = startProcess(f.t, f.binary, name, "entry", "--settings", file)
 	f.admins[name] = addrs[1]
-	f.entries = append(f.entries, "http://"+f.link(name, addrs[2]))
+	f.entries = append(f.entries, "http://"+f.addRelay(name, addrs[2]))
 	return mgplatform.VM{
 		Name:   name,
 		Kind:   mgplatform.EntryKind,
@@ -232,7 +232,7 @@
 func (f *fleet) awaitReady() {
 	f.t.Helper()
 	for name := range f.admins {
-		until(f.t, name+" is ready", func() bool { return f.ready(name) })
+		waitFor(f.t, name+" is ready", func() bool { return f.ready(name) })
 	}
 }
 
@@ -250,7 +250,7 @@
 }
 
 // fault turns a stand-in's switch.
-func (f *fleet) fault(standin string, fault mgstandin.Fault) {
+func (f *fleet) setFault(standin string, fault mgstandin.Fault) {
 	f.t.Helper()
 	body, err := json.Marshal(fault)
 	if err != nil {
@@ -260,7 +260,7 @@
 }
 
 // counts reads a stand-in's counters.
-func (f *fleet) counts(standin string, counts any) {
+func (f *fleet) readCounts(standin string, counts any) {
 	f.t.Helper()
 	_, body := fetch(f.standins[standin] + "/standin/counts")
 	if err := json.Unmarshal([]byte(body), counts); err != nil {
--- a/internal/process/mgfleet/link_test.go
+++ b/internal/process/mgfleet/link_test.go
@@ -16,24 +16,24 @@
 // Something between an agent and its engine loses track of their connection in
 // the middle of a report: it neither passes bytes on nor breaks. The reader's
 // patience ends it, and the rest comes over a new connection.
-func TestLink(t *testing.T) {
+func TestLinkFailureLosesTokens(t *testing.T) {
 	cases := []struct {
-		name string
-		harm func(r *mgproc.Link) int
+		name   string
+		inject func(r *mgproc.Link) int
 	}{
 		{
-			name: "cut",
-			harm: func(r *mgproc.Link) int { return r.Cut() },
+			name:   "cut",
+			inject: func(r *mgproc.Link) int { return r.Cut() },
 		},
 		{
-			name: "silent for good",
-			harm: func(r *mgproc.Link) int { return r.Silence() },
+			name:   "silent for good",
+			inject: func(r *mgproc.Link) int { return r.Silence() },
 		},
 	}
 	Convey("A report is whole although its link is", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				ctx, cancel := context.WithTimeout(context.Background(), patience)
+				ctx, cancel := context.WithTimeout(context.Background(), conditionTimeout)
 				defer cancel()
 				e := mgstandin.NewEngine(mgstandin.EngineSpec{}, mgclock.Clock{})
 				done := make(chan struct{})
@@ -59,7 +59,7 @@
 
 				text, err := readSome(ctx, client, 1, func(seq uint64) {
 					if seq == 10 {
-						So(c.harm(r), ShouldEqual, 1)
+						So(c.inject(r), ShouldEqual, 1)
 					}
 				})
 				So(mgengine.KindOf(err), ShouldEqual, mgengine.Broken)
@@ -77,7 +77,7 @@
 }
 
 // silence is the patience of a reader whose link gives no sign of life.
-const silence = 3 * time.Second
+const silenceTimeout = 3 * time.Second
 
 // readSome reads tokens from seq on until the stream ends or its reader loses
 // patience.
@@ -89,7 +89,7 @@
 	defer stream.Close()
 	var text []string
 	for {
-		alive, cancel := context.WithTimeout(ctx, silence)
+		alive, cancel := context.WithTimeout(ctx, silenceTimeout)
 		token, err := stream.Next(alive)
 		cancel()
 		if err != nil || token.End != "" {
--- a/internal/process/mgfleet/load_test.go
+++ b/internal/process/mgfleet/load_test.go
@@ -16,35 +16,35 @@
 
 // The load of each scene: reports that stream while tickets are booked.
 const (
-	reports = 8
-	tickets = 8
+	reportCount = 8
+	ticketCount = 8
 	// length is the tokens of a report, about a second of an idle engine.
-	length = 150
+	reportTokens = 150
 	// fixed is the token of the first report at which a scene's harm is done.
-	fixed = 20
+	faultToken = 20
 )
 
 // harm is what a scene does to the fleet at its fixed point. It reports
 // whether it struck work in progress: a scene whose harm strikes nothing
 // proves nothing.
-type harm func(f *fleet) bool
+type injection func(f *fleet) bool
 
 // report is one answer as its caller has it.
-type report struct {
+type reportResult struct {
 	prompt string
 	answer mgclient.Answer
 	err    error
 }
 
 // ticket is one write as its caller has it.
-type ticket struct {
+type ticketResult struct {
 	operation string
 	reply     mgclient.Reply
 	err       error
 }
 
 // caller returns a caller that prefers one of the entries.
-func (f *fleet) caller(i int) *mgclient.Client {
+func (f *fleet) newClient(i int) *mgclient.Client {
 	first := i % len(f.entries)
 	return mgclient.New(mgclient.Spec{
 		Bases:   append(slices.Clone(f.entries[first:]), f.entries[:first]...),
@@ -57,63 +57,63 @@
 }
 
 // outcome is what callers of a scene got.
-type outcome struct {
-	reports []report
-	tickets []ticket
-	struck  bool
+type loadResult struct {
+	reports []reportResult
+	tickets []ticketResult
+	hitWork bool
 }
 
 // play sends a scene's load, does its harm once each report has begun and the
 // first is at the fixed point, and returns what callers got once all have an
 // answer or a problem.
-func (f *fleet) play(ctx context.Context, scene string, do harm) outcome {
-	var once sync.Once
-	var callers, begun sync.WaitGroup
-	struck := false
-	harmed := make(chan struct{})
-	begun.Add(reports)
-	reported := make([]report, reports)
-	booked := make([]ticket, tickets)
-	for i := range reports {
+func (f *fleet) runLoad(ctx context.Context, scenarioName string, inject injection) loadResult {
+	var injectOnce sync.Once
+	var callers, allStarted sync.WaitGroup
+	hitWork := false
+	injected := make(chan struct{})
+	allStarted.Add(reportCount)
+	reports := make([]reportResult, reportCount)
+	tickets := make([]ticketResult, ticketCount)
+	for i := range reportCount {
 		callers.Go(func() {
-			first := sync.OnceFunc(begun.Done)
+			first := sync.OnceFunc(allStarted.Done)
 			defer first()
-			reported[i] = f.report(ctx, scene, i, func(token mgclient.Token) error {
+			reports[i] = f.sendReport(ctx, scenarioName, i, func(token mgclient.Token) error {
 				first()
-				if token.Seq() == fixed {
-					once.Do(func() {
-						begun.Wait()
-						struck = do(f)
-						close(harmed)
+				if token.Seq() == faultToken {
+					injectOnce.Do(func() {
+						allStarted.Wait()
+						hitWork = inject(f)
+						close(injected)
 					})
 				}
 				return nil
 			})
 		})
 	}
-	for i := range tickets {
+	for i := range ticketCount {
 		callers.Go(func() {
 			// Half of the tickets come after the harm.
 			if i%2 == 1 {
 				select {
-				case <-harmed:
+				case <-injected:
 				case <-ctx.Done():
 				}
 			}
-			booked[i] = f.book(ctx, scene, i)
+			tickets[i] = f.bookTicket(ctx, scenarioName, i)
 		})
 	}
 	callers.Wait()
-	return outcome{
-		reports: reported,
-		tickets: booked,
-		struck:  struck,
+	return loadResult{
+		reports: reports,
+		tickets: tickets,
+		hitWork: hitWork,
 	}
 }
 
-func (f *fleet) report(ctx context.Context, scene string, i int, each func(mgclient.Token) error) report {
-	prompt := fmt.Sprintf("%s, report %d, len=%d.", scene, i, length)
-	answer, err := f.caller(i).Complete(ctx, mgclient.Request{
+func (f *fleet) sendReport(ctx context.Context, scenarioName string, i int, each func(mgclient.Token) error) reportResult {
+	prompt := fmt.Sprintf("%s, report %d, len=%d.", scenarioName, i, reportTokens)
+	answer, err := f.newClient(i).Complete(ctx, mgclient.Request{
 		Model: "report",
 		Messages: []mgclient.Message{
 			{
@@ -122,18 +122,18 @@
 			},
 		},
 	}, each)
-	return report{
+	return reportResult{
 		prompt: prompt,
 		answer: answer,
 		err:    err,
 	}
 }
 
-func (f *fleet) book(ctx context.Context, scene string, i int) ticket {
-	client := f.caller(i)
+func (f *fleet) bookTicket(ctx context.Context, scenarioName string, i int) ticketResult {
+	client := f.newClient(i)
 	operation, err := client.Mint(ctx, "ticket")
 	if err != nil {
-		return ticket{
+		return ticketResult{
 			err: err,
 		}
 	}
@@ -142,26 +142,28 @@
 		Method:    http.MethodPost,
 		Path:      "/book",
 		Mime:      "text/plain",
-		Body:      body(scene, i),
+		Body:      ticketBody(scenarioName, i),
 		Operation: operation,
 	})
-	return ticket{
+	return ticketResult{
 		operation: operation,
 		reply:     reply,
 		err:       err,
 	}
 }
 
-func body(scene string, i int) []byte { return fmt.Appendf(nil, "%s, ticket %d", scene, i) }
+func ticketBody(scenarioName string, i int) []byte {
+	return fmt.Appendf(nil, "%s, ticket %d", scenarioName, i)
+}
 
 // engines returns what both engines generated.
-func (f *fleet) engines() mgstandin.EngineCounts {
+func (f *fleet) engineCounts() mgstandin.EngineCounts {
 	all := mgstandin.EngineCounts{
 		Generations: map[string]mgstandin.Record{},
 	}
 	for _, name := range []string{"engine-a", "engine-b"} {
 		var counts mgstandin.EngineCounts
-		f.counts(name, &counts)
+		f.readCounts(name, &counts)
 		for id, record := range counts.Generations {
 			record.Starts += all.Generations[id].Starts
 			all.Generations[id] = record
@@ -172,23 +174,23 @@
 
 // checkReports compares what callers got with what the engines generated and
 // returns what is wrong. Lossless is whether the scene may lose no report.
-func (f *fleet) checkReports(reported []report, lossless bool) []string {
-	var wrong []string
-	engines := f.engines()
+func (f *fleet) checkReports(reports []reportResult, lossless bool) []string {
+	var violations []string
+	engines := f.engineCounts()
 	for id, record := range engines.Generations {
 		if record.Starts != 1 {
-			wrong = append(wrong, fmt.Sprintf("generation %s was started %d times", id, record.Starts))
+			violations = append(violations, fmt.Sprintf("generation %s was started %d times", id, record.Starts))
 		}
 	}
-	for _, r := range reported {
+	for _, r := range reports {
 		if fault := checkReport(engines, r, lossless); fault != "" {
-			wrong = append(wrong, r.prompt+" "+fault)
+			violations = append(violations, r.prompt+" "+fault)
 		}
 	}
-	return wrong
+	return violations
 }
 
-func checkReport(engines mgstandin.EngineCounts, r report, lossless bool) string {
+func checkReport(engines mgstandin.EngineCounts, r reportResult, lossless bool) string {
 	text := r.answer.Text()
 	if r.err == nil {
 		id, record, found := engines.Find(text)
@@ -197,7 +199,7 @@
 			return fmt.Sprintf("the text of %d tokens is no generation's", r.answer.Tokens())
 		case !strings.Contains(record.Prompt, r.prompt):
 			return fmt.Sprintf("crossed: generation %s was for %q", id, record.Prompt)
-		case record.Tokens != length:
+		case record.Tokens != reportTokens:
 			return fmt.Sprintf("generation %s has %d tokens", id, record.Tokens)
 		}
 		return ""
@@ -210,41 +212,41 @@
 
 // checkProblem checks that a report that isn't whole is told so truly: it is
 // the beginning of one generation, and not told not run where one began.
-func checkProblem(engines mgstandin.EngineCounts, r report) string {
-	beginning := r.answer.Tokens() == 0
+func checkProblem(engines mgstandin.EngineCounts, r reportResult) string {
+	isPrefix := r.answer.Tokens() == 0
 	for id, record := range engines.Generations {
-		mine := strings.Contains(record.Prompt, r.prompt)
-		beginning = beginning || mine && mgstandin.Whole(id, int(r.answer.Tokens())) == r.answer.Text()
+		sameRequest := strings.Contains(record.Prompt, r.prompt)
+		isPrefix = isPrefix || sameRequest && mgstandin.Whole(id, int(r.answer.Tokens())) == r.answer.Text()
 	}
 	switch {
-	case mgproblem.From(r.err).Outcome() == mgproblem.NotRun && began(engines, r.prompt):
+	case mgproblem.From(r.err).Outcome() == mgproblem.NotRun && wasStarted(engines, r.prompt):
 		return "told not run, and a generation began: " + r.err.Error()
-	case !beginning:
+	case !isPrefix:
 		return "what came is the beginning of no generation"
 	}
 	return ""
 }
 
 // checkTickets compares what callers got with what the service ran.
-func (f *fleet) checkTickets(scene string, booked []ticket, lossless bool) []string {
-	var wrong []string
+func (f *fleet) checkTickets(scenarioName string, tickets []ticketResult, lossless bool) []string {
+	var violations []string
 	var counts mgstandin.ServiceCounts
-	f.counts("books", &counts)
+	f.readCounts("books", &counts)
 	for operation, runs := range counts.Runs {
 		if runs > 1 {
-			wrong = append(wrong, fmt.Sprintf("operation %s ran %d times", operation, runs))
+			violations = append(violations, fmt.Sprintf("operation %s ran %d times", operation, runs))
 		}
 	}
-	for i, b := range booked {
+	for i, b := range tickets {
 		runs := counts.Runs[b.operation]
-		if fault := checkTicket(body(scene, i), b, runs, lossless); fault != "" {
-			wrong = append(wrong, fmt.Sprintf("ticket %d, run %d times: %s", i, runs, fault))
+		if fault := checkTicket(ticketBody(scenarioName, i), b, runs, lossless); fault != "" {
+			violations = append(violations, fmt.Sprintf("ticket %d, run %d times: %s", i, runs, fault))
 		}
 	}
-	return wrong
+	return violations
 }
 
-func checkTicket(sent []byte, b ticket, runs int, lossless bool) string {
+func checkTicket(sent []byte, b ticketResult, runs int, lossless bool) string {
 	if b.err == nil && b.reply.Status == http.StatusServiceUnavailable {
 		if runs > 0 {
 			return "refused by the service, and run"
--- a/internal/process/mgfleet/notrun_test.go
+++ b/internal/process/mgfleet/notrun_test.go
@@ -16,7 +16,7 @@
 // and the other one with it. The entry looks for another place and finds none.
 // The caller has seen nothing, yet the report did run for a while: "not run"
 // would be the outcome of the last search, told as that of the whole request.
-func TestLostBeforeFirstToken(t *testing.T) {
+func TestFalseNotRunBeforeFirstToken(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts nine processes")
 	}
@@ -24,12 +24,12 @@
 	Convey("A report that ran is never told not run", t, func() {
 		for _, engine := range []string{"engine-a", "engine-b"} {
 			// A step takes seconds, so that no token comes in time.
-			f.fault(engine, mgstandin.Fault{
+			f.setFault(engine, mgstandin.Fault{
 				Kind:   mgstandin.Slow,
 				Factor: 1000,
 			})
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), sessionBound)
+		ctx, cancel := context.WithTimeout(context.Background(), sessionTimeout)
 		defer cancel()
 		client := mgclient.New(mgclient.Spec{
 			Bases: f.entries,
@@ -49,9 +49,9 @@
 			}, nil)
 			ended <- err
 		}()
-		until(t, "the report has begun", func() bool { return began(f.engines(), "lost, len=10.") })
+		waitFor(t, "the report has begun", func() bool { return wasStarted(f.engineCounts(), "lost, len=10.") })
 		for _, engine := range []string{"engine-a", "engine-b"} {
-			f.fault(engine, mgstandin.Fault{
+			f.setFault(engine, mgstandin.Fault{
 				Kind: mgstandin.Die,
 			})
 		}
@@ -62,7 +62,7 @@
 }
 
 // began reports whether an engine has begun a generation for a prompt.
-func began(engines mgstandin.EngineCounts, prompt string) bool {
+func wasStarted(engines mgstandin.EngineCounts, prompt string) bool {
 	for _, record := range engines.Generations {
 		if strings.Contains(record.Prompt, prompt) {
 			return true
--- a/internal/process/mgfleet/process_test.go
+++ b/internal/process/mgfleet/process_test.go
@@ -16,13 +16,13 @@
 
 // patience bounds each wait for a condition. A condition that hasn't come by
 // then never comes; no verdict depends on how fast it came.
-const patience = 30 * time.Second
+const conditionTimeout = 30 * time.Second
 
 // glance is the interval at which a condition is looked at.
-const glance = 5 * time.Millisecond
+const pollInterval = 5 * time.Millisecond
 
 // build builds the binary and returns its path.
-func build(t *testing.T) string {
+func buildBinary(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "marjoramgauge")
 	args := []string{"build", "-o", binary}
@@ -42,7 +42,7 @@
 }
 
 // start starts a process; the test's end kills it.
-func start(t *testing.T, binary, name string, args ...string) *process {
+func startProcess(t *testing.T, binary, name string, args ...string) *process {
 	t.Helper()
 	p, err := mgproc.Start(binary, name, args...)
 	if err != nil {
@@ -79,11 +79,11 @@
 }
 
 // until waits for a condition and fails the test when it never comes.
-func until(t *testing.T, what string, condition func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	tick := time.NewTicker(glance)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	deadline := time.After(patience)
+	deadline := time.After(conditionTimeout)
 	for !condition() {
 		select {
 		case <-tick.C:
--- a/internal/process/mgfleet/writes_test.go
+++ b/internal/process/mgfleet/writes_test.go
@@ -16,43 +16,43 @@
 
 const (
 	// writes is the number of tickets, clerks how many are booked at once.
-	writes = 2000
-	clerks = 16
+	totalTickets = 2000
+	clientCount  = 16
 	// between is the number of tickets from one fault to the next.
-	between = 150
+	ticketsPerFault = 150
 	// shortPause lets the clerks' calls run into the pause of a process.
 	shortPause = 500 * time.Millisecond
 )
 
 // mishaps follow one another, each between so many tickets.
-var mishaps = []func(f *fleet){
-	strike(mgstandin.Lost),
-	strike(mgstandin.Early),
-	strike(mgstandin.Refuse),
+var faults = []func(f *fleet){
+	serviceFault(mgstandin.Lost),
+	serviceFault(mgstandin.Early),
+	serviceFault(mgstandin.Refuse),
 	func(f *fleet) { f.relays["books"].Cut() },
 	func(f *fleet) { f.relays["agent-c"].Cut() },
 	func(f *fleet) { f.relays["agent-c"].Silence() },
 	func(f *fleet) { f.processes["agent-c"].restart(f.t) },
 	func(f *fleet) { f.relays["entry-a"].Cut() },
 	func(f *fleet) { f.processes["entry-a"].restart(f.t) },
-	func(f *fleet) { doze(f, "agent-c") },
-	func(f *fleet) { doze(f, "entry-b") },
+	func(f *fleet) { pauseBriefly(f, "agent-c") },
+	func(f *fleet) { pauseBriefly(f, "entry-b") },
 	func(f *fleet) { f.processes["agent-c"].restart(f.t) },
-	strike(mgstandin.Lost),
+	serviceFault(mgstandin.Lost),
 }
 
 // strike lets a fault of the service strike some of its calls.
-func strike(kind string) func(f *fleet) {
+func serviceFault(kind string) func(f *fleet) {
 	return func(f *fleet) {
-		f.fault("books", mgstandin.Fault{
+		f.setFault("books", mgstandin.Fault{
 			Kind:  kind,
-			Times: clerks,
+			Times: clientCount,
 		})
 	}
 }
 
 // doze pauses a process for a while.
-func doze(f *fleet, name string) {
+func pauseBriefly(f *fleet, name string) {
 	f.processes[name].signal(f.t, syscall.SIGSTOP)
 	time.AfterFunc(shortPause, func() { f.processes[name].signal(f.t, syscall.SIGCONT) })
 }
@@ -60,24 +60,24 @@
 // Clerks book tickets all day, and one thing after another goes wrong around
 // them. A ticket that is booked twice moves two barrels for one; one that is
 // told not run and ran makes the clerk book it again, which is the same.
-func TestWrites(t *testing.T) {
+func TestTicketBookedTwice(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts nine processes")
 	}
 	f := newFleet(t)
 	Convey("No ticket is booked twice or wrongly told not run", t, func() {
-		ctx, cancel := context.WithTimeout(context.Background(), sessionBound)
+		ctx, cancel := context.WithTimeout(context.Background(), sessionTimeout)
 		defer cancel()
 		var next atomic.Int64
-		booked := make([]ticket, writes)
+		booked := make([]ticketResult, totalTickets)
 		var all sync.WaitGroup
-		for range clerks {
+		for range clientCount {
 			all.Go(func() {
-				for i := int(next.Add(1)) - 1; i < writes; i = int(next.Add(1)) - 1 {
-					if n := i / between; i%between == 0 && n > 0 && n <= len(mishaps) {
-						mishaps[n-1](f)
+				for i := int(next.Add(1)) - 1; i < totalTickets; i = int(next.Add(1)) - 1 {
+					if n := i / ticketsPerFault; i%ticketsPerFault == 0 && n > 0 && n <= len(faults) {
+						faults[n-1](f)
 					}
-					booked[i] = f.book(ctx, "a day", i)
+					booked[i] = f.bookTicket(ctx, "a day", i)
 				}
 			})
 		}
@@ -91,7 +91,7 @@
 			}
 			outcomes[outcome]++
 		}
-		t.Logf("%d writes, %d mishaps: %v", writes, len(mishaps), outcomes)
-		So(outcomes[mgproblem.Done], ShouldBeGreaterThan, writes*9/10)
+		t.Logf("%d writes, %d mishaps: %v", totalTickets, len(faults), outcomes)
+		So(outcomes[mgproblem.Done], ShouldBeGreaterThan, totalTickets*9/10)
 	})
 }
