--- a/internal/process/mgadmin/admin.go
+++ b/internal/process/mgadmin/admin.go
@@ -39,28 +39,28 @@
 // Routes returns the listener's handler.
 func (a *Admin) Routes(set *mgmetric.Set) http.Handler {
 	router := chi.NewRouter()
-	router.Get("/health", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, "alive") })
-	router.Get("/ready", a.readiness)
-	router.Get("/dump", a.dump)
+	router.Get("/health", func(w http.ResponseWriter, _ *http.Request) { writeText(w, http.StatusOK, "alive") })
+	router.Get("/ready", a.serveReady)
+	router.Get("/dump", a.serveDump)
 	router.Handle("/metrics", set)
 	return router
 }
 
-func (a *Admin) readiness(w http.ResponseWriter, _ *http.Request) {
+func (a *Admin) serveReady(w http.ResponseWriter, _ *http.Request) {
 	check := a.ready.Load()
 	if check == nil {
-		write(w, http.StatusServiceUnavailable, "starting")
+		writeText(w, http.StatusServiceUnavailable, "starting")
 		return
 	}
 	ok, why := (*check)()
 	if !ok {
-		write(w, http.StatusServiceUnavailable, why)
+		writeText(w, http.StatusServiceUnavailable, why)
 		return
 	}
-	write(w, http.StatusOK, "ready")
+	writeText(w, http.StatusOK, "ready")
 }
 
-func (a *Admin) dump(w http.ResponseWriter, _ *http.Request) {
+func (a *Admin) serveDump(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
@@ -82,7 +82,7 @@
 	return state
 }
 
-func write(w http.ResponseWriter, status int, text string) {
+func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
 	_, _ = w.Write([]byte(text + "\n"))
--- a/internal/process/mglog/burst_test.go
+++ b/internal/process/mglog/burst_test.go
@@ -11,10 +11,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-var toldDrops = regexp.MustCompile(`"dropped":(\d+)`)
+var droppedField = regexp.MustCompile(`"dropped":(\d+)`)
 
 // Every request of a second fails, and their lines fill the collector's disk.
-func TestBurst(t *testing.T) {
+func TestBurstUnlimited(t *testing.T) {
 	Convey("A burst of lines is bounded, and each that was dropped is told", t, func() {
 		const lines = 10_000
 		var got bytes.Buffer
@@ -30,10 +30,10 @@
 		}
 		So(queue.Close(), ShouldBeNil)
 		written := strings.Count(got.String(), "a request failed")
-		So(written, ShouldBeLessThanOrEqualTo, lineBurst+lineRate)
+		So(written, ShouldBeLessThanOrEqualTo, maxLineBurst+maxLinesPerSecond)
 		So(written, ShouldBeGreaterThan, 0)
 		dropped := 0
-		for _, match := range toldDrops.FindAllStringSubmatch(got.String(), -1) {
+		for _, match := range droppedField.FindAllStringSubmatch(got.String(), -1) {
 			count, err := strconv.Atoi(match[1])
 			So(err, ShouldBeNil)
 			dropped += count
--- a/internal/process/mglog/log.go
+++ b/internal/process/mglog/log.go
@@ -29,14 +29,14 @@
 // New returns a logger that writes JSON lines to w. Level is "debug", "info"
 // or "error"; another counts as "info".
 func New(w io.Writer, level string) logr.Logger {
-	least := slog.LevelInfo
+	minLevel := slog.LevelInfo
 	switch level {
 	case "debug":
-		least = slog.LevelDebug
+		minLevel = slog.LevelDebug
 	case "error":
-		least = slog.LevelError
+		minLevel = slog.LevelError
 	}
-	handler := slog.NewJSONHandler(w, &slog.HandlerOptions{Level: least})
+	handler := slog.NewJSONHandler(w, &slog.HandlerOptions{Level: minLevel})
 	return logr.FromSlogHandler(handler)
 }
 
--- a/internal/process/mglog/queue_test.go
+++ b/internal/process/mglog/queue_test.go
@@ -10,23 +10,23 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mglog"
 )
 
-// blocked is a reader of the log that stands still until it is let go.
-type blocked struct {
-	free chan struct{}
-	got  bytes.Buffer
+// stalledWriter is a reader of the log that stands still until it is let go.
+type stalledWriter struct {
+	released chan struct{}
+	got      bytes.Buffer
 }
 
-func (b *blocked) Write(line []byte) (int, error) {
-	<-b.free
+func (b *stalledWriter) Write(line []byte) (int, error) {
+	<-b.released
 	return b.got.Write(line)
 }
 
 // The collector of the logs stands still. Every request that logs a line waits
 // for it, and callers see answers come to a halt for a reason that is not the
 // system's work.
-func TestBlockedLog(t *testing.T) {
+func TestStalledLogBlocksRequests(t *testing.T) {
 	Convey("A log that nobody reads holds up nobody", t, func() {
-		reader := &blocked{free: make(chan struct{})}
+		reader := &stalledWriter{released: make(chan struct{})}
 		queue := mglog.NewQueue(reader)
 		log := mglog.New(queue, "info")
 		for n := range 5000 {
@@ -35,7 +35,7 @@
 		dropped := queue.Dropped()
 		So(dropped, ShouldBeGreaterThan, 3000)
 		Convey("and says what it lost", func() {
-			close(reader.free)
+			close(reader.released)
 			So(queue.Close(), ShouldBeNil)
 			text := reader.got.String()
 			So(text, ShouldContainSubstring, `"msg":"log lines were dropped"`)
--- a/internal/process/mgmetric/metric.go
+++ b/internal/process/mgmetric/metric.go
@@ -15,12 +15,12 @@
 // the recent ones; both are go-metrics' customary values for the exponentially
 // decaying sample (Cormode et al. 2009).
 const (
-	reservoir = 1028
-	alpha     = 0.015
+	reservoirSize = 1028
+	decayAlpha    = 0.015
 )
 
 // prefix stands before each name in the Prometheus text format.
-const prefix = "marjoramgauge_"
+const namePrefix = "marjoramgauge_"
 
 // A Set is the metrics of one process. The zero Set is not usable; see New.
 type Set struct {
@@ -45,7 +45,7 @@
 // Histogram returns the histogram of that name; its values are in ms.
 func (s *Set) Histogram(name string) metrics.Histogram {
 	return s.registry.GetOrRegister(name, func() metrics.Histogram {
-		return metrics.NewHistogram(metrics.NewExpDecaySample(reservoir, alpha))
+		return metrics.NewHistogram(metrics.NewExpDecaySample(reservoirSize, decayAlpha))
 	}).(metrics.Histogram)
 }
 
@@ -53,14 +53,14 @@
 // scraper that accepts text/plain or asks for format=text.
 func (s *Set) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("format") == "text" || strings.Contains(r.Header.Get("Accept"), "text/plain") {
-		s.text(w, r)
+		s.serveText(w, r)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	metrics.WriteJSONOnce(s.registry, w)
 }
 
-func (s *Set) text(w http.ResponseWriter, r *http.Request) {
+func (s *Set) serveText(w http.ResponseWriter, r *http.Request) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collector{registry: s.registry})
 	promhttp.HandlerFor(registry, promhttp.HandlerOpts{}).ServeHTTP(w, r)
@@ -79,27 +79,27 @@
 	c.registry.Each(func(name string, value any) {
 		switch m := value.(type) {
 		case metrics.Counter:
-			out <- constant(name, prometheus.CounterValue, float64(m.Count()))
+			out <- newConstMetric(name, prometheus.CounterValue, float64(m.Count()))
 		case metrics.Gauge:
-			out <- constant(name, prometheus.GaugeValue, float64(m.Value()))
+			out <- newConstMetric(name, prometheus.GaugeValue, float64(m.Value()))
 		case metrics.Histogram:
-			out <- summary(name, m.Snapshot())
+			out <- newSummary(name, m.Snapshot())
 		}
 	})
 }
 
-func describe(name string) *prometheus.Desc {
-	return prometheus.NewDesc(prefix+strings.ReplaceAll(name, ".", "_"), name, nil, nil)
+func newDesc(name string) *prometheus.Desc {
+	return prometheus.NewDesc(namePrefix+strings.ReplaceAll(name, ".", "_"), name, nil, nil)
 }
 
-func constant(name string, kind prometheus.ValueType, value float64) prometheus.Metric {
-	return prometheus.MustNewConstMetric(describe(name), kind, value)
+func newConstMetric(name string, kind prometheus.ValueType, value float64) prometheus.Metric {
+	return prometheus.MustNewConstMetric(newDesc(name), kind, value)
 }
 
-func summary(name string, h metrics.Histogram) prometheus.Metric {
+func newSummary(name string, h metrics.Histogram) prometheus.Metric {
 	quantiles := map[float64]float64{}
 	for _, q := range []float64{0.5, 0.95, 0.99} {
 		quantiles[q] = h.Percentile(q)
 	}
-	return prometheus.MustNewConstSummary(describe(name), uint64(h.Count()), float64(h.Sum()), quantiles)
+	return prometheus.MustNewConstSummary(newDesc(name), uint64(h.Count()), float64(h.Sum()), quantiles)
 }
--- a/internal/process/mgsettings/reference.go
+++ b/internal/process/mgsettings/reference.go
@@ -11,35 +11,35 @@
 func Reference(settings any) string {
 	var b strings.Builder
 	b.WriteString("| key | meaning | unit | default | bounds |\n|---|---|---|---|---|\n")
-	rows(&b, "", reflect.TypeOf(settings))
+	writeRows(&b, "", reflect.TypeOf(settings))
 	return b.String()
 }
 
-func rows(b *strings.Builder, prefix string, kind reflect.Type) {
+func writeRows(b *strings.Builder, prefix string, kind reflect.Type) {
 	for i := range kind.NumField() {
 		field := kind.Field(i)
-		name := join(prefix, field.Tag.Get("toml"))
+		name := joinKey(prefix, field.Tag.Get("toml"))
 		switch {
 		case field.Anonymous:
-			rows(b, prefix, field.Type)
+			writeRows(b, prefix, field.Type)
 		case field.Type.Kind() == reflect.Struct:
 			fmt.Fprintf(b, "| `[%s]` | %s | | | |\n", name, field.Tag.Get("help"))
-			rows(b, name, field.Type)
+			writeRows(b, name, field.Type)
 		default:
 			fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s |\n", name, field.Tag.Get("help"),
-				field.Tag.Get("unit"), standard(field), limits(field))
+				field.Tag.Get("unit"), defaultText(field), boundsText(field))
 		}
 	}
 }
 
-func standard(field reflect.StructField) string {
+func defaultText(field reflect.StructField) string {
 	if field.Tag.Get("need") != "" {
 		return "required"
 	}
 	return field.Tag.Get("default")
 }
 
-func limits(field reflect.StructField) string {
+func boundsText(field reflect.StructField) string {
 	if choice := field.Tag.Get("choice"); choice != "" {
 		return strings.ReplaceAll(choice, "|", ", ")
 	}
--- a/internal/process/mgsettings/reference_test.go
+++ b/internal/process/mgsettings/reference_test.go
@@ -13,14 +13,14 @@
 
 var update = flag.Bool("update", false, "rewrite the settings' tables in docs/OPERATIONS.md")
 
-// page is the operators' page, whose tables of settings come from the types.
-const page = "../../../docs/OPERATIONS.md"
+// operationsPage is the operators' operationsPage, whose tables of settings come from the types.
+const operationsPage = "../../../docs/OPERATIONS.md"
 
 // An operator looks up a key and finds a default that the program no longer
 // has: the page was written by hand and the type changed after it.
-func TestReference(t *testing.T) {
+func TestReferenceOutdated(t *testing.T) {
 	Convey("docs/OPERATIONS.md has the settings as they are", t, func() {
-		data, err := os.ReadFile(page)
+		data, err := os.ReadFile(operationsPage)
 		So(err, ShouldBeNil)
 		text := string(data)
 		for name, settings := range map[string]any{
@@ -40,7 +40,7 @@
 			So(have, ShouldEqual, want)
 		}
 		if *update {
-			So(os.WriteFile(page, []byte(text), 0o644), ShouldBeNil)
+			So(os.WriteFile(operationsPage, []byte(text), 0o644), ShouldBeNil)
 		}
 	})
 }
--- a/internal/process/mgsettings/settings.go
+++ b/internal/process/mgsettings/settings.go
@@ -15,7 +15,7 @@
 )
 
 // maxFile bounds a settings file in bytes; the longest sample has under 2 kB.
-const maxFile = 1 << 20
+const maxFileSize = 1 << 20
 
 // Load reads the settings file at path into target, a pointer to a struct.
 // The error is a *Faults when the file's content is at fault.
@@ -31,25 +31,25 @@
 // each fault. Keys that data lacks get their defaults.
 func Parse(name string, data []byte, target any) error {
 	faults := &Faults{name: name}
-	if len(data) > maxFile {
+	if len(data) > maxFileSize {
 		faults.add(0, "(file)", "larger than 1 MiB", "give a settings file")
 		return faults
 	}
 	tree := map[string]any{}
 	if err := toml.Unmarshal(data, &tree); err != nil {
-		return syntax(faults, err)
+		return syntaxFault(faults, err)
 	}
 	reader := reader{
 		faults: faults,
-		lines:  lines(data),
+		lines:  keyLines(data),
 	}
-	reader.fill("", tree, reflect.ValueOf(target).Elem())
+	reader.fillStruct("", tree, reflect.ValueOf(target).Elem())
 	return faults.orNil()
 }
 
 // syntax reports a file that isn't TOML. Nothing after the place can be
 // trusted, so it is the only fault.
-func syntax(faults *Faults, err error) error {
+func syntaxFault(faults *Faults, err error) error {
 	line := 0
 	var decode *toml.DecodeError
 	if errors.As(err, &decode) {
@@ -60,39 +60,39 @@
 }
 
 // lines maps each dotted key of the file to its line.
-func lines(data []byte) map[string]int {
-	found := map[string]int{}
+func keyLines(data []byte) map[string]int {
+	lineOf := map[string]int{}
 	table := ""
 	parser := unstable.Parser{}
 	parser.Reset(data)
 	for parser.NextExpression() {
 		node := parser.Expression()
-		key, at := dotted(node)
-		line := 1 + bytes.Count(data[:at], []byte("\n"))
+		key, offset := dottedKey(node)
+		line := 1 + bytes.Count(data[:offset], []byte("\n"))
 		switch node.Kind {
 		case unstable.Table, unstable.ArrayTable:
 			table = key
-			found[table] = line
+			lineOf[table] = line
 		case unstable.KeyValue:
-			found[join(table, key)] = line
+			lineOf[joinKey(table, key)] = line
 		}
 	}
-	return found
+	return lineOf
 }
 
-func dotted(node *unstable.Node) (string, int) {
+func dottedKey(node *unstable.Node) (string, int) {
 	parts := []string{}
-	at := 0
+	offset := 0
 	for it := node.Key(); it.Next(); {
 		if len(parts) == 0 {
-			at = int(it.Node().Raw.Offset)
+			offset = int(it.Node().Raw.Offset)
 		}
 		parts = append(parts, string(it.Node().Data))
 	}
-	return strings.Join(parts, "."), at
+	return strings.Join(parts, "."), offset
 }
 
-func join(table, key string) string {
+func joinKey(table, key string) string {
 	if table == "" {
 		return key
 	}
@@ -105,7 +105,7 @@
 	lines  map[string]int
 }
 
-func (r *reader) fill(prefix string, tree map[string]any, into reflect.Value) {
+func (r *reader) fillStruct(prefix string, tree map[string]any, into reflect.Value) {
 	known := map[string]bool{}
 	for i := range into.NumField() {
 		field := into.Type().Field(i)
@@ -116,7 +116,7 @@
 		r.fillField(prefix, tree, field, into.Field(i), known)
 	}
 	if into.Type().Name() != "" || prefix == "" {
-		r.unknown(prefix, tree, known, into.Type())
+		r.reportUnknown(prefix, tree, known, into.Type())
 	}
 }
 
@@ -132,7 +132,7 @@
 		return
 	}
 	known[name] = true
-	key := join(prefix, name)
+	key := joinKey(prefix, name)
 	value, present := tree[name]
 	if into.Kind() == reflect.Struct {
 		sub, ok := value.(map[string]any)
@@ -140,19 +140,19 @@
 			r.faults.add(r.lines[key], key, "is not a table", "write ["+key+"] and the keys below it")
 			return
 		}
-		r.fill(key, sub, into)
+		r.fillStruct(key, sub, into)
 		return
 	}
 	if !present {
-		r.absent(key, field, into)
+		r.setMissing(key, field, into)
 		return
 	}
-	r.set(key, field, value, into)
+	r.setValue(key, field, value, into)
 }
 
-func (r *reader) absent(key string, field reflect.StructField, into reflect.Value) {
-	if standard, ok := field.Tag.Lookup("default"); ok {
-		setDefault(standard, into)
+func (r *reader) setMissing(key string, field reflect.StructField, into reflect.Value) {
+	if text, ok := field.Tag.Lookup("default"); ok {
+		setDefault(text, into)
 		return
 	}
 	if field.Tag.Get("need") != "" {
@@ -177,7 +177,7 @@
 	}
 }
 
-func (r *reader) set(key string, field reflect.StructField, value any, into reflect.Value) {
+func (r *reader) setValue(key string, field reflect.StructField, value any, into reflect.Value) {
 	line := r.lines[key]
 	switch into.Kind() {
 	case reflect.String:
@@ -189,7 +189,7 @@
 		if field.Tag.Get("need") != "" && text == "" {
 			r.faults.add(line, key, "is empty", "give "+field.Tag.Get("help"))
 		}
-		r.choice(line, key, field, text)
+		r.checkChoice(line, key, field, text)
 		into.SetString(text)
 	case reflect.Bool:
 		truth, ok := value.(bool)
@@ -204,7 +204,7 @@
 			r.faults.add(line, key, "is not a whole number", "write digits without quotes")
 			return
 		}
-		if r.bounded(line, key, field, float64(number)) {
+		if r.checkBounds(line, key, field, float64(number)) {
 			into.SetInt(number)
 		}
 	case reflect.Float64:
@@ -213,7 +213,7 @@
 			r.faults.add(line, key, "is not a number", "write digits without quotes")
 			return
 		}
-		if r.bounded(line, key, field, number) {
+		if r.checkBounds(line, key, field, number) {
 			into.SetFloat(number)
 		}
 	case reflect.Slice:
@@ -250,7 +250,7 @@
 	}
 }
 
-func (r *reader) choice(line int, key string, field reflect.StructField, text string) {
+func (r *reader) checkChoice(line int, key string, field reflect.StructField, text string) {
 	allowed := field.Tag.Get("choice")
 	if allowed == "" {
 		return
@@ -263,7 +263,7 @@
 	r.faults.add(line, key, fmt.Sprintf("is %q", text), "write one of "+strings.ReplaceAll(allowed, "|", ", "))
 }
 
-func (r *reader) bounded(line int, key string, field reflect.StructField, number float64) bool {
+func (r *reader) checkBounds(line int, key string, field reflect.StructField, number float64) bool {
 	low, high := bounds(field)
 	if number >= low && number <= high {
 		return true
@@ -283,23 +283,23 @@
 	return low, high
 }
 
-func (r *reader) unknown(prefix string, tree map[string]any, known map[string]bool, kind reflect.Type) {
+func (r *reader) reportUnknown(prefix string, tree map[string]any, known map[string]bool, kind reflect.Type) {
 	for name := range tree {
 		if known[name] {
 			continue
 		}
-		key := join(prefix, name)
-		r.faults.add(r.lines[key], key, "is not a key", "remove it, or write one of "+strings.Join(names(kind), ", "))
+		key := joinKey(prefix, name)
+		r.faults.add(r.lines[key], key, "is not a key", "remove it, or write one of "+strings.Join(keyNames(kind), ", "))
 	}
 }
 
 // names returns the keys of a settings type in their order.
-func names(kind reflect.Type) []string {
+func keyNames(kind reflect.Type) []string {
 	list := []string{}
 	for i := range kind.NumField() {
 		field := kind.Field(i)
 		if field.Anonymous {
-			list = append(list, names(field.Type)...)
+			list = append(list, keyNames(field.Type)...)
 			continue
 		}
 		if name := field.Tag.Get("toml"); name != "" {
