--- a/internal/process/mgevent/bus.go
+++ b/internal/process/mgevent/bus.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// topic is the one topic: several would be several orders.
+	// topic is the only topic: several topics would not share one order.
 	topic = "control"
-	// queueMost bounds the events that wait. Control events come by the second;
-	// this many mean that a handler hangs.
+	// maxQueued is the maximum number of queued events. Control events arrive
+	// about once a second; this many mean that a handler hangs.
 	maxQueued = 4096
-	// traceMost bounds the trace.
+	// maxTrace is the maximum length of the trace.
 	maxTrace = 128
 )
 
-// ErrFull is the error of an event that was dropped.
+// ErrFull is returned by Publish for an event that was dropped.
 var ErrFull = errors.New("mgevent: the queue of control events is full: a handler hangs, see the trace in the dump")
 
-// A Bus queues events and runs their handlers. NewBus makes one.
+// A Bus queues events and runs their handlers. Create it with NewBus.
 type Bus struct {
 	clock mgclock.Clock
 
 	mu       sync.Mutex
 	handlers map[Kind][]func(Event)
 	queue    []Event       // waiting, oldest first
-	seq      uint64        // of the last event that was published
-	wake     chan struct{} // holds one signal when queue has grown
+	seq      uint64        // of the last queued event
+	wake     chan struct{} // signals that the queue is not empty; capacity 1
 	trace    []Trace
 }
 
-// NewBus returns a bus on a clock.
+// NewBus returns a bus that takes the time from clock.
 func NewBus(clock mgclock.Clock) *Bus {
 	return &Bus{
 		clock:    clock,
@@ -49,15 +49,16 @@
 	}
 }
 
-// On adds a handler for a kind of event. Handlers of a kind run in the order in
-// which they were added.
+// On registers a handler for a kind of event. Handlers of a kind run in the
+// order of their registration.
 func (b *Bus) On(kind Kind, handle func(Event)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.handlers[kind] = append(b.handlers[kind], handle)
 }
 
-// Publish queues an event and returns at once. The error is ErrFull.
+// Publish enqueues an event without waiting for its handlers. The only error is
+// ErrFull.
 func (b *Bus) Publish(kind Kind, subject, detail string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -102,7 +103,7 @@
 	return errors.Join(err, closed)
 }
 
-// pump publishes the queued events one by one.
+// pump publishes the queued events one at a time.
 func (b *Bus) pump(ctx context.Context, channel *gochannel.GoChannel) error {
 	for {
 		event, ok := b.dequeue()
@@ -114,7 +115,7 @@
 				return nil
 			}
 		}
-		// An event is numbers and strings and always has a JSON form.
+		// Marshal can't fail: an event has only numbers and strings.
 		payload, _ := json.Marshal(event)
 		m := message.NewMessage(strconv.FormatUint(event.Seq, 10), payload)
 		if err := channel.Publish(topic, m); err != nil {
@@ -123,7 +124,7 @@
 	}
 }
 
-// next takes the first queued event.
+// dequeue removes and returns the first queued event.
 func (b *Bus) dequeue() (Event, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -135,7 +136,7 @@
 	return event, true
 }
 
-// handle runs an event's handlers.
+// dispatch runs an event's handlers.
 func (b *Bus) dispatch(m *message.Message) {
 	defer m.Ack()
 	var event Event
@@ -165,7 +166,7 @@
 	}
 }
 
-// Trace returns the last handled events, the oldest first.
+// Trace returns the last handled events, oldest first.
 func (b *Bus) Trace() []Trace {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/process/mgevent/bus_test.go
+++ b/internal/process/mgevent/bus_test.go
@@ -16,9 +16,9 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func TestEventsReorderedOrBlocking(t *testing.T) {
-	Convey("Events are handled one by one, in one order", t, func() {
+	Convey("Events are handled one at a time, in one order", t, func() {
 		bus := NewBus(mgclock.Clock{})
-		var seen []uint64 // without a lock: the race detector checks the claim
+		var seen []uint64 // no lock: the race detector verifies that handlers don't overlap
 		done := make(chan struct{})
 		handle := func(e Event) {
 			seen = append(seen, e.Seq)
@@ -59,8 +59,8 @@
 	})
 }
 
-// store is control state: a version and what followed from it. Keeping both in
-// step is what a queue or a lock is for.
+// store is control state: a version and a value derived from it, which the queue
+// or the lock keeps consistent.
 type store struct {
 	mu      sync.RWMutex
 	version uint64
@@ -68,7 +68,7 @@
 	current atomic.Uint64
 }
 
-// update takes a change whose consequences need work to work out.
+// update applies a change whose derived value takes time to compute.
 func (s *store) update(version uint64) {
 	s.version = version
 	simulateWork()
@@ -76,14 +76,15 @@
 	s.current.Store(version)
 }
 
-// work stands for the adoption of an edit: about a hundred microseconds.
+// simulateWork simulates the adoption of an edit, which takes about 100
+// microseconds.
 func simulateWork() {
 	for begun := time.Now(); time.Since(begun) < 100*time.Microsecond; {
 	}
 }
 
-// BenchmarkHandled compares the time from a change to its consequences in force,
-// by a lock and by the bus.
+// BenchmarkHandled compares the time from a change until its derived value is in
+// force, with a lock and with the bus.
 func BenchmarkHandled(b *testing.B) {
 	b.Run("lock", func(b *testing.B) {
 		var s store
@@ -117,9 +118,9 @@
 	}
 }
 
-// BenchmarkRequestPath measures what a request waits for control state while
-// changes come every 200 microseconds and take half of that: under a lock that is held over the
-// change, and with the snapshot that the bus's handler replaces.
+// BenchmarkRequestPath measures how long a request waits for control state while
+// changes arrive every 200 microseconds and take half of that: with a lock held
+// during the change, and with a snapshot that the bus's handler replaces.
 func BenchmarkRequestPath(b *testing.B) {
 	b.Run("lock", func(b *testing.B) {
 		var s store
@@ -175,7 +176,7 @@
 	})
 }
 
-// blocked reports the mean and the longest time of a read.
+// measureReads reports the mean and the maximum time of a read.
 func measureReads(b *testing.B, read func()) {
 	var longest, total time.Duration
 	count := 0
@@ -191,9 +192,9 @@
 	b.ReportMetric(float64(longest.Nanoseconds()), "max-ns")
 }
 
-// BenchmarkInversions counts how often listeners learn of two changes in the
-// wrong order when a lock is given up before they are told, as it must be where
-// a listener takes locks of its own. The bus has none by its construction.
+// BenchmarkInversions counts how often listeners are notified of two changes in
+// the wrong order if the lock is released before they are notified, which is
+// necessary if a listener takes locks of its own. The bus has none by design.
 func BenchmarkInversions(b *testing.B) {
 	b.Run("lock", func(b *testing.B) {
 		var s store
--- a/internal/process/mgevent/doc.go
+++ b/internal/process/mgevent/doc.go
@@ -1,22 +1,22 @@
-// Package mgevent takes the control events of a process to their handlers: a
-// version adopted, an upstream leaving, a pause noticed.
+// Package mgevent delivers the control events of a process to their handlers: a
+// version was adopted, an upstream is leaving, a pause was detected.
 //
-// All events pass one watermill channel and are handled one after another, so
-// that a handler needs no lock of its own and no two handlers see two events in
-// different orders. The paper "Analysis of kafka controller" (doucie, 2022)
-// describes the same for a cluster's controller; its election and its
-// coordination service are not used here. What the queue costs against locks is
-// measured in docs/MEASUREMENTS.md.
+// All events pass through one watermill channel and are handled one after
+// another, so that a handler needs no lock of its own and all handlers see the
+// events in the same order. The paper "Analysis of kafka controller" (doucie,
+// 2022) describes the same for a cluster's controller; its election and its
+// coordination service are not used here. The cost of the queue compared with
+// locks is measured in docs/MEASUREMENTS.md.
 //
-// Publish never waits for a handler: it is called under locks and on the path
-// of requests. watermill's channel alone would not keep the order, as it sends
-// each message by a goroutine of its own; so the bus publishes the next event
-// when the last was acknowledged.
+// Publish never waits for a handler, because it is called under locks and on the
+// request path. A watermill channel alone would not preserve the order, since it
+// sends each message from a separate goroutine; the bus therefore publishes an
+// event only after the previous one was acknowledged.
 //
 // # Terms
 //
-//   - event: a kind, what it is about and a detail; handled once.
-//   - trace: the last events with how long they waited and took.
+//   - event: a kind, a subject and a detail; handled once.
+//   - trace: the last events, with their queueing and handling times.
 //
 // # References
 //
--- a/internal/process/mgevent/event.go
+++ b/internal/process/mgevent/event.go
@@ -2,20 +2,20 @@
 
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 
-// Kind is what happened.
+// Kind is the kind of an event.
 type Kind string
 
 // The kinds of events.
 const (
-	Adopted   Kind = "adopted"   // a version of the table is in force
-	Refused   Kind = "refused"   // a version was refused
+	Adopted   Kind = "adopted"   // a version of the table came into force
+	Refused   Kind = "refused"   // a version of the table was rejected
 	Listed    Kind = "listed"    // the list of VMs changed
-	Leaving   Kind = "leaving"   // an upstream or a process leaves
-	Paused    Kind = "paused"    // this process overslept
-	Placement Kind = "placement" // the plan of models changed
+	Leaving   Kind = "leaving"   // an upstream or a process is leaving
+	Paused    Kind = "paused"    // this process was paused
+	Placement Kind = "placement" // the assignment of models to engines changed
 )
 
-// Event is the payload of a message.
+// Event is a control event, the JSON payload of a message.
 type Event struct {
 	Seq     uint64         `json:"seq"`
 	Kind    Kind           `json:"kind"`
@@ -24,7 +24,7 @@
 	At      mgclock.Millis `json:"at"`
 }
 
-// Trace is a handled event for the dump.
+// Trace is a handled event with its times, for the dump.
 type Trace struct {
 	Event
 	Waited mgclock.Millis `json:"waited"` // from Publish to its handlers
--- a/internal/process/mgfleet/edit_test.go
+++ b/internal/process/mgfleet/edit_test.go
@@ -14,19 +14,20 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgdial"
 )
 
-// edited returns a version of the table whose mark is one more service.
+// tableWithMark returns a version of the table with one additional service,
+// named mark.
 func tableWithMark(version int, mark string) string {
 	return table(version, 4) + fmt.Sprintf("\n[[service]]\nname = %q\nmodel = \"tank\"\npriority = 5\ndeadline = 20000\nmax = 512\n", mark)
 }
 
-// away stands for an entry that doesn't answer.
+// unreachableMark stands for an entry that doesn't answer.
 const unreachableMark = "away"
 
-// once uses a connection for each request.
+// perRequestClient opens a new connection for each request.
 var perRequestClient = mgdial.NewClient()
 
-// marks returns the mark of the table in force at each entry. One response
-// shows it, so that it can't be taken from two tables.
+// marks returns the mark of the table in force at each entry. It is read from a
+// single response, so that it can't come from two tables.
 func (f *fleet) marks() []string {
 	var marks []string
 	for _, base := range f.entries {
@@ -63,9 +64,9 @@
 	return mark
 }
 
-// moves waits until a table is in force at each entry, by its mark, and reports
-// what was seen on the way besides it and the table before: nothing else may be
-// in force, nor the old one come back.
+// awaitTable waits until the table with mark to is in force at each entry. It
+// returns anomalies: an entry with a table other than the old and the new one,
+// or one that reverted to the old one.
 func (f *fleet) awaitTable(from, to string) []string {
 	f.t.Helper()
 	var anomalies []string
@@ -85,21 +86,21 @@
 	return anomalies
 }
 
-// edit publishes a version of the table by its mark.
+// edit publishes a version of the table with a mark.
 func (f *fleet) edit(version int, mark string) {
 	f.t.Helper()
 	post(f.t, f.standins["platform"]+"/standin/table", tableWithMark(version, mark))
 }
 
-// An edit is a step of operators' work and what must come of it.
+// An editCase is a step of operators' work, with the checks of its result.
 type editCase struct {
 	name string
-	run  func(f *fleet) []string // returns what is wrong
+	run  func(f *fleet) []string // returns anomalies
 }
 
 var editCases = []editCase{
 	{
-		name: "made by two operators at once is alike everywhere",
+		name: "made by two operators at once results in one table everywhere",
 		run: func(f *fleet) []string {
 			var both sync.WaitGroup
 			for _, mark := range []string{"harbour", "crew"} {
@@ -114,14 +115,14 @@
 		},
 	},
 	{
-		name: "made after it wins",
+		name: "with a newer version replaces it",
 		run: func(f *fleet) []string {
 			f.edit(3, "pilots")
 			return f.awaitTable(f.marks()[0], "pilots")
 		},
 	},
 	{
-		name: "that is older and comes late changes nothing",
+		name: "with an older version that arrives late changes nothing",
 		run: func(f *fleet) []string {
 			f.edit(2, "crew")
 			f.edit(4, "harbour")
@@ -129,7 +130,7 @@
 		},
 	},
 	{
-		name: "that is faulty is in force nowhere",
+		name: "that is invalid is in force nowhere",
 		run: func(f *fleet) []string {
 			post(f.t, f.standins["platform"]+"/standin/put?key=manifest", `{"version":9,"pages":["00"]}`)
 			f.edit(10, "crew")
@@ -137,7 +138,7 @@
 		},
 	},
 	{
-		name: "made while the platform is stale is in force once it is well",
+		name: "made while the platform is stale is in force once it has recovered",
 		run: func(f *fleet) []string {
 			f.setFault("platform", mgstandin.Fault{Kind: mgstandin.Stale})
 			f.edit(11, "pilots")
@@ -146,7 +147,7 @@
 		},
 	},
 	{
-		name: "in force is so in a process that starts while the configuration service is down",
+		name: "in force is also in force in a process that starts while the configuration service is down",
 		run: func(f *fleet) []string {
 			f.setFault("platform", mgstandin.Fault{Kind: mgstandin.Down, Spare: mgplatform.ListKey})
 			defer f.setFault("platform", mgstandin.Fault{Kind: mgstandin.Heal})
@@ -156,7 +157,7 @@
 		},
 	},
 	{
-		name: "in force is so in a process that starts while it is stale",
+		name: "in force is also in force in a process that starts while it is stale",
 		run: func(f *fleet) []string {
 			f.setFault("platform", mgstandin.Fault{Kind: mgstandin.Stale, Spare: mgplatform.ListKey})
 			f.edit(12, "crew")
@@ -168,7 +169,7 @@
 		},
 	},
 	{
-		name: "made after the links to the platform fell silent is in force all the same",
+		name: "made after the links to the platform fell silent is in force nevertheless",
 		run: func(f *fleet) []string {
 			if f.relays["platform"].Silence() == 0 {
 				return []string{"no link to the platform was struck"}
@@ -179,10 +180,9 @@
 	},
 }
 
-// Operators edit the table while the platform fails, and two of them at once.
-// A service that one entry knows and the next doesn't, or that comes and goes
-// without an edit, is what a table that isn't in force everywhere, or reverts,
-// looks like.
+// Operators edit the table while the platform fails, and two of them at once. A
+// table that isn't in force everywhere, or that reverts, shows as a service that
+// one entry knows and another doesn't, or that changes without an edit.
 func TestTableDiffersOrReverts(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts nine processes")
--- a/internal/process/mgfleet/fleet_test.go
+++ b/internal/process/mgfleet/fleet_test.go
@@ -1,10 +1,10 @@
 // Package mgfleet_test runs the built binary as separate processes on loopback
-// and plays failures at fixed points of a scripted load: kills, pauses, cut and
-// silent links, platform faults and edits of the table. What callers got is
-// compared with what the stand-ins generated and ran.
+// and injects failures at fixed points of a scripted load: kills, pauses, cut
+// and silent links, platform faults and edits of the table. What callers
+// received is compared with what the stand-ins generated and ran.
 //
-// Each wait is for a condition with a deadline that only a hang reaches, so
-// that a verdict doesn't depend on the machine's speed.
+// Each wait is for a condition, with a deadline that is reached only if
+// something hangs, so that a result doesn't depend on the machine's speed.
 package mgfleet_test
 
 import (
@@ -21,9 +21,9 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/standin/mgstandin"
 )
 
-// A fleet is a deployment of separate processes on loopback: two entries,
-// three agents, their three upstreams and the platform. Callers, entries and
-// agents reach what may be cut off over relays.
+// A fleet is a deployment of separate processes on loopback: two entries, three
+// agents, their three upstreams and the platform. Connections that a test may
+// cut pass through relays.
 type fleet struct {
 	t           *testing.T
 	binary      string
@@ -33,10 +33,10 @@
 	standins    map[string]string // base URLs of the stand-ins
 	relays      map[string]*mgproc.Link
 	entries     []string // base URLs for callers
-	struckAgent string   // the agent that the last harm chose
+	struckAgent string   // the agent into which intoBusyAgent last injected a failure
 }
 
-// The upstreams and the agents beside them.
+// upstreams maps each upstream to its agent.
 var upstreams = map[string]string{
 	"engine-a": "agent-a",
 	"engine-b": "agent-b",
@@ -76,7 +76,7 @@
 	return f
 }
 
-// settings writes a settings file and returns its path.
+// writeSettings writes a settings file and returns its path.
 func (f *fleet) writeSettings(name, format string, args ...any) string {
 	path := filepath.Join(f.dir, name+".toml")
 	if err := os.WriteFile(path, fmt.Appendf(nil, format, args...), 0o600); err != nil {
@@ -85,7 +85,7 @@
 	return path
 }
 
-// link puts a relay before an address and returns the relay's.
+// addRelay starts a relay to target and returns the relay's address.
 func (f *fleet) addRelay(name, target string) string {
 	r, err := mgproc.NewLink(target)
 	if err != nil {
@@ -119,7 +119,7 @@
 	f.addRelay("platform", strings.TrimPrefix(f.standins["platform"], "http://"))
 }
 
-// common returns the settings that entries and agents share.
+// commonSettings returns the settings that entries and agents share.
 func (f *fleet) commonSettings(name, zone, peer, admin string) string {
 	return fmt.Sprintf("name = %q\nzone = %q\nregion = \"south\"\npeer = %q\nadmin = %q\nplatform = %q\nsecret = \"sample-secret-of-a-test\"\nspread = 0\n",
 		name, zone, peer, admin, "http://"+f.relays["platform"].Addr())
@@ -166,7 +166,8 @@
 	}
 }
 
-// table returns a version of the operators' table, whose account has a weight.
+// table returns a version of the operators' table, with the weight of its
+// account.
 func table(version, weight int) string {
 	return fmt.Sprintf(`version = %d
 
@@ -223,7 +224,7 @@
 	post(f.t, f.standins["platform"]+"/standin/table", table(version, weight))
 }
 
-// ready reports whether an entry or agent takes new work.
+// ready reports whether an entry or agent accepts new work.
 func (f *fleet) ready(name string) bool {
 	status, _ := fetch("http://" + f.admins[name] + "/ready")
 	return status == http.StatusOK
@@ -249,7 +250,7 @@
 	return state[kind].Busy > 0
 }
 
-// fault turns a stand-in's switch.
+// setFault sets a stand-in's fault.
 func (f *fleet) setFault(standin string, fault mgstandin.Fault) {
 	f.t.Helper()
 	body, err := json.Marshal(fault)
@@ -259,7 +260,7 @@
 	post(f.t, f.standins[standin]+"/standin/fault", string(body))
 }
 
-// counts reads a stand-in's counters.
+// readCounts reads a stand-in's counters.
 func (f *fleet) readCounts(standin string, counts any) {
 	f.t.Helper()
 	_, body := fetch(f.standins[standin] + "/standin/counts")
--- a/internal/process/mgfleet/link_test.go
+++ b/internal/process/mgfleet/link_test.go
@@ -13,9 +13,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Something between an agent and its engine loses track of their connection in
-// the middle of a report: it neither passes bytes on nor breaks. The reader's
-// patience ends it, and the rest comes over a new connection.
+// A network element between an agent and its engine loses track of their
+// connection in the middle of a report: it neither forwards bytes nor breaks.
+// The reader's timeout must end it and the rest arrive over a new connection.
 func TestLinkFailureLosesTokens(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -30,7 +30,7 @@
 			inject: func(r *mgproc.Link) int { return r.Silence() },
 		},
 	}
-	Convey("A report is whole although its link is", t, func() {
+	Convey("A report is complete although its link is", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				ctx, cancel := context.WithTimeout(context.Background(), conditionTimeout)
@@ -76,11 +76,11 @@
 	})
 }
 
-// silence is the patience of a reader whose link gives no sign of life.
+// silenceTimeout is how long a reader waits on a link without a sign of life.
 const silenceTimeout = 3 * time.Second
 
-// readSome reads tokens from seq on until the stream ends or its reader loses
-// patience.
+// readSome reads tokens from seq on until the stream ends or its reader times
+// out.
 func readSome(ctx context.Context, client mgengine.Client, seq uint64, seen func(uint64)) ([]string, error) {
 	stream, err := client.Stream(ctx, "g", seq)
 	if err != nil {
--- a/internal/process/mgfleet/load_test.go
+++ b/internal/process/mgfleet/load_test.go
@@ -14,36 +14,36 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// The load of each scene: reports that stream while tickets are booked.
+// The load of each scenario: reports that stream while tickets are booked.
 const (
 	reportCount = 8
 	ticketCount = 8
-	// length is the tokens of a report, about a second of an idle engine.
+	// reportTokens is the length of a report, about a second of an idle engine.
 	reportTokens = 150
-	// fixed is the token of the first report at which a scene's harm is done.
+	// faultToken is the token of the first report at which a scenario's failure
+	// is injected.
 	faultToken = 20
 )
 
-// harm is what a scene does to the fleet at its fixed point. It reports
-// whether it struck work in progress: a scene whose harm strikes nothing
-// proves nothing.
+// injection injects a scenario's failure into the fleet. It reports whether it
+// hit work in progress: a failure that hits nothing proves nothing.
 type injection func(f *fleet) bool
 
-// report is one answer as its caller has it.
+// reportResult is one answer as its caller received it.
 type reportResult struct {
 	prompt string
 	answer mgclient.Answer
 	err    error
 }
 
-// ticket is one write as its caller has it.
+// ticketResult is one write as its caller received it.
 type ticketResult struct {
 	operation string
 	reply     mgclient.Reply
 	err       error
 }
 
-// caller returns a caller that prefers one of the entries.
+// newClient returns a client that prefers one of the entries.
 func (f *fleet) newClient(i int) *mgclient.Client {
 	first := i % len(f.entries)
 	return mgclient.New(mgclient.Spec{
@@ -56,16 +56,16 @@
 	})
 }
 
-// outcome is what callers of a scene got.
+// loadResult is what the callers of a scenario received.
 type loadResult struct {
 	reports []reportResult
 	tickets []ticketResult
 	hitWork bool
 }
 
-// play sends a scene's load, does its harm once each report has begun and the
-// first is at the fixed point, and returns what callers got once all have an
-// answer or a problem.
+// runLoad sends a scenario's load, injects its failure once each report has
+// started and the first has reached faultToken, and returns what the callers
+// received once all have an answer or a problem.
 func (f *fleet) runLoad(ctx context.Context, scenarioName string, inject injection) loadResult {
 	var injectOnce sync.Once
 	var callers, allStarted sync.WaitGroup
@@ -93,7 +93,7 @@
 	}
 	for i := range ticketCount {
 		callers.Go(func() {
-			// Half of the tickets come after the harm.
+			// Half of the tickets are booked after the failure.
 			if i%2 == 1 {
 				select {
 				case <-injected:
@@ -156,7 +156,7 @@
 	return fmt.Appendf(nil, "%s, ticket %d", scenarioName, i)
 }
 
-// engines returns what both engines generated.
+// engineCounts returns what both engines generated.
 func (f *fleet) engineCounts() mgstandin.EngineCounts {
 	all := mgstandin.EngineCounts{
 		Generations: map[string]mgstandin.Record{},
@@ -172,8 +172,8 @@
 	return all
 }
 
-// checkReports compares what callers got with what the engines generated and
-// returns what is wrong. Lossless is whether the scene may lose no report.
+// checkReports compares what callers received with what the engines generated
+// and returns the violations. If lossless is set, no report may be lost.
 func (f *fleet) checkReports(reports []reportResult, lossless bool) []string {
 	var violations []string
 	engines := f.engineCounts()
@@ -210,8 +210,9 @@
 	return checkProblem(engines, r)
 }
 
-// checkProblem checks that a report that isn't whole is told so truly: it is
-// the beginning of one generation, and not told not run where one began.
+// checkProblem checks that the problem of an incomplete report is truthful: its
+// text is a prefix of one generation, and it is not reported as not run if a
+// generation was started.
 func checkProblem(engines mgstandin.EngineCounts, r reportResult) string {
 	isPrefix := r.answer.Tokens() == 0
 	for id, record := range engines.Generations {
@@ -227,7 +228,7 @@
 	return ""
 }
 
-// checkTickets compares what callers got with what the service ran.
+// checkTickets compares what callers received with what the service ran.
 func (f *fleet) checkTickets(scenarioName string, tickets []ticketResult, lossless bool) []string {
 	var violations []string
 	var counts mgstandin.ServiceCounts
--- a/internal/process/mgfleet/notrun_test.go
+++ b/internal/process/mgfleet/notrun_test.go
@@ -12,18 +12,18 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// A report has begun at an engine and has no token yet when the engine dies,
-// and the other one with it. The entry looks for another place and finds none.
-// The caller has seen nothing, yet the report did run for a while: "not run"
-// would be the outcome of the last search, told as that of the whole request.
+// A report was started at an engine and has no token yet when both engines die.
+// The entry finds no other engine. The caller has received nothing, yet the
+// report ran for a while: "not run", the outcome of the last search alone, would
+// be false.
 func TestFalseNotRunBeforeFirstToken(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts nine processes")
 	}
 	f := newFleet(t)
-	Convey("A report that ran is never told not run", t, func() {
+	Convey("A report that ran is never reported as not run", t, func() {
 		for _, engine := range []string{"engine-a", "engine-b"} {
-			// A step takes seconds, so that no token comes in time.
+			// A decoding step takes seconds, so that no token arrives in time.
 			f.setFault(engine, mgstandin.Fault{
 				Kind:   mgstandin.Slow,
 				Factor: 1000,
@@ -61,7 +61,7 @@
 	})
 }
 
-// began reports whether an engine has begun a generation for a prompt.
+// wasStarted reports whether an engine has started a generation for a prompt.
 func wasStarted(engines mgstandin.EngineCounts, prompt string) bool {
 	for _, record := range engines.Generations {
 		if strings.Contains(record.Prompt, prompt) {
--- a/internal/process/mgfleet/process_test.go
+++ b/internal/process/mgfleet/process_test.go
@@ -14,14 +14,14 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/soak/mgproc"
 )
 
-// patience bounds each wait for a condition. A condition that hasn't come by
-// then never comes; no verdict depends on how fast it came.
+// conditionTimeout limits each wait for a condition. A condition that is not
+// true by then never becomes true; no result depends on how fast it became true.
 const conditionTimeout = 30 * time.Second
 
-// glance is the interval at which a condition is looked at.
+// pollInterval is the interval at which a condition is checked.
 const pollInterval = 5 * time.Millisecond
 
-// build builds the binary and returns its path.
+// buildBinary builds the binary and returns its path.
 func buildBinary(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "marjoramgauge")
@@ -36,12 +36,12 @@
 	return binary
 }
 
-// A process is one process of the binary, which a test starts and harms.
+// A process is one process of the binary under test.
 type process struct {
 	*mgproc.Process
 }
 
-// start starts a process; the test's end kills it.
+// startProcess starts a process, which is killed at the end of the test.
 func startProcess(t *testing.T, binary, name string, args ...string) *process {
 	t.Helper()
 	p, err := mgproc.Start(binary, name, args...)
@@ -61,8 +61,8 @@
 
 func (p *process) kill() { p.Kill() }
 
-// restart starts the process anew: a new VM in its place, which remembers
-// nothing.
+// restart starts the process again without its state, like a new VM in its
+// place.
 func (p *process) restart(t *testing.T) {
 	t.Helper()
 	if err := p.Restart(); err != nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// until waits for a condition and fails the test when it never comes.
+// waitFor waits for a condition and fails the test if it doesn't become true.
 func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	tick := time.NewTicker(pollInterval)
@@ -93,7 +93,8 @@
 	}
 }
 
-// fetch returns the status and body of a URL, or 0 when it can't be reached.
+// fetch returns the status and body of a URL, or status 0 if it can't be
+// reached.
 func fetch(url string) (int, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -113,7 +114,7 @@
 	return response.StatusCode, string(body)
 }
 
-// post sends a body to a stand-in's switch.
+// post sends a body to a stand-in's control URL.
 func post(t *testing.T, url, body string) {
 	t.Helper()
 	response, err := http.Post(url, "application/json", strings.NewReader(body))
@@ -126,7 +127,7 @@
 	}
 }
 
-// freePorts returns addresses on which nothing listens now, each once.
+// freePorts returns n different addresses on which nothing listens now.
 func freePorts(t *testing.T, n int) []string {
 	t.Helper()
 	addrs, err := mgproc.FreeAddrs(n)
--- a/internal/process/mgfleet/session_test.go
+++ b/internal/process/mgfleet/session_test.go
@@ -12,20 +12,20 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/standin/mgstandin"
 )
 
-// sessionBound bounds the whole session when something hangs.
+// sessionTimeout ends the whole session if something hangs.
 const sessionTimeout = 5 * time.Minute
 
-// A scene is a load with one failure at a fixed point in it.
+// A scenario is a load with one failure at a fixed point.
 type scenario struct {
 	name                       string
 	setup                      func(f *fleet) // nil for none
 	inject                     injection
-	recovery                   func(f *fleet) // after the load, nil for none
-	mayLoseReports             bool           // reports may end in a truthful problem
-	mayLeaveTicketsUnconfirmed bool           // tickets may
+	recovery                   func(f *fleet) // runs after the load, nil for none
+	mayLoseReports             bool           // reports may end with a truthful problem
+	mayLeaveTicketsUnconfirmed bool           // tickets may end with a truthful problem
 }
 
-// cut breaks the connections of some links.
+// cutLinks closes the connections of some links.
 func cutLinks(links ...string) injection {
 	return func(f *fleet) bool {
 		closed := 0
@@ -36,7 +36,7 @@
 	}
 }
 
-// mute silences the connections of some links for good.
+// silenceLinks stops the connections of some links from forwarding, permanently.
 func silenceLinks(links ...string) injection {
 	return func(f *fleet) bool {
 		silenced := 0
@@ -47,10 +47,10 @@
 	}
 }
 
-// engineOf returns the engine beside an agent.
+// engineOf returns the engine of an agent.
 func engineOf(agent string) string { return strings.Replace(agent, "agent", "engine", 1) }
 
-// turn turns a stand-in's switch.
+// setStandinFault sets a stand-in's fault.
 func setStandinFault(standin, kind string) injection {
 	return func(f *fleet) bool {
 		f.setFault(standin, mgstandin.Fault{Kind: kind})
@@ -58,17 +58,16 @@
 	}
 }
 
-// heal heals a stand-in.
+// healStandin ends a stand-in's fault.
 func healStandin(standin string) func(f *fleet) {
 	return func(f *fleet) { setStandinFault(standin, mgstandin.Heal)(f) }
 }
 
-// pauseSpan is well past each lease, heartbeat and silence bound between the
-// system's processes but shorter than a caller's patience.
+// pauseDuration is well above each lease, heartbeat and silence timeout between
+// the system's processes but shorter than a caller waits for its answer.
 const pauseDuration = 4 * time.Second
 
-// pause stops a process, which wakes up late and still believes what was true
-// before.
+// pauseProcess suspends a process, which resumes late with outdated state.
 func pauseProcess(name string) injection {
 	return func(f *fleet) bool {
 		wasBusy := f.busy(name)
@@ -78,8 +77,8 @@
 	}
 }
 
-// restart kills a process; another takes its place at the same addresses and
-// remembers nothing.
+// restartProcess kills a process and starts another at the same addresses,
+// without its state.
 func restartProcess(name string) injection {
 	return func(f *fleet) bool {
 		wasBusy := f.busy(name)
@@ -88,7 +87,7 @@
 	}
 }
 
-// stop asks a process to stop, which it does once its work is done.
+// stopProcess asks a process to stop, which it does once its work is done.
 func stopProcess(name string) injection {
 	return func(f *fleet) bool {
 		wasBusy := f.busy(name)
@@ -97,8 +96,8 @@
 	}
 }
 
-// replace waits until a process that was asked to stop has ended and starts
-// another in its place.
+// restartStopped waits until a process that was asked to stop has exited and
+// starts another in its place.
 func restartStopped(name string) func(f *fleet) {
 	return func(f *fleet) {
 		<-f.processes[name].Exited()
@@ -106,8 +105,8 @@
 	}
 }
 
-// working does harm to an engine's agent that has work in progress. Which one
-// the reports went to is for the entries to choose.
+// intoBusyAgent injects a failure into an engine's agent that has work in
+// progress. The entries decide which agent the reports go to.
 func intoBusyAgent(inject func(agent string) injection) injection {
 	return func(f *fleet) bool {
 		for _, agent := range []string{"agent-a", "agent-b"} {
@@ -120,7 +119,7 @@
 	}
 }
 
-// scenes is the session.
+// scenarios are the steps of the session, in order.
 var scenarios = []scenario{
 	{
 		name:   "nothing fails",
@@ -230,16 +229,15 @@
 }
 
 // Reports stream and tickets are booked while processes die, pause and are
-// replaced, links are cut or fall silent, and the platform fails. A caller
-// must get each token of its own report once and in order, and no ticket may
-// be booked twice, whatever happens; where something is truly lost, the
-// problem must say no more than is true.
+// replaced, links are cut or fall silent, and the platform fails. Each token
+// must arrive once and in order, no ticket may be booked twice, and the problem
+// of a lost request must be truthful.
 func TestSessionLosesOrRepeatsWork(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts nine processes")
 	}
 	f := newFleet(t)
-	Convey("Callers get the truth when", t, func() {
+	Convey("Callers get complete answers or truthful problems when", t, func() {
 		for _, s := range scenarios {
 			Convey(s.name, func() {
 				ctx, cancel := context.WithTimeout(context.Background(), sessionTimeout)
--- a/internal/process/mgfleet/writes_test.go
+++ b/internal/process/mgfleet/writes_test.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	// writes is the number of tickets, clerks how many are booked at once.
+	// totalTickets is the number of tickets, clientCount how many are booked
+	// concurrently.
 	totalTickets = 2000
 	clientCount  = 16
-	// between is the number of tickets from one fault to the next.
+	// ticketsPerFault is the number of tickets from one fault to the next.
 	ticketsPerFault = 150
-	// shortPause lets the clerks' calls run into the pause of a process.
+	// shortPause is long enough for the clients' calls to hit a paused process.
 	shortPause = 500 * time.Millisecond
 )
 
-// mishaps follow one another, each between so many tickets.
+// faults are injected in order, one every ticketsPerFault tickets.
 var faults = []func(f *fleet){
 	serviceFault(mgstandin.Lost),
 	serviceFault(mgstandin.Early),
@@ -41,7 +42,7 @@
 	serviceFault(mgstandin.Lost),
 }
 
-// strike lets a fault of the service strike some of its calls.
+// serviceFault sets a fault of the service that affects some of its calls.
 func serviceFault(kind string) func(f *fleet) {
 	return func(f *fleet) {
 		f.setFault("books", mgstandin.Fault{
@@ -51,21 +52,21 @@
 	}
 }
 
-// doze pauses a process for a while.
+// pauseBriefly pauses a process for shortPause.
 func pauseBriefly(f *fleet, name string) {
 	f.processes[name].signal(f.t, syscall.SIGSTOP)
 	time.AfterFunc(shortPause, func() { f.processes[name].signal(f.t, syscall.SIGCONT) })
 }
 
-// Clerks book tickets all day, and one thing after another goes wrong around
-// them. A ticket that is booked twice moves two barrels for one; one that is
-// told not run and ran makes the clerk book it again, which is the same.
+// Clients book tickets while one fault after another is injected. A ticket that
+// is booked twice, or that ran but is reported as not run and therefore booked
+// again, moves two barrels instead of one.
 func TestTicketBookedTwice(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts nine processes")
 	}
 	f := newFleet(t)
-	Convey("No ticket is booked twice or wrongly told not run", t, func() {
+	Convey("No ticket is booked twice or falsely reported as not run", t, func() {
 		ctx, cancel := context.WithTimeout(context.Background(), sessionTimeout)
 		defer cancel()
 		var next atomic.Int64
