--- a/internal/process/mgadmin/admin.go
+++ b/internal/process/mgadmin/admin.go
@@ -1,6 +1,6 @@
-// Package mgadmin is the operators' listener of a process: health, readiness,
-// a dump of its state and its metrics. It shows no secret: a source of the
-// dump gives counts, names and versions only.
+// Package mgadmin is a process's HTTP handler for operators: health, readiness,
+// a dump of its state, and its metrics. It exposes no secret: the sections of
+// the dump contain counts, names and versions only.
 package mgadmin
 
 import (
@@ -14,16 +14,16 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mgmetric"
 )
 
-// An Admin answers operators. Its zero value answers with an empty dump and
-// is not ready.
+// An Admin serves the operators' requests. The zero value serves an empty dump
+// and is not ready.
 type Admin struct {
 	mu      sync.Mutex
 	sources map[string]func() any
 	ready   atomic.Pointer[func() (bool, string)]
 }
 
-// Source adds a named part of the dump. The function is called for each dump
-// and returns what encoding/json can encode.
+// Source adds a named section to the dump. The function is called for each dump
+// and returns a value that encoding/json can encode.
 func (a *Admin) Source(name string, read func() any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -33,10 +33,11 @@
 	a.sources[name] = read
 }
 
-// Ready sets what tells whether the process takes new work, and if not, why.
+// Ready sets the function that reports whether the process accepts new work, and
+// the reason if it doesn't.
 func (a *Admin) Ready(check func() (bool, string)) { a.ready.Store(&check) }
 
-// Routes returns the listener's handler.
+// Routes returns the HTTP handler.
 func (a *Admin) Routes(set *mgmetric.Set) http.Handler {
 	router := chi.NewRouter()
 	router.Get("/health", func(w http.ResponseWriter, _ *http.Request) { writeText(w, http.StatusOK, "alive") })
@@ -67,7 +68,7 @@
 	_ = encoder.Encode(a.Dump())
 }
 
-// Dump returns the state of the process by source.
+// Dump returns the state of the process by section.
 func (a *Admin) Dump() map[string]any {
 	a.mu.Lock()
 	sources := make(map[string]func() any, len(a.sources))
--- a/internal/process/mglog/burst_test.go
+++ b/internal/process/mglog/burst_test.go
@@ -13,9 +13,9 @@
 
 var droppedField = regexp.MustCompile(`"dropped":(\d+)`)
 
-// Every request of a second fails, and their lines fill the collector's disk.
+// Every request of a second fails, and the log lines fill the collector's disk.
 func TestBurstUnlimited(t *testing.T) {
-	Convey("A burst of lines is bounded, and each that was dropped is told", t, func() {
+	Convey("A burst of lines is limited, and every dropped line is reported", t, func() {
 		const lines = 10_000
 		var got bytes.Buffer
 		at := time.Unix(0, 0)
--- a/internal/process/mglog/log.go
+++ b/internal/process/mglog/log.go
@@ -1,5 +1,5 @@
-// Package mglog writes the processes' logs: JSON lines through logr, with one
-// set of keys everywhere, and no line per token.
+// Package mglog writes the processes' logs as JSON lines through logr. All
+// processes use the same keys, and no line is logged per token.
 package mglog
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/go-logr/logr"
 )
 
-// The keys of the logs.
+// Keys of log fields.
 const (
 	Account  = "account"
 	Service  = "service"
@@ -26,8 +26,8 @@
 // debugLevel is the verbosity that logr maps to slog's debug level.
 const debugLevel = 4
 
-// New returns a logger that writes JSON lines to w. Level is "debug", "info"
-// or "error"; another counts as "info".
+// New returns a logger that writes JSON lines to w. Level is "debug", "info" or
+// "error"; any other is treated as "info".
 func New(w io.Writer, level string) logr.Logger {
 	minLevel := slog.LevelInfo
 	switch level {
@@ -40,5 +40,5 @@
 	return logr.FromSlogHandler(handler)
 }
 
-// Debug returns l at the level that only "debug" shows.
+// Debug returns l at a verbosity that is logged only at level "debug".
 func Debug(l logr.Logger) logr.Logger { return l.V(debugLevel) }
--- a/internal/process/mglog/queue.go
+++ b/internal/process/mglog/queue.go
@@ -9,23 +9,23 @@
 	"golang.org/x/time/rate"
 )
 
-// queueLines is how many lines wait for a slow reader of the log: with 400
-// bytes a line about 400 kB, and half a second of a burst of 2,000 lines a
+// maxQueuedLines is how many lines wait for a slow reader of the log: about 400
+// kB with 400 bytes a line, and half a second of a burst of 2,000 lines a
 // second.
 const maxQueuedLines = 1024
 
-// lineRate and lineBurst bound the lines of a process a second. Days with all
-// kinds of trouble bring 15 at most; a burst of failures at the target's eleven
-// requests a second and entry is bounded by these to 80 kB a second.
+// maxLinesPerSecond and maxLineBurst limit the lines of a process per second.
+// Days with many kinds of faults produce 15 at most. A burst of failures at the
+// target of eleven requests per second and entry is limited to 80 kB a second.
 const (
 	maxLinesPerSecond = 200
 	maxLineBurst      = 400
 )
 
-// A Queue passes lines on to a writer in the background. A reader of the log
-// that doesn't keep up would otherwise hold up every request that logs: once
-// the queue is full, lines are dropped and counted, and the count is logged when
-// there is room again.
+// A Queue forwards lines to a writer in the background. Otherwise a log reader
+// that doesn't keep up would delay every request that logs. When the queue is
+// full, lines are dropped and counted, and the count is logged once there is
+// space again.
 type Queue struct {
 	lines   chan []byte
 	limiter *rate.Limiter
@@ -34,10 +34,10 @@
 	now     func() time.Time
 }
 
-// NewQueue returns a queue before a writer.
+// NewQueue returns a queue that writes to to.
 func NewQueue(to io.Writer) *Queue { return newQueue(to, time.Now) }
 
-// newQueue returns a queue whose rate goes by a clock.
+// newQueue is NewQueue with a clock for the rate limit.
 func newQueue(to io.Writer, now func() time.Time) *Queue {
 	q := &Queue{
 		now:     now,
@@ -49,7 +49,7 @@
 	return q
 }
 
-// Write takes one line. It never blocks and never fails.
+// Write enqueues one line. It never blocks and never fails.
 func (q *Queue) Write(line []byte) (int, error) {
 	if !q.limiter.AllowN(q.now(), 1) {
 		q.dropped.Add(1)
@@ -63,10 +63,11 @@
 	return len(line), nil
 }
 
-// Dropped returns the number of lines dropped since they were last told of.
+// Dropped returns the number of lines dropped since the last report in the log.
 func (q *Queue) Dropped() int64 { return q.dropped.Load() }
 
-// Close writes what waits and ends the queue. Nothing may be written after it.
+// Close writes the queued lines and ends the queue. Write must not be called
+// after it.
 func (q *Queue) Close() error {
 	close(q.lines)
 	<-q.done
@@ -76,14 +77,14 @@
 func (q *Queue) writeLines(to io.Writer) {
 	defer close(q.done)
 	for line := range q.lines {
-		// A log that can't be written has nobody to be told.
+		// A failure to write the log can't be reported anywhere.
 		_, _ = to.Write(line)
 		q.reportDropped(to)
 	}
 	q.reportDropped(to)
 }
 
-// tell writes how many lines were dropped since it was last told.
+// reportDropped logs how many lines were dropped since the last report.
 func (q *Queue) reportDropped(to io.Writer) {
 	if dropped := q.dropped.Swap(0); dropped > 0 {
 		fmt.Fprintf(to, `{"level":"WARN","msg":"log lines were dropped","dropped":%d}`+"\n", dropped)
--- a/internal/process/mglog/queue_test.go
+++ b/internal/process/mglog/queue_test.go
@@ -10,7 +10,7 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mglog"
 )
 
-// stalledWriter is a reader of the log that stands still until it is let go.
+// stalledWriter is a log reader that blocks until it is released.
 type stalledWriter struct {
 	released chan struct{}
 	got      bytes.Buffer
@@ -21,11 +21,10 @@
 	return b.got.Write(line)
 }
 
-// The collector of the logs stands still. Every request that logs a line waits
-// for it, and callers see answers come to a halt for a reason that is not the
-// system's work.
+// The log collector stalls. Every request that logs a line waits for it, and
+// callers see answers stall for a reason outside the system.
 func TestStalledLogBlocksRequests(t *testing.T) {
-	Convey("A log that nobody reads holds up nobody", t, func() {
+	Convey("A stalled log reader delays no request", t, func() {
 		reader := &stalledWriter{released: make(chan struct{})}
 		queue := mglog.NewQueue(reader)
 		log := mglog.New(queue, "info")
@@ -34,7 +33,7 @@
 		}
 		dropped := queue.Dropped()
 		So(dropped, ShouldBeGreaterThan, 3000)
-		Convey("and says what it lost", func() {
+		Convey("and the dropped lines are reported", func() {
 			close(reader.released)
 			So(queue.Close(), ShouldBeNil)
 			text := reader.got.String()
--- a/internal/process/mgmetric/metric.go
+++ b/internal/process/mgmetric/metric.go
@@ -1,5 +1,5 @@
-// Package mgmetric gives a process's metrics to operators: counters, gauges
-// and histograms of go-metrics, as JSON and in the Prometheus text format.
+// Package mgmetric serves a process's metrics to operators: counters, gauges and
+// histograms of go-metrics, as JSON or in the Prometheus text format.
 package mgmetric
 
 import (
@@ -11,18 +11,19 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// reservoir is the number of values that a histogram keeps, and alpha weights
-// the recent ones; both are go-metrics' customary values for the exponentially
-// decaying sample (Cormode et al. 2009).
+// reservoirSize is the number of values that a histogram keeps, and decayAlpha
+// is the weight of recent ones; both are the usual values of go-metrics for the
+// exponentially decaying sample (Cormode et al. 2009).
 const (
 	reservoirSize = 1028
 	decayAlpha    = 0.015
 )
 
-// prefix stands before each name in the Prometheus text format.
+// namePrefix precedes each name in the Prometheus text format.
 const namePrefix = "marjoramgauge_"
 
-// A Set is the metrics of one process. The zero Set is not usable; see New.
+// A Set contains the metrics of one process. Create it with New; the zero Set is
+// not usable.
 type Set struct {
 	registry metrics.Registry
 }
@@ -32,25 +33,26 @@
 	return &Set{registry: metrics.NewRegistry()}
 }
 
-// Counter returns the counter of that name.
+// Counter returns the counter with that name, creating it if necessary.
 func (s *Set) Counter(name string) metrics.Counter {
 	return metrics.GetOrRegisterCounter(name, s.registry)
 }
 
-// Gauge returns the gauge of that name.
+// Gauge returns the gauge with that name, creating it if necessary.
 func (s *Set) Gauge(name string) metrics.Gauge {
 	return metrics.GetOrRegisterGauge(name, s.registry)
 }
 
-// Histogram returns the histogram of that name; its values are in ms.
+// Histogram returns the histogram with that name, creating it if necessary. Its
+// values are in ms.
 func (s *Set) Histogram(name string) metrics.Histogram {
 	return s.registry.GetOrRegister(name, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(reservoirSize, decayAlpha))
 	}).(metrics.Histogram)
 }
 
-// ServeHTTP answers with JSON, or with the Prometheus text format for a
-// scraper that accepts text/plain or asks for format=text.
+// ServeHTTP writes the metrics as JSON, or in the Prometheus text format if the
+// scraper accepts text/plain or requests format=text.
 func (s *Set) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("format") == "text" || strings.Contains(r.Header.Get("Accept"), "text/plain") {
 		s.serveText(w, r)
@@ -66,15 +68,15 @@
 	promhttp.HandlerFor(registry, promhttp.HandlerOpts{}).ServeHTTP(w, r)
 }
 
-// collector shows a go-metrics registry to the Prometheus library.
+// collector exposes a go-metrics registry as a prometheus.Collector.
 type collector struct {
 	registry metrics.Registry
 }
 
-// Describe sends nothing: the metrics are found when they are collected.
+// Describe sends nothing: the metrics are discovered when they are collected.
 func (c collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect sends each metric's present value.
+// Collect sends the current value of each metric.
 func (c collector) Collect(out chan<- prometheus.Metric) {
 	c.registry.Each(func(name string, value any) {
 		switch m := value.(type) {
--- a/internal/process/mgsettings/fault.go
+++ b/internal/process/mgsettings/fault.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// A Fault is one thing wrong with a settings file.
+// A Fault is one error in a settings file.
 type Fault struct {
 	line   int
 	key    string
@@ -14,7 +14,7 @@
 	remedy string
 }
 
-// Line returns the line of the fault from 1, or 0 for a key that is missing.
+// Line returns the fault's line, counted from 1, or 0 for a missing key.
 func (f Fault) Line() int { return f.line }
 
 // Key returns the dotted key.
@@ -28,16 +28,16 @@
 	return fmt.Sprintf("line %d, key %s: %s: %s", f.line, f.key, f.detail, f.remedy)
 }
 
-// Faults is the error of a settings file: everything wrong with it.
+// Faults is the error for an invalid settings file. It contains all its faults.
 type Faults struct {
 	name string
 	list []Fault
 }
 
-// List returns the faults in the order of their lines.
+// List returns the faults in line order.
 func (f *Faults) List() []Fault { return f.list }
 
-// Error returns one fault a line.
+// Error returns the faults, one per line.
 func (f *Faults) Error() string {
 	lines := make([]string, 0, len(f.list))
 	for _, fault := range f.list {
@@ -55,7 +55,7 @@
 	})
 }
 
-// orNil returns f as an error, or nil when nothing is wrong.
+// orNil returns f as an error, or nil if there are no faults.
 func (f *Faults) orNil() error {
 	if len(f.list) == 0 {
 		return nil
--- a/internal/process/mgsettings/reference.go
+++ b/internal/process/mgsettings/reference.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Reference returns the keys of a settings type as the rows of a Markdown
-// table: key, meaning, unit, default and bounds. Settings is a struct.
+// Reference returns a Markdown table of the keys of a settings struct, with the
+// columns key, meaning, unit, default and bounds.
 func Reference(settings any) string {
 	var b strings.Builder
 	b.WriteString("| key | meaning | unit | default | bounds |\n|---|---|---|---|---|\n")
--- a/internal/process/mgsettings/reference_test.go
+++ b/internal/process/mgsettings/reference_test.go
@@ -13,11 +13,11 @@
 
 var update = flag.Bool("update", false, "rewrite the settings' tables in docs/OPERATIONS.md")
 
-// operationsPage is the operators' operationsPage, whose tables of settings come from the types.
+// operationsPage has tables of settings that are generated from the types.
 const operationsPage = "../../../docs/OPERATIONS.md"
 
-// An operator looks up a key and finds a default that the program no longer
-// has: the page was written by hand and the type changed after it.
+// The reference shows a default that the program no longer has, because a
+// settings type changed and the page did not.
 func TestReferenceOutdated(t *testing.T) {
 	Convey("docs/OPERATIONS.md has the settings as they are", t, func() {
 		data, err := os.ReadFile(operationsPage)
--- a/internal/process/mgsettings/settings.go
+++ b/internal/process/mgsettings/settings.go
@@ -14,11 +14,11 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxFile bounds a settings file in bytes; the longest sample has under 2 kB.
+// maxFileSize is in bytes; the longest sample has under 2 kB.
 const maxFileSize = 1 << 20
 
-// Load reads the settings file at path into target, a pointer to a struct.
-// The error is a *Faults when the file's content is at fault.
+// Load reads the settings file at path into target, a pointer to a struct. The
+// error is a *Faults if the content is invalid.
 func Load(path string, target any) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -27,8 +27,8 @@
 	return Parse(path, data, target)
 }
 
-// Parse reads data into target, a pointer to a struct. Name stands before
-// each fault. Keys that data lacks get their defaults.
+// Parse reads data into target, a pointer to a struct. Each fault is prefixed
+// with name. Keys that data lacks get their defaults.
 func Parse(name string, data []byte, target any) error {
 	faults := &Faults{name: name}
 	if len(data) > maxFileSize {
@@ -47,8 +47,8 @@
 	return faults.orNil()
 }
 
-// syntax reports a file that isn't TOML. Nothing after the place can be
-// trusted, so it is the only fault.
+// syntaxFault reports a file that isn't valid TOML. Nothing after the position
+// can be trusted, so it is the only fault.
 func syntaxFault(faults *Faults, err error) error {
 	line := 0
 	var decode *toml.DecodeError
@@ -59,7 +59,7 @@
 	return faults.orNil()
 }
 
-// lines maps each dotted key of the file to its line.
+// keyLines maps each dotted key of the file to its line.
 func keyLines(data []byte) map[string]int {
 	lineOf := map[string]int{}
 	table := ""
@@ -99,7 +99,7 @@
 	return table + "." + key
 }
 
-// reader fills a struct from a tree of values and collects the faults.
+// reader fills a struct from the parsed TOML and collects the faults.
 type reader struct {
 	faults *Faults
 	lines  map[string]int
@@ -160,8 +160,8 @@
 	}
 }
 
-// setDefault sets a default from its tag. A default that doesn't parse is a
-// fault of the program, which the test of each settings type finds.
+// setDefault sets a field to the default in its tag. A default that doesn't
+// parse is a bug, which the test of each settings type finds.
 func setDefault(text string, into reflect.Value) {
 	switch into.Kind() {
 	case reflect.String:
@@ -293,7 +293,7 @@
 	}
 }
 
-// names returns the keys of a settings type in their order.
+// keyNames returns the keys of a settings type in their order.
 func keyNames(kind reflect.Type) []string {
 	list := []string{}
 	for i := range kind.NumField() {
--- a/internal/process/mgsettings/types.go
+++ b/internal/process/mgsettings/types.go
@@ -1,6 +1,6 @@
 package mgsettings
 
-// Process holds the settings that every process has.
+// Process has the settings that all processes share.
 type Process struct {
 	Name     string   `toml:"name" need:"yes" help:"the VM's name in the platform's list"`
 	Zone     string   `toml:"zone" need:"yes" help:"the availability zone"`
@@ -25,14 +25,14 @@
 	TLS      TLS      `toml:"tls" help:"certificates between processes; empty: plain TCP with the shared key"`
 }
 
-// TLS names the files of a process's certificate.
+// TLS names the files of a certificate.
 type TLS struct {
 	Cert string `toml:"cert" help:"file with the certificate, PEM"`
 	Key  string `toml:"key" help:"file with the private key, PEM"`
 	CA   string `toml:"ca" help:"file with the authority that signs the processes' certificates, PEM"`
 }
 
-// Entry holds the settings of an entry.
+// Entry has the settings of an entry.
 type Entry struct {
 	Process
 	Listen string `toml:"listen" need:"yes" help:"IP and port for callers"`
@@ -46,7 +46,7 @@
 	Public TLS    `toml:"public" help:"certificate towards callers; empty: plain HTTP behind the platform's balancer"`
 }
 
-// Agent holds the settings of an agent.
+// Agent has the settings of an agent.
 type Agent struct {
 	Process
 	Upstream string  `toml:"upstream" need:"yes" help:"the upstream's name in the table"`
