--- a/internal/process/mgevent/bus.go
+++ b/internal/process/mgevent/bus.go
@@ -87,7 +87,7 @@
 	}, watermill.NopLogger{})
 	messages, err := channel.Subscribe(ctx, topic)
 	if err != nil {
-		return fmt.Errorf("mgevent: can't subscribe: report it: %w", err)
+		return fmt.Errorf("mgevent: can't subscribe to the control topic (a bug, please report it): %w", err)
 	}
 	var handling sync.WaitGroup
 	handling.Add(1)
@@ -119,7 +119,7 @@
 		payload, _ := json.Marshal(event)
 		m := message.NewMessage(strconv.FormatUint(event.Seq, 10), payload)
 		if err := channel.Publish(topic, m); err != nil {
-			return fmt.Errorf("mgevent: can't publish: report it: %w", err)
+			return fmt.Errorf("mgevent: can't publish to the control topic (a bug, please report it): %w", err)
 		}
 	}
 }
--- a/internal/process/mgfleet/edit_test.go
+++ b/internal/process/mgfleet/edit_test.go
@@ -76,7 +76,7 @@
 		for i, mark := range f.marks() {
 			reverted := arrived[i] && mark != to
 			if reverted || mark != from && mark != to && mark != unreachableMark {
-				anomalies = append(anomalies, fmt.Sprintf("entry %d goes by %q", i, mark))
+				anomalies = append(anomalies, fmt.Sprintf("entry %d has the table %q", i, mark))
 			}
 			arrived[i] = arrived[i] || mark == to
 			everywhere = everywhere && mark == to
@@ -172,7 +172,7 @@
 		name: "made after the links to the platform fell silent is in force nevertheless",
 		run: func(f *fleet) []string {
 			if f.relays["platform"].Silence() == 0 {
-				return []string{"no link to the platform was struck"}
+				return []string{"no link to the platform was silenced"}
 			}
 			f.edit(13, "tide")
 			return f.awaitTable("crew", "tide")
--- a/internal/process/mgfleet/load_test.go
+++ b/internal/process/mgfleet/load_test.go
@@ -196,7 +196,7 @@
 		id, record, found := engines.Find(text)
 		switch {
 		case !found:
-			return fmt.Sprintf("the text of %d tokens is no generation's", r.answer.Tokens())
+			return fmt.Sprintf("the text of %d tokens matches no generation", r.answer.Tokens())
 		case !strings.Contains(record.Prompt, r.prompt):
 			return fmt.Sprintf("crossed: generation %s was for %q", id, record.Prompt)
 		case record.Tokens != reportTokens:
@@ -221,9 +221,9 @@
 	}
 	switch {
 	case mgproblem.From(r.err).Outcome() == mgproblem.NotRun && wasStarted(engines, r.prompt):
-		return "told not run, and a generation began: " + r.err.Error()
+		return "reported as not run, but a generation was started: " + r.err.Error()
 	case !isPrefix:
-		return "what came is the beginning of no generation"
+		return "the received text is a prefix of no generation"
 	}
 	return ""
 }
@@ -250,7 +250,7 @@
 func checkTicket(sent []byte, b ticketResult, runs int, lossless bool) string {
 	if b.err == nil && b.reply.Status == http.StatusServiceUnavailable {
 		if runs > 0 {
-			return "refused by the service, and run"
+			return "refused by the service, but it ran"
 		}
 		return ""
 	}
@@ -259,18 +259,18 @@
 		err := json.Unmarshal(b.reply.Body, &reply)
 		switch {
 		case err != nil:
-			return fmt.Sprintf("status %d and no reply of the service's: %v", b.reply.Status, err)
+			return fmt.Sprintf("status %d and not a reply of the service: %v", b.reply.Status, err)
 		case reply.Digest != mgstandin.Digest(sent) || reply.Operation != b.operation:
 			return "crossed: the reply is another ticket's"
 		case runs != 1:
-			return "answered, and not run once"
+			return "answered, but it did not run exactly once"
 		}
 		return ""
 	}
 	notRun := mgproblem.From(b.err).Outcome() == mgproblem.NotRun
 	switch {
 	case notRun && runs > 0:
-		return "told not run: " + b.err.Error()
+		return "reported as not run, but it ran: " + b.err.Error()
 	case lossless:
 		return "lost: " + b.err.Error()
 	}
--- a/internal/process/mgfleet/notrun_test.go
+++ b/internal/process/mgfleet/notrun_test.go
@@ -49,7 +49,7 @@
 			}, nil)
 			ended <- err
 		}()
-		waitFor(t, "the report has begun", func() bool { return wasStarted(f.engineCounts(), "lost, len=10.") })
+		waitFor(t, "the report was started", func() bool { return wasStarted(f.engineCounts(), "lost, len=10.") })
 		for _, engine := range []string{"engine-a", "engine-b"} {
 			f.setFault(engine, mgstandin.Fault{
 				Kind: mgstandin.Die,
--- a/internal/process/mgfleet/process_test.go
+++ b/internal/process/mgfleet/process_test.go
@@ -88,7 +88,7 @@
 		select {
 		case <-tick.C:
 		case <-deadline:
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
--- a/internal/process/mgfleet/writes_test.go
+++ b/internal/process/mgfleet/writes_test.go
@@ -92,7 +92,7 @@
 			}
 			outcomes[outcome]++
 		}
-		t.Logf("%d writes, %d mishaps: %v", totalTickets, len(faults), outcomes)
+		t.Logf("%d writes, %d faults: %v", totalTickets, len(faults), outcomes)
 		So(outcomes[mgproblem.Done], ShouldBeGreaterThan, totalTickets*9/10)
 	})
 }
