--- a/internal/process/mgagent/move_test.go
+++ b/internal/process/mgagent/move_test.go
@@ -148,11 +148,9 @@
 
 var errLost = errors.New("connection reset")
 
-// An engine is reclaimed during a long answer and a step of the move fails: no
-// capacity at the other engine, a lost answer, or a refusing or dead agent. The
-// caller must get the rest of the same generation or a visible end, and an agent
-// that hands over a generation that its own engine may still run causes a second
-// run.
+// An engine is reclaimed during a long answer and a step of the move fails. The
+// caller must get the rest or a visible end, and a generation that the old
+// engine may still run must not be handed over, as it would run twice.
 func TestMoveFails(t *testing.T) {
 	full := func() error { return mgengine.NewRefusal("move", errors.New("no room")) }
 	lost := func() error { return mgengine.NewFailure(mgengine.Unknown, "move", "", errLost) }
--- a/internal/process/mgagent/start_test.go
+++ b/internal/process/mgagent/start_test.go
@@ -14,10 +14,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// An engine accepts a start and its answer is lost, as when it crashes right
-// then. The agent retries and the engine, or its replacement, refuses. The
-// refusal covers the second start only: the first may have run, so "not run"
-// would be false.
+// An engine accepts a start, its answer is lost, and the engine or its
+// replacement refuses the retry. The refusal covers only the retry: the first
+// start may have run, so "not run" would be false.
 func TestFalseNotRunAfterLostAnswer(t *testing.T) {
 	lost := mgengine.NewFailure(mgengine.Unknown, "start", "", errors.New("the answer was lost"))
 	refused := mgengine.NewFailure(mgengine.NotStarted, "start", "", errors.New("nobody listens"))
--- a/internal/process/mgfleet/notrun_test.go
+++ b/internal/process/mgfleet/notrun_test.go
@@ -12,10 +12,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// A report was started at an engine and has no token yet when both engines die.
-// The entry finds no other engine. The caller has received nothing, yet the
-// report ran for a while: "not run", the outcome of the last search alone, would
-// be false.
+// A report has started and has no token yet when both engines die, and the entry
+// finds no other. "Not run", the outcome of the last search alone, would be
+// false, because the report ran for a while.
 func TestFalseNotRunBeforeFirstToken(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts nine processes")
--- a/internal/process/mgfleet/session_test.go
+++ b/internal/process/mgfleet/session_test.go
@@ -228,10 +228,9 @@
 	},
 }
 
-// Reports stream and tickets are booked while processes die, pause and are
-// replaced, links are cut or fall silent, and the platform fails. Each token
-// must arrive once and in order, no ticket may be booked twice, and the problem
-// of a lost request must be truthful.
+// Processes die, pause and are replaced, links fail, and so does the platform.
+// Each token must arrive once and in order, no ticket may be booked twice, and
+// the problem of a lost request must be truthful.
 func TestSessionLosesOrRepeatsWork(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts nine processes")
