--- a/internal/process/mgadmin/admin.go
+++ b/internal/process/mgadmin/admin.go
@@ -1,6 +1,6 @@
-// Package mgadmin is the operators' listener of a process: health, readiness,
-// a dump of its state and its metrics. It shows no secret: a source of the
-// dump gives counts, names and versions only.
+// Package mgadmin is a process's HTTP handler for operators: health, readiness,
+// a dump of its state, and its metrics. It exposes no secret: the sections of
+// the dump contain counts, names and versions only.
 package mgadmin
 
 import (
@@ -14,16 +14,16 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mgmetric"
 )
 
-// An Admin answers operators. Its zero value answers with an empty dump and
-// is not ready.
+// An Admin serves the operators' requests. The zero value serves an empty dump
+// and is not ready.
 type Admin struct {
 	mu      sync.Mutex
 	sources map[string]func() any
 	ready   atomic.Pointer[func() (bool, string)]
 }
 
-// Source adds a named part of the dump. The function is called for each dump
-// and returns what encoding/json can encode.
+// Source adds a named section to the dump. The function is called for each dump
+// and returns a value that encoding/json can encode.
 func (a *Admin) Source(name string, read func() any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -33,41 +33,42 @@
 	a.sources[name] = read
 }
 
-// Ready sets what tells whether the process takes new work, and if not, why.
+// Ready sets the function that reports whether the process accepts new work, and
+// the reason if it doesn't.
 func (a *Admin) Ready(check func() (bool, string)) { a.ready.Store(&check) }
 
-// Routes returns the listener's handler.
+// Routes returns the HTTP handler.
 func (a *Admin) Routes(set *mgmetric.Set) http.Handler {
 	router := chi.NewRouter()
-	router.Get("/health", func(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, "alive") })
-	router.Get("/ready", a.readiness)
-	router.Get("/dump", a.dump)
+	router.Get("/health", func(w http.ResponseWriter, _ *http.Request) { writeText(w, http.StatusOK, "alive") })
+	router.Get("/ready", a.serveReady)
+	router.Get("/dump", a.serveDump)
 	router.Handle("/metrics", set)
 	return router
 }
 
-func (a *Admin) readiness(w http.ResponseWriter, _ *http.Request) {
+func (a *Admin) serveReady(w http.ResponseWriter, _ *http.Request) {
 	check := a.ready.Load()
 	if check == nil {
-		write(w, http.StatusServiceUnavailable, "starting")
+		writeText(w, http.StatusServiceUnavailable, "starting")
 		return
 	}
 	ok, why := (*check)()
 	if !ok {
-		write(w, http.StatusServiceUnavailable, why)
+		writeText(w, http.StatusServiceUnavailable, why)
 		return
 	}
-	write(w, http.StatusOK, "ready")
+	writeText(w, http.StatusOK, "ready")
 }
 
-func (a *Admin) dump(w http.ResponseWriter, _ *http.Request) {
+func (a *Admin) serveDump(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	_ = encoder.Encode(a.Dump())
 }
 
-// Dump returns the state of the process by source.
+// Dump returns the state of the process by section.
 func (a *Admin) Dump() map[string]any {
 	a.mu.Lock()
 	sources := make(map[string]func() any, len(a.sources))
@@ -82,7 +83,7 @@
 	return state
 }
 
-func write(w http.ResponseWriter, status int, text string) {
+func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
 	_, _ = w.Write([]byte(text + "\n"))
--- a/internal/process/mgagent/agent.go
+++ b/internal/process/mgagent/agent.go
@@ -24,7 +24,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// Spec is what an agent is made of.
+// Spec holds an agent's settings and dependencies.
 type Spec struct {
 	Settings    mgsettings.Agent
 	Incarnation string
@@ -34,104 +34,106 @@
 	Seal        *mgseal.Signer
 	Engine      mgengine.Client
 	Service     mgservice.Client
-	// Table returns the table in force, or nil while there is none.
+	// Table returns the table in force, or nil before the first one.
 	Table func() *mgtable.Table
-	// Seen tells that another process goes by a version.
+	// Seen reports that another process uses a version of the table.
 	Seen func(version uint64, from string)
-	// Await returns once a version is in force here, or an error when ctx ends
-	// before. Without it the agent goes by what it has.
+	// Await returns once a version is in force in this process, or an error if
+	// ctx ends first. If it is nil, the agent decides by the version that it
+	// has.
 	Await func(ctx context.Context, version uint64) error
-	// Plan returns which engine holds which model. Without it the agent gives
-	// no orders and takes its engine to have every model.
+	// Plan returns the assignment of models to engines. If it is nil, the agent
+	// sends no orders and assumes that its engine has every model.
 	Plan func() *mgplacement.Plan
-	// Ours reports whether this agent is the engine's own as far as the list of
-	// VMs and the peers know, and when that was asked.
+	// Ours reports whether this agent is the engine's current agent, according
+	// to the list of VMs and the peers, and when they were last asked.
 	Ours func() (mgclock.Millis, bool)
-	// Others returns the agents beside other engines that hold a model. Without
-	// it no generation is moved.
+	// Others returns the agents of other engines that hold a model. If it is
+	// nil, no generation is moved.
 	Others func(model string) []Other
-	// Started is the process's start in Unix ms.
+	// Started is when the process started, in Unix ms.
 	Started int64
 }
 
-// An Agent gives one upstream its work. Make one with New, then Run it.
+// An Agent admits and schedules the work of one upstream. Create it with New,
+// then call Run.
 type Agent struct {
-	spec     Spec
-	attempts *mgoperation.Ledger
-	writes   *mgoperation.Ledger
-	minter   *mgoperation.Minter
-	prefix   mgprefix.Record
-	wake     chan struct{}
-	slots    chan struct{}
-	orders   *orders
-	calls    atomic.Int64
-	leaving  atomic.Bool
-	sick     atomic.Bool // the engine can't be reached
-	moving   atomic.Bool // generations are being moved to other engines
-	running  sync.WaitGroup
-	life     context.Context // of what outlives the call that began it
-	endLife  context.CancelFunc
-
-	mu          sync.Mutex // guards what follows
+	spec        Spec
+	attempts    *mgoperation.Ledger
+	operations  *mgoperation.Ledger
+	minter      *mgoperation.Minter
+	prefix      mgprefix.Record
+	wake        chan struct{}
+	slots       chan struct{}
+	orders      *orderState
+	calls       atomic.Int64
+	isLeaving   atomic.Bool
+	engineDown  atomic.Bool // the engine can't be reached
+	isMoving    atomic.Bool // a background loop is moving generations to other engines
+	tasks       sync.WaitGroup
+	lifetime    context.Context // context of work that outlives the call that started it
+	endLifetime context.CancelFunc
+
+	mu          sync.Mutex // guards the fields below
 	scheduler   *mgscheduler.Scheduler
 	generations map[string]*generation
 	counts      counts
 	ramp        mgpace.Ramp
-	warming     bool           // the engine takes part of its batch only
-	noticed     bool           // the engine has said when it is gone
-	gone        mgclock.Millis // when
+	isWarming   bool           // the engine is limited to a share of its batch
+	hasNotice   bool           // the engine has announced when it will be gone
+	goneAt      mgclock.Millis // valid if hasNotice
 }
 
-// counts are the agent's totals, for the dump.
+// counts are the agent's totals, shown in the dump.
 type counts struct {
-	started, finished, refused, broken, adopted int64
+	started, finished, refused, failed, adopted int64
 }
 
-// callSlots bounds the calls that run at once in a plain service whose table
-// row names no batch.
-const callSlots = 64
+// defaultCallSlots is the maximum number of concurrent calls to a plain service
+// whose table row sets no batch.
+const defaultCallSlots = 64
 
-// New returns an agent that has not started. The table must be in force, for
-// the upstream's row sizes the queue and the memory budget.
+// New returns an agent that has not started. The table must be in force, because
+// the upstream's row sets the batch size and the memory budget.
 func New(spec Spec) (*Agent, error) {
-	upstream := upstreamOf(spec)
+	upstream := upstreamRow(spec)
 	policy, err := mgscheduler.Named(spec.Settings.Policy)
 	if err != nil {
 		return nil, fmt.Errorf("key policy: %w", err)
 	}
-	slots := callSlots
+	slots := defaultCallSlots
 	if upstream != nil && upstream.Batch() > 0 {
 		slots = upstream.Batch()
 	}
-	life, endLife := context.WithCancel(context.Background())
+	lifetime, endLifetime := context.WithCancel(context.Background())
 	return &Agent{
 		spec:        spec,
-		life:        life,
-		endLife:     endLife,
+		lifetime:    lifetime,
+		endLifetime: endLifetime,
 		attempts:    mgoperation.New(mgoperation.Spec{Window: mgoperation.AttemptWindow}),
-		writes:      mgoperation.New(mgoperation.Spec{Window: mgoperation.OperationWindow}),
+		operations:  mgoperation.New(mgoperation.Spec{Window: mgoperation.OperationWindow}),
 		minter:      mgoperation.NewMinter(spec.Seal, spec.Settings.Upstream, spec.Incarnation),
 		wake:        make(chan struct{}, 1),
 		slots:       make(chan struct{}, slots),
-		orders:      newOrders(spec, upstream),
+		orders:      newOrderState(spec, upstream),
 		scheduler:   mgscheduler.New(schedulerSpec(spec, policy, upstream)),
 		generations: map[string]*generation{},
 	}, nil
 }
 
 func schedulerSpec(spec Spec, policy mgscheduler.Policy, upstream *mgtable.Upstream) mgscheduler.Spec {
-	made := mgscheduler.Spec{
+	schedulerSpec := mgscheduler.Spec{
 		Queue:  int(spec.Settings.Queue),
 		Policy: policy,
 	}
 	if upstream != nil {
-		made.Memory = int64(upstream.Memory())
-		made.Batch = upstream.Batch()
+		schedulerSpec.Memory = int64(upstream.Memory())
+		schedulerSpec.Batch = upstream.Batch()
 	}
-	return made
+	return schedulerSpec
 }
 
-func upstreamOf(spec Spec) *mgtable.Upstream {
+func upstreamRow(spec Spec) *mgtable.Upstream {
 	table := spec.Table()
 	if table == nil {
 		return nil
@@ -139,65 +141,65 @@
 	return table.Upstream(spec.Settings.Upstream)
 }
 
-// Run does the agent's work until ctx ends. Work in progress is then cut off,
-// so Drain comes first on a planned stop.
+// Run runs the agent's loops until ctx ends. Work in progress is then aborted,
+// so a planned stop drains the agent first.
 func (a *Agent) Run(ctx context.Context) {
 	a.adopt(ctx)
 	var loops sync.WaitGroup
 	loops.Go(func() { a.pump(ctx) })
 	loops.Go(func() { a.sweep(ctx) })
-	loops.Go(func() { a.follow(ctx) })
-	loops.Go(func() { a.order(ctx) })
+	loops.Go(func() { a.pollUpstream(ctx) })
+	loops.Go(func() { a.orderLoop(ctx) })
 	loops.Wait()
-	a.endLife()
-	a.running.Wait()
+	a.endLifetime()
+	a.tasks.Wait()
 }
 
-// Leave makes the agent refuse new work from now on; what it holds goes on.
+// Leave makes the agent refuse new work. Work already admitted continues.
 func (a *Agent) Leave() {
-	if a.leaving.Swap(true) {
+	if a.isLeaving.Swap(true) {
 		return
 	}
 	a.mu.Lock()
 	a.scheduler.Leaving(a.spec.Clock.Now())
 	a.mu.Unlock()
-	a.poke()
-	a.spec.Log.Info("leaving: no new work is taken")
+	a.wakePump()
+	a.spec.Log.Info("leaving: new work is refused")
 }
 
-// Leaving reports whether the agent takes no new work.
-func (a *Agent) Leaving() bool { return a.leaving.Load() }
+// Leaving reports whether the agent refuses new work.
+func (a *Agent) Leaving() bool { return a.isLeaving.Load() }
 
-// Busy returns how many generations and calls a stop would cut off.
+// Busy returns the number of generations and calls that a stop would abort.
 func (a *Agent) Busy() int {
 	busy := int(a.calls.Load())
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, g := range a.generations {
-		if g.busy() {
+		if g.isBusy() {
 			busy++
 		}
 	}
 	return busy
 }
 
-// poke wakes the pump.
-func (a *Agent) poke() {
+// wakePump wakes the pump loop.
+func (a *Agent) wakePump() {
 	select {
 	case a.wake <- struct{}{}:
 	default:
 	}
 }
 
-// generation returns the one of that id, or nil.
+// generation returns the generation with that id, or nil.
 func (a *Agent) generation(id string) *generation {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.generations[id]
 }
 
-// fault turns a problem into its message.
-func fault(p *mgproblem.Problem) *mgrpc.Fault {
+// faultFromProblem converts a problem to its message.
+func faultFromProblem(p *mgproblem.Problem) *mgrpc.Fault {
 	return &mgrpc.Fault{
 		Kind:    string(p.Kind()),
 		Detail:  p.Detail(),
@@ -207,7 +209,7 @@
 	}
 }
 
-// State is the agent's part of the dump.
+// State is the agent's section of the dump.
 type State struct {
 	Incarnation string `json:"incarnation"`
 	Upstream    string `json:"upstream"`
@@ -226,7 +228,7 @@
 	Adopted     int64  `json:"adopted"`
 }
 
-// State returns what the agent holds, in numbers.
+// State returns a summary of the agent's state.
 func (a *Agent) State() State {
 	busy := a.Busy()
 	a.mu.Lock()
@@ -234,18 +236,18 @@
 	return State{
 		Incarnation: a.spec.Incarnation,
 		Upstream:    a.spec.Settings.Upstream,
-		Leaving:     a.leaving.Load(),
-		Sick:        a.sick.Load(),
+		Leaving:     a.isLeaving.Load(),
+		Sick:        a.engineDown.Load(),
 		Generations: len(a.generations),
 		Busy:        busy,
 		Calls:       a.calls.Load(),
 		Attempts:    a.attempts.Len(),
-		Operations:  a.writes.Len(),
+		Operations:  a.operations.Len(),
 		Blocks:      a.prefix.Len(),
 		Started:     a.counts.started,
 		Finished:    a.counts.finished,
 		Refused:     a.counts.refused,
-		Broken:      a.counts.broken,
+		Broken:      a.counts.failed,
 		Adopted:     a.counts.adopted,
 	}
 }
--- a/internal/process/mgevent/bus.go
+++ b/internal/process/mgevent/bus.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// topic is the one topic: several would be several orders.
+	// topic is the only topic: several topics would not share one order.
 	topic = "control"
-	// queueMost bounds the events that wait. Control events come by the second;
-	// this many mean that a handler hangs.
-	queueMost = 4096
-	// traceMost bounds the trace.
-	traceMost = 128
+	// maxQueued is the maximum number of queued events. Control events arrive
+	// about once a second; this many mean that a handler hangs.
+	maxQueued = 4096
+	// maxTrace is the maximum length of the trace.
+	maxTrace = 128
 )
 
-// ErrFull is the error of an event that was dropped.
+// ErrFull is returned by Publish for an event that was dropped.
 var ErrFull = errors.New("mgevent: the queue of control events is full: a handler hangs, see the trace in the dump")
 
-// A Bus queues events and runs their handlers. NewBus makes one.
+// A Bus queues events and runs their handlers. Create it with NewBus.
 type Bus struct {
 	clock mgclock.Clock
 
 	mu       sync.Mutex
 	handlers map[Kind][]func(Event)
 	queue    []Event       // waiting, oldest first
-	seq      uint64        // of the last event that was published
-	wake     chan struct{} // holds one signal when queue has grown
+	seq      uint64        // of the last queued event
+	wake     chan struct{} // signals that the queue is not empty; capacity 1
 	trace    []Trace
 }
 
-// NewBus returns a bus on a clock.
+// NewBus returns a bus that takes the time from clock.
 func NewBus(clock mgclock.Clock) *Bus {
 	return &Bus{
 		clock:    clock,
@@ -49,19 +49,20 @@
 	}
 }
 
-// On adds a handler for a kind of event. Handlers of a kind run in the order in
-// which they were added.
+// On registers a handler for a kind of event. Handlers of a kind run in the
+// order of their registration.
 func (b *Bus) On(kind Kind, handle func(Event)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.handlers[kind] = append(b.handlers[kind], handle)
 }
 
-// Publish queues an event and returns at once. The error is ErrFull.
+// Publish enqueues an event without waiting for its handlers. The only error is
+// ErrFull.
 func (b *Bus) Publish(kind Kind, subject, detail string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.queue) >= queueMost {
+	if len(b.queue) >= maxQueued {
 		return ErrFull
 	}
 	b.seq++
@@ -86,14 +87,14 @@
 	}, watermill.NopLogger{})
 	messages, err := channel.Subscribe(ctx, topic)
 	if err != nil {
-		return fmt.Errorf("mgevent: can't subscribe: report it: %w", err)
+		return fmt.Errorf("mgevent: can't subscribe to the control topic (a bug, please report it): %w", err)
 	}
 	var handling sync.WaitGroup
 	handling.Add(1)
 	go func() {
 		defer handling.Done()
 		for m := range messages {
-			b.handle(m)
+			b.dispatch(m)
 		}
 	}()
 	err = b.pump(ctx, channel)
@@ -102,10 +103,10 @@
 	return errors.Join(err, closed)
 }
 
-// pump publishes the queued events one by one.
+// pump publishes the queued events one at a time.
 func (b *Bus) pump(ctx context.Context, channel *gochannel.GoChannel) error {
 	for {
-		event, ok := b.next()
+		event, ok := b.dequeue()
 		if !ok {
 			select {
 			case <-b.wake:
@@ -114,17 +115,17 @@
 				return nil
 			}
 		}
-		// An event is numbers and strings and always has a JSON form.
+		// Marshal can't fail: an event has only numbers and strings.
 		payload, _ := json.Marshal(event)
 		m := message.NewMessage(strconv.FormatUint(event.Seq, 10), payload)
 		if err := channel.Publish(topic, m); err != nil {
-			return fmt.Errorf("mgevent: can't publish: report it: %w", err)
+			return fmt.Errorf("mgevent: can't publish to the control topic (a bug, please report it): %w", err)
 		}
 	}
 }
 
-// next takes the first queued event.
-func (b *Bus) next() (Event, bool) {
+// dequeue removes and returns the first queued event.
+func (b *Bus) dequeue() (Event, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.queue) == 0 {
@@ -135,8 +136,8 @@
 	return event, true
 }
 
-// handle runs an event's handlers.
-func (b *Bus) handle(m *message.Message) {
+// dispatch runs an event's handlers.
+func (b *Bus) dispatch(m *message.Message) {
 	defer m.Ack()
 	var event Event
 	if err := json.Unmarshal(m.Payload, &event); err != nil {
@@ -145,27 +146,27 @@
 	b.mu.Lock()
 	handlers := b.handlers[event.Kind]
 	b.mu.Unlock()
-	begun := b.clock.Now()
+	startedAt := b.clock.Now()
 	for _, handle := range handlers {
 		handle(event)
 	}
-	b.note(Trace{
+	b.appendTrace(Trace{
 		Event:  event,
-		Waited: begun - event.At,
-		Took:   b.clock.Now() - begun,
+		Waited: startedAt - event.At,
+		Took:   b.clock.Now() - startedAt,
 	})
 }
 
-func (b *Bus) note(t Trace) {
+func (b *Bus) appendTrace(t Trace) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.trace = append(b.trace, t)
-	if len(b.trace) > traceMost {
+	if len(b.trace) > maxTrace {
 		b.trace = b.trace[1:]
 	}
 }
 
-// Trace returns the last handled events, the oldest first.
+// Trace returns the last handled events, oldest first.
 func (b *Bus) Trace() []Trace {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/process/mgevent/bus_test.go
+++ b/internal/process/mgevent/bus_test.go
@@ -15,10 +15,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestBus(t *testing.T) {
-	Convey("Events are handled one by one, in one order", t, func() {
+func TestEventsReorderedOrBlocking(t *testing.T) {
+	Convey("Events are handled one at a time, in one order", t, func() {
 		bus := NewBus(mgclock.Clock{})
-		var seen []uint64 // without a lock: the race detector checks the claim
+		var seen []uint64 // no lock: the race detector verifies that handlers don't overlap
 		done := make(chan struct{})
 		handle := func(e Event) {
 			seen = append(seen, e.Seq)
@@ -48,19 +48,19 @@
 		}
 		cancel()
 		So(<-ended, ShouldBeNil)
-		So(bus.Trace(), ShouldHaveLength, traceMost)
+		So(bus.Trace(), ShouldHaveLength, maxTrace)
 	})
 	Convey("A handler that hangs makes events drop, not publishers wait", t, func() {
 		bus := NewBus(mgclock.Clock{})
-		for range queueMost {
+		for range maxQueued {
 			So(bus.Publish(Paused, "", ""), ShouldBeNil)
 		}
 		So(bus.Publish(Paused, "", ""), ShouldWrap, ErrFull)
 	})
 }
 
-// store is control state: a version and what followed from it. Keeping both in
-// step is what a queue or a lock is for.
+// store is control state: a version and a value derived from it, which the queue
+// or the lock keeps consistent.
 type store struct {
 	mu      sync.RWMutex
 	version uint64
@@ -68,22 +68,23 @@
 	current atomic.Uint64
 }
 
-// update takes a change whose consequences need work to work out.
+// update applies a change whose derived value takes time to compute.
 func (s *store) update(version uint64) {
 	s.version = version
-	work()
+	simulateWork()
 	s.derived = version
 	s.current.Store(version)
 }
 
-// work stands for the adoption of an edit: about a hundred microseconds.
-func work() {
+// simulateWork simulates the adoption of an edit, which takes about 100
+// microseconds.
+func simulateWork() {
 	for begun := time.Now(); time.Since(begun) < 100*time.Microsecond; {
 	}
 }
 
-// BenchmarkHandled compares the time from a change to its consequences in force,
-// by a lock and by the bus.
+// BenchmarkHandled compares the time from a change until its derived value is in
+// force, with a lock and with the bus.
 func BenchmarkHandled(b *testing.B) {
 	b.Run("lock", func(b *testing.B) {
 		var s store
@@ -117,9 +118,9 @@
 	}
 }
 
-// BenchmarkRequestPath measures what a request waits for control state while
-// changes come every 200 microseconds and take half of that: under a lock that is held over the
-// change, and with the snapshot that the bus's handler replaces.
+// BenchmarkRequestPath measures how long a request waits for control state while
+// changes arrive every 200 microseconds and take half of that: with a lock held
+// during the change, and with a snapshot that the bus's handler replaces.
 func BenchmarkRequestPath(b *testing.B) {
 	b.Run("lock", func(b *testing.B) {
 		var s store
@@ -141,7 +142,7 @@
 				s.mu.Unlock()
 			}
 		}()
-		blocked(b, func() {
+		measureReads(b, func() {
 			s.mu.RLock()
 			_ = s.derived
 			s.mu.RUnlock()
@@ -169,31 +170,31 @@
 				_ = bus.Publish(Adopted, "", "")
 			}
 		}()
-		blocked(b, func() { _ = s.current.Load() })
+		measureReads(b, func() { _ = s.current.Load() })
 		close(stop)
 		publisher.Wait()
 	})
 }
 
-// blocked reports the mean and the longest time of a read.
-func blocked(b *testing.B, read func()) {
+// measureReads reports the mean and the maximum time of a read.
+func measureReads(b *testing.B, read func()) {
 	var longest, total time.Duration
 	count := 0
 	for b.Loop() {
-		begun := time.Now()
+		startedAt := time.Now()
 		read()
-		span := time.Since(begun)
-		total += span
-		longest = max(longest, span)
+		elapsed := time.Since(startedAt)
+		total += elapsed
+		longest = max(longest, elapsed)
 		count++
 	}
 	b.ReportMetric(float64(total.Nanoseconds())/float64(count), "mean-ns")
 	b.ReportMetric(float64(longest.Nanoseconds()), "max-ns")
 }
 
-// BenchmarkInversions counts how often listeners learn of two changes in the
-// wrong order when a lock is given up before they are told, as it must be where
-// a listener takes locks of its own. The bus has none by its construction.
+// BenchmarkInversions counts how often listeners are notified of two changes in
+// the wrong order if the lock is released before they are notified, which is
+// necessary if a listener takes locks of its own. The bus has none by design.
 func BenchmarkInversions(b *testing.B) {
 	b.Run("lock", func(b *testing.B) {
 		var s store
--- a/internal/process/mgfence/fence.go
+++ b/internal/process/mgfence/fence.go
@@ -9,198 +9,205 @@
 
 // The defaults of a Spec.
 const (
-	// DefaultLease is short against the seconds in which a change must be in
-	// force, and long against a look at the list.
-	DefaultLease = 5 * mgclock.Second
-	// DefaultLag is how far the list of VMs may lag behind the platform.
-	DefaultLag = 5 * mgclock.Second
-	// DefaultPause is the longest pause that may go unseen between the last look
-	// at the clock and the sending.
-	DefaultPause = 2 * mgclock.Second
-	// DefaultHold is how long an order may wait between decision and sending.
-	DefaultHold = mgclock.Second
+	// DefaultLeaseTTL is short compared with the seconds in which a change must
+	// be in force, and long compared with the interval at which the list is
+	// read.
+	DefaultLeaseTTL = 5 * mgclock.Second
+	// DefaultListLag is how far the list of VMs may lag behind the platform.
+	DefaultListLag = 5 * mgclock.Second
+	// DefaultMaxPause is the longest pause that may go undetected between the
+	// last check of the time and the sending.
+	DefaultMaxPause = 2 * mgclock.Second
+	// DefaultMaxHold is how long an order may wait between Plan and Send.
+	DefaultMaxHold = mgclock.Second
 )
 
 const (
-	// startBits hold the start of a process in ms from the epoch: 69 years.
+	// startBits is the number of bits for the process's start in ms since epoch:
+	// 69 years.
 	startBits = 41
 	// epoch is 2026-01-01 in Unix ms.
 	epoch = 1767225600000
 )
 
-// A Spec describes an agent's life. Spans left 0 take the defaults.
+// A Spec configures a Guard for one incarnation of an agent. Durations of 0 take
+// the defaults.
 type Spec struct {
-	// Started is the process's start in Unix ms.
-	Started int64
-	// Begun is the same moment by the clock of the other calls.
-	Begun mgclock.Millis
-	// Checks is set when the engine refuses old fencing numbers.
-	Checks bool
+	// StartedUnix is the process's start in Unix ms.
+	StartedUnix int64
+	// StartedAt is the same moment by the clock that the Guard's methods use.
+	StartedAt mgclock.Millis
+	// EngineChecks is true if the engine refuses old fencing numbers.
+	EngineChecks bool
 
-	Lease mgclock.Millis
-	Lag   mgclock.Millis
-	Pause mgclock.Millis
-	Hold  mgclock.Millis
+	LeaseTTL mgclock.Millis
+	ListLag  mgclock.Millis
+	MaxPause mgclock.Millis
+	MaxHold  mgclock.Millis
 }
 
 func (s Spec) withDefaults() Spec {
-	s.Lease = orDefault(s.Lease, DefaultLease)
-	s.Lag = orDefault(s.Lag, DefaultLag)
-	s.Pause = orDefault(s.Pause, DefaultPause)
-	s.Hold = orDefault(s.Hold, DefaultHold)
+	s.LeaseTTL = orDefault(s.LeaseTTL, DefaultLeaseTTL)
+	s.ListLag = orDefault(s.ListLag, DefaultListLag)
+	s.MaxPause = orDefault(s.MaxPause, DefaultMaxPause)
+	s.MaxHold = orDefault(s.MaxHold, DefaultMaxHold)
 	return s
 }
 
-func orDefault(span, otherwise mgclock.Millis) mgclock.Millis {
-	if span <= 0 {
-		return otherwise
+func orDefault(value, fallback mgclock.Millis) mgclock.Millis {
+	if value <= 0 {
+		return fallback
 	}
-	return span
+	return value
 }
 
-// wait is how long a new agent holds its first order back: until its
-// predecessor has learnt of it, its lease has run out, and what it sent before
-// has left.
-func (s Spec) wait() mgclock.Millis {
-	if s.Checks {
+// startupDelay is how long a new agent must wait before its first order: until
+// its predecessor has learned that it was replaced, its lease has expired, and
+// the orders that it sent before have arrived.
+func (s Spec) startupDelay() mgclock.Millis {
+	if s.EngineChecks {
 		return 0
 	}
-	return s.Lag + s.Lease + s.Pause
+	return s.ListLag + s.LeaseTTL + s.MaxPause
 }
 
-// An Order is leave to send one order, for a short time.
+// An Order is the permission to send one order within a short time.
 type Order struct {
-	number uint64
-	life   uint64
-	until  mgclock.Millis
+	number        uint64
+	invalidations uint64
+	expiresAt     mgclock.Millis
 }
 
 // Number returns the fencing number that goes with the order.
 func (o Order) Number() uint64 { return o.number }
 
-// A Guard gives leave for orders. The zero Guard is that of an engine that
-// ignores numbers, and gives none before Renew. It is ready for use by several
-// goroutines.
+// A Guard decides whether orders may be sent. The zero Guard is that of an
+// engine that ignores fencing numbers, and permits no order before Renew. It is
+// safe for concurrent use.
 type Guard struct {
 	spec Spec
 
-	mu    sync.Mutex
-	last  uint64         // the highest number given or seen
-	lease mgclock.Millis // orders may be sent before it
-	held  bool           // there is a lease
-	life  uint64         // counts pauses; orders of an earlier one are dead
-	saw   mgclock.Millis // the last look at the clock
-	looks bool           // there was one
+	mu            sync.Mutex
+	lastNumber    uint64         // the highest number issued or seen
+	leaseUntil    mgclock.Millis // orders may be sent until this time
+	hasLease      bool           // leaseUntil is valid
+	invalidations uint64         // counts calls of invalidate; orders planned before the last one are invalid
+	lastObserved  mgclock.Millis // the last time passed to observeClock
+	hasObserved   bool           // lastObserved is valid
 }
 
-// New returns the Guard of an agent's life.
+// New returns the Guard of one incarnation of an agent.
 func New(spec Spec) *Guard {
 	return &Guard{
 		spec: spec,
 	}
 }
 
-// Renew tells that this agent was found to be the engine's own, by a question
-// asked at asked.
+// Renew renews the lease: a query made at asked confirmed that this agent is the
+// engine's current agent.
 func (g *Guard) Renew(asked, now mgclock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.look(now)
-	until := asked + g.spec.withDefaults().Lease
-	if until > now && (!g.held || until > g.lease) {
-		g.held = true
-		g.lease = until
+	g.observeClock(now)
+	until := asked + g.spec.withDefaults().LeaseTTL
+	if until > now && (!g.hasLease || until > g.leaseUntil) {
+		g.hasLease = true
+		g.leaseUntil = until
 	}
 }
 
-// Revoke tells that this agent isn't the engine's own, or that it is leaving.
+// Revoke drops the lease because this agent isn't the engine's current agent, or
+// is leaving.
 func (g *Guard) Revoke() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pause()
+	g.invalidate()
 }
 
-// Look looks at the clock. It is called every so often, so that a pause shows.
-func (g *Guard) Look(now mgclock.Millis) {
+// ObserveClock detects pauses of the process by the time since the last call. It
+// must be called regularly.
+func (g *Guard) ObserveClock(now mgclock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.look(now)
+	g.observeClock(now)
 }
 
-// look drops the lease and all orders not yet sent if the process was paused:
-// what it decided before, it decided on what was true before.
-func (g *Guard) look(now mgclock.Millis) {
-	if g.looks && now-g.saw > g.spec.withDefaults().Pause {
-		g.pause()
+// observeClock drops the lease and all unsent orders if the process was paused,
+// because they were decided on outdated state.
+func (g *Guard) observeClock(now mgclock.Millis) {
+	if g.hasObserved && now-g.lastObserved > g.spec.withDefaults().MaxPause {
+		g.invalidate()
 	}
-	g.looks = true
-	g.saw = max(g.saw, now)
+	g.hasObserved = true
+	g.lastObserved = max(g.lastObserved, now)
 }
 
-func (g *Guard) pause() {
-	g.held = false
-	g.life++
+func (g *Guard) invalidate() {
+	g.hasLease = false
+	g.invalidations++
 }
 
-// Plan returns leave to send one order decided on a configuration's version.
+// Plan returns the permission to send one order that was decided on a version of
+// the configuration.
 func (g *Guard) Plan(version uint64, now mgclock.Millis) (Order, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.look(now)
+	g.observeClock(now)
 	spec := g.spec.withDefaults()
-	if wait := spec.Begun + spec.wait() - now; wait > 0 {
-		return Order{}, problemEarly(wait)
+	if delay := spec.StartedAt + spec.startupDelay() - now; delay > 0 {
+		return Order{}, earlyProblem(delay)
 	}
-	if !g.held || now >= g.lease {
-		return Order{}, problemLease()
+	if !g.hasLease || now >= g.leaseUntil {
+		return Order{}, noLeaseProblem()
 	}
-	g.last = max(g.last+1, g.base(version))
+	g.lastNumber = max(g.lastNumber+1, g.firstNumber(version))
 	return Order{
-		number: g.last,
-		life:   g.life,
-		until:  min(g.lease, now+spec.Hold),
+		number:        g.lastNumber,
+		invalidations: g.invalidations,
+		expiresAt:     min(g.leaseUntil, now+spec.MaxHold),
 	}, nil
 }
 
-// base returns the first number of this life for a version.
+// firstNumber returns this incarnation's first fencing number for a version.
 //
-// A successor outranks its predecessor by the later start; both outrank those
-// with older versions. One order a millisecond would be needed for the numbers
-// given out to catch up with a later start.
-func (g *Guard) base(version uint64) uint64 {
-	started := uint64(max(g.spec.Started-epoch, 0))
+// A successor's numbers are higher because it started later, and numbers of
+// newer versions are higher than both agents' numbers for older ones. Issued
+// numbers would catch up with a later start only at one order per millisecond.
+func (g *Guard) firstNumber(version uint64) uint64 {
+	started := uint64(max(g.spec.StartedUnix-epoch, 0))
 	return version<<startBits | started&(1<<startBits-1)
 }
 
-// Send is the last check, made just before the order leaves. An agent that was
-// paused since Plan learns it here, from the clock.
-func (g *Guard) Send(o Order, now mgclock.Millis) error {
+// CheckSend is the last check, made just before the order is sent. It detects a
+// pause of the process since Plan.
+func (g *Guard) CheckSend(o Order, now mgclock.Millis) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.look(now)
-	if o.life != g.life || now >= o.until || o.number == 0 {
-		return problemLease()
+	g.observeClock(now)
+	if o.invalidations != g.invalidations || now >= o.expiresAt || o.number == 0 {
+		return noLeaseProblem()
 	}
 	return nil
 }
 
-// Refused tells that the engine refused an order since it has seen number.
-// Another agent may be the engine's own by now, so that the lease is dropped;
-// if it isn't so, the next number is higher than that one.
-func (g *Guard) Refused(number uint64) {
+// ObserveRefusal records that the engine refused an order because it has seen
+// the given number. The lease is dropped, since another agent may be the
+// engine's current one; if it is not, the next number is higher than the one
+// seen.
+func (g *Guard) ObserveRefusal(number uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.last = max(g.last, number)
-	g.pause()
+	g.lastNumber = max(g.lastNumber, number)
+	g.invalidate()
 }
 
-func problemEarly(wait mgclock.Millis) error {
+func earlyProblem(wait mgclock.Millis) error {
 	return mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
 		"an order of the agent before may still arrive",
 		"wait; the engine ignores fencing numbers").WithRetry(wait)
 }
 
-func problemLease() error {
+func noLeaseProblem() error {
 	return mgproblem.New(mgproblem.Incarnation, mgproblem.NotRun,
 		"no lease on the engine's orders",
 		"look at the list again and decide anew")
--- a/internal/process/mgfleet/fleet_test.go
+++ b/internal/process/mgfleet/fleet_test.go
@@ -1,10 +1,10 @@
 // Package mgfleet_test runs the built binary as separate processes on loopback
-// and plays failures at fixed points of a scripted load: kills, pauses, cut and
-// silent links, platform faults and edits of the table. What callers got is
-// compared with what the stand-ins generated and ran.
+// and injects failures at fixed points of a scripted load: kills, pauses, cut
+// and silent links, platform faults and edits of the table. What callers
+// received is compared with what the stand-ins generated and ran.
 //
-// Each wait is for a condition with a deadline that only a hang reaches, so
-// that a verdict doesn't depend on the machine's speed.
+// Each wait is for a condition, with a deadline that is reached only if
+// something hangs, so that a result doesn't depend on the machine's speed.
 package mgfleet_test
 
 import (
@@ -21,22 +21,22 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/standin/mgstandin"
 )
 
-// A fleet is a deployment of separate processes on loopback: two entries,
-// three agents, their three upstreams and the platform. Callers, entries and
-// agents reach what may be cut off over relays.
+// A fleet is a deployment of separate processes on loopback: two entries, three
+// agents, their three upstreams and the platform. Connections that a test may
+// cut pass through relays.
 type fleet struct {
-	t         *testing.T
-	binary    string
-	folder    string
-	processes map[string]*process
-	admins    map[string]string // admin addresses of entries and agents
-	standins  map[string]string // base URLs of the stand-ins
-	relays    map[string]*mgproc.Link
-	entries   []string // base URLs for callers
-	struck    string   // the agent that the last harm chose
+	t           *testing.T
+	binary      string
+	dir         string
+	processes   map[string]*process
+	admins      map[string]string // admin addresses of entries and agents
+	standins    map[string]string // base URLs of the stand-ins
+	relays      map[string]*mgproc.Link
+	entries     []string // base URLs for callers
+	struckAgent string   // the agent into which intoBusyAgent last injected a failure
 }
 
-// The upstreams and the agents beside them.
+// upstreams maps each upstream to its agent.
 var upstreams = map[string]string{
 	"engine-a": "agent-a",
 	"engine-b": "agent-b",
@@ -48,8 +48,8 @@
 	t.Helper()
 	f := &fleet{
 		t:         t,
-		binary:    build(t),
-		folder:    t.TempDir(),
+		binary:    buildBinary(t),
+		dir:       t.TempDir(),
 		processes: map[string]*process{},
 		admins:    map[string]string{},
 		standins:  map[string]string{},
@@ -76,17 +76,17 @@
 	return f
 }
 
-// settings writes a settings file and returns its path.
-func (f *fleet) settings(name, format string, args ...any) string {
-	path := filepath.Join(f.folder, name+".toml")
+// writeSettings writes a settings file and returns its path.
+func (f *fleet) writeSettings(name, format string, args ...any) string {
+	path := filepath.Join(f.dir, name+".toml")
 	if err := os.WriteFile(path, fmt.Appendf(nil, format, args...), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
 	return path
 }
 
-// link puts a relay before an address and returns the relay's.
-func (f *fleet) link(name, target string) string {
+// addRelay starts a relay to target and returns the relay's address.
+func (f *fleet) addRelay(name, target string) string {
 	r, err := mgproc.NewLink(target)
 	if err != nil {
 		f.t.Fatal(err)
@@ -106,21 +106,21 @@
 		case "platform":
 			kind, extra = "platform", "lag = 200\n"
 		}
-		file := f.settings(name, "listen = %q\n%s", addrs[i], extra)
-		f.processes[name] = start(f.t, f.binary, name, "standin", kind, "--settings", file)
+		file := f.writeSettings(name, "listen = %q\n%s", addrs[i], extra)
+		f.processes[name] = startProcess(f.t, f.binary, name, "standin", kind, "--settings", file)
 		f.standins[name] = "http://" + addrs[i]
 	}
 	for name, base := range f.standins {
-		until(f.t, name+" serves", func() bool {
+		waitFor(f.t, name+" serves", func() bool {
 			status, _ := fetch(base + "/standin/counts")
 			return status == http.StatusOK
 		})
 	}
-	f.link("platform", strings.TrimPrefix(f.standins["platform"], "http://"))
+	f.addRelay("platform", strings.TrimPrefix(f.standins["platform"], "http://"))
 }
 
-// common returns the settings that entries and agents share.
-func (f *fleet) common(name, zone, peer, admin string) string {
+// commonSettings returns the settings that entries and agents share.
+func (f *fleet) commonSettings(name, zone, peer, admin string) string {
 	return fmt.Sprintf("name = %q\nzone = %q\nregion = \"south\"\npeer = %q\nadmin = %q\nplatform = %q\nsecret = \"sample-secret-of-a-test\"\nspread = 0\n",
 		name, zone, peer, admin, "http://"+f.relays["platform"].Addr())
 }
@@ -128,14 +128,14 @@
 func (f *fleet) startAgent(upstream, zone string) mgplatform.VM {
 	name := upstreams[upstream]
 	addrs := freePorts(f.t, 2)
-	address := "http://" + f.link(upstream, strings.TrimPrefix(f.standins[upstream], "http://"))
-	file := f.settings(name, "%supstream = %q\naddress = %q\n", f.common(name, zone, addrs[0], addrs[1]), upstream, address)
-	f.processes[name] = start(f.t, f.binary, name, "agent", "--settings", file)
+	address := "http://" + f.addRelay(upstream, strings.TrimPrefix(f.standins[upstream], "http://"))
+	file := f.writeSettings(name, "%supstream = %q\naddress = %q\n", f.commonSettings(name, zone, addrs[0], addrs[1]), upstream, address)
+	f.processes[name] = startProcess(f.t, f.binary, name, "agent", "--settings", file)
 	f.admins[name] = addrs[1]
 	vm := mgplatform.VM{
 		Name:     name,
 		Kind:     mgplatform.AgentKind,
-		Addr:     f.link(name, addrs[0]),
+		Addr:     f.addRelay(name, addrs[0]),
 		Zone:     zone,
 		Region:   "south",
 		Upstream: upstream,
@@ -151,10 +151,10 @@
 
 func (f *fleet) startEntry(name, zone string) mgplatform.VM {
 	addrs := freePorts(f.t, 3)
-	file := f.settings(name, "%slisten = %q\n", f.common(name, zone, addrs[0], addrs[1]), addrs[2])
-	f.processes[name] = start(f.t, f.binary, name, "entry", "--settings", file)
+	file := f.writeSettings(name, "%slisten = %q\n", f.commonSettings(name, zone, addrs[0], addrs[1]), addrs[2])
+	f.processes[name] = startProcess(f.t, f.binary, name, "entry", "--settings", file)
 	f.admins[name] = addrs[1]
-	f.entries = append(f.entries, "http://"+f.link(name, addrs[2]))
+	f.entries = append(f.entries, "http://"+f.addRelay(name, addrs[2]))
 	return mgplatform.VM{
 		Name:   name,
 		Kind:   mgplatform.EntryKind,
@@ -166,7 +166,8 @@
 	}
 }
 
-// table returns a version of the operators' table, whose account has a weight.
+// table returns a version of the operators' table, with the weight of its
+// account.
 func table(version, weight int) string {
 	return fmt.Sprintf(`version = %d
 
@@ -223,7 +224,7 @@
 	post(f.t, f.standins["platform"]+"/standin/table", table(version, weight))
 }
 
-// ready reports whether an entry or agent takes new work.
+// ready reports whether an entry or agent accepts new work.
 func (f *fleet) ready(name string) bool {
 	status, _ := fetch("http://" + f.admins[name] + "/ready")
 	return status == http.StatusOK
@@ -232,7 +233,7 @@
 func (f *fleet) awaitReady() {
 	f.t.Helper()
 	for name := range f.admins {
-		until(f.t, name+" is ready", func() bool { return f.ready(name) })
+		waitFor(f.t, name+" is ready", func() bool { return f.ready(name) })
 	}
 }
 
@@ -249,8 +250,8 @@
 	return state[kind].Busy > 0
 }
 
-// fault turns a stand-in's switch.
-func (f *fleet) fault(standin string, fault mgstandin.Fault) {
+// setFault sets a stand-in's fault.
+func (f *fleet) setFault(standin string, fault mgstandin.Fault) {
 	f.t.Helper()
 	body, err := json.Marshal(fault)
 	if err != nil {
@@ -259,8 +260,8 @@
 	post(f.t, f.standins[standin]+"/standin/fault", string(body))
 }
 
-// counts reads a stand-in's counters.
-func (f *fleet) counts(standin string, counts any) {
+// readCounts reads a stand-in's counters.
+func (f *fleet) readCounts(standin string, counts any) {
 	f.t.Helper()
 	_, body := fetch(f.standins[standin] + "/standin/counts")
 	if err := json.Unmarshal([]byte(body), counts); err != nil {
--- a/internal/process/mglog/queue_test.go
+++ b/internal/process/mglog/queue_test.go
@@ -10,23 +10,22 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mglog"
 )
 
-// blocked is a reader of the log that stands still until it is let go.
-type blocked struct {
-	free chan struct{}
-	got  bytes.Buffer
+// stalledWriter is a log reader that blocks until it is released.
+type stalledWriter struct {
+	released chan struct{}
+	got      bytes.Buffer
 }
 
-func (b *blocked) Write(line []byte) (int, error) {
-	<-b.free
+func (b *stalledWriter) Write(line []byte) (int, error) {
+	<-b.released
 	return b.got.Write(line)
 }
 
-// The collector of the logs stands still. Every request that logs a line waits
-// for it, and callers see answers come to a halt for a reason that is not the
-// system's work.
-func TestBlockedLog(t *testing.T) {
-	Convey("A log that nobody reads holds up nobody", t, func() {
-		reader := &blocked{free: make(chan struct{})}
+// The log collector stalls. Every request that logs a line waits for it, and
+// callers see answers stall for a reason outside the system.
+func TestStalledLogBlocksRequests(t *testing.T) {
+	Convey("A stalled log reader delays no request", t, func() {
+		reader := &stalledWriter{released: make(chan struct{})}
 		queue := mglog.NewQueue(reader)
 		log := mglog.New(queue, "info")
 		for n := range 5000 {
@@ -34,8 +33,8 @@
 		}
 		dropped := queue.Dropped()
 		So(dropped, ShouldBeGreaterThan, 3000)
-		Convey("and says what it lost", func() {
-			close(reader.free)
+		Convey("and the dropped lines are reported", func() {
+			close(reader.released)
 			So(queue.Close(), ShouldBeNil)
 			text := reader.got.String()
 			So(text, ShouldContainSubstring, `"msg":"log lines were dropped"`)
