--- a/internal/process/mgentry/agents.go
+++ b/internal/process/mgentry/agents.go
@@ -15,47 +15,47 @@
 	view    *mgmember.View
 	routes  *mgrouting.Fleet
 	members []*mgmember.Member // by place in routes
-	// hosts are the upstreams that this entry reaches directly and that stay, by
+	// directHosts are the upstreams that this entry reaches directly and that stay, by
 	// service.
-	hosts map[string][]*mgmember.Member
-	// givers is how many processes of the region give places at these, by service.
-	givers map[string]int
+	directHosts map[string][]*mgmember.Member
+	// assignerCount is how many processes of the region give places at these, by service.
+	assignerCount map[string]int
 }
 
 // fleet returns the agents of the present view. The first request after a
 // change prepares them; what is in flight is carried over.
 func (e *Entry) fleet() *fleet {
 	view := e.spec.View()
-	old := e.known.Load()
+	old := e.currentFleet.Load()
 	if old != nil && old.view == view {
 		return old
 	}
-	e.preparing.Lock()
-	defer e.preparing.Unlock()
-	if old = e.known.Load(); old != nil && old.view == view {
+	e.fleetMu.Lock()
+	defer e.fleetMu.Unlock()
+	if old = e.currentFleet.Load(); old != nil && old.view == view {
 		return old
 	}
-	made := prepare(view, old)
-	made.divide(view.Cell(e.spec.Settings.Name, e.spec.Settings.Region))
-	e.known.Store(made)
-	return made
+	built := newFleet(view, old)
+	built.restrictToCell(view.Cell(e.spec.Settings.Name, e.spec.Settings.Region))
+	e.currentFleet.Store(built)
+	return built
 }
 
-func prepare(view *mgmember.View, old *fleet) *fleet {
-	made := &fleet{
-		view:   view,
-		hosts:  map[string][]*mgmember.Member{},
-		givers: map[string]int{},
+func newFleet(view *mgmember.View, old *fleet) *fleet {
+	built := &fleet{
+		view:          view,
+		directHosts:   map[string][]*mgmember.Member{},
+		assignerCount: map[string]int{},
 	}
 	var list []mgrouting.Upstream
 	for _, member := range view.All() {
 		if member.Upstream() == "" {
 			continue
 		}
-		made.members = append(made.members, member)
+		built.members = append(built.members, member)
 		if !member.Peer() && !member.Leaving() && !member.Cordoned() && member.Listed() {
 			for _, service := range member.Services() {
-				made.hosts[service] = append(made.hosts[service], member)
+				built.directHosts[service] = append(built.directHosts[service], member)
 			}
 		}
 		list = append(list, mgrouting.Upstream{
@@ -70,8 +70,8 @@
 	if old != nil {
 		before = old.routes
 	}
-	made.routes = mgrouting.NewFleet(list, before)
-	return made
+	built.routes = mgrouting.NewFleet(list, before)
+	return built
 }
 
 // client returns the calls of an agent.
@@ -85,16 +85,16 @@
 	return found.(mgrpc.Agent)
 }
 
-// failed notes an agent that did not answer. When the request's own context has
+// reportFailed notes an agent that did not answer. When the request's own context has
 // ended it is the caller who is gone: callers that hang up would else have this
 // entry suspect one good agent after another.
-func (e *Entry) failed(request context.Context, agent *mgmember.Member) {
+func (e *Entry) reportFailed(request context.Context, agent *mgmember.Member) {
 	if request.Err() == nil {
 		e.spec.Failed(agent.Name())
 	}
 }
 
-// byUpstream returns the agent that gives an upstream its work now.
-func (e *Entry) byUpstream(upstream string) (*mgmember.Member, bool) {
+// agentByUpstream returns the agent that gives an upstream its work now.
+func (e *Entry) agentByUpstream(upstream string) (*mgmember.Member, bool) {
 	return e.spec.View().Agent(upstream)
 }
--- a/internal/process/mgentry/answers.go
+++ b/internal/process/mgentry/answers.go
@@ -13,58 +13,58 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// lastEvent is the header by which a caller says what it has (WHATWG 2024).
-const lastEvent = "Last-Event-ID"
+// lastEventHeader is the header by which a caller says what it has (WHATWG 2024).
+const lastEventHeader = "Last-Event-ID"
 
 // resume goes on with an answer from the token after the caller's last, or
 // gives it whole to a caller that wants JSON.
 func (e *Entry) resume(w http.ResponseWriter, r *http.Request, c caller) {
-	made, problem := e.locate(r, c)
+	attempt, problem := e.locateAnswer(r, c)
 	if problem != nil {
 		mgproblem.Write(w, problem)
 		return
 	}
-	last, problem := lastToken(r)
+	last, problem := parseLastToken(r)
 	if problem != nil {
 		mgproblem.Write(w, problem)
 		return
 	}
 	whole := wantsJSON(r) && last == 0
-	reading := &reading{
+	reader := &answerReader{
 		entry: e,
 		receiver: mgdelivery.New(mgdelivery.Spec{
 			Whole:  whole,
 			From:   last,
 			Pinned: true,
 		}),
-		attempt:  made,
-		giveBack: func(int) {}, // its start was charged
+		attempt: attempt,
+		refund:  func(int) {}, // its start was charged
 	}
-	reading.open(r.Context())
-	form := &form{
-		entry:     e,
-		account:   c.account.Name(),
-		chat:      r.URL.Query().Get("form") != "text",
-		created:   mgclock.Unix(),
-		answer:    "",
-		delivered: last,
+	reader.open(r.Context())
+	format := &answerFormat{
+		entry:         e,
+		account:       c.account.Name(),
+		chat:          r.URL.Query().Get("form") != "text",
+		created:       mgclock.Unix(),
+		answer:        "",
+		lastDelivered: last,
 	}
 	e.spec.Metrics.Counter("resumed").Inc(1)
 	if whole {
-		e.whole(w, r, reading, form)
+		e.writeWhole(w, r, reader, format)
 		return
 	}
-	e.stream(w, r, reading, form)
+	e.streamAnswer(w, r, reader, format)
 }
 
 func wantsJSON(r *http.Request) bool {
 	return strings.Contains(r.Header.Get("Accept"), "application/json")
 }
 
-// lastToken returns the last token that the caller has, 0 for none. The id
+// parseLastToken returns the last token that the caller has, 0 for none. The id
 // must be one of the answer that is asked for.
-func lastToken(r *http.Request) (uint64, *mgproblem.Problem) {
-	id := r.Header.Get(lastEvent)
+func parseLastToken(r *http.Request) (uint64, *mgproblem.Problem) {
+	id := r.Header.Get(lastEventHeader)
 	if id == "" {
 		return 0, nil
 	}
@@ -75,14 +75,14 @@
 	return seq, nil
 }
 
-// locate opens an answer's name and finds the agent that serves its upstream
+// locateAnswer opens an answer's name and finds the agent that serves its upstream
 // now.
-func (e *Entry) locate(r *http.Request, c caller) (attempt, *mgproblem.Problem) {
+func (e *Entry) locateAnswer(r *http.Request, c caller) (attempt, *mgproblem.Problem) {
 	name, err := e.signer.Open(c.account.Name(), chi.URLParam(r, "answer"))
 	if err != nil {
 		return attempt{}, mgproblem.From(err)
 	}
-	agent, ok := e.byUpstream(name.Agent())
+	agent, ok := e.agentByUpstream(name.Agent())
 	if !ok {
 		return attempt{}, mgproblem.New(mgproblem.Crowded, mgproblem.Unknown,
 			"the answer's upstream can't be reached now", "come back after the time in Retry-After").WithRetry(mgclock.Second)
@@ -91,7 +91,7 @@
 		id:         name.Generation(),
 		agent:      agent,
 		generation: name.Generation(),
-		ended:      func() {},
+		release:    func() {},
 		offer: &mgrpc.Offer{
 			Incarnation: name.Incarnation(),
 		},
@@ -100,12 +100,12 @@
 
 // cancel ends an answer and tells what became of it.
 func (e *Entry) cancel(w http.ResponseWriter, r *http.Request, c caller) {
-	made, problem := e.locate(r, c)
+	attempt, problem := e.locateAnswer(r, c)
 	if problem != nil {
 		mgproblem.Write(w, problem)
 		return
 	}
-	outcome := e.abandon(r.Context(), made)
+	outcome := e.cancelAttempt(r.Context(), attempt)
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write([]byte(`{"outcome":"` + string(outcome) + `"}` + "\n"))
 }
--- a/internal/process/mgentry/caller_test.go
+++ b/internal/process/mgentry/caller_test.go
@@ -15,18 +15,18 @@
 // A caller reads one answer over one connection after another, and keeps what
 // a person would see.
 type caller struct {
-	rig     *rig
-	account string
-	answer  string // its name
-	last    string // the last event's id
-	tokens  int
-	text    strings.Builder
-	seen    []string // statuses, and events other than tokens
-	stall   mgclock.Millis
-	heard   mgclock.Millis
-	each    func(tokens int)
-	remedy  string // of the last write's problem
-	padding int    // words before the prompt, which take the engine time
+	rig          *rig
+	account      string
+	answer       string // its name
+	lastEventID  string // the last event's id
+	tokens       int
+	text         strings.Builder
+	observed     []string // statuses, and events other than tokens
+	stall        mgclock.Millis
+	lastReceived mgclock.Millis
+	onToken      func(tokens int)
+	remedy       string // of the last write's problem
+	paddingWords int    // words before the prompt, which take the engine time
 }
 
 func (r *rig) caller() *caller {
@@ -53,7 +53,7 @@
 
 // ask asks for an answer of a length, and reads it as far as it comes.
 func (c *caller) ask(entry string, length int, stream bool) {
-	body := fmt.Sprintf(`{"model":"report","stream":%t,"messages":[{"role":"user","content":"%sshift report len=%d"}]}`, stream, strings.Repeat("level ", c.padding), length)
+	body := fmt.Sprintf(`{"model":"report","stream":%t,"messages":[{"role":"user","content":"%sshift report len=%d"}]}`, stream, strings.Repeat("level ", c.paddingWords), length)
 	response, err := c.do(entry, http.MethodPost, "/v1/chat/completions", body, map[string]string{
 		"Resume": "yes",
 	})
@@ -63,8 +63,8 @@
 // resume goes on through an entry with the last event that came.
 func (c *caller) resume(entry string) {
 	header := map[string]string{}
-	if c.last != "" {
-		header["Last-Event-ID"] = c.last
+	if c.lastEventID != "" {
+		header["Last-Event-ID"] = c.lastEventID
 	}
 	response, err := c.do(entry, http.MethodGet, "/v1/answers/"+c.answer, "", header)
 	c.read(response, err)
@@ -72,35 +72,35 @@
 
 func (c *caller) read(response *http.Response, err error) {
 	if err != nil {
-		c.seen = append(c.seen, "no response")
+		c.observed = append(c.observed, "no response")
 		return
 	}
 	defer response.Body.Close()
-	c.seen = append(c.seen, fmt.Sprint(response.StatusCode))
+	c.observed = append(c.observed, fmt.Sprint(response.StatusCode))
 	if response.Header.Get("Content-Type") != "text/event-stream" {
 		body, _ := io.ReadAll(response.Body)
-		c.seen = append(c.seen, string(bytes.TrimSpace(body)))
+		c.observed = append(c.observed, string(bytes.TrimSpace(body)))
 		return
 	}
-	c.heard = c.rig.clock.Now()
+	c.lastReceived = c.rig.clock.Now()
 	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
 		c.line(lines.Text())
 	}
 	if lines.Err() != nil {
-		c.seen = append(c.seen, "cut")
+		c.observed = append(c.observed, "cut")
 	}
 }
 
 func (c *caller) line(line string) {
 	switch {
 	case strings.HasPrefix(line, "id: "):
-		c.last = strings.TrimPrefix(line, "id: ")
-		c.answer, _, _ = mganswer.ParseEventID(c.last)
+		c.lastEventID = strings.TrimPrefix(line, "id: ")
+		c.answer, _, _ = mganswer.ParseEventID(c.lastEventID)
 	case strings.HasPrefix(line, "data: "):
 		c.data(strings.TrimPrefix(line, "data: "))
 	case strings.HasPrefix(line, "event: "):
-		c.seen = append(c.seen, line)
+		c.observed = append(c.observed, line)
 	}
 }
 
--- a/internal/process/mgentry/caps.go
+++ b/internal/process/mgentry/caps.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	// leaseWait bounds the wait for an idle account's first lease: one call to
+	// leaseTimeout bounds the wait for an idle account's first lease: one call to
 	// its home within the region. Without an answer the fixed part is used.
-	leaseWait = 200 * mgclock.Millis(1)
-	// firstGuess is the expected length of an account's answer in tokens before
+	leaseTimeout = 200 * mgclock.Millis(1)
+	// defaultExpectedTokens is the expected length of an account's answer in tokens before
 	// one is known.
-	firstGuess = 256
-	// guessWeight is the weight of the newest answer in the expected length.
+	defaultExpectedTokens = 256
+	// expectedTokensWeight is the weight of the newest answer in the expected length.
 	// Each start's guess is corrected when it ends, so that only the order of
 	// magnitude matters.
-	guessWeight = 0.1
-	// idleCap is how long an account's count is kept after its last use, longer
+	expectedTokensWeight = 0.1
+	// idleTTL is how long an account's count is kept after its last use, longer
 	// than a bucket takes to fill.
-	idleCap = mgclock.Minute
+	idleTTL = mgclock.Minute
 )
 
-// caps hold the accounts that have caps to this entry's part of them. An
-// account without caps, or idle, costs no memory. The zero caps are empty.
-type caps struct {
-	mu       sync.Mutex
-	accounts map[string]*capped
-	swept    mgclock.Millis
+// accountCaps hold the accounts that have accountCaps to this entry's part of them. An
+// account without accountCaps, or idle, costs no memory. The zero accountCaps are empty.
+type accountCaps struct {
+	mu        sync.Mutex
+	accounts  map[string]*accountCap
+	lastSwept mgclock.Millis
 }
 
-// capped is an account's count in this entry.
-type capped struct {
-	cap   mgcap.Cap
-	guess float64        // the next answer's expected length in tokens
-	used  mgclock.Millis // when a stream was last taken or given back
+// accountCap is an account's count in this entry.
+type accountCap struct {
+	cap            mgcap.Cap
+	expectedTokens float64        // the next answer's expected length in tokens
+	lastUsed       mgclock.Millis // when a stream was last taken or given back
 }
 
-// take takes a stream and its expected tokens under an account's caps. The
+// acquireStream takes a stream and its expected tokens under an account's caps. The
 // function that it returns gives back what the answer did not need; it may be
 // called more than once.
-func (e *Entry) take(ctx context.Context, account string) (func(tokens int), *mgproblem.Problem) {
+func (e *Entry) acquireStream(ctx context.Context, account string) (func(tokens int), *mgproblem.Problem) {
 	if e.spec.Acquire == nil {
 		return func(int) {}, nil
 	}
-	expected := e.caps.guess(account)
-	waitCtx, cancel := context.WithTimeout(ctx, leaseWait.Duration())
+	expected := e.caps.expectedTokens(account)
+	waitCtx, cancel := context.WithTimeout(ctx, leaseTimeout.Duration())
 	defer cancel()
 	slice, limited := e.spec.Acquire(waitCtx, account, expected)
 	if !limited {
@@ -71,14 +71,14 @@
 	}, nil
 }
 
-// guess returns the expected length of an account's next answer in tokens.
-func (c *caps) guess(account string) float64 {
+// expectedTokens returns the expected length of an account's next answer in tokens.
+func (c *accountCaps) expectedTokens(account string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if a := c.accounts[account]; a != nil {
-		return a.guess
+		return a.expectedTokens
 	}
-	return firstGuess
+	return defaultExpectedTokens
 }
 
 // start takes a stream and returns the tokens that it was charged. A lease
@@ -86,16 +86,16 @@
 // request after a rest would always be turned away. Its only stream here is
 // charged when it ends instead: the account pays after it what others pay
 // before, and gets no more over time.
-func (c *caps) start(now mgclock.Millis, account string, slice mgshare.Slice, expected float64) (charged float64, running int, problem *mgproblem.Problem) {
+func (c *accountCaps) start(now mgclock.Millis, account string, slice mgshare.Slice, expected float64) (charged float64, running int, problem *mgproblem.Problem) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sweep(now)
 	a := c.accounts[account]
 	if a == nil {
-		a = &capped{guess: firstGuess}
+		a = &accountCap{expectedTokens: defaultExpectedTokens}
 		c.accounts[account] = a
 	}
-	a.used = now
+	a.lastUsed = now
 	a.cap.Renew(now, mgcap.Lease{
 		Rate:    slice.Rate,
 		Streams: slice.Streams,
@@ -109,40 +109,40 @@
 	return charged, a.cap.Streams(), problem
 }
 
-func (c *caps) end(now mgclock.Millis, account string, charged, tokens float64) int {
+func (c *accountCaps) end(now mgclock.Millis, account string, charged, tokens float64) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a := c.accounts[account]
 	if a == nil {
 		return 0
 	}
-	a.used = now
+	a.lastUsed = now
 	a.cap.End(now, charged, tokens)
 	if tokens > 0 {
 		// A request that was turned away says nothing of the length of answers.
-		a.guess += guessWeight * (tokens - a.guess)
+		a.expectedTokens += expectedTokensWeight * (tokens - a.expectedTokens)
 	}
 	return a.cap.Streams()
 }
 
 // sweep forgets idle accounts.
-func (c *caps) sweep(now mgclock.Millis) {
+func (c *accountCaps) sweep(now mgclock.Millis) {
 	if c.accounts == nil {
-		c.accounts = map[string]*capped{}
+		c.accounts = map[string]*accountCap{}
 	}
-	if now < c.swept+idleCap {
+	if now < c.lastSwept+idleTTL {
 		return
 	}
-	c.swept = now
+	c.lastSwept = now
 	for name, a := range c.accounts {
-		if a.cap.Streams() == 0 && now >= a.used+idleCap {
+		if a.cap.Streams() == 0 && now >= a.lastUsed+idleTTL {
 			delete(c.accounts, name)
 		}
 	}
 }
 
 // Len returns the number of accounts that cost memory.
-func (c *caps) Len() int {
+func (c *accountCaps) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.accounts)
--- a/internal/process/mgentry/crash.go
+++ b/internal/process/mgentry/crash.go
@@ -11,8 +11,8 @@
 	return mgquarantine.DigestOf(j.account.Name(), j.service.Name(), j.model, []byte(j.prompt))
 }
 
-// admit returns what to tell the caller of a request that crashes upstreams, or nil.
-func (e *Entry) admit(j *job) *mgproblem.Problem {
+// checkQuarantine returns what to tell the caller of a request that crashes upstreams, or nil.
+func (e *Entry) checkQuarantine(j *job) *mgproblem.Problem {
 	if !e.spec.Quarantine.Watching() {
 		return nil
 	}
@@ -24,8 +24,8 @@
 	return mgquarantine.Problem(left, false)
 }
 
-// noteCrash takes an agent's word that its engine ended as it began the attempt.
-func (r *reading) noteCrash() {
+// recordCrash takes an agent's word that its engine ended as it began the attempt.
+func (r *answerReader) recordCrash() {
 	digest := r.job.digest()
 	now := r.entry.spec.Clock.Now()
 	r.entry.spec.Quarantine.Crashed(now, mgquarantine.Crash{
@@ -33,8 +33,8 @@
 		Request:  r.attempt.id,
 		Upstream: r.attempt.agent.Upstream(),
 		Begun:    true,
-		Sent:     r.attempt.sent,
-		Delay:    now - r.attempt.sent, // the agent's word doesn't tell when the engine ended
+		Sent:     r.attempt.sentAt,
+		Delay:    now - r.attempt.sentAt, // the agent's word doesn't tell when the engine ended
 	})
 	r.entry.spec.Metrics.Counter("crashed").Inc(1)
 	r.entry.spec.Log.Info("an engine ended as it began a generation",
@@ -42,23 +42,23 @@
 		mglog.Account, r.job.account.Name(), "digest", digest.String())
 }
 
-// dangerous returns why a request is not begun at another engine, or nil.
-func (r *reading) dangerous() *mgproblem.Problem {
+// restartProblem returns why a request is not begun at another engine, or nil.
+func (r *answerReader) restartProblem() *mgproblem.Problem {
 	if !r.entry.spec.Quarantine.Watching() {
 		return nil
 	}
 	if left, held := r.entry.spec.Quarantine.Held(r.entry.spec.Clock.Now(), r.job.digest()); held {
 		r.entry.spec.Metrics.Counter("held").Inc(1)
-		return mgquarantine.Problem(left, r.doubt)
+		return mgquarantine.Problem(left, r.mayHaveRun)
 	}
-	if r.crashed && !r.entry.spec.Quarantine.Retryable(r.job.digest()) {
+	if r.engineCrashed && !r.entry.spec.Quarantine.Retryable(r.job.digest()) {
 		return interruptedProblem()
 	}
 	return nil
 }
 
-// noteSound takes that an engine answered the request.
-func (r *reading) noteSound() {
+// recordSuccess takes that an engine answered the request.
+func (r *answerReader) recordSuccess() {
 	if r.job != nil && r.entry.spec.Quarantine.Watching() {
 		r.entry.spec.Quarantine.Answered(r.entry.spec.Clock.Now(), r.job.digest())
 	}
--- a/internal/process/mgentry/crash_test.go
+++ b/internal/process/mgentry/crash_test.go
@@ -13,13 +13,13 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgrpc"
 )
 
-// counted counts the reads of frames that reach an agent.
-type counted struct {
+// readCounter counts the reads of frames that reach an agent.
+type readCounter struct {
 	next  http.Handler
 	reads *atomic.Int32
 }
 
-func (c counted) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c readCounter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet {
 		c.reads.Add(1)
 	}
@@ -37,11 +37,11 @@
 	Convey("A prompt that crashes engines", t, func() {
 		var reads atomic.Int32
 		agent := func(name string, frame *mgrpc.Frame) http.Handler {
-			return counted{
-				next: host(taker{
-					name: name,
-					wait: 1,
-					told: "unknown",
+			return readCounter{
+				next: agentHandler(acceptingAgent{
+					name:           name,
+					firstTokenWait: 1,
+					cancelOutcome:  "unknown",
 				}, frame),
 				reads: &reads,
 			}
@@ -59,7 +59,7 @@
 			return response.StatusCode, string(got)
 		}
 		Convey("reaches two engines, then one, then none", func() {
-			entry := httptest.NewServer(entryOver(hosts{
+			entry := httptest.NewServer(newEntry(hostTransport{
 				"agent-1": agent("agent-1", crashed()),
 				"agent-2": agent("agent-2", crashed()),
 			}).Routes())
@@ -79,7 +79,7 @@
 			So(reads.Load(), ShouldEqual, 5)
 		})
 		Convey("is forgiven once an engine answers it", func() {
-			entry := httptest.NewServer(entryOver(hosts{
+			entry := httptest.NewServer(newEntry(hostTransport{
 				"agent-1": agent("agent-1", crashed()),
 				"agent-2": agent("agent-2", &mgrpc.Frame{
 					Seq:   1,
--- a/internal/process/mgentry/deliver.go
+++ b/internal/process/mgentry/deliver.go
@@ -11,61 +11,61 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// callerBeat is the interval of comments on a caller's stream, by which the
+// heartbeatInterval is the interval of comments on a caller's stream, by which the
 // caller tells a slow answer from a dead connection.
-const callerBeat = mgclock.Second
+const heartbeatInterval = mgclock.Second
 
-// comment is the heartbeat towards callers.
-var comment = []byte(": hb\n\n")
+// heartbeatComment is the heartbeat towards callers.
+var heartbeatComment = []byte(": hb\n\n")
 
-// errSlow is why a caller's stream ends that takes nothing.
-var errSlow = errors.New("entry: the caller does not take its answer: it may resume it")
+// errCallerSlow is why a caller's stream ends that takes nothing.
+var errCallerSlow = errors.New("entry: the caller does not take its answer: it may resume it")
 
-// sink writes a caller's stream.
-type sink struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	slow    mgclock.Millis
-	begun   bool
+// eventStream writes a caller's stream.
+type eventStream struct {
+	w            http.ResponseWriter
+	control      *http.ResponseController
+	writeTimeout mgclock.Millis
+	headerSent   bool
 }
 
 // write sends data. The status goes with the first token, so that a request
 // that is turned away gets a status of its own.
-func (s *sink) write(data []byte) error {
-	if !s.begun {
-		s.begun = true
+func (s *eventStream) write(data []byte) error {
+	if !s.headerSent {
+		s.headerSent = true
 		s.w.Header().Set("Content-Type", "text/event-stream")
 		s.w.Header().Set("Cache-Control", "no-cache")
 		s.w.WriteHeader(http.StatusOK)
 	}
 	// A caller that reads nothing would hold its generation's frames for good.
-	_ = s.control.SetWriteDeadline(mgclock.Deadline(s.slow))
+	_ = s.control.SetWriteDeadline(mgclock.Deadline(s.writeTimeout))
 	if _, err := s.w.Write(data); err != nil {
-		return errors.Join(errSlow, err)
+		return errors.Join(errCallerSlow, err)
 	}
 	return s.control.Flush()
 }
 
-// stream delivers an answer as server-sent events (WHATWG 2024).
-func (e *Entry) stream(w http.ResponseWriter, r *http.Request, reading *reading, form *form) {
+// streamAnswer delivers an answer as server-sent events (WHATWG 2024).
+func (e *Entry) streamAnswer(w http.ResponseWriter, r *http.Request, reader *answerReader, format *answerFormat) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	out := &sink{
-		w:       w,
-		control: http.NewResponseController(w),
-		slow:    mgclock.Millis(e.spec.Settings.Slow),
+	out := &eventStream{
+		w:            w,
+		control:      http.NewResponseController(w),
+		writeTimeout: mgclock.Millis(e.spec.Settings.Slow),
 	}
-	turns := pull(ctx, reading)
-	beat := e.spec.Clock.After(callerBeat)
+	deliveries := readAhead(ctx, reader)
+	beat := e.spec.Clock.After(heartbeatInterval)
 	for {
 		select {
-		case t := <-turns:
-			if over, err := e.pass(out, form, t); over || err != nil {
+		case d := <-deliveries:
+			if over, err := e.forward(out, format, d); over || err != nil {
 				return
 			}
 		case <-beat:
-			beat = e.spec.Clock.After(callerBeat)
-			if out.begun && out.write(comment) != nil {
+			beat = e.spec.Clock.After(heartbeatInterval)
+			if out.headerSent && out.write(heartbeatComment) != nil {
 				return
 			}
 		case <-r.Context().Done():
@@ -74,94 +74,94 @@
 	}
 }
 
-// pull reads ahead of the caller. The reading belongs to its goroutine.
-func pull(ctx context.Context, reading *reading) <-chan turn {
-	turns := make(chan turn, framesAhead)
+// readAhead reads ahead of the caller. The reading belongs to its goroutine.
+func readAhead(ctx context.Context, reader *answerReader) <-chan delivery {
+	deliveries := make(chan delivery, readAheadFrames)
 	go func() {
-		defer reading.close()
+		defer reader.close()
 		for {
-			t := reading.next(ctx)
+			d := reader.next(ctx)
 			select {
-			case turns <- t:
+			case deliveries <- d:
 			case <-ctx.Done():
 				return
 			}
-			if t.over() {
+			if d.isLast() {
 				return
 			}
 		}
 	}()
-	return turns
+	return deliveries
 }
 
-// pass gives the caller a turn and reports whether it was the last.
-func (e *Entry) pass(out *sink, form *form, t turn) (bool, error) {
-	if t.problem != nil {
-		return true, e.fail(out, form, t)
+// forward gives the caller a turn and reports whether it was the last.
+func (e *Entry) forward(out *eventStream, format *answerFormat, d delivery) (bool, error) {
+	if d.problem != nil {
+		return true, e.writeFailure(out, format, d)
 	}
-	if t.moved {
-		e.announce(out.w, form.account, t.attempt)
+	if d.restarted {
+		e.announceName(out.w, format.account, d.attempt)
 		return false, nil
 	}
-	if len(t.decision.Tokens()) > 0 {
-		e.firstToken(form)
-		if err := out.write(form.tokens(t)); err != nil {
+	if len(d.decision.Tokens()) > 0 {
+		e.recordFirstToken(format)
+		if err := out.write(format.tokens(d)); err != nil {
 			return true, err
 		}
-		form.delivered = t.decision.Last()
+		format.lastDelivered = d.decision.Last()
 	}
-	if t.decision.Action() != mgdelivery.Finish {
+	if d.decision.Action() != mgdelivery.Finish {
 		return false, nil
 	}
-	e.answered(form)
-	return true, out.write(form.finish(t))
+	e.recordAnswer(format)
+	return true, out.write(format.finish(d))
 }
 
-// fail ends an answer with its problem: as the response's own status when
+// writeFailure ends an answer with its problem: as the response's own status when
 // nothing was delivered, else as an event.
-func (e *Entry) fail(out *sink, form *form, t turn) error {
+func (e *Entry) writeFailure(out *eventStream, format *answerFormat, d delivery) error {
 	e.spec.Metrics.Counter("failures").Inc(1)
-	if !out.begun {
-		mgproblem.Write(out.w, t.problem)
+	if !out.headerSent {
+		mgproblem.Write(out.w, d.problem)
 		return nil
 	}
-	return out.write(form.fault(t.problem, form.delivered))
+	return out.write(format.errorEvent(d.problem, format.lastDelivered))
 }
 
-// whole delivers an answer in one piece.
-func (e *Entry) whole(w http.ResponseWriter, r *http.Request, reading *reading, form *form) {
-	defer reading.close()
+// writeWhole delivers an answer in one piece.
+func (e *Entry) writeWhole(w http.ResponseWriter, r *http.Request, reader *answerReader, format *answerFormat) {
+	defer reader.close()
 	for {
-		t := reading.next(r.Context())
-		if t.problem != nil {
+		d := reader.next(r.Context())
+		if d.problem != nil {
 			e.spec.Metrics.Counter("failures").Inc(1)
-			mgproblem.Write(w, t.problem)
+			mgproblem.Write(w, d.problem)
 			return
 		}
-		if t.moved {
-			e.announce(w, form.account, t.attempt)
+		if d.restarted {
+			e.announceName(w, format.account, d.attempt)
 		}
-		if t.decision.Action() == mgdelivery.Finish {
-			e.answered(form)
+		if d.decision.Action() == mgdelivery.Finish {
+			e.recordAnswer(format)
 			w.Header().Set("Content-Type", "application/json")
-			_, _ = w.Write(form.whole(t))
+			_, _ = w.Write(format.completeJSON(d))
 			return
 		}
 	}
 }
 
-// firstToken notes how long a streaming caller waited for its first token.
-func (e *Entry) firstToken(form *form) {
-	if form.waits {
-		form.waits = false
-		e.spec.Metrics.Histogram("first").Update(int64(e.spec.Clock.Now() - form.came))
+// recordFirstToken notes how long a streaming caller waited for its first token.
+func (e *Entry) recordFirstToken(format *answerFormat) {
+	if format.awaitsFirstToken {
+		format.awaitsFirstToken = false
+		e.spec.Metrics.Histogram("first").Update(int64(e.spec.Clock.Now() - format.receivedAt))
 	}
 }
 
-// answered notes a whole answer, which earns its service a part of a retry.
-func (e *Entry) answered(form *form) {
+// recordAnswer notes a whole answer, which earns its service a part of a retry.
+func (e *Entry) recordAnswer(format *answerFormat) {
 	e.spec.Metrics.Counter("answers").Inc(1)
-	if form.model != "" {
-		e.budgets.Of(form.model).Earn(mgretry.Ratio)
+	if format.model != "" {
+		e.budgets.Of(format.model).Earn(mgretry.Ratio)
 	}
 }
--- a/internal/process/mgentry/doubt_test.go
+++ b/internal/process/mgentry/doubt_test.go
@@ -35,16 +35,16 @@
 // runs. The start at the first agent got no answer, the second agent took the
 // request and later attested that it had not run there. One attempt's "not run"
 // says nothing of the one before it.
-func TestDoubt(t *testing.T) {
+func TestUnansweredStartReportedNotRun(t *testing.T) {
 	Convey("A refusal after a start without an answer is unknown", t, func() {
-		entry := entryOver(silent{
+		entry := newEntry(silentTransport{
 			host: "agent-1",
-			hosts: hosts{
+			hostTransport: hostTransport{
 				"agent-1": mgrpc.NewAgentServer(&silentStart{}),
-				"agent-2": host(taker{
-					name: "agent-2",
-					wait: 900,
-					told: "notrun",
+				"agent-2": agentHandler(acceptingAgent{
+					name:           "agent-2",
+					firstTokenWait: 900,
+					cancelOutcome:  "notrun",
 				}, &mgrpc.Frame{
 					Fault:   "crowded",
 					Outcome: "notrun",
@@ -53,7 +53,7 @@
 				}),
 			},
 		})
-		request := tankline(http.MethodPost, "/v1/chat/completions", `{"model":"report","messages":[{"role":"user","content":"len=5"}]}`)
+		request := tanklineRequest(http.MethodPost, "/v1/chat/completions", `{"model":"report","messages":[{"role":"user","content":"len=5"}]}`)
 		recorder := httptest.NewRecorder()
 		entry.Routes().ServeHTTP(recorder, request)
 		body, err := io.ReadAll(recorder.Body)
--- a/internal/process/mgentry/entry.go
+++ b/internal/process/mgentry/entry.go
@@ -79,23 +79,23 @@
 
 // An Entry answers callers. Make one with New.
 type Entry struct {
-	spec    Spec
-	signer  *mganswer.Signer
-	clients sync.Map // base URL to mgrpc.Agent
-	frames  *http.Client
-	known   atomic.Pointer[fleet]
-	budgets mgretry.Budgets
-	relay   *mgrelay.Relay // nil without Spec.Relay
-	load    mgload.Count   // of relayed requests
-	hedges  hedges
-	caps    caps
-	busy    atomic.Int64
-	leaving atomic.Bool
-	ends    atomic.Int64  // when a stopping process ends, ms of its clock; 0: it doesn't stop
-	number  atomic.Uint64 // attempts so far
-	epoch   string        // names this process's attempts
+	spec         Spec
+	signer       *mganswer.Signer
+	clients      sync.Map // base URL to mgrpc.Agent
+	frames       *http.Client
+	currentFleet atomic.Pointer[fleet]
+	budgets      mgretry.Budgets
+	relay        *mgrelay.Relay // nil without Spec.Relay
+	load         mgload.Count   // of relayed requests
+	hedges       hedges
+	caps         accountCaps
+	busy         atomic.Int64
+	leaving      atomic.Bool
+	stopTime     atomic.Int64  // when a stopping process ends, ms of its clock; 0: it doesn't stop
+	attemptCount atomic.Uint64 // attempts so far
+	epoch        string        // names this process's attempts
 
-	preparing sync.Mutex // held while a fleet is prepared
+	fleetMu sync.Mutex // held while a fleet is prepared
 }
 
 // New returns an entry; epoch is unique to this life of the process.
@@ -109,7 +109,7 @@
 		frames: &http.Client{Transport: spec.Frames},
 		epoch:  epoch,
 	}
-	e.openRelay()
+	e.initRelay()
 	return e
 }
 
@@ -117,12 +117,12 @@
 // then are refused from now on, and each answer asks its caller for a new
 // connection, which reaches another entry: callers that keep theirs would all be
 // refused when Leave comes.
-func (e *Entry) Stopping(end mgclock.Millis) { e.ends.Store(int64(end)) }
+func (e *Entry) Stopping(end mgclock.Millis) { e.stopTime.Store(int64(end)) }
 
-// left returns how long the process still lives, or false when it doesn't stop,
+// remaining returns how long the process still lives, or false when it doesn't stop,
 // or a caller would fare no better elsewhere.
-func (e *Entry) left() (mgclock.Millis, bool) {
-	end := mgclock.Millis(e.ends.Load())
+func (e *Entry) remaining() (mgclock.Millis, bool) {
+	end := mgclock.Millis(e.stopTime.Load())
 	if end == 0 || e.spec.Elsewhere != nil && !e.spec.Elsewhere() {
 		return 0, false
 	}
@@ -138,48 +138,48 @@
 // Routes returns the callers' handler.
 func (e *Entry) Routes() http.Handler {
 	router := chi.NewRouter()
-	router.Use(e.count)
-	router.Use(e.bound)
-	router.Use(e.routed)
-	router.NotFound(e.unrouted)
+	router.Use(e.countRequests)
+	router.Use(e.limitBody)
+	router.Use(e.relayRouted)
+	router.NotFound(e.notFound)
 	router.Group(func(callers chi.Router) {
-		callers.Post("/v1/chat/completions", e.account(e.chat))
-		callers.Post("/v1/completions", e.account(e.complete))
-		callers.Get("/v1/models", e.account(e.models))
-		callers.Get("/v1/answers/{answer}", e.account(e.resume))
-		callers.Delete("/v1/answers/{answer}", e.account(e.cancel))
-		callers.Post("/v1/services/{service}/operations", e.account(e.mint))
-		callers.HandleFunc("/v1/services/{service}/*", e.account(e.service))
+		callers.Post("/v1/chat/completions", e.authenticate(e.chat))
+		callers.Post("/v1/completions", e.authenticate(e.complete))
+		callers.Get("/v1/models", e.authenticate(e.models))
+		callers.Get("/v1/answers/{answer}", e.authenticate(e.resume))
+		callers.Delete("/v1/answers/{answer}", e.authenticate(e.cancel))
+		callers.Post("/v1/services/{service}/operations", e.authenticate(e.mintOperation))
+		callers.HandleFunc("/v1/services/{service}/*", e.authenticate(e.callService))
 	})
 	return router
 }
 
-// count keeps the number of requests in progress and turns new ones away once
+// countRequests keeps the number of requests in progress and turns new ones away once
 // the entry is leaving: the balancer may send some until it has noticed.
-func (e *Entry) count(next http.Handler) http.Handler {
+func (e *Entry) countRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.busy.Add(1)
 		defer e.busy.Add(-1)
-		if e.ends.Load() > 0 {
+		if e.stopTime.Load() > 0 {
 			w.Header().Set("Connection", "close")
 		}
 		if e.leaving.Load() {
-			e.refuse(w, leaving())
+			e.refuse(w, leavingProblem())
 			return
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// leaving is told of a request that a stopping entry doesn't take.
-func leaving() *mgproblem.Problem {
+// leavingProblem is told of a request that a stopping entry doesn't take.
+func leavingProblem() *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Leaving, mgproblem.NotRun,
-		"this entry is leaving", "send the request again on a new connection").WithRetry(leaveRetry)
+		"this entry is leaving", "send the request again on a new connection").WithRetry(leaveRetryDelay)
 }
 
-// leaveRetry is the pause before a caller turns to another entry: none is
+// leaveRetryDelay is the pause before a caller turns to another entry: none is
 // needed but for the balancer's way.
-const leaveRetry = 20 * mgclock.Millis(1)
+const leaveRetryDelay = 20 * mgclock.Millis(1)
 
 // refuse answers with a problem in the form of the deployment's callers.
 func (e *Entry) refuse(w http.ResponseWriter, problem *mgproblem.Problem) {
@@ -191,8 +191,8 @@
 	mgproblem.Write(w, problem)
 }
 
-// bound limits a request's body.
-func (e *Entry) bound(next http.Handler) http.Handler {
+// limitBody limits a request's body.
+func (e *Entry) limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, e.spec.Settings.Body)
 		next.ServeHTTP(w, r)
@@ -208,8 +208,8 @@
 
 type handler func(w http.ResponseWriter, r *http.Request, c caller)
 
-// account authenticates the caller by its key.
-func (e *Entry) account(next handler) http.HandlerFunc {
+// authenticate authenticates the caller by its key.
+func (e *Entry) authenticate(next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		table := e.spec.Table()
 		if table == nil {
@@ -217,9 +217,9 @@
 				"no configuration is in force yet", "try another entry").WithRetry(mgclock.Second))
 			return
 		}
-		account := accountOf(table, r)
+		account := accountByKey(table, r)
 		if account == nil {
-			e.deny(w, r, table, e.stranger)
+			e.deny(w, r, table, e.refuseUnknownKey)
 			return
 		}
 		next(w, r, caller{
@@ -229,22 +229,22 @@
 	}
 }
 
-// accountOf returns the account whose key a request carries, or nil.
-func accountOf(table *mgtable.Table, r *http.Request) *mgtable.Account {
+// accountByKey returns the account whose key a request carries, or nil.
+func accountByKey(table *mgtable.Table, r *http.Request) *mgtable.Account {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	return table.ByKey(key)
 }
 
-// stranger refuses a caller without a key of the table.
-func (e *Entry) stranger(w http.ResponseWriter) {
+// refuseUnknownKey refuses a caller without a key of the table.
+func (e *Entry) refuseUnknownKey(w http.ResponseWriter) {
 	e.spec.Metrics.Counter("strangers").Inc(1)
 	mgproblem.Write(w, mgproblem.New(mgproblem.Stranger, mgproblem.NotRun,
 		"no client account has this key", "send Authorization: Bearer and a key of the table"))
 }
 
-// random returns a source of random numbers for one request. Requests run on
+// newRandom returns a source of newRandom numbers for one request. Requests run on
 // many goroutines and a shared source would need a lock.
-func (e *Entry) random() *rand.Rand {
+func (e *Entry) newRandom() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
@@ -262,7 +262,7 @@
 	return State{
 		Busy:     e.Busy(),
 		Leaving:  e.leaving.Load(),
-		Attempts: e.number.Load(),
+		Attempts: e.attemptCount.Load(),
 		Agents:   e.fleet().routes.Len(),
 		Capped:   e.caps.Len(),
 	}
--- a/internal/process/mgentry/generate.go
+++ b/internal/process/mgentry/generate.go
@@ -22,58 +22,58 @@
 		return
 	}
 	e.spec.Metrics.Counter("requests").Inc(1)
-	if problem := e.admit(j); problem != nil {
-		e.turnedAway(w, problem)
+	if problem := e.checkQuarantine(j); problem != nil {
+		e.reject(w, problem)
 		return
 	}
-	giveBack, problem := e.take(r.Context(), c.account.Name())
+	refund, problem := e.acquireStream(r.Context(), c.account.Name())
 	if problem != nil {
-		e.turnedAway(w, problem)
+		e.reject(w, problem)
 		return
 	}
-	made, problem := e.begin(r.Context(), j, nil)
+	attempt, problem := e.startGeneration(r.Context(), j, nil)
 	if problem != nil {
-		giveBack(0)
-		e.turnedAway(w, problem)
+		refund(0)
+		e.reject(w, problem)
 		return
 	}
-	reading := &reading{
-		entry:    e,
-		job:      j,
-		receiver: mgdelivery.New(mgdelivery.Spec{Whole: !j.stream}),
-		attempt:  made,
-		giveBack: giveBack,
-		doubt:    made.doubt,
-		avoid:    map[string]bool{},
+	reader := &answerReader{
+		entry:       e,
+		job:         j,
+		receiver:    mgdelivery.New(mgdelivery.Spec{Whole: !j.stream}),
+		attempt:     attempt,
+		refund:      refund,
+		mayHaveRun:  attempt.priorMayHaveRun,
+		avoidAgents: map[string]bool{},
 	}
-	reading.open(r.Context())
-	e.announce(w, c.account.Name(), made)
-	form := e.form(j)
+	reader.open(r.Context())
+	e.announceName(w, c.account.Name(), attempt)
+	format := e.newFormat(j)
 	if j.stream {
-		e.stream(w, r, reading, form)
+		e.streamAnswer(w, r, reader, format)
 		return
 	}
-	e.whole(w, r, reading, form)
+	e.writeWhole(w, r, reader, format)
 }
 
-// nameHeader carries an answer's name ahead of its first token.
-const nameHeader = "Answer"
+// answerHeader carries an answer's name ahead of its first token.
+const answerHeader = "Answer"
 
-// announce tells the caller the answer's name before there is a token, in an
+// announceName tells the caller the answer's name before there is a token, in an
 // informational response (RFC 8297), and again when the answer starts over
 // elsewhere. A caller whose entry dies while the request waits resumes by it;
 // one that doesn't know it reads over it.
-func (e *Entry) announce(w http.ResponseWriter, account string, made attempt) {
-	w.Header().Set(nameHeader, e.name(account, made))
+func (e *Entry) announceName(w http.ResponseWriter, account string, attempt attempt) {
+	w.Header().Set(answerHeader, e.signAnswerName(account, attempt))
 	w.WriteHeader(http.StatusEarlyHints)
 }
 
-func (e *Entry) turnedAway(w http.ResponseWriter, problem *mgproblem.Problem) {
+func (e *Entry) reject(w http.ResponseWriter, problem *mgproblem.Problem) {
 	e.spec.Metrics.Counter("turnedaway").Inc(1)
 	mgproblem.Write(w, problem)
 }
 
-// name returns the answer's name for its account.
-func (e *Entry) name(account string, made attempt) string {
-	return e.signer.Sign(account, mganswer.NewName(made.agent.Upstream(), made.offer.GetIncarnation(), made.generation))
+// signAnswerName returns the answer's signAnswerName for its account.
+func (e *Entry) signAnswerName(account string, attempt attempt) string {
+	return e.signer.Sign(account, mganswer.NewName(attempt.agent.Upstream(), attempt.offer.GetIncarnation(), attempt.generation))
 }
--- a/internal/process/mgentry/hangup_test.go
+++ b/internal/process/mgentry/hangup_test.go
@@ -15,13 +15,13 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// hung answers no request; it ends with the request's context.
-type hung struct {
+// hangingTransport answers no request; it ends with the request's context.
+type hangingTransport struct {
 	called func()
 }
 
 // RoundTrip waits for the end of the request.
-func (h hung) RoundTrip(r *http.Request) (*http.Response, error) {
+func (h hangingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	h.called()
 	<-r.Context().Done()
 	return nil, r.Context().Err()
@@ -30,7 +30,7 @@
 // Field tablets lose their network and hang up, a few in a row, and everybody's
 // reports are turned away for a while: the entry took each call that ended with
 // its caller for an agent that didn't answer, and suspected them all.
-func TestHangUp(t *testing.T) {
+func TestHangUpMakesAgentsSuspect(t *testing.T) {
 	Convey("A caller that hangs up makes no agent suspect", t, func() {
 		parsed, err := mgtable.Parse([]byte(table))
 		So(err, ShouldBeNil)
@@ -43,8 +43,8 @@
 		ctx, hangUp := context.WithCancel(context.Background())
 		spec := entrySpec(parsed, members)
 		spec.Failed = func(string) { failed.Add(1) }
-		spec.Calls = hung{called: hangUp}
-		request := tankline(http.MethodPost, "/v1/chat/completions", `{"model":"report","messages":[{"role":"user","content":"len=1"}]}`)
+		spec.Calls = hangingTransport{called: hangUp}
+		request := tanklineRequest(http.MethodPost, "/v1/chat/completions", `{"model":"report","messages":[{"role":"user","content":"len=1"}]}`)
 		mgentry.New(spec, "epoch").Routes().ServeHTTP(httptest.NewRecorder(), request.WithContext(ctx))
 		So(failed.Load(), ShouldEqual, 0)
 	})
--- a/internal/process/mgentry/hedge_test.go
+++ b/internal/process/mgentry/hedge_test.go
@@ -37,14 +37,14 @@
 batch = 16
 `
 
-// after is an agent that answers each call after a time.
-type after struct {
+// delayedAgent is an agent that answers each call delayedAgent a time.
+type delayedAgent struct {
 	mgrpc.Agent
 	delay *atomic.Int64 // ms
 	calls *atomic.Int64
 }
 
-func (a after) Invoke(ctx context.Context, _ *mgrpc.InvokeRequest) (*mgrpc.InvokeReply, error) {
+func (a delayedAgent) Invoke(ctx context.Context, _ *mgrpc.InvokeRequest) (*mgrpc.InvokeReply, error) {
 	a.calls.Add(1)
 	mgclock.Clock{}.Sleep(ctx, mgclock.Millis(a.delay.Load()))
 	return &mgrpc.InvokeReply{
@@ -53,8 +53,8 @@
 	}, nil
 }
 
-func delayed(delay, calls *atomic.Int64) http.Handler {
-	return mgrpc.NewAgentServer(after{
+func delayedHandler(delay, calls *atomic.Int64) http.Handler {
+	return mgrpc.NewAgentServer(delayedAgent{
 		delay: delay,
 		calls: calls,
 	})
@@ -72,9 +72,9 @@
 			var delays, calls [2]atomic.Int64
 			delays[0].Store(20)
 			delays[1].Store(20)
-			entry := entryBy(lookups, "level", hosts{
-				"agent-1": delayed(&delays[0], &calls[0]),
-				"agent-2": delayed(&delays[1], &calls[1]),
+			entry := newEntryWithTable(lookups, "level", hostTransport{
+				"agent-1": delayedHandler(&delays[0], &calls[0]),
+				"agent-2": delayedHandler(&delays[1], &calls[1]),
 			})
 			for range 200 {
 				lookup(entry.Routes())
@@ -104,7 +104,7 @@
 func lookup(handler http.Handler) mgclock.Millis {
 	begun := mgclock.Clock{}.Now()
 	recorder := httptest.NewRecorder()
-	handler.ServeHTTP(recorder, tankline(http.MethodGet, "/v1/services/level/tank/7", ""))
+	handler.ServeHTTP(recorder, tanklineRequest(http.MethodGet, "/v1/services/level/tank/7", ""))
 	if recorder.Code != http.StatusOK {
 		return mgclock.Minute
 	}
--- a/internal/process/mgentry/leave_test.go
+++ b/internal/process/mgentry/leave_test.go
@@ -11,8 +11,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// leaveBound is how long after the first sign an upstream may still get work.
-const leaveBound = 3 * mgclock.Second
+// maxLeaveDelay is how long after the first sign an upstream may still get work.
+const maxLeaveDelay = 3 * mgclock.Second
 
 // starts returns how many generations each engine began.
 func (r *rig) starts() map[string]int {
@@ -42,15 +42,15 @@
 				var whole, late, before int
 				play(t, 2, func(r *rig) {
 					var all sync.WaitGroup
-					early := ask(r, &all, 10)
+					early := askAll(r, &all, 10)
 					r.clock.Sleep(r.ctx, 500)
 					leave(r)
-					r.clock.Sleep(r.ctx, leaveBound)
+					r.clock.Sleep(r.ctx, maxLeaveDelay)
 					before = r.starts()["engine-1"]
-					later := ask(r, &all, 10)
+					later := askAll(r, &all, 10)
 					all.Wait()
 					late = r.starts()["engine-1"] - before
-					whole = wholes(early) + wholes(later)
+					whole = countWhole(early) + countWhole(later)
 				})
 				So(before, ShouldBeGreaterThan, 0)
 				So(whole, ShouldEqual, 20)
@@ -63,14 +63,14 @@
 		var told string
 		play(t, 2, func(r *rig) {
 			var all sync.WaitGroup
-			early := ask(r, &all, 10)
+			early := askAll(r, &all, 10)
 			r.clock.Sleep(r.ctx, 500)
 			r.entries["entry-1"].Leave()
 			c := r.caller()
 			c.ask("entry-1", 5, true)
-			told = c.seen[0]
+			told = c.observed[0]
 			all.Wait()
-			whole = wholes(early)
+			whole = countWhole(early)
 		})
 		So(told, ShouldEqual, "503")
 		So(whole, ShouldEqual, 10)
@@ -107,7 +107,7 @@
 				var told bool // while the engine lived
 				var begun map[string]int
 				play(t, 2, func(r *rig) {
-					r.alone.Store(true)
+					r.isolated.Store(true)
 					var all sync.WaitGroup
 					who := r.caller()
 					all.Go(func() {
@@ -143,11 +143,11 @@
 		var stall mgclock.Millis
 		play(t, 2, func(r *rig) {
 			var all sync.WaitGroup
-			callers := ask(r, &all, 10)
+			callers := askAll(r, &all, 10)
 			r.clock.Sleep(r.ctx, mgclock.Second)
 			r.reclaim(2 * mgclock.Second)
 			all.Wait()
-			whole = wholes(callers)
+			whole = countWhole(callers)
 			for _, c := range callers {
 				stall = max(stall, c.stall)
 			}
@@ -166,38 +166,38 @@
 		var resumed int
 		play(t, 2, func(r *rig) {
 			c := r.caller()
-			c.at(100, func() { r.kill("entry-1") })
-			c.ask("entry-1", answerLength, true)
+			c.onTokenCount(100, func() { r.kill("entry-1") })
+			c.ask("entry-1", answerTokens, true)
 			r.reclaim(2 * mgclock.Second)
 			r.clock.Sleep(r.ctx, mgclock.Second)
 			c.resume("entry-2")
 			resumed = r.engines["engine-1"].Counts().Resumed + r.engines["engine-2"].Counts().Resumed
-			first, second = mgstandin.Whole(c.generation(), answerLength), c.text.String()
+			first, second = mgstandin.Whole(c.generation(), answerTokens), c.text.String()
 		})
 		So(second, ShouldEqual, first)
 		So(resumed, ShouldEqual, 1)
 	})
 }
 
-// answerLength outlasts the bound: about five seconds of decoding.
-const answerLength = 400
+// answerTokens outlasts the bound: about five seconds of decoding.
+const answerTokens = 400
 
-// ask asks for answers at once through entry-1.
-func ask(r *rig, all *sync.WaitGroup, count int) []*caller {
+// askAll asks for answers at once through entry-1.
+func askAll(r *rig, all *sync.WaitGroup, count int) []*caller {
 	callers := make([]*caller, count)
 	for i := range callers {
 		callers[i] = r.caller()
-		callers[i].padding = 50 * i // tells the prompts apart
-		all.Go(func() { callers[i].ask("entry-1", answerLength, true) })
+		callers[i].paddingWords = 50 * i // tells the prompts apart
+		all.Go(func() { callers[i].ask("entry-1", answerTokens, true) })
 	}
 	return callers
 }
 
-// wholes counts the callers whose answer is whole and as generated.
-func wholes(callers []*caller) int {
+// countWhole counts the callers whose answer is whole and as generated.
+func countWhole(callers []*caller) int {
 	count := 0
 	for _, c := range callers {
-		if c.tokens == answerLength && c.text.String() == mgstandin.Whole(c.generation(), c.tokens) {
+		if c.tokens == answerTokens && c.text.String() == mgstandin.Whole(c.generation(), c.tokens) {
 			count++
 		}
 	}
@@ -212,9 +212,9 @@
 		var whole, preempted int
 		playWith(t, 1, 4000, func(r *rig) {
 			var all sync.WaitGroup
-			callers := ask(r, &all, 10)
+			callers := askAll(r, &all, 10)
 			all.Wait()
-			whole = wholes(callers)
+			whole = countWhole(callers)
 			preempted = r.engines["engine-1"].Counts().Preempted
 		})
 		So(preempted, ShouldBeGreaterThan, 0)
--- a/internal/process/mgentry/moved_test.go
+++ b/internal/process/mgentry/moved_test.go
@@ -18,19 +18,19 @@
 // A lookup's engine dies before the first token, and the entry starts over
 // elsewhere. The caller had been told the first generation's name ahead, held
 // the second one's tokens for a stranger's, and resumed the dead one: lost.
-func TestMoved(t *testing.T) {
+func TestStaleAnswerNameAfterRestart(t *testing.T) {
 	Convey("The last name told ahead is that of the tokens that come", t, func() {
-		entry := entryOver(hosts{
-			"agent-1": host(taker{
-				wait: 1,
-				told: "unknown",
+		entry := newEntry(hostTransport{
+			"agent-1": agentHandler(acceptingAgent{
+				firstTokenWait: 1,
+				cancelOutcome:  "unknown",
 			}, &mgrpc.Frame{
 				Fault:   "interrupted",
 				Outcome: "unknown",
 			}),
-			"agent-2": host(taker{
-				wait: 900,
-				told: "unknown",
+			"agent-2": agentHandler(acceptingAgent{
+				firstTokenWait: 900,
+				cancelOutcome:  "unknown",
 			}, &mgrpc.Frame{
 				Seq:   1,
 				Text:  []string{"tide "},
--- a/internal/process/mgentry/parse.go
+++ b/internal/process/mgentry/parse.go
@@ -22,15 +22,15 @@
 // body is the JSON that callers send, in the form of OpenAI's API. Other keys
 // of that form (temperature and the like) are accepted and have no effect.
 type body struct {
-	Model     string          `json:"model"`
-	Messages  []message       `json:"messages"`
-	Prompt    json.RawMessage `json:"prompt"`
-	Stream    bool            `json:"stream"`
-	Max       int             `json:"max_tokens"`
-	MaxNew    int             `json:"max_completion_tokens"`
-	Choices   int             `json:"n"`
-	StreamSet struct {
-		Usage bool `json:"include_usage"`
+	Model               string          `json:"model"`
+	Messages            []message       `json:"messages"`
+	Prompt              json.RawMessage `json:"prompt"`
+	Stream              bool            `json:"stream"`
+	MaxTokens           int             `json:"max_tokens"`
+	MaxCompletionTokens int             `json:"max_completion_tokens"`
+	Choices             int             `json:"n"`
+	StreamOptions       struct {
+		IncludeUsage bool `json:"include_usage"`
 	} `json:"stream_options"`
 }
 
@@ -42,18 +42,18 @@
 // job is a request for an answer, checked against the table.
 type job struct {
 	caller
-	service *mgtable.Service
-	model   string
-	prompt  string
-	tokens  int      // of the prompt, by estimate
-	prefix  []uint64 // the hashes of its blocks
-	max     int      // tokens of output at most
-	stream  bool
-	usage   bool
-	chat    bool
-	resumes bool // the caller comes back after a lost connection
-	came    mgclock.Millis
-	due     mgclock.Millis // when the first token is due
+	service            *mgtable.Service
+	model              string
+	prompt             string
+	promptTokens       int      // of the prompt, by estimate
+	prefixHashes       []uint64 // the hashes of its blocks
+	maxTokens          int      // tokens of output at most
+	stream             bool
+	includeUsage       bool
+	chat               bool
+	canResume          bool // the caller comes back after a lost connection
+	receivedAt         mgclock.Millis
+	firstTokenDeadline mgclock.Millis // when the first token is due
 }
 
 func invalid(detail, remedy string) *mgproblem.Problem {
@@ -64,49 +64,49 @@
 func (e *Entry) parse(r *http.Request, c caller, chat bool) (*job, *mgproblem.Problem) {
 	var in body
 	if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
-		return nil, badBody(err)
+		return nil, bodyProblem(err)
 	}
 	if in.Choices > 1 {
 		return nil, invalid("n is more than 1", "send one request for each answer")
 	}
-	if in.Max < 0 || in.MaxNew < 0 {
+	if in.MaxTokens < 0 || in.MaxCompletionTokens < 0 {
 		return nil, invalid("max_tokens is negative", "give 1 or more, or leave it out")
 	}
 	service, model, problem := resolve(c, in.Model)
 	if problem != nil {
 		return nil, problem
 	}
-	prompt, problem := promptOf(in, chat)
+	prompt, problem := parsePrompt(in, chat)
 	if problem != nil {
 		return nil, problem
 	}
 	j := &job{
-		caller:  c,
-		service: service,
-		model:   model.Name(),
-		prompt:  prompt,
-		tokens:  mgprefix.Tokens(prompt),
-		prefix:  mgprefix.Blocks(nil, prompt),
-		max:     limit(model.Max(), service.Max(), in.Max, in.MaxNew),
-		stream:  in.Stream,
-		usage:   in.StreamSet.Usage,
-		chat:    chat,
-		resumes: r.Header.Get(resumeHeader) != "",
-	}
-	if j.tokens > model.Context() && model.Context() > 0 {
+		caller:       c,
+		service:      service,
+		model:        model.Name(),
+		prompt:       prompt,
+		promptTokens: mgprefix.Tokens(prompt),
+		prefixHashes: mgprefix.Blocks(nil, prompt),
+		maxTokens:    minPositive(model.Max(), service.Max(), in.MaxTokens, in.MaxCompletionTokens),
+		stream:       in.Stream,
+		includeUsage: in.StreamOptions.IncludeUsage,
+		chat:         chat,
+		canResume:    r.Header.Get(resumeHeader) != "",
+	}
+	if j.promptTokens > model.Context() && model.Context() > 0 {
 		return nil, mgproblem.New(mgproblem.Large, mgproblem.NotRun,
 			"the prompt is longer than the model's context", "send a shorter prompt")
 	}
-	wait := service.Deadline()
-	if wait <= 0 {
-		wait = defaultDeadline
+	timeout := service.Deadline()
+	if timeout <= 0 {
+		timeout = defaultDeadline
 	}
-	j.came = e.spec.Clock.Now()
-	j.due = j.came + wait
+	j.receivedAt = e.spec.Clock.Now()
+	j.firstTokenDeadline = j.receivedAt + timeout
 	return j, nil
 }
 
-func badBody(err error) *mgproblem.Problem {
+func bodyProblem(err error) *mgproblem.Problem {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		return mgproblem.New(mgproblem.Large, mgproblem.NotRun,
@@ -141,20 +141,20 @@
 		"the client account may not use "+name, "ask the operators to add it to the account's services")
 }
 
-// limit returns the least of the bounds that are set.
-func limit(bounds ...int) int {
-	least := 0
+// minPositive returns the least of the bounds that are set.
+func minPositive(bounds ...int) int {
+	smallest := 0
 	for _, bound := range bounds {
-		if bound > 0 && (least == 0 || bound < least) {
-			least = bound
+		if bound > 0 && (smallest == 0 || bound < smallest) {
+			smallest = bound
 		}
 	}
-	return least
+	return smallest
 }
 
-func promptOf(in body, chat bool) (string, *mgproblem.Problem) {
+func parsePrompt(in body, chat bool) (string, *mgproblem.Problem) {
 	if !chat {
-		text, ok := textOf(in.Prompt)
+		text, ok := parseText(in.Prompt)
 		if !ok || text == "" {
 			return "", invalid("prompt is missing or not a text", "send prompt as a string")
 		}
@@ -165,7 +165,7 @@
 	}
 	var b strings.Builder
 	for _, m := range in.Messages {
-		text, ok := textOf(m.Content)
+		text, ok := parseText(m.Content)
 		if !ok {
 			return "", invalid("a message's content is not text", "send content as a string or as parts of type text")
 		}
@@ -177,8 +177,8 @@
 	return b.String(), nil
 }
 
-// textOf reads a string, or a list of strings or of parts of type text.
-func textOf(raw json.RawMessage) (string, bool) {
+// parseText reads a string, or a list of strings or of parts of type text.
+func parseText(raw json.RawMessage) (string, bool) {
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
 		return text, true
--- a/internal/process/mgentry/read.go
+++ b/internal/process/mgentry/read.go
@@ -17,44 +17,44 @@
 )
 
 const (
-	// slack is how long after the deadline of the first token the entry still
+	// firstTokenGrace is how long after the deadline of the first token the entry still
 	// waits for a generation that the agent has started: its prefill is paid.
-	slack = 2 * mgclock.Second
-	// problemBody bounds a problem that an agent sends in place of frames.
-	problemBody = 64 << 10
-	// framesAhead is how many frames are read while the caller takes one.
-	framesAhead = 16
+	firstTokenGrace = 2 * mgclock.Second
+	// maxProblemBody bounds a problem that an agent sends in place of frames.
+	maxProblemBody = 64 << 10
+	// readAheadFrames is how many frames are read while the caller takes one.
+	readAheadFrames = 16
 )
 
-// reading is one answer on its way from an agent to a caller.
-type reading struct {
-	entry    *Entry
-	job      *job // nil for a caller that resumes
-	receiver *mgdelivery.Receiver
-	attempt  attempt
-	number   int // the attempt's number in the receiver
-	stream   *mglink.Stream
-	avoid    map[string]bool
-	tokens   int
-	giveBack func(tokens int) // returns what the account's caps were charged too much
-	evicted  uint32
-	notRun   bool // the agent attests that the attempt did not run
-	crashed  bool // the engine ended as it began the attempt
-	doubt    bool // an attempt before this one may have run
+// answerReader is one answer on its way from an agent to a caller.
+type answerReader struct {
+	entry          *Entry
+	job            *job // nil for a caller that resumes
+	receiver       *mgdelivery.Receiver
+	attempt        attempt
+	attemptNumber  int // the attempt's number in the receiver
+	stream         *mglink.Stream
+	avoidAgents    map[string]bool
+	receivedTokens int
+	refund         func(tokens int) // returns what the account's caps were charged too much
+	preemptions    uint32
+	attestedNotRun bool // the agent attests that the attempt did not run
+	engineCrashed  bool // the engine ended as it began the attempt
+	mayHaveRun     bool // an attempt before this one may have run
 }
 
-// errUnreached is why there are no frames: the agent did not answer.
-var errUnreached = errors.New("entry: an agent did not answer: it is asked again on a new connection")
+// errUnreachable is why there are no frames: the agent did not answer.
+var errUnreachable = errors.New("entry: an agent did not answer: it is asked again on a new connection")
 
 // open connects to the attempt's generation.
-func (r *reading) open(request context.Context) {
-	r.number = r.receiver.Begin(r.attempt.generation)
-	made := r.attempt
+func (r *answerReader) open(request context.Context) {
+	r.attemptNumber = r.receiver.Begin(r.attempt.generation)
+	attempt := r.attempt
 	r.stream = mglink.NewStream(mglink.StreamSpec{
 		Open: func(ctx context.Context, from uint64) (io.ReadCloser, error) {
-			body, err := r.entry.openFrames(ctx, made, from)
-			if errors.Is(err, errUnreached) {
-				r.entry.failed(request, made.agent)
+			body, err := r.entry.openFrames(ctx, attempt, from)
+			if errors.Is(err, errUnreachable) {
+				r.entry.reportFailed(request, attempt.agent)
 			}
 			return body, err
 		},
@@ -66,27 +66,27 @@
 
 // close gives back what the reading holds. It belongs to the goroutine that
 // reads.
-func (r *reading) close() {
+func (r *answerReader) close() {
 	r.stream.Close()
-	r.attempt.ended()
-	r.giveBack(r.tokens)
+	r.attempt.release()
+	r.refund(r.receivedTokens)
 }
 
 // openFrames asks an agent for frames on a new connection. The agent may have
 // been replaced since: the one that now serves the upstream is asked.
-func (e *Entry) openFrames(ctx context.Context, made attempt, from uint64) (io.ReadCloser, error) {
-	agent := made.agent
-	if now, ok := e.byUpstream(agent.Upstream()); ok {
+func (e *Entry) openFrames(ctx context.Context, attempt attempt, from uint64) (io.ReadCloser, error) {
+	agent := attempt.agent
+	if now, ok := e.agentByUpstream(agent.Upstream()); ok {
 		agent = now
 	}
-	url := e.spec.Base(agent.PeerAddr()) + mgrpc.FramesPath + made.generation + "?from=" + strconv.FormatUint(from, 10)
+	url := e.spec.Base(agent.PeerAddr()) + mgrpc.FramesPath + attempt.generation + "?from=" + strconv.FormatUint(from, 10)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
 	response, err := e.frames.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errUnreached, err)
+		return nil, fmt.Errorf("%w: %w", errUnreachable, err)
 	}
 	if response.StatusCode == http.StatusOK {
 		return response.Body, nil
@@ -96,7 +96,7 @@
 }
 
 func readProblem(response *http.Response) error {
-	data, err := io.ReadAll(io.LimitReader(response.Body, problemBody))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxProblemBody))
 	if err != nil {
 		return err
 	}
@@ -107,76 +107,76 @@
 	return problem
 }
 
-// A turn is what the caller is given next.
-type turn struct {
-	decision mgdelivery.Decision
-	problem  *mgproblem.Problem // the last word, when the answer fails
-	attempt  attempt
-	evicted  uint32
-	moved    bool // the answer started over elsewhere and has a new name
+// A delivery is what the caller is given next.
+type delivery struct {
+	decision    mgdelivery.Decision
+	problem     *mgproblem.Problem // the last word, when the answer fails
+	attempt     attempt
+	preemptions uint32
+	restarted   bool // the answer started over elsewhere and has a new name
 }
 
-// over reports whether nothing follows the turn.
-func (t turn) over() bool {
-	return t.problem != nil || t.decision.Action() == mgdelivery.Finish
+// isLast reports whether nothing follows the turn.
+func (d delivery) isLast() bool {
+	return d.problem != nil || d.decision.Action() == mgdelivery.Finish
 }
 
 // next returns the next turn. It starts over elsewhere by itself where the
 // receiver allows it.
-func (r *reading) next(ctx context.Context) turn {
+func (r *answerReader) next(ctx context.Context) delivery {
 	for {
 		decision, problem := r.step(ctx)
 		if cancelled := decision.Cancel(); cancelled != "" {
-			go r.entry.abandon(context.WithoutCancel(ctx), r.attempt)
+			go r.entry.cancelAttempt(context.WithoutCancel(ctx), r.attempt)
 		}
 		switch decision.Action() {
 		case mgdelivery.Reopen:
 			r.stream.Reopen(r.receiver.Last())
 		case mgdelivery.Elsewhere:
-			problem = r.elsewhere(ctx)
+			problem = r.restart(ctx)
 		case mgdelivery.Fail:
 			problem = decision.Problem()
 		case mgdelivery.Finish:
-			r.noteSound()
+			r.recordSuccess()
 		}
 		moved := decision.Action() == mgdelivery.Elsewhere
 		deliver := decision.Action() == mgdelivery.Deliver || decision.Action() == mgdelivery.Finish
 		if deliver || moved || problem != nil {
-			return turn{
-				decision: decision,
-				problem:  problem,
-				attempt:  r.attempt,
-				evicted:  r.evicted,
-				moved:    moved,
+			return delivery{
+				decision:    decision,
+				problem:     problem,
+				attempt:     r.attempt,
+				preemptions: r.preemptions,
+				restarted:   moved,
 			}
 		}
 	}
 }
 
-func (r *reading) step(ctx context.Context) (mgdelivery.Decision, *mgproblem.Problem) {
-	waitCtx, cancel := r.untilDue(ctx)
+func (r *answerReader) step(ctx context.Context) (mgdelivery.Decision, *mgproblem.Problem) {
+	waitCtx, cancel := r.firstTokenContext(ctx)
 	defer cancel()
 	frame, err := r.stream.Next(waitCtx)
 	switch {
 	case err == nil:
-		r.note(frame)
-		decision := r.receiver.Frame(r.number, frameOf(frame))
+		r.recordFrame(frame)
+		decision := r.receiver.Frame(r.attemptNumber, decodeFrame(frame))
 		if frame.GetMoved() != "" && !r.receiver.Over() {
-			r.follow(ctx, frame)
+			r.followMove(ctx, frame)
 		}
 		return decision, nil
 	case ctx.Err() != nil:
 		return mgdelivery.Decision{}, r.callerGone(ctx)
 	case waitCtx.Err() != nil:
-		return mgdelivery.Decision{}, r.overdue(ctx)
+		return mgdelivery.Decision{}, r.firstTokenLate(ctx)
 	default:
-		return r.receiver.Lost(r.number), nil
+		return r.receiver.Lost(r.attemptNumber), nil
 	}
 }
 
-// follow reads on from the agent that took the generation over. It is the same
+// followMove reads on from the agent that took the generation over. It is the same
 // generation: the receiver goes on where it is.
-func (r *reading) follow(ctx context.Context, frame *mgrpc.Frame) {
+func (r *answerReader) followMove(ctx context.Context, frame *mgrpc.Frame) {
 	agent, known := r.entry.spec.View().Member(frame.GetMoved())
 	if !known {
 		// The list of VMs lags, and the next read finds the agent or nothing.
@@ -184,13 +184,13 @@
 		return
 	}
 	r.stream.Close()
-	r.attempt.ended()
+	r.attempt.release()
 	r.attempt = attempt{
-		id:         r.attempt.id,
-		agent:      agent,
-		generation: r.attempt.generation,
-		doubt:      r.attempt.doubt,
-		ended:      func() {},
+		id:              r.attempt.id,
+		agent:           agent,
+		generation:      r.attempt.generation,
+		priorMayHaveRun: r.attempt.priorMayHaveRun,
+		release:         func() {},
 		offer: &mgrpc.Offer{
 			Incarnation: frame.GetIncarnation(),
 		},
@@ -199,47 +199,47 @@
 	r.open(ctx)
 }
 
-// untilDue bounds the wait for the first token.
-func (r *reading) untilDue(ctx context.Context) (context.Context, context.CancelFunc) {
-	if r.job == nil || r.receiver.Last() > 0 || r.tokens > 0 {
+// firstTokenContext bounds the wait for the first token.
+func (r *answerReader) firstTokenContext(ctx context.Context) (context.Context, context.CancelFunc) {
+	if r.job == nil || r.receiver.Last() > 0 || r.receivedTokens > 0 {
 		return ctx, func() {}
 	}
-	left := r.job.due + slack - r.entry.spec.Clock.Now()
+	left := r.job.firstTokenDeadline + firstTokenGrace - r.entry.spec.Clock.Now()
 	return context.WithTimeout(ctx, max(left, 1).Duration())
 }
 
 // callerGone ends the reading for a caller that has disconnected. One that may
 // resume finds its generation again: the agent cancels it after a grace time.
 // Any other's is cancelled now, for nobody will read it.
-func (r *reading) callerGone(ctx context.Context) *mgproblem.Problem {
-	if r.job != nil && !r.job.resumes {
-		go r.entry.abandon(context.WithoutCancel(ctx), r.attempt)
+func (r *answerReader) callerGone(ctx context.Context) *mgproblem.Problem {
+	if r.job != nil && !r.job.canResume {
+		go r.entry.cancelAttempt(context.WithoutCancel(ctx), r.attempt)
 	}
 	return mgproblem.New(mgproblem.Cancelled, mgproblem.Unknown, "the caller is gone", "resume by the answer's name")
 }
 
-// overdue gives up a request whose first token is too late, and tells the
+// firstTokenLate gives up a request whose first token is too late, and tells the
 // caller at once what the agent attests.
-func (r *reading) overdue(ctx context.Context) *mgproblem.Problem {
+func (r *answerReader) firstTokenLate(ctx context.Context) *mgproblem.Problem {
 	r.stream.Close()
-	return r.withDoubt(late(r.entry.abandon(ctx, r.attempt)))
+	return r.adjustOutcome(lateProblem(r.entry.cancelAttempt(ctx, r.attempt)))
 }
 
-func (r *reading) note(frame *mgrpc.Frame) {
-	r.tokens += len(frame.GetText())
-	r.evicted = frame.GetPreempted()
-	r.crashed = r.job != nil && r.tokens == 0 && frame.GetFault() == string(mgproblem.Crashed)
-	if r.crashed {
-		r.noteCrash()
+func (r *answerReader) recordFrame(frame *mgrpc.Frame) {
+	r.receivedTokens += len(frame.GetText())
+	r.preemptions = frame.GetPreempted()
+	r.engineCrashed = r.job != nil && r.receivedTokens == 0 && frame.GetFault() == string(mgproblem.Crashed)
+	if r.engineCrashed {
+		r.recordCrash()
 	}
-	r.notRun = frame.GetFault() != "" && frame.GetOutcome() == string(mgproblem.NotRun)
+	r.attestedNotRun = frame.GetFault() != "" && frame.GetOutcome() == string(mgproblem.NotRun)
 }
 
-// withDoubt returns a problem as the caller is told it. What is attested of the
+// adjustOutcome returns a problem as the caller is told it. What is attested of the
 // last attempt says nothing of those before: an engine may have worked on one
 // until it died, and "not run" would not be true of the request.
-func (r *reading) withDoubt(problem *mgproblem.Problem) *mgproblem.Problem {
-	if problem == nil || !r.doubt || problem.Outcome() != mgproblem.NotRun {
+func (r *answerReader) adjustOutcome(problem *mgproblem.Problem) *mgproblem.Problem {
+	if problem == nil || !r.mayHaveRun || problem.Outcome() != mgproblem.NotRun {
 		return problem
 	}
 	return mgproblem.New(mgproblem.Interrupted, mgproblem.Unknown,
@@ -247,33 +247,33 @@
 		"send the request again for a new answer").WithRetry(problem.Retry())
 }
 
-// elsewhere starts another generation where nothing was delivered.
-func (r *reading) elsewhere(ctx context.Context) *mgproblem.Problem {
+// restart starts another generation where nothing was delivered.
+func (r *answerReader) restart(ctx context.Context) *mgproblem.Problem {
 	r.stream.Close()
 	if r.job == nil {
 		return interruptedProblem()
 	}
-	r.doubt = r.doubt || !r.notRun
-	if problem := r.dangerous(); problem != nil {
+	r.mayHaveRun = r.mayHaveRun || !r.attestedNotRun
+	if problem := r.restartProblem(); problem != nil {
 		return problem
 	}
 	// An engine that dies leaves many requests behind at once. Without a budget
 	// all of them go to the engines that are left, which may be overloaded next.
 	if !r.entry.budgets.Of(r.job.service.Name()).Spend() {
-		return r.withDoubt(crowded())
+		return r.adjustOutcome(crowdedProblem())
 	}
-	r.avoid[r.attempt.agent.Name()] = true
-	r.attempt.ended()
-	made, problem := r.entry.begin(ctx, r.job, r.avoid)
+	r.avoidAgents[r.attempt.agent.Name()] = true
+	r.attempt.release()
+	attempt, problem := r.entry.startGeneration(ctx, r.job, r.avoidAgents)
 	if problem != nil {
-		return r.withDoubt(problem)
+		return r.adjustOutcome(problem)
 	}
 	r.entry.spec.Metrics.Counter("elsewhere").Inc(1)
 	mglog.Debug(r.entry.spec.Log).Info("generation started elsewhere",
-		mglog.Attempt, made.id, mglog.Upstream, made.agent.Upstream(), mglog.Account, r.job.account.Name())
-	r.attempt = made
-	r.doubt = r.doubt || made.doubt
-	r.tokens = 0
+		mglog.Attempt, attempt.id, mglog.Upstream, attempt.agent.Upstream(), mglog.Account, r.job.account.Name())
+	r.attempt = attempt
+	r.mayHaveRun = r.mayHaveRun || attempt.priorMayHaveRun
+	r.receivedTokens = 0
 	r.open(ctx)
 	return nil
 }
@@ -283,8 +283,8 @@
 		"the generation can't be continued", "send the request again for a new answer")
 }
 
-// frameOf reads a frame off the wire.
-func frameOf(f *mgrpc.Frame) *mgdelivery.Frame {
+// decodeFrame reads a frame off the wire.
+func decodeFrame(f *mgrpc.Frame) *mgdelivery.Frame {
 	return &mgdelivery.Frame{
 		Generation: f.GetGeneration(),
 		Seq:        f.GetSeq(),
--- a/internal/process/mgentry/relay.go
+++ b/internal/process/mgentry/relay.go
@@ -16,9 +16,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// openRelay makes the relay out of what the entry already has: one set of retry
+// initRelay makes the relay out of what the entry already has: one set of retry
 // budgets and one count of what is in flight, whatever form a request has.
-func (e *Entry) openRelay() {
+func (e *Entry) initRelay() {
 	if e.spec.Relay == nil {
 		return
 	}
@@ -30,19 +30,19 @@
 	spec.Quarantine = e.spec.Quarantine
 	spec.Load = &e.load
 	spec.Others = e.spec.Others
-	spec.Left = e.left
+	spec.Left = e.remaining
 	spec.Departed = e.spec.Left
 	spec.Zone = e.spec.Settings.Zone
 	spec.Name = e.spec.Settings.Name
 	spec.Processes = func() int { return 1 + len(e.spec.View().Peers()) }
 	spec.Failed = e.spec.Failed
 	spec.Answered = e.spec.Answered
-	spec.Leaving = e.leavingUpstream
-	spec.Missing = e.missingUpstream
-	spec.Cordoned = e.cordonedUpstream
-	spec.Closed = e.closedService
+	spec.Leaving = e.isLeavingUpstream
+	spec.Missing = e.isMissingUpstream
+	spec.Cordoned = e.cordonAge
+	spec.Closed = e.isClosedService
 	spec.Changed = e.spec.Changed
-	spec.Every = e.every
+	spec.Every = e.directHosts
 	spec.Stale = e.spec.Stale
 	e.relay = mgrelay.New(spec)
 }
@@ -54,22 +54,22 @@
 	}
 }
 
-// leavingUpstream reports whether an upstream leaves or is gone from the list.
-func (e *Entry) leavingUpstream(name string) bool {
+// isLeavingUpstream reports whether an upstream leaves or is gone from the list.
+func (e *Entry) isLeavingUpstream(name string) bool {
 	member, ok := e.spec.View().Agent(name)
 	return !ok || member.Leaving() || !member.Listed()
 }
 
-// missingUpstream reports whether the list lacks an upstream that hasn't said that it
+// isMissingUpstream reports whether the list lacks an upstream that hasn't said that it
 // leaves.
-func (e *Entry) missingUpstream(name string) bool {
+func (e *Entry) isMissingUpstream(name string) bool {
 	member, ok := e.spec.View().Agent(name)
 	return !ok || !member.Leaving() && !member.Listed()
 }
 
-// cordonedUpstream reports whether an upstream's availability zone gets no new work,
+// cordonAge reports whether an upstream's availability zone gets no new work,
 // and how long that has been known here.
-func (e *Entry) cordonedUpstream(name string) (age mgclock.Millis, cordoned bool) {
+func (e *Entry) cordonAge(name string) (age mgclock.Millis, cordoned bool) {
 	view := e.spec.View()
 	member, ok := view.Agent(name)
 	if !ok || !member.Cordoned() {
@@ -78,9 +78,9 @@
 	return e.spec.Clock.Now() - view.Cordoned()[member.Zone()], true
 }
 
-// closedService reports whether upstreams of a service stay, and the availability zones
+// isClosedService reports whether upstreams of a service stay, and the availability zones
 // of all of them are cordoned.
-func (e *Entry) closedService(service string) bool {
+func (e *Entry) isClosedService(service string) bool {
 	cordoned := false
 	for _, member := range e.spec.View().All() {
 		if member.Leaving() || !member.Listed() || !slices.Contains(member.Services(), service) {
@@ -111,12 +111,12 @@
 // where the entries share what a service allows.
 func (e *Entry) BoundRetries(limit int) { e.budgets.Bound(limit) }
 
-// every returns all upstreams that run a service, are reached directly and
+// directHosts returns all upstreams that run a service, are reached directly and
 // stay.
-func (e *Entry) every(service string) []mgrelay.Host {
+func (e *Entry) directHosts(service string) []mgrelay.Host {
 	fleet := e.fleet()
-	hosts := fleet.hosts[service]
-	now, span := e.spec.Clock.Now(), e.coldSpan(service)
+	hosts := fleet.directHosts[service]
+	now, coldWindow := e.spec.Clock.Now(), e.coldWindow(service)
 	list := make([]mgrelay.Host, 0, len(hosts))
 	for _, member := range hosts {
 		list = append(list, mgrelay.Host{
@@ -125,16 +125,16 @@
 			Zone:    member.Zone(),
 			Region:  member.Region(),
 			Suspect: member.Suspect(),
-			Cold:    member.Cold(now, span),
+			Cold:    member.Cold(now, coldWindow),
 			Born:    member.Born(),
-			Givers:  fleet.givers[service],
+			Givers:  fleet.assignerCount[service],
 		})
 	}
 	return list
 }
 
-// coldSpan returns for how long an upstream of a service is cold after its start.
-func (e *Entry) coldSpan(service string) mgclock.Millis {
+// coldWindow returns for how long an upstream of a service is cold after its start.
+func (e *Entry) coldWindow(service string) mgclock.Millis {
 	table := e.spec.Table()
 	if table == nil {
 		return 0
@@ -145,29 +145,29 @@
 	return 0
 }
 
-// cellHosts is the least number of a service's upstreams that a cell must have for
+// minCellHosts is the least number of a service's upstreams that a cell must have for
 // its entries to keep to these: of fewer one that fails is too much.
-const cellHosts = 12
+const minCellHosts = 12
 
-// divide gives this entry's cell its part of each service's upstreams, so that
+// restrictToCell gives this entry's cell its part of each service's upstreams, so that
 // what it knows of them is what all that use them have sent.
-func (f *fleet) divide(cell mgmember.Cell) {
-	for service, all := range f.hosts {
-		f.givers[service] = cell.Of
-		if cell.Of > 1 && len(all) >= cellHosts*cell.Of {
-			f.hosts[service] = mgmember.Part(all, cell.Number, cell.Of)
-			f.givers[service] = 1
+func (f *fleet) restrictToCell(cell mgmember.Cell) {
+	for service, all := range f.directHosts {
+		f.assignerCount[service] = cell.Of
+		if cell.Of > 1 && len(all) >= minCellHosts*cell.Of {
+			f.directHosts[service] = mgmember.Part(all, cell.Number, cell.Of)
+			f.assignerCount[service] = 1
 		}
 	}
 }
 
-// unreadyRetry is the pause before a caller turns to another entry, or to this
+// unreadyRetryDelay is the pause before a caller turns to another entry, or to this
 // one that is starting: it takes 50 ms once the platform answers.
-const unreadyRetry = 100 * mgclock.Millis(1)
+const unreadyRetryDelay = 100 * mgclock.Millis(1)
 
 // deny answers a request that the table in force doesn't allow. Where there may be a newer
 // table it is told to come back, since callers take a denial for the last word.
-func (e *Entry) deny(w http.ResponseWriter, r *http.Request, table *mgtable.Table, last func(w http.ResponseWriter)) {
+func (e *Entry) deny(w http.ResponseWriter, r *http.Request, table *mgtable.Table, refusal func(w http.ResponseWriter)) {
 	certain := e.spec.Certain == nil || e.spec.Certain()
 	if e.relay != nil {
 		e.spec.Log.Info("the table in force has no such route or key",
@@ -176,21 +176,21 @@
 	}
 	if certain {
 		e.spec.Metrics.Counter("denied").Inc(1)
-		last(w)
+		refusal(w)
 		return
 	}
 	e.spec.Metrics.Counter("doubted").Inc(1)
 	e.refuse(w, mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
 		"the table in force here may not be the newest, and has no such route or key",
-		"send it again after the time given").WithRetry(doubtRetry))
+		"send it again after the time given").WithRetry(staleTableRetryDelay))
 }
 
-// doubtRetry is when a caller may come back whose route or key isn't known here: the
+// staleTableRetryDelay is when a caller may come back whose route or key isn't known here: the
 // platform is asked again within about as long.
-const doubtRetry = mgclock.Second
+const staleTableRetryDelay = mgclock.Second
 
-// unrouted answers a request that neither a route nor the own interface takes.
-func (e *Entry) unrouted(w http.ResponseWriter, r *http.Request) {
+// notFound answers a request that neither a route nor the own interface takes.
+func (e *Entry) notFound(w http.ResponseWriter, r *http.Request) {
 	missing := func(w http.ResponseWriter) {
 		mgproblem.Write(w, mgproblem.New(mgproblem.Missing, mgproblem.NotRun,
 			"no such path", "see the list of paths in docs/OPERATIONS.md"))
@@ -203,9 +203,9 @@
 	e.deny(w, r, table, missing)
 }
 
-// routed passes requests through that the table's routes name; others are
+// relayRouted passes requests through that the table's routes name; others are
 // requests of the entry's own interface.
-func (e *Entry) routed(next http.Handler) http.Handler {
+func (e *Entry) relayRouted(next http.Handler) http.Handler {
 	if e.relay == nil {
 		return next
 	}
@@ -213,7 +213,7 @@
 		table := e.spec.Table()
 		if table == nil {
 			e.refuse(w, mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
-				"no configuration is in force yet", "try another entry").WithRetry(unreadyRetry))
+				"no configuration is in force yet", "try another entry").WithRetry(unreadyRetryDelay))
 			return
 		}
 		path, _, _ := strings.Cut(r.RequestURI, "?")
@@ -225,9 +225,9 @@
 			next.ServeHTTP(w, r)
 			return
 		}
-		account := accountOf(table, r)
+		account := accountByKey(table, r)
 		if account == nil && !route.Public() {
-			e.deny(w, r, table, e.stranger)
+			e.deny(w, r, table, e.refuseUnknownKey)
 			return
 		}
 		e.relay.Serve(w, r, mgrelay.Call{
--- a/internal/process/mgentry/rig_test.go
+++ b/internal/process/mgentry/rig_test.go
@@ -86,30 +86,30 @@
 
 const (
 	beat mgclock.Millis = 250
-	// silence is the longest that a link may say nothing.
-	silence = 3 * beat
-	// callWait bounds a plain-service call of the rig's entries.
-	callWait = 5 * mgclock.Second
+	// maxSilence is the longest that a link may say nothing.
+	maxSilence = 3 * beat
+	// callTimeout bounds a plain-service call of the rig's entries.
+	callTimeout = 5 * mgclock.Second
 )
 
 // A rig is a whole deployment over a network in memory, in virtual time: the
 // real entries and agents, and the stand-ins of the engines and the service.
 type rig struct {
 	mgnetwork.Network
-	clock    mgclock.Clock
-	seal     mgseal.Signer
-	table    *mgtable.Table
-	ctx      context.Context
-	engines  map[string]*mgstandin.Engine
-	agents   map[string]*mgagent.Agent
-	entries  map[string]*mgentry.Entry
-	books    *mgstandin.Service
-	alone    atomic.Bool // agents know no others
-	list     mgplatform.List
-	mu       sync.Mutex // guards what follows
-	stops    map[string]func()
-	lives    int
-	crossing func(http.Handler) http.Handler // around the agents' frames, or nil
+	clock        mgclock.Clock
+	seal         mgseal.Signer
+	table        *mgtable.Table
+	ctx          context.Context
+	engines      map[string]*mgstandin.Engine
+	agents       map[string]*mgagent.Agent
+	entries      map[string]*mgentry.Entry
+	books        *mgstandin.Service
+	isolated     atomic.Bool // agents know no others
+	list         mgplatform.List
+	mu           sync.Mutex // guards what follows
+	stops        map[string]func()
+	incarnations int
+	wrapFrames   func(http.Handler) http.Handler // around the agents' frames, or nil
 }
 
 // engineMemory is what the table says of the engines, in tokens.
@@ -151,10 +151,10 @@
 			r.engines[name] = e
 			running.Go(func() { e.Run(ctx) })
 			r.Serve(name, e.Handler())
-			r.row("agent-"+name, name, []string{"tank-70b"}, nil)
+			r.addVM("agent-"+name, name, []string{"tank-70b"}, nil)
 		}
 		r.Serve("books", r.books.Handler())
-		r.row("agent-books", "books", nil, []string{"ticket"})
+		r.addVM("agent-books", "books", nil, []string{"ticket"})
 		for _, vm := range r.list.VMs {
 			r.agent(vm.Name, vm.Upstream)
 		}
@@ -171,7 +171,7 @@
 	})
 }
 
-func (r *rig) row(name, upstream string, models, services []string) {
+func (r *rig) addVM(name, upstream string, models, services []string) {
 	vm := agentVM(name, upstream)
 	vm.Addr = name + ":80"
 	vm.Models = models
@@ -197,7 +197,7 @@
 			Queue:    512,
 			Policy:   "ours",
 		},
-		Incarnation: r.life(),
+		Incarnation: r.newIncarnation(),
 		Log:         logr.Discard(),
 		Metrics:     mgmetric.New(),
 		Seal:        &r.seal,
@@ -220,11 +220,11 @@
 		a.Run(ctx)
 	}()
 	routes := a.Routes()
-	if r.crossing != nil {
-		routes = r.crossing(routes)
+	if r.wrapFrames != nil {
+		routes = r.wrapFrames(routes)
 	}
 	r.Serve(name, routes)
-	r.begun(name, func() {
+	r.registerStop(name, func() {
 		r.Kill(name)
 		cancel()
 		<-done
@@ -235,7 +235,7 @@
 func (r *rig) others(name string) []mgagent.Other {
 	var others []mgagent.Other
 	for _, vm := range r.list.VMs {
-		if r.alone.Load() || vm.Name == name || len(vm.Models) == 0 {
+		if r.isolated.Load() || vm.Name == name || len(vm.Models) == 0 {
 			continue
 		}
 		others = append(others, mgagent.Other{
@@ -256,7 +256,7 @@
 	spec.Settings.Name = name
 	spec.Settings.Slow = 10000
 	spec.Settings.Probe = 200
-	spec.Settings.Call = int64(callWait)
+	spec.Settings.Call = int64(callTimeout)
 	spec.Seal = &r.seal
 	spec.Failed = func(agent string) { members.Failed(r.clock.Now(), agent) }
 	spec.Heard = func(agent, life string, leaving bool) { members.Heard(r.clock.Now(), agent, life, leaving) }
@@ -266,7 +266,7 @@
 		Interval: beat,
 	}
 	spec.Frames = r.Transport(name, true)
-	e := mgentry.New(spec, r.life())
+	e := mgentry.New(spec, r.newIncarnation())
 	r.mu.Lock()
 	r.entries[name] = e
 	r.mu.Unlock()
@@ -277,7 +277,7 @@
 		}
 	}()
 	r.Serve(name, e.Routes())
-	r.begun(name, func() {
+	r.registerStop(name, func() {
 		r.Kill(name)
 		cancel()
 	})
@@ -294,8 +294,8 @@
 	}
 }
 
-// begun notes how a process is ended.
-func (r *rig) begun(name string, stop func()) {
+// registerStop notes how a process is ended.
+func (r *rig) registerStop(name string, stop func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stops[name] = stop
@@ -307,16 +307,16 @@
 	return slices.Collect(maps.Keys(r.stops))
 }
 
-// life names a new life of a process.
-func (r *rig) life() string {
+// newIncarnation names a new newIncarnation of a process.
+func (r *rig) newIncarnation() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lives++
-	return fmt.Sprintf("life-%02d", r.lives)
+	r.incarnations++
+	return fmt.Sprintf("life-%02d", r.incarnations)
 }
 
-// busy returns the engine that holds a generation.
-func (r *rig) busy() *mgstandin.Engine {
+// busyEngine returns the engine that holds a generation.
+func (r *rig) busyEngine() *mgstandin.Engine {
 	for _, e := range r.engines {
 		if e.Load(); len(e.List()) > 0 && !e.List()[0].Done {
 			return e
@@ -327,7 +327,7 @@
 
 // reclaim gives the engine that holds a generation notice, and ends it then.
 func (r *rig) reclaim(notice mgclock.Millis) {
-	e := r.busy()
+	e := r.busyEngine()
 	e.Set(mgstandin.Fault{
 		Kind:  mgstandin.Leave,
 		Delay: notice,
@@ -336,31 +336,31 @@
 }
 
 // after calls what later, while the story goes on.
-func (r *rig) after(span mgclock.Millis, what func()) {
+func (r *rig) after(delay mgclock.Millis, callback func()) {
 	go func() {
-		r.clock.Sleep(r.ctx, span)
-		what()
+		r.clock.Sleep(r.ctx, delay)
+		callback()
 	}()
 }
 
-// strike sets a fault that the next calls of the service meet.
-func (r *rig) strike(kind string, calls int) {
+// injectFault sets a fault that the next calls of the service meet.
+func (r *rig) injectFault(kind string, calls int) {
 	r.books.Set(mgstandin.Fault{
 		Kind:  kind,
 		Times: calls,
 	})
 }
 
-// slow makes the service's calls take longer.
-func (r *rig) slow(delay mgclock.Millis) {
+// slowService makes the service's calls take longer.
+func (r *rig) slowService(delay mgclock.Millis) {
 	r.books.Set(mgstandin.Fault{
 		Kind:  mgstandin.Slow,
 		Delay: delay,
 	})
 }
 
-// breakOff sets a fault of engine-1's streams after some tokens.
-func (r *rig) breakOff(kind string, tokens uint64) {
+// breakStream sets a fault of engine-1's streams after some tokens.
+func (r *rig) breakStream(kind string, tokens uint64) {
 	r.engines["engine-1"].Set(mgstandin.Fault{
 		Kind:  kind,
 		After: tokens,
--- a/internal/process/mgentry/services.go
+++ b/internal/process/mgentry/services.go
@@ -21,26 +21,26 @@
 )
 
 const (
-	// keyHeader names the operation that a caller repeats (Jena, Dalal 2023,
+	// idempotencyKeyHeader names the operation that a caller repeats (Jena, Dalal 2023,
 	// draft-ietf-httpapi-idempotency-key-header).
-	keyHeader = "Idempotency-Key"
+	idempotencyKeyHeader = "Idempotency-Key"
 	// outcomeHeader tells what became of a call.
 	outcomeHeader = "Outcome"
-	// repeatPause is the wait before an agent is asked again for an operation's
+	// repeatInterval is the wait before an agent is asked again for an operation's
 	// result.
-	repeatPause = 100 * mgclock.Millis(1)
+	repeatInterval = 100 * mgclock.Millis(1)
 )
 
 // call is a plain-service call, checked against the table.
 type call struct {
 	caller
-	service *mgtable.Service
-	request *mgrpc.InvokeRequest
-	due     mgclock.Millis // when it is given up
+	service  *mgtable.Service
+	request  *mgrpc.InvokeRequest
+	deadline mgclock.Millis // when it is given up
 }
 
-// plain returns the plain service that the path names.
-func (e *Entry) plain(r *http.Request, c caller) (*mgtable.Service, *mgproblem.Problem) {
+// plainService returns the plainService service that the path names.
+func (e *Entry) plainService(r *http.Request, c caller) (*mgtable.Service, *mgproblem.Problem) {
 	name := chi.URLParam(r, "service")
 	service := c.table.Service(name)
 	if service == nil || service.Kind() != mgtable.Plain {
@@ -53,14 +53,14 @@
 	return service, nil
 }
 
-// mint names a new operation of a service whose calls may not be repeated.
-func (e *Entry) mint(w http.ResponseWriter, r *http.Request, c caller) {
-	service, problem := e.plain(r, c)
+// mintOperation names a new operation of a service whose calls may not be repeated.
+func (e *Entry) mintOperation(w http.ResponseWriter, r *http.Request, c caller) {
+	service, problem := e.plainService(r, c)
 	if problem != nil {
 		mgproblem.Write(w, problem)
 		return
 	}
-	operation, _, problem := e.mintAt(r.Context(), c, service.Name())
+	operation, _, problem := e.mintAnywhere(r.Context(), c, service.Name())
 	if problem != nil {
 		mgproblem.Write(w, problem)
 		return
@@ -70,24 +70,24 @@
 	_, _ = w.Write([]byte(`{"operation":"` + operation + `"}` + "\n"))
 }
 
-// mintAt mints an operation at any agent that runs the service. Minting runs
+// mintAnywhere mints an operation at any agent that runs the service. Minting runs
 // nothing, so it may be tried at one after another.
-func (e *Entry) mintAt(ctx context.Context, c caller, service string) (string, *mgmember.Member, *mgproblem.Problem) {
+func (e *Entry) mintAnywhere(ctx context.Context, c caller, service string) (string, *mgmember.Member, *mgproblem.Problem) {
 	for _, host := range e.hosts(service) {
-		reply, err := e.mintOnce(ctx, host.agent, c, service)
+		reply, err := e.mintAtAgent(ctx, host.agent, c, service)
 		if err != nil {
-			e.failed(ctx, host.agent)
+			e.reportFailed(ctx, host.agent)
 			continue
 		}
 		if reply.GetFault() == nil {
 			return reply.GetOperation(), host.agent, nil
 		}
 	}
-	return "", nil, crowded()
+	return "", nil, crowdedProblem()
 }
 
-func (e *Entry) mintOnce(ctx context.Context, agent *mgmember.Member, c caller, service string) (*mgrpc.MintReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWait.Duration())
+func (e *Entry) mintAtAgent(ctx context.Context, agent *mgmember.Member, c caller, service string) (*mgrpc.MintReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, shortCallTimeout.Duration())
 	defer cancel()
 	return e.client(agent).Mint(ctx, &mgrpc.MintRequest{
 		Account: c.account.Name(),
@@ -101,7 +101,7 @@
 type host struct {
 	agent *mgmember.Member
 	fleet *fleet
-	place int // its number in fleet
+	index int // its number in fleet
 }
 
 // hosts returns agents whose upstreams run a service, the one with the fewest
@@ -114,14 +114,14 @@
 		Zone:   e.spec.Settings.Zone,
 		Region: e.spec.Settings.Region,
 	}
-	places := fleet.routes.Candidates(nil, query, e.random())
+	places := fleet.routes.Candidates(nil, query, e.newRandom())
 	slices.SortStableFunc(places, func(a, b int) int { return fleet.routes.Flights(a) - fleet.routes.Flights(b) })
 	var found []host
-	for _, place := range places {
+	for _, index := range places {
 		found = append(found, host{
-			agent: fleet.members[place],
+			agent: fleet.members[index],
 			fleet: fleet,
-			place: place,
+			index: index,
 		})
 	}
 	if len(found) > 0 {
@@ -131,39 +131,39 @@
 		found = append(found, host{
 			agent: member,
 			fleet: fleet,
-			place: none,
+			index: noIndex,
 		})
 	}
 	return found
 }
 
-// service makes a call of a plain service.
-func (e *Entry) service(w http.ResponseWriter, r *http.Request, c caller) {
-	service, problem := e.plain(r, c)
+// callService makes a call of a plain callService.
+func (e *Entry) callService(w http.ResponseWriter, r *http.Request, c caller) {
+	service, problem := e.plainService(r, c)
 	if problem != nil {
 		mgproblem.Write(w, problem)
 		return
 	}
 	data, err := io.ReadAll(r.Body)
 	if err != nil {
-		mgproblem.Write(w, badBody(err))
+		mgproblem.Write(w, bodyProblem(err))
 		return
 	}
 	promise, operation, err := mgoperation.Weigh(e.spec.Seal, mgoperation.KeySpec{
 		Account:    c.account.Name(),
 		Service:    service.Name(),
-		Key:        r.Header.Get(keyHeader),
+		Key:        r.Header.Get(idempotencyKeyHeader),
 		Idempotent: service.Repeatable() || safeMethod(r.Method),
 	})
 	if err != nil {
 		mgproblem.Write(w, mgproblem.From(err))
 		return
 	}
-	wait := mgclock.Millis(e.spec.Settings.Call)
+	timeout := mgclock.Millis(e.spec.Settings.Call)
 	call := &call{
-		caller:  c,
-		service: service,
-		due:     e.spec.Clock.Now() + wait,
+		caller:   c,
+		service:  service,
+		deadline: e.spec.Clock.Now() + timeout,
 		request: &mgrpc.InvokeRequest{
 			Account: c.account.Name(),
 			Service: service.Name(),
@@ -175,8 +175,8 @@
 			Entry:   e.spec.Settings.Name,
 		},
 	}
-	reply, problem := e.invoke(r.Context(), call, promise, operation, r.Header.Get(keyHeader))
-	e.answer(w, reply, problem)
+	reply, problem := e.invoke(r.Context(), call, promise, operation, r.Header.Get(idempotencyKeyHeader))
+	e.writeReply(w, reply, problem)
 }
 
 // safeMethod reports whether a method may be repeated whatever the service
@@ -198,24 +198,24 @@
 	switch promise {
 	case mgoperation.Pinned:
 		call.request.Operation = key
-		return e.pinned(ctx, call, operation.Agent())
+		return e.invokePinned(ctx, call, operation.Agent())
 	case mgoperation.Single:
-		minted, agent, problem := e.mintAt(ctx, call.caller, call.service.Name())
+		minted, agent, problem := e.mintAnywhere(ctx, call.caller, call.service.Name())
 		if problem != nil {
 			return nil, problem
 		}
 		call.request.Operation = minted
-		reply, problem := e.pinned(ctx, call, agent.Upstream())
-		return reply, keyless(problem)
+		reply, problem := e.invokePinned(ctx, call, agent.Upstream())
+		return reply, unkeyedProblem(problem)
 	default:
-		return e.repeatable(ctx, call)
+		return e.invokeRepeatable(ctx, call)
 	}
 }
 
-// keyless returns what a caller without a key is told. It can't ask again under
+// unkeyedProblem returns what a caller without a key is told. It can't ask again under
 // the operation, which this entry minted and which nobody else knows; asking
 // again would be another write.
-func keyless(problem *mgproblem.Problem) *mgproblem.Problem {
+func unkeyedProblem(problem *mgproblem.Problem) *mgproblem.Problem {
 	if problem == nil || problem.Outcome() != mgproblem.Unknown {
 		return problem
 	}
@@ -223,41 +223,41 @@
 		"look in the service whether it ran; mint an operation first to be able to ask again").WithRetry(problem.Retry())
 }
 
-// pinned makes an operation's call at the one agent that may run it. Asking
+// invokePinned makes an operation's call at the one agent that may run it. Asking
 // that agent again is safe: it joins the first call.
-func (e *Entry) pinned(ctx context.Context, call *call, upstream string) (*mgrpc.InvokeReply, *mgproblem.Problem) {
-	for e.spec.Clock.Now() < call.due && ctx.Err() == nil {
-		agent, ok := e.byUpstream(upstream)
+func (e *Entry) invokePinned(ctx context.Context, call *call, upstream string) (*mgrpc.InvokeReply, *mgproblem.Problem) {
+	for e.spec.Clock.Now() < call.deadline && ctx.Err() == nil {
+		agent, ok := e.agentByUpstream(upstream)
 		if ok {
 			reply, err := e.invokeAt(ctx, call, agent)
 			if err == nil {
 				return reply, replyProblem(reply)
 			}
-			e.failed(ctx, agent)
+			e.reportFailed(ctx, agent)
 		}
-		e.spec.Clock.Sleep(ctx, repeatPause)
+		e.spec.Clock.Sleep(ctx, repeatInterval)
 	}
 	return nil, mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown,
 		"the agent that owns the operation did not answer", "ask again with the same operation")
 }
 
-// repeatable makes a call that may run more than once, at another upstream
+// invokeRepeatable makes a call that may run more than once, at another upstream
 // when one can't be reached and the service's budget allows it.
-func (e *Entry) repeatable(ctx context.Context, call *call) (*mgrpc.InvokeReply, *mgproblem.Problem) {
-	problem := crowded()
+func (e *Entry) invokeRepeatable(ctx context.Context, call *call) (*mgrpc.InvokeReply, *mgproblem.Problem) {
+	problem := crowdedProblem()
 	budget := e.budgets.Of(call.service.Name())
 	hosts := e.hosts(call.service.Name())
 	for i, host := range hosts {
 		if i > 0 && !budget.Spend() {
 			break
 		}
-		answer := e.hedged(ctx, call, host, hosts[i+1:])
-		if answer.good() {
+		answer := e.invokeHedged(ctx, call, host, hosts[i+1:])
+		if answer.isGood() {
 			budget.Earn(mgretry.Ratio)
 			return answer.reply, nil
 		}
 		if answer.err == nil {
-			problem = problemOf(answer.reply.GetFault())
+			problem = problemFromFault(answer.reply.GetFault())
 			continue
 		}
 		problem = mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown,
@@ -267,11 +267,11 @@
 }
 
 func (e *Entry) invokeAt(ctx context.Context, call *call, agent *mgmember.Member) (*mgrpc.InvokeReply, error) {
-	left := call.due - e.spec.Clock.Now()
-	ctx, cancel := context.WithTimeout(ctx, left.Duration())
+	remaining := call.deadline - e.spec.Clock.Now()
+	ctx, cancel := context.WithTimeout(ctx, remaining.Duration())
 	defer cancel()
 	request := proto.CloneOf(call.request)
-	request.Budget = int64(left)
+	request.Budget = int64(remaining)
 	reply, err := e.client(agent).Invoke(ctx, request)
 	if err != nil {
 		return nil, err
@@ -284,10 +284,10 @@
 	if reply.GetFault() == nil {
 		return nil
 	}
-	return problemOf(reply.GetFault())
+	return problemFromFault(reply.GetFault())
 }
 
-func (e *Entry) answer(w http.ResponseWriter, reply *mgrpc.InvokeReply, problem *mgproblem.Problem) {
+func (e *Entry) writeReply(w http.ResponseWriter, reply *mgrpc.InvokeReply, problem *mgproblem.Problem) {
 	if problem != nil {
 		mgproblem.Write(w, problem)
 		return
--- a/internal/process/mgentry/session_test.go
+++ b/internal/process/mgentry/session_test.go
@@ -40,39 +40,39 @@
 func (c *caller) data(data string) {
 	var in chunk
 	if err := json.Unmarshal([]byte(data), &in); err != nil || len(in.Choices) == 0 || in.Choices[0].Finish != "" {
-		c.seen = append(c.seen, data)
+		c.observed = append(c.observed, data)
 		return
 	}
 	now := c.rig.clock.Now()
-	c.stall = max(c.stall, now-c.heard)
-	c.heard = now
+	c.stall = max(c.stall, now-c.lastReceived)
+	c.lastReceived = now
 	c.tokens++
 	c.text.WriteString(in.Choices[0].Delta.Content)
-	if c.each != nil {
-		c.each(c.tokens)
+	if c.onToken != nil {
+		c.onToken(c.tokens)
 	}
 }
 
-// names are what differs between two runs of one session.
-var names = []struct {
-	pattern *regexp.Regexp
-	stand   string
+// volatileParts are what differs between two runs of one session.
+var volatileParts = []struct {
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{
-		pattern: regexp.MustCompile(`"id":"[^"]*"`),
-		stand:   `"id":"ANSWER"`,
+		pattern:     regexp.MustCompile(`"id":"[^"]*"`),
+		replacement: `"id":"ANSWER"`,
 	},
 	{
-		pattern: regexp.MustCompile(`"created":\d+`),
-		stand:   `"created":0`,
+		pattern:     regexp.MustCompile(`"created":\d+`),
+		replacement: `"created":0`,
 	},
 	{
-		pattern: regexp.MustCompile(`life-\d+-\w+`),
-		stand:   `GENERATION`,
+		pattern:     regexp.MustCompile(`life-\d+-\w+`),
+		replacement: `GENERATION`,
 	},
 	{
-		pattern: regexp.MustCompile(`("content":")([^"]+)"`),
-		stand:   `$1 TEXT"`,
+		pattern:     regexp.MustCompile(`("content":")([^"]+)"`),
+		replacement: `$1 TEXT"`,
 	},
 }
 
@@ -80,9 +80,9 @@
 // out and its tokens checked against those that the engine made.
 func (c *caller) session() string {
 	var b strings.Builder
-	for _, line := range c.seen {
-		for _, n := range names {
-			line = n.pattern.ReplaceAllString(line, n.stand)
+	for _, line := range c.observed {
+		for _, n := range volatileParts {
+			line = n.pattern.ReplaceAllString(line, n.replacement)
 		}
 		fmt.Fprintln(&b, line)
 	}
@@ -93,11 +93,11 @@
 	return b.String()
 }
 
-// at calls what once, when the caller has had some tokens.
-func (c *caller) at(tokens int, what func()) {
-	c.each = func(n int) {
+// onTokenCount calls what once, when the caller has had some tokens.
+func (c *caller) onTokenCount(tokens int, callback func()) {
+	c.onToken = func(n int) {
 		if n == tokens {
-			what()
+			callback()
 		}
 	}
 }
@@ -105,15 +105,15 @@
 // wholeText compares the text of an answer in one piece.
 func (c *caller) wholeText() string {
 	var in chunk
-	if len(c.seen) < 2 || json.Unmarshal([]byte(c.seen[1]), &in) != nil || len(in.Choices) == 0 {
+	if len(c.observed) < 2 || json.Unmarshal([]byte(c.observed[1]), &in) != nil || len(in.Choices) == 0 {
 		return "no answer"
 	}
 	want := mgstandin.Whole(in.Generation, in.Usage.Completion)
 	return fmt.Sprintf("as generated: %t", in.Choices[0].Message.Content == want)
 }
 
-// crossed gives the first reader of frames those of another generation.
-func crossed(other func() string) func(http.Handler) http.Handler {
+// crossFrames gives the first reader of frames those of another generation.
+func crossFrames(other func() string) func(http.Handler) http.Handler {
 	var done atomic.Bool
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -132,32 +132,32 @@
 // token, in virtual time.
 func TestSessions(t *testing.T) {
 	cases := []struct {
-		story   string
+		name    string
 		engines int
 		stall   mgclock.Millis
 		play    func(r *rig, c *caller)
 	}{
 		{
-			story:   "nothing fails",
+			name:    "nothing fails",
 			engines: 2,
 			stall:   100,
 			play:    func(_ *rig, c *caller) { c.ask("entry-1", 20, true) },
 		},
 		{
-			story:   "the connection to the agent goes silent",
+			name:    "the connection to the agent goes silent",
 			engines: 1,
-			stall:   silence + beat,
+			stall:   maxSilence + beat,
 			play: func(r *rig, c *caller) {
-				c.at(5, func() { r.Silence("agent-engine-1") })
+				c.onTokenCount(5, func() { r.Silence("agent-engine-1") })
 				c.ask("entry-1", 200, true)
 			},
 		},
 		{
-			story:   "the connection to the agent goes silent twice",
+			name:    "the connection to the agent goes silent twice",
 			engines: 1,
-			stall:   silence + beat,
+			stall:   maxSilence + beat,
 			play: func(r *rig, c *caller) {
-				c.each = func(n int) {
+				c.onToken = func(n int) {
 					if n == 5 || n == 90 {
 						r.Silence("agent-engine-1")
 					}
@@ -166,119 +166,119 @@
 			},
 		},
 		{
-			story:   "the agent is replaced mid-stream",
+			name:    "the agent is replaced mid-stream",
 			engines: 1,
 			stall:   mgclock.Second,
 			play: func(r *rig, c *caller) {
-				c.at(5, func() { r.agent("agent-engine-1", "engine-1") })
+				c.onTokenCount(5, func() { r.agent("agent-engine-1", "engine-1") })
 				c.ask("entry-1", 100, true)
 			},
 		},
 		{
-			story:   "the entry is killed mid-stream",
+			name:    "the entry is killed mid-stream",
 			engines: 1,
 			stall:   100,
 			play: func(r *rig, c *caller) {
-				c.at(5, func() { r.kill("entry-1") })
+				c.onTokenCount(5, func() { r.kill("entry-1") })
 				c.ask("entry-1", 100, true)
-				c.each = nil
+				c.onToken = nil
 				c.resume("entry-2")
 			},
 		},
 		{
-			story:   "the caller goes and is back after two seconds",
+			name:    "the caller goes and is back after two seconds",
 			engines: 1,
 			stall:   100,
 			play: func(r *rig, c *caller) {
-				c.at(5, func() { r.kill("entry-1") })
+				c.onTokenCount(5, func() { r.kill("entry-1") })
 				c.ask("entry-1", 100, true)
-				c.each = nil
+				c.onToken = nil
 				r.clock.Sleep(r.ctx, 2*mgclock.Second)
 				r.entry("entry-1")
 				c.resume("entry-1")
 			},
 		},
 		{
-			story:   "the engine is killed before the first token",
+			name:    "the engine is killed before the first token",
 			engines: 2,
 			play: func(r *rig, c *caller) {
-				c.padding = 2000
-				r.after(5, func() { r.busy().Set(mgstandin.Fault{Kind: mgstandin.Die}) })
+				c.paddingWords = 2000
+				r.after(5, func() { r.busyEngine().Set(mgstandin.Fault{Kind: mgstandin.Die}) })
 				c.ask("entry-1", 20, true)
 			},
 		},
 		{
-			story:   "the engine is killed after the first token",
+			name:    "the engine is killed after the first token",
 			engines: 2,
 			play: func(r *rig, c *caller) {
-				c.at(5, func() { r.busy().Set(mgstandin.Fault{Kind: mgstandin.Die}) })
+				c.onTokenCount(5, func() { r.busyEngine().Set(mgstandin.Fault{Kind: mgstandin.Die}) })
 				c.ask("entry-1", 100, true)
 			},
 		},
 		{
-			story:   "the engine is killed under whole delivery",
+			name:    "the engine is killed under whole delivery",
 			engines: 2,
 			play: func(r *rig, c *caller) {
-				r.after(300, func() { r.busy().Set(mgstandin.Fault{Kind: mgstandin.Die}) })
+				r.after(300, func() { r.busyEngine().Set(mgstandin.Fault{Kind: mgstandin.Die}) })
 				c.ask("entry-1", 100, false)
-				c.seen = append(c.seen, c.wholeText())
+				c.observed = append(c.observed, c.wholeText())
 			},
 		},
 		{
-			story:   "the only engine is killed before the first token",
+			name:    "the only engine is killed before the first token",
 			engines: 1,
 			play: func(r *rig, c *caller) {
-				c.padding = 2000
-				r.after(5, func() { r.busy().Set(mgstandin.Fault{Kind: mgstandin.Die}) })
+				c.paddingWords = 2000
+				r.after(5, func() { r.busyEngine().Set(mgstandin.Fault{Kind: mgstandin.Die}) })
 				c.ask("entry-1", 20, true)
 			},
 		},
 		{
-			story:   "the engine's stream breaks off",
+			name:    "the engine's stream breaks off",
 			engines: 1,
 			stall:   mgclock.Second,
 			play: func(r *rig, c *caller) {
-				r.breakOff(mgstandin.Cut, 7)
+				r.breakStream(mgstandin.Cut, 7)
 				c.ask("entry-1", 100, true)
 			},
 		},
 		{
-			story:   "the engine's stream goes silent",
+			name:    "the engine's stream goes silent",
 			engines: 1,
 			stall:   4 * mgclock.Second,
 			play: func(r *rig, c *caller) {
-				r.breakOff(mgstandin.Stall, 7)
+				r.breakStream(mgstandin.Stall, 7)
 				c.ask("entry-1", 100, true)
 			},
 		},
 		{
-			story:   "frames of another generation cross the stream",
+			name:    "frames of another generation cross the stream",
 			engines: 1,
 			stall:   100,
 			play: func(r *rig, c *caller) {
 				other := r.caller()
 				other.ask("entry-1", 20, true)
-				r.crossing = crossed(other.generation)
+				r.wrapFrames = crossFrames(other.generation)
 				r.agent("agent-engine-1", "engine-1")
 				c.ask("entry-1", 20, true)
 			},
 		},
 		{
-			story:   "a partition parts the entry from the agent for good",
+			name:    "a partition parts the entry from the agent for good",
 			engines: 1,
 			play: func(r *rig, c *caller) {
-				c.at(5, func() { r.Cut("entry-1", "agent-engine-1") })
+				c.onTokenCount(5, func() { r.Cut("entry-1", "agent-engine-1") })
 				c.ask("entry-1", 100, true)
-				c.each = nil
+				c.onToken = nil
 				c.resume("entry-2")
 			},
 		},
 		{
-			story:   "the engine is to be reclaimed and the work is longer",
+			name:    "the engine is to be reclaimed and the work is longer",
 			engines: 2,
 			play: func(r *rig, c *caller) {
-				c.at(5, func() {
-					e := r.busy()
+				c.onTokenCount(5, func() {
+					e := r.busyEngine()
 					e.Set(mgstandin.Fault{Kind: mgstandin.Leave})
 					r.after(mgclock.Second, func() { e.Set(mgstandin.Fault{Kind: mgstandin.Die}) })
 				})
@@ -286,7 +286,7 @@
 			},
 		},
 		{
-			story:   "the engine answers nothing, and the first token is late",
+			name:    "the engine answers nothing, and the first token is late",
 			engines: 1,
 			play: func(r *rig, c *caller) {
 				c.ask("entry-1", 3, true)
@@ -295,7 +295,7 @@
 			},
 		},
 		{
-			story:   "a stranger asks for the answer",
+			name:    "a stranger asks for the answer",
 			engines: 1,
 			play: func(r *rig, c *caller) {
 				c.ask("entry-1", 20, true)
@@ -305,13 +305,13 @@
 				stranger.resume("entry-1")
 				stranger.answer = "bmV2ZXI"
 				stranger.resume("entry-1")
-				c.seen = append(c.seen, stranger.seen...)
+				c.observed = append(c.observed, stranger.observed...)
 			},
 		},
 	}
 	Convey("What a caller sees", t, func() {
 		for _, c := range cases {
-			Convey(c.story, func() {
+			Convey(c.name, func() {
 				var got string
 				var stall mgclock.Millis
 				play(t, c.engines, func(r *rig) {
@@ -320,7 +320,7 @@
 					got = who.session()
 					stall = who.stall
 				})
-				golden(t, c.story, got)
+				golden(t, c.name, got)
 				if c.stall > 0 {
 					So(stall, ShouldBeLessThanOrEqualTo, c.stall)
 				}
--- a/internal/process/mgentry/stub_test.go
+++ b/internal/process/mgentry/stub_test.go
@@ -48,38 +48,38 @@
 	}
 }
 
-// tankline returns a request of the account of that name.
-func tankline(method, path, body string) *http.Request {
+// tanklineRequest returns a request of the account of that name.
+func tanklineRequest(method, path, body string) *http.Request {
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer sample-tankline")
 	return request
 }
 
-// taker takes every start.
-type taker struct {
+// acceptingAgent takes every start.
+type acceptingAgent struct {
 	mgrpc.Agent
-	name string // its own, in its offers
-	wait int64  // to the first token, in its offers, ms
-	told string // the outcome of each cancel
+	name           string // its own, in its offers
+	firstTokenWait int64  // to the first token, in its offers, ms
+	cancelOutcome  string // the outcome of each cancel
 }
 
-func (a taker) Probe(context.Context, *mgrpc.ProbeRequest) (*mgrpc.Offer, error) {
+func (a acceptingAgent) Probe(context.Context, *mgrpc.ProbeRequest) (*mgrpc.Offer, error) {
 	return &mgrpc.Offer{
 		Agent: a.name,
-		Wait:  a.wait,
+		Wait:  a.firstTokenWait,
 	}, nil
 }
 
-func (taker) Start(_ context.Context, in *mgrpc.StartRequest) (*mgrpc.StartReply, error) {
+func (acceptingAgent) Start(_ context.Context, in *mgrpc.StartRequest) (*mgrpc.StartReply, error) {
 	return &mgrpc.StartReply{Generation: in.GetAttempt()}, nil
 }
 
-func (a taker) Cancel(context.Context, *mgrpc.CancelRequest) (*mgrpc.CancelReply, error) {
-	return &mgrpc.CancelReply{Outcome: a.told}, nil
+func (a acceptingAgent) Cancel(context.Context, *mgrpc.CancelRequest) (*mgrpc.CancelReply, error) {
+	return &mgrpc.CancelReply{Outcome: a.cancelOutcome}, nil
 }
 
-// host is an agent that answers each read of frames with one frame.
-func host(agent mgrpc.Agent, frame *mgrpc.Frame) http.Handler {
+// agentHandler is an agent that answers each read of frames with one frame.
+func agentHandler(agent mgrpc.Agent, frame *mgrpc.Frame) http.Handler {
 	router := chi.NewRouter()
 	router.Mount(mgrpc.AgentPathPrefix, mgrpc.NewAgentServer(agent))
 	router.Get("/frames/{generation}", func(w http.ResponseWriter, r *http.Request) {
@@ -91,40 +91,40 @@
 
 var errReset = errors.New("connection reset")
 
-// hosts answers requests by their host.
-type hosts map[string]http.Handler
+// hostTransport answers requests by their host.
+type hostTransport map[string]http.Handler
 
 // RoundTrip serves a request in this goroutine, without the context of the
 // entry's own router.
-func (h hosts) RoundTrip(r *http.Request) (*http.Response, error) {
+func (h hostTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	recorder := httptest.NewRecorder()
 	h[r.URL.Host].ServeHTTP(recorder, r.WithContext(context.Background()))
 	return recorder.Result(), nil
 }
 
-// silent is hosts of which one answers nothing but probes.
-type silent struct {
-	hosts
+// silentTransport is hosts of which one answers nothing but probes.
+type silentTransport struct {
+	hostTransport
 	host string
 }
 
 // RoundTrip breaks the connection of a request to the silent host.
-func (s silent) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s silentTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Host == s.host && !strings.HasSuffix(r.URL.Path, "Probe") {
 		return nil, errReset
 	}
-	return s.hosts.RoundTrip(r)
+	return s.hostTransport.RoundTrip(r)
 }
 
-// entryOver returns an entry that reaches agent-1 and agent-2, beside two
+// newEntry returns an entry that reaches agent-1 and agent-2, beside two
 // engines, by network.
-func entryOver(network http.RoundTripper) *mgentry.Entry {
-	return entryBy(table, "", network)
+func newEntry(network http.RoundTripper) *mgentry.Entry {
+	return newEntryWithTable(table, "", network)
 }
 
-// entryBy returns an entry with a table whose agents run a plain service, or
+// newEntryWithTable returns an entry with a table whose agents run a plain service, or
 // have engines when it is empty.
-func entryBy(text, service string, network http.RoundTripper) *mgentry.Entry {
+func newEntryWithTable(text, service string, network http.RoundTripper) *mgentry.Entry {
 	parsed, err := mgtable.Parse([]byte(text))
 	if err != nil {
 		panic(err)
--- a/internal/process/mgentry/write_test.go
+++ b/internal/process/mgentry/write_test.go
@@ -63,51 +63,51 @@
 // tries, and how often the service truly ran the write.
 func TestWrites(t *testing.T) {
 	cases := []struct {
-		story string
-		play  func(r *rig, c *caller) []string
-		told  string
-		runs  int
+		name string
+		play func(r *rig, c *caller) []string
+		want string
+		runs int
 	}{
 		{
-			story: "nothing fails, and the caller repeats it through the other entry",
+			name: "nothing fails, and the caller repeats it through the other entry",
 			play: func(_ *rig, c *caller) []string {
 				id := c.mint("entry-1")
 				return []string{c.write("entry-1", id), c.write("entry-2", id)}
 			},
-			told: "[done done]",
+			want: "[done done]",
 			runs: 1,
 		},
 		{
-			story: "the service runs it and its answer is lost",
+			name: "the service runs it and its answer is lost",
 			play: func(r *rig, c *caller) []string {
 				id := c.mint("entry-1")
-				r.strike(mgstandin.Lost, 1)
+				r.injectFault(mgstandin.Lost, 1)
 				return []string{c.write("entry-1", id), c.write("entry-2", id)}
 			},
-			told: "[unconfirmed/unknown unconfirmed/unknown]",
+			want: "[unconfirmed/unknown unconfirmed/unknown]",
 			runs: 1,
 		},
 		{
-			story: "the service is silent after the body was sent",
+			name: "the service is silent after the body was sent",
 			play: func(r *rig, c *caller) []string {
 				id := c.mint("entry-1")
-				r.strike(mgstandin.Hang, 1)
+				r.injectFault(mgstandin.Hang, 1)
 				return []string{c.write("entry-1", id), c.write("entry-1", id)}
 			},
-			told: "[unconfirmed/unknown unconfirmed/unknown]",
+			want: "[unconfirmed/unknown unconfirmed/unknown]",
 			runs: 1,
 		},
 		{
-			story: "the service breaks off before it read the body",
+			name: "the service breaks off before it read the body",
 			play: func(r *rig, c *caller) []string {
 				id := c.mint("entry-1")
-				r.strike(mgstandin.Early, 1)
+				r.injectFault(mgstandin.Early, 1)
 				return []string{c.write("entry-1", id), c.write("entry-1", id)}
 			},
-			told: "[unconfirmed/unknown unconfirmed/unknown]",
+			want: "[unconfirmed/unknown unconfirmed/unknown]",
 		},
 		{
-			story: "the service can't be reached",
+			name: "the service can't be reached",
 			play: func(r *rig, c *caller) []string {
 				id := c.mint("entry-1")
 				r.Kill("books")
@@ -115,42 +115,42 @@
 				r.Serve("books", r.books.Handler())
 				return append(told, c.write("entry-1", id), c.write("entry-1", c.mint("entry-1")))
 			},
-			told: "[crowded/notrun tombstone/notrun done]",
+			want: "[crowded/notrun tombstone/notrun done]",
 			runs: 1,
 		},
 		{
-			story: "the agent is replaced between two tries",
+			name: "the agent is replaced between two tries",
 			play: func(r *rig, c *caller) []string {
 				id := c.mint("entry-1")
 				told := []string{c.write("entry-1", id)}
 				r.agent("agent-books", "books")
 				return append(told, c.write("entry-1", id), c.write("entry-2", id))
 			},
-			told: "[done incarnation/unknown incarnation/unknown]",
+			want: "[done incarnation/unknown incarnation/unknown]",
 			runs: 1,
 		},
 		{
-			story: "the agent is replaced before the first try",
+			name: "the agent is replaced before the first try",
 			play: func(r *rig, c *caller) []string {
 				id := c.mint("entry-1")
 				r.agent("agent-books", "books")
 				return []string{c.write("entry-1", id)}
 			},
-			told: "[incarnation/unknown]",
+			want: "[incarnation/unknown]",
 		},
 		{
-			story: "the entry is killed while it runs",
+			name: "the entry is killed while it runs",
 			play: func(r *rig, c *caller) []string {
 				id := c.mint("entry-1")
-				r.slow(mgclock.Second)
+				r.slowService(mgclock.Second)
 				r.after(100, func() { r.kill("entry-1") })
 				return []string{c.write("entry-1", id), c.write("entry-2", id)}
 			},
-			told: "[no response done]",
+			want: "[no response done]",
 			runs: 1,
 		},
 		{
-			story: "two entries send it at once",
+			name: "two entries send it at once",
 			play: func(r *rig, c *caller) []string {
 				id := c.mint("entry-1")
 				told := make([]string, 2)
@@ -161,11 +161,11 @@
 				both.Wait()
 				return told
 			},
-			told: "[done done]",
+			want: "[done done]",
 			runs: 1,
 		},
 		{
-			story: "the pooled connections to the agent have gone silent, twice",
+			name: "the pooled connections to the agent have gone silent, twice",
 			play: func(r *rig, c *caller) []string {
 				var told []string
 				for range 2 {
@@ -173,26 +173,26 @@
 					r.Silence("agent-books")
 					before := r.clock.Now()
 					told = append(told, c.write("entry-1", id))
-					told = append(told, fmt.Sprint(r.clock.Now()-before <= silence+beat))
+					told = append(told, fmt.Sprint(r.clock.Now()-before <= maxSilence+beat))
 				}
 				return told
 			},
-			told: "[done true done true]",
+			want: "[done true done true]",
 			runs: 2,
 		},
 		{
-			story: "the connection goes silent after the call was sent",
+			name: "the connection goes silent after the call was sent",
 			play: func(r *rig, c *caller) []string {
 				id := c.mint("entry-1")
-				r.slow(mgclock.Second)
+				r.slowService(mgclock.Second)
 				r.after(100, func() { r.Silence("agent-books") })
 				return []string{c.write("entry-1", id)}
 			},
-			told: "[done]",
+			want: "[done]",
 			runs: 1,
 		},
 		{
-			story: "a partition parts the entry from the agent, and heals",
+			name: "a partition parts the entry from the agent, and heals",
 			play: func(r *rig, c *caller) []string {
 				id := c.mint("entry-1")
 				r.Cut("entry-1", "agent-books")
@@ -200,43 +200,43 @@
 				r.Heal("entry-1", "agent-books")
 				return append(told, c.write("entry-1", id))
 			},
-			told: "[unconfirmed/unknown done done]",
+			want: "[unconfirmed/unknown done done]",
 			runs: 1,
 		},
 		{
-			story: "a key of the caller's own",
+			name: "a key of the caller's own",
 			play: func(_ *rig, c *caller) []string {
 				return []string{c.write("entry-1", "ticket-4711"), c.write("entry-2", "01890a5d-ac96-774b-bcce-b302099a8057")}
 			},
-			told: "[unpromisable/notrun unpromisable/notrun]",
+			want: "[unpromisable/notrun unpromisable/notrun]",
 		},
 		{
-			story: "no key, and the answer is lost",
+			name: "no key, and the answer is lost",
 			play: func(r *rig, c *caller) []string {
-				r.strike(mgstandin.Lost, 1)
+				r.injectFault(mgstandin.Lost, 1)
 				told := c.write("entry-1", "")
 				return []string{told, fmt.Sprint(strings.Contains(c.remedy, "mint an operation first"))}
 			},
-			told: "[unconfirmed/unknown true]",
+			want: "[unconfirmed/unknown true]",
 			runs: 1,
 		},
 		{
-			story: "no key",
-			play:  func(_ *rig, c *caller) []string { return []string{c.write("entry-1", "")} },
-			told:  "[done]",
-			runs:  1,
+			name: "no key",
+			play: func(_ *rig, c *caller) []string { return []string{c.write("entry-1", "")} },
+			want: "[done]",
+			runs: 1,
 		},
 	}
 	Convey("A write", t, func() {
 		for _, c := range cases {
-			Convey(c.story, func() {
+			Convey(c.name, func() {
 				var told string
 				runs := 0
 				play(t, 1, func(r *rig) {
 					told = fmt.Sprint(c.play(r, r.caller()))
 					runs = r.books.Counts().Total
 				})
-				So(told, ShouldEqual, c.told)
+				So(told, ShouldEqual, c.want)
 				So(runs, ShouldEqual, c.runs)
 			})
 		}
@@ -244,15 +244,15 @@
 }
 
 const (
-	writes  = 2000
-	writers = 20
-	tries   = 4 // of a caller that is told nothing for sure
+	writeCount  = 2000
+	writerCount = 20
+	maxTries    = 4 // of a caller that is told nothing for sure
 )
 
 // ledger is what the callers of a storm were told of their writes.
 type ledger struct {
-	mu   sync.Mutex
-	told map[string]string
+	mu       sync.Mutex
+	outcomes map[string]string
 }
 
 // A weekend of failures: services that lose answers, hang and break off, agents
@@ -264,12 +264,12 @@
 	var l ledger
 	var runs map[string]int
 	play(t, 1, func(r *rig) {
-		l.told = map[string]string{}
+		l.outcomes = map[string]string{}
 		var callers sync.WaitGroup
 		stop := make(chan struct{})
 		var storming sync.WaitGroup
-		storming.Go(func() { storm(r, stop) })
-		for i := range writers {
+		storming.Go(func() { injectFaults(r, stop) })
+		for i := range writerCount {
 			callers.Go(func() { l.write(r, i) })
 		}
 		callers.Wait()
@@ -278,7 +278,7 @@
 		runs = r.books.Counts().Runs
 	})
 	counts := map[string]int{}
-	for id, told := range l.told {
+	for id, told := range l.outcomes {
 		outcome := told[strings.LastIndex(told, "/")+1:]
 		counts[outcome]++
 		if runs[id] > 1 || outcome == "notrun" && runs[id] > 0 || outcome == "done" && runs[id] != 1 {
@@ -292,9 +292,9 @@
 			twice++
 		}
 	}
-	t.Logf("%d writes: told %v; %d runs, %d writes ran twice", len(l.told), counts, total, twice)
-	if len(l.told) != writes {
-		t.Errorf("%d writes were told of", len(l.told))
+	t.Logf("%d writes: told %v; %d runs, %d writes ran twice", len(l.outcomes), counts, total, twice)
+	if len(l.outcomes) != writeCount {
+		t.Errorf("%d writes were told of", len(l.outcomes))
 	}
 }
 
@@ -303,14 +303,14 @@
 	random := rand.New(rand.NewPCG(5, uint64(number)))
 	c := r.caller()
 	entries := []string{"entry-1", "entry-2"}
-	for range writes / writers {
+	for range writeCount / writerCount {
 		id := ""
 		for id == "" {
 			id = c.mint(entries[random.IntN(2)])
 			r.clock.Sleep(r.ctx, mgclock.Millis(random.IntN(200)))
 		}
 		told := ""
-		for range tries {
+		for range maxTries {
 			told = c.write(entries[random.IntN(2)], id)
 			if told == "done" || strings.HasSuffix(told, "/notrun") {
 				break
@@ -318,19 +318,19 @@
 			r.clock.Sleep(r.ctx, mgclock.Millis(random.IntN(500)))
 		}
 		l.mu.Lock()
-		l.told[id] = told
+		l.outcomes[id] = told
 		l.mu.Unlock()
 	}
 }
 
-// storm plays a fault every half second or so.
-func storm(r *rig, stop <-chan struct{}) {
+// injectFaults plays a fault every half second or so.
+func injectFaults(r *rig, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(7, 7))
 	faults := []func(){
-		func() { r.strike(mgstandin.Lost, 3) },
-		func() { r.strike(mgstandin.Hang, 2) },
-		func() { r.strike(mgstandin.Early, 3) },
-		func() { r.slow(300) },
+		func() { r.injectFault(mgstandin.Lost, 3) },
+		func() { r.injectFault(mgstandin.Hang, 2) },
+		func() { r.injectFault(mgstandin.Early, 3) },
+		func() { r.slowService(300) },
 		func() { r.books.Set(mgstandin.Fault{Kind: mgstandin.Heal}) },
 		func() { r.Silence("agent-books") },
 		func() { r.Silence("books") },
