--- a/internal/process/mgentry/agents.go
+++ b/internal/process/mgentry/agents.go
@@ -9,21 +9,22 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
 )
 
-// fleet is the agents of one view, prepared for routing. It lives as long as
-// the view.
+// fleet holds the agents of one view in the form that routing needs. It is
+// replaced with the view.
 type fleet struct {
 	view    *mgmember.View
 	routes  *mgrouting.Fleet
-	members []*mgmember.Member // by place in routes
-	// directHosts are the upstreams that this entry reaches directly and that stay, by
-	// service.
+	members []*mgmember.Member // by index in routes
+	// directHosts holds, by service, the upstreams that this entry reaches without
+	// an agent and that accept new work.
 	directHosts map[string][]*mgmember.Member
-	// assignerCount is how many processes of the region give places at these, by service.
+	// assignerCount is, by service, the number of the region's processes that assign
+	// placements at directHosts.
 	assignerCount map[string]int
 }
 
-// fleet returns the agents of the present view. The first request after a
-// change prepares them; what is in flight is carried over.
+// fleet returns the agents of the current view. The first request after a change
+// builds them; the in-flight counts are carried over.
 func (e *Entry) fleet() *fleet {
 	view := e.spec.View()
 	old := e.currentFleet.Load()
@@ -74,7 +75,7 @@
 	return built
 }
 
-// client returns the calls of an agent.
+// client returns the RPC client of an agent.
 func (e *Entry) client(agent *mgmember.Member) mgrpc.Agent {
 	base := e.spec.Base(agent.PeerAddr())
 	if found, ok := e.clients.Load(base); ok {
@@ -85,16 +86,16 @@
 	return found.(mgrpc.Agent)
 }
 
-// reportFailed notes an agent that did not answer. When the request's own context has
-// ended it is the caller who is gone: callers that hang up would else have this
-// entry suspect one good agent after another.
+// reportFailed reports an agent that did not answer. If the request's own context
+// has ended, the caller has disconnected and nothing is reported: otherwise
+// callers that hang up would make one healthy agent after another suspect.
 func (e *Entry) reportFailed(request context.Context, agent *mgmember.Member) {
 	if request.Err() == nil {
 		e.spec.Failed(agent.Name())
 	}
 }
 
-// agentByUpstream returns the agent that gives an upstream its work now.
+// agentByUpstream returns the agent that currently serves an upstream.
 func (e *Entry) agentByUpstream(upstream string) (*mgmember.Member, bool) {
 	return e.spec.View().Agent(upstream)
 }
--- a/internal/process/mgentry/answers.go
+++ b/internal/process/mgentry/answers.go
@@ -13,11 +13,11 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// lastEventHeader is the header by which a caller says what it has (WHATWG 2024).
+// lastEventHeader names the last event that the caller received (WHATWG 2024).
 const lastEventHeader = "Last-Event-ID"
 
-// resume goes on with an answer from the token after the caller's last, or
-// gives it whole to a caller that wants JSON.
+// resume continues an answer after the last token that the caller received. A
+// caller that accepts JSON and has no token gets the whole answer.
 func (e *Entry) resume(w http.ResponseWriter, r *http.Request, c caller) {
 	attempt, problem := e.locateAnswer(r, c)
 	if problem != nil {
@@ -38,7 +38,7 @@
 			Pinned: true,
 		}),
 		attempt: attempt,
-		refund:  func(int) {}, // its start was charged
+		refund:  func(int) {}, // the initial request paid for the answer
 	}
 	reader.open(r.Context())
 	format := &answerFormat{
@@ -61,8 +61,8 @@
 	return strings.Contains(r.Header.Get("Accept"), "application/json")
 }
 
-// parseLastToken returns the last token that the caller has, 0 for none. The id
-// must be one of the answer that is asked for.
+// parseLastToken returns the number of the last token that the caller received,
+// or 0 for none. The event ID must belong to the requested answer.
 func parseLastToken(r *http.Request) (uint64, *mgproblem.Problem) {
 	id := r.Header.Get(lastEventHeader)
 	if id == "" {
@@ -75,8 +75,8 @@
 	return seq, nil
 }
 
-// locateAnswer opens an answer's name and finds the agent that serves its upstream
-// now.
+// locateAnswer verifies an answer's name and finds the agent that currently
+// serves its upstream.
 func (e *Entry) locateAnswer(r *http.Request, c caller) (attempt, *mgproblem.Problem) {
 	name, err := e.signer.Open(c.account.Name(), chi.URLParam(r, "answer"))
 	if err != nil {
@@ -98,7 +98,7 @@
 	}, nil
 }
 
-// cancel ends an answer and tells what became of it.
+// cancel cancels an answer and returns its outcome.
 func (e *Entry) cancel(w http.ResponseWriter, r *http.Request, c caller) {
 	attempt, problem := e.locateAnswer(r, c)
 	if problem != nil {
--- a/internal/process/mgentry/caller_test.go
+++ b/internal/process/mgentry/caller_test.go
@@ -12,13 +12,13 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A caller reads one answer over one connection after another, and keeps what
-// a person would see.
+// caller reads one answer over successive connections and records what a user
+// would see.
 type caller struct {
 	rig          *rig
 	account      string
-	answer       string // its name
-	lastEventID  string // the last event's id
+	answer       string // name of the answer
+	lastEventID  string
 	tokens       int
 	text         strings.Builder
 	observed     []string // statuses, and events other than tokens
@@ -26,7 +26,7 @@
 	lastReceived mgclock.Millis
 	onToken      func(tokens int)
 	remedy       string // of the last write's problem
-	paddingWords int    // words before the prompt, which take the engine time
+	paddingWords int    // words before the prompt, which lengthen its prefill
 }
 
 func (r *rig) caller() *caller {
@@ -51,7 +51,7 @@
 	return client.Do(request)
 }
 
-// ask asks for an answer of a length, and reads it as far as it comes.
+// ask requests an answer of the given length and reads it until it ends or breaks.
 func (c *caller) ask(entry string, length int, stream bool) {
 	body := fmt.Sprintf(`{"model":"report","stream":%t,"messages":[{"role":"user","content":"%sshift report len=%d"}]}`, stream, strings.Repeat("level ", c.paddingWords), length)
 	response, err := c.do(entry, http.MethodPost, "/v1/chat/completions", body, map[string]string{
@@ -60,7 +60,7 @@
 	c.read(response, err)
 }
 
-// resume goes on through an entry with the last event that came.
+// resume continues the answer at an entry after the last event received.
 func (c *caller) resume(entry string) {
 	header := map[string]string{}
 	if c.lastEventID != "" {
@@ -104,7 +104,7 @@
 	}
 }
 
-// generation returns the generation that the answer's name tells.
+// generation returns the generation that the answer's name identifies.
 func (c *caller) generation() string {
 	name, err := mganswer.NewSigner(&c.rig.seal).Open(c.account, c.answer)
 	if err != nil {
--- a/internal/process/mgentry/caps.go
+++ b/internal/process/mgentry/caps.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	// leaseTimeout bounds the wait for an idle account's first lease: one call to
-	// its home within the region. Without an answer the fixed part is used.
+	// leaseTimeout bounds the wait for an idle account's first lease, which takes one
+	// call to its home within the region. Without a reply the fixed part is used.
 	leaseTimeout = 200 * mgclock.Millis(1)
-	// defaultExpectedTokens is the expected length of an account's answer in tokens before
-	// one is known.
+	// defaultExpectedTokens is the expected length of an account's answer before any
+	// answer of it is known.
 	defaultExpectedTokens = 256
-	// expectedTokensWeight is the weight of the newest answer in the expected length.
-	// Each start's guess is corrected when it ends, so that only the order of
-	// magnitude matters.
+	// expectedTokensWeight is the weight of the newest answer in the moving average
+	// of the expected length. The charge of each start is corrected when it ends, so
+	// only the order of magnitude matters.
 	expectedTokensWeight = 0.1
-	// idleTTL is how long an account's count is kept after its last use, longer
-	// than a bucket takes to fill.
+	// idleTTL is how long an idle account's usage is kept. It is longer than a
+	// bucket takes to fill.
 	idleTTL = mgclock.Minute
 )
 
-// accountCaps hold the accounts that have accountCaps to this entry's part of them. An
-// account without accountCaps, or idle, costs no memory. The zero accountCaps are empty.
+// accountCaps limits each account to this entry's share of its caps. Accounts
+// without caps and idle accounts use no memory. The zero value is empty.
 type accountCaps struct {
 	mu        sync.Mutex
 	accounts  map[string]*accountCap
 	lastSwept mgclock.Millis
 }
 
-// accountCap is an account's count in this entry.
+// accountCap tracks an account's usage on this entry.
 type accountCap struct {
 	cap            mgcap.Cap
-	expectedTokens float64        // the next answer's expected length in tokens
-	lastUsed       mgclock.Millis // when a stream was last taken or given back
+	expectedTokens float64        // of the account's next answer
+	lastUsed       mgclock.Millis // when a stream was last acquired or released
 }
 
-// acquireStream takes a stream and its expected tokens under an account's caps. The
-// function that it returns gives back what the answer did not need; it may be
-// called more than once.
+// acquireStream charges a stream and its expected tokens to an account's caps.
+// The function it returns releases the stream and refunds the tokens that the
+// answer did not use; it may be called more than once.
 func (e *Entry) acquireStream(ctx context.Context, account string) (func(tokens int), *mgproblem.Problem) {
 	if e.spec.Acquire == nil {
 		return func(int) {}, nil
@@ -71,7 +71,7 @@
 	}, nil
 }
 
-// expectedTokens returns the expected length of an account's next answer in tokens.
+// expectedTokens returns the expected length of an account's next answer.
 func (c *accountCaps) expectedTokens(account string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,11 +81,11 @@
 	return defaultExpectedTokens
 }
 
-// start takes a stream and returns the tokens that it was charged. A lease
-// brings its tokens over time and begins with none, so that an account's first
-// request after a rest would always be turned away. Its only stream here is
-// charged when it ends instead: the account pays after it what others pay
-// before, and gets no more over time.
+// start acquires a stream and returns the tokens charged for it. A lease accrues
+// tokens over time and starts with none, so the first request of an idle account
+// would always be refused. An account's only stream on this entry is therefore
+// charged when it ends: the account pays afterwards instead of in advance, and
+// gets no more tokens over time.
 func (c *accountCaps) start(now mgclock.Millis, account string, slice mgshare.Slice, expected float64) (charged float64, running int, problem *mgproblem.Problem) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,13 +119,13 @@
 	a.lastUsed = now
 	a.cap.End(now, charged, tokens)
 	if tokens > 0 {
-		// A request that was turned away says nothing of the length of answers.
+		// A refused request says nothing about the length of answers.
 		a.expectedTokens += expectedTokensWeight * (tokens - a.expectedTokens)
 	}
 	return a.cap.Streams()
 }
 
-// sweep forgets idle accounts.
+// sweep removes idle accounts.
 func (c *accountCaps) sweep(now mgclock.Millis) {
 	if c.accounts == nil {
 		c.accounts = map[string]*accountCap{}
@@ -141,7 +141,7 @@
 	}
 }
 
-// Len returns the number of accounts that cost memory.
+// Len returns the number of accounts in memory.
 func (c *accountCaps) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/process/mgentry/crash.go
+++ b/internal/process/mgentry/crash.go
@@ -6,12 +6,12 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// digest names what the caller asked for.
+// digest returns the digest that identifies the request's content.
 func (j *job) digest() mgquarantine.Digest {
 	return mgquarantine.DigestOf(j.account.Name(), j.service.Name(), j.model, []byte(j.prompt))
 }
 
-// checkQuarantine returns what to tell the caller of a request that crashes upstreams, or nil.
+// checkQuarantine returns the refusal of a quarantined request, or nil.
 func (e *Entry) checkQuarantine(j *job) *mgproblem.Problem {
 	if !e.spec.Quarantine.Watching() {
 		return nil
@@ -24,7 +24,8 @@
 	return mgquarantine.Problem(left, false)
 }
 
-// recordCrash takes an agent's word that its engine ended as it began the attempt.
+// recordCrash records an agent's report that its engine ended as it began the
+// attempt.
 func (r *answerReader) recordCrash() {
 	digest := r.job.digest()
 	now := r.entry.spec.Clock.Now()
@@ -34,7 +35,7 @@
 		Upstream: r.attempt.agent.Upstream(),
 		Begun:    true,
 		Sent:     r.attempt.sentAt,
-		Delay:    now - r.attempt.sentAt, // the agent's word doesn't tell when the engine ended
+		Delay:    now - r.attempt.sentAt, // upper bound: the report does not say when the engine ended
 	})
 	r.entry.spec.Metrics.Counter("crashed").Inc(1)
 	r.entry.spec.Log.Info("an engine ended as it began a generation",
@@ -42,7 +43,8 @@
 		mglog.Account, r.job.account.Name(), "digest", digest.String())
 }
 
-// restartProblem returns why a request is not begun at another engine, or nil.
+// restartProblem returns why the request must not start at another engine, or
+// nil.
 func (r *answerReader) restartProblem() *mgproblem.Problem {
 	if !r.entry.spec.Quarantine.Watching() {
 		return nil
@@ -57,7 +59,7 @@
 	return nil
 }
 
-// recordSuccess takes that an engine answered the request.
+// recordSuccess records that an engine answered the request.
 func (r *answerReader) recordSuccess() {
 	if r.job != nil && r.entry.spec.Quarantine.Watching() {
 		r.entry.spec.Quarantine.Answered(r.entry.spec.Clock.Now(), r.job.digest())
--- a/internal/process/mgentry/crash_test.go
+++ b/internal/process/mgentry/crash_test.go
@@ -13,7 +13,7 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgrpc"
 )
 
-// readCounter counts the reads of frames that reach an agent.
+// readCounter counts the requests for frames that reach an agent.
 type readCounter struct {
 	next  http.Handler
 	reads *atomic.Int32
@@ -26,7 +26,7 @@
 	c.next.ServeHTTP(w, r)
 }
 
-// A prompt that crashes engines must not be started over, or sent again, until none is left.
+// A prompt that crashes engines is restarted or resent until no engine is left.
 func TestCrashingPrompt(t *testing.T) {
 	crashed := func() *mgrpc.Frame {
 		return &mgrpc.Frame{
--- a/internal/process/mgentry/deliver.go
+++ b/internal/process/mgentry/deliver.go
@@ -11,17 +11,17 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// heartbeatInterval is the interval of comments on a caller's stream, by which the
-// caller tells a slow answer from a dead connection.
+// heartbeatInterval is the interval between comments on a caller's stream. They
+// let the caller distinguish a slow answer from a dead connection.
 const heartbeatInterval = mgclock.Second
 
-// heartbeatComment is the heartbeat towards callers.
+// heartbeatComment is the server-sent event comment that serves as a heartbeat.
 var heartbeatComment = []byte(": hb\n\n")
 
-// errCallerSlow is why a caller's stream ends that takes nothing.
+// errCallerSlow means that a caller did not read its stream in time.
 var errCallerSlow = errors.New("entry: the caller does not take its answer: it may resume it")
 
-// eventStream writes a caller's stream.
+// eventStream writes server-sent events to a caller.
 type eventStream struct {
 	w            http.ResponseWriter
 	control      *http.ResponseController
@@ -29,8 +29,8 @@
 	headerSent   bool
 }
 
-// write sends data. The status goes with the first token, so that a request
-// that is turned away gets a status of its own.
+// write sends data. The status is sent with the first token, so that a refused
+// request gets its own status.
 func (s *eventStream) write(data []byte) error {
 	if !s.headerSent {
 		s.headerSent = true
@@ -38,7 +38,8 @@
 		s.w.Header().Set("Cache-Control", "no-cache")
 		s.w.WriteHeader(http.StatusOK)
 	}
-	// A caller that reads nothing would hold its generation's frames for good.
+	// Without a deadline, a caller that stops reading would hold its generation's
+	// frames forever.
 	_ = s.control.SetWriteDeadline(mgclock.Deadline(s.writeTimeout))
 	if _, err := s.w.Write(data); err != nil {
 		return errors.Join(errCallerSlow, err)
@@ -74,7 +75,7 @@
 	}
 }
 
-// readAhead reads ahead of the caller. The reading belongs to its goroutine.
+// readAhead reads deliveries ahead of the caller. Its goroutine owns the reader.
 func readAhead(ctx context.Context, reader *answerReader) <-chan delivery {
 	deliveries := make(chan delivery, readAheadFrames)
 	go func() {
@@ -94,7 +95,7 @@
 	return deliveries
 }
 
-// forward gives the caller a turn and reports whether it was the last.
+// forward writes a delivery to the caller and reports whether it was the last.
 func (e *Entry) forward(out *eventStream, format *answerFormat, d delivery) (bool, error) {
 	if d.problem != nil {
 		return true, e.writeFailure(out, format, d)
@@ -117,8 +118,8 @@
 	return true, out.write(format.finish(d))
 }
 
-// writeFailure ends an answer with its problem: as the response's own status when
-// nothing was delivered, else as an event.
+// writeFailure ends an answer with its problem: as the response status if nothing
+// was delivered, otherwise as an event.
 func (e *Entry) writeFailure(out *eventStream, format *answerFormat, d delivery) error {
 	e.spec.Metrics.Counter("failures").Inc(1)
 	if !out.headerSent {
@@ -128,7 +129,7 @@
 	return out.write(format.errorEvent(d.problem, format.lastDelivered))
 }
 
-// writeWhole delivers an answer in one piece.
+// writeWhole delivers an answer in one response without streaming.
 func (e *Entry) writeWhole(w http.ResponseWriter, r *http.Request, reader *answerReader, format *answerFormat) {
 	defer reader.close()
 	for {
@@ -150,7 +151,8 @@
 	}
 }
 
-// recordFirstToken notes how long a streaming caller waited for its first token.
+// recordFirstToken records how long a streaming caller waited for its first
+// token.
 func (e *Entry) recordFirstToken(format *answerFormat) {
 	if format.awaitsFirstToken {
 		format.awaitsFirstToken = false
@@ -158,7 +160,8 @@
 	}
 }
 
-// recordAnswer notes a whole answer, which earns its service a part of a retry.
+// recordAnswer records a complete answer, which adds a fraction of a retry to its
+// service's budget.
 func (e *Entry) recordAnswer(format *answerFormat) {
 	e.spec.Metrics.Counter("answers").Inc(1)
 	if format.model != "" {
--- a/internal/process/mgentry/doubt_test.go
+++ b/internal/process/mgentry/doubt_test.go
@@ -13,8 +13,8 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgrpc"
 )
 
-// silentStart makes one offer, and its connection breaks on the start and the
-// cancel: whether the start arrived can't be told.
+// silentStart makes one offer. Its connection breaks on the start and the cancel,
+// so nobody can tell whether the start arrived.
 type silentStart struct {
 	mgrpc.Agent
 	asked atomic.Int32
@@ -31,10 +31,9 @@
 	return offer, nil
 }
 
-// A gauger is told "not run" and sends the report again, while the first one
-// runs. The start at the first agent got no answer, the second agent took the
-// request and later attested that it had not run there. One attempt's "not run"
-// says nothing of the one before it.
+// The first agent doesn't answer the start, and the second accepts the request but
+// later attests "not run". If the caller is told "not run", it sends the request
+// again although the first attempt may be running.
 func TestUnansweredStartReportedNotRun(t *testing.T) {
 	Convey("A refusal after a start without an answer is unknown", t, func() {
 		entry := newEntry(silentTransport{
--- a/internal/process/mgentry/entry.go
+++ b/internal/process/mgentry/entry.go
@@ -26,58 +26,59 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// Spec is what an entry is made of.
+// Spec holds the settings and dependencies of an entry.
 type Spec struct {
 	Settings mgsettings.Entry
 	Clock    mgclock.Clock
 	Log      logr.Logger
 	Metrics  *mgmetric.Set
 	Seal     *mgseal.Signer
-	// Table returns the table in force, or nil while there is none.
+	// Table returns the table in force, or nil before the first one.
 	Table func() *mgtable.Table
-	// Certain reports whether that table was the newest a moment ago, so that what it
-	// doesn't name isn't there. Nil stands for yes.
+	// Certain reports whether the table in force was recently confirmed to be the
+	// newest, so that a name it lacks does not exist. Nil means always.
 	Certain func() bool
-	// Seen tells that another process goes by a version.
+	// Seen reports the table version that another process uses.
 	Seen func(version uint64, from string)
-	// View returns the other processes as they are known now.
+	// View returns the current view of the other processes.
 	View func() *mgmember.View
-	// Failed tells of a process that could not be reached, Heard of one's word
-	// of itself.
+	// Failed reports a process that could not be reached. Heard reports what a
+	// process has announced about itself.
 	Failed func(name string)
 	Heard  func(name, incarnation string, leaving bool)
-	// Acquire returns this entry's slice of an account's caps, and false for an
-	// account without caps; Running tells how many streams of it run here.
-	// Without Acquire no account has caps.
+	// Acquire returns this entry's share of an account's caps, and false for an
+	// account without caps. Running reports how many of the account's streams run
+	// on this entry. If Acquire is nil, no account has caps.
 	Acquire func(ctx context.Context, account string, tokens float64) (mgshare.Slice, bool)
 	Running func(account string, count int)
-	// Calls is for calls to agents, Frames opens each stream on a connection of
+	// Calls carries calls to agents. Frames opens each stream on a connection of
 	// its own.
 	Calls  http.RoundTripper
 	Frames http.RoundTripper
-	// Quarantine holds requests back that crash upstreams. New makes one where it is nil.
+	// Quarantine holds back requests that crash upstreams. New creates one if it is
+	// nil.
 	Quarantine *mgquarantine.Quarantine
-	// Relay passes the requests through that the table's routes name. Without
-	// it the table's routes have no effect.
+	// Relay forwards the requests that match the table's routes. If it is nil, the
+	// routes have no effect.
 	Relay *mgrelay.Spec
-	// Answered tells of an upstream that a relayed request reached.
+	// Answered reports that a relayed request reached an upstream.
 	Answered func(name string)
-	// Elsewhere reports whether a caller that this entry turns away while it
-	// stops likely finds one that stays. Nil stands for yes.
+	// Elsewhere reports whether a caller that this entry refuses while it stops
+	// will probably reach an entry that is not stopping. Nil means always.
 	Elsewhere func() bool
-	// Others returns what the other entries have sent to upstreams.
+	// Others returns the load that the other entries have sent to upstreams.
 	Others func() mgload.Report
-	// Stale reports whether the list of VMs may lack what has changed, and Left
-	// is told of an upstream that says itself that it leaves.
+	// Stale reports whether the list of VMs may be out of date. Left reports an
+	// upstream that has announced that it is leaving.
 	Stale func() bool
 	Left  func(name string)
-	// Changed returns a channel that is closed when View is next replaced.
+	// Changed returns a channel that is closed when the view is next replaced.
 	Changed func() <-chan struct{}
-	// Base returns the URL of an agent's address.
+	// Base returns the base URL for an agent's address.
 	Base func(address string) string
 }
 
-// An Entry answers callers. Make one with New.
+// Entry serves callers. Create one with New.
 type Entry struct {
 	spec         Spec
 	signer       *mganswer.Signer
@@ -91,14 +92,14 @@
 	caps         accountCaps
 	busy         atomic.Int64
 	leaving      atomic.Bool
-	stopTime     atomic.Int64  // when a stopping process ends, ms of its clock; 0: it doesn't stop
-	attemptCount atomic.Uint64 // attempts so far
-	epoch        string        // names this process's attempts
+	stopTime     atomic.Int64 // ms of the process clock; 0 if the process is not stopping
+	attemptCount atomic.Uint64
+	epoch        string // prefix of the attempt IDs
 
-	fleetMu sync.Mutex // held while a fleet is prepared
+	fleetMu sync.Mutex // held while a fleet is built
 }
 
-// New returns an entry; epoch is unique to this life of the process.
+// New returns an entry; epoch is unique to this incarnation of the process.
 func New(spec Spec, epoch string) *Entry {
 	if spec.Quarantine == nil {
 		spec.Quarantine = &mgquarantine.Quarantine{}
@@ -113,14 +114,14 @@
 	return e
 }
 
-// Stopping tells that the process ends at a time. Requests that can't end by
-// then are refused from now on, and each answer asks its caller for a new
-// connection, which reaches another entry: callers that keep theirs would all be
-// refused when Leave comes.
+// Stopping announces the time at which the process stops. Requests that can't
+// end by then are refused from now on. Each response asks its caller to open a
+// new connection, which reaches another entry: otherwise all callers that keep
+// their connections would be refused at once when Leave is called.
 func (e *Entry) Stopping(end mgclock.Millis) { e.stopTime.Store(int64(end)) }
 
-// remaining returns how long the process still lives, or false when it doesn't stop,
-// or a caller would fare no better elsewhere.
+// remaining returns the time until the process stops. It returns false if the
+// process is not stopping or a caller would fare no better at another entry.
 func (e *Entry) remaining() (mgclock.Millis, bool) {
 	end := mgclock.Millis(e.stopTime.Load())
 	if end == 0 || e.spec.Elsewhere != nil && !e.spec.Elsewhere() {
@@ -129,13 +130,13 @@
 	return end - e.spec.Clock.Now(), true
 }
 
-// Leave makes the entry refuse new requests; those in progress go on.
+// Leave makes the entry refuse new requests; those in progress continue.
 func (e *Entry) Leave() { e.leaving.Store(true) }
 
 // Busy returns the number of requests in progress.
 func (e *Entry) Busy() int { return int(e.busy.Load()) }
 
-// Routes returns the callers' handler.
+// Routes returns the HTTP handler for callers.
 func (e *Entry) Routes() http.Handler {
 	router := chi.NewRouter()
 	router.Use(e.countRequests)
@@ -154,8 +155,9 @@
 	return router
 }
 
-// countRequests keeps the number of requests in progress and turns new ones away once
-// the entry is leaving: the balancer may send some until it has noticed.
+// countRequests tracks the number of requests in progress and refuses new ones
+// once the entry is leaving: the load balancer may keep sending some until it
+// notices.
 func (e *Entry) countRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.busy.Add(1)
@@ -171,17 +173,18 @@
 	})
 }
 
-// leavingProblem is told of a request that a stopping entry doesn't take.
+// leavingProblem returns the refusal of a request to an entry that is leaving.
 func leavingProblem() *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Leaving, mgproblem.NotRun,
 		"this entry is leaving", "send the request again on a new connection").WithRetry(leaveRetryDelay)
 }
 
-// leaveRetryDelay is the pause before a caller turns to another entry: none is
-// needed but for the balancer's way.
+// leaveRetryDelay is the delay before a caller retries at another entry. It only
+// covers the path through the load balancer.
 const leaveRetryDelay = 20 * mgclock.Millis(1)
 
-// refuse answers with a problem in the form of the deployment's callers.
+// refuse writes a problem in the relay's format if the entry has a relay, and as
+// problem+json otherwise.
 func (e *Entry) refuse(w http.ResponseWriter, problem *mgproblem.Problem) {
 	if e.relay != nil {
 		e.relay.Write(w, problem)
@@ -191,7 +194,7 @@
 	mgproblem.Write(w, problem)
 }
 
-// limitBody limits a request's body.
+// limitBody limits the size of a request's body.
 func (e *Entry) limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, e.spec.Settings.Body)
@@ -199,8 +202,8 @@
 	})
 }
 
-// caller is what an authenticated request goes by: one table from its start
-// to its end.
+// caller is an authenticated account and the table that applies to its request
+// from start to end.
 type caller struct {
 	account *mgtable.Account
 	table   *mgtable.Table
@@ -208,7 +211,7 @@
 
 type handler func(w http.ResponseWriter, r *http.Request, c caller)
 
-// authenticate authenticates the caller by its key.
+// authenticate identifies the account by the key in the request.
 func (e *Entry) authenticate(next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		table := e.spec.Table()
@@ -229,35 +232,35 @@
 	}
 }
 
-// accountByKey returns the account whose key a request carries, or nil.
+// accountByKey returns the account whose key the request carries, or nil.
 func accountByKey(table *mgtable.Table, r *http.Request) *mgtable.Account {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	return table.ByKey(key)
 }
 
-// refuseUnknownKey refuses a caller without a key of the table.
+// refuseUnknownKey refuses a caller whose key is not in the table.
 func (e *Entry) refuseUnknownKey(w http.ResponseWriter) {
 	e.spec.Metrics.Counter("strangers").Inc(1)
 	mgproblem.Write(w, mgproblem.New(mgproblem.Stranger, mgproblem.NotRun,
 		"no client account has this key", "send Authorization: Bearer and a key of the table"))
 }
 
-// newRandom returns a source of newRandom numbers for one request. Requests run on
-// many goroutines and a shared source would need a lock.
+// newRandom returns a source of random numbers for one request. Requests run
+// concurrently, and a shared source would need a lock.
 func (e *Entry) newRandom() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
-// State is the entry's part of the dump.
+// State is the entry's section of the state dump.
 type State struct {
 	Busy     int    `json:"busy"`
 	Leaving  bool   `json:"leaving"`
 	Attempts uint64 `json:"attempts"`
 	Agents   int    `json:"agents"`
-	Capped   int    `json:"capped"` // accounts whose caps are counted here
+	Capped   int    `json:"capped"` // accounts whose cap usage this entry tracks
 }
 
-// State returns what the entry holds, in numbers.
+// State returns counts that describe the current state of the entry.
 func (e *Entry) State() State {
 	return State{
 		Busy:     e.Busy(),
--- a/internal/process/mgentry/format.go
+++ b/internal/process/mgentry/format.go
@@ -9,21 +9,21 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// answerFormat writes answers in the answerFormat of OpenAI's API. It lives for one answer.
+// answerFormat writes one answer in the format of OpenAI's API.
 type answerFormat struct {
 	entry            *Entry
 	account          string
 	model            string
 	chat             bool
 	includeUsage     bool
-	promptTokens     int   // tokens
+	promptTokens     int
 	created          int64 // Unix time in seconds
 	receivedAt       mgclock.Millis
-	awaitsFirstToken bool // for its first token, which is measured from came
-	answer           string
-	eventPrefix      []byte // what stands before a token's text in each event
+	awaitsFirstToken bool   // whose delay is measured from receivedAt
+	answer           string // name of the answer
+	eventPrefix      []byte // JSON that precedes a token's text in each event
 	buf              []byte
-	// lastDelivered is the last token that the caller was given.
+	// lastDelivered is the number of the last token that was delivered.
 	lastDelivered uint64
 }
 
@@ -41,7 +41,8 @@
 	}
 }
 
-// setAnswer fixes the answer's name, which is known once a token has come.
+// setAnswer sets the answer's name, which is known once the first token has
+// arrived.
 func (f *answerFormat) setAnswer(attempt attempt) {
 	if f.answer != "" {
 		return
@@ -50,7 +51,7 @@
 	f.eventPrefix = f.chunkPrefix()
 }
 
-// chunkPrefix returns the part of an event that is the same for all tokens.
+// chunkPrefix returns the JSON with which the data of every event begins.
 func (f *answerFormat) chunkPrefix() []byte {
 	object, open := "text_completion", `"text":`
 	if f.chat {
@@ -71,8 +72,8 @@
 	return append(head, `,"choices":[{"index":0,`+open...)
 }
 
-// tokens returns the events that deliver a turn's tokens, one a token; they
-// are valid until the next call.
+// tokens returns the events for a delivery's tokens, one event per token. The
+// returned slice is valid until the next call.
 func (f *answerFormat) tokens(d delivery) []byte {
 	f.setAnswer(d.attempt)
 	f.buf = f.buf[:0]
@@ -89,7 +90,7 @@
 	return f.buf
 }
 
-// appendJSON appends a text in JSON. Most tokens need no escapes.
+// appendJSON appends a string in JSON. Most tokens need no escapes.
 func appendJSON(dst []byte, text string) []byte {
 	for i := range len(text) {
 		if c := text[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
@@ -108,7 +109,7 @@
 	f.buf = append(f.buf, "\ndata: "...)
 }
 
-// finish returns the events that end a whole answer.
+// finish returns the events that end a complete answer.
 func (f *answerFormat) finish(d delivery) []byte {
 	decision := d.decision
 	f.setAnswer(d.attempt)
@@ -128,8 +129,8 @@
 	return f.buf
 }
 
-// extras returns the usage and what this system adds: the generation's name
-// at its engine and how often it was preempted.
+// extras returns the usage and the fields that OpenAI's API doesn't have: the
+// engine's name for the generation and the number of its preemptions.
 func (f *answerFormat) extras(d delivery) []byte {
 	last := d.decision.Last()
 	extras, _ := json.Marshal(extras{
@@ -156,8 +157,8 @@
 	Preempted  uint32 `json:"preempted"`
 }
 
-// errorEvent returns the event that tells a caller of a stream why it ends early:
-// the problem, with an error in the form of OpenAI's API.
+// errorEvent returns the event that ends a stream early: the problem, with an
+// error in the format of OpenAI's API.
 func (f *answerFormat) errorEvent(p *mgproblem.Problem, delivered uint64) []byte {
 	problem, _ := json.Marshal(p)
 	extra, _ := json.Marshal(errorEventFields{
@@ -171,12 +172,12 @@
 	return f.buf
 }
 
-// errorEventFields is what a stream's last event says besides its problem.
+// errorEventFields holds the fields of the error event that a problem lacks.
 type errorEventFields struct {
 	Delivered uint64 `json:"delivered"`
 }
 
-// completeJSON returns the JSON of an answer in one piece.
+// completeJSON returns the JSON of an answer that is not streamed.
 func (f *answerFormat) completeJSON(d delivery) []byte {
 	f.setAnswer(d.attempt)
 	text := strings.Join(d.decision.Tokens(), "")
--- a/internal/process/mgentry/fuzz_test.go
+++ b/internal/process/mgentry/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// FuzzBody sends bodies to an entry that knows no agent: whatever they hold,
-// it answers with a problem of its own.
+// FuzzBody sends bodies to an entry without agents: it must answer any content
+// with a problem.
 func FuzzBody(f *testing.F) {
 	parsed, err := mgtable.Parse([]byte(table))
 	if err != nil {
--- a/internal/process/mgentry/generate.go
+++ b/internal/process/mgentry/generate.go
@@ -14,7 +14,7 @@
 	e.generate(w, r, c, false)
 }
 
-// generate answers a completion request.
+// generate handles a completion request.
 func (e *Entry) generate(w http.ResponseWriter, r *http.Request, c caller, chat bool) {
 	j, problem := e.parse(r, c, chat)
 	if problem != nil {
@@ -56,13 +56,13 @@
 	e.writeWhole(w, r, reader, format)
 }
 
-// answerHeader carries an answer's name ahead of its first token.
+// answerHeader carries an answer's name before its first token.
 const answerHeader = "Answer"
 
-// announceName tells the caller the answer's name before there is a token, in an
-// informational response (RFC 8297), and again when the answer starts over
-// elsewhere. A caller whose entry dies while the request waits resumes by it;
-// one that doesn't know it reads over it.
+// announceName sends the answer's name before there is a token, in an
+// informational response (RFC 8297), and again when the answer restarts at
+// another agent. A caller whose entry dies while the request waits can resume by
+// this name; a caller that doesn't know the header ignores it.
 func (e *Entry) announceName(w http.ResponseWriter, account string, attempt attempt) {
 	w.Header().Set(answerHeader, e.signAnswerName(account, attempt))
 	w.WriteHeader(http.StatusEarlyHints)
@@ -73,7 +73,7 @@
 	mgproblem.Write(w, problem)
 }
 
-// signAnswerName returns the answer's signAnswerName for its account.
+// signAnswerName returns the answer's name, signed for its account.
 func (e *Entry) signAnswerName(account string, attempt attempt) string {
 	return e.signer.Sign(account, mganswer.NewName(attempt.agent.Upstream(), attempt.offer.GetIncarnation(), attempt.generation))
 }
--- a/internal/process/mgentry/hangup_test.go
+++ b/internal/process/mgentry/hangup_test.go
@@ -15,21 +15,22 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// hangingTransport answers no request; it ends with the request's context.
+// hangingTransport answers no request; it returns when the request's context
+// ends.
 type hangingTransport struct {
 	called func()
 }
 
-// RoundTrip waits for the end of the request.
+// RoundTrip waits for the request's context to end.
 func (h hangingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	h.called()
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
 
-// Field tablets lose their network and hang up, a few in a row, and everybody's
-// reports are turned away for a while: the entry took each call that ended with
-// its caller for an agent that didn't answer, and suspected them all.
+// Callers that hang up make healthy agents suspect, and other requests are then
+// refused: the entry mistakes a call that ends because its caller disconnected
+// for an agent that doesn't answer.
 func TestHangUpMakesAgentsSuspect(t *testing.T) {
 	Convey("A caller that hangs up makes no agent suspect", t, func() {
 		parsed, err := mgtable.Parse([]byte(table))
--- a/internal/process/mgentry/hedge.go
+++ b/internal/process/mgentry/hedge.go
@@ -8,10 +8,10 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgretry"
 )
 
-// hedges holds what is known of each service's delays. The zero hedges are
-// empty and ready for use by several goroutines.
+// hedges holds the latency statistics of each service. The zero value is ready
+// for concurrent use.
 type hedges struct {
-	services sync.Map // name to *mgretry.Hedge
+	services sync.Map // service name to *mgretry.Hedge
 }
 
 func (h *hedges) of(service string) *mgretry.Hedge {
@@ -22,20 +22,20 @@
 	return found.(*mgretry.Hedge)
 }
 
-// callResult is what came of one copy of a call.
+// callResult is the result of one copy of a call.
 type callResult struct {
 	host  host
 	reply *mgrpc.InvokeReply
 	err   error
 }
 
-// isGood reports whether the copy brought the service's reply.
+// isGood reports whether the service replied without a fault.
 func (t callResult) isGood() bool { return t.err == nil && t.reply.GetFault() == nil }
 
-// invokeHedged makes a call that may run twice at one host and, when it takes longer
-// than 95 of 100 lookups of its service did, at a second one as well, so that one
-// slow upstream doesn't delay the caller (Dean and Barroso 2013). The first good
-// reply counts.
+// invokeHedged makes a call that may run twice. It sends a copy to a second host
+// when the first takes longer than 95 of 100 earlier calls of the service, so
+// that one slow upstream doesn't delay the caller (Dean and Barroso 2013). The
+// first good reply wins.
 func (e *Entry) invokeHedged(ctx context.Context, call *call, first host, second []host) callResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -70,7 +70,7 @@
 	}
 }
 
-// sendCopy makes one copy of a call in the background.
+// sendCopy sends one copy of a call in a new goroutine.
 func (e *Entry) sendCopy(ctx context.Context, call *call, host host, answers chan<- callResult) {
 	ended := host.fleet.trackRequest(host.index)
 	go func() {
--- a/internal/process/mgentry/hedge_test.go
+++ b/internal/process/mgentry/hedge_test.go
@@ -15,7 +15,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// lookups is the table of the sessions with a lookup that may be sent twice, on two upstreams.
+// lookups is the sessions' table with an additional lookup service that may be
+// hedged, on two upstreams.
 var lookups = strings.Replace(table, `services = ["report", "ticket"]`, `services = ["report", "ticket", "level"]`, 1) + `
 [[service]]
 name = "level"
@@ -37,7 +38,7 @@
 batch = 16
 `
 
-// delayedAgent is an agent that answers each call delayedAgent a time.
+// delayedAgent answers each call after a delay.
 type delayedAgent struct {
 	mgrpc.Agent
 	delay *atomic.Int64 // ms
@@ -60,10 +61,9 @@
 	})
 }
 
-// A gauger stands at a tank and waits for a level: its upstream has turned slow
-// and the other one is idle. Once it is known that lookups take 20 ms, a second
-// copy goes to the other upstream, and the first good reply counts. When both
-// are slow, the copies stop: they would only add to the load.
+// One upstream becomes slow while the other is idle, and lookups wait for the slow
+// one. Once lookups are known to take 20 ms, a copy must go to the other upstream.
+// When both are slow, copies must stop, since they only add load.
 func TestHedge(t *testing.T) {
 	Convey("Lookups at a slow upstream", t, func() {
 		var slowest mgclock.Millis
@@ -100,7 +100,7 @@
 	})
 }
 
-// lookup makes one lookup and returns how long it took.
+// lookup makes one lookup and returns its duration.
 func lookup(handler http.Handler) mgclock.Millis {
 	begun := mgclock.Clock{}.Now()
 	recorder := httptest.NewRecorder()
--- a/internal/process/mgentry/leave_test.go
+++ b/internal/process/mgentry/leave_test.go
@@ -11,10 +11,11 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// maxLeaveDelay is how long after the first sign an upstream may still get work.
+// maxLeaveDelay is how long after its first announcement a leaving upstream may
+// still get work.
 const maxLeaveDelay = 3 * mgclock.Second
 
-// starts returns how many generations each engine began.
+// starts returns the number of generations that each engine began.
 func (r *rig) starts() map[string]int {
 	counts := map[string]int{}
 	for name, e := range r.engines {
@@ -25,10 +26,9 @@
 	return counts
 }
 
-// A dossier is cut off by a planned stop, or sent to an engine that is about to
-// go. Each case leaves in its own way while ten answers stream; ten more are
-// asked for after the bound. All twenty must be whole, and none of the later
-// ones on the one that leaves.
+// A planned stop cuts off answers, or new ones go to an upstream that is about to
+// stop. Ten answers stream when it leaves, ten more start after maxLeaveDelay: all
+// twenty must be whole, and none of the later ones may run on the leaving one.
 func TestLeaving(t *testing.T) {
 	cases := map[string]func(r *rig){
 		"the agent leaves": func(r *rig) { r.agents["agent-engine-1"].Leave() },
@@ -77,16 +77,14 @@
 	})
 }
 
-// An engine is reclaimed with four seconds' notice while a long answer comes, and
-// no other engine can take it over.
-// The caller sees it break off when the engine dies, and nobody knows why; one
-// who wants it whole waits until then for an answer that could have begun
-// elsewhere.
+// An engine is reclaimed with four seconds' notice while a long answer comes from
+// it, and no other can take it over. The caller sees an unexplained cut, or waits
+// for the whole answer until the engine dies although it could run elsewhere.
 func TestReclaimed(t *testing.T) {
 	cases := []struct {
 		name    string
 		stream  bool
-		session []string // parts of it
+		session []string // substrings of the session
 	}{
 		{
 			name:    "a caller who reads along is told why, and how far it came",
@@ -104,7 +102,7 @@
 				const notice = 4 * mgclock.Second
 				var session string
 				var over atomic.Bool
-				var told bool // while the engine lived
+				var told bool // whether the request ended while the engine was alive
 				var begun map[string]int
 				play(t, 2, func(r *rig) {
 					r.isolated.Store(true)
@@ -132,10 +130,9 @@
 	})
 }
 
-// An engine is reclaimed with two seconds' notice while ten dossiers stream from
-// it and another. Their callers see them cut in the middle when it dies. Each
-// that would not end in time goes on at the other engine, from the same
-// generation: its text is what one run makes, and no engine began it twice.
+// An engine is reclaimed with two seconds' notice, and answers from it are cut when
+// it dies. Those that would not end in time must continue at the other engine in
+// the same generation: one text, and no generation begun twice.
 func TestReclaimedMoves(t *testing.T) {
 	Convey("Generations of an engine that is reclaimed go on at another", t, func() {
 		var whole, resumed int
@@ -179,15 +176,15 @@
 	})
 }
 
-// answerTokens outlasts the bound: about five seconds of decoding.
+// answerTokens takes about five seconds to decode, longer than maxLeaveDelay.
 const answerTokens = 400
 
-// askAll asks for answers at once through entry-1.
+// askAll requests answers concurrently through entry-1.
 func askAll(r *rig, all *sync.WaitGroup, count int) []*caller {
 	callers := make([]*caller, count)
 	for i := range callers {
 		callers[i] = r.caller()
-		callers[i].paddingWords = 50 * i // tells the prompts apart
+		callers[i].paddingWords = 50 * i // makes the prompts differ
 		all.Go(func() { callers[i].ask("entry-1", answerTokens, true) })
 	}
 	return callers
@@ -204,9 +201,9 @@
 	return count
 }
 
-// An engine has less memory than it was thought to have, and fills up while
-// streams run. It evicts some and computes them again; no caller sees more than
-// a wait, and every text is whole.
+// An engine has less memory than the table says and fills up while streams run. It
+// preempts some and computes them again: callers may only see a delay, and every
+// text must be whole.
 func TestMemoryFillsUp(t *testing.T) {
 	Convey("Preempted generations are delivered whole", t, func() {
 		var whole, preempted int
--- a/internal/process/mgentry/models.go
+++ b/internal/process/mgentry/models.go
@@ -7,15 +7,15 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// modelRow is a model in the form of OpenAI's API.
+// modelRow is an entry of the model list in the format of OpenAI's API.
 type modelRow struct {
 	ID     string `json:"id"`
 	Object string `json:"object"`
 	Owner  string `json:"owned_by"`
 }
 
-// models lists what the account may name in a request's model: the generation
-// services that it may use, and their models.
+// models lists the names that the account may use as a request's model: the
+// generation services that it may use, and their models.
 func (e *Entry) models(w http.ResponseWriter, _ *http.Request, c caller) {
 	rows := []modelRow{}
 	seen := map[string]bool{}
--- a/internal/process/mgentry/moved_test.go
+++ b/internal/process/mgentry/moved_test.go
@@ -15,9 +15,9 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgrpc"
 )
 
-// A lookup's engine dies before the first token, and the entry starts over
-// elsewhere. The caller had been told the first generation's name ahead, held
-// the second one's tokens for a stranger's, and resumed the dead one: lost.
+// An engine dies before the first token, and the entry restarts the generation at
+// another. A caller that knows only the first generation's name takes the second's
+// tokens for another answer's, resumes the dead generation and loses the answer.
 func TestStaleAnswerNameAfterRestart(t *testing.T) {
 	Convey("The last name told ahead is that of the tokens that come", t, func() {
 		entry := newEntry(hostTransport{
--- a/internal/process/mgentry/parse.go
+++ b/internal/process/mgentry/parse.go
@@ -12,15 +12,16 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// defaultDeadline is the time to the first token for a service whose table
-// row names none.
+// defaultDeadline bounds the time to the first token for a service whose table
+// row sets no deadline.
 const defaultDeadline = 10 * mgclock.Second
 
-// resumeHeader is sent, with any value, by callers that resume their answers.
+// resumeHeader is sent, with any value, by callers that may resume their answers
+// after a lost connection.
 const resumeHeader = "Resume"
 
-// body is the JSON that callers send, in the form of OpenAI's API. Other keys
-// of that form (temperature and the like) are accepted and have no effect.
+// body is the JSON body of a completion request, in the format of OpenAI's API.
+// Other keys of that format, such as temperature, are accepted and ignored.
 type body struct {
 	Model               string          `json:"model"`
 	Messages            []message       `json:"messages"`
@@ -39,28 +40,28 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// job is a request for an answer, checked against the table.
+// job is a completion request that was validated against the table.
 type job struct {
 	caller
 	service            *mgtable.Service
 	model              string
 	prompt             string
-	promptTokens       int      // of the prompt, by estimate
-	prefixHashes       []uint64 // the hashes of its blocks
-	maxTokens          int      // tokens of output at most
+	promptTokens       int      // estimated
+	prefixHashes       []uint64 // of the prompt's blocks
+	maxTokens          int      // of output
 	stream             bool
 	includeUsage       bool
 	chat               bool
-	canResume          bool // the caller comes back after a lost connection
+	canResume          bool // the caller may resume after a lost connection
 	receivedAt         mgclock.Millis
-	firstTokenDeadline mgclock.Millis // when the first token is due
+	firstTokenDeadline mgclock.Millis
 }
 
 func invalid(detail, remedy string) *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Invalid, mgproblem.NotRun, detail, remedy)
 }
 
-// parse reads a completion request.
+// parse decodes and validates a completion request.
 func (e *Entry) parse(r *http.Request, c caller, chat bool) (*job, *mgproblem.Problem) {
 	var in body
 	if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
@@ -115,8 +116,9 @@
 	return invalid("the body is not the JSON of a request", "send an object with model and messages").WithCause(err)
 }
 
-// resolve finds the service that the model's name asks for: a generation
-// service of that name, or the account's first one on that model.
+// resolve returns the service for a request's model name: the generation service
+// of that name or, if the name is a model's, the first of its services that the
+// account may use.
 func resolve(c caller, name string) (*mgtable.Service, *mgtable.Model, *mgproblem.Problem) {
 	if service := c.table.Service(name); service != nil && service.Kind() == mgtable.Generation {
 		if !c.account.Allows(name) {
@@ -141,7 +143,7 @@
 		"the client account may not use "+name, "ask the operators to add it to the account's services")
 }
 
-// minPositive returns the least of the bounds that are set.
+// minPositive returns the smallest positive bound, or 0 if there is none.
 func minPositive(bounds ...int) int {
 	smallest := 0
 	for _, bound := range bounds {
@@ -177,7 +179,8 @@
 	return b.String(), nil
 }
 
-// parseText reads a string, or a list of strings or of parts of type text.
+// parseText decodes a string, a list of parts of type text or a list of one
+// string.
 func parseText(raw json.RawMessage) (string, bool) {
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
--- a/internal/process/mgentry/read.go
+++ b/internal/process/mgentry/read.go
@@ -17,36 +17,37 @@
 )
 
 const (
-	// firstTokenGrace is how long after the deadline of the first token the entry still
-	// waits for a generation that the agent has started: its prefill is paid.
+	// firstTokenGrace is how long after the first token's deadline the entry still
+	// waits for a generation that an agent has started: its prefill is already paid
+	// for.
 	firstTokenGrace = 2 * mgclock.Second
-	// maxProblemBody bounds a problem that an agent sends in place of frames.
+	// maxProblemBody bounds the size of a problem that an agent sends instead of frames.
 	maxProblemBody = 64 << 10
-	// readAheadFrames is how many frames are read while the caller takes one.
+	// readAheadFrames is the number of frames buffered while the caller reads one.
 	readAheadFrames = 16
 )
 
-// answerReader is one answer on its way from an agent to a caller.
+// answerReader reads the frames of one answer from an agent.
 type answerReader struct {
 	entry          *Entry
-	job            *job // nil for a caller that resumes
+	job            *job // nil for a resumed answer
 	receiver       *mgdelivery.Receiver
 	attempt        attempt
-	attemptNumber  int // the attempt's number in the receiver
+	attemptNumber  int // in the receiver
 	stream         *mglink.Stream
 	avoidAgents    map[string]bool
 	receivedTokens int
-	refund         func(tokens int) // returns what the account's caps were charged too much
+	refund         func(tokens int) // returns what the account's caps were overcharged
 	preemptions    uint32
 	attestedNotRun bool // the agent attests that the attempt did not run
 	engineCrashed  bool // the engine ended as it began the attempt
-	mayHaveRun     bool // an attempt before this one may have run
+	mayHaveRun     bool // an earlier attempt may have run
 }
 
-// errUnreachable is why there are no frames: the agent did not answer.
+// errUnreachable means that the agent did not answer the request for frames.
 var errUnreachable = errors.New("entry: an agent did not answer: it is asked again on a new connection")
 
-// open connects to the attempt's generation.
+// open opens the stream of the attempt's generation.
 func (r *answerReader) open(request context.Context) {
 	r.attemptNumber = r.receiver.Begin(r.attempt.generation)
 	attempt := r.attempt
@@ -64,16 +65,16 @@
 	})
 }
 
-// close gives back what the reading holds. It belongs to the goroutine that
-// reads.
+// close releases the reader's resources. Only the goroutine that reads may call
+// it.
 func (r *answerReader) close() {
 	r.stream.Close()
 	r.attempt.release()
 	r.refund(r.receivedTokens)
 }
 
-// openFrames asks an agent for frames on a new connection. The agent may have
-// been replaced since: the one that now serves the upstream is asked.
+// openFrames requests frames on a new connection. The agent may have been
+// replaced in the meantime, so the request goes to the upstream's current agent.
 func (e *Entry) openFrames(ctx context.Context, attempt attempt, from uint64) (io.ReadCloser, error) {
 	agent := attempt.agent
 	if now, ok := e.agentByUpstream(agent.Upstream()); ok {
@@ -107,22 +108,22 @@
 	return problem
 }
 
-// A delivery is what the caller is given next.
+// delivery is the next step of an answer for the caller.
 type delivery struct {
 	decision    mgdelivery.Decision
-	problem     *mgproblem.Problem // the last word, when the answer fails
+	problem     *mgproblem.Problem // ends the answer if it is not nil
 	attempt     attempt
 	preemptions uint32
-	restarted   bool // the answer started over elsewhere and has a new name
+	restarted   bool // the answer restarted at another agent under a new name
 }
 
-// isLast reports whether nothing follows the turn.
+// isLast reports whether the delivery is the last of the answer.
 func (d delivery) isLast() bool {
 	return d.problem != nil || d.decision.Action() == mgdelivery.Finish
 }
 
-// next returns the next turn. It starts over elsewhere by itself where the
-// receiver allows it.
+// next returns the next delivery. It restarts the generation at another agent
+// where the receiver allows it.
 func (r *answerReader) next(ctx context.Context) delivery {
 	for {
 		decision, problem := r.step(ctx)
@@ -174,12 +175,12 @@
 	}
 }
 
-// followMove reads on from the agent that took the generation over. It is the same
-// generation: the receiver goes on where it is.
+// followMove continues reading from the agent that took over the generation. The
+// generation stays the same, so the receiver keeps its position.
 func (r *answerReader) followMove(ctx context.Context, frame *mgrpc.Frame) {
 	agent, known := r.entry.spec.View().Member(frame.GetMoved())
 	if !known {
-		// The list of VMs lags, and the next read finds the agent or nothing.
+		// The list of VMs is out of date: the next read finds the agent or fails.
 		r.entry.spec.Log.Info("a generation moved to an agent that isn't known here", mglog.Attempt, r.attempt.id, "agent", frame.GetMoved())
 		return
 	}
@@ -199,7 +200,7 @@
 	r.open(ctx)
 }
 
-// firstTokenContext bounds the wait for the first token.
+// firstTokenContext returns a context that bounds the wait for the first token.
 func (r *answerReader) firstTokenContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	if r.job == nil || r.receiver.Last() > 0 || r.receivedTokens > 0 {
 		return ctx, func() {}
@@ -208,9 +209,10 @@
 	return context.WithTimeout(ctx, max(left, 1).Duration())
 }
 
-// callerGone ends the reading for a caller that has disconnected. One that may
-// resume finds its generation again: the agent cancels it after a grace time.
-// Any other's is cancelled now, for nobody will read it.
+// callerGone ends the reading for a caller that has disconnected. A caller that
+// may resume can still find its generation, which the agent cancels after a
+// grace period. Any other generation is cancelled at once, since nobody will
+// read it.
 func (r *answerReader) callerGone(ctx context.Context) *mgproblem.Problem {
 	if r.job != nil && !r.job.canResume {
 		go r.entry.cancelAttempt(context.WithoutCancel(ctx), r.attempt)
@@ -218,8 +220,8 @@
 	return mgproblem.New(mgproblem.Cancelled, mgproblem.Unknown, "the caller is gone", "resume by the answer's name")
 }
 
-// firstTokenLate gives up a request whose first token is too late, and tells the
-// caller at once what the agent attests.
+// firstTokenLate cancels a request whose first token is overdue. The problem has
+// the outcome that the agent attests.
 func (r *answerReader) firstTokenLate(ctx context.Context) *mgproblem.Problem {
 	r.stream.Close()
 	return r.adjustOutcome(lateProblem(r.entry.cancelAttempt(ctx, r.attempt)))
@@ -235,9 +237,9 @@
 	r.attestedNotRun = frame.GetFault() != "" && frame.GetOutcome() == string(mgproblem.NotRun)
 }
 
-// adjustOutcome returns a problem as the caller is told it. What is attested of the
-// last attempt says nothing of those before: an engine may have worked on one
-// until it died, and "not run" would not be true of the request.
+// adjustOutcome returns the problem to report to the caller. An agent's
+// attestation covers the last attempt only: an engine may have worked on an
+// earlier one until it died, so that "not run" would be false for the request.
 func (r *answerReader) adjustOutcome(problem *mgproblem.Problem) *mgproblem.Problem {
 	if problem == nil || !r.mayHaveRun || problem.Outcome() != mgproblem.NotRun {
 		return problem
@@ -247,7 +249,8 @@
 		"send the request again for a new answer").WithRetry(problem.Retry())
 }
 
-// restart starts another generation where nothing was delivered.
+// restart starts another generation at another agent. The caller has received no
+// token yet.
 func (r *answerReader) restart(ctx context.Context) *mgproblem.Problem {
 	r.stream.Close()
 	if r.job == nil {
@@ -257,8 +260,8 @@
 	if problem := r.restartProblem(); problem != nil {
 		return problem
 	}
-	// An engine that dies leaves many requests behind at once. Without a budget
-	// all of them go to the engines that are left, which may be overloaded next.
+	// An engine that dies fails many requests at once. Without a retry budget all of
+	// them would go to the remaining engines and might overload these next.
 	if !r.entry.budgets.Of(r.job.service.Name()).Spend() {
 		return r.adjustOutcome(crowdedProblem())
 	}
@@ -283,7 +286,7 @@
 		"the generation can't be continued", "send the request again for a new answer")
 }
 
-// decodeFrame reads a frame off the wire.
+// decodeFrame converts a frame from its wire format.
 func decodeFrame(f *mgrpc.Frame) *mgdelivery.Frame {
 	return &mgdelivery.Frame{
 		Generation: f.GetGeneration(),
--- a/internal/process/mgentry/relay.go
+++ b/internal/process/mgentry/relay.go
@@ -16,8 +16,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// initRelay makes the relay out of what the entry already has: one set of retry
-// budgets and one count of what is in flight, whatever form a request has.
+// initRelay creates the relay. It shares the entry's retry budgets and in-flight
+// counts, so that both cover requests of every format.
 func (e *Entry) initRelay() {
 	if e.spec.Relay == nil {
 		return
@@ -47,28 +47,29 @@
 	e.relay = mgrelay.New(spec)
 }
 
-// Run moves generations away from upstreams that leave, until ctx ends.
+// Run moves generations away from leaving upstreams until ctx ends.
 func (e *Entry) Run(ctx context.Context) {
 	if e.relay != nil {
 		e.relay.Run(ctx)
 	}
 }
 
-// isLeavingUpstream reports whether an upstream leaves or is gone from the list.
+// isLeavingUpstream reports whether an upstream is leaving or missing from the
+// list of VMs.
 func (e *Entry) isLeavingUpstream(name string) bool {
 	member, ok := e.spec.View().Agent(name)
 	return !ok || member.Leaving() || !member.Listed()
 }
 
-// isMissingUpstream reports whether the list lacks an upstream that hasn't said that it
-// leaves.
+// isMissingUpstream reports whether an upstream is missing from the list of VMs
+// without having announced that it leaves.
 func (e *Entry) isMissingUpstream(name string) bool {
 	member, ok := e.spec.View().Agent(name)
 	return !ok || !member.Leaving() && !member.Listed()
 }
 
-// cordonAge reports whether an upstream's availability zone gets no new work,
-// and how long that has been known here.
+// cordonAge reports whether an upstream's availability zone is cordoned, and how
+// long this process has known it.
 func (e *Entry) cordonAge(name string) (age mgclock.Millis, cordoned bool) {
 	view := e.spec.View()
 	member, ok := view.Agent(name)
@@ -78,8 +79,8 @@
 	return e.spec.Clock.Now() - view.Cordoned()[member.Zone()], true
 }
 
-// isClosedService reports whether upstreams of a service stay, and the availability zones
-// of all of them are cordoned.
+// isClosedService reports whether a service has listed upstreams that are not
+// leaving, and the availability zones of all of them are cordoned.
 func (e *Entry) isClosedService(service string) bool {
 	cordoned := false
 	for _, member := range e.spec.View().All() {
@@ -94,11 +95,11 @@
 	return cordoned
 }
 
-// Load returns the count of what was relayed to each upstream.
+// Load returns the count of requests relayed to each upstream.
 func (e *Entry) Load() *mgload.Count { return &e.load }
 
-// Places returns the upstreams of a service that are reached directly, by what
-// this and the other entries have sent there.
+// Places returns the directly reached upstreams of a service, with the load that
+// this entry and the others have sent there.
 func (e *Entry) Places(service string, others mgload.Report) []mgroom.Place {
 	table := e.spec.Table()
 	if e.relay == nil || table == nil {
@@ -107,12 +108,12 @@
 	return e.relay.Places(table, service, others)
 }
 
-// BoundRetries sets the most retries of each service that this entry holds,
-// where the entries share what a service allows.
+// BoundRetries sets the maximum number of retries that this entry's budget holds
+// for each service. The entries share what a service allows.
 func (e *Entry) BoundRetries(limit int) { e.budgets.Bound(limit) }
 
-// directHosts returns all upstreams that run a service, are reached directly and
-// stay.
+// directHosts returns the upstreams that run a service, that this entry reaches
+// without an agent and that accept new work.
 func (e *Entry) directHosts(service string) []mgrelay.Host {
 	fleet := e.fleet()
 	hosts := fleet.directHosts[service]
@@ -133,7 +134,7 @@
 	return list
 }
 
-// coldWindow returns for how long an upstream of a service is cold after its start.
+// coldWindow returns how long an upstream of a service counts as cold after a start.
 func (e *Entry) coldWindow(service string) mgclock.Millis {
 	table := e.spec.Table()
 	if table == nil {
@@ -145,12 +146,13 @@
 	return 0
 }
 
-// minCellHosts is the least number of a service's upstreams that a cell must have for
-// its entries to keep to these: of fewer one that fails is too much.
+// minCellHosts is the minimum number of a service's upstreams per cell for its
+// entries to use only these: with fewer, the failure of one would take too large
+// a part of the capacity.
 const minCellHosts = 12
 
-// restrictToCell gives this entry's cell its part of each service's upstreams, so that
-// what it knows of them is what all that use them have sent.
+// restrictToCell restricts each service's upstreams to those of this entry's
+// cell, so that the load known in the cell is all the load that they get.
 func (f *fleet) restrictToCell(cell mgmember.Cell) {
 	for service, all := range f.directHosts {
 		f.assignerCount[service] = cell.Of
@@ -161,12 +163,13 @@
 	}
 }
 
-// unreadyRetryDelay is the pause before a caller turns to another entry, or to this
-// one that is starting: it takes 50 ms once the platform answers.
+// unreadyRetryDelay is the delay before a caller retries, at another entry or at
+// this one while it starts: a start takes 50 ms once the platform responds.
 const unreadyRetryDelay = 100 * mgclock.Millis(1)
 
-// deny answers a request that the table in force doesn't allow. Where there may be a newer
-// table it is told to come back, since callers take a denial for the last word.
+// deny refuses a request that the table in force doesn't allow. If there may be a
+// newer table, the caller is asked to retry, since callers treat a denial as
+// final.
 func (e *Entry) deny(w http.ResponseWriter, r *http.Request, table *mgtable.Table, refusal func(w http.ResponseWriter)) {
 	certain := e.spec.Certain == nil || e.spec.Certain()
 	if e.relay != nil {
@@ -185,11 +188,12 @@
 		"send it again after the time given").WithRetry(staleTableRetryDelay))
 }
 
-// staleTableRetryDelay is when a caller may come back whose route or key isn't known here: the
-// platform is asked again within about as long.
+// staleTableRetryDelay is the delay before a caller retries a request whose route
+// or key is unknown here. The platform is queried again within about as long.
 const staleTableRetryDelay = mgclock.Second
 
-// notFound answers a request that neither a route nor the own interface takes.
+// notFound handles a request that matches neither a route of the table nor the
+// entry's own interface.
 func (e *Entry) notFound(w http.ResponseWriter, r *http.Request) {
 	missing := func(w http.ResponseWriter) {
 		mgproblem.Write(w, mgproblem.New(mgproblem.Missing, mgproblem.NotRun,
@@ -203,8 +207,8 @@
 	e.deny(w, r, table, missing)
 }
 
-// relayRouted passes requests through that the table's routes name; others are
-// requests of the entry's own interface.
+// relayRouted passes requests that match the table's routes to the relay and all
+// others to the entry's own interface.
 func (e *Entry) relayRouted(next http.Handler) http.Handler {
 	if e.relay == nil {
 		return next
--- a/internal/process/mgentry/rig_test.go
+++ b/internal/process/mgentry/rig_test.go
@@ -86,14 +86,14 @@
 
 const (
 	beat mgclock.Millis = 250
-	// maxSilence is the longest that a link may say nothing.
+	// maxSilence is the longest time that a link may be silent.
 	maxSilence = 3 * beat
 	// callTimeout bounds a plain-service call of the rig's entries.
 	callTimeout = 5 * mgclock.Second
 )
 
-// A rig is a whole deployment over a network in memory, in virtual time: the
-// real entries and agents, and the stand-ins of the engines and the service.
+// rig is a whole deployment on an in-memory network in virtual time: real entries
+// and agents, with stand-ins for the engines and the service.
 type rig struct {
 	mgnetwork.Network
 	clock        mgclock.Clock
@@ -104,23 +104,23 @@
 	agents       map[string]*mgagent.Agent
 	entries      map[string]*mgentry.Entry
 	books        *mgstandin.Service
-	isolated     atomic.Bool // agents know no others
+	isolated     atomic.Bool // agents know of no other agents
 	list         mgplatform.List
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	stops        map[string]func()
 	incarnations int
-	wrapFrames   func(http.Handler) http.Handler // around the agents' frames, or nil
+	wrapFrames   func(http.Handler) http.Handler // wraps the agents' handlers; may be nil
 }
 
-// engineMemory is what the table says of the engines, in tokens.
+// engineMemory is the memory of each engine in the table, in tokens.
 const engineMemory = 40000
 
-// play runs a story on a rig with engine-1 and on.
+// play runs a scenario on a rig with the given number of engines, from engine-1 on.
 func play(t *testing.T, engines int, story func(r *rig)) {
 	playWith(t, engines, engineMemory, story)
 }
 
-// playWith is play with engines of another memory than the table says.
+// playWith is like play, but the engines have other memory than the table says.
 func playWith(t *testing.T, engines, memory int, story func(r *rig)) {
 	synctest.Test(t, func(t *testing.T) {
 		parsed, err := mgtable.Parse([]byte(table))
@@ -179,7 +179,7 @@
 	r.list.VMs = append(r.list.VMs, vm)
 }
 
-// agent starts an agent, in place of the one that had its name.
+// agent starts an agent and replaces the one of the same name.
 func (r *rig) agent(name, upstream string) {
 	r.kill(name)
 	client := mgdial.NewClientWith(r.Dial(name))
@@ -231,7 +231,7 @@
 	})
 }
 
-// others returns the agents beside engines but the one of that name.
+// others returns the agents of engines except the named one.
 func (r *rig) others(name string) []mgagent.Other {
 	var others []mgagent.Other
 	for _, vm := range r.list.VMs {
@@ -247,7 +247,7 @@
 	return others
 }
 
-// entry starts an entry, in place of the one that had its name.
+// entry starts an entry and replaces the one of the same name.
 func (r *rig) entry(name string) {
 	r.kill(name)
 	members := mgmember.New(name)
@@ -283,7 +283,7 @@
 	})
 }
 
-// kill ends a process without a word.
+// kill stops a process without notice.
 func (r *rig) kill(name string) {
 	r.mu.Lock()
 	stop := r.stops[name]
@@ -294,7 +294,7 @@
 	}
 }
 
-// registerStop notes how a process is ended.
+// registerStop sets the function that stops a process.
 func (r *rig) registerStop(name string, stop func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -307,7 +307,7 @@
 	return slices.Collect(maps.Keys(r.stops))
 }
 
-// newIncarnation names a new newIncarnation of a process.
+// newIncarnation returns the name of a new incarnation of a process.
 func (r *rig) newIncarnation() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -315,7 +315,7 @@
 	return fmt.Sprintf("life-%02d", r.incarnations)
 }
 
-// busyEngine returns the engine that holds a generation.
+// busyEngine returns an engine that has an unfinished generation, or nil.
 func (r *rig) busyEngine() *mgstandin.Engine {
 	for _, e := range r.engines {
 		if e.Load(); len(e.List()) > 0 && !e.List()[0].Done {
@@ -325,7 +325,8 @@
 	return nil
 }
 
-// reclaim gives the engine that holds a generation notice, and ends it then.
+// reclaim announces to the engine with an unfinished generation that it will be
+// stopped, and kills it when the notice period ends.
 func (r *rig) reclaim(notice mgclock.Millis) {
 	e := r.busyEngine()
 	e.Set(mgstandin.Fault{
@@ -335,7 +336,7 @@
 	r.after(notice, func() { e.Set(mgstandin.Fault{Kind: mgstandin.Die}) })
 }
 
-// after calls what later, while the story goes on.
+// after runs callback after a delay, concurrently with the scenario.
 func (r *rig) after(delay mgclock.Millis, callback func()) {
 	go func() {
 		r.clock.Sleep(r.ctx, delay)
@@ -343,7 +344,7 @@
 	}()
 }
 
-// injectFault sets a fault that the next calls of the service meet.
+// injectFault makes the next calls of the service fail.
 func (r *rig) injectFault(kind string, calls int) {
 	r.books.Set(mgstandin.Fault{
 		Kind:  kind,
@@ -351,7 +352,7 @@
 	})
 }
 
-// slowService makes the service's calls take longer.
+// slowService delays the service's replies.
 func (r *rig) slowService(delay mgclock.Millis) {
 	r.books.Set(mgstandin.Fault{
 		Kind:  mgstandin.Slow,
@@ -359,7 +360,7 @@
 	})
 }
 
-// breakStream sets a fault of engine-1's streams after some tokens.
+// breakStream makes engine-1's streams fail after some tokens.
 func (r *rig) breakStream(kind string, tokens uint64) {
 	r.engines["engine-1"].Set(mgstandin.Fault{
 		Kind:  kind,
--- a/internal/process/mgentry/route.go
+++ b/internal/process/mgentry/route.go
@@ -21,30 +21,30 @@
 	offer           *mgrpc.Offer
 	generation      string
 	sentAt          mgclock.Millis
-	priorMayHaveRun bool   // an attempt before this one may have run
-	release         func() // gives its place in the agent's count back, once
+	priorMayHaveRun bool   // an earlier attempt may have run
+	release         func() // removes the attempt from the agent's in-flight count; idempotent
 }
 
-// probeResult is an agent's answer to a probe.
+// probeResult is an agent's reply to a probe.
 type probeResult struct {
 	agent    *mgmember.Member
-	index    int // in the fleet's routes, or none
-	inFlight int // of this entry, when it was asked
+	index    int // in the fleet's routes, or noIndex
+	inFlight int // requests from this entry when the probe was sent
 	offer    *mgrpc.Offer
 	err      error
 }
 
-// noIndex is the place of an agent outside the fleet's routes.
+// noIndex is the index of an agent that is not in the fleet's routes.
 const noIndex = -1
 
-// newAttemptID returns a name that no other attempt has.
+// newAttemptID returns an ID that no other attempt has.
 func (e *Entry) newAttemptID() string {
 	return e.epoch + "-" + strconv.FormatUint(e.attemptCount.Add(1), 36)
 }
 
-// startGeneration starts a generation for the job at the best of a few agents, without
-// those in avoid. A problem's outcome is NotRun only when every agent asked
-// attested it.
+// startGeneration starts a generation for the job at the agent with the best
+// offer, excluding those in avoid. A problem's outcome is NotRun only if every
+// agent that was asked attested it.
 func (e *Entry) startGeneration(ctx context.Context, j *job, avoid map[string]bool) (attempt, *mgproblem.Problem) {
 	random := e.newRandom()
 	fleet := e.fleet()
@@ -65,8 +65,8 @@
 	return attempt{}, problem
 }
 
-// mergeRefusals returns what a caller is told whom several agents refused. The
-// shortest wait counts; one doubt makes the outcome unknown.
+// mergeRefusals returns the problem to report when several agents refused. The
+// shortest retry delay wins; a single unknown outcome makes the result unknown.
 func mergeRefusals(a, b *mgproblem.Problem) *mgproblem.Problem {
 	switch {
 	case a == nil || a.Outcome() == mgproblem.NotRun && b.Outcome() != mgproblem.NotRun:
@@ -83,7 +83,7 @@
 		"no upstream can answer in time", "come back after the time in Retry-After").WithRetry(mgclock.Second)
 }
 
-// query says what the job needs.
+// query returns the job's requirements for routing.
 func (e *Entry) query(j *job) mgrouting.Query {
 	query := mgrouting.Query{
 		Model:  j.model,
@@ -98,13 +98,13 @@
 	return query
 }
 
-// affinityBlocks is how many leading blocks decide which engine has a prompt's
-// prefix: 256 tokens hold the instructions that requests share, and not yet
-// what tells them apart.
+// affinityBlocks is the number of leading blocks that decide which engine has a
+// prompt's prefix cached. They hold 256 tokens: enough for instructions that
+// requests share, too few for the part in which they differ.
 const affinityBlocks = 4
 
-// candidates returns the agents to ask. When all of a model's agents are
-// suspect they are asked all the same: the fault may be this entry's.
+// candidates returns the agents to probe. If all agents of a model are suspect,
+// they are probed nevertheless: the fault may lie with this entry.
 func (e *Entry) candidates(j *job, fleet *fleet, avoid map[string]bool, random *rand.Rand) []probeResult {
 	var found []probeResult
 	for _, index := range fleet.routes.Candidates(nil, e.query(j), random) {
@@ -130,7 +130,7 @@
 	return found
 }
 
-// best returns the index of the offer to take.
+// best returns the index of the best offer.
 func (f *fleet) best(offers []probeResult, query mgrouting.Query, random *rand.Rand) int {
 	list := make([]mgrouting.Offer, 0, len(offers))
 	for _, offered := range offers {
@@ -150,8 +150,8 @@
 	return max(f.routes.Choose(list, query, random), 0)
 }
 
-// probe asks the candidates in parallel and returns the good offers, and what
-// the caller is told when there is none.
+// probe asks the candidates for offers in parallel. It returns the good offers,
+// and the problem to report if there are none.
 func (e *Entry) probe(request context.Context, j *job, fleet *fleet, candidates []probeResult) ([]probeResult, *mgproblem.Problem) {
 	ctx, cancel := context.WithTimeout(request, mgclock.Millis(e.spec.Settings.Probe).Duration())
 	defer cancel()
@@ -175,8 +175,8 @@
 	return e.collectOffers(request, answers, len(candidates), fleet)
 }
 
-// enoughOffers is the number of good offers after which the entry doesn't wait for
-// the slowest agent's: one slow agent must not delay every request.
+// enoughOffers is the number of good offers after which the entry stops waiting
+// for further replies, so that one slow agent doesn't delay every request.
 const enoughOffers = 2
 
 func (e *Entry) collectOffers(request context.Context, answers <-chan probeResult, count int, fleet *fleet) ([]probeResult, *mgproblem.Problem) {
@@ -209,8 +209,8 @@
 	return good, problem
 }
 
-// startAt asks one agent to startAt the job. An agent that doesn't answer is told
-// to cancel, so that nothing runs for nobody.
+// startAt starts the job at one agent. If the agent doesn't reply, the attempt
+// is cancelled so that no generation runs without a reader.
 func (e *Entry) startAt(ctx context.Context, j *job, fleet *fleet, chosen probeResult) (attempt, *mgproblem.Problem) {
 	attempt := attempt{
 		id:      e.newAttemptID(),
@@ -257,7 +257,8 @@
 	return attempt, nil
 }
 
-// trackRequest counts a request to an agent in and returns what counts it out.
+// trackRequest counts a request to an agent as in flight. The function it
+// returns ends that count.
 func (f *fleet) trackRequest(index int) func() {
 	if index == noIndex {
 		return func() {}
@@ -266,11 +267,12 @@
 	return sync.OnceFunc(func() { f.routes.Ended(index) })
 }
 
-// shortCallTimeout bounds a short call to an agent: its answer takes about a
-// millisecond, a region away about a hundred.
+// shortCallTimeout bounds a short call to an agent. A reply takes about a
+// millisecond, from another region about a hundred.
 const shortCallTimeout = 2 * mgclock.Second
 
-// cancelAttempt ends an attempt and returns what the agent attests of it.
+// cancelAttempt cancels an attempt and returns the outcome that the agent
+// attests.
 func (e *Entry) cancelAttempt(ctx context.Context, attempt attempt) mgproblem.Outcome {
 	ctx, cancel := context.WithTimeout(ctx, shortCallTimeout.Duration())
 	defer cancel()
--- a/internal/process/mgentry/services.go
+++ b/internal/process/mgentry/services.go
@@ -21,25 +21,25 @@
 )
 
 const (
-	// idempotencyKeyHeader names the operation that a caller repeats (Jena, Dalal 2023,
-	// draft-ietf-httpapi-idempotency-key-header).
+	// idempotencyKeyHeader names the operation that a caller repeats (Jena, Dalal
+	// 2023, draft-ietf-httpapi-idempotency-key-header).
 	idempotencyKeyHeader = "Idempotency-Key"
-	// outcomeHeader tells what became of a call.
+	// outcomeHeader reports the outcome of a call.
 	outcomeHeader = "Outcome"
-	// repeatInterval is the wait before an agent is asked again for an operation's
+	// repeatInterval is the interval between requests to an agent for an operation's
 	// result.
 	repeatInterval = 100 * mgclock.Millis(1)
 )
 
-// call is a plain-service call, checked against the table.
+// call is a plain-service call that was validated against the table.
 type call struct {
 	caller
 	service  *mgtable.Service
 	request  *mgrpc.InvokeRequest
-	deadline mgclock.Millis // when it is given up
+	deadline mgclock.Millis
 }
 
-// plainService returns the plainService service that the path names.
+// plainService returns the plain service that the request path names.
 func (e *Entry) plainService(r *http.Request, c caller) (*mgtable.Service, *mgproblem.Problem) {
 	name := chi.URLParam(r, "service")
 	service := c.table.Service(name)
@@ -53,7 +53,8 @@
 	return service, nil
 }
 
-// mintOperation names a new operation of a service whose calls may not be repeated.
+// mintOperation creates an operation for a service whose calls must not be
+// repeated.
 func (e *Entry) mintOperation(w http.ResponseWriter, r *http.Request, c caller) {
 	service, problem := e.plainService(r, c)
 	if problem != nil {
@@ -70,8 +71,8 @@
 	_, _ = w.Write([]byte(`{"operation":"` + operation + `"}` + "\n"))
 }
 
-// mintAnywhere mints an operation at any agent that runs the service. Minting runs
-// nothing, so it may be tried at one after another.
+// mintAnywhere mints an operation at any agent that runs the service. Minting
+// runs nothing, so it is safe to try one agent after another.
 func (e *Entry) mintAnywhere(ctx context.Context, c caller, service string) (string, *mgmember.Member, *mgproblem.Problem) {
 	for _, host := range e.hosts(service) {
 		reply, err := e.mintAtAgent(ctx, host.agent, c, service)
@@ -101,12 +102,12 @@
 type host struct {
 	agent *mgmember.Member
 	fleet *fleet
-	index int // its number in fleet
+	index int // in the fleet's routes, or noIndex
 }
 
-// hosts returns agents whose upstreams run a service, the one with the fewest
-// of this entry's calls in flight first: a slow upstream collects calls and so
-// gets fewer new ones.
+// hosts returns the agents whose upstreams run a service, sorted by the number
+// of calls that this entry has in flight there, fewest first: calls accumulate
+// at a slow upstream, which therefore gets fewer new ones.
 func (e *Entry) hosts(service string) []host {
 	fleet := e.fleet()
 	query := mgrouting.Query{
@@ -137,7 +138,7 @@
 	return found
 }
 
-// callService makes a call of a plain callService.
+// callService handles a call of a plain service.
 func (e *Entry) callService(w http.ResponseWriter, r *http.Request, c caller) {
 	service, problem := e.plainService(r, c)
 	if problem != nil {
@@ -179,13 +180,13 @@
 	e.writeReply(w, reply, problem)
 }
 
-// safeMethod reports whether a method may be repeated whatever the service
-// (RFC 9110, 9.2.1).
+// safeMethod reports whether a method may be repeated for any service (RFC 9110,
+// 9.2.1).
 func safeMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-// servicePath returns the path below the service's name, with its query.
+// servicePath returns the path after the service's name, with the query.
 func servicePath(r *http.Request) string {
 	path := "/" + chi.URLParam(r, "*")
 	if r.URL.RawQuery != "" {
@@ -212,9 +213,9 @@
 	}
 }
 
-// unkeyedProblem returns what a caller without a key is told. It can't ask again under
-// the operation, which this entry minted and which nobody else knows; asking
-// again would be another write.
+// unkeyedProblem returns the problem to report to a caller that sent no key. The
+// caller can't repeat the operation, which this entry minted and nobody else
+// knows; another request would be another write.
 func unkeyedProblem(problem *mgproblem.Problem) *mgproblem.Problem {
 	if problem == nil || problem.Outcome() != mgproblem.Unknown {
 		return problem
@@ -223,8 +224,8 @@
 		"look in the service whether it ran; mint an operation first to be able to ask again").WithRetry(problem.Retry())
 }
 
-// invokePinned makes an operation's call at the one agent that may run it. Asking
-// that agent again is safe: it joins the first call.
+// invokePinned makes an operation's call at the only agent that may run it.
+// Repeating the call at that agent is safe: it joins the first call.
 func (e *Entry) invokePinned(ctx context.Context, call *call, upstream string) (*mgrpc.InvokeReply, *mgproblem.Problem) {
 	for e.spec.Clock.Now() < call.deadline && ctx.Err() == nil {
 		agent, ok := e.agentByUpstream(upstream)
@@ -241,8 +242,8 @@
 		"the agent that owns the operation did not answer", "ask again with the same operation")
 }
 
-// invokeRepeatable makes a call that may run more than once, at another upstream
-// when one can't be reached and the service's budget allows it.
+// invokeRepeatable makes a call that may run more than once. It tries another
+// upstream if one can't be reached and the service's retry budget allows it.
 func (e *Entry) invokeRepeatable(ctx context.Context, call *call) (*mgrpc.InvokeReply, *mgproblem.Problem) {
 	problem := crowdedProblem()
 	budget := e.budgets.Of(call.service.Name())
--- a/internal/process/mgentry/session_test.go
+++ b/internal/process/mgentry/session_test.go
@@ -20,7 +20,8 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// chunk is what a caller reads of an event's data.
+// chunk holds the fields that a caller reads of an event's data or of a whole
+// answer.
 type chunk struct {
 	Choices []struct {
 		Delta struct {
@@ -53,7 +54,7 @@
 	}
 }
 
-// volatileParts are what differs between two runs of one session.
+// volatileParts match what differs between two runs of a session.
 var volatileParts = []struct {
 	pattern     *regexp.Regexp
 	replacement string
@@ -76,8 +77,8 @@
 	},
 }
 
-// session is what the caller saw, with the names that differ between runs left
-// out and its tokens checked against those that the engine made.
+// session returns what the caller observed, with volatileParts replaced and the
+// tokens compared with those that the engine generated.
 func (c *caller) session() string {
 	var b strings.Builder
 	for _, line := range c.observed {
@@ -93,7 +94,7 @@
 	return b.String()
 }
 
-// onTokenCount calls what once, when the caller has had some tokens.
+// onTokenCount runs callback once, when the caller has received that many tokens.
 func (c *caller) onTokenCount(tokens int, callback func()) {
 	c.onToken = func(n int) {
 		if n == tokens {
@@ -102,7 +103,7 @@
 	}
 }
 
-// wholeText compares the text of an answer in one piece.
+// wholeText reports whether the text of an unstreamed answer is as generated.
 func (c *caller) wholeText() string {
 	var in chunk
 	if len(c.observed) < 2 || json.Unmarshal([]byte(c.observed[1]), &in) != nil || len(in.Choices) == 0 {
@@ -112,7 +113,8 @@
 	return fmt.Sprintf("as generated: %t", in.Choices[0].Message.Content == want)
 }
 
-// crossFrames gives the first reader of frames those of another generation.
+// crossFrames serves the first request for frames with those of another
+// generation.
 func crossFrames(other func() string) func(http.Handler) http.Handler {
 	var done atomic.Bool
 	return func(next http.Handler) http.Handler {
@@ -125,11 +127,9 @@
 	}
 }
 
-// What a gauger or member sees of an answer, when something fails under it.
-// Each case is a story: the order of events, and its cause as the name says.
-// The golden file holds what the caller saw; a text that was cut, doubled,
-// mixed or spliced is not "as generated". Stall bounds the longest wait for a
-// token, in virtual time.
+// A fault during an answer cuts, duplicates, mixes or splices its text. A golden
+// file holds what the caller observes and whether the text is "as generated"; stall
+// bounds the longest wait for a token, in virtual time.
 func TestSessions(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -329,7 +329,7 @@
 	})
 }
 
-// golden compares a session with its file.
+// golden compares a session with its golden file.
 func golden(t *testing.T, story, got string) {
 	file := filepath.Join("testdata", "sessions", strings.NewReplacer(" ", "-", ",", "").Replace(story)+".txt")
 	if *update {
--- a/internal/process/mgentry/stub_test.go
+++ b/internal/process/mgentry/stub_test.go
@@ -21,7 +21,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// entrySpec is what the entries of all tests are made with; each adds its
+// entrySpec returns the common spec of all tests' entries; each test adds its
 // network.
 func entrySpec(parsed *mgtable.Table, members *mgmember.Members) mgentry.Spec {
 	return mgentry.Spec{
@@ -48,19 +48,19 @@
 	}
 }
 
-// tanklineRequest returns a request of the account of that name.
+// tanklineRequest returns a request from the account tankline.
 func tanklineRequest(method, path, body string) *http.Request {
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer sample-tankline")
 	return request
 }
 
-// acceptingAgent takes every start.
+// acceptingAgent accepts every start.
 type acceptingAgent struct {
 	mgrpc.Agent
-	name           string // its own, in its offers
-	firstTokenWait int64  // to the first token, in its offers, ms
-	cancelOutcome  string // the outcome of each cancel
+	name           string // in its offers
+	firstTokenWait int64  // until the first token, in its offers, ms
+	cancelOutcome  string
 }
 
 func (a acceptingAgent) Probe(context.Context, *mgrpc.ProbeRequest) (*mgrpc.Offer, error) {
@@ -78,7 +78,7 @@
 	return &mgrpc.CancelReply{Outcome: a.cancelOutcome}, nil
 }
 
-// agentHandler is an agent that answers each read of frames with one frame.
+// agentHandler serves an agent that answers each request for frames with one frame.
 func agentHandler(agent mgrpc.Agent, frame *mgrpc.Frame) http.Handler {
 	router := chi.NewRouter()
 	router.Mount(mgrpc.AgentPathPrefix, mgrpc.NewAgentServer(agent))
@@ -91,10 +91,10 @@
 
 var errReset = errors.New("connection reset")
 
-// hostTransport answers requests by their host.
+// hostTransport dispatches requests to handlers by host.
 type hostTransport map[string]http.Handler
 
-// RoundTrip serves a request in this goroutine, without the context of the
+// RoundTrip serves a request in the calling goroutine, without the context of the
 // entry's own router.
 func (h hostTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	recorder := httptest.NewRecorder()
@@ -102,13 +102,13 @@
 	return recorder.Result(), nil
 }
 
-// silentTransport is hosts of which one answers nothing but probes.
+// silentTransport is a hostTransport with one host that answers only probes.
 type silentTransport struct {
 	hostTransport
 	host string
 }
 
-// RoundTrip breaks the connection of a request to the silent host.
+// RoundTrip fails a request to the silent host unless it is a probe.
 func (s silentTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Host == s.host && !strings.HasSuffix(r.URL.Path, "Probe") {
 		return nil, errReset
@@ -116,14 +116,14 @@
 	return s.hostTransport.RoundTrip(r)
 }
 
-// newEntry returns an entry that reaches agent-1 and agent-2, beside two
-// engines, by network.
+// newEntry returns an entry that reaches agent-1 and agent-2, each with an engine,
+// over the given network.
 func newEntry(network http.RoundTripper) *mgentry.Entry {
 	return newEntryWithTable(table, "", network)
 }
 
-// newEntryWithTable returns an entry with a table whose agents run a plain service, or
-// have engines when it is empty.
+// newEntryWithTable returns an entry with the given table. Its agents run the given
+// plain service or, if that is empty, have engines.
 func newEntryWithTable(text, service string, network http.RoundTripper) *mgentry.Entry {
 	parsed, err := mgtable.Parse([]byte(text))
 	if err != nil {
--- a/internal/process/mgentry/write_test.go
+++ b/internal/process/mgentry/write_test.go
@@ -16,7 +16,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// mint returns an operation's id, or "" when there is none to be had.
+// mint returns a new operation, or "" if minting fails.
 func (c *caller) mint(entry string) string {
 	response, err := c.do(entry, http.MethodPost, "/v1/services/ticket/operations", "", nil)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return in.Operation
 }
 
-// write books a ticket under a key and returns what the caller is told.
+// write books a ticket under a key and returns the outcome reported to the caller.
 func (c *caller) write(entry, key string) string {
 	header := map[string]string{}
 	if key != "" {
@@ -58,9 +58,9 @@
 	return response.Header.Get("Outcome")
 }
 
-// A doubled transfer ticket books two barrels where one moved; a lost one none.
-// Each case plays a write under a fault: what the caller is told at each of its
-// tries, and how often the service truly ran the write.
+// A write that runs twice books two barrels where one moved; a lost one books
+// none. Each case makes a write under a fault and checks what the caller is told at
+// each attempt, and how often the service ran the write.
 func TestWrites(t *testing.T) {
 	cases := []struct {
 		name string
@@ -246,20 +246,18 @@
 const (
 	writeCount  = 2000
 	writerCount = 20
-	maxTries    = 4 // of a caller that is told nothing for sure
+	maxTries    = 4 // of a caller that gets no definite outcome
 )
 
-// ledger is what the callers of a storm were told of their writes.
+// ledger records the outcomes that callers were told of their writes.
 type ledger struct {
 	mu       sync.Mutex
 	outcomes map[string]string
 }
 
-// A weekend of failures: services that lose answers, hang and break off, agents
-// and entries that are replaced, connections that go silent, partitions. Callers
-// repeat their writes through any entry until they are told. None may run
-// twice, none that was told "not run" may have run, and each that was told
-// "done" has run.
+// Under random faults (lost answers, hangs, replaced processes, silent connections,
+// partitions), callers repeat writes through any entry until the outcome is known.
+// None may run twice, none "not run" may have run, and each "done" has run.
 func TestStormOfWrites(t *testing.T) {
 	var l ledger
 	var runs map[string]int
@@ -323,7 +321,7 @@
 	}
 }
 
-// injectFaults plays a fault every half second or so.
+// injectFaults injects a random fault about every half second.
 func injectFaults(r *rig, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(7, 7))
 	faults := []func(){
