--- a/internal/process/mgentry/caps.go
+++ b/internal/process/mgentry/caps.go
@@ -65,8 +65,8 @@
 	var once sync.Once
 	return func(tokens int) {
 		once.Do(func() {
-			left := e.caps.end(e.spec.Clock.Now(), account, charged, float64(tokens))
-			e.spec.Running(account, left)
+			remainingStreams := e.caps.end(e.spec.Clock.Now(), account, charged, float64(tokens))
+			e.spec.Running(account, remainingStreams)
 		})
 	}, nil
 }
--- a/internal/process/mgentry/crash.go
+++ b/internal/process/mgentry/crash.go
@@ -16,12 +16,12 @@
 	if !e.spec.Quarantine.Watching() {
 		return nil
 	}
-	left, ok := e.spec.Quarantine.Admit(e.spec.Clock.Now(), j.digest())
+	remaining, ok := e.spec.Quarantine.Admit(e.spec.Clock.Now(), j.digest())
 	if ok {
 		return nil
 	}
 	e.spec.Metrics.Counter("held").Inc(1)
-	return mgquarantine.Problem(left, false)
+	return mgquarantine.Problem(remaining, false)
 }
 
 // recordCrash records an agent's report that its engine ended as it began the
@@ -49,9 +49,9 @@
 	if !r.entry.spec.Quarantine.Watching() {
 		return nil
 	}
-	if left, held := r.entry.spec.Quarantine.Held(r.entry.spec.Clock.Now(), r.job.digest()); held {
+	if remaining, held := r.entry.spec.Quarantine.Held(r.entry.spec.Clock.Now(), r.job.digest()); held {
 		r.entry.spec.Metrics.Counter("held").Inc(1)
-		return mgquarantine.Problem(left, r.mayHaveRun)
+		return mgquarantine.Problem(remaining, r.mayHaveRun)
 	}
 	if r.engineCrashed && !r.entry.spec.Quarantine.Retryable(r.job.digest()) {
 		return interruptedProblem()
--- a/internal/process/mgentry/deliver.go
+++ b/internal/process/mgentry/deliver.go
@@ -61,7 +61,7 @@
 	for {
 		select {
 		case d := <-deliveries:
-			if over, err := e.forward(out, format, d); over || err != nil {
+			if isLast, err := e.forward(out, format, d); isLast || err != nil {
 				return
 			}
 		case <-beat:
--- a/internal/process/mgentry/hedge.go
+++ b/internal/process/mgentry/hedge.go
@@ -41,30 +41,30 @@
 	defer cancel()
 	hedge := e.hedges.of(call.service.Name())
 	startedAt := e.spec.Clock.Now()
-	answers := make(chan callResult, 2)
-	e.sendCopy(ctx, call, first, answers)
-	running := 1
+	results := make(chan callResult, 2)
+	e.sendCopy(ctx, call, first, results)
+	pending := 1
 	hedgeTimer := make(<-chan struct{})
 	if after, known := hedge.After(); known && call.service.Hedge() > 0 && len(second) > 0 {
 		hedgeTimer = e.spec.Clock.After(after)
 	}
 	for {
 		select {
-		case answer := <-answers:
-			running--
-			if answer.isGood() {
+		case result := <-results:
+			pending--
+			if result.isGood() {
 				hedge.Answered(e.spec.Clock.Now()-startedAt, call.service.Hedge())
-				return answer
+				return result
 			}
-			if running == 0 {
-				return answer
+			if pending == 0 {
+				return result
 			}
 		case <-hedgeTimer:
 			hedgeTimer = nil
 			if hedge.Allow() {
 				e.spec.Metrics.Counter("hedged").Inc(1)
-				e.sendCopy(ctx, call, second[0], answers)
-				running++
+				e.sendCopy(ctx, call, second[0], results)
+				pending++
 			}
 		}
 	}
--- a/internal/process/mgentry/leave_test.go
+++ b/internal/process/mgentry/leave_test.go
@@ -37,8 +37,8 @@
 		},
 	}
 	Convey("An upstream that leaves gets no new work, and ends what it has", t, func() {
-		for story, leave := range cases {
-			Convey(story, func() {
+		for name, leave := range cases {
+			Convey(name, func() {
 				var whole, late, before int
 				play(t, 2, func(r *rig) {
 					var all sync.WaitGroup
@@ -60,7 +60,7 @@
 	})
 	Convey("An entry that leaves ends what it has and refuses the rest at once", t, func() {
 		var whole int
-		var told string
+		var status string
 		play(t, 2, func(r *rig) {
 			var all sync.WaitGroup
 			early := askAll(r, &all, 10)
@@ -68,11 +68,11 @@
 			r.entries["entry-1"].Leave()
 			c := r.caller()
 			c.ask("entry-1", 5, true)
-			told = c.observed[0]
+			status = c.observed[0]
 			all.Wait()
 			whole = countWhole(early)
 		})
-		So(told, ShouldEqual, "503")
+		So(status, ShouldEqual, "503")
 		So(whole, ShouldEqual, 10)
 	})
 }
@@ -102,26 +102,26 @@
 				const notice = 4 * mgclock.Second
 				var session string
 				var over atomic.Bool
-				var told bool // whether the request ended while the engine was alive
-				var begun map[string]int
+				var endedEarly bool // whether the request ended while the engine was alive
+				var starts map[string]int
 				play(t, 2, func(r *rig) {
 					r.isolated.Store(true)
 					var all sync.WaitGroup
-					who := r.caller()
+					caller := r.caller()
 					all.Go(func() {
-						who.ask("entry-1", 1000, c.stream)
+						caller.ask("entry-1", 1000, c.stream)
 						over.Store(true)
 					})
 					r.clock.Sleep(r.ctx, mgclock.Second)
 					r.reclaim(notice)
 					r.clock.Sleep(r.ctx, notice-1)
-					told = over.Load()
-					begun = r.starts()
+					endedEarly = over.Load()
+					starts = r.starts()
 					all.Wait()
-					session = who.session()
+					session = caller.session()
 				})
-				So(told, ShouldEqual, c.stream)
-				So(len(begun) == 2, ShouldEqual, !c.stream)
+				So(endedEarly, ShouldEqual, c.stream)
+				So(len(starts) == 2, ShouldEqual, !c.stream)
 				for _, part := range c.session {
 					So(session, ShouldContainSubstring, part)
 				}
--- a/internal/process/mgentry/moved_test.go
+++ b/internal/process/mgentry/moved_test.go
@@ -40,10 +40,10 @@
 		})
 		server := httptest.NewServer(entry.Routes())
 		defer server.Close()
-		var told []string
+		var names []string
 		ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{
 			Got1xxResponse: func(_ int, header textproto.MIMEHeader) error {
-				told = append(told, header.Get("Answer"))
+				names = append(names, header.Get("Answer"))
 				return nil
 			},
 		})
@@ -56,7 +56,7 @@
 		defer response.Body.Close()
 		line, err := bufio.NewReader(response.Body).ReadString('\n')
 		So(err, ShouldBeNil)
-		So(len(told), ShouldEqual, 2)
-		So(line, ShouldEqual, "id: "+told[1]+".1\n")
+		So(len(names), ShouldEqual, 2)
+		So(line, ShouldEqual, "id: "+names[1]+".1\n")
 	})
 }
--- a/internal/process/mgentry/read.go
+++ b/internal/process/mgentry/read.go
@@ -140,15 +140,15 @@
 		case mgdelivery.Finish:
 			r.recordSuccess()
 		}
-		moved := decision.Action() == mgdelivery.Elsewhere
+		restarted := decision.Action() == mgdelivery.Elsewhere
 		deliver := decision.Action() == mgdelivery.Deliver || decision.Action() == mgdelivery.Finish
-		if deliver || moved || problem != nil {
+		if deliver || restarted || problem != nil {
 			return delivery{
 				decision:    decision,
 				problem:     problem,
 				attempt:     r.attempt,
 				preemptions: r.preemptions,
-				restarted:   moved,
+				restarted:   restarted,
 			}
 		}
 	}
@@ -205,8 +205,8 @@
 	if r.job == nil || r.receiver.Last() > 0 || r.receivedTokens > 0 {
 		return ctx, func() {}
 	}
-	left := r.job.firstTokenDeadline + firstTokenGrace - r.entry.spec.Clock.Now()
-	return context.WithTimeout(ctx, max(left, 1).Duration())
+	remaining := r.job.firstTokenDeadline + firstTokenGrace - r.entry.spec.Clock.Now()
+	return context.WithTimeout(ctx, max(remaining, 1).Duration())
 }
 
 // callerGone ends the reading for a caller that has disconnected. A caller that
--- a/internal/process/mgentry/rig_test.go
+++ b/internal/process/mgentry/rig_test.go
@@ -116,12 +116,12 @@
 const engineMemory = 40000
 
 // play runs a scenario on a rig with the given number of engines, from engine-1 on.
-func play(t *testing.T, engines int, story func(r *rig)) {
-	playWith(t, engines, engineMemory, story)
+func play(t *testing.T, engines int, scenario func(r *rig)) {
+	playWith(t, engines, engineMemory, scenario)
 }
 
 // playWith is like play, but the engines have other memory than the table says.
-func playWith(t *testing.T, engines, memory int, story func(r *rig)) {
+func playWith(t *testing.T, engines, memory int, scenario func(r *rig)) {
 	synctest.Test(t, func(t *testing.T) {
 		parsed, err := mgtable.Parse([]byte(table))
 		if err != nil {
@@ -161,7 +161,7 @@
 		r.entry("entry-1")
 		r.entry("entry-2")
 		synctest.Wait()
-		story(r)
+		scenario(r)
 		for _, name := range r.running() {
 			r.kill(name)
 		}
@@ -259,7 +259,9 @@
 	spec.Settings.Call = int64(callTimeout)
 	spec.Seal = &r.seal
 	spec.Failed = func(agent string) { members.Failed(r.clock.Now(), agent) }
-	spec.Heard = func(agent, life string, leaving bool) { members.Heard(r.clock.Now(), agent, life, leaving) }
+	spec.Heard = func(agent, incarnation string, leaving bool) {
+		members.Heard(r.clock.Now(), agent, incarnation, leaving)
+	}
 	spec.Calls = &mglink.Guard{
 		Pooled:   r.Transport(name, false),
 		Again:    r.Transport(name, true),
--- a/internal/process/mgentry/route.go
+++ b/internal/process/mgentry/route.go
@@ -50,15 +50,15 @@
 	fleet := e.fleet()
 	offers, problem := e.probe(ctx, j, fleet, e.candidates(j, fleet, avoid, random))
 	query := e.query(j)
-	doubt := false
+	mayHaveRun := false
 	for len(offers) > 0 {
 		best := fleet.best(offers, query, random)
 		attempt, refused := e.startAt(ctx, j, fleet, offers[best])
 		if refused == nil {
-			attempt.priorMayHaveRun = doubt
+			attempt.priorMayHaveRun = mayHaveRun
 			return attempt, nil
 		}
-		doubt = doubt || refused.Outcome() != mgproblem.NotRun
+		mayHaveRun = mayHaveRun || refused.Outcome() != mgproblem.NotRun
 		problem = mergeRefusals(problem, refused)
 		offers = slices.Delete(offers, best, best+1)
 	}
@@ -155,8 +155,8 @@
 func (e *Entry) probe(request context.Context, j *job, fleet *fleet, candidates []probeResult) ([]probeResult, *mgproblem.Problem) {
 	ctx, cancel := context.WithTimeout(request, mgclock.Millis(e.spec.Settings.Probe).Duration())
 	defer cancel()
-	answers := make(chan probeResult, len(candidates))
-	question := &mgrpc.ProbeRequest{
+	replies := make(chan probeResult, len(candidates))
+	probeRequest := &mgrpc.ProbeRequest{
 		Account: j.account.Name(),
 		Service: j.service.Name(),
 		Model:   j.model,
@@ -168,39 +168,39 @@
 	}
 	for _, candidate := range candidates {
 		go func() {
-			candidate.offer, candidate.err = e.client(candidate.agent).Probe(ctx, question)
-			answers <- candidate
+			candidate.offer, candidate.err = e.client(candidate.agent).Probe(ctx, probeRequest)
+			replies <- candidate
 		}()
 	}
-	return e.collectOffers(request, answers, len(candidates), fleet)
+	return e.collectOffers(request, replies, len(candidates), fleet)
 }
 
 // enoughOffers is the number of good offers after which the entry stops waiting
 // for further replies, so that one slow agent doesn't delay every request.
 const enoughOffers = 2
 
-func (e *Entry) collectOffers(request context.Context, answers <-chan probeResult, count int, fleet *fleet) ([]probeResult, *mgproblem.Problem) {
+func (e *Entry) collectOffers(request context.Context, replies <-chan probeResult, count int, fleet *fleet) ([]probeResult, *mgproblem.Problem) {
 	var good []probeResult
 	problem := crowdedProblem()
 	for range count {
-		answer := <-answers
-		if answer.err != nil {
-			e.reportFailed(request, answer.agent)
+		reply := <-replies
+		if reply.err != nil {
+			e.reportFailed(request, reply.agent)
 			continue
 		}
-		offer := answer.offer
-		e.spec.Heard(answer.agent.Name(), offer.GetIncarnation(), offer.GetLeaving())
-		e.spec.Seen(offer.GetVersion(), answer.agent.Name())
+		offer := reply.offer
+		e.spec.Heard(reply.agent.Name(), offer.GetIncarnation(), offer.GetLeaving())
+		e.spec.Seen(offer.GetVersion(), reply.agent.Name())
 		switch {
-		case offer.GetLeaving() && answer.index != noIndex:
-			fleet.routes.Leave(answer.index)
+		case offer.GetLeaving() && reply.index != noIndex:
+			fleet.routes.Leave(reply.index)
 		case offer.GetLeaving():
 		case offer.GetRefused() != "":
 			problem = mergeRefusals(problem, mgproblem.New(mgproblem.Kind(offer.GetRefused()), mgproblem.NotRun,
 				"no upstream can answer in time", "come back after the time in Retry-After").
 				WithRetry(mgclock.Millis(offer.GetRetry())))
 		default:
-			good = append(good, answer)
+			good = append(good, reply)
 		}
 		if len(good) >= enoughOffers {
 			break
--- a/internal/process/mgentry/session_test.go
+++ b/internal/process/mgentry/session_test.go
@@ -315,10 +315,10 @@
 				var got string
 				var stall mgclock.Millis
 				play(t, c.engines, func(r *rig) {
-					who := r.caller()
-					c.play(r, who)
-					got = who.session()
-					stall = who.stall
+					caller := r.caller()
+					c.play(r, caller)
+					got = caller.session()
+					stall = caller.stall
 				})
 				golden(t, c.name, got)
 				if c.stall > 0 {
@@ -330,8 +330,8 @@
 }
 
 // golden compares a session with its golden file.
-func golden(t *testing.T, story, got string) {
-	file := filepath.Join("testdata", "sessions", strings.NewReplacer(" ", "-", ",", "").Replace(story)+".txt")
+func golden(t *testing.T, name, got string) {
+	file := filepath.Join("testdata", "sessions", strings.NewReplacer(" ", "-", ",", "").Replace(name)+".txt")
 	if *update {
 		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
 			t.Fatal(err)
--- a/internal/process/mgentry/write_test.go
+++ b/internal/process/mgentry/write_test.go
@@ -111,9 +111,9 @@
 			play: func(r *rig, c *caller) []string {
 				id := c.mint("entry-1")
 				r.Kill("books")
-				told := []string{c.write("entry-1", id)}
+				reported := []string{c.write("entry-1", id)}
 				r.Serve("books", r.books.Handler())
-				return append(told, c.write("entry-1", id), c.write("entry-1", c.mint("entry-1")))
+				return append(reported, c.write("entry-1", id), c.write("entry-1", c.mint("entry-1")))
 			},
 			want: "[crowded/notrun tombstone/notrun done]",
 			runs: 1,
@@ -122,9 +122,9 @@
 			name: "the agent is replaced between two tries",
 			play: func(r *rig, c *caller) []string {
 				id := c.mint("entry-1")
-				told := []string{c.write("entry-1", id)}
+				reported := []string{c.write("entry-1", id)}
 				r.agent("agent-books", "books")
-				return append(told, c.write("entry-1", id), c.write("entry-2", id))
+				return append(reported, c.write("entry-1", id), c.write("entry-2", id))
 			},
 			want: "[done incarnation/unknown incarnation/unknown]",
 			runs: 1,
@@ -153,13 +153,13 @@
 			name: "two entries send it at once",
 			play: func(r *rig, c *caller) []string {
 				id := c.mint("entry-1")
-				told := make([]string, 2)
+				reported := make([]string, 2)
 				var both sync.WaitGroup
 				for i, entry := range []string{"entry-1", "entry-2"} {
-					both.Go(func() { told[i] = r.caller().write(entry, id) })
+					both.Go(func() { reported[i] = r.caller().write(entry, id) })
 				}
 				both.Wait()
-				return told
+				return reported
 			},
 			want: "[done done]",
 			runs: 1,
@@ -167,15 +167,15 @@
 		{
 			name: "the pooled connections to the agent have gone silent, twice",
 			play: func(r *rig, c *caller) []string {
-				var told []string
+				var reported []string
 				for range 2 {
 					id := c.mint("entry-1")
 					r.Silence("agent-books")
 					before := r.clock.Now()
-					told = append(told, c.write("entry-1", id))
-					told = append(told, fmt.Sprint(r.clock.Now()-before <= maxSilence+beat))
+					reported = append(reported, c.write("entry-1", id))
+					reported = append(reported, fmt.Sprint(r.clock.Now()-before <= maxSilence+beat))
 				}
-				return told
+				return reported
 			},
 			want: "[done true done true]",
 			runs: 2,
@@ -196,9 +196,9 @@
 			play: func(r *rig, c *caller) []string {
 				id := c.mint("entry-1")
 				r.Cut("entry-1", "agent-books")
-				told := []string{c.write("entry-1", id), c.write("entry-2", id)}
+				reported := []string{c.write("entry-1", id), c.write("entry-2", id)}
 				r.Heal("entry-1", "agent-books")
-				return append(told, c.write("entry-1", id))
+				return append(reported, c.write("entry-1", id))
 			},
 			want: "[unconfirmed/unknown done done]",
 			runs: 1,
@@ -214,8 +214,8 @@
 			name: "no key, and the answer is lost",
 			play: func(r *rig, c *caller) []string {
 				r.injectFault(mgstandin.Lost, 1)
-				told := c.write("entry-1", "")
-				return []string{told, fmt.Sprint(strings.Contains(c.remedy, "mint an operation first"))}
+				reported := c.write("entry-1", "")
+				return []string{reported, fmt.Sprint(strings.Contains(c.remedy, "mint an operation first"))}
 			},
 			want: "[unconfirmed/unknown true]",
 			runs: 1,
@@ -230,13 +230,13 @@
 	Convey("A write", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				var told string
+				var reported string
 				runs := 0
 				play(t, 1, func(r *rig) {
-					told = fmt.Sprint(c.play(r, r.caller()))
+					reported = fmt.Sprint(c.play(r, r.caller()))
 					runs = r.books.Counts().Total
 				})
-				So(told, ShouldEqual, c.want)
+				So(reported, ShouldEqual, c.want)
 				So(runs, ShouldEqual, c.runs)
 			})
 		}
@@ -276,11 +276,11 @@
 		runs = r.books.Counts().Runs
 	})
 	counts := map[string]int{}
-	for id, told := range l.outcomes {
-		outcome := told[strings.LastIndex(told, "/")+1:]
+	for id, reported := range l.outcomes {
+		outcome := reported[strings.LastIndex(reported, "/")+1:]
 		counts[outcome]++
 		if runs[id] > 1 || outcome == "notrun" && runs[id] > 0 || outcome == "done" && runs[id] != 1 {
-			t.Errorf("told %s, ran %d times", told, runs[id])
+			t.Errorf("told %s, ran %d times", reported, runs[id])
 		}
 	}
 	total, twice := 0, 0
@@ -307,16 +307,16 @@
 			id = c.mint(entries[random.IntN(2)])
 			r.clock.Sleep(r.ctx, mgclock.Millis(random.IntN(200)))
 		}
-		told := ""
+		reported := ""
 		for range maxTries {
-			told = c.write(entries[random.IntN(2)], id)
-			if told == "done" || strings.HasSuffix(told, "/notrun") {
+			reported = c.write(entries[random.IntN(2)], id)
+			if reported == "done" || strings.HasSuffix(reported, "/notrun") {
 				break
 			}
 			r.clock.Sleep(r.ctx, mgclock.Millis(random.IntN(500)))
 		}
 		l.mu.Lock()
-		l.outcomes[id] = told
+		l.outcomes[id] = reported
 		l.mu.Unlock()
 	}
 }
