--- a/internal/process/mgentry/crash.go
+++ b/internal/process/mgentry/crash.go
@@ -38,7 +38,7 @@
 		Delay:    now - r.attempt.sentAt, // upper bound: the report does not say when the engine ended
 	})
 	r.entry.spec.Metrics.Counter("crashed").Inc(1)
-	r.entry.spec.Log.Info("an engine ended as it began a generation",
+	r.entry.spec.Log.Info("engine ended while it began a generation",
 		mglog.Attempt, r.attempt.id, mglog.Upstream, r.attempt.agent.Upstream(),
 		mglog.Account, r.job.account.Name(), "digest", digest.String())
 }
--- a/internal/process/mgentry/crash_test.go
+++ b/internal/process/mgentry/crash_test.go
@@ -78,7 +78,7 @@
 			ask(entry, "len=6")
 			So(reads.Load(), ShouldEqual, 5)
 		})
-		Convey("is forgiven once an engine answers it", func() {
+		Convey("is not held once an engine has answered it", func() {
 			entry := httptest.NewServer(newEntry(hostTransport{
 				"agent-1": agent("agent-1", crashed()),
 				"agent-2": agent("agent-2", &mgrpc.Frame{
--- a/internal/process/mgentry/deliver.go
+++ b/internal/process/mgentry/deliver.go
@@ -19,7 +19,7 @@
 var heartbeatComment = []byte(": hb\n\n")
 
 // errCallerSlow means that a caller did not read its stream in time.
-var errCallerSlow = errors.New("entry: the caller does not take its answer: it may resume it")
+var errCallerSlow = errors.New("entry: caller did not read its stream in time; it may resume the answer")
 
 // eventStream writes server-sent events to a caller.
 type eventStream struct {
--- a/internal/process/mgentry/doubt_test.go
+++ b/internal/process/mgentry/doubt_test.go
@@ -35,7 +35,7 @@
 // later attests "not run". If the caller is told "not run", it sends the request
 // again although the first attempt may be running.
 func TestUnansweredStartReportedNotRun(t *testing.T) {
-	Convey("A refusal after a start without an answer is unknown", t, func() {
+	Convey("A refusal after an unanswered start has an unknown outcome", t, func() {
 		entry := newEntry(silentTransport{
 			host: "agent-1",
 			hostTransport: hostTransport{
--- a/internal/process/mgentry/leave_test.go
+++ b/internal/process/mgentry/leave_test.go
@@ -32,11 +32,11 @@
 func TestLeaving(t *testing.T) {
 	cases := map[string]func(r *rig){
 		"the agent leaves": func(r *rig) { r.agents["agent-engine-1"].Leave() },
-		"the engine says that it leaves": func(r *rig) {
+		"the engine announces that it leaves": func(r *rig) {
 			r.engines["engine-1"].Set(mgstandin.Fault{Kind: mgstandin.Leave})
 		},
 	}
-	Convey("An upstream that leaves gets no new work, and ends what it has", t, func() {
+	Convey("A leaving upstream gets no new work and finishes what it has", t, func() {
 		for name, leave := range cases {
 			Convey(name, func() {
 				var whole, late, before int
@@ -58,7 +58,7 @@
 			})
 		}
 	})
-	Convey("An entry that leaves ends what it has and refuses the rest at once", t, func() {
+	Convey("A leaving entry finishes what it has and refuses new requests at once", t, func() {
 		var whole int
 		var status string
 		play(t, 2, func(r *rig) {
@@ -87,12 +87,12 @@
 		session []string // substrings of the session
 	}{
 		{
-			name:    "a caller who reads along is told why, and how far it came",
+			name:    "a streaming caller is told the reason and the number of tokens delivered",
 			stream:  true,
 			session: []string{"delivered: leaving", `"outcome":"unknown"`, "as generated: true"},
 		},
 		{
-			name:    "a caller who wants it whole has it from elsewhere before the engine dies",
+			name:    "a caller without streaming gets the answer from another engine, begun before this one dies",
 			session: []string{`"completion_tokens":1000`, `"finish_reason":"stop"`},
 		},
 	}
@@ -134,7 +134,7 @@
 // it dies. Those that would not end in time must continue at the other engine in
 // the same generation: one text, and no generation begun twice.
 func TestReclaimedMoves(t *testing.T) {
-	Convey("Generations of an engine that is reclaimed go on at another", t, func() {
+	Convey("Generations of a reclaimed engine continue at another", t, func() {
 		var whole, resumed int
 		var starts map[string]int
 		var stall mgclock.Millis
@@ -158,7 +158,7 @@
 		So(starts["engine-1"]+starts["engine-2"], ShouldEqual, 10)
 		So(stall, ShouldBeLessThan, mgclock.Second)
 	})
-	Convey("A caller that comes back by the answer's old name finds it where it went", t, func() {
+	Convey("A caller that resumes by the answer's old name finds the moved generation", t, func() {
 		var first, second string
 		var resumed int
 		play(t, 2, func(r *rig) {
--- a/internal/process/mgentry/moved_test.go
+++ b/internal/process/mgentry/moved_test.go
@@ -19,7 +19,7 @@
 // another. A caller that knows only the first generation's name takes the second's
 // tokens for another answer's, resumes the dead generation and loses the answer.
 func TestStaleAnswerNameAfterRestart(t *testing.T) {
-	Convey("The last name told ahead is that of the tokens that come", t, func() {
+	Convey("The last name announced is that of the tokens' event IDs", t, func() {
 		entry := newEntry(hostTransport{
 			"agent-1": agentHandler(acceptingAgent{
 				firstTokenWait: 1,
--- a/internal/process/mgentry/read.go
+++ b/internal/process/mgentry/read.go
@@ -45,7 +45,7 @@
 }
 
 // errUnreachable means that the agent did not answer the request for frames.
-var errUnreachable = errors.New("entry: an agent did not answer: it is asked again on a new connection")
+var errUnreachable = errors.New("entry: agent did not answer; retrying on a new connection")
 
 // open opens the stream of the attempt's generation.
 func (r *answerReader) open(request context.Context) {
@@ -103,7 +103,7 @@
 	}
 	problem := &mgproblem.Problem{}
 	if err := problem.UnmarshalJSON(data); err != nil {
-		return fmt.Errorf("entry: an agent answered %s: look at its log", response.Status)
+		return fmt.Errorf("entry: unexpected response from agent: %s; see the agent's log", response.Status)
 	}
 	return problem
 }
@@ -181,7 +181,7 @@
 	agent, known := r.entry.spec.View().Member(frame.GetMoved())
 	if !known {
 		// The list of VMs is out of date: the next read finds the agent or fails.
-		r.entry.spec.Log.Info("a generation moved to an agent that isn't known here", mglog.Attempt, r.attempt.id, "agent", frame.GetMoved())
+		r.entry.spec.Log.Info("generation moved to an unknown agent", mglog.Attempt, r.attempt.id, "agent", frame.GetMoved())
 		return
 	}
 	r.stream.Close()
@@ -272,7 +272,7 @@
 		return r.adjustOutcome(problem)
 	}
 	r.entry.spec.Metrics.Counter("elsewhere").Inc(1)
-	mglog.Debug(r.entry.spec.Log).Info("generation started elsewhere",
+	mglog.Debug(r.entry.spec.Log).Info("generation restarted at another agent",
 		mglog.Attempt, attempt.id, mglog.Upstream, attempt.agent.Upstream(), mglog.Account, r.job.account.Name())
 	r.attempt = attempt
 	r.mayHaveRun = r.mayHaveRun || attempt.priorMayHaveRun
--- a/internal/process/mgentry/relay.go
+++ b/internal/process/mgentry/relay.go
@@ -173,7 +173,7 @@
 func (e *Entry) deny(w http.ResponseWriter, r *http.Request, table *mgtable.Table, refusal func(w http.ResponseWriter)) {
 	certain := e.spec.Certain == nil || e.spec.Certain()
 	if e.relay != nil {
-		e.spec.Log.Info("the table in force has no such route or key",
+		e.spec.Log.Info("request not allowed: the table in force has no such route or key",
 			mglog.Request, r.Header.Get(e.spec.Relay.Form.ID), "host", r.Host, "path", r.URL.Path,
 			mglog.Version, table.Version(), "certain", certain)
 	}
--- a/internal/process/mgentry/write_test.go
+++ b/internal/process/mgentry/write_test.go
@@ -280,7 +280,7 @@
 		outcome := reported[strings.LastIndex(reported, "/")+1:]
 		counts[outcome]++
 		if runs[id] > 1 || outcome == "notrun" && runs[id] > 0 || outcome == "done" && runs[id] != 1 {
-			t.Errorf("told %s, ran %d times", reported, runs[id])
+			t.Errorf("reported %s, ran %d times", reported, runs[id])
 		}
 	}
 	total, twice := 0, 0
@@ -290,9 +290,9 @@
 			twice++
 		}
 	}
-	t.Logf("%d writes: told %v; %d runs, %d writes ran twice", len(l.outcomes), counts, total, twice)
+	t.Logf("%d writes: reported %v; %d runs, %d writes ran twice", len(l.outcomes), counts, total, twice)
 	if len(l.outcomes) != writeCount {
-		t.Errorf("%d writes were told of", len(l.outcomes))
+		t.Errorf("%d writes have a reported outcome", len(l.outcomes))
 	}
 }
 
