--- a/internal/process/mgentry/agents.go
+++ b/internal/process/mgentry/agents.go
@@ -81,8 +81,8 @@
 	if found, ok := e.clients.Load(base); ok {
 		return found.(mgrpc.Agent)
 	}
-	made := mgrpc.NewAgentProtobufClient(base, &http.Client{Transport: e.spec.Calls})
-	found, _ := e.clients.LoadOrStore(base, made)
+	client := mgrpc.NewAgentProtobufClient(base, &http.Client{Transport: e.spec.Calls})
+	found, _ := e.clients.LoadOrStore(base, client)
 	return found.(mgrpc.Agent)
 }
 
--- a/internal/process/mgentry/services.go
+++ b/internal/process/mgentry/services.go
@@ -115,10 +115,10 @@
 		Zone:   e.spec.Settings.Zone,
 		Region: e.spec.Settings.Region,
 	}
-	places := fleet.routes.Candidates(nil, query, e.newRandom())
-	slices.SortStableFunc(places, func(a, b int) int { return fleet.routes.Flights(a) - fleet.routes.Flights(b) })
+	indexes := fleet.routes.Candidates(nil, query, e.newRandom())
+	slices.SortStableFunc(indexes, func(a, b int) int { return fleet.routes.Flights(a) - fleet.routes.Flights(b) })
 	var found []host
-	for _, index := range places {
+	for _, index := range indexes {
 		found = append(found, host{
 			agent: fleet.members[index],
 			fleet: fleet,
