--- a/internal/process/mgentry/crash.go
+++ b/internal/process/mgentry/crash.go
@@ -6,26 +6,27 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// digest names what the caller asked for.
+// digest returns the digest that identifies the request's content.
 func (j *job) digest() mgquarantine.Digest {
 	return mgquarantine.DigestOf(j.account.Name(), j.service.Name(), j.model, []byte(j.prompt))
 }
 
-// admit returns what to tell the caller of a request that crashes upstreams, or nil.
-func (e *Entry) admit(j *job) *mgproblem.Problem {
+// checkQuarantine returns the refusal of a quarantined request, or nil.
+func (e *Entry) checkQuarantine(j *job) *mgproblem.Problem {
 	if !e.spec.Quarantine.Watching() {
 		return nil
 	}
-	left, ok := e.spec.Quarantine.Admit(e.spec.Clock.Now(), j.digest())
+	remaining, ok := e.spec.Quarantine.Admit(e.spec.Clock.Now(), j.digest())
 	if ok {
 		return nil
 	}
 	e.spec.Metrics.Counter("held").Inc(1)
-	return mgquarantine.Problem(left, false)
+	return mgquarantine.Problem(remaining, false)
 }
 
-// noteCrash takes an agent's word that its engine ended as it began the attempt.
-func (r *reading) noteCrash() {
+// recordCrash records an agent's report that its engine ended as it began the
+// attempt.
+func (r *answerReader) recordCrash() {
 	digest := r.job.digest()
 	now := r.entry.spec.Clock.Now()
 	r.entry.spec.Quarantine.Crashed(now, mgquarantine.Crash{
@@ -33,32 +34,33 @@
 		Request:  r.attempt.id,
 		Upstream: r.attempt.agent.Upstream(),
 		Begun:    true,
-		Sent:     r.attempt.sent,
-		Delay:    now - r.attempt.sent, // the agent's word doesn't tell when the engine ended
+		Sent:     r.attempt.sentAt,
+		Delay:    now - r.attempt.sentAt, // upper bound: the report does not say when the engine ended
 	})
 	r.entry.spec.Metrics.Counter("crashed").Inc(1)
-	r.entry.spec.Log.Info("an engine ended as it began a generation",
+	r.entry.spec.Log.Info("engine ended while it began a generation",
 		mglog.Attempt, r.attempt.id, mglog.Upstream, r.attempt.agent.Upstream(),
 		mglog.Account, r.job.account.Name(), "digest", digest.String())
 }
 
-// dangerous returns why a request is not begun at another engine, or nil.
-func (r *reading) dangerous() *mgproblem.Problem {
+// restartProblem returns why the request must not start at another engine, or
+// nil.
+func (r *answerReader) restartProblem() *mgproblem.Problem {
 	if !r.entry.spec.Quarantine.Watching() {
 		return nil
 	}
-	if left, held := r.entry.spec.Quarantine.Held(r.entry.spec.Clock.Now(), r.job.digest()); held {
+	if remaining, held := r.entry.spec.Quarantine.Held(r.entry.spec.Clock.Now(), r.job.digest()); held {
 		r.entry.spec.Metrics.Counter("held").Inc(1)
-		return mgquarantine.Problem(left, r.doubt)
+		return mgquarantine.Problem(remaining, r.mayHaveRun)
 	}
-	if r.crashed && !r.entry.spec.Quarantine.Retryable(r.job.digest()) {
+	if r.engineCrashed && !r.entry.spec.Quarantine.Retryable(r.job.digest()) {
 		return interruptedProblem()
 	}
 	return nil
 }
 
-// noteSound takes that an engine answered the request.
-func (r *reading) noteSound() {
+// recordSuccess records that an engine answered the request.
+func (r *answerReader) recordSuccess() {
 	if r.job != nil && r.entry.spec.Quarantine.Watching() {
 		r.entry.spec.Quarantine.Answered(r.entry.spec.Clock.Now(), r.job.digest())
 	}
--- a/internal/process/mgentry/crash_test.go
+++ b/internal/process/mgentry/crash_test.go
@@ -13,20 +13,20 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgrpc"
 )
 
-// counted counts the reads of frames that reach an agent.
-type counted struct {
+// readCounter counts the requests for frames that reach an agent.
+type readCounter struct {
 	next  http.Handler
 	reads *atomic.Int32
 }
 
-func (c counted) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c readCounter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet {
 		c.reads.Add(1)
 	}
 	c.next.ServeHTTP(w, r)
 }
 
-// A prompt that crashes engines must not be started over, or sent again, until none is left.
+// A prompt that crashes engines is restarted or resent until no engine is left.
 func TestCrashingPrompt(t *testing.T) {
 	crashed := func() *mgrpc.Frame {
 		return &mgrpc.Frame{
@@ -37,11 +37,11 @@
 	Convey("A prompt that crashes engines", t, func() {
 		var reads atomic.Int32
 		agent := func(name string, frame *mgrpc.Frame) http.Handler {
-			return counted{
-				next: host(taker{
-					name: name,
-					wait: 1,
-					told: "unknown",
+			return readCounter{
+				next: agentHandler(acceptingAgent{
+					name:           name,
+					firstTokenWait: 1,
+					cancelOutcome:  "unknown",
 				}, frame),
 				reads: &reads,
 			}
@@ -59,7 +59,7 @@
 			return response.StatusCode, string(got)
 		}
 		Convey("reaches two engines, then one, then none", func() {
-			entry := httptest.NewServer(entryOver(hosts{
+			entry := httptest.NewServer(newEntry(hostTransport{
 				"agent-1": agent("agent-1", crashed()),
 				"agent-2": agent("agent-2", crashed()),
 			}).Routes())
@@ -78,8 +78,8 @@
 			ask(entry, "len=6")
 			So(reads.Load(), ShouldEqual, 5)
 		})
-		Convey("is forgiven once an engine answers it", func() {
-			entry := httptest.NewServer(entryOver(hosts{
+		Convey("is not held once an engine has answered it", func() {
+			entry := httptest.NewServer(newEntry(hostTransport{
 				"agent-1": agent("agent-1", crashed()),
 				"agent-2": agent("agent-2", &mgrpc.Frame{
 					Seq:   1,
--- a/internal/process/mgentry/entry.go
+++ b/internal/process/mgentry/entry.go
@@ -26,79 +26,80 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// Spec is what an entry is made of.
+// Spec holds the settings and dependencies of an entry.
 type Spec struct {
 	Settings mgsettings.Entry
 	Clock    mgclock.Clock
 	Log      logr.Logger
 	Metrics  *mgmetric.Set
 	Seal     *mgseal.Signer
-	// Table returns the table in force, or nil while there is none.
+	// Table returns the table in force, or nil before the first one.
 	Table func() *mgtable.Table
-	// Certain reports whether that table was the newest a moment ago, so that what it
-	// doesn't name isn't there. Nil stands for yes.
+	// Certain reports whether the table in force was recently confirmed to be the
+	// newest, so that a name it lacks does not exist. Nil means always.
 	Certain func() bool
-	// Seen tells that another process goes by a version.
+	// Seen reports the table version that another process uses.
 	Seen func(version uint64, from string)
-	// View returns the other processes as they are known now.
+	// View returns the current view of the other processes.
 	View func() *mgmember.View
-	// Failed tells of a process that could not be reached, Heard of one's word
-	// of itself.
+	// Failed reports a process that could not be reached. Heard reports what a
+	// process has announced about itself.
 	Failed func(name string)
 	Heard  func(name, incarnation string, leaving bool)
-	// Acquire returns this entry's slice of an account's caps, and false for an
-	// account without caps; Running tells how many streams of it run here.
-	// Without Acquire no account has caps.
+	// Acquire returns this entry's share of an account's caps, and false for an
+	// account without caps. Running reports how many of the account's streams run
+	// on this entry. If Acquire is nil, no account has caps.
 	Acquire func(ctx context.Context, account string, tokens float64) (mgshare.Slice, bool)
 	Running func(account string, count int)
-	// Calls is for calls to agents, Frames opens each stream on a connection of
+	// Calls carries calls to agents. Frames opens each stream on a connection of
 	// its own.
 	Calls  http.RoundTripper
 	Frames http.RoundTripper
-	// Quarantine holds requests back that crash upstreams. New makes one where it is nil.
+	// Quarantine holds back requests that crash upstreams. New creates one if it is
+	// nil.
 	Quarantine *mgquarantine.Quarantine
-	// Relay passes the requests through that the table's routes name. Without
-	// it the table's routes have no effect.
+	// Relay forwards the requests that match the table's routes. If it is nil, the
+	// routes have no effect.
 	Relay *mgrelay.Spec
-	// Answered tells of an upstream that a relayed request reached.
+	// Answered reports that a relayed request reached an upstream.
 	Answered func(name string)
-	// Elsewhere reports whether a caller that this entry turns away while it
-	// stops likely finds one that stays. Nil stands for yes.
+	// Elsewhere reports whether a caller that this entry refuses while it stops
+	// will probably reach an entry that is not stopping. Nil means always.
 	Elsewhere func() bool
-	// Others returns what the other entries have sent to upstreams.
+	// Others returns the load that the other entries have sent to upstreams.
 	Others func() mgload.Report
-	// Stale reports whether the list of VMs may lack what has changed, and Left
-	// is told of an upstream that says itself that it leaves.
+	// Stale reports whether the list of VMs may be out of date. Left reports an
+	// upstream that has announced that it is leaving.
 	Stale func() bool
 	Left  func(name string)
-	// Changed returns a channel that is closed when View is next replaced.
+	// Changed returns a channel that is closed when the view is next replaced.
 	Changed func() <-chan struct{}
-	// Base returns the URL of an agent's address.
+	// Base returns the base URL for an agent's address.
 	Base func(address string) string
 }
 
-// An Entry answers callers. Make one with New.
+// Entry serves callers. Create one with New.
 type Entry struct {
-	spec    Spec
-	signer  *mganswer.Signer
-	clients sync.Map // base URL to mgrpc.Agent
-	frames  *http.Client
-	known   atomic.Pointer[fleet]
-	budgets mgretry.Budgets
-	relay   *mgrelay.Relay // nil without Spec.Relay
-	load    mgload.Count   // of relayed requests
-	hedges  hedges
-	caps    caps
-	busy    atomic.Int64
-	leaving atomic.Bool
-	ends    atomic.Int64  // when a stopping process ends, ms of its clock; 0: it doesn't stop
-	number  atomic.Uint64 // attempts so far
-	epoch   string        // names this process's attempts
+	spec         Spec
+	signer       *mganswer.Signer
+	clients      sync.Map // base URL to mgrpc.Agent
+	frames       *http.Client
+	currentFleet atomic.Pointer[fleet]
+	budgets      mgretry.Budgets
+	relay        *mgrelay.Relay // nil without Spec.Relay
+	load         mgload.Count   // of relayed requests
+	hedges       hedges
+	caps         accountCaps
+	busy         atomic.Int64
+	leaving      atomic.Bool
+	stopTime     atomic.Int64 // ms of the process clock; 0 if the process is not stopping
+	attemptCount atomic.Uint64
+	epoch        string // prefix of the attempt IDs
 
-	preparing sync.Mutex // held while a fleet is prepared
+	fleetMu sync.Mutex // held while a fleet is built
 }
 
-// New returns an entry; epoch is unique to this life of the process.
+// New returns an entry; epoch is unique to this incarnation of the process.
 func New(spec Spec, epoch string) *Entry {
 	if spec.Quarantine == nil {
 		spec.Quarantine = &mgquarantine.Quarantine{}
@@ -109,79 +110,81 @@
 		frames: &http.Client{Transport: spec.Frames},
 		epoch:  epoch,
 	}
-	e.openRelay()
+	e.initRelay()
 	return e
 }
 
-// Stopping tells that the process ends at a time. Requests that can't end by
-// then are refused from now on, and each answer asks its caller for a new
-// connection, which reaches another entry: callers that keep theirs would all be
-// refused when Leave comes.
-func (e *Entry) Stopping(end mgclock.Millis) { e.ends.Store(int64(end)) }
+// Stopping announces the time at which the process stops. Requests that can't
+// end by then are refused from now on. Each response asks its caller to open a
+// new connection, which reaches another entry: otherwise all callers that keep
+// their connections would be refused at once when Leave is called.
+func (e *Entry) Stopping(end mgclock.Millis) { e.stopTime.Store(int64(end)) }
 
-// left returns how long the process still lives, or false when it doesn't stop,
-// or a caller would fare no better elsewhere.
-func (e *Entry) left() (mgclock.Millis, bool) {
-	end := mgclock.Millis(e.ends.Load())
+// remaining returns the time until the process stops. It returns false if the
+// process is not stopping or a caller would fare no better at another entry.
+func (e *Entry) remaining() (mgclock.Millis, bool) {
+	end := mgclock.Millis(e.stopTime.Load())
 	if end == 0 || e.spec.Elsewhere != nil && !e.spec.Elsewhere() {
 		return 0, false
 	}
 	return end - e.spec.Clock.Now(), true
 }
 
-// Leave makes the entry refuse new requests; those in progress go on.
+// Leave makes the entry refuse new requests; those in progress continue.
 func (e *Entry) Leave() { e.leaving.Store(true) }
 
 // Busy returns the number of requests in progress.
 func (e *Entry) Busy() int { return int(e.busy.Load()) }
 
-// Routes returns the callers' handler.
+// Routes returns the HTTP handler for callers.
 func (e *Entry) Routes() http.Handler {
 	router := chi.NewRouter()
-	router.Use(e.count)
-	router.Use(e.bound)
-	router.Use(e.routed)
-	router.NotFound(e.unrouted)
+	router.Use(e.countRequests)
+	router.Use(e.limitBody)
+	router.Use(e.relayRouted)
+	router.NotFound(e.notFound)
 	router.Group(func(callers chi.Router) {
-		callers.Post("/v1/chat/completions", e.account(e.chat))
-		callers.Post("/v1/completions", e.account(e.complete))
-		callers.Get("/v1/models", e.account(e.models))
-		callers.Get("/v1/answers/{answer}", e.account(e.resume))
-		callers.Delete("/v1/answers/{answer}", e.account(e.cancel))
-		callers.Post("/v1/services/{service}/operations", e.account(e.mint))
-		callers.HandleFunc("/v1/services/{service}/*", e.account(e.service))
+		callers.Post("/v1/chat/completions", e.authenticate(e.chat))
+		callers.Post("/v1/completions", e.authenticate(e.complete))
+		callers.Get("/v1/models", e.authenticate(e.models))
+		callers.Get("/v1/answers/{answer}", e.authenticate(e.resume))
+		callers.Delete("/v1/answers/{answer}", e.authenticate(e.cancel))
+		callers.Post("/v1/services/{service}/operations", e.authenticate(e.mintOperation))
+		callers.HandleFunc("/v1/services/{service}/*", e.authenticate(e.callService))
 	})
 	return router
 }
 
-// count keeps the number of requests in progress and turns new ones away once
-// the entry is leaving: the balancer may send some until it has noticed.
-func (e *Entry) count(next http.Handler) http.Handler {
+// countRequests tracks the number of requests in progress and refuses new ones
+// once the entry is leaving: the load balancer may keep sending some until it
+// notices.
+func (e *Entry) countRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.busy.Add(1)
 		defer e.busy.Add(-1)
-		if e.ends.Load() > 0 {
+		if e.stopTime.Load() > 0 {
 			w.Header().Set("Connection", "close")
 		}
 		if e.leaving.Load() {
-			e.refuse(w, leaving())
+			e.refuse(w, leavingProblem())
 			return
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// leaving is told of a request that a stopping entry doesn't take.
-func leaving() *mgproblem.Problem {
+// leavingProblem returns the refusal of a request to an entry that is leaving.
+func leavingProblem() *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Leaving, mgproblem.NotRun,
-		"this entry is leaving", "send the request again on a new connection").WithRetry(leaveRetry)
+		"this entry is leaving", "send the request again on a new connection").WithRetry(leaveRetryDelay)
 }
 
-// leaveRetry is the pause before a caller turns to another entry: none is
-// needed but for the balancer's way.
-const leaveRetry = 20 * mgclock.Millis(1)
+// leaveRetryDelay is the delay before a caller retries at another entry. It only
+// covers the path through the load balancer.
+const leaveRetryDelay = 20 * mgclock.Millis(1)
 
-// refuse answers with a problem in the form of the deployment's callers.
+// refuse writes a problem in the relay's format if the entry has a relay, and as
+// problem+json otherwise.
 func (e *Entry) refuse(w http.ResponseWriter, problem *mgproblem.Problem) {
 	if e.relay != nil {
 		e.relay.Write(w, problem)
@@ -191,16 +194,16 @@
 	mgproblem.Write(w, problem)
 }
 
-// bound limits a request's body.
-func (e *Entry) bound(next http.Handler) http.Handler {
+// limitBody limits the size of a request's body.
+func (e *Entry) limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, e.spec.Settings.Body)
 		next.ServeHTTP(w, r)
 	})
 }
 
-// caller is what an authenticated request goes by: one table from its start
-// to its end.
+// caller is an authenticated account and the table that applies to its request
+// from start to end.
 type caller struct {
 	account *mgtable.Account
 	table   *mgtable.Table
@@ -208,8 +211,8 @@
 
 type handler func(w http.ResponseWriter, r *http.Request, c caller)
 
-// account authenticates the caller by its key.
-func (e *Entry) account(next handler) http.HandlerFunc {
+// authenticate identifies the account by the key in the request.
+func (e *Entry) authenticate(next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		table := e.spec.Table()
 		if table == nil {
@@ -217,9 +220,9 @@
 				"no configuration is in force yet", "try another entry").WithRetry(mgclock.Second))
 			return
 		}
-		account := accountOf(table, r)
+		account := accountByKey(table, r)
 		if account == nil {
-			e.deny(w, r, table, e.stranger)
+			e.deny(w, r, table, e.refuseUnknownKey)
 			return
 		}
 		next(w, r, caller{
@@ -229,40 +232,40 @@
 	}
 }
 
-// accountOf returns the account whose key a request carries, or nil.
-func accountOf(table *mgtable.Table, r *http.Request) *mgtable.Account {
+// accountByKey returns the account whose key the request carries, or nil.
+func accountByKey(table *mgtable.Table, r *http.Request) *mgtable.Account {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	return table.ByKey(key)
 }
 
-// stranger refuses a caller without a key of the table.
-func (e *Entry) stranger(w http.ResponseWriter) {
+// refuseUnknownKey refuses a caller whose key is not in the table.
+func (e *Entry) refuseUnknownKey(w http.ResponseWriter) {
 	e.spec.Metrics.Counter("strangers").Inc(1)
 	mgproblem.Write(w, mgproblem.New(mgproblem.Stranger, mgproblem.NotRun,
 		"no client account has this key", "send Authorization: Bearer and a key of the table"))
 }
 
-// random returns a source of random numbers for one request. Requests run on
-// many goroutines and a shared source would need a lock.
-func (e *Entry) random() *rand.Rand {
+// newRandom returns a source of random numbers for one request. Requests run
+// concurrently, and a shared source would need a lock.
+func (e *Entry) newRandom() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
-// State is the entry's part of the dump.
+// State is the entry's section of the state dump.
 type State struct {
 	Busy     int    `json:"busy"`
 	Leaving  bool   `json:"leaving"`
 	Attempts uint64 `json:"attempts"`
 	Agents   int    `json:"agents"`
-	Capped   int    `json:"capped"` // accounts whose caps are counted here
+	Capped   int    `json:"capped"` // accounts whose cap usage this entry tracks
 }
 
-// State returns what the entry holds, in numbers.
+// State returns counts that describe the current state of the entry.
 func (e *Entry) State() State {
 	return State{
 		Busy:     e.Busy(),
 		Leaving:  e.leaving.Load(),
-		Attempts: e.number.Load(),
+		Attempts: e.attemptCount.Load(),
 		Agents:   e.fleet().routes.Len(),
 		Capped:   e.caps.Len(),
 	}
--- a/internal/process/mgentry/hedge_test.go
+++ b/internal/process/mgentry/hedge_test.go
@@ -15,7 +15,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// lookups is the table of the sessions with a lookup that may be sent twice, on two upstreams.
+// lookups is the sessions' table with an additional lookup service that may be
+// hedged, on two upstreams.
 var lookups = strings.Replace(table, `services = ["report", "ticket"]`, `services = ["report", "ticket", "level"]`, 1) + `
 [[service]]
 name = "level"
@@ -37,14 +38,14 @@
 batch = 16
 `
 
-// after is an agent that answers each call after a time.
-type after struct {
+// delayedAgent answers each call after a delay.
+type delayedAgent struct {
 	mgrpc.Agent
 	delay *atomic.Int64 // ms
 	calls *atomic.Int64
 }
 
-func (a after) Invoke(ctx context.Context, _ *mgrpc.InvokeRequest) (*mgrpc.InvokeReply, error) {
+func (a delayedAgent) Invoke(ctx context.Context, _ *mgrpc.InvokeRequest) (*mgrpc.InvokeReply, error) {
 	a.calls.Add(1)
 	mgclock.Clock{}.Sleep(ctx, mgclock.Millis(a.delay.Load()))
 	return &mgrpc.InvokeReply{
@@ -53,17 +54,16 @@
 	}, nil
 }
 
-func delayed(delay, calls *atomic.Int64) http.Handler {
-	return mgrpc.NewAgentServer(after{
+func delayedHandler(delay, calls *atomic.Int64) http.Handler {
+	return mgrpc.NewAgentServer(delayedAgent{
 		delay: delay,
 		calls: calls,
 	})
 }
 
-// A gauger stands at a tank and waits for a level: its upstream has turned slow
-// and the other one is idle. Once it is known that lookups take 20 ms, a second
-// copy goes to the other upstream, and the first good reply counts. When both
-// are slow, the copies stop: they would only add to the load.
+// One upstream becomes slow while the other is idle, and lookups wait for the slow
+// one. Once lookups are known to take 20 ms, a copy must go to the other upstream.
+// When both are slow, copies must stop, since they only add load.
 func TestHedge(t *testing.T) {
 	Convey("Lookups at a slow upstream", t, func() {
 		var slowest mgclock.Millis
@@ -72,9 +72,9 @@
 			var delays, calls [2]atomic.Int64
 			delays[0].Store(20)
 			delays[1].Store(20)
-			entry := entryBy(lookups, "level", hosts{
-				"agent-1": delayed(&delays[0], &calls[0]),
-				"agent-2": delayed(&delays[1], &calls[1]),
+			entry := newEntryWithTable(lookups, "level", hostTransport{
+				"agent-1": delayedHandler(&delays[0], &calls[0]),
+				"agent-2": delayedHandler(&delays[1], &calls[1]),
 			})
 			for range 200 {
 				lookup(entry.Routes())
@@ -100,11 +100,11 @@
 	})
 }
 
-// lookup makes one lookup and returns how long it took.
+// lookup makes one lookup and returns its duration.
 func lookup(handler http.Handler) mgclock.Millis {
 	begun := mgclock.Clock{}.Now()
 	recorder := httptest.NewRecorder()
-	handler.ServeHTTP(recorder, tankline(http.MethodGet, "/v1/services/level/tank/7", ""))
+	handler.ServeHTTP(recorder, tanklineRequest(http.MethodGet, "/v1/services/level/tank/7", ""))
 	if recorder.Code != http.StatusOK {
 		return mgclock.Minute
 	}
--- a/internal/process/mgentry/leave_test.go
+++ b/internal/process/mgentry/leave_test.go
@@ -11,10 +11,11 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// leaveBound is how long after the first sign an upstream may still get work.
-const leaveBound = 3 * mgclock.Second
+// maxLeaveDelay is how long after its first announcement a leaving upstream may
+// still get work.
+const maxLeaveDelay = 3 * mgclock.Second
 
-// starts returns how many generations each engine began.
+// starts returns the number of generations that each engine began.
 func (r *rig) starts() map[string]int {
 	counts := map[string]int{}
 	for name, e := range r.engines {
@@ -25,32 +26,31 @@
 	return counts
 }
 
-// A dossier is cut off by a planned stop, or sent to an engine that is about to
-// go. Each case leaves in its own way while ten answers stream; ten more are
-// asked for after the bound. All twenty must be whole, and none of the later
-// ones on the one that leaves.
+// A planned stop cuts off answers, or new ones go to an upstream that is about to
+// stop. Ten answers stream when it leaves, ten more start after maxLeaveDelay: all
+// twenty must be whole, and none of the later ones may run on the leaving one.
 func TestLeaving(t *testing.T) {
 	cases := map[string]func(r *rig){
 		"the agent leaves": func(r *rig) { r.agents["agent-engine-1"].Leave() },
-		"the engine says that it leaves": func(r *rig) {
+		"the engine announces that it leaves": func(r *rig) {
 			r.engines["engine-1"].Set(mgstandin.Fault{Kind: mgstandin.Leave})
 		},
 	}
-	Convey("An upstream that leaves gets no new work, and ends what it has", t, func() {
-		for story, leave := range cases {
-			Convey(story, func() {
+	Convey("A leaving upstream gets no new work and finishes what it has", t, func() {
+		for name, leave := range cases {
+			Convey(name, func() {
 				var whole, late, before int
 				play(t, 2, func(r *rig) {
 					var all sync.WaitGroup
-					early := ask(r, &all, 10)
+					early := askAll(r, &all, 10)
 					r.clock.Sleep(r.ctx, 500)
 					leave(r)
-					r.clock.Sleep(r.ctx, leaveBound)
+					r.clock.Sleep(r.ctx, maxLeaveDelay)
 					before = r.starts()["engine-1"]
-					later := ask(r, &all, 10)
+					later := askAll(r, &all, 10)
 					all.Wait()
 					late = r.starts()["engine-1"] - before
-					whole = wholes(early) + wholes(later)
+					whole = countWhole(early) + countWhole(later)
 				})
 				So(before, ShouldBeGreaterThan, 0)
 				So(whole, ShouldEqual, 20)
@@ -58,43 +58,41 @@
 			})
 		}
 	})
-	Convey("An entry that leaves ends what it has and refuses the rest at once", t, func() {
+	Convey("A leaving entry finishes what it has and refuses new requests at once", t, func() {
 		var whole int
-		var told string
+		var status string
 		play(t, 2, func(r *rig) {
 			var all sync.WaitGroup
-			early := ask(r, &all, 10)
+			early := askAll(r, &all, 10)
 			r.clock.Sleep(r.ctx, 500)
 			r.entries["entry-1"].Leave()
 			c := r.caller()
 			c.ask("entry-1", 5, true)
-			told = c.seen[0]
+			status = c.observed[0]
 			all.Wait()
-			whole = wholes(early)
+			whole = countWhole(early)
 		})
-		So(told, ShouldEqual, "503")
+		So(status, ShouldEqual, "503")
 		So(whole, ShouldEqual, 10)
 	})
 }
 
-// An engine is reclaimed with four seconds' notice while a long answer comes, and
-// no other engine can take it over.
-// The caller sees it break off when the engine dies, and nobody knows why; one
-// who wants it whole waits until then for an answer that could have begun
-// elsewhere.
+// An engine is reclaimed with four seconds' notice while a long answer comes from
+// it, and no other can take it over. The caller sees an unexplained cut, or waits
+// for the whole answer until the engine dies although it could run elsewhere.
 func TestReclaimed(t *testing.T) {
 	cases := []struct {
 		name    string
 		stream  bool
-		session []string // parts of it
+		session []string // substrings of the session
 	}{
 		{
-			name:    "a caller who reads along is told why, and how far it came",
+			name:    "a streaming caller is told the reason and the number of tokens delivered",
 			stream:  true,
 			session: []string{"delivered: leaving", `"outcome":"unknown"`, "as generated: true"},
 		},
 		{
-			name:    "a caller who wants it whole has it from elsewhere before the engine dies",
+			name:    "a caller without streaming gets the answer from another engine, begun before this one dies",
 			session: []string{`"completion_tokens":1000`, `"finish_reason":"stop"`},
 		},
 	}
@@ -104,26 +102,26 @@
 				const notice = 4 * mgclock.Second
 				var session string
 				var over atomic.Bool
-				var told bool // while the engine lived
-				var begun map[string]int
+				var endedEarly bool // whether the request ended while the engine was alive
+				var starts map[string]int
 				play(t, 2, func(r *rig) {
-					r.alone.Store(true)
+					r.isolated.Store(true)
 					var all sync.WaitGroup
-					who := r.caller()
+					caller := r.caller()
 					all.Go(func() {
-						who.ask("entry-1", 1000, c.stream)
+						caller.ask("entry-1", 1000, c.stream)
 						over.Store(true)
 					})
 					r.clock.Sleep(r.ctx, mgclock.Second)
 					r.reclaim(notice)
 					r.clock.Sleep(r.ctx, notice-1)
-					told = over.Load()
-					begun = r.starts()
+					endedEarly = over.Load()
+					starts = r.starts()
 					all.Wait()
-					session = who.session()
+					session = caller.session()
 				})
-				So(told, ShouldEqual, c.stream)
-				So(len(begun) == 2, ShouldEqual, !c.stream)
+				So(endedEarly, ShouldEqual, c.stream)
+				So(len(starts) == 2, ShouldEqual, !c.stream)
 				for _, part := range c.session {
 					So(session, ShouldContainSubstring, part)
 				}
@@ -132,22 +130,21 @@
 	})
 }
 
-// An engine is reclaimed with two seconds' notice while ten dossiers stream from
-// it and another. Their callers see them cut in the middle when it dies. Each
-// that would not end in time goes on at the other engine, from the same
-// generation: its text is what one run makes, and no engine began it twice.
+// An engine is reclaimed with two seconds' notice, and answers from it are cut when
+// it dies. Those that would not end in time must continue at the other engine in
+// the same generation: one text, and no generation begun twice.
 func TestReclaimedMoves(t *testing.T) {
-	Convey("Generations of an engine that is reclaimed go on at another", t, func() {
+	Convey("Generations of a reclaimed engine continue at another", t, func() {
 		var whole, resumed int
 		var starts map[string]int
 		var stall mgclock.Millis
 		play(t, 2, func(r *rig) {
 			var all sync.WaitGroup
-			callers := ask(r, &all, 10)
+			callers := askAll(r, &all, 10)
 			r.clock.Sleep(r.ctx, mgclock.Second)
 			r.reclaim(2 * mgclock.Second)
 			all.Wait()
-			whole = wholes(callers)
+			whole = countWhole(callers)
 			for _, c := range callers {
 				stall = max(stall, c.stall)
 			}
@@ -161,60 +158,60 @@
 		So(starts["engine-1"]+starts["engine-2"], ShouldEqual, 10)
 		So(stall, ShouldBeLessThan, mgclock.Second)
 	})
-	Convey("A caller that comes back by the answer's old name finds it where it went", t, func() {
+	Convey("A caller that resumes by the answer's old name finds the moved generation", t, func() {
 		var first, second string
 		var resumed int
 		play(t, 2, func(r *rig) {
 			c := r.caller()
-			c.at(100, func() { r.kill("entry-1") })
-			c.ask("entry-1", answerLength, true)
+			c.onTokenCount(100, func() { r.kill("entry-1") })
+			c.ask("entry-1", answerTokens, true)
 			r.reclaim(2 * mgclock.Second)
 			r.clock.Sleep(r.ctx, mgclock.Second)
 			c.resume("entry-2")
 			resumed = r.engines["engine-1"].Counts().Resumed + r.engines["engine-2"].Counts().Resumed
-			first, second = mgstandin.Whole(c.generation(), answerLength), c.text.String()
+			first, second = mgstandin.Whole(c.generation(), answerTokens), c.text.String()
 		})
 		So(second, ShouldEqual, first)
 		So(resumed, ShouldEqual, 1)
 	})
 }
 
-// answerLength outlasts the bound: about five seconds of decoding.
-const answerLength = 400
+// answerTokens takes about five seconds to decode, longer than maxLeaveDelay.
+const answerTokens = 400
 
-// ask asks for answers at once through entry-1.
-func ask(r *rig, all *sync.WaitGroup, count int) []*caller {
+// askAll requests answers concurrently through entry-1.
+func askAll(r *rig, all *sync.WaitGroup, count int) []*caller {
 	callers := make([]*caller, count)
 	for i := range callers {
 		callers[i] = r.caller()
-		callers[i].padding = 50 * i // tells the prompts apart
-		all.Go(func() { callers[i].ask("entry-1", answerLength, true) })
+		callers[i].paddingWords = 50 * i // makes the prompts differ
+		all.Go(func() { callers[i].ask("entry-1", answerTokens, true) })
 	}
 	return callers
 }
 
-// wholes counts the callers whose answer is whole and as generated.
-func wholes(callers []*caller) int {
+// countWhole counts the callers whose answer is whole and as generated.
+func countWhole(callers []*caller) int {
 	count := 0
 	for _, c := range callers {
-		if c.tokens == answerLength && c.text.String() == mgstandin.Whole(c.generation(), c.tokens) {
+		if c.tokens == answerTokens && c.text.String() == mgstandin.Whole(c.generation(), c.tokens) {
 			count++
 		}
 	}
 	return count
 }
 
-// An engine has less memory than it was thought to have, and fills up while
-// streams run. It evicts some and computes them again; no caller sees more than
-// a wait, and every text is whole.
+// An engine has less memory than the table says and fills up while streams run. It
+// preempts some and computes them again: callers may only see a delay, and every
+// text must be whole.
 func TestMemoryFillsUp(t *testing.T) {
 	Convey("Preempted generations are delivered whole", t, func() {
 		var whole, preempted int
 		playWith(t, 1, 4000, func(r *rig) {
 			var all sync.WaitGroup
-			callers := ask(r, &all, 10)
+			callers := askAll(r, &all, 10)
 			all.Wait()
-			whole = wholes(callers)
+			whole = countWhole(callers)
 			preempted = r.engines["engine-1"].Counts().Preempted
 		})
 		So(preempted, ShouldBeGreaterThan, 0)
--- a/internal/process/mgentry/relay.go
+++ b/internal/process/mgentry/relay.go
@@ -16,9 +16,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// openRelay makes the relay out of what the entry already has: one set of retry
-// budgets and one count of what is in flight, whatever form a request has.
-func (e *Entry) openRelay() {
+// initRelay creates the relay. It shares the entry's retry budgets and in-flight
+// counts, so that both cover requests of every format.
+func (e *Entry) initRelay() {
 	if e.spec.Relay == nil {
 		return
 	}
@@ -30,46 +30,47 @@
 	spec.Quarantine = e.spec.Quarantine
 	spec.Load = &e.load
 	spec.Others = e.spec.Others
-	spec.Left = e.left
+	spec.Left = e.remaining
 	spec.Departed = e.spec.Left
 	spec.Zone = e.spec.Settings.Zone
 	spec.Name = e.spec.Settings.Name
 	spec.Processes = func() int { return 1 + len(e.spec.View().Peers()) }
 	spec.Failed = e.spec.Failed
 	spec.Answered = e.spec.Answered
-	spec.Leaving = e.leavingUpstream
-	spec.Missing = e.missingUpstream
-	spec.Cordoned = e.cordonedUpstream
-	spec.Closed = e.closedService
+	spec.Leaving = e.isLeavingUpstream
+	spec.Missing = e.isMissingUpstream
+	spec.Cordoned = e.cordonAge
+	spec.Closed = e.isClosedService
 	spec.Changed = e.spec.Changed
-	spec.Every = e.every
+	spec.Every = e.directHosts
 	spec.Stale = e.spec.Stale
 	e.relay = mgrelay.New(spec)
 }
 
-// Run moves generations away from upstreams that leave, until ctx ends.
+// Run moves generations away from leaving upstreams until ctx ends.
 func (e *Entry) Run(ctx context.Context) {
 	if e.relay != nil {
 		e.relay.Run(ctx)
 	}
 }
 
-// leavingUpstream reports whether an upstream leaves or is gone from the list.
-func (e *Entry) leavingUpstream(name string) bool {
+// isLeavingUpstream reports whether an upstream is leaving or missing from the
+// list of VMs.
+func (e *Entry) isLeavingUpstream(name string) bool {
 	member, ok := e.spec.View().Agent(name)
 	return !ok || member.Leaving() || !member.Listed()
 }
 
-// missingUpstream reports whether the list lacks an upstream that hasn't said that it
-// leaves.
-func (e *Entry) missingUpstream(name string) bool {
+// isMissingUpstream reports whether an upstream is missing from the list of VMs
+// without having announced that it leaves.
+func (e *Entry) isMissingUpstream(name string) bool {
 	member, ok := e.spec.View().Agent(name)
 	return !ok || !member.Leaving() && !member.Listed()
 }
 
-// cordonedUpstream reports whether an upstream's availability zone gets no new work,
-// and how long that has been known here.
-func (e *Entry) cordonedUpstream(name string) (age mgclock.Millis, cordoned bool) {
+// cordonAge reports whether an upstream's availability zone is cordoned, and how
+// long this process has known it.
+func (e *Entry) cordonAge(name string) (age mgclock.Millis, cordoned bool) {
 	view := e.spec.View()
 	member, ok := view.Agent(name)
 	if !ok || !member.Cordoned() {
@@ -78,9 +79,9 @@
 	return e.spec.Clock.Now() - view.Cordoned()[member.Zone()], true
 }
 
-// closedService reports whether upstreams of a service stay, and the availability zones
-// of all of them are cordoned.
-func (e *Entry) closedService(service string) bool {
+// isClosedService reports whether a service has listed upstreams that are not
+// leaving, and the availability zones of all of them are cordoned.
+func (e *Entry) isClosedService(service string) bool {
 	cordoned := false
 	for _, member := range e.spec.View().All() {
 		if member.Leaving() || !member.Listed() || !slices.Contains(member.Services(), service) {
@@ -94,11 +95,11 @@
 	return cordoned
 }
 
-// Load returns the count of what was relayed to each upstream.
+// Load returns the count of requests relayed to each upstream.
 func (e *Entry) Load() *mgload.Count { return &e.load }
 
-// Places returns the upstreams of a service that are reached directly, by what
-// this and the other entries have sent there.
+// Places returns the directly reached upstreams of a service, with the load that
+// this entry and the others have sent there.
 func (e *Entry) Places(service string, others mgload.Report) []mgroom.Place {
 	table := e.spec.Table()
 	if e.relay == nil || table == nil {
@@ -107,16 +108,16 @@
 	return e.relay.Places(table, service, others)
 }
 
-// BoundRetries sets the most retries of each service that this entry holds,
-// where the entries share what a service allows.
+// BoundRetries sets the maximum number of retries that this entry's budget holds
+// for each service. The entries share what a service allows.
 func (e *Entry) BoundRetries(limit int) { e.budgets.Bound(limit) }
 
-// every returns all upstreams that run a service, are reached directly and
-// stay.
-func (e *Entry) every(service string) []mgrelay.Host {
+// directHosts returns the upstreams that run a service, that this entry reaches
+// without an agent and that accept new work.
+func (e *Entry) directHosts(service string) []mgrelay.Host {
 	fleet := e.fleet()
-	hosts := fleet.hosts[service]
-	now, span := e.spec.Clock.Now(), e.coldSpan(service)
+	hosts := fleet.directHosts[service]
+	now, coldWindow := e.spec.Clock.Now(), e.coldWindow(service)
 	list := make([]mgrelay.Host, 0, len(hosts))
 	for _, member := range hosts {
 		list = append(list, mgrelay.Host{
@@ -125,16 +126,16 @@
 			Zone:    member.Zone(),
 			Region:  member.Region(),
 			Suspect: member.Suspect(),
-			Cold:    member.Cold(now, span),
+			Cold:    member.Cold(now, coldWindow),
 			Born:    member.Born(),
-			Givers:  fleet.givers[service],
+			Givers:  fleet.assignerCount[service],
 		})
 	}
 	return list
 }
 
-// coldSpan returns for how long an upstream of a service is cold after its start.
-func (e *Entry) coldSpan(service string) mgclock.Millis {
+// coldWindow returns how long an upstream of a service counts as cold after a start.
+func (e *Entry) coldWindow(service string) mgclock.Millis {
 	table := e.spec.Table()
 	if table == nil {
 		return 0
@@ -145,52 +146,55 @@
 	return 0
 }
 
-// cellHosts is the least number of a service's upstreams that a cell must have for
-// its entries to keep to these: of fewer one that fails is too much.
-const cellHosts = 12
-
-// divide gives this entry's cell its part of each service's upstreams, so that
-// what it knows of them is what all that use them have sent.
-func (f *fleet) divide(cell mgmember.Cell) {
-	for service, all := range f.hosts {
-		f.givers[service] = cell.Of
-		if cell.Of > 1 && len(all) >= cellHosts*cell.Of {
-			f.hosts[service] = mgmember.Part(all, cell.Number, cell.Of)
-			f.givers[service] = 1
+// minCellHosts is the minimum number of a service's upstreams per cell for its
+// entries to use only these: with fewer, the failure of one would take too large
+// a part of the capacity.
+const minCellHosts = 12
+
+// restrictToCell restricts each service's upstreams to those of this entry's
+// cell, so that the load known in the cell is all the load that they get.
+func (f *fleet) restrictToCell(cell mgmember.Cell) {
+	for service, all := range f.directHosts {
+		f.assignerCount[service] = cell.Of
+		if cell.Of > 1 && len(all) >= minCellHosts*cell.Of {
+			f.directHosts[service] = mgmember.Part(all, cell.Number, cell.Of)
+			f.assignerCount[service] = 1
 		}
 	}
 }
 
-// unreadyRetry is the pause before a caller turns to another entry, or to this
-// one that is starting: it takes 50 ms once the platform answers.
-const unreadyRetry = 100 * mgclock.Millis(1)
+// unreadyRetryDelay is the delay before a caller retries, at another entry or at
+// this one while it starts: a start takes 50 ms once the platform responds.
+const unreadyRetryDelay = 100 * mgclock.Millis(1)
 
-// deny answers a request that the table in force doesn't allow. Where there may be a newer
-// table it is told to come back, since callers take a denial for the last word.
-func (e *Entry) deny(w http.ResponseWriter, r *http.Request, table *mgtable.Table, last func(w http.ResponseWriter)) {
+// deny refuses a request that the table in force doesn't allow. If there may be a
+// newer table, the caller is asked to retry, since callers treat a denial as
+// final.
+func (e *Entry) deny(w http.ResponseWriter, r *http.Request, table *mgtable.Table, refusal func(w http.ResponseWriter)) {
 	certain := e.spec.Certain == nil || e.spec.Certain()
 	if e.relay != nil {
-		e.spec.Log.Info("the table in force has no such route or key",
+		e.spec.Log.Info("request not allowed: the table in force has no such route or key",
 			mglog.Request, r.Header.Get(e.spec.Relay.Form.ID), "host", r.Host, "path", r.URL.Path,
 			mglog.Version, table.Version(), "certain", certain)
 	}
 	if certain {
 		e.spec.Metrics.Counter("denied").Inc(1)
-		last(w)
+		refusal(w)
 		return
 	}
 	e.spec.Metrics.Counter("doubted").Inc(1)
 	e.refuse(w, mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
 		"the table in force here may not be the newest, and has no such route or key",
-		"send it again after the time given").WithRetry(doubtRetry))
+		"send it again after the time given").WithRetry(staleTableRetryDelay))
 }
 
-// doubtRetry is when a caller may come back whose route or key isn't known here: the
-// platform is asked again within about as long.
-const doubtRetry = mgclock.Second
+// staleTableRetryDelay is the delay before a caller retries a request whose route
+// or key is unknown here. The platform is queried again within about as long.
+const staleTableRetryDelay = mgclock.Second
 
-// unrouted answers a request that neither a route nor the own interface takes.
-func (e *Entry) unrouted(w http.ResponseWriter, r *http.Request) {
+// notFound handles a request that matches neither a route of the table nor the
+// entry's own interface.
+func (e *Entry) notFound(w http.ResponseWriter, r *http.Request) {
 	missing := func(w http.ResponseWriter) {
 		mgproblem.Write(w, mgproblem.New(mgproblem.Missing, mgproblem.NotRun,
 			"no such path", "see the list of paths in docs/OPERATIONS.md"))
@@ -203,9 +207,9 @@
 	e.deny(w, r, table, missing)
 }
 
-// routed passes requests through that the table's routes name; others are
-// requests of the entry's own interface.
-func (e *Entry) routed(next http.Handler) http.Handler {
+// relayRouted passes requests that match the table's routes to the relay and all
+// others to the entry's own interface.
+func (e *Entry) relayRouted(next http.Handler) http.Handler {
 	if e.relay == nil {
 		return next
 	}
@@ -213,7 +217,7 @@
 		table := e.spec.Table()
 		if table == nil {
 			e.refuse(w, mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
-				"no configuration is in force yet", "try another entry").WithRetry(unreadyRetry))
+				"no configuration is in force yet", "try another entry").WithRetry(unreadyRetryDelay))
 			return
 		}
 		path, _, _ := strings.Cut(r.RequestURI, "?")
@@ -225,9 +229,9 @@
 			next.ServeHTTP(w, r)
 			return
 		}
-		account := accountOf(table, r)
+		account := accountByKey(table, r)
 		if account == nil && !route.Public() {
-			e.deny(w, r, table, e.stranger)
+			e.deny(w, r, table, e.refuseUnknownKey)
 			return
 		}
 		e.relay.Serve(w, r, mgrelay.Call{
--- a/internal/process/mgentry/moved_test.go
+++ b/internal/process/mgentry/restart_test.go
@@ -15,22 +15,22 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgrpc"
 )
 
-// A lookup's engine dies before the first token, and the entry starts over
-// elsewhere. The caller had been told the first generation's name ahead, held
-// the second one's tokens for a stranger's, and resumed the dead one: lost.
-func TestMoved(t *testing.T) {
-	Convey("The last name told ahead is that of the tokens that come", t, func() {
-		entry := entryOver(hosts{
-			"agent-1": host(taker{
-				wait: 1,
-				told: "unknown",
+// An engine dies before the first token, and the entry restarts the generation at
+// another. A caller that knows only the first generation's name takes the second's
+// tokens for another answer's, resumes the dead generation and loses the answer.
+func TestStaleAnswerNameAfterRestart(t *testing.T) {
+	Convey("The last name announced is that of the tokens' event IDs", t, func() {
+		entry := newEntry(hostTransport{
+			"agent-1": agentHandler(acceptingAgent{
+				firstTokenWait: 1,
+				cancelOutcome:  "unknown",
 			}, &mgrpc.Frame{
 				Fault:   "interrupted",
 				Outcome: "unknown",
 			}),
-			"agent-2": host(taker{
-				wait: 900,
-				told: "unknown",
+			"agent-2": agentHandler(acceptingAgent{
+				firstTokenWait: 900,
+				cancelOutcome:  "unknown",
 			}, &mgrpc.Frame{
 				Seq:   1,
 				Text:  []string{"tide "},
@@ -40,10 +40,10 @@
 		})
 		server := httptest.NewServer(entry.Routes())
 		defer server.Close()
-		var told []string
+		var names []string
 		ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{
 			Got1xxResponse: func(_ int, header textproto.MIMEHeader) error {
-				told = append(told, header.Get("Answer"))
+				names = append(names, header.Get("Answer"))
 				return nil
 			},
 		})
@@ -56,7 +56,7 @@
 		defer response.Body.Close()
 		line, err := bufio.NewReader(response.Body).ReadString('\n')
 		So(err, ShouldBeNil)
-		So(len(told), ShouldEqual, 2)
-		So(line, ShouldEqual, "id: "+told[1]+".1\n")
+		So(len(names), ShouldEqual, 2)
+		So(line, ShouldEqual, "id: "+names[1]+".1\n")
 	})
 }
--- a/internal/process/mgentry/rig_test.go
+++ b/internal/process/mgentry/rig_test.go
@@ -86,42 +86,42 @@
 
 const (
 	beat mgclock.Millis = 250
-	// silence is the longest that a link may say nothing.
-	silence = 3 * beat
-	// callWait bounds a plain-service call of the rig's entries.
-	callWait = 5 * mgclock.Second
+	// maxSilence is the longest time that a link may be silent.
+	maxSilence = 3 * beat
+	// callTimeout bounds a plain-service call of the rig's entries.
+	callTimeout = 5 * mgclock.Second
 )
 
-// A rig is a whole deployment over a network in memory, in virtual time: the
-// real entries and agents, and the stand-ins of the engines and the service.
+// rig is a whole deployment on an in-memory network in virtual time: real entries
+// and agents, with stand-ins for the engines and the service.
 type rig struct {
 	mgnetwork.Network
-	clock    mgclock.Clock
-	seal     mgseal.Signer
-	table    *mgtable.Table
-	ctx      context.Context
-	engines  map[string]*mgstandin.Engine
-	agents   map[string]*mgagent.Agent
-	entries  map[string]*mgentry.Entry
-	books    *mgstandin.Service
-	alone    atomic.Bool // agents know no others
-	list     mgplatform.List
-	mu       sync.Mutex // guards what follows
-	stops    map[string]func()
-	lives    int
-	crossing func(http.Handler) http.Handler // around the agents' frames, or nil
+	clock        mgclock.Clock
+	seal         mgseal.Signer
+	table        *mgtable.Table
+	ctx          context.Context
+	engines      map[string]*mgstandin.Engine
+	agents       map[string]*mgagent.Agent
+	entries      map[string]*mgentry.Entry
+	books        *mgstandin.Service
+	isolated     atomic.Bool // agents know of no other agents
+	list         mgplatform.List
+	mu           sync.Mutex // guards the fields below
+	stops        map[string]func()
+	incarnations int
+	wrapFrames   func(http.Handler) http.Handler // wraps the agents' handlers; may be nil
 }
 
-// engineMemory is what the table says of the engines, in tokens.
+// engineMemory is the memory of each engine in the table, in tokens.
 const engineMemory = 40000
 
-// play runs a story on a rig with engine-1 and on.
-func play(t *testing.T, engines int, story func(r *rig)) {
-	playWith(t, engines, engineMemory, story)
+// play runs a scenario on a rig with the given number of engines, from engine-1 on.
+func play(t *testing.T, engines int, scenario func(r *rig)) {
+	playWith(t, engines, engineMemory, scenario)
 }
 
-// playWith is play with engines of another memory than the table says.
-func playWith(t *testing.T, engines, memory int, story func(r *rig)) {
+// playWith is like play, but the engines have other memory than the table says.
+func playWith(t *testing.T, engines, memory int, scenario func(r *rig)) {
 	synctest.Test(t, func(t *testing.T) {
 		parsed, err := mgtable.Parse([]byte(table))
 		if err != nil {
@@ -151,17 +151,17 @@
 			r.engines[name] = e
 			running.Go(func() { e.Run(ctx) })
 			r.Serve(name, e.Handler())
-			r.row("agent-"+name, name, []string{"tank-70b"}, nil)
+			r.addVM("agent-"+name, name, []string{"tank-70b"}, nil)
 		}
 		r.Serve("books", r.books.Handler())
-		r.row("agent-books", "books", nil, []string{"ticket"})
+		r.addVM("agent-books", "books", nil, []string{"ticket"})
 		for _, vm := range r.list.VMs {
 			r.agent(vm.Name, vm.Upstream)
 		}
 		r.entry("entry-1")
 		r.entry("entry-2")
 		synctest.Wait()
-		story(r)
+		scenario(r)
 		for _, name := range r.running() {
 			r.kill(name)
 		}
@@ -171,7 +171,7 @@
 	})
 }
 
-func (r *rig) row(name, upstream string, models, services []string) {
+func (r *rig) addVM(name, upstream string, models, services []string) {
 	vm := agentVM(name, upstream)
 	vm.Addr = name + ":80"
 	vm.Models = models
@@ -179,7 +179,7 @@
 	r.list.VMs = append(r.list.VMs, vm)
 }
 
-// agent starts an agent, in place of the one that had its name.
+// agent starts an agent and replaces the one of the same name.
 func (r *rig) agent(name, upstream string) {
 	r.kill(name)
 	client := mgdial.NewClientWith(r.Dial(name))
@@ -197,7 +197,7 @@
 			Queue:    512,
 			Policy:   "ours",
 		},
-		Incarnation: r.life(),
+		Incarnation: r.newIncarnation(),
 		Log:         logr.Discard(),
 		Metrics:     mgmetric.New(),
 		Seal:        &r.seal,
@@ -220,22 +220,22 @@
 		a.Run(ctx)
 	}()
 	routes := a.Routes()
-	if r.crossing != nil {
-		routes = r.crossing(routes)
+	if r.wrapFrames != nil {
+		routes = r.wrapFrames(routes)
 	}
 	r.Serve(name, routes)
-	r.begun(name, func() {
+	r.registerStop(name, func() {
 		r.Kill(name)
 		cancel()
 		<-done
 	})
 }
 
-// others returns the agents beside engines but the one of that name.
+// others returns the agents of engines except the named one.
 func (r *rig) others(name string) []mgagent.Other {
 	var others []mgagent.Other
 	for _, vm := range r.list.VMs {
-		if r.alone.Load() || vm.Name == name || len(vm.Models) == 0 {
+		if r.isolated.Load() || vm.Name == name || len(vm.Models) == 0 {
 			continue
 		}
 		others = append(others, mgagent.Other{
@@ -247,7 +247,7 @@
 	return others
 }
 
-// entry starts an entry, in place of the one that had its name.
+// entry starts an entry and replaces the one of the same name.
 func (r *rig) entry(name string) {
 	r.kill(name)
 	members := mgmember.New(name)
@@ -256,17 +256,19 @@
 	spec.Settings.Name = name
 	spec.Settings.Slow = 10000
 	spec.Settings.Probe = 200
-	spec.Settings.Call = int64(callWait)
+	spec.Settings.Call = int64(callTimeout)
 	spec.Seal = &r.seal
 	spec.Failed = func(agent string) { members.Failed(r.clock.Now(), agent) }
-	spec.Heard = func(agent, life string, leaving bool) { members.Heard(r.clock.Now(), agent, life, leaving) }
+	spec.Heard = func(agent, incarnation string, leaving bool) {
+		members.Heard(r.clock.Now(), agent, incarnation, leaving)
+	}
 	spec.Calls = &mglink.Guard{
 		Pooled:   r.Transport(name, false),
 		Again:    r.Transport(name, true),
 		Interval: beat,
 	}
 	spec.Frames = r.Transport(name, true)
-	e := mgentry.New(spec, r.life())
+	e := mgentry.New(spec, r.newIncarnation())
 	r.mu.Lock()
 	r.entries[name] = e
 	r.mu.Unlock()
@@ -277,13 +279,13 @@
 		}
 	}()
 	r.Serve(name, e.Routes())
-	r.begun(name, func() {
+	r.registerStop(name, func() {
 		r.Kill(name)
 		cancel()
 	})
 }
 
-// kill ends a process without a word.
+// kill stops a process without notice.
 func (r *rig) kill(name string) {
 	r.mu.Lock()
 	stop := r.stops[name]
@@ -294,8 +296,8 @@
 	}
 }
 
-// begun notes how a process is ended.
-func (r *rig) begun(name string, stop func()) {
+// registerStop sets the function that stops a process.
+func (r *rig) registerStop(name string, stop func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stops[name] = stop
@@ -307,16 +309,16 @@
 	return slices.Collect(maps.Keys(r.stops))
 }
 
-// life names a new life of a process.
-func (r *rig) life() string {
+// newIncarnation returns the name of a new incarnation of a process.
+func (r *rig) newIncarnation() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lives++
-	return fmt.Sprintf("life-%02d", r.lives)
+	r.incarnations++
+	return fmt.Sprintf("life-%02d", r.incarnations)
 }
 
-// busy returns the engine that holds a generation.
-func (r *rig) busy() *mgstandin.Engine {
+// busyEngine returns an engine that has an unfinished generation, or nil.
+func (r *rig) busyEngine() *mgstandin.Engine {
 	for _, e := range r.engines {
 		if e.Load(); len(e.List()) > 0 && !e.List()[0].Done {
 			return e
@@ -325,9 +327,10 @@
 	return nil
 }
 
-// reclaim gives the engine that holds a generation notice, and ends it then.
+// reclaim announces to the engine with an unfinished generation that it will be
+// stopped, and kills it when the notice period ends.
 func (r *rig) reclaim(notice mgclock.Millis) {
-	e := r.busy()
+	e := r.busyEngine()
 	e.Set(mgstandin.Fault{
 		Kind:  mgstandin.Leave,
 		Delay: notice,
@@ -335,32 +338,32 @@
 	r.after(notice, func() { e.Set(mgstandin.Fault{Kind: mgstandin.Die}) })
 }
 
-// after calls what later, while the story goes on.
-func (r *rig) after(span mgclock.Millis, what func()) {
+// after runs callback after a delay, concurrently with the scenario.
+func (r *rig) after(delay mgclock.Millis, callback func()) {
 	go func() {
-		r.clock.Sleep(r.ctx, span)
-		what()
+		r.clock.Sleep(r.ctx, delay)
+		callback()
 	}()
 }
 
-// strike sets a fault that the next calls of the service meet.
-func (r *rig) strike(kind string, calls int) {
+// injectFault makes the next calls of the service fail.
+func (r *rig) injectFault(kind string, calls int) {
 	r.books.Set(mgstandin.Fault{
 		Kind:  kind,
 		Times: calls,
 	})
 }
 
-// slow makes the service's calls take longer.
-func (r *rig) slow(delay mgclock.Millis) {
+// slowService delays the service's replies.
+func (r *rig) slowService(delay mgclock.Millis) {
 	r.books.Set(mgstandin.Fault{
 		Kind:  mgstandin.Slow,
 		Delay: delay,
 	})
 }
 
-// breakOff sets a fault of engine-1's streams after some tokens.
-func (r *rig) breakOff(kind string, tokens uint64) {
+// breakStream makes engine-1's streams fail after some tokens.
+func (r *rig) breakStream(kind string, tokens uint64) {
 	r.engines["engine-1"].Set(mgstandin.Fault{
 		Kind:  kind,
 		After: tokens,
--- a/internal/process/mgentry/services.go
+++ b/internal/process/mgentry/services.go
@@ -21,26 +21,26 @@
 )
 
 const (
-	// keyHeader names the operation that a caller repeats (Jena, Dalal 2023,
-	// draft-ietf-httpapi-idempotency-key-header).
-	keyHeader = "Idempotency-Key"
-	// outcomeHeader tells what became of a call.
+	// idempotencyKeyHeader names the operation that a caller repeats (Jena, Dalal
+	// 2023, draft-ietf-httpapi-idempotency-key-header).
+	idempotencyKeyHeader = "Idempotency-Key"
+	// outcomeHeader reports the outcome of a call.
 	outcomeHeader = "Outcome"
-	// repeatPause is the wait before an agent is asked again for an operation's
+	// repeatInterval is the interval between requests to an agent for an operation's
 	// result.
-	repeatPause = 100 * mgclock.Millis(1)
+	repeatInterval = 100 * mgclock.Millis(1)
 )
 
-// call is a plain-service call, checked against the table.
+// call is a plain-service call that was validated against the table.
 type call struct {
 	caller
-	service *mgtable.Service
-	request *mgrpc.InvokeRequest
-	due     mgclock.Millis // when it is given up
+	service  *mgtable.Service
+	request  *mgrpc.InvokeRequest
+	deadline mgclock.Millis
 }
 
-// plain returns the plain service that the path names.
-func (e *Entry) plain(r *http.Request, c caller) (*mgtable.Service, *mgproblem.Problem) {
+// plainService returns the plain service that the request path names.
+func (e *Entry) plainService(r *http.Request, c caller) (*mgtable.Service, *mgproblem.Problem) {
 	name := chi.URLParam(r, "service")
 	service := c.table.Service(name)
 	if service == nil || service.Kind() != mgtable.Plain {
@@ -53,14 +53,15 @@
 	return service, nil
 }
 
-// mint names a new operation of a service whose calls may not be repeated.
-func (e *Entry) mint(w http.ResponseWriter, r *http.Request, c caller) {
-	service, problem := e.plain(r, c)
+// mintOperation creates an operation for a service whose calls must not be
+// repeated.
+func (e *Entry) mintOperation(w http.ResponseWriter, r *http.Request, c caller) {
+	service, problem := e.plainService(r, c)
 	if problem != nil {
 		mgproblem.Write(w, problem)
 		return
 	}
-	operation, _, problem := e.mintAt(r.Context(), c, service.Name())
+	operation, _, problem := e.mintAnywhere(r.Context(), c, service.Name())
 	if problem != nil {
 		mgproblem.Write(w, problem)
 		return
@@ -70,24 +71,24 @@
 	_, _ = w.Write([]byte(`{"operation":"` + operation + `"}` + "\n"))
 }
 
-// mintAt mints an operation at any agent that runs the service. Minting runs
-// nothing, so it may be tried at one after another.
-func (e *Entry) mintAt(ctx context.Context, c caller, service string) (string, *mgmember.Member, *mgproblem.Problem) {
+// mintAnywhere mints an operation at any agent that runs the service. Minting
+// runs nothing, so it is safe to try one agent after another.
+func (e *Entry) mintAnywhere(ctx context.Context, c caller, service string) (string, *mgmember.Member, *mgproblem.Problem) {
 	for _, host := range e.hosts(service) {
-		reply, err := e.mintOnce(ctx, host.agent, c, service)
+		reply, err := e.mintAtAgent(ctx, host.agent, c, service)
 		if err != nil {
-			e.failed(ctx, host.agent)
+			e.reportFailed(ctx, host.agent)
 			continue
 		}
 		if reply.GetFault() == nil {
 			return reply.GetOperation(), host.agent, nil
 		}
 	}
-	return "", nil, crowded()
+	return "", nil, crowdedProblem()
 }
 
-func (e *Entry) mintOnce(ctx context.Context, agent *mgmember.Member, c caller, service string) (*mgrpc.MintReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWait.Duration())
+func (e *Entry) mintAtAgent(ctx context.Context, agent *mgmember.Member, c caller, service string) (*mgrpc.MintReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, shortCallTimeout.Duration())
 	defer cancel()
 	return e.client(agent).Mint(ctx, &mgrpc.MintRequest{
 		Account: c.account.Name(),
@@ -101,12 +102,12 @@
 type host struct {
 	agent *mgmember.Member
 	fleet *fleet
-	place int // its number in fleet
+	index int // in the fleet's routes, or noIndex
 }
 
-// hosts returns agents whose upstreams run a service, the one with the fewest
-// of this entry's calls in flight first: a slow upstream collects calls and so
-// gets fewer new ones.
+// hosts returns the agents whose upstreams run a service, sorted by the number
+// of calls that this entry has in flight there, fewest first: calls accumulate
+// at a slow upstream, which therefore gets fewer new ones.
 func (e *Entry) hosts(service string) []host {
 	fleet := e.fleet()
 	query := mgrouting.Query{
@@ -114,14 +115,14 @@
 		Zone:   e.spec.Settings.Zone,
 		Region: e.spec.Settings.Region,
 	}
-	places := fleet.routes.Candidates(nil, query, e.random())
-	slices.SortStableFunc(places, func(a, b int) int { return fleet.routes.Flights(a) - fleet.routes.Flights(b) })
+	indexes := fleet.routes.Candidates(nil, query, e.newRandom())
+	slices.SortStableFunc(indexes, func(a, b int) int { return fleet.routes.Flights(a) - fleet.routes.Flights(b) })
 	var found []host
-	for _, place := range places {
+	for _, index := range indexes {
 		found = append(found, host{
-			agent: fleet.members[place],
+			agent: fleet.members[index],
 			fleet: fleet,
-			place: place,
+			index: index,
 		})
 	}
 	if len(found) > 0 {
@@ -131,39 +132,39 @@
 		found = append(found, host{
 			agent: member,
 			fleet: fleet,
-			place: none,
+			index: noIndex,
 		})
 	}
 	return found
 }
 
-// service makes a call of a plain service.
-func (e *Entry) service(w http.ResponseWriter, r *http.Request, c caller) {
-	service, problem := e.plain(r, c)
+// callService handles a call of a plain service.
+func (e *Entry) callService(w http.ResponseWriter, r *http.Request, c caller) {
+	service, problem := e.plainService(r, c)
 	if problem != nil {
 		mgproblem.Write(w, problem)
 		return
 	}
 	data, err := io.ReadAll(r.Body)
 	if err != nil {
-		mgproblem.Write(w, badBody(err))
+		mgproblem.Write(w, bodyProblem(err))
 		return
 	}
 	promise, operation, err := mgoperation.Weigh(e.spec.Seal, mgoperation.KeySpec{
 		Account:    c.account.Name(),
 		Service:    service.Name(),
-		Key:        r.Header.Get(keyHeader),
+		Key:        r.Header.Get(idempotencyKeyHeader),
 		Idempotent: service.Repeatable() || safeMethod(r.Method),
 	})
 	if err != nil {
 		mgproblem.Write(w, mgproblem.From(err))
 		return
 	}
-	wait := mgclock.Millis(e.spec.Settings.Call)
+	timeout := mgclock.Millis(e.spec.Settings.Call)
 	call := &call{
-		caller:  c,
-		service: service,
-		due:     e.spec.Clock.Now() + wait,
+		caller:   c,
+		service:  service,
+		deadline: e.spec.Clock.Now() + timeout,
 		request: &mgrpc.InvokeRequest{
 			Account: c.account.Name(),
 			Service: service.Name(),
@@ -175,17 +176,17 @@
 			Entry:   e.spec.Settings.Name,
 		},
 	}
-	reply, problem := e.invoke(r.Context(), call, promise, operation, r.Header.Get(keyHeader))
-	e.answer(w, reply, problem)
+	reply, problem := e.invoke(r.Context(), call, promise, operation, r.Header.Get(idempotencyKeyHeader))
+	e.writeReply(w, reply, problem)
 }
 
-// safeMethod reports whether a method may be repeated whatever the service
-// (RFC 9110, 9.2.1).
+// safeMethod reports whether a method may be repeated for any service (RFC 9110,
+// 9.2.1).
 func safeMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-// servicePath returns the path below the service's name, with its query.
+// servicePath returns the path after the service's name, with the query.
 func servicePath(r *http.Request) string {
 	path := "/" + chi.URLParam(r, "*")
 	if r.URL.RawQuery != "" {
@@ -198,24 +199,24 @@
 	switch promise {
 	case mgoperation.Pinned:
 		call.request.Operation = key
-		return e.pinned(ctx, call, operation.Agent())
+		return e.invokePinned(ctx, call, operation.Agent())
 	case mgoperation.Single:
-		minted, agent, problem := e.mintAt(ctx, call.caller, call.service.Name())
+		minted, agent, problem := e.mintAnywhere(ctx, call.caller, call.service.Name())
 		if problem != nil {
 			return nil, problem
 		}
 		call.request.Operation = minted
-		reply, problem := e.pinned(ctx, call, agent.Upstream())
-		return reply, keyless(problem)
+		reply, problem := e.invokePinned(ctx, call, agent.Upstream())
+		return reply, unkeyedProblem(problem)
 	default:
-		return e.repeatable(ctx, call)
+		return e.invokeRepeatable(ctx, call)
 	}
 }
 
-// keyless returns what a caller without a key is told. It can't ask again under
-// the operation, which this entry minted and which nobody else knows; asking
-// again would be another write.
-func keyless(problem *mgproblem.Problem) *mgproblem.Problem {
+// unkeyedProblem returns the problem to report to a caller that sent no key. The
+// caller can't repeat the operation, which this entry minted and nobody else
+// knows; another request would be another write.
+func unkeyedProblem(problem *mgproblem.Problem) *mgproblem.Problem {
 	if problem == nil || problem.Outcome() != mgproblem.Unknown {
 		return problem
 	}
@@ -223,41 +224,41 @@
 		"look in the service whether it ran; mint an operation first to be able to ask again").WithRetry(problem.Retry())
 }
 
-// pinned makes an operation's call at the one agent that may run it. Asking
-// that agent again is safe: it joins the first call.
-func (e *Entry) pinned(ctx context.Context, call *call, upstream string) (*mgrpc.InvokeReply, *mgproblem.Problem) {
-	for e.spec.Clock.Now() < call.due && ctx.Err() == nil {
-		agent, ok := e.byUpstream(upstream)
+// invokePinned makes an operation's call at the only agent that may run it.
+// Repeating the call at that agent is safe: it joins the first call.
+func (e *Entry) invokePinned(ctx context.Context, call *call, upstream string) (*mgrpc.InvokeReply, *mgproblem.Problem) {
+	for e.spec.Clock.Now() < call.deadline && ctx.Err() == nil {
+		agent, ok := e.agentByUpstream(upstream)
 		if ok {
 			reply, err := e.invokeAt(ctx, call, agent)
 			if err == nil {
 				return reply, replyProblem(reply)
 			}
-			e.failed(ctx, agent)
+			e.reportFailed(ctx, agent)
 		}
-		e.spec.Clock.Sleep(ctx, repeatPause)
+		e.spec.Clock.Sleep(ctx, repeatInterval)
 	}
 	return nil, mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown,
 		"the agent that owns the operation did not answer", "ask again with the same operation")
 }
 
-// repeatable makes a call that may run more than once, at another upstream
-// when one can't be reached and the service's budget allows it.
-func (e *Entry) repeatable(ctx context.Context, call *call) (*mgrpc.InvokeReply, *mgproblem.Problem) {
-	problem := crowded()
+// invokeRepeatable makes a call that may run more than once. It tries another
+// upstream if one can't be reached and the service's retry budget allows it.
+func (e *Entry) invokeRepeatable(ctx context.Context, call *call) (*mgrpc.InvokeReply, *mgproblem.Problem) {
+	problem := crowdedProblem()
 	budget := e.budgets.Of(call.service.Name())
 	hosts := e.hosts(call.service.Name())
 	for i, host := range hosts {
 		if i > 0 && !budget.Spend() {
 			break
 		}
-		answer := e.hedged(ctx, call, host, hosts[i+1:])
-		if answer.good() {
+		answer := e.invokeHedged(ctx, call, host, hosts[i+1:])
+		if answer.isGood() {
 			budget.Earn(mgretry.Ratio)
 			return answer.reply, nil
 		}
 		if answer.err == nil {
-			problem = problemOf(answer.reply.GetFault())
+			problem = problemFromFault(answer.reply.GetFault())
 			continue
 		}
 		problem = mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown,
@@ -267,11 +268,11 @@
 }
 
 func (e *Entry) invokeAt(ctx context.Context, call *call, agent *mgmember.Member) (*mgrpc.InvokeReply, error) {
-	left := call.due - e.spec.Clock.Now()
-	ctx, cancel := context.WithTimeout(ctx, left.Duration())
+	remaining := call.deadline - e.spec.Clock.Now()
+	ctx, cancel := context.WithTimeout(ctx, remaining.Duration())
 	defer cancel()
 	request := proto.CloneOf(call.request)
-	request.Budget = int64(left)
+	request.Budget = int64(remaining)
 	reply, err := e.client(agent).Invoke(ctx, request)
 	if err != nil {
 		return nil, err
@@ -284,10 +285,10 @@
 	if reply.GetFault() == nil {
 		return nil
 	}
-	return problemOf(reply.GetFault())
+	return problemFromFault(reply.GetFault())
 }
 
-func (e *Entry) answer(w http.ResponseWriter, reply *mgrpc.InvokeReply, problem *mgproblem.Problem) {
+func (e *Entry) writeReply(w http.ResponseWriter, reply *mgrpc.InvokeReply, problem *mgproblem.Problem) {
 	if problem != nil {
 		mgproblem.Write(w, problem)
 		return
