--- a/internal/bench/mgmodel/cache.go
+++ b/internal/bench/mgmodel/cache.go
@@ -4,15 +4,15 @@
 
 // cache is the prefix cache: block hashes, the least recently used first out.
 type cache struct {
-	limit  int
+	maxBlocks  int
 	blocks map[uint64]*list.Element
-	recent list.List
+	lru list.List
 }
 
 // newCache returns a cache of at most limit blocks.
-func newCache(limit int) *cache {
+func newCache(maxBlocks int) *cache {
 	return &cache{
-		limit:  limit,
+		maxBlocks:  maxBlocks,
 		blocks: make(map[uint64]*list.Element),
 	}
 }
@@ -31,19 +31,19 @@
 // last, since a chain is of no use without its head.
 func (c *cache) touch(prefix []uint64) {
 	for i := len(prefix) - 1; i >= 0; i-- {
-		c.use(prefix[i])
+		c.touchBlock(prefix[i])
 	}
-	for c.recent.Len() > c.limit {
-		oldest := c.recent.Back()
-		c.recent.Remove(oldest)
+	for c.lru.Len() > c.maxBlocks {
+		oldest := c.lru.Back()
+		c.lru.Remove(oldest)
 		delete(c.blocks, oldest.Value.(uint64))
 	}
 }
 
-func (c *cache) use(hash uint64) {
+func (c *cache) touchBlock(hash uint64) {
 	if e := c.blocks[hash]; e != nil {
-		c.recent.MoveToFront(e)
+		c.lru.MoveToFront(e)
 		return
 	}
-	c.blocks[hash] = c.recent.PushFront(hash)
+	c.blocks[hash] = c.lru.PushFront(hash)
 }
--- a/internal/bench/mgmodel/engine.go
+++ b/internal/bench/mgmodel/engine.go
@@ -10,7 +10,7 @@
 	Sequence
 	produced int
 	copied   int // context tokens that came from another engine
-	left     int // context tokens still to be computed; 0 is decoding
+	uncomputed     int // context tokens still to be computed; 0 is decoding
 }
 
 // context returns the tokens of memory that q holds while it runs.
@@ -42,7 +42,7 @@
 
 // SetSpeed makes the steps from now on speed times as fast as described; it
 // models an upstream that turns slow.
-func (e *Engine) SetSpeed(speed float64) { e.spec.Speed = orFloat(speed, 1) }
+func (e *Engine) SetSpeed(speed float64) { e.spec.Speed = floatOrDefault(speed, 1) }
 
 // Free returns the tokens of memory that nothing holds.
 func (e *Engine) Free() int { return e.spec.Memory - e.used }
@@ -67,11 +67,11 @@
 // would outgrow the whole memory ends where memory does.
 func (e *Engine) Add(s Sequence) bool {
 	s.Output = max(s.Output, 1)
-	room := e.spec.Memory - s.Prompt
-	if e.byID[s.ID] != nil || s.Prompt < 1 || room < 1 {
+	maxOutput := e.spec.Memory - s.Prompt
+	if e.byID[s.ID] != nil || s.Prompt < 1 || maxOutput < 1 {
 		return false
 	}
-	s.Output = min(s.Output, room)
+	s.Output = min(s.Output, maxOutput)
 	q := &sequence{
 		Sequence: s,
 	}
@@ -88,14 +88,14 @@
 		return false
 	}
 	delete(e.byID, id)
-	if !e.leaveLine(q) {
+	if !e.removeWaiting(q) {
 		e.evict(q)
 	}
 	return true
 }
 
 // leaveLine takes q out of the waiting line, or reports false when it isn't there.
-func (e *Engine) leaveLine(q *sequence) bool {
+func (e *Engine) removeWaiting(q *sequence) bool {
 	i := slices.Index(e.waiting, q)
 	if i < 0 {
 		return false
@@ -115,45 +115,45 @@
 	if len(e.running) == 0 {
 		return e.result
 	}
-	e.makeRoom()
+	e.preemptForDecode()
 	computed := e.prefill()
 	attended := e.used
 	decoded := e.decode()
 	e.retire()
-	e.result.duration = e.cost(decoded, attended, computed)
+	e.result.duration = e.stepDuration(decoded, attended, computed)
 	return e.result
 }
 
 // enqueue puts q at the end of its priority in the waiting line, or at its
 // head.
-func (e *Engine) enqueue(q *sequence, head bool) {
-	at := sort.Search(len(e.waiting), func(i int) bool {
+func (e *Engine) enqueue(q *sequence, atHead bool) {
+	index := sort.Search(len(e.waiting), func(i int) bool {
 		other := e.waiting[i].Priority
-		return other < q.Priority || head && other == q.Priority
+		return other < q.Priority || atHead && other == q.Priority
 	})
-	e.waiting = slices.Insert(e.waiting, at, q)
+	e.waiting = slices.Insert(e.waiting, index, q)
 }
 
 // admit moves sequences from the waiting line into the batch, in order, while
 // the context of the next one fits now with a token to spare.
 func (e *Engine) admit() {
-	n := 0
-	for n < len(e.waiting) && len(e.running) < e.spec.Batch {
-		q := e.waiting[n]
+	admitted := 0
+	for admitted < len(e.waiting) && len(e.running) < e.spec.Batch {
+		q := e.waiting[admitted]
 		if q.context()+1 > e.Free() {
 			break
 		}
 		e.start(q)
-		n++
+		admitted++
 	}
-	e.waiting = slices.Delete(e.waiting, 0, n)
+	e.waiting = slices.Delete(e.waiting, 0, admitted)
 }
 
 // start takes q's memory and what the prefix cache saves it. At least one
 // token is computed, as the next one follows from it.
 func (e *Engine) start(q *sequence) {
 	e.used += q.context()
-	q.left = max(q.context()-max(e.Cached(q.Prefix), q.copied), 1)
+	q.uncomputed = max(q.context()-max(e.Cached(q.Prefix), q.copied), 1)
 	e.cache.touch(q.Prefix)
 	if q.copied > 0 {
 		e.running = slices.Insert(e.running, 0, q) // it lacks a token, the others a prompt
@@ -163,8 +163,8 @@
 }
 
 // makeRoom preempts until each decoding sequence can take one more token.
-func (e *Engine) makeRoom() {
-	for e.decoding() > e.Free() {
+func (e *Engine) preemptForDecode() {
+	for e.maxDecodeCount() > e.Free() {
 		q := e.victim()
 		e.evict(q)
 		e.enqueue(q, true)
@@ -174,11 +174,11 @@
 
 // decoding returns an upper bound on the tokens that this step produces: those
 // that decode and those whose prefill ends within the chunk.
-func (e *Engine) decoding() int {
+func (e *Engine) maxDecodeCount() int {
 	count, chunk := 0, e.spec.Chunk
 	for _, q := range e.running {
-		if q.left <= chunk {
-			chunk -= q.left
+		if q.uncomputed <= chunk {
+			chunk -= q.uncomputed
 			count++
 		} else {
 			chunk = 0
@@ -214,8 +214,8 @@
 		if chunk == 0 {
 			break
 		}
-		n := min(q.left, chunk)
-		q.left -= n
+		n := min(q.uncomputed, chunk)
+		q.uncomputed -= n
 		chunk -= n
 	}
 	return e.spec.Chunk - chunk
@@ -225,7 +225,7 @@
 func (e *Engine) decode() int {
 	count := 0
 	for _, q := range e.running {
-		if q.left > 0 {
+		if q.uncomputed > 0 {
 			continue
 		}
 		q.produced++
@@ -256,7 +256,7 @@
 }
 
 // cost returns the duration of a step in ms.
-func (e *Engine) cost(decoded, attended, computed int) float64 {
+func (e *Engine) stepDuration(decoded, attended, computed int) float64 {
 	s := e.spec
 	work := s.Base + s.Each*float64(decoded)
 	work += s.Context * float64(attended) / 1000
--- a/internal/bench/mgmodel/move.go
+++ b/internal/bench/mgmodel/move.go
@@ -17,14 +17,14 @@
 // engine, together with all of its context but the rest tokens, which are
 // computed here. It goes before all that wait. It reports false, and changes
 // nothing, where Add would.
-func (e *Engine) Resume(s Sequence, produced, rest int) bool {
+func (e *Engine) Resume(s Sequence, produced, uncopied int) bool {
 	if !e.Add(s) {
 		return false
 	}
 	q := e.byID[s.ID]
 	q.produced = produced
-	q.copied = q.context() - rest
-	e.leaveLine(q)
+	q.copied = q.context() - uncopied
+	e.removeWaiting(q)
 	e.waiting = append([]*sequence{q}, e.waiting...)
 	return true
 }
--- a/internal/bench/mgmodel/spec.go
+++ b/internal/bench/mgmodel/spec.go
@@ -26,29 +26,29 @@
 
 // withDefaults returns s with its zero fields replaced.
 func (s Spec) withDefaults() Spec {
-	s.Memory = orInt(s.Memory, 40000)
-	s.Batch = orInt(s.Batch, 128)
-	s.Chunk = orInt(s.Chunk, 512)
-	s.Block = orInt(s.Block, 64)
-	s.Cache = orInt(s.Cache, 16384)
-	s.Base = orFloat(s.Base, 10)
-	s.Each = orFloat(s.Each, 0.08)
-	s.Context = orFloat(s.Context, 0.12)
-	s.Prefill = orFloat(s.Prefill, 50)
-	s.Speed = orFloat(s.Speed, 1)
+	s.Memory = intOrDefault(s.Memory, 40000)
+	s.Batch = intOrDefault(s.Batch, 128)
+	s.Chunk = intOrDefault(s.Chunk, 512)
+	s.Block = intOrDefault(s.Block, 64)
+	s.Cache = intOrDefault(s.Cache, 16384)
+	s.Base = floatOrDefault(s.Base, 10)
+	s.Each = floatOrDefault(s.Each, 0.08)
+	s.Context = floatOrDefault(s.Context, 0.12)
+	s.Prefill = floatOrDefault(s.Prefill, 50)
+	s.Speed = floatOrDefault(s.Speed, 1)
 	return s
 }
 
-func orInt(value, otherwise int) int {
+func intOrDefault(value, fallback int) int {
 	if value > 0 {
 		return value
 	}
-	return otherwise
+	return fallback
 }
 
-func orFloat(value, otherwise float64) float64 {
+func floatOrDefault(value, fallback float64) float64 {
 	if value > 0 {
 		return value
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/bench/mgnet/net.go
+++ b/internal/bench/mgnet/net.go
@@ -15,13 +15,13 @@
 type Net struct {
 	now    mgclock.Millis
 	rng    *rand.Rand
-	queue  queue
-	count  uint64
+	queue  eventQueue
+	lastSeq  uint64
 	paused map[string]mgclock.Millis
 
 	// delay returns how long a message takes, cut whether it is lost.
 	delay func(from, to string) mgclock.Millis
-	cut   func(from, to string) bool
+	isCut   func(from, to string) bool
 	loss  float64
 
 	messages map[string]int // sent and received, by member
@@ -43,33 +43,33 @@
 func (n *Net) Now() mgclock.Millis { return n.now }
 
 // Cut loses the messages for which cut is true, and a share of all others.
-func (n *Net) Cut(loss float64, cut func(from, to string) bool) {
+func (n *Net) Cut(loss float64, isCut func(from, to string) bool) {
 	n.loss = loss
-	n.cut = cut
+	n.isCut = isCut
 }
 
 // Pause stops a member for a span. What falls due for it waits.
-func (n *Net) Pause(name string, span mgclock.Millis) {
-	n.paused[name] = max(n.paused[name], n.now+span)
+func (n *Net) Pause(name string, duration mgclock.Millis) {
+	n.paused[name] = max(n.paused[name], n.now+duration)
 }
 
 // Send runs a function at the receiver after the delay, unless it is lost.
 func (n *Net) Send(from, to string, size int, run func()) {
-	n.meter(from, size)
-	if n.cut != nil && n.cut(from, to) || n.loss > 0 && n.rng.Float64() < n.loss {
+	n.countTraffic(from, size)
+	if n.isCut != nil && n.isCut(from, to) || n.loss > 0 && n.rng.Float64() < n.loss {
 		return
 	}
-	span := mgclock.Millis(0)
+	delay := mgclock.Millis(0)
 	if n.delay != nil {
-		span = n.delay(from, to)
+		delay = n.delay(from, to)
 	}
-	n.At(n.now+span, to, func() {
-		n.meter(to, size)
+	n.At(n.now+delay, to, func() {
+		n.countTraffic(to, size)
 		run()
 	})
 }
 
-func (n *Net) meter(name string, size int) {
+func (n *Net) countTraffic(name string, size int) {
 	if n.messages != nil {
 		n.messages[name]++
 		n.bytes[name] += size
@@ -81,10 +81,10 @@
 
 // At runs a function of a member at a time.
 func (n *Net) At(at mgclock.Millis, owner string, run func()) {
-	n.count++
+	n.lastSeq++
 	heap.Push(&n.queue, event{
-		at:    at,
-		seq:   n.count,
+		due:    at,
+		seq:   n.lastSeq,
 		owner: owner,
 		run:   run,
 	})
@@ -92,11 +92,11 @@
 
 // Run delivers what falls due until a time.
 func (n *Net) Run(until mgclock.Millis) {
-	for len(n.queue) > 0 && n.queue[0].at <= until {
+	for len(n.queue) > 0 && n.queue[0].due <= until {
 		e := heap.Pop(&n.queue).(event)
-		n.now = max(n.now, e.at)
-		if wakes := n.paused[e.owner]; wakes > n.now {
-			n.At(wakes, e.owner, e.run)
+		n.now = max(n.now, e.due)
+		if resumeAt := n.paused[e.owner]; resumeAt > n.now {
+			n.At(resumeAt, e.owner, e.run)
 			continue
 		}
 		e.run()
@@ -106,29 +106,29 @@
 
 // event is a message or a timer.
 type event struct {
-	at    mgclock.Millis
+	due    mgclock.Millis
 	seq   uint64
 	owner string
 	run   func()
 }
 
 // queue is a heap of events.
-type queue []event
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
+func (q eventQueue) Len() int { return len(q) }
 
-func (q queue) Less(i, j int) bool {
-	if q[i].at != q[j].at {
-		return q[i].at < q[j].at
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].due != q[j].due {
+		return q[i].due < q[j].due
 	}
 	return q[i].seq < q[j].seq
 }
 
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (q *queue) Push(x any) { *q = append(*q, x.(event)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-func (q *queue) Pop() any {
+func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
