--- a/internal/bench/mgbench/command.go
+++ b/internal/bench/mgbench/command.go
@@ -69,7 +69,7 @@
 	if c.Scenario != "all" && c.Scenario != "" {
 		all = nil
 		for name := range strings.SplitSeq(c.Scenario, ",") {
-			s, err := scenarioNamed(name)
+			s, err := scenarioByName(name)
 			if err != nil {
 				return nil, err
 			}
@@ -90,7 +90,7 @@
 	}
 	var chosen []policy
 	for name := range strings.SplitSeq(c.Policy, ",") {
-		p, err := policyNamed(name)
+		p, err := policyByName(name)
 		if err != nil {
 			return nil, err
 		}
@@ -103,7 +103,7 @@
 	var jobs []job
 	for _, s := range scenarios {
 		for i := range max(c.Seeds, 1) {
-			for _, p := range s.playable(chosen) {
+			for _, p := range s.playablePolicies(chosen) {
 				jobs = append(jobs, job{
 					scenario: s,
 					policy:   p,
@@ -119,7 +119,7 @@
 // jobs.
 func (c *Command) measure(ctx context.Context, jobs []job) ([]run, error) {
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(c.atOnce())
+	group.SetLimit(c.parallelism())
 	runs := make([]run, len(jobs))
 	var done atomic.Int64
 	for i, j := range jobs {
@@ -135,11 +135,11 @@
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	c.line("\n")
+	c.writeProgress("\n")
 	return runs, nil
 }
 
-func (c *Command) atOnce() int {
+func (c *Command) parallelism() int {
 	if c.Jobs > 0 {
 		return c.Jobs
 	}
@@ -148,10 +148,10 @@
 
 // progress rewrites the progress line each time that a run is done.
 func (c *Command) progress(done, all int) {
-	c.line(fmt.Sprintf("\rbench: %d of %d runs", done, all))
+	c.writeProgress(fmt.Sprintf("\rbench: %d of %d runs", done, all))
 }
 
-func (c *Command) line(text string) {
+func (c *Command) writeProgress(text string) {
 	if c.Progress != nil {
 		_, _ = io.WriteString(c.Progress, text)
 	}
@@ -189,12 +189,12 @@
 		"tables.md":  func(w io.Writer) error { return writePages(w, scenarios, chosen, runs) },
 	}
 	for name, write := range files {
-		if err := c.file(name, write); err != nil {
+		if err := c.writeFile(name, write); err != nil {
 			return err
 		}
 	}
 	var group errgroup.Group
-	group.SetLimit(c.atOnce())
+	group.SetLimit(c.parallelism())
 	for _, s := range scenarios {
 		group.Go(func() error { return writePlots(c.Out, s, chosen, runs) })
 	}
@@ -202,7 +202,7 @@
 }
 
 // file writes one file of the directory.
-func (c *Command) file(name string, write func(w io.Writer) error) error {
+func (c *Command) writeFile(name string, write func(w io.Writer) error) error {
 	f, err := os.Create(filepath.Join(c.Out, name))
 	if err != nil {
 		return fmt.Errorf("out: %w", err)
--- a/internal/bench/mgbench/driver.go
+++ b/internal/bench/mgbench/driver.go
@@ -12,26 +12,26 @@
 
 // How clients behave, in ms.
 const (
-	askAgain  = 5       // times at most, as a person would
-	leastWait = 500.0   // before asking again, also when told less
-	mostWait  = 30000.0 // a client doesn't stay away for longer
-	spread    = 0.25    // of the wait, drawn per request, so that clients don't return together
+	maxAttempts  = 5       // times at most, as a person would
+	minRetryWait = 500.0   // before asking again, also when told less
+	maxRetryWait = 30000.0 // a client doesn't stay away for longer
+	retryJitter  = 0.25    // of the wait, drawn per request, so that clients don't return together
 )
 
 // idleTurn is how often an idle engine's gate is asked while calls wait, in ms.
-const idleTurn = 20.0
+const idlePollInterval = 20.0
 
 // lookEvery is how often the accounts' backlogs are looked at, in ms.
-const lookEvery = 500.0
+const demandSampleInterval = 500.0
 
 // driver runs a workload under a policy.
 type driver struct {
-	agenda    agenda
+	agenda    eventQueue
 	workload  *workload
 	calls     []*call
 	upstreams []*upstream
-	route     router
-	moves     *moves // nil where generations stay
+	router    router
+	moves     *migrator // nil where generations stay
 	meter     *meter
 	verdicts  []verdict
 }
@@ -48,19 +48,19 @@
 			engine: mgmodel.New(w.scenario.Model),
 		})
 	}
-	d.route = p.build(w.scenario, d.upstreams, seed)
-	if p.way != "" {
-		d.moves = newMoves(d, p.way, seed)
-		d.route = d.moves.route
-		d.moves.enter()
+	d.router = p.build(w.scenario, d.upstreams, seed)
+	if p.moveStrategy != "" {
+		d.moves = newMoves(d, p.moveStrategy, seed)
+		d.router = d.moves.route
+		d.moves.scheduleAll()
 	}
-	d.enter()
+	d.scheduleAll()
 	d.agenda.run()
 	return d.meter
 }
 
 // enter puts all that is known beforehand on the agenda.
-func (d *driver) enter() {
+func (d *driver) scheduleAll() {
 	s := d.workload.scenario
 	d.calls = make([]*call, len(d.workload.requests))
 	for i := range d.workload.requests {
@@ -70,50 +70,50 @@
 			spec:    s.Services[r.service],
 		}
 		d.calls[i] = c
-		d.agenda.add(r.arrival, func(now float64) { d.arrive(now, c) })
+		d.agenda.schedule(r.arrival, func(now float64) { d.arriveCall(now, c) })
 	}
-	for at := 0.0; at < s.Span*1000; at += lookEvery {
-		d.agenda.add(at, d.meter.look)
+	for at := 0.0; at < s.Span*1000; at += demandSampleInterval {
+		d.agenda.schedule(at, d.meter.sampleDemand)
 	}
-	d.enterFault(s)
+	d.scheduleFault(s)
 }
 
 // enterFault puts the scenario's fault on the agenda.
-func (d *driver) enterFault(s ScenarioSpec) {
+func (d *driver) scheduleFault(s ScenarioSpec) {
 	from, until := s.Fault.From*s.Span*1000, s.Fault.Until*s.Span*1000
 	for _, u := range d.upstreams[:s.Fault.Engines] {
 		if s.Fault.Speed == 0 {
-			d.agenda.add(from, func(now float64) { d.notice(now, u) })
-			d.agenda.add(from+s.Fault.Notice*1000, func(now float64) { d.reclaim(now, u) })
+			d.agenda.schedule(from, func(now float64) { d.noticeLeaving(now, u) })
+			d.agenda.schedule(from+s.Fault.Notice*1000, func(now float64) { d.reclaim(now, u) })
 			continue
 		}
-		d.agenda.add(from, func(float64) { u.engine.SetSpeed(s.Fault.Speed) })
-		d.agenda.add(until, func(float64) { u.engine.SetSpeed(1) })
+		d.agenda.schedule(from, func(float64) { u.engine.SetSpeed(s.Fault.Speed) })
+		d.agenda.schedule(until, func(float64) { u.engine.SetSpeed(1) })
 	}
 }
 
 // millis returns a time of the agenda on the policies' clock.
-func millis(at float64) mgclock.Millis { return mgclock.Millis(at) }
+func toClock(at float64) mgclock.Millis { return mgclock.Millis(at) }
 
 // arrive is the first asking of a call.
-func (d *driver) arrive(now float64, c *call) {
+func (d *driver) arriveCall(now float64, c *call) {
 	d.meter.arrive(c)
-	d.agenda.add(c.deadline, func(at float64) { d.expire(at, c) })
-	d.ask(now, c)
+	d.agenda.schedule(c.deadline, func(at float64) { d.expire(at, c) })
+	d.routeCall(now, c)
 }
 
 // ask sends a call to the upstream that the policy chooses.
-func (d *driver) ask(now float64, c *call) {
-	if c.state != asking {
+func (d *driver) routeCall(now float64, c *call) {
+	if c.state != atClient {
 		return
 	}
 	c.attempts++
-	if d.moves.hold(now, c) {
+	if d.moves.addToWaitingList(now, c) {
 		return
 	}
-	u, problem := d.route(millis(now), c)
+	u, problem := d.router(toClock(now), c)
 	if problem != nil {
-		d.refuse(now, c, problem)
+		d.refuseCall(now, c, problem)
 		return
 	}
 	d.submit(now, c, u)
@@ -121,30 +121,30 @@
 
 // submit gives a call to an upstream's gate.
 func (d *driver) submit(now float64, c *call, u *upstream) {
-	if c.state != asking || u.gone {
+	if c.state != atClient || u.isGone {
 		return
 	}
 	d.attach(c, u)
 	c.state = queued
 	if u.gate.submit != nil {
-		if problem := u.gate.submit(millis(now), c); problem != nil {
+		if problem := u.gate.submit(toClock(now), c); problem != nil {
 			d.detach(c)
-			d.refuse(now, c, problem)
+			d.refuseCall(now, c, problem)
 			return
 		}
 	}
-	d.wake(now, u)
+	d.scheduleStep(now, u)
 }
 
 func (d *driver) attach(c *call, u *upstream) {
 	c.upstream = u
 	u.calls = append(u.calls, c)
-	d.moves.carry(c, 1)
+	d.moves.countCall(c, 1)
 }
 
 func (d *driver) detach(c *call) {
 	u := c.upstream
-	d.moves.carry(c, -1)
+	d.moves.countCall(c, -1)
 	i := slices.Index(u.calls, c)
 	u.calls = slices.Delete(u.calls, i, i+1)
 	c.upstream = nil
@@ -152,17 +152,17 @@
 
 // refuse tells the client "not run". It asks again at the time that it is
 // told, unless it has asked often or would come back too late.
-func (d *driver) refuse(now float64, c *call, problem *mgproblem.Problem) {
-	c.state = asking
-	wait := min(max(float64(problem.Retry()), leastWait), mostWait)
-	wait *= 1 + spread*c.jitter
-	again := problem.Retry() > 0 && c.attempts < askAgain && now+wait < c.deadline
-	d.meter.refuse(now, c, again)
-	if !again {
+func (d *driver) refuseCall(now float64, c *call, problem *mgproblem.Problem) {
+	c.state = atClient
+	wait := min(max(float64(problem.Retry()), minRetryWait), maxRetryWait)
+	wait *= 1 + retryJitter*c.jitter
+	retries := problem.Retry() > 0 && c.attempts < maxAttempts && now+wait < c.deadline
+	d.meter.refuse(now, c, retries)
+	if !retries {
 		c.state = ended
 		return
 	}
-	d.agenda.add(now+wait, func(at float64) { d.ask(at, c) })
+	d.agenda.schedule(now+wait, func(at float64) { d.routeCall(at, c) })
 }
 
 // expire is the client's hanging up at its deadline.
@@ -171,19 +171,19 @@
 		return
 	}
 	d.meter.expire(now, c)
-	d.moves.drop(c)
-	d.drop(now, c)
+	d.moves.removeWaiting(c)
+	d.removeFromUpstream(now, c)
 	c.state = ended
 }
 
 // drop takes a call away from its upstream, if it has one.
-func (d *driver) drop(now float64, c *call) {
+func (d *driver) removeFromUpstream(now float64, c *call) {
 	u := c.upstream
 	if u == nil {
 		return
 	}
 	if u.gate.withdraw != nil {
-		u.gate.withdraw(millis(now), c)
+		u.gate.withdraw(toClock(now), c)
 	}
 	if c.state == running {
 		u.engine.Cancel(c.sequence.ID)
@@ -192,11 +192,11 @@
 }
 
 // notice marks an upstream as leaving. What waits there goes elsewhere.
-func (d *driver) notice(now float64, u *upstream) {
-	u.leaving = true
+func (d *driver) noticeLeaving(now float64, u *upstream) {
+	u.isLeaving = true
 	for _, c := range slices.Clone(u.calls) {
 		if c.state == queued {
-			d.move(now, c)
+			d.rerouteCall(now, c)
 		}
 	}
 }
@@ -204,54 +204,54 @@
 // reclaim takes an upstream away. What runs there starts anew elsewhere.
 func (d *driver) reclaim(now float64, u *upstream) {
 	for _, c := range slices.Clone(u.calls) {
-		d.meter.lose(now, c)
-		d.move(now, c)
+		d.meter.countLost(now, c)
+		d.rerouteCall(now, c)
 	}
-	u.gone = true
+	u.isGone = true
 }
 
 // move asks for a call again, without a wait of the client's.
-func (d *driver) move(now float64, c *call) {
-	d.drop(now, c)
+func (d *driver) rerouteCall(now float64, c *call) {
+	d.removeFromUpstream(now, c)
 	d.meter.requeue(c)
-	c.state = asking
+	c.state = atClient
 	c.produced = 0
-	c.last = 0
+	c.lastTokenAt = 0
 	c.attempts--
-	d.ask(now, c)
+	d.routeCall(now, c)
 }
 
 // wake gives an idle upstream its turn.
-func (d *driver) wake(now float64, u *upstream) {
-	if !u.busy {
-		u.busy = true
-		d.agenda.add(now, func(at float64) { d.turn(at, u) })
+func (d *driver) scheduleStep(now float64, u *upstream) {
+	if !u.isStepScheduled {
+		u.isStepScheduled = true
+		d.agenda.schedule(now, func(at float64) { d.step(at, u) })
 	}
 }
 
 // turn lets the gate decide and runs a step of the engine.
-func (d *driver) turn(now float64, u *upstream) {
-	u.busy = false
-	if u.gone {
+func (d *driver) step(now float64, u *upstream) {
+	u.isStepScheduled = false
+	if u.isGone {
 		return
 	}
-	d.poll(now, u)
+	d.applyVerdicts(now, u)
 	r := u.engine.Step()
 	for _, id := range r.Preempted() {
-		d.preempt(now, u, d.named(id))
+		d.preempt(now, u, d.callByID(id))
 	}
 	switch {
 	case r.Duration() > 0:
-		u.busy = true
-		d.agenda.add(now+r.Duration(), func(at float64) { d.deliver(at, u, r) })
+		u.isStepScheduled = true
+		d.agenda.schedule(now+r.Duration(), func(at float64) { d.deliver(at, u, r) })
 	case len(u.calls) > 0:
-		u.busy = true
-		d.agenda.add(now+idleTurn, func(at float64) { d.turn(at, u) })
+		u.isStepScheduled = true
+		d.agenda.schedule(now+idlePollInterval, func(at float64) { d.step(at, u) })
 	}
 }
 
 // named returns the call of a sequence.
-func (d *driver) named(id string) *call {
+func (d *driver) callByID(id string) *call {
 	i, err := strconv.Atoi(id)
 	if err != nil {
 		panic("mgbench: a sequence that the driver didn't name: " + id)
@@ -260,12 +260,12 @@
 }
 
 // poll carries the gate's verdicts out.
-func (d *driver) poll(now float64, u *upstream) {
-	d.verdicts = u.gate.poll(millis(now), d.verdicts[:0])
+func (d *driver) applyVerdicts(now float64, u *upstream) {
+	d.verdicts = u.gate.poll(toClock(now), d.verdicts[:0])
 	for _, v := range d.verdicts {
 		if v.problem != nil {
 			d.detach(v.call)
-			d.refuse(now, v.call, v.problem)
+			d.refuseCall(now, v.call, v.problem)
 			continue
 		}
 		d.start(now, u, v.call)
@@ -293,7 +293,7 @@
 func (d *driver) preempt(now float64, u *upstream, c *call) {
 	d.meter.preempt(c)
 	if u.gate.preempted != nil {
-		u.gate.preempted(millis(now), c)
+		u.gate.preempted(toClock(now), c)
 	}
 }
 
@@ -301,49 +301,49 @@
 // during the step no longer runs here.
 func (d *driver) deliver(now float64, u *upstream, r mgmodel.Result) {
 	for _, token := range r.Tokens() {
-		c := d.named(token.ID())
+		c := d.callByID(token.ID())
 		if c.upstream != u || c.state != running {
 			continue
 		}
-		d.moves.read(c)
+		d.moves.countPromptRead(c)
 		c.produced = token.Seq()
 		d.meter.token(now, c)
 		if u.gate.progress != nil {
-			u.gate.progress(millis(now), c)
+			u.gate.progress(toClock(now), c)
 		}
 	}
 	for _, id := range r.Finished() {
-		c := d.named(id)
+		c := d.callByID(id)
 		if c.upstream != u || c.state != running {
 			continue
 		}
 		d.finish(now, c)
 	}
-	d.turn(now, u)
+	d.step(now, u)
 }
 
 // finish ends a call that is complete.
 func (d *driver) finish(now float64, c *call) {
-	if c.produced != min(c.sequence.Output, d.room(c)) {
+	if c.produced != min(c.sequence.Output, d.maxOutput(c)) {
 		panic("mgbench: an answer ended early: " + c.sequence.ID)
 	}
 	d.meter.finish(now, c)
 	if f := c.upstream.gate.finish; f != nil {
-		f(millis(now), c)
+		f(toClock(now), c)
 	}
 	d.detach(c)
 	c.state = ended
 }
 
 // room returns the output that memory allows c at most.
-func (d *driver) room(c *call) int {
+func (d *driver) maxOutput(c *call) int {
 	return c.upstream.engine.Spec().Memory - c.sequence.Prompt
 }
 
 // gapUntil returns the time since c's latest token, or 0 before the first.
-func (c *call) gapUntil(now float64) float64 {
-	if c.last == 0 {
+func (c *call) openGap(now float64) float64 {
+	if c.lastTokenAt == 0 {
 		return 0
 	}
-	return math.Max(now-c.last, 0)
+	return math.Max(now-c.lastTokenAt, 0)
 }
--- a/internal/bench/mgbench/driver_test.go
+++ b/internal/bench/mgbench/driver_test.go
@@ -13,7 +13,7 @@
 )
 
 // shortened returns a scenario with a span in seconds.
-func shortened(s ScenarioSpec, span float64) ScenarioSpec {
+func withSpan(s ScenarioSpec, span float64) ScenarioSpec {
 	s.Span = span
 	return s
 }
@@ -23,19 +23,19 @@
 // model's memory and the order of tokens are checked by the driver and the
 // model. A request that was counted twice or got lost would flatter a policy,
 // and one that ours leaves waiting until its deadline never hears "not run".
-func TestEachRequestEndsOnce(t *testing.T) {
-	for _, r := range measured(t, scenarioNames(), 8, 1) {
+func TestRequestEndsMoreThanOnceOrNever(t *testing.T) {
+	for _, r := range measureAll(t, scenarioNames(), 8, 1) {
 		Convey(r.scenario+" and "+r.policy, t, func() {
-			So(r.meter.inTime+r.meter.away+r.meter.expired+r.meter.cut, ShouldEqual, r.meter.asked)
+			So(r.meter.inTime+r.meter.refused+r.meter.expired+r.meter.lostForGood, ShouldEqual, r.meter.asked)
 			if strings.HasPrefix(r.policy, "ours") {
-				So(r.meter.late, ShouldEqual, 0)
+				So(r.meter.lateNotRun, ShouldEqual, 0)
 			}
 		})
 	}
 }
 
 // measured runs scenarios of a span in seconds under all policies.
-func measured(t *testing.T, names []string, span float64, seeds int) []run {
+func measureAll(t *testing.T, names []string, span float64, seeds int) []run {
 	c := Command{
 		Scenario: strings.Join(names, ","),
 		Seed:     1,
@@ -57,17 +57,17 @@
 // shows that the oracle is wrong and every figure against it misleads. The
 // cases are small enough for an order to matter: a burst that must wait, and a
 // memory that holds a handful of reports.
-func TestOracleIsTheLimit(t *testing.T) {
+func TestPolicyBeatsOracle(t *testing.T) {
 	limits := make(map[string]int)
-	runs := measured(t, []string{"burst", "slow", "small", "long", "sat20"}, 50, 2)
+	runs := measureAll(t, []string{"burst", "slow", "small", "long", "sat20"}, 50, 2)
 	for _, r := range runs {
 		if r.policy == "oracle" {
-			limits[r.name()] = r.meter.inTime
+			limits[r.label()] = r.meter.inTime
 		}
 	}
 	for _, r := range runs {
-		Convey(r.name()+", "+r.policy, t, func() {
-			So(r.meter.inTime, ShouldBeLessThanOrEqualTo, limits[r.name()])
+		Convey(r.label()+", "+r.policy, t, func() {
+			So(r.meter.inTime, ShouldBeLessThanOrEqualTo, limits[r.label()])
 		})
 	}
 }
@@ -76,22 +76,22 @@
 // slow engine beside it looked at the request first and saw no time left. A
 // policy then beats the oracle. The load is light enough for the quick engines
 // to do all.
-func TestOracleLooksBeyondSlowEngine(t *testing.T) {
+func TestOracleRefusesBecauseOfSlowEngine(t *testing.T) {
 	Convey("The oracle turns nothing away for the sake of a slow engine", t, func() {
-		s := shortened(slow(), 60)
+		s := withSpan(slowScenario(), 60)
 		s.Load = 0.6
 		s.Fault.From, s.Fault.Until, s.Fault.Speed = 0, 1, 0.1
 		for _, p := range oracleOrders() {
-			So(simulate(newWorkload(s, 1), p, 1).away, ShouldEqual, 0)
+			So(simulate(newWorkload(s, 1), p, 1).refused, ShouldEqual, 0)
 		}
 	})
 }
 
 // name returns what a run shares with those of the other policies.
-func (r run) name() string { return fmt.Sprintf("%s, seed %d", r.scenario, r.seed) }
+func (r run) label() string { return fmt.Sprintf("%s, seed %d", r.scenario, r.seed) }
 
 // refuser is a policy that turns each request away and says when to return.
-func refuser(retry mgclock.Millis) policy {
+func refusingPolicy(retry mgclock.Millis) policy {
 	problem := mgproblem.New(mgproblem.Crowded, mgproblem.NotRun, "full", "come back")
 	return policy{
 		build: func(_ ScenarioSpec, us []*upstream, _ uint64) router {
@@ -106,25 +106,25 @@
 	}
 }
 
-func TestClients(t *testing.T) {
-	s := shortened(calm(), 20)
-	s.Services = []ServiceSpec{lookup(1)}
+func TestClientRetries(t *testing.T) {
+	s := withSpan(calmScenario(), 20)
+	s.Services = []ServiceSpec{lookupService(1)}
 	cases := []struct {
 		name  string
 		retry mgclock.Millis
 		asked int
 	}{
 		{"not told to return, doesn't", 0, 1},
-		{"told a second, asks as often as a person would", mgclock.Second, askAgain},
+		{"told a second, asks as often as a person would", mgclock.Second, maxAttempts},
 		{"told a time past its deadline, doesn't", 20 * mgclock.Second, 1},
-		{"told a moment, waits the least time", 1, askAgain},
+		{"told a moment, waits the least time", 1, maxAttempts},
 	}
 	for _, c := range cases {
 		Convey("A client that is "+c.name, t, func() {
-			m := simulate(newWorkload(s, 1), refuser(c.retry), 1)
+			m := simulate(newWorkload(s, 1), refusingPolicy(c.retry), 1)
 			So(m.refusals, ShouldEqual, c.asked*m.asked)
-			So(m.away, ShouldEqual, m.asked)
-			So(m.late, ShouldEqual, 0)
+			So(m.refused, ShouldEqual, m.asked)
+			So(m.lateNotRun, ShouldEqual, 0)
 		})
 	}
 }
@@ -132,9 +132,9 @@
 // A caller whose stream stands still until it hangs up has stalled, though no
 // later token closes the gap. A meter that counts gaps at the next token only
 // would make the policy that starves a stream look the best.
-func TestOpenGapIsStall(t *testing.T) {
+func TestOpenGapNotCountedAsStall(t *testing.T) {
 	Convey("A gap that is open at the deadline counts", t, func() {
-		m := newMeter(calm())
+		m := newMeter(calmScenario())
 		c := &call{
 			request: &request{
 				deadline: 5000,
@@ -150,9 +150,9 @@
 // A client whose request waits until its deadline never learns that it didn't
 // run. A gate that keeps quiet so that the client doesn't ask again must not
 // get away with it: the request counts as a late "not run".
-func TestSilenceIsLate(t *testing.T) {
+func TestUnansweredRequestNotCountedAsLate(t *testing.T) {
 	Convey("A request that waits until its deadline counts as late", t, func() {
-		silent := refuser(0)
+		silent := refusingPolicy(0)
 		build := silent.build
 		silent.build = func(s ScenarioSpec, us []*upstream, seed uint64) router {
 			r := build(s, us, seed)
@@ -161,8 +161,8 @@
 			}
 			return r
 		}
-		m := simulate(newWorkload(shortened(calm(), 20), 1), silent, 1)
-		So(m.late, ShouldEqual, m.asked)
+		m := simulate(newWorkload(withSpan(calmScenario(), 20), 1), silent, 1)
+		So(m.lateNotRun, ShouldEqual, m.asked)
 	})
 }
 
@@ -187,21 +187,21 @@
 func TestWorkload(t *testing.T) {
 	Convey("A workload", t, func() {
 		Convey("keeps the mean rate, with bursts too", func() {
-			for _, s := range []ScenarioSpec{calm(), burst()} {
-				s = shortened(s, 3000)
+			for _, s := range []ScenarioSpec{calmScenario(), burstScenario()} {
+				s = withSpan(s, 3000)
 				mean := s.Rate * s.Load * float64(s.Engines) * s.Span
 				So(float64(len(newWorkload(s, 2).requests))/mean, ShouldAlmostEqual, 1, 0.1)
 			}
 		})
 
 		Convey("repeats by its seed", func() {
-			s := shortened(burst(), 60)
+			s := withSpan(burstScenario(), 60)
 			So(newWorkload(s, 5).requests, ShouldResemble, newWorkload(s, 5).requests)
 			So(newWorkload(s, 5).requests, ShouldNotResemble, newWorkload(s, 6).requests)
 		})
 
 		Convey("doubles its accounts at a takeover", func() {
-			s := takeover()
+			s := takeoverScenario()
 			for _, r := range newWorkload(s, 1).requests {
 				if s.Accounts[r.account].From*s.Span*1000 > r.arrival {
 					So(r, ShouldBeZeroValue)
@@ -212,12 +212,12 @@
 }
 
 func BenchmarkSimulate(b *testing.B) {
-	s := shortened(saturation("sat10", 1), 60)
+	s := withSpan(saturationScenario("sat10", 1), 60)
 	w := newWorkload(s, 1)
 	p := simplePolicy()
 	tokens := int64(0)
 	for b.Loop() {
-		tokens += simulate(w, p, 1).between.TotalCount()
+		tokens += simulate(w, p, 1).tokenGaps.TotalCount()
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(tokens), "ns/token")
 }
--- a/internal/bench/mgbench/event.go
+++ b/internal/bench/mgbench/event.go
@@ -4,32 +4,32 @@
 
 // event is something that happens at a time.
 type event struct {
-	at    float64 // ms
+	due   float64 // ms
 	order int     // among events of the same time
-	do    func(now float64)
+	run   func(now float64)
 }
 
 // agenda is a queue of events by time, then by the order of their entry.
-type agenda struct {
-	events eventHeap
-	count  int
+type eventQueue struct {
+	events    eventHeap
+	lastOrder int
 }
 
 // add enters an event.
-func (a *agenda) add(at float64, do func(now float64)) {
-	a.count++
+func (a *eventQueue) schedule(at float64, run func(now float64)) {
+	a.lastOrder++
 	heap.Push(&a.events, event{
-		at:    at,
-		order: a.count,
-		do:    do,
+		due:   at,
+		order: a.lastOrder,
+		run:   run,
 	})
 }
 
 // run does the events until none is left.
-func (a *agenda) run() {
+func (a *eventQueue) run() {
 	for len(a.events) > 0 {
 		e := heap.Pop(&a.events).(event)
-		e.do(e.at)
+		e.run(e.due)
 	}
 }
 
@@ -39,8 +39,8 @@
 func (h eventHeap) Len() int { return len(h) }
 
 func (h eventHeap) Less(i, j int) bool {
-	if h[i].at != h[j].at {
-		return h[i].at < h[j].at
+	if h[i].due != h[j].due {
+		return h[i].due < h[j].due
 	}
 	return h[i].order < h[j].order
 }
--- a/internal/bench/mgbench/fifo.go
+++ b/internal/bench/mgbench/fifo.go
@@ -12,8 +12,8 @@
 // memory holds for the call at the head.
 type fifo struct {
 	upstream *upstream
-	fits     func(c *call, pending int) bool
-	line     []*call
+	canAdmit func(c *call, pending int) bool
+	queue    []*call
 	reserved int // prompt and maximum of the running calls, tokens
 }
 
@@ -22,13 +22,13 @@
 	return gate{
 		submit:   f.submit,
 		poll:     f.poll,
-		finish:   f.leave,
-		withdraw: f.leave,
+		finish:   f.remove,
+		withdraw: f.remove,
 	}
 }
 
 func (f *fifo) submit(_ mgclock.Millis, c *call) *mgproblem.Problem {
-	f.line = append(f.line, c)
+	f.queue = append(f.queue, c)
 	return nil
 }
 
@@ -38,14 +38,14 @@
 	if f.upstream.engine.Waiting() > 0 {
 		return dst
 	}
-	room := f.upstream.engine.Spec().Batch - f.upstream.engine.Running()
+	freeBatch := f.upstream.engine.Spec().Batch - f.upstream.engine.Running()
 	pending := 0
-	for len(f.line) > 0 && room > 0 && f.mayStart(pending) {
-		c := f.line[0]
-		f.line = f.line[1:]
-		f.reserved += c.most()
+	for len(f.queue) > 0 && freeBatch > 0 && f.mayStart(pending) {
+		c := f.queue[0]
+		f.queue = f.queue[1:]
+		f.reserved += c.maxMemory()
 		pending += c.sequence.Prompt
-		room--
+		freeBatch--
 		dst = append(dst, verdict{
 			call: c,
 		})
@@ -59,33 +59,33 @@
 	if f.upstream.engine.Running() == 0 && pending == 0 {
 		return true
 	}
-	return f.fits(f.line[0], pending)
+	return f.canAdmit(f.queue[0], pending)
 }
 
 // leave forgets a call that ended or was withdrawn.
-func (f *fifo) leave(_ mgclock.Millis, c *call) {
-	if i := slices.Index(f.line, c); i >= 0 {
-		f.line = slices.Delete(f.line, i, i+1)
+func (f *fifo) remove(_ mgclock.Millis, c *call) {
+	if i := slices.Index(f.queue, c); i >= 0 {
+		f.queue = slices.Delete(f.queue, i, i+1)
 		return
 	}
-	f.reserved -= c.most()
+	f.reserved -= c.maxMemory()
 }
 
 // most returns the memory that c takes at its maximum length.
-func (c *call) most() int { return c.sequence.Prompt + c.spec.Output.Limit }
+func (c *call) maxMemory() int { return c.sequence.Prompt + c.spec.Output.Limit }
 
 // fifoPolicy returns a policy of least connections and fifo gates. The rule is
 // told the tokens that calls just started will take.
 func fifoPolicy(name, text string, fits func(f *fifo, c *call, pending int) bool) policy {
 	return policy{
-		name: name,
-		text: text,
+		name:        name,
+		description: text,
 		build: func(_ ScenarioSpec, us []*upstream, _ uint64) router {
 			for _, u := range us {
 				f := &fifo{
 					upstream: u,
 				}
-				f.fits = func(c *call, pending int) bool { return fits(f, c, pending) }
+				f.canAdmit = func(c *call, pending int) bool { return fits(f, c, pending) }
 				u.gate = f.gate()
 			}
 			return leastConnections(us)
@@ -105,7 +105,7 @@
 func reservePolicy() policy {
 	return fifoPolicy("reserve", "least connections, FIFO, the maximum length reserved",
 		func(f *fifo, c *call, _ int) bool {
-			return f.reserved+c.most() <= f.upstream.engine.Spec().Memory
+			return f.reserved+c.maxMemory() <= f.upstream.engine.Spec().Memory
 		})
 }
 
--- a/internal/bench/mgbench/figures.go
+++ b/internal/bench/mgbench/figures.go
@@ -10,24 +10,24 @@
 
 // figure is one measured quantity of a run.
 type figure struct {
-	name   string // short, as in JSON
-	head   string // with its unit, as in the table
-	digits int
-	of     func(m *meter) float64
+	name    string // short, as in JSON
+	heading string // with its unit, as in the table
+	digits  int
+	measure func(m *meter) float64
 }
 
 func newFigure(name, head string, digits int, of func(m *meter) float64) figure {
 	return figure{
-		name:   name,
-		head:   head,
-		digits: digits,
-		of:     of,
+		name:    name,
+		heading: head,
+		digits:  digits,
+		measure: of,
 	}
 }
 
 // figureNamed returns the quantity of a name.
-func figureNamed(name string) figure {
-	for _, f := range append(figures(), details()...) {
+func figureByName(name string) figure {
+	for _, f := range append(figures(), preferenceFigures()...) {
 		if f.name == name {
 			return f
 		}
@@ -37,12 +37,12 @@
 
 // details returns what the services of each preference get, which is too wide
 // for the terminal.
-func details() []figure {
+func preferenceFigures() []figure {
 	return []figure{
-		newFigure("steady99", "steady p99 ms", 1, func(m *meter) float64 { return quantile(m.steady.between, 99) }),
-		newFigure("steady999", "steady p99.9 ms", 1, func(m *meter) float64 { return quantile(m.steady.between, 99.9) }),
-		newFigure("wholestall", "whole stall s/100", 1, func(m *meter) float64 { return m.whole.perHundred(m.whole.stall / 1000) }),
-		newFigure("wholepreempts", "whole preempt/100", 1, func(m *meter) float64 { return m.whole.perHundred(float64(m.whole.preempts)) }),
+		newFigure("steady99", "steady p99 ms", 1, func(m *meter) float64 { return quantile(m.steadyStreams.tokenGaps, 99) }),
+		newFigure("steady999", "steady p99.9 ms", 1, func(m *meter) float64 { return quantile(m.steadyStreams.tokenGaps, 99.9) }),
+		newFigure("wholestall", "whole stall s/100", 1, func(m *meter) float64 { return m.wholeStreams.perHundred(m.wholeStreams.stall / 1000) }),
+		newFigure("wholepreempts", "whole preempt/100", 1, func(m *meter) float64 { return m.wholeStreams.perHundred(float64(m.wholeStreams.preempts)) }),
 	}
 }
 
@@ -51,16 +51,16 @@
 	return []figure{
 		newFigure("goodput", "answers/s", 2, (*meter).goodput),
 		newFigure("tokens", "tokens/s", 0, (*meter).tokenRate),
-		newFigure("away", "away %", 1, func(m *meter) float64 { return m.percent(m.away) }),
+		newFigure("away", "away %", 1, func(m *meter) float64 { return m.percent(m.refused) }),
 		newFigure("expired", "expired %", 1, func(m *meter) float64 { return m.percent(m.expired) }),
-		newFigure("late", "late", 0, func(m *meter) float64 { return float64(m.late) }),
+		newFigure("late", "late", 0, func(m *meter) float64 { return float64(m.lateNotRun) }),
 		newFigure("preempts", "preempt/100", 1, func(m *meter) float64 { return m.perHundred(float64(m.preempts)) }),
 		newFigure("stall", "stall s/100", 1, func(m *meter) float64 { return m.perHundred(m.stall / 1000) }),
-		newFigure("p50", "p50 ms", 1, func(m *meter) float64 { return quantile(m.between, 50) }),
-		newFigure("p95", "p95 ms", 1, func(m *meter) float64 { return quantile(m.between, 95) }),
-		newFigure("p99", "p99 ms", 1, func(m *meter) float64 { return quantile(m.between, 99) }),
-		newFigure("first50", "first50 ms", 0, func(m *meter) float64 { return quantile(m.first, 50) }),
-		newFigure("first95", "first95 ms", 0, func(m *meter) float64 { return quantile(m.first, 95) }),
+		newFigure("p50", "p50 ms", 1, func(m *meter) float64 { return quantile(m.tokenGaps, 50) }),
+		newFigure("p95", "p95 ms", 1, func(m *meter) float64 { return quantile(m.tokenGaps, 95) }),
+		newFigure("p99", "p99 ms", 1, func(m *meter) float64 { return quantile(m.tokenGaps, 99) }),
+		newFigure("first50", "first50 ms", 0, func(m *meter) float64 { return quantile(m.firstTokenDelays, 50) }),
+		newFigure("first95", "first95 ms", 0, func(m *meter) float64 { return quantile(m.firstTokenDelays, 95) }),
 		newFigure("jain", "jain", 3, (*meter).fairness),
 	}
 }
@@ -68,21 +68,21 @@
 // moveFigures returns what a scenario with reclaims shows beside these.
 func moveFigures() []figure {
 	return []figure{
-		newFigure("cut", "cut/100", 2, func(m *meter) float64 { return m.percent(m.cut) }),
-		newFigure("reports", "reports on time %", 1, func(m *meter) float64 { return m.timely(0) }),
-		newFigure("notes", "notes on time %", 1, func(m *meter) float64 { return m.timely(1) }),
-		newFigure("paused", "paused/100", 2, func(m *meter) float64 { return m.percent(m.paused) }),
+		newFigure("cut", "cut/100", 2, func(m *meter) float64 { return m.percent(m.lostForGood) }),
+		newFigure("reports", "reports on time %", 1, func(m *meter) float64 { return m.onTimePercent(0) }),
+		newFigure("notes", "notes on time %", 1, func(m *meter) float64 { return m.onTimePercent(1) }),
+		newFigure("paused", "paused/100", 2, func(m *meter) float64 { return m.percent(m.pausedByMove) }),
 	}
 }
 
 // timely returns the part of a service's requests that were answered on time.
-func (m *meter) timely(service int) float64 {
-	return 100 * float64(m.onTime[service]) / float64(max(m.sought[service], 1))
+func (m *meter) onTimePercent(service int) float64 {
+	return 100 * float64(m.onTimeCount[service]) / float64(max(m.requestCount[service], 1))
 }
 
 // figuresOf returns the quantities that a scenario's table shows.
 func figuresOf(s ScenarioSpec) []figure {
-	if s.reclaims() {
+	if s.hasReclaims() {
 		return append(moveFigures(), figures()...)
 	}
 	return figures()
@@ -129,8 +129,8 @@
 		"lost":     r.meter.lost,
 		"refusals": r.meter.refusals,
 	}
-	for _, f := range append(figuresOf(r.meter.scenario), details()...) {
-		if x := f.of(r.meter); !math.IsNaN(x) {
+	for _, f := range append(figuresOf(r.meter.scenario), preferenceFigures()...) {
+		if x := f.measure(r.meter); !math.IsNaN(x) {
 			line[f.name] = x
 		} else {
 			line[f.name] = nil
@@ -141,10 +141,10 @@
 
 // spreadOf returns the median and the range of a figure over runs, without
 // those that couldn't measure it.
-func spreadOf(runs []run, f figure) (median, least, most float64) {
+func medianAndRange(runs []run, f figure) (median, minimum, maximum float64) {
 	var values []float64
 	for _, r := range runs {
-		if x := f.of(r.meter); !math.IsNaN(x) {
+		if x := f.measure(r.meter); !math.IsNaN(x) {
 			values = append(values, x)
 		}
 	}
--- a/internal/bench/mgbench/meter.go
+++ b/internal/bench/mgbench/meter.go
@@ -10,19 +10,19 @@
 // notices that the stream stands still. It is five times the step of a full
 // batch of the default engine (about 20 ms), and the same for all policies, so
 // that a policy can't gain by slowing its usual step.
-const stallBound = 100.0
+const stallThreshold = 100.0
 
 // window is the span over which fairness and shares are taken, in ms. It is
 // some times the life of a usual answer, so that one answer doesn't decide it.
-const window = 20000.0
+const fairnessWindow = 20000.0
 
 // promptShare is what a prompt token counts for in the service that an account
 // gets; an output token counts 1. Prompts are computed in parallel.
-const promptShare = 0.1
+const promptTokenWeight = 0.1
 
 // pauseBound is the gap that a move may make between two tokens, in ms: above
 // it the reader of a report has waited.
-const pauseBound = 180.0
+const pauseThreshold = 180.0
 
 // microsecond is the histograms' unit in ms.
 const microsecond = 0.001
@@ -41,75 +41,75 @@
 
 // meter measures one run.
 type meter struct {
-	scenario ScenarioSpec
-	asked    int
-	inTime   int
-	tokens   int   // of answers in time
-	away     int   // requests that ended "not run"
-	refusals int   // times that a client was told "not run"
-	expired  int   // requests that the client hung up on
-	late     int   // of these, such as nobody had started or turned away
-	lost     int   // generations that went with their engine
-	cut      int   // of these, such as nobody went on with
-	paused   int   // answers that a move made wait, see pauseBound
-	onTime   []int // by service: whole, begun within the aim and without a longer gap
-	sought   []int // by service: requests
-	preempts int
-	stall    float64 // ms
-	between  *hdrhistogram.Histogram
-	first    *hdrhistogram.Histogram
-	steady   streamMeter // of the services that prefer steady tokens
-	whole    streamMeter // of those that mind stalls and preemptions
-	accounts []accountMeter
-	windows  int
-	looks    int
-	jains    []float64
+	scenario         ScenarioSpec
+	asked            int
+	inTime           int
+	tokens           int   // of answers in time
+	refused          int   // requests that ended "not run"
+	refusals         int   // times that a client was told "not run"
+	expired          int   // requests that the client hung up on
+	lateNotRun       int   // of these, such as nobody had started or turned away
+	lost             int   // generations that went with their engine
+	lostForGood      int   // of these, such as nobody went on with
+	pausedByMove     int   // answers that a move made wait, see pauseBound
+	onTimeCount      []int // by service: whole, begun within the aim and without a longer gap
+	requestCount     []int // by service: requests
+	preempts         int
+	stall            float64 // ms
+	tokenGaps        *hdrhistogram.Histogram
+	firstTokenDelays *hdrhistogram.Histogram
+	steadyStreams    streamMeter // of the services that prefer steady tokens
+	wholeStreams     streamMeter // of those that mind stalls and preemptions
+	accounts         []accountMeter
+	windows          int
+	demandSamples    int
+	jains            []float64
 }
 
 // streamMeter is the part of a meter for the services of one preference.
 type streamMeter struct {
-	between  *hdrhistogram.Histogram
-	stall    float64 // ms
-	preempts int
-	inTime   int
+	tokenGaps *hdrhistogram.Histogram
+	stall     float64 // ms
+	preempts  int
+	inTime    int
 }
 
 // streams returns the part for c's preference.
 func (m *meter) streams(c *call) *streamMeter {
 	if c.spec.Prefer == Whole {
-		return &m.whole
+		return &m.wholeStreams
 	}
-	return &m.steady
+	return &m.steadyStreams
 }
 
 // accountMeter is an account's part of a meter.
 type accountMeter struct {
-	demand  int     // requests that wait or were turned away for now
-	least   int     // demand, the least within the window
-	service float64 // within the window
-	shares  []float64
+	demand    int     // requests that wait or were turned away for now
+	minDemand int     // demand, the least within the window
+	service   float64 // within the window
+	shares    []float64
 }
 
 func newMeter(s ScenarioSpec) *meter {
 	return &meter{
-		scenario: s,
-		between:  newHistogram(),
-		first:    newHistogram(),
-		accounts: make([]accountMeter, len(s.Accounts)),
-		onTime:   make([]int, len(s.Services)),
-		sought:   make([]int, len(s.Services)),
-		steady: streamMeter{
-			between: newHistogram(),
+		scenario:         s,
+		tokenGaps:        newHistogram(),
+		firstTokenDelays: newHistogram(),
+		accounts:         make([]accountMeter, len(s.Accounts)),
+		onTimeCount:      make([]int, len(s.Services)),
+		requestCount:     make([]int, len(s.Services)),
+		steadyStreams: streamMeter{
+			tokenGaps: newHistogram(),
 		},
-		whole: streamMeter{
-			between: newHistogram(),
+		wholeStreams: streamMeter{
+			tokenGaps: newHistogram(),
 		},
 	}
 }
 
 func (m *meter) arrive(c *call) {
 	m.asked++
-	m.sought[c.service]++
+	m.requestCount[c.service]++
 	m.accounts[c.account].demand++
 }
 
@@ -123,40 +123,40 @@
 func (m *meter) start(_ float64, c *call) {
 	a := &m.accounts[c.account]
 	a.demand--
-	a.service += promptShare * float64(c.sequence.Prompt)
+	a.service += promptTokenWeight * float64(c.sequence.Prompt)
 }
 
 // token counts a token and the gap before it.
 func (m *meter) token(now float64, c *call) {
 	m.accounts[c.account].service++
-	if c.last > 0 {
-		record(m.between, now-c.last)
-		record(m.streams(c).between, now-c.last)
-		m.stalled(c, now-c.last)
-		c.stood = c.stood || now-c.last > pauseBound
-		c.paused = c.paused || c.moved && now-c.last > pauseBound
-		c.moved = false
-	} else if c.first == 0 {
-		c.first = now
-		record(m.first, now-c.arrival)
+	if c.lastTokenAt > 0 {
+		record(m.tokenGaps, now-c.lastTokenAt)
+		record(m.streams(c).tokenGaps, now-c.lastTokenAt)
+		m.countStall(c, now-c.lastTokenAt)
+		c.hasLongGap = c.hasLongGap || now-c.lastTokenAt > pauseThreshold
+		c.pausedByMove = c.pausedByMove || c.resumedElsewhere && now-c.lastTokenAt > pauseThreshold
+		c.resumedElsewhere = false
+	} else if c.firstTokenAt == 0 {
+		c.firstTokenAt = now
+		record(m.firstTokenDelays, now-c.arrival)
 	}
-	c.last = now
+	c.lastTokenAt = now
 }
 
 // stalled counts a gap as stall time if it is long.
-func (m *meter) stalled(c *call, gap float64) {
-	if gap > stallBound {
+func (m *meter) countStall(c *call, gap float64) {
+	if gap > stallThreshold {
 		m.stall += gap
 		m.streams(c).stall += gap
 	}
 }
 
 func (m *meter) finish(now float64, c *call) {
-	if c.paused {
-		m.paused++
+	if c.pausedByMove {
+		m.pausedByMove++
 	}
-	if !c.stood && c.first-c.arrival <= c.spec.Aim*1000 {
-		m.onTime[c.service]++
+	if !c.hasLongGap && c.firstTokenAt-c.arrival <= c.spec.Aim*1000 {
+		m.onTimeCount[c.service]++
 	}
 	if now <= c.deadline {
 		m.inTime++
@@ -168,10 +168,10 @@
 func (m *meter) refuse(now float64, c *call, again bool) {
 	m.refusals++
 	if now > c.deadline {
-		m.late++
+		m.lateNotRun++
 	}
 	if !again {
-		m.away++
+		m.refused++
 		m.accounts[c.account].demand--
 	}
 }
@@ -180,28 +180,28 @@
 // too, or a policy could hide its longest stalls behind the deadline.
 func (m *meter) expire(now float64, c *call) {
 	m.expired++
-	m.stalled(c, c.gapUntil(now))
+	m.countStall(c, c.openGap(now))
 	switch c.state {
 	case queued:
-		m.late++
+		m.lateNotRun++
 		m.accounts[c.account].demand--
-	case asking:
+	case atClient:
 		m.accounts[c.account].demand--
 	}
 }
 
-func (m *meter) lose(now float64, c *call) {
+func (m *meter) countLost(now float64, c *call) {
 	if c.state == running {
 		m.lost++
-		m.stalled(c, c.gapUntil(now))
+		m.countStall(c, c.openGap(now))
 	}
 }
 
 // sever counts a generation that went with its engine and ends there.
-func (m *meter) sever(now float64, c *call) {
+func (m *meter) countLostForGood(now float64, c *call) {
 	m.lost++
-	m.cut++
-	m.stalled(c, c.gapUntil(now))
+	m.lostForGood++
+	m.countStall(c, c.openGap(now))
 }
 
 func (m *meter) preempt(c *call) {
@@ -210,26 +210,26 @@
 }
 
 // look samples the accounts' demands, and closes a window when it is full.
-func (m *meter) look(now float64) {
+func (m *meter) sampleDemand(now float64) {
 	for i := range m.accounts {
 		a := &m.accounts[i]
-		if m.looks == 0 || a.demand < a.least {
-			a.least = a.demand
+		if m.demandSamples == 0 || a.demand < a.minDemand {
+			a.minDemand = a.demand
 		}
 	}
-	m.looks++
-	if now >= float64(m.windows+1)*window-lookEvery {
-		m.close()
+	m.demandSamples++
+	if now >= float64(m.windows+1)*fairnessWindow-demandSampleInterval {
+		m.closeWindow()
 	}
 }
 
 // close ends a window.
-func (m *meter) close() {
+func (m *meter) closeWindow() {
 	var served []float64
 	for i := range m.accounts {
 		a := &m.accounts[i]
 		a.shares = append(a.shares, a.service)
-		if a.least >= m.scenario.Engines { // fewer can't take a share of each engine
+		if a.minDemand >= m.scenario.Engines { // fewer can't take a share of each engine
 			served = append(served, a.service/m.scenario.Accounts[i].Weight)
 		}
 		a.service = 0
@@ -238,7 +238,7 @@
 		m.jains = append(m.jains, jain(served))
 	}
 	m.windows++
-	m.looks = 0
+	m.demandSamples = 0
 }
 
 // jain returns the fairness index of Jain, Chiu and Hawe: 1 when all are
--- a/internal/bench/mgbench/oracle.go
+++ b/internal/bench/mgbench/oracle.go
@@ -11,79 +11,79 @@
 // token's part of a step in a usual batch, a whole step of a light batch, a
 // prompt token's computing, and a whole step of a full batch.
 const (
-	shareCost  = 0.4
-	stepCost   = 14
-	promptCost = 0.03
-	fullCost   = 18
+	batchTokenCost = 0.4
+	lightStepCost  = 14
+	promptCost     = 0.03
+	fullStepCost   = 18
 )
 
 // oracleDepth is how many queued calls the oracle looks at per turn. The order
 // puts the best first, so that more changes nothing that shows.
-const oracleDepth = 64
+const maxOracleScan = 64
 
 // oracle is a gate that knows all output lengths.
 type oracle struct {
 	upstream *upstream
 	peers    []*oracle
 	order    func(a, b *call) int
-	steal    bool
-	line     []*call
-	batch    []load
+	canSteal bool
+	queue    []*call
+	batch    []callMemory
 }
 
 // load is what a running call still does to memory: what it holds and how many
 // steps it holds on.
-type load struct {
-	held, left int
+type callMemory struct {
+	heldTokens, remainingTokens int
 }
 
 // oraclePolicy knows lengths and orders freely. No order is the best for every
 // load: the driver runs the orders of oracleOrders and keeps the best run.
 func oraclePolicy() policy {
 	return policy{
-		name: "oracle",
-		text: "lengths known, exact peak of memory, the best of several orders, work moves to idle engines",
+		name:        "oracle",
+		description: "lengths known, exact peak of memory, the best of several orders, work moves to idle engines",
 	}
 }
 
 // oracleOrders returns the oracle's candidates.
 func oracleOrders() []policy {
 	return []policy{
-		oracleOrdered("oracle/short", byWork, true),
-		oracleOrdered("oracle/due", byDeadline, true),
-		oracleOrdered("oracle/fifo", byArrival, true),
-		careful(oracleOrdered("oracle/careful", byDeadline, true)),
+		newOraclePolicy("oracle/short", byWork, true),
+		newOraclePolicy("oracle/due", byDeadline, true),
+		newOraclePolicy("oracle/fifo", byArrival, true),
+		withFullStepEstimate(newOraclePolicy("oracle/careful", byDeadline, true)),
 	}
 }
 
 // peakPolicy knows lengths but keeps the queue and the routes of the
 // baselines: what knowing the lengths alone is worth.
 func peakPolicy() policy {
-	return oracleOrdered("peak", byArrival, false)
+	return newOraclePolicy("peak", byArrival, false)
 }
 
-func oracleOrdered(name string, order func(a, b *call) int, free bool) policy {
+func newOraclePolicy(name string, order func(a, b *call) int, isFree bool) policy {
 	return policy{
-		name: name,
-		text: "least connections, FIFO, lengths known, exact peak of memory",
+		name:        name,
+		description: "least connections, FIFO, lengths known, exact peak of memory",
 		build: func(_ ScenarioSpec, us []*upstream, _ uint64) router {
 			peers := make([]*oracle, len(us))
 			for i, u := range us {
-				if u.step == 0 {
-					u.step = stepCost
+				if u.stepEstimate == 0 {
+					u.stepEstimate = lightStepCost
 				}
 				peers[i] = &oracle{
 					upstream: u,
 					order:    order,
-					steal:    free,
+					canSteal: isFree,
 				}
 				u.gate = peers[i].gate()
 			}
 			for _, o := range peers {
 				o.peers = peers
 			}
-			if free {
-				return least(us, (*upstream).backlog)
+			if isFree {
+				return lowestCost(us, (*upstream).completionEstimate)
 			}
 			return leastConnections(us)
 		},
@@ -92,11 +92,11 @@
 
 // careful returns p with upstreams that expect the step of a full batch, so that
 // less is begun that ends too late.
-func careful(p policy) policy {
+func withFullStepEstimate(p policy) policy {
 	build := p.build
 	p.build = func(s ScenarioSpec, us []*upstream, seed uint64) router {
 		for _, u := range us {
-			u.step = fullCost
+			u.stepEstimate = fullStepCost
 		}
 		return build(s, us, seed)
 	}
@@ -104,7 +104,7 @@
 }
 
 func byWork(a, b *call) int {
-	return a.work() - b.work()
+	return a.memorySteps() - b.memorySteps()
 }
 
 func byDeadline(a, b *call) int {
@@ -116,20 +116,20 @@
 }
 
 // work returns the memory that c takes, summed over its steps.
-func (c *call) work() int {
+func (c *call) memorySteps() int {
 	out := c.sequence.Output
 	return (c.sequence.Prompt + out/2) * out
 }
 
 // backlog returns the ms until c would be done at u.
-func (u *upstream) backlog(c *call) float64 {
+func (u *upstream) completionEstimate(c *call) float64 {
 	tokens := 0
 	for _, other := range u.calls {
-		tokens += other.left()
+		tokens += other.remainingTokens()
 	}
 	uncached := c.sequence.Prompt - u.engine.Cached(c.sequence.Prefix)
-	cost := shareCost*float64(tokens) + promptCost*float64(uncached)
-	cost += u.step * float64(c.left())
+	cost := batchTokenCost*float64(tokens) + promptCost*float64(uncached)
+	cost += u.stepEstimate * float64(c.remainingTokens())
 	return cost / u.engine.Spec().Speed
 }
 
@@ -138,21 +138,21 @@
 	return gate{
 		submit:   o.submit,
 		poll:     o.poll,
-		withdraw: o.leave,
+		withdraw: o.remove,
 	}
 }
 
 func (o *oracle) submit(_ mgclock.Millis, c *call) *mgproblem.Problem {
-	at, _ := slices.BinarySearchFunc(o.line, c, o.order)
-	o.line = slices.Insert(o.line, at, c)
+	at, _ := slices.BinarySearchFunc(o.queue, c, o.order)
+	o.queue = slices.Insert(o.queue, at, c)
 	return nil
 }
 
 // leave forgets a call, which may have been handed to a peer.
-func (o *oracle) leave(_ mgclock.Millis, c *call) {
+func (o *oracle) remove(_ mgclock.Millis, c *call) {
 	for _, p := range o.peers {
-		if i := slices.Index(p.line, c); i >= 0 {
-			p.line = slices.Delete(p.line, i, i+1)
+		if i := slices.Index(p.queue, c); i >= 0 {
+			p.queue = slices.Delete(p.queue, i, i+1)
 		}
 	}
 }
@@ -163,19 +163,19 @@
 	o.batch = o.batch[:0]
 	for _, c := range o.upstream.calls {
 		if c.state == running {
-			o.batch = append(o.batch, load{
-				held: c.held(),
-				left: c.left(),
+			o.batch = append(o.batch, callMemory{
+				heldTokens:      c.heldTokens(),
+				remainingTokens: c.remainingTokens(),
 			})
 		}
 	}
-	dst = o.take(now, o, dst)
-	if !o.steal || len(o.line) > 0 || o.upstream.leaving {
+	dst = o.startFitting(now, o, dst)
+	if !o.canSteal || len(o.queue) > 0 || o.upstream.isLeaving {
 		return dst
 	}
 	for _, other := range o.peers {
 		if other != o {
-			dst = o.take(now, other, dst)
+			dst = o.startFitting(now, other, dst)
 		}
 	}
 	return dst
@@ -186,26 +186,26 @@
 
 // take starts calls of a line that fit. With a free order, calls that can't be
 // in time any more are given up and calls that don't fit are passed over.
-func (o *oracle) take(now mgclock.Millis, from *oracle, dst []verdict) []verdict {
-	line := from.line
-	from.line = line[:0:0]
-	for i, c := range line {
+func (o *oracle) startFitting(now mgclock.Millis, from *oracle, dst []verdict) []verdict {
+	queue := from.queue
+	from.queue = queue[:0:0]
+	for i, c := range queue {
 		full := len(o.batch) >= o.upstream.engine.Spec().Batch
-		if full || i >= oracleDepth {
-			from.line = append(from.line, line[i:]...)
+		if full || i >= maxOracleScan {
+			from.queue = append(from.queue, queue[i:]...)
 			return dst
 		}
 		switch {
-		case o.steal && o.hopeless(now, c):
-			dst = o.pass(now, c, from, dst)
-		case o.fits(c):
+		case o.canSteal && o.isTooLate(now, c):
+			dst = o.passToFastest(now, c, from, dst)
+		case o.reserveIfFits(c):
 			dst = append(dst, verdict{
 				call: c,
 			})
-		case o.steal:
-			from.line = append(from.line, c)
+		case o.canSteal:
+			from.queue = append(from.queue, c)
 		default:
-			from.line = append(from.line, line[i:]...)
+			from.queue = append(from.queue, queue[i:]...)
 			return dst
 		}
 	}
@@ -214,29 +214,29 @@
 
 // pass gives c up if the quickest peer can't do it in time either. Else c stays
 // in that peer's line or moves to it.
-func (o *oracle) pass(now mgclock.Millis, c *call, from *oracle, dst []verdict) []verdict {
-	quickest := o.quickest()
+func (o *oracle) passToFastest(now mgclock.Millis, c *call, from *oracle, dst []verdict) []verdict {
+	fastest := o.fastestPeer()
 	switch {
-	case quickest.hopeless(now, c):
+	case fastest.isTooLate(now, c):
 		return append(dst, verdict{
 			call:    c,
 			problem: tooLate,
 		})
-	case quickest == from:
-		from.line = append(from.line, c)
+	case fastest == from:
+		from.queue = append(from.queue, c)
 	default:
-		quickest.submit(now, c)
+		fastest.submit(now, c)
 	}
 	return dst
 }
 
 // quickest returns the quickest peer that takes work. What a slow upstream
 // can't do in time goes to its line.
-func (o *oracle) quickest() *oracle {
+func (o *oracle) fastestPeer() *oracle {
 	chosen := o
 	for _, p := range o.peers {
 		faster := p.upstream.engine.Spec().Speed > chosen.upstream.engine.Spec().Speed
-		if !p.upstream.leaving && faster {
+		if !p.upstream.isLeaving && faster {
 			chosen = p
 		}
 	}
@@ -244,25 +244,25 @@
 }
 
 // hopeless reports whether c can't be in time even in a light batch.
-func (o *oracle) hopeless(now mgclock.Millis, c *call) bool {
-	least := o.upstream.step * float64(c.left()) / o.upstream.engine.Spec().Speed
-	return float64(now)+least > c.deadline
+func (o *oracle) isTooLate(now mgclock.Millis, c *call) bool {
+	minDuration := o.upstream.stepEstimate * float64(c.remainingTokens()) / o.upstream.engine.Spec().Speed
+	return float64(now)+minDuration > c.deadline
 }
 
 // fits reports whether the peak of memory stays within bounds with c, and
 // counts c in if so. All calls grow by a token per step until their ends, so
 // that the peak is at one of the ends.
-func (o *oracle) fits(c *call) bool {
-	own := load{
-		held: c.held(),
-		left: c.left(),
+func (o *oracle) reserveIfFits(c *call) bool {
+	own := callMemory{
+		heldTokens:      c.heldTokens(),
+		remainingTokens: c.remainingTokens(),
 	}
 	batch := append(o.batch, own)
-	slices.SortFunc(batch, func(a, b load) int { return a.left - b.left })
+	slices.SortFunc(batch, func(a, b callMemory) int { return a.remainingTokens - b.remainingTokens })
 	sum, peak := 0, 0
 	for i := len(batch) - 1; i >= 0; i-- {
-		sum += batch[i].held
-		peak = max(peak, sum+batch[i].left*(len(batch)-i))
+		sum += batch[i].heldTokens
+		peak = max(peak, sum+batch[i].remainingTokens*(len(batch)-i))
 	}
 	if peak <= o.upstream.engine.Spec().Memory {
 		o.batch = batch
--- a/internal/bench/mgbench/ours.go
+++ b/internal/bench/mgbench/ours.go
@@ -43,12 +43,12 @@
 // that isn't empty goes before those of the services.
 func oursPolicy(name, text string, settings mgscheduler.Policy, prefer Preference) policy {
 	return policy{
-		name: name,
-		text: text,
+		name:        name,
+		description: text,
 		build: func(s ScenarioSpec, us []*upstream, seed uint64) router {
 			e := &entry{
 				upstreams: us,
-				random:    rand.New(rand.NewPCG(seed, stream)),
+				random:    rand.New(rand.NewPCG(seed, randomStream)),
 			}
 			list := make([]mgrouting.Upstream, len(us))
 			for i, u := range us {
@@ -74,34 +74,34 @@
 // estimate of lengths is worth.
 func oursPolicies() []policy {
 	return []policy{
-		oursPolicy("ours", "the decision packages", settingsNamed("ours"), ""),
-		oursNamed("mark-0.1"),
-		oursNamed("mark-0.2"),
-		oursNamed("now"),
+		oursPolicy("ours", "the decision packages", settingsByName("ours"), ""),
+		oursWithSettings("mark-0.1"),
+		oursWithSettings("mark-0.2"),
+		oursWithSettings("now"),
 	}
 }
 
 // frontPolicies returns the settings between many answers and few preemptions,
 // and ours when all services have one preference. They run by name only.
-func frontPolicies() []policy {
+func tradeOffPolicies() []policy {
 	front := []policy{
-		oursPolicy("ours/steady", "ours, all services prefer steady", settingsNamed("ours"), Steady),
-		oursPolicy("ours/whole", "ours, all services prefer whole", settingsNamed("ours"), Whole),
+		oursPolicy("ours/steady", "ours, all services prefer steady", settingsByName("ours"), Steady),
+		oursPolicy("ours/whole", "ours, all services prefer whole", settingsByName("ours"), Whole),
 	}
 	for _, name := range mgscheduler.Names() {
 		if name != "ours" {
-			front = append(front, oursNamed(name))
+			front = append(front, oursWithSettings(name))
 		}
 	}
 	return front
 }
 
 // oursNamed returns ours with another named set of settings.
-func oursNamed(name string) policy {
-	return oursPolicy("ours/"+name, "the decision packages, set as "+name, settingsNamed(name), "")
+func oursWithSettings(name string) policy {
+	return oursPolicy("ours/"+name, "the decision packages, set as "+name, settingsByName(name), "")
 }
 
-func settingsNamed(name string) mgscheduler.Policy {
+func settingsByName(name string) mgscheduler.Policy {
 	settings, err := mgscheduler.Named(name)
 	if err != nil {
 		panic("mgbench: " + err.Error())
@@ -113,7 +113,7 @@
 // told the earliest time to come back.
 func (e *entry) route(now mgclock.Millis, c *call) (*upstream, *mgproblem.Problem) {
 	for i, u := range e.upstreams {
-		if u.leaving {
+		if u.isLeaving {
 			e.fleet.Leave(i)
 		}
 	}
@@ -215,7 +215,7 @@
 		Prompt:   c.sequence.Prompt,
 		Cached:   a.upstream.engine.Cached(c.sequence.Prefix),
 		Max:      c.spec.Output.Limit,
-		Due:      millis(c.deadline),
+		Due:      toClock(c.deadline),
 	}
 	if a.prefer == Whole || a.prefer == "" && c.spec.Prefer == Whole {
 		r.Prefer = mgscheduler.Whole
--- a/internal/bench/mgbench/plot.go
+++ b/internal/bench/mgbench/plot.go
@@ -21,7 +21,7 @@
 	plotHeight  = 13 * vg.Centimeter
 	tileHeight  = 7 * vg.Centimeter
 	barWidth    = 14 * vg.Millimeter
-	barInch     = 2.4 * vg.Centimeter
+	widthPerBar = 2.4 * vg.Centimeter
 	lineWidth   = 1.5
 	glyphRadius = 4
 )
@@ -39,7 +39,7 @@
 }
 
 // style returns the i-th line style.
-func style(i int) draw.LineStyle {
+func lineStyle(i int) draw.LineStyle {
 	line := draw.LineStyle{
 		Color: palette[i%len(palette)],
 		Width: vg.Points(lineWidth),
@@ -52,22 +52,22 @@
 
 // writePlots writes the plots of a scenario to a directory.
 func writePlots(dir string, s ScenarioSpec, policies []policy, runs []run) error {
-	policies = s.playable(policies)
+	policies = s.playablePolicies(policies)
 	tail := plotTail(s, policies, runs)
 	if err := save(tail, plotWidth, plotHeight, dir, "tail-"+s.Name); err != nil {
 		return err
 	}
 	for _, name := range []string{"stall", "preempts", "goodput", "p99"} {
-		bars, err := plotBars(s, policies, runs, figureNamed(name))
+		bars, err := plotBars(s, policies, runs, figureByName(name))
 		if err != nil {
 			return fmt.Errorf("plot: %w", err)
 		}
-		width := barInch * vg.Length(len(policies)+1)
+		width := widthPerBar * vg.Length(len(policies)+1)
 		if err := save(bars, width, plotHeight, dir, name+"-"+s.Name); err != nil {
 			return err
 		}
 	}
-	front, err := plotFront(s, policies, runs)
+	front, err := plotTradeOff(s, policies, runs)
 	if err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
@@ -99,7 +99,7 @@
 		if err != nil {
 			continue // a policy under which nothing was answered has no gaps
 		}
-		line.LineStyle = style(i)
+		line.LineStyle = lineStyle(i)
 		p.Add(line)
 		p.Legend.Add(o.name, line)
 	}
@@ -109,13 +109,13 @@
 
 // tailLeast is the smallest share that a tail shows: below it a point stands
 // for a few gaps only.
-const tailLeast = 1e-6
+const minTailShare = 1e-6
 
 // tailOf returns the tail of the gaps of runs.
 func tailOf(runs []run) plotter.XYs {
 	all := newHistogram()
 	for _, r := range runs {
-		all.Merge(r.meter.between)
+		all.Merge(r.meter.tokenGaps)
 	}
 	var points plotter.XYs
 	total := float64(all.TotalCount())
@@ -123,7 +123,7 @@
 	for _, bar := range all.Distribution() {
 		seen += float64(bar.Count)
 		rest := 1 - seen/total
-		if bar.Count == 0 || rest < tailLeast {
+		if bar.Count == 0 || rest < minTailShare {
 			continue
 		}
 		points = append(points, plotter.XY{
@@ -140,7 +140,7 @@
 }
 
 // spreads holds the medians and ranges of bars, for plotter.NewYErrorBars.
-type spreads struct {
+type barRanges struct {
 	plotter.XYs
 	plotter.YErrors
 }
@@ -148,22 +148,22 @@
 // plotBars draws a figure's median per policy, with the range over the seeds.
 func plotBars(s ScenarioSpec, policies []policy, runs []run, f figure) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text = s.Name + ": " + f.head + ", median and range"
-	p.Y.Label.Text = f.head
+	p.Title.Text = s.Name + ": " + f.heading + ", median and range"
+	p.Y.Label.Text = f.heading
 	p.Y.Min = 0
 	var values plotter.Values
-	var errors spreads
+	var errors barRanges
 	var names []string
 	for i, o := range policies {
-		median, least, most := spreadOf(runsOf(runs, s.Name, o.name), f)
+		median, minimum, maximum := medianAndRange(runsOf(runs, s.Name, o.name), f)
 		values = append(values, median)
 		errors.XYs = append(errors.XYs, plotter.XY{
 			X: float64(i),
 			Y: median,
 		})
 		errors.YErrors = append(errors.YErrors, struct{ Low, High float64 }{
-			Low:  median - least,
-			High: most - median,
+			Low:  median - minimum,
+			High: maximum - median,
 		})
 		names = append(names, o.name)
 	}
@@ -182,31 +182,31 @@
 }
 
 // frontLeast is what stands for nothing on the front's logarithmic scale.
-const frontLeast = 0.01
+const minPreemptions = 0.01
 
 // frontMargin is the part of the front's width that the legend takes.
-const frontMargin = 0.35
+const legendMargin = 0.35
 
 // edgeMargin keeps the outermost glyph whole.
 const edgeMargin = 0.03
 
 // plotFront draws each policy by what the services of each preference mind: the
 // gaps of those that prefer steady tokens, the preemptions of the others.
-func plotFront(s ScenarioSpec, policies []policy, runs []run) (*plot.Plot, error) {
+func plotTradeOff(s ScenarioSpec, policies []policy, runs []run) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = s.Name + ": steady tokens against preemptions, medians"
 	p.X.Label.Text = "steady services: p99 between tokens, ms"
-	p.Y.Label.Text = fmt.Sprintf("whole services: preemptions per 100, at least %g", frontLeast)
+	p.Y.Label.Text = fmt.Sprintf("whole services: preemptions per 100, at least %g", minPreemptions)
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	p.Add(plotter.NewGrid())
 	p.Legend.Top, p.Legend.Left = true, true
 	for i, o := range policies {
 		own := runsOf(runs, s.Name, o.name)
-		x, _, _ := spreadOf(own, figureNamed("steady99"))
-		y, _, _ := spreadOf(own, figureNamed("wholepreempts"))
+		x, _, _ := medianAndRange(own, figureByName("steady99"))
+		y, _, _ := medianAndRange(own, figureByName("wholepreempts"))
 		point, err := plotter.NewScatter(plotter.XYs{{
 			X: x,
-			Y: max(y, frontLeast),
+			Y: max(y, minPreemptions),
 		}})
 		if err != nil {
 			return nil, err
@@ -220,9 +220,9 @@
 		p.Legend.Add(o.name, point)
 	}
 	width := p.X.Max - p.X.Min
-	p.X.Min -= frontMargin * width
+	p.X.Min -= legendMargin * width
 	p.X.Max += edgeMargin * width
-	p.Y.Min, p.Y.Max = frontLeast/2, max(p.Y.Max, 1)
+	p.Y.Min, p.Y.Max = minPreemptions/2, max(p.Y.Max, 1)
 	return p, nil
 }
 
@@ -230,10 +230,10 @@
 // under each policy, of the first seed.
 func plotShares(path string, s ScenarioSpec, policies []policy, runs []run) error {
 	plots := make([][]*plot.Plot, 0, len(policies))
-	most := 0.0
+	maxY := 0.0
 	for _, o := range policies {
 		p := plotShare(s, o, runsOf(runs, s.Name, o.name)[0])
-		most = max(most, p.Y.Max)
+		maxY = max(maxY, p.Y.Max)
 		plots = append(plots, []*plot.Plot{p})
 	}
 	canvas := vgimg.New(plotWidth, tileHeight*vg.Length(len(plots)))
@@ -243,7 +243,7 @@
 		PadY: vg.Points(8),
 	}
 	for i, row := range plot.Align(plots, tiles, draw.New(canvas)) {
-		plots[i][0].Y.Max = most
+		plots[i][0].Y.Max = maxY
 		plots[i][0].Draw(row[0])
 	}
 	return writePNG(path, canvas)
@@ -262,15 +262,15 @@
 		points := make(plotter.XYs, len(r.meter.accounts[i].shares))
 		for k, tokens := range r.meter.accounts[i].shares {
 			points[k] = plotter.XY{
-				X: float64(k+1) * window / 1000,
-				Y: tokens / a.Weight / (window / 1000),
+				X: float64(k+1) * fairnessWindow / 1000,
+				Y: tokens / a.Weight / (fairnessWindow / 1000),
 			}
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
 			continue // a run shorter than a window has no points
 		}
-		line.LineStyle = style(i)
+		line.LineStyle = lineStyle(i)
 		p.Add(line)
 		if i < len(palette) {
 			p.Legend.Add(fmt.Sprintf("%s, weight %g", a.Name, a.Weight), line)
--- a/internal/bench/mgbench/policy.go
+++ b/internal/bench/mgbench/policy.go
@@ -13,45 +13,45 @@
 type state int
 
 const (
-	asking  state = iota // at the client: not sent yet, or waiting to ask again
-	queued               // in a gate's queue
-	running              // given to an engine
-	moving               // stopped at its engine, to go on at another
+	atClient state = iota // at the client: not sent yet, or waiting to ask again
+	queued                // in a gate's queue
+	running               // given to an engine
+	moving                // stopped at its engine, to go on at another
 	ended
 )
 
 // call is a request on its way under one policy.
 type call struct {
 	*request
-	spec     ServiceSpec
-	state    state
-	upstream *upstream
-	attempts int
-	produced int
-	first    float64 // time of the first token, ms
-	last     float64 // time of the latest token, ms
-	claimed  bool    // a move of it has begun
-	moved    bool    // its next token is the first one elsewhere
-	paused   bool    // a move made its caller wait
-	stood    bool    // it stood still for longer than pauseBound
+	spec             ServiceSpec
+	state            state
+	upstream         *upstream
+	attempts         int
+	produced         int
+	firstTokenAt     float64 // time of the first token, ms
+	lastTokenAt      float64 // time of the latest token, ms
+	moveStarted      bool    // a move of it has begun
+	resumedElsewhere bool    // its next token is the first one elsewhere
+	pausedByMove     bool    // a move made its caller wait
+	hasLongGap       bool    // it stood still for longer than pauseBound
 }
 
 // left returns the tokens still to come. Only the oracle may ask.
-func (c *call) left() int { return c.sequence.Output - c.produced }
+func (c *call) remainingTokens() int { return c.sequence.Output - c.produced }
 
 // held returns the memory that c takes now.
-func (c *call) held() int { return c.sequence.Prompt + c.produced }
+func (c *call) heldTokens() int { return c.sequence.Prompt + c.produced }
 
 // upstream is an engine with the policy's gate beside it.
 type upstream struct {
-	index   int
-	engine  *mgmodel.Engine
-	gate    gate
-	step    float64 // ms that the oracle expects of a step, else 0
-	calls   []*call // queued or running here, in the order of their coming
-	busy    bool    // its next turn is scheduled
-	leaving bool    // takes no new work
-	gone    bool
+	index           int
+	engine          *mgmodel.Engine
+	gate            gate
+	stepEstimate    float64 // ms that the oracle expects of a step, else 0
+	calls           []*call // queued or running here, in the order of their coming
+	isStepScheduled bool    // its next turn is scheduled
+	isLeaving       bool    // takes no new work
+	isGone          bool
 }
 
 // verdict is a gate's decision on a queued call: start it, or give it up with
@@ -74,9 +74,9 @@
 
 // policy is a way to admit, order, turn away and route.
 type policy struct {
-	name string
-	text string
-	way  way // how generations leave an engine; empty where none of them moves
+	name         string
+	description  string
+	moveStrategy moveStrategy // how generations leave an engine; empty where none of them moves
 	// build sets the gates of the upstreams and returns the router.
 	build func(s ScenarioSpec, us []*upstream, seed uint64) router
 }
@@ -99,9 +99,9 @@
 }
 
 // policyNamed returns the policy of a name.
-func policyNamed(name string) (policy, error) {
+func policyByName(name string) (policy, error) {
 	var names []string
-	for _, p := range slices.Concat(policies(), frontPolicies(), movePolicies()) {
+	for _, p := range slices.Concat(policies(), tradeOffPolicies(), movePolicies()) {
 		if p.name == name {
 			return p, nil
 		}
@@ -112,20 +112,20 @@
 
 // leastConnections chooses the upstream with the fewest calls.
 func leastConnections(us []*upstream) router {
-	return least(us, func(u *upstream, _ *call) float64 { return float64(len(u.calls)) })
+	return lowestCost(us, func(u *upstream, _ *call) float64 { return float64(len(u.calls)) })
 }
 
 // least chooses the upstream of the least cost among those that take new work.
-func least(us []*upstream, cost func(u *upstream, c *call) float64) router {
+func lowestCost(us []*upstream, cost func(u *upstream, c *call) float64) router {
 	return func(_ mgclock.Millis, c *call) (*upstream, *mgproblem.Problem) {
 		var chosen *upstream
-		best := 0.0
+		bestCost := 0.0
 		for _, u := range us {
-			if u.leaving {
+			if u.isLeaving {
 				continue
 			}
-			if own := cost(u, c); chosen == nil || own < best {
-				chosen, best = u, own
+			if cost := cost(u, c); chosen == nil || cost < bestCost {
+				chosen, bestCost = u, cost
 			}
 		}
 		if chosen == nil {
@@ -138,15 +138,15 @@
 // reclaims reports whether engines come and go in a scenario. Only policies that
 // say how generations leave them play it, and those play nothing else: the
 // others' gates count on engines that stay.
-func (s ScenarioSpec) reclaims() bool { return s.Reclaim.Every > 0 }
+func (s ScenarioSpec) hasReclaims() bool { return s.Reclaim.Every > 0 }
 
 // playable returns those of some policies that play a scenario.
-func (s ScenarioSpec) playable(from []policy) []policy {
-	var some []policy
-	for _, p := range from {
-		if (p.way != "") == s.reclaims() {
-			some = append(some, p)
+func (s ScenarioSpec) playablePolicies(candidates []policy) []policy {
+	var chosen []policy
+	for _, p := range candidates {
+		if (p.moveStrategy != "") == s.hasReclaims() {
+			chosen = append(chosen, p)
 		}
 	}
-	return some
+	return chosen
 }
--- a/internal/bench/mgbench/reclaim_test.go
+++ b/internal/bench/mgbench/reclaim_test.go
@@ -10,14 +10,14 @@
 // notice. Their callers see them cut where nothing moves them, and stand still
 // where many copies share a link. Entries that take turns, and send a copy where
 // it is soon done, come near to one that knows of the leaving a second earlier.
-func TestWaysOfLeaving(t *testing.T) {
+func TestMovesCutOrPauseGenerations(t *testing.T) {
 	cut, paused := map[string]float64{}, map[string]float64{}
-	s := shortened(reclaim(), 200)
+	s := withSpan(reclaimScenario(), 200)
 	for _, p := range movePolicies() {
 		for seed := range uint64(3) {
 			m := simulate(newWorkload(s, seed), p, seed)
-			cut[p.name] += m.percent(m.cut) / 3
-			paused[p.name] += m.percent(m.paused) / 3
+			cut[p.name] += m.percent(m.lostForGood) / 3
+			paused[p.name] += m.percent(m.pausedByMove) / 3
 		}
 		t.Logf("%-14s cut %5.2f, paused %5.2f of 100", p.name, cut[p.name], paused[p.name])
 	}
@@ -42,31 +42,31 @@
 // that are full a moment later. Their callers wait for seconds at one engine while
 // the next one has room. One entry that gives the places, and has requests wait
 // for memory in one line, gets more answers out on time.
-func TestRoom(t *testing.T) {
-	reports, notes, expired := map[way]float64{}, map[way]float64{}, map[way]float64{}
-	s := shortened(packed(), 60)
+func TestRequestsWaitAtFullEngines(t *testing.T) {
+	reports, notes, expired := map[moveStrategy]float64{}, map[moveStrategy]float64{}, map[moveStrategy]float64{}
+	s := withSpan(packedScenario(), 60)
 	for _, p := range movePolicies() {
-		if p.way != wayTurns && p.way != wayRoom {
+		if p.moveStrategy != strategySlots && p.moveStrategy != strategyWaitingList {
 			continue
 		}
 		m := simulate(newWorkload(s, 1), p, 1)
-		reports[p.way], notes[p.way], expired[p.way] = m.timely(0), m.timely(1), m.percent(m.expired)
+		reports[p.moveStrategy], notes[p.moveStrategy], expired[p.moveStrategy] = m.onTimePercent(0), m.onTimePercent(1), m.percent(m.expired)
 	}
 	Convey("Where memory is all but full", t, func() {
-		So(reports[wayRoom], ShouldBeGreaterThan, reports[wayTurns]+3)
-		So(notes[wayRoom], ShouldBeGreaterThan, notes[wayTurns]+10)
-		So(expired[wayRoom], ShouldBeLessThan, expired[wayTurns]/2)
+		So(reports[strategyWaitingList], ShouldBeGreaterThan, reports[strategySlots]+3)
+		So(notes[strategyWaitingList], ShouldBeGreaterThan, notes[strategySlots]+10)
+		So(expired[strategyWaitingList], ShouldBeLessThan, expired[strategySlots]/2)
 	})
 }
 
 // Calls that are given up in the line are named without a place. A run of the bench
 // ended there with a stack trace, once a line grew longer than its callers' patience.
-func TestRoomGivesUp(t *testing.T) {
+func TestGivenUpRequestHasNoPlacement(t *testing.T) {
 	Convey("Calls that wait in the line until their deadline are hung up on", t, func() {
-		s := shortened(packed(), 30)
+		s := withSpan(packedScenario(), 30)
 		s.Rate *= 2
 		for _, p := range movePolicies() {
-			if p.way != wayRoom {
+			if p.moveStrategy != strategyWaitingList {
 				continue
 			}
 			m := simulate(newWorkload(s, 1), p, 1)
@@ -77,10 +77,10 @@
 
 // A policy whose gates count on engines that stay would be measured on engines
 // that come back empty, and look broken.
-func TestPlayable(t *testing.T) {
+func TestPolicyPlaysUnsupportedScenario(t *testing.T) {
 	Convey("Only policies that say how generations leave play reclaims", t, func() {
-		So(reclaim().playable(policies()), ShouldBeEmpty)
-		So(len(reclaim().playable(movePolicies())), ShouldEqual, len(movePolicies()))
-		So(calm().playable(movePolicies()), ShouldBeEmpty)
+		So(reclaimScenario().playablePolicies(policies()), ShouldBeEmpty)
+		So(len(reclaimScenario().playablePolicies(movePolicies())), ShouldEqual, len(movePolicies()))
+		So(calmScenario().playablePolicies(movePolicies()), ShouldBeEmpty)
 	})
 }
--- a/internal/bench/mgbench/report.go
+++ b/internal/bench/mgbench/report.go
@@ -17,10 +17,10 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "policy\t")
 	for _, f := range figuresOf(s) {
-		fmt.Fprint(t, f.head, "\t")
+		fmt.Fprint(t, f.heading, "\t")
 	}
 	fmt.Fprintln(t)
-	for _, p := range s.playable(policies) {
+	for _, p := range s.playablePolicies(policies) {
 		writeRow(t, figuresOf(s), p.name, runsOf(runs, s.Name, p.name))
 	}
 	if err := t.Flush(); err != nil {
@@ -33,8 +33,8 @@
 func writeRow(w io.Writer, figures []figure, name string, runs []run) {
 	fmt.Fprint(w, name, "\t")
 	for _, f := range figures {
-		median, _, _ := spreadOf(runs, f)
-		fmt.Fprint(w, number(median, f.digits), "\t")
+		median, _, _ := medianAndRange(runs, f)
+		fmt.Fprint(w, formatNumber(median, f.digits), "\t")
 	}
 	fmt.Fprintln(w)
 	if len(runs) < 2 {
@@ -42,13 +42,13 @@
 	}
 	fmt.Fprint(w, "\t")
 	for _, f := range figures {
-		_, least, most := spreadOf(runs, f)
-		fmt.Fprint(w, number(least, f.digits), "..", number(most, f.digits), "\t")
+		_, minimum, maximum := medianAndRange(runs, f)
+		fmt.Fprint(w, formatNumber(minimum, f.digits), "..", formatNumber(maximum, f.digits), "\t")
 	}
 	fmt.Fprintln(w)
 }
 
-func number(x float64, digits int) string {
+func formatNumber(x float64, digits int) string {
 	if math.IsNaN(x) {
 		return "-"
 	}
@@ -84,8 +84,8 @@
 func writeSummary(w io.Writer, scenarios []ScenarioSpec, policies []policy, runs []run) error {
 	text := new(strings.Builder)
 	for _, name := range summarized {
-		f := figureNamed(name)
-		fmt.Fprintf(text, "### %s\n\n| policy |", f.head)
+		f := figureByName(name)
+		fmt.Fprintf(text, "### %s\n\n| policy |", f.heading)
 		for _, s := range scenarios {
 			fmt.Fprintf(text, " %s |", s.Name)
 		}
@@ -93,8 +93,8 @@
 		for _, p := range policies {
 			fmt.Fprintf(text, "| %s |", p.name)
 			for _, s := range scenarios {
-				median, _, _ := spreadOf(runsOf(runs, s.Name, p.name), f)
-				fmt.Fprintf(text, " %s |", number(median, f.digits))
+				median, _, _ := medianAndRange(runsOf(runs, s.Name, p.name), f)
+				fmt.Fprintf(text, " %s |", formatNumber(median, f.digits))
 			}
 			fmt.Fprintln(text)
 		}
@@ -113,11 +113,11 @@
 	for _, s := range scenarios {
 		fmt.Fprintf(text, "### %s\n\n%s.\n\n| policy |", s.Name, s.Text)
 		for _, f := range figuresOf(s) {
-			fmt.Fprintf(text, " %s |", f.head)
+			fmt.Fprintf(text, " %s |", f.heading)
 		}
 		fmt.Fprintf(text, "\n|---|%s\n", strings.Repeat("---|", len(figuresOf(s))))
-		for _, p := range s.playable(policies) {
-			pageRow(text, figuresOf(s), p.name, runsOf(runs, s.Name, p.name))
+		for _, p := range s.playablePolicies(policies) {
+			writePageRow(text, figuresOf(s), p.name, runsOf(runs, s.Name, p.name))
 		}
 		fmt.Fprintln(text)
 	}
@@ -127,13 +127,13 @@
 	return nil
 }
 
-func pageRow(w io.Writer, figures []figure, name string, runs []run) {
+func writePageRow(w io.Writer, figures []figure, name string, runs []run) {
 	fmt.Fprintf(w, "| %s |", name)
 	for _, f := range figures {
-		median, least, most := spreadOf(runs, f)
-		fmt.Fprintf(w, " %s", number(median, f.digits))
-		if least < most {
-			fmt.Fprintf(w, " (%s to %s)", number(least, f.digits), number(most, f.digits))
+		median, minimum, maximum := medianAndRange(runs, f)
+		fmt.Fprintf(w, " %s", formatNumber(median, f.digits))
+		if minimum < maximum {
+			fmt.Fprintf(w, " (%s to %s)", formatNumber(minimum, f.digits), formatNumber(maximum, f.digits))
 		}
 		fmt.Fprint(w, " |")
 	}
--- a/internal/bench/mgbench/scenario.go
+++ b/internal/bench/mgbench/scenario.go
@@ -8,7 +8,7 @@
 
 // Spans and sizes that the scenarios share.
 const (
-	runSpan     = 600.0 // s of arrivals: several times the longest deadline
+	runDuration = 600.0 // s of arrivals: several times the longest deadline
 	runEngines  = 4     // enough for routing to matter, cheap enough for sweeps
 	lossEngines = 8     // so that a quarter is two engines
 )
@@ -25,14 +25,14 @@
 // Scenarios returns all scenarios in the order of the tables.
 func Scenarios() []ScenarioSpec {
 	return []ScenarioSpec{
-		calm(), burst(), heavy(), slow(), long(), small(),
-		saturation("sat10", 1.0), saturation("sat13", 1.3), saturation("sat20", 2.0),
-		shift(), takeover(), loss(), reclaim(), packed(),
+		calmScenario(), burstScenario(), heavyScenario(), slowScenario(), longScenario(), smallScenario(),
+		saturationScenario("sat10", 1.0), saturationScenario("sat13", 1.3), saturationScenario("sat20", 2.0),
+		shiftScenario(), takeoverScenario(), lossScenario(), reclaimScenario(), packedScenario(),
 	}
 }
 
 // scenarioNamed returns the scenario of a name.
-func scenarioNamed(name string) (ScenarioSpec, error) {
+func scenarioByName(name string) (ScenarioSpec, error) {
 	for _, s := range Scenarios() {
 		if s.Name == name {
 			return s, nil
@@ -68,7 +68,7 @@
 }
 
 // lookup is a short answer that somebody waits for at a tank.
-func lookup(share float64) ServiceSpec {
+func lookupService(share float64) ServiceSpec {
 	return ServiceSpec{
 		Name:     "lookup",
 		Share:    share,
@@ -82,7 +82,7 @@
 }
 
 // note is a gauge anomaly note.
-func note(share float64) ServiceSpec {
+func noteService(share float64) ServiceSpec {
 	return ServiceSpec{
 		Name:     "note",
 		Share:    share,
@@ -96,7 +96,7 @@
 }
 
 // report is a shift report or a dossier, a third of them very long.
-func report(share float64) ServiceSpec {
+func reportService(share float64) ServiceSpec {
 	return ServiceSpec{
 		Name:     "report",
 		Share:    share,
@@ -109,13 +109,13 @@
 }
 
 // mixed returns the services of most scenarios.
-func mixed() []ServiceSpec {
-	return []ServiceSpec{lookup(0.45), note(0.25), report(0.30)}
+func mixedServices() []ServiceSpec {
+	return []ServiceSpec{lookupService(0.45), noteService(0.25), reportService(0.30)}
 }
 
 // equals returns accounts of equal weights and Zipf-like shares of the load,
 // as a few are large.
-func equals(count int, from float64) []AccountSpec {
+func equalAccounts(count int, from float64) []AccountSpec {
 	accounts := make([]AccountSpec, count)
 	for i := range accounts {
 		accounts[i] = AccountSpec{
@@ -128,25 +128,25 @@
 	return accounts
 }
 
-func base(name, text string, load float64) ScenarioSpec {
+func baseScenario(name, text string, load float64) ScenarioSpec {
 	return ScenarioSpec{
 		Name:     name,
 		Text:     text,
-		Span:     runSpan,
+		Span:     runDuration,
 		Engines:  runEngines,
 		Rate:     mixedRate,
 		Load:     load,
-		Services: mixed(),
-		Accounts: equals(10, 0),
+		Services: mixedServices(),
+		Accounts: equalAccounts(10, 0),
 	}
 }
 
-func calm() ScenarioSpec {
-	return base("calm", "half of saturation", 0.5)
+func calmScenario() ScenarioSpec {
+	return baseScenario("calm", "half of saturation", 0.5)
 }
 
-func burst() ScenarioSpec {
-	s := base("burst", "three times the mean rate for 15 s every 75 s", 0.85)
+func burstScenario() ScenarioSpec {
+	s := baseScenario("burst", "three times the mean rate for 15 s every 75 s", 0.85)
 	s.Burst = BurstSpec{
 		Factor: 3,
 		Burst:  15,
@@ -155,8 +155,8 @@
 	return s
 }
 
-func heavy() ScenarioSpec {
-	s := base("heavy", "three of ten accounts, of weights 1, 2 and 3, send three quarters of 1.6 times saturation", 1.6)
+func heavyScenario() ScenarioSpec {
+	s := baseScenario("heavy", "three of ten accounts, of weights 1, 2 and 3, send three quarters of 1.6 times saturation", 1.6)
 	for i := range s.Accounts {
 		s.Accounts[i].Share = 0.25 / 7
 		if i < 3 {
@@ -167,8 +167,8 @@
 	return s
 }
 
-func slow() ScenarioSpec {
-	s := base("slow", "one of four engines runs at a quarter of its speed for half of the run", 0.75)
+func slowScenario() ScenarioSpec {
+	s := baseScenario("slow", "one of four engines runs at a quarter of its speed for half of the run", 0.75)
 	s.Fault = FaultSpec{
 		Engines: 1,
 		From:    0.25,
@@ -178,31 +178,31 @@
 	return s
 }
 
-func long() ScenarioSpec {
-	s := base("long", "one very long report to six lookups", 0.95)
+func longScenario() ScenarioSpec {
+	s := baseScenario("long", "one very long report to six lookups", 0.95)
 	s.Rate = longRate
-	s.Services = []ServiceSpec{lookup(0.85), report(0.15)}
+	s.Services = []ServiceSpec{lookupService(0.85), reportService(0.15)}
 	s.Services[1].Output = lognormal(3000, 0.4, 8000)
 	s.Services[1].Deadline = 240
 	return s
 }
 
-func small() ScenarioSpec {
-	s := base("small", "memory for a handful of reports", 0.95)
+func smallScenario() ScenarioSpec {
+	s := baseScenario("small", "memory for a handful of reports", 0.95)
 	s.Rate = smallRate
 	s.Model = mgmodel.Spec{
 		Memory: 12000,
 	}
-	s.Services = []ServiceSpec{note(0.4), report(0.6)}
+	s.Services = []ServiceSpec{noteService(0.4), reportService(0.6)}
 	return s
 }
 
-func saturation(name string, load float64) ScenarioSpec {
-	return base(name, fmt.Sprintf("%.1f times saturation", load), load)
+func saturationScenario(name string, load float64) ScenarioSpec {
+	return baseScenario(name, fmt.Sprintf("%.1f times saturation", load), load)
 }
 
-func shift() ScenarioSpec {
-	s := base("shift", "a third into the run, outputs grow to 2.5 times and arrivals halve", 0.9)
+func shiftScenario() ScenarioSpec {
+	s := baseScenario("shift", "a third into the run, outputs grow to 2.5 times and arrivals halve", 0.9)
 	s.Phases = []PhaseSpec{{
 		From:   1.0 / 3,
 		Rate:   0.5,
@@ -211,9 +211,9 @@
 	return s
 }
 
-func takeover() ScenarioSpec {
-	s := base("takeover", "from the middle on, twice the accounts send twice the load", 0.6)
-	for _, a := range equals(10, 0.5) {
+func takeoverScenario() ScenarioSpec {
+	s := baseScenario("takeover", "from the middle on, twice the accounts send twice the load", 0.6)
+	for _, a := range equalAccounts(10, 0.5) {
 		a.Name = "new" + a.Name
 		s.Accounts = append(s.Accounts, a)
 	}
@@ -225,8 +225,8 @@
 	return s
 }
 
-func loss() ScenarioSpec {
-	s := base("loss", "two of eight engines leave on 30 s notice", 0.85)
+func lossScenario() ScenarioSpec {
+	s := baseScenario("loss", "two of eight engines leave on 30 s notice", 0.85)
 	s.Engines = lossEngines
 	s.Fault = FaultSpec{
 		Engines: 2,
@@ -238,8 +238,8 @@
 
 // reclaim has the figures of a deployment of twelve engines whose provider takes
 // a sixth away every 3.3 s at two seconds' notice: four in ten reports meet that.
-func reclaim() ScenarioSpec {
-	s := base("reclaim", "two of twelve engines leave on 1.5 to 2.1 s notice every 3.3 s, and are back 4 s later", 0.5)
+func reclaimScenario() ScenarioSpec {
+	s := baseScenario("reclaim", "two of twelve engines leave on 1.5 to 2.1 s notice every 3.3 s, and are back 4 s later", 0.5)
 	s.Engines = 12
 	s.Rate = 1.85
 	s.Model = mgmodel.Spec{
@@ -285,8 +285,8 @@
 
 // packed has the figures of a deployment of 44 engines whose memory the load all
 // but fills: what runs takes 95 % of that of the engines that are there.
-func packed() ScenarioSpec {
-	s := reclaim()
+func packedScenario() ScenarioSpec {
+	s := reclaimScenario()
 	s.Name = "packed"
 	s.Text = "reclaims of seven of 44 engines, whose memory is all but full"
 	s.Engines = 44
@@ -296,7 +296,7 @@
 	s.Services[0].Share = 0.47
 	s.Services[0].Output = lognormal(560, 0.84, 2200)
 	s.Services[1].Share = 0.53
-	s.Accounts = equals(24, 0)
+	s.Accounts = equalAccounts(24, 0)
 	s.Reclaim.Engines = 7
 	s.Reclaim.Entries = 24
 	return s
--- a/internal/bench/mgbench/workload.go
+++ b/internal/bench/mgbench/workload.go
@@ -29,13 +29,13 @@
 
 // sampler draws the random numbers of a workload.
 type sampler struct {
-	scenario ScenarioSpec
-	source   rand.Source
-	uniform  distuv.Uniform
-	services distuv.Categorical
-	block    int
-	bursting bool
-	turn     float64 // when the burst state ends or begins, ms
+	scenario    ScenarioSpec
+	source      rand.Source
+	uniform     distuv.Uniform
+	services    distuv.Categorical
+	block       int
+	bursting    bool
+	stateEndsAt float64 // when the burst state ends or begins, ms
 }
 
 // newWorkload draws the requests of s under seed.
@@ -44,19 +44,19 @@
 	w := &workload{
 		scenario: s,
 	}
-	now := d.next(0)
+	now := d.nextArrival(0)
 	for now < s.Span*1000 {
 		w.requests = append(w.requests, d.request(len(w.requests), now))
-		now = d.next(now)
+		now = d.nextArrival(now)
 	}
 	return w
 }
 
 // stream separates the bench's random numbers from other uses of a seed.
-const stream = 0x6d617267
+const randomStream = 0x6d617267
 
 func newSampler(s ScenarioSpec, seed uint64) *sampler {
-	source := rand.NewPCG(seed, stream)
+	source := rand.NewPCG(seed, randomStream)
 	d := &sampler{
 		scenario: s,
 		source:   source,
@@ -71,9 +71,9 @@
 		weights[i] = service.Share
 	}
 	d.services = distuv.NewCategorical(weights, source)
-	d.turn = math.Inf(1)
+	d.stateEndsAt = math.Inf(1)
 	if s.Burst.Factor > 0 {
-		d.turn = d.exponential(s.Burst.Calm * 1000)
+		d.stateEndsAt = d.exponential(s.Burst.Calm * 1000)
 	}
 	return d
 }
@@ -88,24 +88,24 @@
 // next draws the arrival after now. A draw that passes the next turn of the
 // rate is drawn again from there, which changes nothing in distribution, as
 // the exponential has no memory.
-func (d *sampler) next(now float64) float64 {
+func (d *sampler) nextArrival(now float64) float64 {
 	for {
-		at := now + d.exponential(d.meanGap(now))
-		if at < d.turn {
+		at := now + d.exponential(d.meanInterarrival(now))
+		if at < d.stateEndsAt {
 			return at
 		}
-		now = d.turn
+		now = d.stateEndsAt
 		d.bursting = !d.bursting
 		stay := d.scenario.Burst.Calm
 		if d.bursting {
 			stay = d.scenario.Burst.Burst
 		}
-		d.turn = now + d.exponential(stay*1000)
+		d.stateEndsAt = now + d.exponential(stay*1000)
 	}
 }
 
 // meanGap returns the mean time in ms between arrivals at now.
-func (d *sampler) meanGap(now float64) float64 {
+func (d *sampler) meanInterarrival(now float64) float64 {
 	s := d.scenario
 	rate := s.Rate * s.Load * float64(s.Engines) * d.phase(now).Rate * s.Burst.factor(d.bursting)
 	return 1000 / rate
--- a/internal/bench/mgmodel/cache.go
+++ b/internal/bench/mgmodel/cache.go
@@ -4,16 +4,16 @@
 
 // cache is the prefix cache: block hashes, the least recently used first out.
 type cache struct {
-	maxBlocks  int
-	blocks map[uint64]*list.Element
-	lru list.List
+	maxBlocks int
+	blocks    map[uint64]*list.Element
+	lru       list.List
 }
 
 // newCache returns a cache of at most limit blocks.
 func newCache(maxBlocks int) *cache {
 	return &cache{
-		maxBlocks:  maxBlocks,
-		blocks: make(map[uint64]*list.Element),
+		maxBlocks: maxBlocks,
+		blocks:    make(map[uint64]*list.Element),
 	}
 }
 
--- a/internal/bench/mgmodel/engine.go
+++ b/internal/bench/mgmodel/engine.go
@@ -8,9 +8,9 @@
 // sequence is a Sequence with its state in the engine.
 type sequence struct {
 	Sequence
-	produced int
-	copied   int // context tokens that came from another engine
-	uncomputed     int // context tokens still to be computed; 0 is decoding
+	produced   int
+	copied     int // context tokens that came from another engine
+	uncomputed int // context tokens still to be computed; 0 is decoding
 }
 
 // context returns the tokens of memory that q holds while it runs.
--- a/internal/bench/mgnet/net.go
+++ b/internal/bench/mgnet/net.go
@@ -13,15 +13,15 @@
 // A Net delivers messages and timers in the order of their times. Its zero
 // value loses nothing and delays nothing.
 type Net struct {
-	now    mgclock.Millis
-	rng    *rand.Rand
-	queue  eventQueue
-	lastSeq  uint64
-	paused map[string]mgclock.Millis
+	now     mgclock.Millis
+	rng     *rand.Rand
+	queue   eventQueue
+	lastSeq uint64
+	paused  map[string]mgclock.Millis
 
 	// delay returns how long a message takes, cut whether it is lost.
 	delay func(from, to string) mgclock.Millis
-	isCut   func(from, to string) bool
+	isCut func(from, to string) bool
 	loss  float64
 
 	messages map[string]int // sent and received, by member
@@ -83,7 +83,7 @@
 func (n *Net) At(at mgclock.Millis, owner string, run func()) {
 	n.lastSeq++
 	heap.Push(&n.queue, event{
-		due:    at,
+		due:   at,
 		seq:   n.lastSeq,
 		owner: owner,
 		run:   run,
@@ -106,7 +106,7 @@
 
 // event is a message or a timer.
 type event struct {
-	due    mgclock.Millis
+	due   mgclock.Millis
 	seq   uint64
 	owner string
 	run   func()
