--- a/internal/bench/mgbench/driver.go
+++ b/internal/bench/mgbench/driver.go
@@ -26,12 +26,12 @@
 
 // driver runs a workload under a policy.
 type driver struct {
-	agenda    eventQueue
+	events    eventQueue
 	workload  *workload
 	calls     []*call
 	upstreams []*upstream
 	router    router
-	moves     *migrator // nil where generations stay
+	migrator  *migrator // nil where generations stay
 	meter     *meter
 	verdicts  []verdict
 }
@@ -50,12 +50,12 @@
 	}
 	d.router = p.build(w.scenario, d.upstreams, seed)
 	if p.moveStrategy != "" {
-		d.moves = newMoves(d, p.moveStrategy, seed)
-		d.router = d.moves.route
-		d.moves.scheduleAll()
+		d.migrator = newMigrator(d, p.moveStrategy, seed)
+		d.router = d.migrator.route
+		d.migrator.scheduleAll()
 	}
 	d.scheduleAll()
-	d.agenda.run()
+	d.events.run()
 	return d.meter
 }
 
@@ -70,10 +70,10 @@
 			spec:    s.Services[r.service],
 		}
 		d.calls[i] = c
-		d.agenda.schedule(r.arrival, func(now float64) { d.arriveCall(now, c) })
+		d.events.schedule(r.arrival, func(now float64) { d.arriveCall(now, c) })
 	}
 	for at := 0.0; at < s.Span*1000; at += demandSampleInterval {
-		d.agenda.schedule(at, d.meter.sampleDemand)
+		d.events.schedule(at, d.meter.sampleDemand)
 	}
 	d.scheduleFault(s)
 }
@@ -83,12 +83,12 @@
 	from, until := s.Fault.From*s.Span*1000, s.Fault.Until*s.Span*1000
 	for _, u := range d.upstreams[:s.Fault.Engines] {
 		if s.Fault.Speed == 0 {
-			d.agenda.schedule(from, func(now float64) { d.noticeLeaving(now, u) })
-			d.agenda.schedule(from+s.Fault.Notice*1000, func(now float64) { d.reclaim(now, u) })
+			d.events.schedule(from, func(now float64) { d.noticeLeaving(now, u) })
+			d.events.schedule(from+s.Fault.Notice*1000, func(now float64) { d.reclaim(now, u) })
 			continue
 		}
-		d.agenda.schedule(from, func(float64) { u.engine.SetSpeed(s.Fault.Speed) })
-		d.agenda.schedule(until, func(float64) { u.engine.SetSpeed(1) })
+		d.events.schedule(from, func(float64) { u.engine.SetSpeed(s.Fault.Speed) })
+		d.events.schedule(until, func(float64) { u.engine.SetSpeed(1) })
 	}
 }
 
@@ -98,7 +98,7 @@
 // arrive is the first asking of a call.
 func (d *driver) arriveCall(now float64, c *call) {
 	d.meter.arrive(c)
-	d.agenda.schedule(c.deadline, func(at float64) { d.expire(at, c) })
+	d.events.schedule(c.deadline, func(at float64) { d.expire(at, c) })
 	d.routeCall(now, c)
 }
 
@@ -108,7 +108,7 @@
 		return
 	}
 	c.attempts++
-	if d.moves.addToWaitingList(now, c) {
+	if d.migrator.addToWaitingList(now, c) {
 		return
 	}
 	u, problem := d.router(toClock(now), c)
@@ -139,12 +139,12 @@
 func (d *driver) attach(c *call, u *upstream) {
 	c.upstream = u
 	u.calls = append(u.calls, c)
-	d.moves.countCall(c, 1)
+	d.migrator.countCall(c, 1)
 }
 
 func (d *driver) detach(c *call) {
 	u := c.upstream
-	d.moves.countCall(c, -1)
+	d.migrator.countCall(c, -1)
 	i := slices.Index(u.calls, c)
 	u.calls = slices.Delete(u.calls, i, i+1)
 	c.upstream = nil
@@ -162,7 +162,7 @@
 		c.state = ended
 		return
 	}
-	d.agenda.schedule(now+wait, func(at float64) { d.routeCall(at, c) })
+	d.events.schedule(now+wait, func(at float64) { d.routeCall(at, c) })
 }
 
 // expire is the client's hanging up at its deadline.
@@ -171,7 +171,7 @@
 		return
 	}
 	d.meter.expire(now, c)
-	d.moves.removeWaiting(c)
+	d.migrator.removeWaiting(c)
 	d.removeFromUpstream(now, c)
 	c.state = ended
 }
@@ -225,7 +225,7 @@
 func (d *driver) scheduleStep(now float64, u *upstream) {
 	if !u.isStepScheduled {
 		u.isStepScheduled = true
-		d.agenda.schedule(now, func(at float64) { d.step(at, u) })
+		d.events.schedule(now, func(at float64) { d.step(at, u) })
 	}
 }
 
@@ -243,10 +243,10 @@
 	switch {
 	case r.Duration() > 0:
 		u.isStepScheduled = true
-		d.agenda.schedule(now+r.Duration(), func(at float64) { d.deliver(at, u, r) })
+		d.events.schedule(now+r.Duration(), func(at float64) { d.deliver(at, u, r) })
 	case len(u.calls) > 0:
 		u.isStepScheduled = true
-		d.agenda.schedule(now+idlePollInterval, func(at float64) { d.step(at, u) })
+		d.events.schedule(now+idlePollInterval, func(at float64) { d.step(at, u) })
 	}
 }
 
@@ -305,7 +305,7 @@
 		if c.upstream != u || c.state != running {
 			continue
 		}
-		d.moves.countPromptRead(c)
+		d.migrator.countPromptRead(c)
 		c.produced = token.Seq()
 		d.meter.token(now, c)
 		if u.gate.progress != nil {
--- a/internal/bench/mgbench/move.go
+++ b/internal/bench/mgbench/move.go
@@ -82,7 +82,7 @@
 }
 
 func (m *migrator) retryLater(now float64, do func(at float64)) {
-	m.driver.agenda.schedule(now+float64(mgmigration.RetrySpan), do)
+	m.driver.events.schedule(now+float64(mgmigration.RetrySpan), do)
 }
 
 // first returns the generation that an entry moves next.
@@ -170,7 +170,7 @@
 	end := begin + m.copyDuration(v.from, v.to, tokens)
 	m.linkFreeAt[v.from.index] = end
 	m.linkFreeAt[v.to.index] = end
-	m.driver.agenda.schedule(end, then)
+	m.driver.events.schedule(end, then)
 }
 
 // here reports whether the move's generation is still at its source.
@@ -196,7 +196,7 @@
 			m.endMove(at, v) // without a destination its memory goes with its source
 			return
 		}
-		m.driver.agenda.schedule(at+resumeDelay, func(at float64) { m.resumeAtDestination(at, v) })
+		m.driver.events.schedule(at+resumeDelay, func(at float64) { m.resumeAtDestination(at, v) })
 	})
 }
 
--- a/internal/bench/mgbench/reclaim.go
+++ b/internal/bench/mgbench/reclaim.go
@@ -39,19 +39,19 @@
 	isPlacementScheduled bool         // the room is looked at again soon
 }
 
-func newMoves(d *driver, w moveStrategy, seed uint64) *migrator {
+func newMigrator(d *driver, strategy moveStrategy, seed uint64) *migrator {
 	spec := d.workload.scenario.Reclaim
 	entries := max(spec.Entries, 1)
 	m := &migrator{
 		driver:       d,
 		spec:         spec,
-		strategy:     w,
+		strategy:     strategy,
 		counts:       make([]mgload.Count, entries),
 		otherReports: make([]mgload.Report, entries),
 		linkFreeAt:   make([]float64, len(d.upstreams)),
 		random:       rand.New(rand.NewPCG(seed, randomStream+1)),
 	}
-	if w == strategyWaitingList {
+	if strategy == strategyWaitingList {
 		m.waitingList = &mgroom.Room{}
 	}
 	return m
@@ -61,13 +61,13 @@
 func (m *migrator) scheduleAll() {
 	span := m.driver.workload.scenario.Span * 1000
 	for at := 0.0; at < span; at += reportInterval {
-		m.driver.agenda.schedule(at, m.exchangeReports)
+		m.driver.events.schedule(at, m.exchangeReports)
 	}
 	if m.spec.Every == 0 {
 		return
 	}
 	for at := m.spec.Every * 500; at < span; at += m.spec.Every * 1000 {
-		m.driver.agenda.schedule(at, m.reclaim)
+		m.driver.events.schedule(at, m.reclaim)
 	}
 }
 
@@ -95,7 +95,7 @@
 		}
 		m.driver.noticeLeaving(now, u)
 		m.startMoves(now, u)
-		m.driver.agenda.schedule(now+notice, func(at float64) { m.removeEngine(at, u) })
+		m.driver.events.schedule(now+notice, func(at float64) { m.removeEngine(at, u) })
 	}
 }
 
@@ -108,7 +108,7 @@
 		c.state = ended
 	}
 	u.isGone = true
-	m.driver.agenda.schedule(now+m.spec.Away*1000, func(float64) {
+	m.driver.events.schedule(now+m.spec.Away*1000, func(float64) {
 		u.engine = mgmodel.New(m.driver.workload.scenario.Model)
 		u.isGone = false
 		u.isLeaving = false
@@ -176,11 +176,11 @@
 			continue // given up at its deadline, at which its caller hangs up
 		}
 		c, u := m.driver.callByID(grant.Name), m.upstreamByName(grant.Place)
-		m.driver.agenda.schedule(now+grantDelay, func(at float64) { m.driver.submit(at, c, u) })
+		m.driver.events.schedule(now+grantDelay, func(at float64) { m.driver.submit(at, c, u) })
 	}
 	if !m.isPlacementScheduled && m.waitingList.Len() > 0 {
 		m.isPlacementScheduled = true
-		m.driver.agenda.schedule(now+placementInterval, func(at float64) {
+		m.driver.events.schedule(now+placementInterval, func(at float64) {
 			m.isPlacementScheduled = false
 			m.placeWaiting(at)
 		})
