--- a/internal/bench/mgmodel/cache.go
+++ b/internal/bench/mgmodel/cache.go
@@ -2,14 +2,15 @@
 
 import "container/list"
 
-// cache is the prefix cache: block hashes, the least recently used first out.
+// cache is the prefix cache: a set of block hashes with eviction of the least
+// recently used.
 type cache struct {
 	maxBlocks int
 	blocks    map[uint64]*list.Element
 	lru       list.List
 }
 
-// newCache returns a cache of at most limit blocks.
+// newCache returns a cache that holds up to maxBlocks blocks.
 func newCache(maxBlocks int) *cache {
 	return &cache{
 		maxBlocks: maxBlocks,
@@ -17,7 +18,7 @@
 	}
 }
 
-// match returns how many leading blocks of prefix are cached.
+// match returns the number of leading blocks of prefix that are cached.
 func (c *cache) match(prefix []uint64) int {
 	for i, hash := range prefix {
 		if c.blocks[hash] == nil {
@@ -27,8 +28,9 @@
 	return len(prefix)
 }
 
-// touch makes the blocks of prefix the most recently used, the leading one
-// last, since a chain is of no use without its head.
+// touch marks the blocks of prefix as the most recently used and evicts blocks
+// above the limit. The leading block is marked last, so that it is evicted
+// after the blocks that are useless without it.
 func (c *cache) touch(prefix []uint64) {
 	for i := len(prefix) - 1; i >= 0; i-- {
 		c.touchBlock(prefix[i])
--- a/internal/bench/mgmodel/engine.go
+++ b/internal/bench/mgmodel/engine.go
@@ -9,20 +9,21 @@
 type sequence struct {
 	Sequence
 	produced   int
-	copied     int // context tokens that came from another engine
-	uncomputed int // context tokens still to be computed; 0 is decoding
+	copied     int // context tokens copied from another engine
+	uncomputed int // context tokens still to be computed; 0 means decoding
 }
 
-// context returns the tokens of memory that q holds while it runs.
+// context returns the tokens of memory that q occupies while it runs.
 func (q *sequence) context() int { return q.Prompt + q.produced }
 
-// An Engine batches sequences continuously. It is for one goroutine.
+// Engine simulates continuous batching of sequences. It is not safe for
+// concurrent use.
 type Engine struct {
 	spec    Spec
 	cache   *cache
 	byID    map[string]*sequence
-	waiting []*sequence // by priority, then first come
-	running []*sequence // the oldest first
+	waiting []*sequence // by priority, then first come, first served
+	running []*sequence // oldest first
 	used    int
 	result  Result
 }
@@ -40,31 +41,31 @@
 // Spec returns the engine's description with the defaults filled in.
 func (e *Engine) Spec() Spec { return e.spec }
 
-// SetSpeed makes the steps from now on speed times as fast as described; it
-// models an upstream that turns slow.
+// SetSpeed scales the speed of all later steps; it models an upstream that
+// becomes slow.
 func (e *Engine) SetSpeed(speed float64) { e.spec.Speed = floatOrDefault(speed, 1) }
 
-// Free returns the tokens of memory that nothing holds.
+// Free returns the tokens of memory that are neither used nor held.
 func (e *Engine) Free() int { return e.spec.Memory - e.used }
 
-// Used returns the tokens of memory that running sequences hold.
+// Used returns the tokens of memory that running sequences and copies occupy.
 func (e *Engine) Used() int { return e.used }
 
 // Running returns the number of sequences in the batch.
 func (e *Engine) Running() int { return len(e.running) }
 
-// Waiting returns the number of sequences in the waiting line.
+// Waiting returns the number of sequences in the waiting queue.
 func (e *Engine) Waiting() int { return len(e.waiting) }
 
-// Cached returns how many tokens of a prompt with this prefix need not be
-// computed now.
+// Cached returns the number of tokens of a prompt with this prefix that the
+// cache saves from being computed.
 func (e *Engine) Cached(prefix []uint64) int {
 	return e.cache.match(prefix) * e.spec.Block
 }
 
-// Add puts a sequence in the waiting line. It reports false, and changes
-// nothing, when the name is taken or the prompt can never fit. An output that
-// would outgrow the whole memory ends where memory does.
+// Add enqueues a sequence. It returns false, and changes nothing, if the ID is
+// in use or the prompt can never fit. The output is truncated to what fits
+// into the whole memory.
 func (e *Engine) Add(s Sequence) bool {
 	s.Output = max(s.Output, 1)
 	maxOutput := e.spec.Memory - s.Prompt
@@ -80,8 +81,8 @@
 	return true
 }
 
-// Cancel drops a sequence and frees its memory. It reports whether the engine
-// had it.
+// Cancel removes a sequence and frees its memory. It reports whether the
+// engine had the sequence.
 func (e *Engine) Cancel(id string) bool {
 	q := e.byID[id]
 	if q == nil {
@@ -94,7 +95,8 @@
 	return true
 }
 
-// leaveLine takes q out of the waiting line, or reports false when it isn't there.
+// removeWaiting removes q from the waiting queue and reports whether it was
+// there.
 func (e *Engine) removeWaiting(q *sequence) bool {
 	i := slices.Index(e.waiting, q)
 	if i < 0 {
@@ -124,8 +126,8 @@
 	return e.result
 }
 
-// enqueue puts q at the end of its priority in the waiting line, or at its
-// head.
+// enqueue inserts q into the waiting queue, behind the sequences of its
+// priority or, with atHead, ahead of them.
 func (e *Engine) enqueue(q *sequence, atHead bool) {
 	index := sort.Search(len(e.waiting), func(i int) bool {
 		other := e.waiting[i].Priority
@@ -134,8 +136,8 @@
 	e.waiting = slices.Insert(e.waiting, index, q)
 }
 
-// admit moves sequences from the waiting line into the batch, in order, while
-// the context of the next one fits now with a token to spare.
+// admit moves sequences from the waiting queue into the batch, in order, while
+// the context of the next one and one more token fit into free memory.
 func (e *Engine) admit() {
 	admitted := 0
 	for admitted < len(e.waiting) && len(e.running) < e.spec.Batch {
@@ -149,20 +151,22 @@
 	e.waiting = slices.Delete(e.waiting, 0, admitted)
 }
 
-// start takes q's memory and what the prefix cache saves it. At least one
-// token is computed, as the next one follows from it.
+// start reserves memory for q and computes how much of its context is still to
+// be computed after the prefix cache or a copy. At least one token is
+// computed, since the next token is derived from it.
 func (e *Engine) start(q *sequence) {
 	e.used += q.context()
 	q.uncomputed = max(q.context()-max(e.Cached(q.Prefix), q.copied), 1)
 	e.cache.touch(q.Prefix)
 	if q.copied > 0 {
-		e.running = slices.Insert(e.running, 0, q) // it lacks a token, the others a prompt
+		e.running = slices.Insert(e.running, 0, q) // ahead of the others, which lack whole prompts where it lacks few tokens
 		return
 	}
 	e.running = append(e.running, q)
 }
 
-// makeRoom preempts until each decoding sequence can take one more token.
+// preemptForDecode preempts sequences until each decoding sequence can grow by
+// one token.
 func (e *Engine) preemptForDecode() {
 	for e.maxDecodeCount() > e.Free() {
 		q := e.victim()
@@ -172,8 +176,9 @@
 	}
 }
 
-// decoding returns an upper bound on the tokens that this step produces: those
-// that decode and those whose prefill ends within the chunk.
+// maxDecodeCount returns an upper bound on the tokens that this step produces:
+// one for each decoding sequence and each one whose prefill ends within the
+// chunk.
 func (e *Engine) maxDecodeCount() int {
 	count, chunk := 0, e.spec.Chunk
 	for _, q := range e.running {
@@ -187,7 +192,7 @@
 	return count
 }
 
-// victim returns the sequence to preempt: lowest priority, the youngest first.
+// victim returns the sequence to preempt: the youngest of the lowest priority.
 func (e *Engine) victim() *sequence {
 	chosen := e.running[0]
 	for _, q := range e.running[1:] {
@@ -198,7 +203,7 @@
 	return chosen
 }
 
-// evict takes q out of the batch and frees its memory.
+// evict removes q from the batch and frees its memory.
 func (e *Engine) evict(q *sequence) {
 	i := slices.Index(e.running, q)
 	e.running = slices.Delete(e.running, i, i+1)
@@ -206,8 +211,8 @@
 	q.copied = 0
 }
 
-// prefill computes at most a chunk of prompts, the oldest first, and returns
-// its tokens.
+// prefill computes up to a chunk of prompt tokens, oldest sequence first, and
+// returns the number computed.
 func (e *Engine) prefill() int {
 	chunk := e.spec.Chunk
 	for _, q := range e.running {
@@ -221,7 +226,8 @@
 	return e.spec.Chunk - chunk
 }
 
-// decode produces one token of each sequence whose context is computed.
+// decode produces one token for each sequence whose context is computed, and
+// returns the number of tokens.
 func (e *Engine) decode() int {
 	count := 0
 	for _, q := range e.running {
@@ -239,7 +245,7 @@
 	return count
 }
 
-// retire frees the sequences that have produced their whole output.
+// retire removes the sequences that have produced their whole output.
 func (e *Engine) retire() {
 	kept := e.running[:0]
 	for _, q := range e.running {
@@ -255,7 +261,7 @@
 	e.running = kept
 }
 
-// cost returns the duration of a step in ms.
+// stepDuration returns the duration of a step in ms.
 func (e *Engine) stepDuration(decoded, attended, computed int) float64 {
 	s := e.spec
 	work := s.Base + s.Each*float64(decoded)
--- a/internal/bench/mgmodel/engine_test.go
+++ b/internal/bench/mgmodel/engine_test.go
@@ -10,12 +10,10 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/bench/mgmodel"
 )
 
-// A user whose engine fills up in the middle of decoding must still see each
-// token once and in order. Sequences are drawn so that memory runs out, some
-// are cancelled, and preempted ones are computed again. A model that emitted a
-// recomputed token twice or leaked memory would make every figure of the bench
-// wrong.
-func TestConservation(t *testing.T) {
+// Guards against a token that is emitted twice and against leaked memory, when
+// memory runs out during decoding and sequences are cancelled, preempted and
+// computed again. Either fault would make every figure of the benchmark wrong.
+func TestTokenRepeatedOrMemoryLeaked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := mgmodel.Spec{
 			Memory: rapid.IntRange(20, 200).Draw(t, "memory"),
@@ -54,7 +52,8 @@
 	})
 }
 
-// checkStep runs a step and checks its tokens, its ends and the memory.
+// checkStep runs a step and checks the order of its tokens, the lengths of
+// finished outputs and the memory.
 func checkStep(t *rapid.T, e *mgmodel.Engine, seen, want map[string]int) {
 	r := e.Step()
 	for _, token := range r.Tokens() {
@@ -74,8 +73,8 @@
 	}
 }
 
-// drain steps e until it is idle and returns the order of the ends and the
-// number of preemptions.
+// drain runs steps until e is idle and returns the sequences in the order in
+// which they finished, and the number of preemptions.
 func drain(e *mgmodel.Engine) (ends []string, preemptions int) {
 	for e.Running()+e.Waiting() > 0 {
 		r := e.Step()
@@ -87,7 +86,7 @@
 
 func TestEngine(t *testing.T) {
 	Convey("An engine", t, func() {
-		Convey("admits by priority, then first come", func() {
+		Convey("admits by priority, then in order of arrival", func() {
 			e := mgmodel.New(mgmodel.Spec{
 				Batch: 1,
 			})
--- a/internal/bench/mgmodel/move.go
+++ b/internal/bench/mgmodel/move.go
@@ -1,7 +1,7 @@
 package mgmodel
 
-// Hold takes memory for a copy that comes from another engine. It reports
-// false, and takes none, when there is no room.
+// Hold reserves memory for a copy from another engine. It returns false, and
+// reserves nothing, if there is not enough free memory.
 func (e *Engine) Hold(tokens int) bool {
 	if tokens > e.Free() {
 		return false
@@ -10,13 +10,14 @@
 	return true
 }
 
-// Release gives memory back that Hold took.
+// Release frees memory that Hold reserved.
 func (e *Engine) Release(tokens int) { e.used -= tokens }
 
-// Resume goes on with a sequence whose first produced tokens came from another
-// engine, together with all of its context but the rest tokens, which are
-// computed here. It goes before all that wait. It reports false, and changes
-// nothing, where Add would.
+// Resume continues a sequence whose first produced tokens came from another
+// engine, together with its whole context except uncopied tokens, which are
+// computed here. The sequence is placed at the head of the waiting queue,
+// whatever its priority. It returns false, and changes nothing, in the cases
+// in which Add does.
 func (e *Engine) Resume(s Sequence, produced, uncopied int) bool {
 	if !e.Add(s) {
 		return false
--- a/internal/bench/mgmodel/move_test.go
+++ b/internal/bench/mgmodel/move_test.go
@@ -8,10 +8,10 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/bench/mgmodel"
 )
 
-// A reader whose generation moved to another engine sees the token after the
-// last one, and no prompt is computed again before it.
-func TestResume(t *testing.T) {
-	Convey("A generation of which four tokens were copied", t, func() {
+// Guards against a moved generation that repeats or skips a token, or computes
+// its whole prompt again before the next token.
+func TestResumeRepeatsTokenOrPrompt(t *testing.T) {
+	Convey("A generation that is resumed after four tokens", t, func() {
 		e := mgmodel.New(mgmodel.Spec{
 			Memory: 1000,
 		})
@@ -28,18 +28,18 @@
 		So(e.Resume(moved, 4, 1), ShouldBeTrue)
 		So(e.Resume(moved, 4, 1), ShouldBeFalse)
 		r := e.Step()
-		Convey("goes on at the fifth", func() {
+		Convey("continues with the fifth token", func() {
 			So(r.Tokens()[0].ID(), ShouldEqual, "moved")
 			So(r.Tokens()[0].Seq(), ShouldEqual, 5)
 			So(e.Step().Finished(), ShouldContain, "moved")
 		})
-		Convey("computes its prompt again only once its memory was taken", func() {
+		Convey("computes its whole prompt again only after its memory was freed", func() {
 			So(e.Cancel("moved"), ShouldBeTrue)
 			So(e.Add(moved), ShouldBeTrue)
 			So(e.Step().Duration(), ShouldBeGreaterThan, r.Duration())
 		})
 	})
-	Convey("Memory that is held for a copy is nobody else's", t, func() {
+	Convey("Memory that is held for a copy is not available to others", t, func() {
 		e := mgmodel.New(mgmodel.Spec{
 			Memory: 1000,
 		})
--- a/internal/bench/mgmodel/result.go
+++ b/internal/bench/mgmodel/result.go
@@ -1,19 +1,19 @@
 package mgmodel
 
-// A Token is one token that a step produced.
+// Token is one token that a step produced.
 type Token struct {
 	id  string
 	seq int
 }
 
-// ID returns the name of the token's sequence.
+// ID returns the ID of the token's sequence.
 func (t Token) ID() string { return t.id }
 
-// Seq returns the token's place in its sequence, from 1.
+// Seq returns the token's position in its sequence, counted from 1.
 func (t Token) Seq() int { return t.seq }
 
-// A Result tells what one step did. Its slices are valid until the engine's
-// next step.
+// Result describes the outcome of one step. Its slices are valid until the
+// engine's next step.
 type Result struct {
 	duration  float64
 	tokens    []Token
@@ -21,16 +21,15 @@
 	preempted []string
 }
 
-// Duration returns how long the step took in ms, or 0 when there was nothing
-// to run.
+// Duration returns the duration of the step in ms, or 0 if nothing ran.
 func (r Result) Duration() float64 { return r.duration }
 
-// Tokens returns the tokens produced, in the order of the batch.
+// Tokens returns the tokens produced, in batch order.
 func (r Result) Tokens() []Token { return r.tokens }
 
-// Finished returns the names of the sequences that ended with this step.
+// Finished returns the IDs of the sequences that finished in this step.
 func (r Result) Finished() []string { return r.finished }
 
-// Preempted returns the names of the sequences that lost their memory and
-// wait again.
+// Preempted returns the IDs of the sequences that were preempted and wait
+// again.
 func (r Result) Preempted() []string { return r.preempted }
--- a/internal/bench/mgmodel/spec.go
+++ b/internal/bench/mgmodel/spec.go
@@ -1,30 +1,30 @@
 package mgmodel
 
-// Spec describes an engine. A field that is zero takes the default in
-// brackets, which is about a small dense model on one accelerator.
+// Spec describes an engine. A zero field takes the default in brackets; the
+// defaults approximate a small dense model on one accelerator.
 type Spec struct {
 	Memory  int     `toml:"memory"`  // key-value memory, tokens [40000]
-	Batch   int     `toml:"batch"`   // running sequences at most [128]
-	Chunk   int     `toml:"chunk"`   // prompt tokens computed per step at most [512]
+	Batch   int     `toml:"batch"`   // maximum number of running sequences [128]
+	Chunk   int     `toml:"chunk"`   // maximum number of prompt tokens computed per step [512]
 	Block   int     `toml:"block"`   // tokens per block of the prefix cache [64]
-	Cache   int     `toml:"cache"`   // memory of the prefix cache, tokens [16384]
+	Cache   int     `toml:"cache"`   // size of the prefix cache, tokens [16384]
 	Base    float64 `toml:"base"`    // fixed cost of a step, ms [10]
 	Each    float64 `toml:"each"`    // cost per decoding sequence, ms [0.08]
-	Context float64 `toml:"context"` // cost per 1000 tokens attended to, ms [0.12]
+	Context float64 `toml:"context"` // cost per 1000 context tokens attended to, ms [0.12]
 	Prefill float64 `toml:"prefill"` // cost per 1000 prompt tokens computed, ms [50]
-	Speed   float64 `toml:"speed"`   // steps are this many times as fast [1]
+	Speed   float64 `toml:"speed"`   // factor by which steps are faster [1]
 }
 
-// A Sequence is one generation that is asked of an engine.
+// Sequence is a request for one generation.
 type Sequence struct {
-	ID       string   // name, unique among the engine's sequences
+	ID       string   // unique among the engine's sequences
 	Prompt   int      // prompt length, tokens
 	Prefix   []uint64 // chained hashes of the prompt's leading blocks
-	Output   int      // tokens after which the model ends by itself
-	Priority int      // higher goes first
+	Output   int      // output length, tokens
+	Priority int      // higher values are served first
 }
 
-// withDefaults returns s with its zero fields replaced.
+// withDefaults returns s with zero fields replaced by their defaults.
 func (s Spec) withDefaults() Spec {
 	s.Memory = intOrDefault(s.Memory, 40000)
 	s.Batch = intOrDefault(s.Batch, 128)
--- a/internal/bench/mgnet/net.go
+++ b/internal/bench/mgnet/net.go
@@ -1,6 +1,7 @@
-// Package mgnet is a link between the members of a focused test, in virtual
-// time: it delays, loses and cuts messages and pauses members. It serves the
-// tests and slopes of configuration, membership and shares, and nothing else.
+// Package mgnet simulates the network between the members of a test in virtual
+// time: it delays and loses messages, partitions the network and pauses
+// members. It serves the tests and benchmarks of configuration, membership and
+// shares, and nothing else.
 package mgnet
 
 import (
@@ -10,8 +11,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Net delivers messages and timers in the order of their times. Its zero
-// value loses nothing and delays nothing.
+// Net delivers messages and timers in order of their due times. Its zero value
+// neither loses nor delays messages.
 type Net struct {
 	now     mgclock.Millis
 	rng     *rand.Rand
@@ -19,7 +20,8 @@
 	lastSeq uint64
 	paused  map[string]mgclock.Millis
 
-	// delay returns how long a message takes, cut whether it is lost.
+	// delay returns the latency of a message; isCut reports whether the path
+	// between two members is cut.
 	delay func(from, to string) mgclock.Millis
 	isCut func(from, to string) bool
 	loss  float64
@@ -28,7 +30,7 @@
 	bytes    map[string]int
 }
 
-// New returns a net whose losses and jitter follow from a seed.
+// New returns a network whose random losses follow from seed.
 func New(seed uint64, delay func(from, to string) mgclock.Millis) *Net {
 	return &Net{
 		rng:      rand.New(rand.NewPCG(seed, 1)),
@@ -42,18 +44,21 @@
 // Now returns the virtual time.
 func (n *Net) Now() mgclock.Millis { return n.now }
 
-// Cut loses the messages for which cut is true, and a share of all others.
+// Cut drops the messages for which isCut returns true, and a random fraction
+// loss of all others.
 func (n *Net) Cut(loss float64, isCut func(from, to string) bool) {
 	n.loss = loss
 	n.isCut = isCut
 }
 
-// Pause stops a member for a span. What falls due for it waits.
+// Pause suspends a member for a duration. Its events are deferred to the end
+// of the pause.
 func (n *Net) Pause(name string, duration mgclock.Millis) {
 	n.paused[name] = max(n.paused[name], n.now+duration)
 }
 
-// Send runs a function at the receiver after the delay, unless it is lost.
+// Send runs a function at the receiver after the delay, unless the message is
+// lost.
 func (n *Net) Send(from, to string, size int, run func()) {
 	n.countTraffic(from, size)
 	if n.isCut != nil && n.isCut(from, to) || n.loss > 0 && n.rng.Float64() < n.loss {
@@ -76,10 +81,11 @@
 	}
 }
 
-// Traffic returns the messages and bytes that a member sent and received.
+// Traffic returns the number of messages and bytes that a member sent and
+// received.
 func (n *Net) Traffic(name string) (messages, bytes int) { return n.messages[name], n.bytes[name] }
 
-// At runs a function of a member at a time.
+// At schedules a function of a member at a time.
 func (n *Net) At(at mgclock.Millis, owner string, run func()) {
 	n.lastSeq++
 	heap.Push(&n.queue, event{
@@ -90,7 +96,7 @@
 	})
 }
 
-// Run delivers what falls due until a time.
+// Run processes all events that are due up to a time.
 func (n *Net) Run(until mgclock.Millis) {
 	for len(n.queue) > 0 && n.queue[0].due <= until {
 		e := heap.Pop(&n.queue).(event)
@@ -112,7 +118,7 @@
 	run   func()
 }
 
-// queue is a heap of events.
+// eventQueue is a heap of events, ordered by due time, then by insertion.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
