--- a/internal/bench/mgbench/command.go
+++ b/internal/bench/mgbench/command.go
@@ -78,7 +78,7 @@
 	}
 	for i := range all {
 		if c.Span > 0 {
-			all[i].Span = c.Span
+			all[i].Duration = c.Span
 		}
 	}
 	return all, nil
--- a/internal/bench/mgbench/driver.go
+++ b/internal/bench/mgbench/driver.go
@@ -72,7 +72,7 @@
 		d.calls[i] = c
 		d.events.schedule(r.arrival, func(now float64) { d.arriveCall(now, c) })
 	}
-	for at := 0.0; at < s.Span*1000; at += demandSampleInterval {
+	for at := 0.0; at < s.Duration*1000; at += demandSampleInterval {
 		d.events.schedule(at, d.meter.sampleDemand)
 	}
 	d.scheduleFault(s)
@@ -80,7 +80,7 @@
 
 // enterFault puts the scenario's fault on the agenda.
 func (d *driver) scheduleFault(s ScenarioSpec) {
-	from, until := s.Fault.From*s.Span*1000, s.Fault.Until*s.Span*1000
+	from, until := s.Fault.From*s.Duration*1000, s.Fault.Until*s.Duration*1000
 	for _, u := range d.upstreams[:s.Fault.Engines] {
 		if s.Fault.Speed == 0 {
 			d.events.schedule(from, func(now float64) { d.noticeLeaving(now, u) })
@@ -154,15 +154,15 @@
 // told, unless it has asked often or would come back too late.
 func (d *driver) refuseCall(now float64, c *call, problem *mgproblem.Problem) {
 	c.state = atClient
-	wait := min(max(float64(problem.Retry()), minRetryWait), maxRetryWait)
-	wait *= 1 + retryJitter*c.jitter
-	retries := problem.Retry() > 0 && c.attempts < maxAttempts && now+wait < c.deadline
+	retryWait := min(max(float64(problem.Retry()), minRetryWait), maxRetryWait)
+	retryWait *= 1 + retryJitter*c.jitter
+	retries := problem.Retry() > 0 && c.attempts < maxAttempts && now+retryWait < c.deadline
 	d.meter.refuse(now, c, retries)
 	if !retries {
 		c.state = ended
 		return
 	}
-	d.events.schedule(now+wait, func(at float64) { d.routeCall(at, c) })
+	d.events.schedule(now+retryWait, func(at float64) { d.routeCall(at, c) })
 }
 
 // expire is the client's hanging up at its deadline.
--- a/internal/bench/mgbench/driver_test.go
+++ b/internal/bench/mgbench/driver_test.go
@@ -13,8 +13,8 @@
 )
 
 // shortened returns a scenario with a span in seconds.
-func withSpan(s ScenarioSpec, span float64) ScenarioSpec {
-	s.Span = span
+func withDuration(s ScenarioSpec, duration float64) ScenarioSpec {
+	s.Duration = duration
 	return s
 }
 
@@ -35,12 +35,12 @@
 }
 
 // measured runs scenarios of a span in seconds under all policies.
-func measureAll(t *testing.T, names []string, span float64, seeds int) []run {
+func measureAll(t *testing.T, names []string, duration float64, seeds int) []run {
 	c := Command{
 		Scenario: strings.Join(names, ","),
 		Seed:     1,
 		Seeds:    seeds,
-		Span:     span,
+		Span:     duration,
 	}
 	scenarios, err := c.scenarios()
 	if err != nil {
@@ -78,7 +78,7 @@
 // to do all.
 func TestOracleRefusesBecauseOfSlowEngine(t *testing.T) {
 	Convey("The oracle turns nothing away for the sake of a slow engine", t, func() {
-		s := withSpan(slowScenario(), 60)
+		s := withDuration(slowScenario(), 60)
 		s.Load = 0.6
 		s.Fault.From, s.Fault.Until, s.Fault.Speed = 0, 1, 0.1
 		for _, p := range oracleOrders() {
@@ -91,13 +91,13 @@
 func (r run) label() string { return fmt.Sprintf("%s, seed %d", r.scenario, r.seed) }
 
 // refuser is a policy that turns each request away and says when to return.
-func refusingPolicy(retry mgclock.Millis) policy {
+func refusingPolicy(retryAfter mgclock.Millis) policy {
 	problem := mgproblem.New(mgproblem.Crowded, mgproblem.NotRun, "full", "come back")
 	return policy{
 		build: func(_ ScenarioSpec, us []*upstream, _ uint64) router {
 			for _, u := range us {
 				u.gate = gate{
-					submit: func(mgclock.Millis, *call) *mgproblem.Problem { return problem.WithRetry(retry) },
+					submit: func(mgclock.Millis, *call) *mgproblem.Problem { return problem.WithRetry(retryAfter) },
 					poll:   func(_ mgclock.Millis, dst []verdict) []verdict { return dst },
 				}
 			}
@@ -107,7 +107,7 @@
 }
 
 func TestClientRetries(t *testing.T) {
-	s := withSpan(calmScenario(), 20)
+	s := withDuration(calmScenario(), 20)
 	s.Services = []ServiceSpec{lookupService(1)}
 	cases := []struct {
 		name  string
@@ -161,7 +161,7 @@
 			}
 			return r
 		}
-		m := simulate(newWorkload(withSpan(calmScenario(), 20), 1), silent, 1)
+		m := simulate(newWorkload(withDuration(calmScenario(), 20), 1), silent, 1)
 		So(m.lateNotRun, ShouldEqual, m.asked)
 	})
 }
@@ -188,14 +188,14 @@
 	Convey("A workload", t, func() {
 		Convey("keeps the mean rate, with bursts too", func() {
 			for _, s := range []ScenarioSpec{calmScenario(), burstScenario()} {
-				s = withSpan(s, 3000)
-				mean := s.Rate * s.Load * float64(s.Engines) * s.Span
+				s = withDuration(s, 3000)
+				mean := s.SaturationRate * s.Load * float64(s.Engines) * s.Duration
 				So(float64(len(newWorkload(s, 2).requests))/mean, ShouldAlmostEqual, 1, 0.1)
 			}
 		})
 
 		Convey("repeats by its seed", func() {
-			s := withSpan(burstScenario(), 60)
+			s := withDuration(burstScenario(), 60)
 			So(newWorkload(s, 5).requests, ShouldResemble, newWorkload(s, 5).requests)
 			So(newWorkload(s, 5).requests, ShouldNotResemble, newWorkload(s, 6).requests)
 		})
@@ -203,7 +203,7 @@
 		Convey("doubles its accounts at a takeover", func() {
 			s := takeoverScenario()
 			for _, r := range newWorkload(s, 1).requests {
-				if s.Accounts[r.account].From*s.Span*1000 > r.arrival {
+				if s.Accounts[r.account].From*s.Duration*1000 > r.arrival {
 					So(r, ShouldBeZeroValue)
 				}
 			}
@@ -212,7 +212,7 @@
 }
 
 func BenchmarkSimulate(b *testing.B) {
-	s := withSpan(saturationScenario("sat10", 1), 60)
+	s := withDuration(saturationScenario("sat10", 1), 60)
 	w := newWorkload(s, 1)
 	p := simplePolicy()
 	tokens := int64(0)
--- a/internal/bench/mgbench/figures.go
+++ b/internal/bench/mgbench/figures.go
@@ -88,9 +88,9 @@
 	return figures()
 }
 
-func (m *meter) goodput() float64 { return float64(m.inTime) / m.scenario.Span }
+func (m *meter) goodput() float64 { return float64(m.inTime) / m.scenario.Duration }
 
-func (m *meter) tokenRate() float64 { return float64(m.tokens) / m.scenario.Span }
+func (m *meter) tokenRate() float64 { return float64(m.tokens) / m.scenario.Duration }
 
 func (m *meter) percent(count int) float64 {
 	return 100 * float64(count) / float64(max(m.asked, 1))
--- a/internal/bench/mgbench/meter.go
+++ b/internal/bench/mgbench/meter.go
@@ -155,7 +155,7 @@
 	if c.pausedByMove {
 		m.pausedByMove++
 	}
-	if !c.hasLongGap && c.firstTokenAt-c.arrival <= c.spec.Aim*1000 {
+	if !c.hasLongGap && c.firstTokenAt-c.arrival <= c.spec.FirstTokenLimit*1000 {
 		m.onTimeCount[c.service]++
 	}
 	if now <= c.deadline {
@@ -225,17 +225,17 @@
 
 // close ends a window.
 func (m *meter) closeWindow() {
-	var served []float64
+	var services []float64
 	for i := range m.accounts {
 		a := &m.accounts[i]
 		a.shares = append(a.shares, a.service)
 		if a.minDemand >= m.scenario.Engines { // fewer can't take a share of each engine
-			served = append(served, a.service/m.scenario.Accounts[i].Weight)
+			services = append(services, a.service/m.scenario.Accounts[i].Weight)
 		}
 		a.service = 0
 	}
-	if len(served) > 1 {
-		m.jains = append(m.jains, jain(served))
+	if len(services) > 1 {
+		m.jains = append(m.jains, jain(services))
 	}
 	m.windows++
 	m.demandSamples = 0
--- a/internal/bench/mgbench/move.go
+++ b/internal/bench/mgbench/move.go
@@ -81,8 +81,8 @@
 	m.copyWhileRunning(now, v)
 }
 
-func (m *migrator) retryLater(now float64, do func(at float64)) {
-	m.driver.events.schedule(now+float64(mgmigration.RetrySpan), do)
+func (m *migrator) retryLater(now float64, retry func(at float64)) {
+	m.driver.events.schedule(now+float64(mgmigration.RetrySpan), retry)
 }
 
 // first returns the generation that an entry moves next.
@@ -117,7 +117,7 @@
 			entry: m.entryOf(c),
 		})
 	}
-	ask := mgmigration.Ask{
+	request := mgmigration.Ask{
 		Source: upstreamName(c.upstream),
 		Run:    c.sequence.ID,
 		Worth:  moveWorth(now, c),
@@ -127,17 +127,17 @@
 		if u.isLeaving {
 			continue
 		}
-		ask.Places = append(ask.Places, mgmigration.Spot{
+		request.Places = append(request.Places, mgmigration.Spot{
 			Name: upstreamName(u),
 			Cost: m.cost(u, m.entryOf(c), query),
 			Span: m.copyDuration(c.upstream, u, c.heldTokens()),
 		})
 	}
-	place, ok := m.slots.Ask(toClock(now), ask)
+	placement, ok := m.slots.Ask(toClock(now), request)
 	if !ok {
 		return nil
 	}
-	return m.upstreamByName(place)
+	return m.upstreamByName(placement)
 }
 
 func (m *migrator) copyQuery(c *call) mgload.Query {
@@ -157,7 +157,7 @@
 
 // span returns the time in ms that a copy of some tokens takes.
 func (m *migrator) copyDuration(from, to *upstream, tokens int) float64 {
-	duration := m.spec.Copy * float64(tokens)
+	duration := m.spec.CopyPerToken * float64(tokens)
 	if m.zone(from.index) != m.zone(to.index) {
 		return 2 * duration
 	}
@@ -165,12 +165,12 @@
 }
 
 // send copies tokens behind what the links carry already, and goes on at the end.
-func (m *migrator) transfer(now float64, v *move, tokens int, then func(at float64)) {
+func (m *migrator) transfer(now float64, v *move, tokens int, done func(at float64)) {
 	begin := max(now, m.linkFreeAt[v.from.index], m.linkFreeAt[v.to.index])
 	end := begin + m.copyDuration(v.from, v.to, tokens)
 	m.linkFreeAt[v.from.index] = end
 	m.linkFreeAt[v.to.index] = end
-	m.driver.events.schedule(end, then)
+	m.driver.events.schedule(end, done)
 }
 
 // here reports whether the move's generation is still at its source.
--- a/internal/bench/mgbench/plot.go
+++ b/internal/bench/mgbench/plot.go
@@ -113,22 +113,22 @@
 
 // tailOf returns the tail of the gaps of runs.
 func tailOf(runs []run) plotter.XYs {
-	all := newHistogram()
+	gaps := newHistogram()
 	for _, r := range runs {
-		all.Merge(r.meter.tokenGaps)
+		gaps.Merge(r.meter.tokenGaps)
 	}
 	var points plotter.XYs
-	total := float64(all.TotalCount())
-	seen := 0.0
-	for _, bar := range all.Distribution() {
-		seen += float64(bar.Count)
-		rest := 1 - seen/total
-		if bar.Count == 0 || rest < minTailShare {
+	total := float64(gaps.TotalCount())
+	countedGaps := 0.0
+	for _, bar := range gaps.Distribution() {
+		countedGaps += float64(bar.Count)
+		tailShare := 1 - countedGaps/total
+		if bar.Count == 0 || tailShare < minTailShare {
 			continue
 		}
 		points = append(points, plotter.XY{
 			X: middle(bar),
-			Y: rest,
+			Y: tailShare,
 		})
 	}
 	return points
@@ -276,7 +276,7 @@
 			p.Legend.Add(fmt.Sprintf("%s, weight %g", a.Name, a.Weight), line)
 		}
 	}
-	p.X.Max = s.Span * 1.3 // leaves room for the legend
+	p.X.Max = s.Duration * 1.3 // leaves room for the legend
 	return p
 }
 
--- a/internal/bench/mgbench/policy.go
+++ b/internal/bench/mgbench/policy.go
@@ -138,7 +138,7 @@
 // reclaims reports whether engines come and go in a scenario. Only policies that
 // say how generations leave them play it, and those play nothing else: the
 // others' gates count on engines that stay.
-func (s ScenarioSpec) hasReclaims() bool { return s.Reclaim.Every > 0 }
+func (s ScenarioSpec) hasReclaims() bool { return s.Reclaim.Interval > 0 }
 
 // playable returns those of some policies that play a scenario.
 func (s ScenarioSpec) playablePolicies(candidates []policy) []policy {
--- a/internal/bench/mgbench/reclaim.go
+++ b/internal/bench/mgbench/reclaim.go
@@ -59,14 +59,14 @@
 
 // enter puts reclaims and the entries' messages on the agenda.
 func (m *migrator) scheduleAll() {
-	span := m.driver.workload.scenario.Span * 1000
-	for at := 0.0; at < span; at += reportInterval {
+	duration := m.driver.workload.scenario.Duration * 1000
+	for at := 0.0; at < duration; at += reportInterval {
 		m.driver.events.schedule(at, m.exchangeReports)
 	}
-	if m.spec.Every == 0 {
+	if m.spec.Interval == 0 {
 		return
 	}
-	for at := m.spec.Every * 500; at < span; at += m.spec.Every * 1000 {
+	for at := m.spec.Interval * 500; at < duration; at += m.spec.Interval * 1000 {
 		m.driver.events.schedule(at, m.reclaim)
 	}
 }
@@ -82,14 +82,14 @@
 
 // reclaim gives some engines notice.
 func (m *migrator) reclaim(now float64) {
-	left := m.spec.Engines
+	remaining := m.spec.Engines
 	for _, i := range m.random.Perm(len(m.driver.upstreams)) {
 		u := m.driver.upstreams[i]
-		if left == 0 || u.isLeaving {
+		if remaining == 0 || u.isLeaving {
 			continue
 		}
-		left--
-		notice := (m.spec.Notice + m.spec.More*m.random.Float64()) * 1000
+		remaining--
+		notice := (m.spec.MinNotice + m.spec.MaxExtraNotice*m.random.Float64()) * 1000
 		if m.strategy == strategyForeseen {
 			notice += foresightTime
 		}
@@ -108,7 +108,7 @@
 		c.state = ended
 	}
 	u.isGone = true
-	m.driver.events.schedule(now+m.spec.Away*1000, func(float64) {
+	m.driver.events.schedule(now+m.spec.Downtime*1000, func(float64) {
 		u.engine = mgmodel.New(m.driver.workload.scenario.Model)
 		u.isGone = false
 		u.isLeaving = false
@@ -133,13 +133,13 @@
 	if m == nil || m.waitingList == nil {
 		return false
 	}
-	read := float64(c.sequence.Prompt)/promptReadRate + firstTokenSlack
+	promptTime := float64(c.sequence.Prompt)/promptReadRate + firstTokenSlack
 	m.waitingList.Add(mgroom.Wait{
 		Name:    c.sequence.ID,
 		Account: m.driver.workload.scenario.Accounts[c.account].Name,
 		Need:    c.countedMemory(),
-		Span:    toClock(read + tokenInterval*float64(c.expectedOutput())),
-		Due:     toClock(c.arrival + c.spec.Aim*1000 - read),
+		Span:    toClock(promptTime + tokenInterval*float64(c.expectedOutput())),
+		Due:     toClock(c.arrival + c.spec.FirstTokenLimit*1000 - promptTime),
 		Came:    toClock(c.arrival),
 		End:     toClock(c.deadline),
 	})
--- a/internal/bench/mgbench/reclaim_test.go
+++ b/internal/bench/mgbench/reclaim_test.go
@@ -12,7 +12,7 @@
 // it is soon done, come near to one that knows of the leaving a second earlier.
 func TestMovesCutOrPauseGenerations(t *testing.T) {
 	cut, paused := map[string]float64{}, map[string]float64{}
-	s := withSpan(reclaimScenario(), 200)
+	s := withDuration(reclaimScenario(), 200)
 	for _, p := range movePolicies() {
 		for seed := range uint64(3) {
 			m := simulate(newWorkload(s, seed), p, seed)
@@ -44,7 +44,7 @@
 // for memory in one line, gets more answers out on time.
 func TestRequestsWaitAtFullEngines(t *testing.T) {
 	reports, notes, expired := map[moveStrategy]float64{}, map[moveStrategy]float64{}, map[moveStrategy]float64{}
-	s := withSpan(packedScenario(), 60)
+	s := withDuration(packedScenario(), 60)
 	for _, p := range movePolicies() {
 		if p.moveStrategy != strategySlots && p.moveStrategy != strategyWaitingList {
 			continue
@@ -63,8 +63,8 @@
 // ended there with a stack trace, once a line grew longer than its callers' patience.
 func TestGivenUpRequestHasNoPlacement(t *testing.T) {
 	Convey("Calls that wait in the line until their deadline are hung up on", t, func() {
-		s := withSpan(packedScenario(), 30)
-		s.Rate *= 2
+		s := withDuration(packedScenario(), 30)
+		s.SaturationRate *= 2
 		for _, p := range movePolicies() {
 			if p.moveStrategy != strategyWaitingList {
 				continue
--- a/internal/bench/mgbench/report.go
+++ b/internal/bench/mgbench/report.go
@@ -13,7 +13,7 @@
 // writeTable writes a scenario's runs as a table of medians, with the range
 // over the seeds below when there are several.
 func writeTable(w io.Writer, s ScenarioSpec, policies []policy, runs []run) error {
-	fmt.Fprintf(w, "%s: %s\n", s.Name, s.Text)
+	fmt.Fprintf(w, "%s: %s\n", s.Name, s.Description)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "policy\t")
 	for _, f := range figuresOf(s) {
@@ -82,25 +82,25 @@
 
 // writeSummary writes a Markdown table of medians for each main figure.
 func writeSummary(w io.Writer, scenarios []ScenarioSpec, policies []policy, runs []run) error {
-	text := new(strings.Builder)
+	page := new(strings.Builder)
 	for _, name := range summarized {
 		f := figureByName(name)
-		fmt.Fprintf(text, "### %s\n\n| policy |", f.heading)
+		fmt.Fprintf(page, "### %s\n\n| policy |", f.heading)
 		for _, s := range scenarios {
-			fmt.Fprintf(text, " %s |", s.Name)
+			fmt.Fprintf(page, " %s |", s.Name)
 		}
-		fmt.Fprintf(text, "\n|---|%s\n", strings.Repeat("---|", len(scenarios)))
+		fmt.Fprintf(page, "\n|---|%s\n", strings.Repeat("---|", len(scenarios)))
 		for _, p := range policies {
-			fmt.Fprintf(text, "| %s |", p.name)
+			fmt.Fprintf(page, "| %s |", p.name)
 			for _, s := range scenarios {
 				median, _, _ := medianAndRange(runsOf(runs, s.Name, p.name), f)
-				fmt.Fprintf(text, " %s |", formatNumber(median, f.digits))
+				fmt.Fprintf(page, " %s |", formatNumber(median, f.digits))
 			}
-			fmt.Fprintln(text)
+			fmt.Fprintln(page)
 		}
-		fmt.Fprintln(text)
+		fmt.Fprintln(page)
 	}
-	if _, err := io.WriteString(w, text.String()); err != nil {
+	if _, err := io.WriteString(w, page.String()); err != nil {
 		return fmt.Errorf("summary: %w", err)
 	}
 	return nil
@@ -109,19 +109,19 @@
 // writePages writes all scenarios as Markdown tables: medians, with the ranges
 // over the seeds in brackets.
 func writePages(w io.Writer, scenarios []ScenarioSpec, policies []policy, runs []run) error {
-	text := new(strings.Builder)
+	page := new(strings.Builder)
 	for _, s := range scenarios {
-		fmt.Fprintf(text, "### %s\n\n%s.\n\n| policy |", s.Name, s.Text)
+		fmt.Fprintf(page, "### %s\n\n%s.\n\n| policy |", s.Name, s.Description)
 		for _, f := range figuresOf(s) {
-			fmt.Fprintf(text, " %s |", f.heading)
+			fmt.Fprintf(page, " %s |", f.heading)
 		}
-		fmt.Fprintf(text, "\n|---|%s\n", strings.Repeat("---|", len(figuresOf(s))))
+		fmt.Fprintf(page, "\n|---|%s\n", strings.Repeat("---|", len(figuresOf(s))))
 		for _, p := range s.playablePolicies(policies) {
-			writePageRow(text, figuresOf(s), p.name, runsOf(runs, s.Name, p.name))
+			writePageRow(page, figuresOf(s), p.name, runsOf(runs, s.Name, p.name))
 		}
-		fmt.Fprintln(text)
+		fmt.Fprintln(page)
 	}
-	if _, err := io.WriteString(w, text.String()); err != nil {
+	if _, err := io.WriteString(w, page.String()); err != nil {
 		return fmt.Errorf("tables: %w", err)
 	}
 	return nil
--- a/internal/bench/mgbench/scenario.go
+++ b/internal/bench/mgbench/scenario.go
@@ -57,54 +57,54 @@
 	}
 }
 
-func bimodal(near, far, share, sigma float64, limit int) LengthSpec {
+func bimodal(firstMedian, secondMedian, secondWeight, sigma float64, limit int) LengthSpec {
 	return LengthSpec{
-		Median: near,
-		Sigma:  sigma,
-		Far:    far,
-		Share:  share,
-		Limit:  limit,
+		Median:       firstMedian,
+		Sigma:        sigma,
+		SecondMedian: secondMedian,
+		SecondWeight: secondWeight,
+		Limit:        limit,
 	}
 }
 
 // lookup is a short answer that somebody waits for at a tank.
 func lookupService(share float64) ServiceSpec {
 	return ServiceSpec{
-		Name:     "lookup",
-		Share:    share,
-		Prompt:   lognormal(300, 0.5, 2000),
-		Output:   lognormal(60, 0.6, 512),
-		Common:   0.6,
-		Deadline: 10,
-		Priority: 2,
-		Prefer:   Steady,
+		Name:         "lookup",
+		Share:        share,
+		Prompt:       lognormal(300, 0.5, 2000),
+		Output:       lognormal(60, 0.6, 512),
+		SharedPrefix: 0.6,
+		Deadline:     10,
+		Priority:     2,
+		Prefer:       Steady,
 	}
 }
 
 // note is a gauge anomaly note.
 func noteService(share float64) ServiceSpec {
 	return ServiceSpec{
-		Name:     "note",
-		Share:    share,
-		Prompt:   lognormal(500, 0.5, 3000),
-		Output:   lognormal(200, 0.6, 1024),
-		Common:   0.5,
-		Deadline: 30,
-		Priority: 1,
-		Prefer:   Steady,
+		Name:         "note",
+		Share:        share,
+		Prompt:       lognormal(500, 0.5, 3000),
+		Output:       lognormal(200, 0.6, 1024),
+		SharedPrefix: 0.5,
+		Deadline:     30,
+		Priority:     1,
+		Prefer:       Steady,
 	}
 }
 
 // report is a shift report or a dossier, a third of them very long.
 func reportService(share float64) ServiceSpec {
 	return ServiceSpec{
-		Name:     "report",
-		Share:    share,
-		Prompt:   lognormal(600, 0.5, 4000),
-		Output:   bimodal(400, 2500, 0.3, 0.5, 6000),
-		Common:   0.4,
-		Deadline: 180,
-		Prefer:   Whole,
+		Name:         "report",
+		Share:        share,
+		Prompt:       lognormal(600, 0.5, 4000),
+		Output:       bimodal(400, 2500, 0.3, 0.5, 6000),
+		SharedPrefix: 0.4,
+		Deadline:     180,
+		Prefer:       Whole,
 	}
 }
 
@@ -130,14 +130,14 @@
 
 func baseScenario(name, text string, load float64) ScenarioSpec {
 	return ScenarioSpec{
-		Name:     name,
-		Text:     text,
-		Span:     runDuration,
-		Engines:  runEngines,
-		Rate:     mixedRate,
-		Load:     load,
-		Services: mixedServices(),
-		Accounts: equalAccounts(10, 0),
+		Name:           name,
+		Description:    text,
+		Duration:       runDuration,
+		Engines:        runEngines,
+		SaturationRate: mixedRate,
+		Load:           load,
+		Services:       mixedServices(),
+		Accounts:       equalAccounts(10, 0),
 	}
 }
 
@@ -148,9 +148,9 @@
 func burstScenario() ScenarioSpec {
 	s := baseScenario("burst", "three times the mean rate for 15 s every 75 s", 0.85)
 	s.Burst = BurstSpec{
-		Factor: 3,
-		Burst:  15,
-		Calm:   60,
+		Factor:        3,
+		BurstDuration: 15,
+		CalmDuration:  60,
 	}
 	return s
 }
@@ -180,7 +180,7 @@
 
 func longScenario() ScenarioSpec {
 	s := baseScenario("long", "one very long report to six lookups", 0.95)
-	s.Rate = longRate
+	s.SaturationRate = longRate
 	s.Services = []ServiceSpec{lookupService(0.85), reportService(0.15)}
 	s.Services[1].Output = lognormal(3000, 0.4, 8000)
 	s.Services[1].Deadline = 240
@@ -189,7 +189,7 @@
 
 func smallScenario() ScenarioSpec {
 	s := baseScenario("small", "memory for a handful of reports", 0.95)
-	s.Rate = smallRate
+	s.SaturationRate = smallRate
 	s.Model = mgmodel.Spec{
 		Memory: 12000,
 	}
@@ -241,7 +241,7 @@
 func reclaimScenario() ScenarioSpec {
 	s := baseScenario("reclaim", "two of twelve engines leave on 1.5 to 2.1 s notice every 3.3 s, and are back 4 s later", 0.5)
 	s.Engines = 12
-	s.Rate = 1.85
+	s.SaturationRate = 1.85
 	s.Model = mgmodel.Spec{
 		Memory:  34000,
 		Batch:   32,
@@ -252,33 +252,33 @@
 	}
 	s.Services = []ServiceSpec{
 		{
-			Name:     "report",
-			Share:    0.42,
-			Prompt:   lognormal(2800, 0.35, 9000),
-			Output:   lognormal(660, 0.84, 2200),
-			Deadline: 39,
-			Aim:      1.8,
-			Prefer:   Whole,
+			Name:            "report",
+			Share:           0.42,
+			Prompt:          lognormal(2800, 0.35, 9000),
+			Output:          lognormal(660, 0.84, 2200),
+			Deadline:        39,
+			FirstTokenLimit: 1.8,
+			Prefer:          Whole,
 		},
 		{
-			Name:     "note",
-			Share:    0.58,
-			Prompt:   lognormal(2300, 0.3, 6000),
-			Output:   lognormal(10, 0.4, 60),
-			Deadline: 6,
-			Aim:      1.5,
-			Prefer:   Steady,
+			Name:            "note",
+			Share:           0.58,
+			Prompt:          lognormal(2300, 0.3, 6000),
+			Output:          lognormal(10, 0.4, 60),
+			Deadline:        6,
+			FirstTokenLimit: 1.5,
+			Prefer:          Steady,
 		},
 	}
 	s.Reclaim = ReclaimSpec{
-		Every:   3.3,
-		Engines: 2,
-		Notice:  1.5,
-		More:    0.6,
-		Away:    4,
-		Entries: 5,
-		Zones:   3,
-		Copy:    0.055,
+		Interval:       3.3,
+		Engines:        2,
+		MinNotice:      1.5,
+		MaxExtraNotice: 0.6,
+		Downtime:       4,
+		Entries:        5,
+		Zones:          3,
+		CopyPerToken:   0.055,
 	}
 	return s
 }
@@ -288,9 +288,9 @@
 func packedScenario() ScenarioSpec {
 	s := reclaimScenario()
 	s.Name = "packed"
-	s.Text = "reclaims of seven of 44 engines, whose memory is all but full"
+	s.Description = "reclaims of seven of 44 engines, whose memory is all but full"
 	s.Engines = 44
-	s.Rate = 2.5
+	s.SaturationRate = 2.5
 	s.Model.Memory = 21850
 	s.Model.Batch = 24
 	s.Services[0].Share = 0.47
--- a/internal/bench/mgbench/spec.go
+++ b/internal/bench/mgbench/spec.go
@@ -13,24 +13,24 @@
 
 // A LengthSpec describes a mixture of two lognormal distributions of tokens.
 type LengthSpec struct {
-	Median float64 // of the first part
-	Sigma  float64 // of the logarithm, both parts
-	Far    float64 // median of the second part
-	Share  float64 // of the second part, 0 to 1
-	Limit  int     // lengths are cut here
+	Median       float64 // of the first part
+	Sigma        float64 // of the logarithm, both parts
+	SecondMedian float64 // median of the second part
+	SecondWeight float64 // of the second part, 0 to 1
+	Limit        int     // lengths are cut here
 }
 
 // A ServiceSpec describes the requests to one service.
 type ServiceSpec struct {
-	Name     string
-	Share    float64 // of all requests
-	Prompt   LengthSpec
-	Output   LengthSpec
-	Common   float64 // part of the prompt that an account's requests share
-	Deadline float64 // of the whole answer, s
-	Aim      float64 // of the first token, s; 0 for none
-	Priority int
-	Prefer   Preference
+	Name            string
+	Share           float64 // of all requests
+	Prompt          LengthSpec
+	Output          LengthSpec
+	SharedPrefix    float64 // part of the prompt that an account's requests share
+	Deadline        float64 // of the whole answer, s
+	FirstTokenLimit float64 // of the first token, s; 0 for none
+	Priority        int
+	Prefer          Preference
 }
 
 // An AccountSpec describes a client account.
@@ -44,9 +44,9 @@
 // A BurstSpec modulates the rate of arrivals by a Markov chain of two states.
 // The zero value keeps the rate constant.
 type BurstSpec struct {
-	Factor float64 // rate in the burst state over the mean rate
-	Burst  float64 // mean stay in the burst state, s
-	Calm   float64 // mean stay in the calm state, s
+	Factor        float64 // rate in the burst state over the mean rate
+	BurstDuration float64 // mean stay in the burst state, s
+	CalmDuration  float64 // mean stay in the calm state, s
 }
 
 // A PhaseSpec changes the load from a point of the run on.
@@ -68,29 +68,29 @@
 // A ReclaimSpec takes engines away again and again and brings them back, as a
 // provider does with spare capacity. The zero value takes none.
 type ReclaimSpec struct {
-	Every   float64 // between reclaims, s
-	Engines int     // at a time
-	Notice  float64 // at least, s
-	More    float64 // of notice at most, drawn evenly, s
-	Away    float64 // until an engine is back, empty, s
-	Entries int     // that hold the streams, each a part of them
-	Zones   int     // that the engines are spread over
-	Copy    float64 // of a token's memory within a zone, ms; twice as much between zones
+	Interval       float64 // between reclaims, s
+	Engines        int     // at a time
+	MinNotice      float64 // at least, s
+	MaxExtraNotice float64 // of notice at most, drawn evenly, s
+	Downtime       float64 // until an engine is back, empty, s
+	Entries        int     // that hold the streams, each a part of them
+	Zones          int     // that the engines are spread over
+	CopyPerToken   float64 // of a token's memory within a zone, ms; twice as much between zones
 }
 
 // A ScenarioSpec describes a scenario.
 type ScenarioSpec struct {
-	Name     string
-	Text     string
-	Span     float64 // arrivals, s
-	Engines  int
-	Model    mgmodel.Spec
-	Rate     float64 // requests per second and engine that saturate it
-	Load     float64 // mean arrivals over saturation
-	Services []ServiceSpec
-	Accounts []AccountSpec
-	Burst    BurstSpec
-	Phases   []PhaseSpec
-	Fault    FaultSpec
-	Reclaim  ReclaimSpec
+	Name           string
+	Description    string
+	Duration       float64 // arrivals, s
+	Engines        int
+	Model          mgmodel.Spec
+	SaturationRate float64 // requests per second and engine that saturate it
+	Load           float64 // mean arrivals over saturation
+	Services       []ServiceSpec
+	Accounts       []AccountSpec
+	Burst          BurstSpec
+	Phases         []PhaseSpec
+	Fault          FaultSpec
+	Reclaim        ReclaimSpec
 }
--- a/internal/bench/mgbench/strategy.go
+++ b/internal/bench/mgbench/strategy.go
@@ -17,8 +17,8 @@
 // and admission, which is that of entries that reach engines directly.
 func movePolicies() []policy {
 	texts := []struct {
-		way  moveStrategy
-		text string
+		strategy moveStrategy
+		text     string
 	}{
 		{strategyStay, "a reclaimed engine's generations are cut"},
 		{strategyOnce, "all are stopped and copied at once"},
@@ -30,9 +30,9 @@
 	var all []policy
 	for _, t := range texts {
 		all = append(all, policy{
-			name:         "move/" + string(t.way),
+			name:         "move/" + string(t.strategy),
 			description:  t.text,
-			moveStrategy: t.way,
+			moveStrategy: t.strategy,
 			build:        directBuild,
 		})
 	}
--- a/internal/bench/mgbench/workload.go
+++ b/internal/bench/mgbench/workload.go
@@ -45,7 +45,7 @@
 		scenario: s,
 	}
 	now := d.nextArrival(0)
-	for now < s.Span*1000 {
+	for now < s.Duration*1000 {
 		w.requests = append(w.requests, d.request(len(w.requests), now))
 		now = d.nextArrival(now)
 	}
@@ -73,7 +73,7 @@
 	d.services = distuv.NewCategorical(weights, source)
 	d.stateEndsAt = math.Inf(1)
 	if s.Burst.Factor > 0 {
-		d.stateEndsAt = d.exponential(s.Burst.Calm * 1000)
+		d.stateEndsAt = d.exponential(s.Burst.CalmDuration * 1000)
 	}
 	return d
 }
@@ -96,18 +96,18 @@
 		}
 		now = d.stateEndsAt
 		d.bursting = !d.bursting
-		stay := d.scenario.Burst.Calm
+		meanDuration := d.scenario.Burst.CalmDuration
 		if d.bursting {
-			stay = d.scenario.Burst.Burst
+			meanDuration = d.scenario.Burst.BurstDuration
 		}
-		d.stateEndsAt = now + d.exponential(stay*1000)
+		d.stateEndsAt = now + d.exponential(meanDuration*1000)
 	}
 }
 
 // meanGap returns the mean time in ms between arrivals at now.
 func (d *sampler) meanInterarrival(now float64) float64 {
 	s := d.scenario
-	rate := s.Rate * s.Load * float64(s.Engines) * d.phase(now).Rate * s.Burst.factor(d.bursting)
+	rate := s.SaturationRate * s.Load * float64(s.Engines) * d.phase(now).Rate * s.Burst.factor(d.bursting)
 	return 1000 / rate
 }
 
@@ -120,7 +120,7 @@
 	case bursting:
 		return b.Factor
 	default:
-		return (b.Burst + b.Calm - b.Factor*b.Burst) / b.Calm
+		return (b.BurstDuration + b.CalmDuration - b.Factor*b.BurstDuration) / b.CalmDuration
 	}
 }
 
@@ -131,7 +131,7 @@
 		Length: 1,
 	}
 	for _, p := range d.scenario.Phases {
-		if now >= p.From*d.scenario.Span*1000 {
+		if now >= p.From*d.scenario.Duration*1000 {
 			current = p
 		}
 	}
@@ -162,20 +162,20 @@
 
 // account draws an account among those that have come by now.
 func (d *sampler) account(now float64) int {
-	part := now / (d.scenario.Span * 1000)
+	runFraction := now / (d.scenario.Duration * 1000)
 	total := 0.0
 	for _, a := range d.scenario.Accounts {
-		if part >= a.From {
+		if runFraction >= a.From {
 			total += a.Share
 		}
 	}
-	left := d.uniform.Rand() * total
+	remaining := d.uniform.Rand() * total
 	for i, a := range d.scenario.Accounts {
-		if part < a.From {
+		if runFraction < a.From {
 			continue
 		}
-		left -= a.Share
-		if left < 0 {
+		remaining -= a.Share
+		if remaining < 0 {
 			return i
 		}
 	}
@@ -185,8 +185,8 @@
 // length draws a number of tokens, stretched by a factor.
 func (d *sampler) length(s LengthSpec, factor float64) int {
 	median := s.Median
-	if s.Share > 0 && d.uniform.Rand() < s.Share {
-		median = s.Far
+	if s.SecondWeight > 0 && d.uniform.Rand() < s.SecondWeight {
+		median = s.SecondMedian
 	}
 	n := distuv.LogNormal{
 		Mu:    math.Log(median * factor),
@@ -200,7 +200,7 @@
 // part of the service's median prompt, are common to the account's requests.
 func (d *sampler) prefix(index, account, service, prompt int) []uint64 {
 	spec := d.scenario.Services[service]
-	common := int(spec.Common*spec.Prompt.Median) / d.block
+	common := int(spec.SharedPrefix*spec.Prompt.Median) / d.block
 	blocks := make([]uint64, prompt/d.block)
 	for i := range blocks {
 		owner := uint64(account)<<8 | uint64(service)
