--- a/internal/bench/mgbench/command.go
+++ b/internal/bench/mgbench/command.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Command is the bench's command line, for go-flags.
+// Command implements the benchmark's command line, for go-flags.
 type Command struct {
 	Scenario string  `long:"scenario" default:"all" description:"scenarios, separated by commas, or all"`
 	Policy   string  `long:"policy" default:"all" description:"policies, separated by commas, or all"`
@@ -24,19 +24,19 @@
 	Span     float64 `long:"span" description:"seconds of arrivals, in place of the scenarios' own"`
 	Jobs     int     `long:"jobs" description:"runs at once; half of the processors without it"`
 
-	// Progress takes the progress line; it may be nil.
+	// Progress receives the progress line; it may be nil.
 	Progress io.Writer `no-flag:"true"`
 }
 
-// job is one run that is to be measured.
+// job is one run to be measured.
 type job struct {
 	scenario ScenarioSpec
 	policy   policy
 	seed     uint64
 }
 
-// Run measures what the flags name, writes the tables to stdout, and the runs
-// and plots to the directory.
+// Run measures the scenarios and policies that the flags select, writes the
+// tables to stdout, and writes the runs and plots to the output directory.
 func (c *Command) Run(ctx context.Context, stdout io.Writer) error {
 	scenarios, err := c.scenarios()
 	if err != nil {
@@ -115,7 +115,7 @@
 	return jobs
 }
 
-// measure runs the jobs, some at once. The order of the runs is that of the
+// measure runs the jobs in parallel, and returns the runs in the order of the
 // jobs.
 func (c *Command) measure(ctx context.Context, jobs []job) ([]run, error) {
 	group, ctx := errgroup.WithContext(ctx)
@@ -146,7 +146,7 @@
 	return max(runtime.GOMAXPROCS(0)/2, 1)
 }
 
-// progress rewrites the progress line each time that a run is done.
+// progress rewrites the progress line whenever a run finishes.
 func (c *Command) progress(done, all int) {
 	c.writeProgress(fmt.Sprintf("\rbench: %d of %d runs", done, all))
 }
@@ -157,7 +157,8 @@
 	}
 }
 
-// measure runs the job. The oracle's run is the best of its orders.
+// measure runs the job. For the oracle it returns the best run of the oracle's
+// orders.
 func (j job) measure() run {
 	w := newWorkload(j.scenario, j.seed)
 	r := run{
@@ -178,7 +179,7 @@
 	return r
 }
 
-// write writes the runs, the tables and the plots to the directory.
+// write writes the runs, the tables and the plots to the output directory.
 func (c *Command) write(scenarios []ScenarioSpec, chosen []policy, runs []run) error {
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return fmt.Errorf("out: create the directory or name another: %w", err)
@@ -201,7 +202,7 @@
 	return group.Wait()
 }
 
-// file writes one file of the directory.
+// writeFile writes one file to the output directory.
 func (c *Command) writeFile(name string, write func(w io.Writer) error) error {
 	f, err := os.Create(filepath.Join(c.Out, name))
 	if err != nil {
--- a/internal/bench/mgbench/command_test.go
+++ b/internal/bench/mgbench/command_test.go
@@ -13,7 +13,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// smallCommand is a whole run that takes a moment.
+// smallCommand returns a command whose complete run is short.
 func smallCommand(out string) *Command {
 	return &Command{
 		Scenario: "burst,small",
--- a/internal/bench/mgbench/driver.go
+++ b/internal/bench/mgbench/driver.go
@@ -10,33 +10,35 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// How clients behave, in ms.
+// Client behaviour, in ms unless noted otherwise.
 const (
-	maxAttempts  = 5       // times at most, as a person would
-	minRetryWait = 500.0   // before asking again, also when told less
-	maxRetryWait = 30000.0 // a client doesn't stay away for longer
-	retryJitter  = 0.25    // of the wait, drawn per request, so that clients don't return together
+	maxAttempts  = 5       // attempts, roughly what a person makes
+	minRetryWait = 500.0   // before a retry, also if the refusal names a shorter wait
+	maxRetryWait = 30000.0 // before a retry, also if the refusal names a longer wait
+	retryJitter  = 0.25    // fraction of the wait, drawn per request, so that clients don't retry in step
 )
 
-// idleTurn is how often an idle engine's gate is asked while calls wait, in ms.
+// idlePollInterval is the interval in ms at which the gate of an idle engine
+// is polled while calls wait.
 const idlePollInterval = 20.0
 
-// lookEvery is how often the accounts' backlogs are looked at, in ms.
+// demandSampleInterval is the interval in ms at which the accounts' demand is
+// sampled.
 const demandSampleInterval = 500.0
 
-// driver runs a workload under a policy.
+// driver simulates a workload under a policy.
 type driver struct {
 	events    eventQueue
 	workload  *workload
 	calls     []*call
 	upstreams []*upstream
 	router    router
-	migrator  *migrator // nil where generations stay
+	migrator  *migrator // nil for policies that move no generations
 	meter     *meter
 	verdicts  []verdict
 }
 
-// simulate runs w under p and returns what was measured.
+// simulate runs w under p and returns the measurements.
 func simulate(w *workload, p policy, seed uint64) *meter {
 	d := &driver{
 		workload: w,
@@ -59,7 +61,7 @@
 	return d.meter
 }
 
-// enter puts all that is known beforehand on the agenda.
+// scheduleAll schedules all events that are known in advance.
 func (d *driver) scheduleAll() {
 	s := d.workload.scenario
 	d.calls = make([]*call, len(d.workload.requests))
@@ -78,7 +80,7 @@
 	d.scheduleFault(s)
 }
 
-// enterFault puts the scenario's fault on the agenda.
+// scheduleFault schedules the scenario's fault.
 func (d *driver) scheduleFault(s ScenarioSpec) {
 	from, until := s.Fault.From*s.Duration*1000, s.Fault.Until*s.Duration*1000
 	for _, u := range d.upstreams[:s.Fault.Engines] {
@@ -92,17 +94,17 @@
 	}
 }
 
-// millis returns a time of the agenda on the policies' clock.
+// toClock converts a time in ms to the clock type that the policies use.
 func toClock(at float64) mgclock.Millis { return mgclock.Millis(at) }
 
-// arrive is the first asking of a call.
+// arriveCall handles the first attempt of a call.
 func (d *driver) arriveCall(now float64, c *call) {
 	d.meter.arrive(c)
 	d.events.schedule(c.deadline, func(at float64) { d.expire(at, c) })
 	d.routeCall(now, c)
 }
 
-// ask sends a call to the upstream that the policy chooses.
+// routeCall sends a call to the upstream that the policy chooses.
 func (d *driver) routeCall(now float64, c *call) {
 	if c.state != atClient {
 		return
@@ -119,7 +121,7 @@
 	d.submit(now, c, u)
 }
 
-// submit gives a call to an upstream's gate.
+// submit passes a call to the gate of an upstream.
 func (d *driver) submit(now float64, c *call, u *upstream) {
 	if c.state != atClient || u.isGone {
 		return
@@ -150,8 +152,9 @@
 	c.upstream = nil
 }
 
-// refuse tells the client "not run". It asks again at the time that it is
-// told, unless it has asked often or would come back too late.
+// refuseCall refuses a call with the outcome "not run". The client retries at
+// the time that the refusal names, unless it has used up its attempts or the
+// retry would come after its deadline.
 func (d *driver) refuseCall(now float64, c *call, problem *mgproblem.Problem) {
 	c.state = atClient
 	retryWait := min(max(float64(problem.Retry()), minRetryWait), maxRetryWait)
@@ -165,7 +168,7 @@
 	d.events.schedule(now+retryWait, func(at float64) { d.routeCall(at, c) })
 }
 
-// expire is the client's hanging up at its deadline.
+// expire handles a client that hangs up at its deadline.
 func (d *driver) expire(now float64, c *call) {
 	if c.state == ended {
 		return
@@ -176,7 +179,7 @@
 	c.state = ended
 }
 
-// drop takes a call away from its upstream, if it has one.
+// removeFromUpstream removes a call from its upstream, if it has one.
 func (d *driver) removeFromUpstream(now float64, c *call) {
 	u := c.upstream
 	if u == nil {
@@ -191,7 +194,8 @@
 	d.detach(c)
 }
 
-// notice marks an upstream as leaving. What waits there goes elsewhere.
+// noticeLeaving marks an upstream as leaving. Its queued calls are routed
+// elsewhere.
 func (d *driver) noticeLeaving(now float64, u *upstream) {
 	u.isLeaving = true
 	for _, c := range slices.Clone(u.calls) {
@@ -201,7 +205,7 @@
 	}
 }
 
-// reclaim takes an upstream away. What runs there starts anew elsewhere.
+// reclaim removes an upstream. Its running generations start over elsewhere.
 func (d *driver) reclaim(now float64, u *upstream) {
 	for _, c := range slices.Clone(u.calls) {
 		d.meter.countLost(now, c)
@@ -210,7 +214,8 @@
 	u.isGone = true
 }
 
-// move asks for a call again, without a wait of the client's.
+// rerouteCall routes a call again at once, from its beginning and without
+// counting an attempt or making the client wait.
 func (d *driver) rerouteCall(now float64, c *call) {
 	d.removeFromUpstream(now, c)
 	d.meter.requeue(c)
@@ -221,7 +226,7 @@
 	d.routeCall(now, c)
 }
 
-// wake gives an idle upstream its turn.
+// scheduleStep schedules a step of an idle upstream.
 func (d *driver) scheduleStep(now float64, u *upstream) {
 	if !u.isStepScheduled {
 		u.isStepScheduled = true
@@ -229,7 +234,7 @@
 	}
 }
 
-// turn lets the gate decide and runs a step of the engine.
+// step polls the gate and runs a step of the engine.
 func (d *driver) step(now float64, u *upstream) {
 	u.isStepScheduled = false
 	if u.isGone {
@@ -250,7 +255,7 @@
 	}
 }
 
-// named returns the call of a sequence.
+// callByID returns the call of a sequence ID.
 func (d *driver) callByID(id string) *call {
 	i, err := strconv.Atoi(id)
 	if err != nil {
@@ -259,7 +264,7 @@
 	return d.calls[i]
 }
 
-// poll carries the gate's verdicts out.
+// applyVerdicts polls the gate and applies its verdicts.
 func (d *driver) applyVerdicts(now float64, u *upstream) {
 	d.verdicts = u.gate.poll(toClock(now), d.verdicts[:0])
 	for _, v := range d.verdicts {
@@ -272,7 +277,8 @@
 	}
 }
 
-// start gives a call to u's engine, also one that waited elsewhere.
+// start adds a call to u's engine, also one that was queued at another
+// upstream.
 func (d *driver) start(now float64, u *upstream, c *call) {
 	if c.upstream != u {
 		d.detach(c)
@@ -289,7 +295,7 @@
 	}
 }
 
-// preempt tells of a running call that lost its memory.
+// preempt records the preemption of a running call and reports it to the gate.
 func (d *driver) preempt(now float64, u *upstream, c *call) {
 	d.meter.preempt(c)
 	if u.gate.preempted != nil {
@@ -297,8 +303,8 @@
 	}
 }
 
-// deliver hands the tokens of a step out at its end. A call that was dropped
-// during the step no longer runs here.
+// deliver processes the tokens and the finished sequences of a step when the
+// step ends. It skips calls that were removed during the step.
 func (d *driver) deliver(now float64, u *upstream, r mgmodel.Result) {
 	for _, token := range r.Tokens() {
 		c := d.callByID(token.ID())
@@ -322,7 +328,7 @@
 	d.step(now, u)
 }
 
-// finish ends a call that is complete.
+// finish ends a call whose answer is complete.
 func (d *driver) finish(now float64, c *call) {
 	if c.produced != min(c.sequence.Output, d.maxOutput(c)) {
 		panic("mgbench: an answer ended early: " + c.sequence.ID)
@@ -335,12 +341,12 @@
 	c.state = ended
 }
 
-// room returns the output that memory allows c at most.
+// maxOutput returns the maximum output of c that fits into memory.
 func (d *driver) maxOutput(c *call) int {
 	return c.upstream.engine.Spec().Memory - c.sequence.Prompt
 }
 
-// gapUntil returns the time since c's latest token, or 0 before the first.
+// openGap returns the time since c's latest token, or 0 before the first.
 func (c *call) openGap(now float64) float64 {
 	if c.lastTokenAt == 0 {
 		return 0
--- a/internal/bench/mgbench/driver_test.go
+++ b/internal/bench/mgbench/driver_test.go
@@ -12,17 +12,15 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// shortened returns a scenario with a span in seconds.
+// withSpan returns a scenario with a duration of arrivals in seconds.
 func withDuration(s ScenarioSpec, duration float64) ScenarioSpec {
 	s.Duration = duration
 	return s
 }
 
-// A user sees each request answered, turned away or timed out, once, whatever
-// happens to engines on the way. Each scenario runs under each policy; the
-// model's memory and the order of tokens are checked by the driver and the
-// model. A request that was counted twice or got lost would flatter a policy,
-// and one that ours leaves waiting until its deadline never hears "not run".
+// Guards against requests that end twice or get lost, which would flatter a
+// policy, when engines fail: each must be answered, refused or timed out once.
+// Under "ours" none may wait until its deadline without a refusal "not run".
 func TestRequestEndsMoreThanOnceOrNever(t *testing.T) {
 	for _, r := range measureAll(t, scenarioNames(), 8, 1) {
 		Convey(r.scenario+" and "+r.policy, t, func() {
@@ -34,7 +32,8 @@
 	}
 }
 
-// measured runs scenarios of a span in seconds under all policies.
+// measureAll runs scenarios, with a duration of arrivals in seconds, under all
+// policies.
 func measureAll(t *testing.T, names []string, duration float64, seeds int) []run {
 	c := Command{
 		Scenario: strings.Join(names, ","),
@@ -53,10 +52,9 @@
 	return runs
 }
 
-// The oracle knows all lengths, so that a policy that answers more in time
-// shows that the oracle is wrong and every figure against it misleads. The
-// cases are small enough for an order to matter: a burst that must wait, and a
-// memory that holds a handful of reports.
+// Guards against an oracle that is no upper bound: it knows all lengths, so a
+// policy with more answers in time means that every comparison misleads. The
+// cases are small enough for the order to matter.
 func TestPolicyBeatsOracle(t *testing.T) {
 	limits := make(map[string]int)
 	runs := measureAll(t, []string{"burst", "slow", "small", "long", "sat20"}, 50, 2)
@@ -72,10 +70,9 @@
 	}
 }
 
-// A quick engine could answer in time what the oracle turns away, because the
-// slow engine beside it looked at the request first and saw no time left. A
-// policy then beats the oracle. The load is light enough for the quick engines
-// to do all.
+// Guards against an oracle that refuses a request because a slow engine, which
+// sees it first, can't meet its deadline, though a fast engine could. The load
+// is light enough for the fast engines alone.
 func TestOracleRefusesBecauseOfSlowEngine(t *testing.T) {
 	Convey("The oracle turns nothing away for the sake of a slow engine", t, func() {
 		s := withDuration(slowScenario(), 60)
@@ -87,10 +84,10 @@
 	})
 }
 
-// name returns what a run shares with those of the other policies.
+// label returns the scenario and seed, which runs of different policies share.
 func (r run) label() string { return fmt.Sprintf("%s, seed %d", r.scenario, r.seed) }
 
-// refuser is a policy that turns each request away and says when to return.
+// refusingPolicy returns a policy that refuses each request with a retry time.
 func refusingPolicy(retryAfter mgclock.Millis) policy {
 	problem := mgproblem.New(mgproblem.Crowded, mgproblem.NotRun, "full", "come back")
 	return policy{
@@ -129,9 +126,9 @@
 	}
 }
 
-// A caller whose stream stands still until it hangs up has stalled, though no
-// later token closes the gap. A meter that counts gaps at the next token only
-// would make the policy that starves a stream look the best.
+// Guards against a meter that counts gaps only at the next token: a stream
+// that stalls until its client hangs up has no next token, so the policy that
+// starves streams would look best.
 func TestOpenGapNotCountedAsStall(t *testing.T) {
 	Convey("A gap that is open at the deadline counts", t, func() {
 		m := newMeter(calmScenario())
@@ -147,9 +144,9 @@
 	})
 }
 
-// A client whose request waits until its deadline never learns that it didn't
-// run. A gate that keeps quiet so that the client doesn't ask again must not
-// get away with it: the request counts as a late "not run".
+// Guards against a gate that leaves a request waiting until its deadline, so
+// that its client neither learns that it didn't run nor retries. Such a
+// request must count as a late "not run".
 func TestUnansweredRequestNotCountedAsLate(t *testing.T) {
 	Convey("A request that waits until its deadline counts as late", t, func() {
 		silent := refusingPolicy(0)
--- a/internal/bench/mgbench/event.go
+++ b/internal/bench/mgbench/event.go
@@ -2,20 +2,20 @@
 
 import "container/heap"
 
-// event is something that happens at a time.
+// event is a function to run at a virtual time.
 type event struct {
 	due   float64 // ms
-	order int     // among events of the same time
+	order int     // insertion number, which orders events of the same time
 	run   func(now float64)
 }
 
-// agenda is a queue of events by time, then by the order of their entry.
+// eventQueue holds the scheduled events, ordered by time, then by insertion.
 type eventQueue struct {
 	events    eventHeap
 	lastOrder int
 }
 
-// add enters an event.
+// schedule inserts an event.
 func (a *eventQueue) schedule(at float64, run func(now float64)) {
 	a.lastOrder++
 	heap.Push(&a.events, event{
@@ -25,7 +25,7 @@
 	})
 }
 
-// run does the events until none is left.
+// run processes events until none is left.
 func (a *eventQueue) run() {
 	for len(a.events) > 0 {
 		e := heap.Pop(&a.events).(event)
--- a/internal/bench/mgbench/fifo.go
+++ b/internal/bench/mgbench/fifo.go
@@ -8,13 +8,13 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// fifo is the gate of the baselines: first come, first served, while a rule on
-// memory holds for the call at the head.
+// fifo is the gate of the baselines: it starts calls in order of arrival while
+// an admission rule on memory holds for the call at the head of the queue.
 type fifo struct {
 	upstream *upstream
 	canAdmit func(c *call, pending int) bool
 	queue    []*call
-	reserved int // prompt and maximum of the running calls, tokens
+	reserved int // prompts and maximum outputs of the running calls, tokens
 }
 
 // gate returns f as a gate.
@@ -32,8 +32,9 @@
 	return nil
 }
 
-// poll starts calls from the head. Calls that the engine preempted go first,
-// as they do in its own waiting line.
+// poll starts calls from the head of the queue. Calls that the engine
+// preempted are served first, since they are at the head of the engine's own
+// queue.
 func (f *fifo) poll(_ mgclock.Millis, dst []verdict) []verdict {
 	if f.upstream.engine.Waiting() > 0 {
 		return dst
@@ -53,8 +54,9 @@
 	return dst
 }
 
-// mayStart applies the rule to the head. An idle engine takes it in any case,
-// or a call larger than the rule's share of memory would wait for ever.
+// mayStart applies the admission rule to the head of the queue. An idle engine
+// admits the head in any case; otherwise a call larger than the rule's share
+// of memory would wait forever.
 func (f *fifo) mayStart(pending int) bool {
 	if f.upstream.engine.Running() == 0 && pending == 0 {
 		return true
@@ -62,7 +64,7 @@
 	return f.canAdmit(f.queue[0], pending)
 }
 
-// leave forgets a call that ended or was withdrawn.
+// remove deletes a call that finished or was withdrawn.
 func (f *fifo) remove(_ mgclock.Millis, c *call) {
 	if i := slices.Index(f.queue, c); i >= 0 {
 		f.queue = slices.Delete(f.queue, i, i+1)
@@ -71,11 +73,12 @@
 	f.reserved -= c.maxMemory()
 }
 
-// most returns the memory that c takes at its maximum length.
+// maxMemory returns the memory that c takes at its maximum length.
 func (c *call) maxMemory() int { return c.sequence.Prompt + c.spec.Output.Limit }
 
-// fifoPolicy returns a policy of least connections and fifo gates. The rule is
-// told the tokens that calls just started will take.
+// fifoPolicy returns a policy of least-connections routing and fifo gates.
+// pending is the number of prompt tokens of the calls that were started in the
+// same poll.
 func fifoPolicy(name, text string, fits func(f *fifo, c *call, pending int) bool) policy {
 	return policy{
 		name:        name,
@@ -93,7 +96,7 @@
 	}
 }
 
-// simplePolicy admits while the prompt fits now.
+// simplePolicy admits a call if its prompt fits into free memory now.
 func simplePolicy() policy {
 	return fifoPolicy("simple", "least connections, FIFO, admit while it fits now",
 		func(f *fifo, c *call, pending int) bool {
@@ -101,7 +104,8 @@
 		})
 }
 
-// reservePolicy admits while the maximum lengths of all fit.
+// reservePolicy admits a call if the maximum lengths of all running calls and
+// its own fit into memory.
 func reservePolicy() policy {
 	return fifoPolicy("reserve", "least connections, FIFO, the maximum length reserved",
 		func(f *fifo, c *call, _ int) bool {
@@ -109,7 +113,7 @@
 		})
 }
 
-// markPolicy admits while a share of memory stays free.
+// markPolicy admits a call if a percentage of memory stays free.
 func markPolicy(percent int) policy {
 	return fifoPolicy(fmt.Sprintf("mark%d", percent),
 		fmt.Sprintf("least connections, FIFO, admit while %d %% of memory stays free", percent),
--- a/internal/bench/mgbench/figures.go
+++ b/internal/bench/mgbench/figures.go
@@ -10,8 +10,8 @@
 
 // figure is one measured quantity of a run.
 type figure struct {
-	name    string // short, as in JSON
-	heading string // with its unit, as in the table
+	name    string // key in the JSON lines
+	heading string // column heading with the unit
 	digits  int
 	measure func(m *meter) float64
 }
@@ -25,7 +25,7 @@
 	}
 }
 
-// figureNamed returns the quantity of a name.
+// figureByName returns the figure of a name.
 func figureByName(name string) figure {
 	for _, f := range append(figures(), preferenceFigures()...) {
 		if f.name == name {
@@ -35,8 +35,8 @@
 	panic("mgbench: no figure " + name)
 }
 
-// details returns what the services of each preference get, which is too wide
-// for the terminal.
+// preferenceFigures returns the figures per service preference. They are left
+// out of the terminal's table, which would be too wide with them.
 func preferenceFigures() []figure {
 	return []figure{
 		newFigure("steady99", "steady p99 ms", 1, func(m *meter) float64 { return quantile(m.steadyStreams.tokenGaps, 99) }),
@@ -46,7 +46,7 @@
 	}
 }
 
-// figures returns the quantities in the order of the tables.
+// figures returns the figures in the order of the tables.
 func figures() []figure {
 	return []figure{
 		newFigure("goodput", "answers/s", 2, (*meter).goodput),
@@ -65,7 +65,7 @@
 	}
 }
 
-// moveFigures returns what a scenario with reclaims shows beside these.
+// moveFigures returns the figures that only scenarios with reclaims show.
 func moveFigures() []figure {
 	return []figure{
 		newFigure("cut", "cut/100", 2, func(m *meter) float64 { return m.percent(m.lostForGood) }),
@@ -75,12 +75,13 @@
 	}
 }
 
-// timely returns the part of a service's requests that were answered on time.
+// onTimePercent returns the percentage of a service's requests that were
+// answered on time.
 func (m *meter) onTimePercent(service int) float64 {
 	return 100 * float64(m.onTimeCount[service]) / float64(max(m.requestCount[service], 1))
 }
 
-// figuresOf returns the quantities that a scenario's table shows.
+// figuresOf returns the figures in a scenario's table.
 func figuresOf(s ScenarioSpec) []figure {
 	if s.hasReclaims() {
 		return append(moveFigures(), figures()...)
@@ -96,12 +97,13 @@
 	return 100 * float64(count) / float64(max(m.asked, 1))
 }
 
-// perHundred returns a total per 100 answers in time.
+// perHundred normalizes a total to 100 answers within their deadline.
 func (m *meter) perHundred(total float64) float64 {
 	return 100 * total / float64(max(m.inTime, 1))
 }
 
-// perHundred returns a total per 100 answers in time of the preference.
+// perHundred normalizes a total to 100 answers within their deadline, of the
+// services of this preference.
 func (s *streamMeter) perHundred(total float64) float64 {
 	return 100 * total / float64(max(s.inTime, 1))
 }
@@ -118,8 +120,8 @@
 	meter    *meter
 }
 
-// MarshalJSON returns a run as one object with the names of the figures. What
-// wasn't measured is null.
+// MarshalJSON encodes a run as an object keyed by the names of the figures. A
+// figure that could not be measured is null.
 func (r run) MarshalJSON() ([]byte, error) {
 	line := map[string]any{
 		"scenario": r.scenario,
@@ -139,8 +141,8 @@
 	return json.Marshal(line)
 }
 
-// spreadOf returns the median and the range of a figure over runs, without
-// those that couldn't measure it.
+// medianAndRange returns the median, minimum and maximum of a figure over
+// runs, leaving out runs that could not measure it.
 func medianAndRange(runs []run, f figure) (median, minimum, maximum float64) {
 	var values []float64
 	for _, r := range runs {
--- a/internal/bench/mgbench/meter.go
+++ b/internal/bench/mgbench/meter.go
@@ -6,28 +6,31 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// stallBound is the gap between two tokens, in ms, above which a reader
-// notices that the stream stands still. It is five times the step of a full
-// batch of the default engine (about 20 ms), and the same for all policies, so
-// that a policy can't gain by slowing its usual step.
+// stallThreshold is the gap between two tokens, in ms, above which a reader
+// notices that the stream stalls. It is five times the step of a full batch of
+// the default engine (about 20 ms), and the same for all policies, so that a
+// policy can't gain by slowing down its usual step.
 const stallThreshold = 100.0
 
-// window is the span over which fairness and shares are taken, in ms. It is
-// some times the life of a usual answer, so that one answer doesn't decide it.
+// fairnessWindow is the window, in ms, over which fairness and shares are
+// computed. It is several times the duration of a usual answer, so that a
+// single answer doesn't dominate it.
 const fairnessWindow = 20000.0
 
-// promptShare is what a prompt token counts for in the service that an account
-// gets; an output token counts 1. Prompts are computed in parallel.
+// promptTokenWeight is the weight of a prompt token in the service that an
+// account receives; an output token has weight 1. Prompt tokens weigh less
+// because they are computed in parallel.
 const promptTokenWeight = 0.1
 
-// pauseBound is the gap that a move may make between two tokens, in ms: above
-// it the reader of a report has waited.
+// pauseThreshold is the maximum gap between two tokens, in ms, that a move may
+// cause without the reader of a report noticing a wait.
 const pauseThreshold = 180.0
 
-// microsecond is the histograms' unit in ms.
+// microsecond is the unit of the histograms, in ms.
 const microsecond = 0.001
 
-// newHistogram returns a histogram of 1 microsecond to 10 minutes, to 3 digits.
+// newHistogram returns a histogram of 1 microsecond to 10 minutes with 3
+// significant digits.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, 600_000_000, 3)
 }
@@ -39,34 +42,34 @@
 	}
 }
 
-// meter measures one run.
+// meter collects the measurements of one run.
 type meter struct {
 	scenario         ScenarioSpec
 	asked            int
 	inTime           int
-	tokens           int   // of answers in time
-	refused          int   // requests that ended "not run"
-	refusals         int   // times that a client was told "not run"
-	expired          int   // requests that the client hung up on
-	lateNotRun       int   // of these, such as nobody had started or turned away
-	lost             int   // generations that went with their engine
-	lostForGood      int   // of these, such as nobody went on with
-	pausedByMove     int   // answers that a move made wait, see pauseBound
-	onTimeCount      []int // by service: whole, begun within the aim and without a longer gap
-	requestCount     []int // by service: requests
+	tokens           int   // in answers within their deadline
+	refused          int   // requests whose last refusal was final
+	refusals         int   // refusals with the outcome "not run", retried ones included
+	expired          int   // requests whose client hung up at the deadline
+	lateNotRun       int   // requests that were neither started nor refused before the deadline
+	lost             int   // generations that were running on an engine when it left
+	lostForGood      int   // lost generations that were not continued elsewhere
+	pausedByMove     int   // answers with a gap above pauseThreshold that a move caused
+	onTimeCount      []int // by service: complete answers, first token in time, no gap above pauseThreshold
+	requestCount     []int // by service
 	preempts         int
 	stall            float64 // ms
 	tokenGaps        *hdrhistogram.Histogram
 	firstTokenDelays *hdrhistogram.Histogram
-	steadyStreams    streamMeter // of the services that prefer steady tokens
-	wholeStreams     streamMeter // of those that mind stalls and preemptions
+	steadyStreams    streamMeter // of services that prefer steady tokens
+	wholeStreams     streamMeter // of services that prefer few stalls and preemptions
 	accounts         []accountMeter
 	windows          int
 	demandSamples    int
 	jains            []float64
 }
 
-// streamMeter is the part of a meter for the services of one preference.
+// streamMeter collects the measurements of the services of one preference.
 type streamMeter struct {
 	tokenGaps *hdrhistogram.Histogram
 	stall     float64 // ms
@@ -74,7 +77,7 @@
 	inTime    int
 }
 
-// streams returns the part for c's preference.
+// streams returns the streamMeter for the preference of c's service.
 func (m *meter) streams(c *call) *streamMeter {
 	if c.spec.Prefer == Whole {
 		return &m.wholeStreams
@@ -82,10 +85,10 @@
 	return &m.steadyStreams
 }
 
-// accountMeter is an account's part of a meter.
+// accountMeter collects the measurements of one account.
 type accountMeter struct {
-	demand    int     // requests that wait or were turned away for now
-	minDemand int     // demand, the least within the window
+	demand    int     // requests that wait or were refused and will be retried
+	minDemand int     // minimum demand within the window
 	service   float64 // within the window
 	shares    []float64
 }
@@ -113,7 +116,7 @@
 	m.accounts[c.account].demand++
 }
 
-// requeue counts a running or queued call as waiting again.
+// requeue counts a running call as waiting again.
 func (m *meter) requeue(c *call) {
 	if c.state == running {
 		m.accounts[c.account].demand++
@@ -126,7 +129,7 @@
 	a.service += promptTokenWeight * float64(c.sequence.Prompt)
 }
 
-// token counts a token and the gap before it.
+// token records a token and the gap before it.
 func (m *meter) token(now float64, c *call) {
 	m.accounts[c.account].service++
 	if c.lastTokenAt > 0 {
@@ -143,7 +146,7 @@
 	c.lastTokenAt = now
 }
 
-// stalled counts a gap as stall time if it is long.
+// countStall adds a gap above stallThreshold to the stall time.
 func (m *meter) countStall(c *call, gap float64) {
 	if gap > stallThreshold {
 		m.stall += gap
@@ -176,8 +179,9 @@
 	}
 }
 
-// expire counts a client that hangs up. A gap that is still open is stall time
-// too, or a policy could hide its longest stalls behind the deadline.
+// expire records a client that hangs up. A gap that is still open counts as
+// stall time too; otherwise a policy could hide its longest stalls behind the
+// deadline.
 func (m *meter) expire(now float64, c *call) {
 	m.expired++
 	m.countStall(c, c.openGap(now))
@@ -197,7 +201,8 @@
 	}
 }
 
-// sever counts a generation that went with its engine and ends there.
+// countLostForGood records a generation that was running on an engine when it
+// left, and that is not continued elsewhere.
 func (m *meter) countLostForGood(now float64, c *call) {
 	m.lost++
 	m.lostForGood++
@@ -209,7 +214,8 @@
 	m.streams(c).preempts++
 }
 
-// look samples the accounts' demands, and closes a window when it is full.
+// sampleDemand samples the accounts' demand, and closes the fairness window
+// once it is complete.
 func (m *meter) sampleDemand(now float64) {
 	for i := range m.accounts {
 		a := &m.accounts[i]
@@ -223,13 +229,13 @@
 	}
 }
 
-// close ends a window.
+// closeWindow evaluates the fairness window and starts the next one.
 func (m *meter) closeWindow() {
 	var services []float64
 	for i := range m.accounts {
 		a := &m.accounts[i]
 		a.shares = append(a.shares, a.service)
-		if a.minDemand >= m.scenario.Engines { // fewer can't take a share of each engine
+		if a.minDemand >= m.scenario.Engines { // with fewer it can't use a share of each engine
 			services = append(services, a.service/m.scenario.Accounts[i].Weight)
 		}
 		a.service = 0
@@ -241,8 +247,8 @@
 	m.demandSamples = 0
 }
 
-// jain returns the fairness index of Jain, Chiu and Hawe: 1 when all are
-// served alike, 1/n when one gets all.
+// jain returns the fairness index of Jain, Chiu and Hawe: 1 if all are served
+// equally, 1/n if one gets everything.
 func jain(served []float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, x := range served {
@@ -255,8 +261,8 @@
 	return sum * sum / (float64(len(served)) * squares)
 }
 
-// fairness returns the mean index over windows with two backlogged accounts or
-// more, or NaN when there were none.
+// fairness returns the mean index over the windows with at least two
+// backlogged accounts, or NaN if there were none.
 func (m *meter) fairness() float64 {
 	if len(m.jains) == 0 {
 		return math.NaN()
--- a/internal/bench/mgbench/move.go
+++ b/internal/bench/mgbench/move.go
@@ -8,18 +8,18 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgmigration"
 )
 
-// move is one generation's move.
+// move is the migration of one generation to another engine.
 type move struct {
 	mgmigration.Move
 	call       *call
 	from, to   *upstream
 	entry      int
-	engine     *mgmodel.Engine // at the destination, whose memory is held
-	copied     int             // tokens that the destination has
-	heldMemory int             // of the destination's memory
+	engine     *mgmodel.Engine // at the destination when its memory was reserved
+	copied     int             // tokens already copied to the destination
+	heldMemory int             // reserved at the destination, tokens
 }
 
-// leave begins the moves away from an upstream.
+// startMoves starts migrating generations away from an upstream.
 func (m *migrator) startMoves(now float64, u *upstream) {
 	switch m.strategy {
 	case strategyStay:
@@ -36,7 +36,8 @@
 	}
 }
 
-// stopAtOnce stops a generation and copies all of it.
+// stopAtOnce stops a generation before copying, and then copies all of its
+// memory.
 func (m *migrator) stopAtOnce(now float64, c *call) {
 	v := m.newMove(c)
 	if v.to = m.cheapest(v); v.to == nil {
@@ -61,7 +62,7 @@
 	}
 }
 
-// next begins an entry's next move away from u, or looks again later.
+// startNextMove starts an entry's next move away from u, or retries later.
 func (m *migrator) startNextMove(now float64, u *upstream, entry int) {
 	if u.isGone || !u.isLeaving {
 		return
@@ -85,7 +86,8 @@
 	m.driver.events.schedule(now+float64(mgmigration.RetrySpan), retry)
 }
 
-// first returns the generation that an entry moves next.
+// mostValuable returns the generation of an entry that is most worth moving
+// next.
 func (m *migrator) mostValuable(now float64, u *upstream, entry int) *call {
 	var chosen *call
 	for _, c := range u.calls {
@@ -108,7 +110,8 @@
 	}.Worth()
 }
 
-// place returns where a generation goes, or nil while it is not its turn.
+// destination returns the upstream to which a generation moves, or nil if
+// there is none or no migration slot was assigned yet.
 func (m *migrator) destination(now float64, c *call) *upstream {
 	if m.strategy == strategySelf {
 		return m.cheapest(&move{
@@ -146,7 +149,8 @@
 	return query
 }
 
-// cheapest returns the cheapest destination by what the entry knows.
+// cheapest returns the destination of the lowest cost according to the entry's
+// load reports.
 func (m *migrator) cheapest(v *move) *upstream {
 	query := m.copyQuery(v.call)
 	u, _ := lowestCost(m.driver.upstreams, func(u *upstream, _ *call) float64 {
@@ -155,7 +159,7 @@
 	return u
 }
 
-// span returns the time in ms that a copy of some tokens takes.
+// copyDuration returns the time in ms that a copy of tokens takes.
 func (m *migrator) copyDuration(from, to *upstream, tokens int) float64 {
 	duration := m.spec.CopyPerToken * float64(tokens)
 	if m.zone(from.index) != m.zone(to.index) {
@@ -164,7 +168,8 @@
 	return duration
 }
 
-// send copies tokens behind what the links carry already, and goes on at the end.
+// transfer copies tokens after the copies that are already queued on both
+// links, and calls then at the end.
 func (m *migrator) transfer(now float64, v *move, tokens int, done func(at float64)) {
 	begin := max(now, m.linkFreeAt[v.from.index], m.linkFreeAt[v.to.index])
 	end := begin + m.copyDuration(v.from, v.to, tokens)
@@ -173,34 +178,36 @@
 	m.driver.events.schedule(end, done)
 }
 
-// here reports whether the move's generation is still at its source.
+// isAtSource reports whether the generation is still at its source.
 func (v *move) isAtSource() bool {
 	return v.call.upstream == v.from && (v.call.state == running || v.call.state == moving)
 }
 
-// fail takes that the destination had no room or left, and looks for another.
+// abandonMove releases a move whose destination had no memory or left, and
+// retries with another destination later.
 func (m *migrator) abandonMove(now float64, v *move) {
 	v.call.moveStarted = false
 	m.releaseMove(v)
 	m.retryLater(now, func(at float64) { m.startNextMove(at, v.from, v.entry) })
 }
 
-// stop does the second step: the generation stands still until it goes on at
-// the destination.
+// stopAndCopyRest is the second phase of a move: it stops the generation and
+// copies the remaining tokens, before the generation resumes at the
+// destination.
 func (m *migrator) stopAndCopyRest(now float64, v *move) {
 	c := v.call
 	c.state = moving
 	v.from.engine.Cancel(c.sequence.ID)
 	m.transfer(now, v, max(c.heldTokens()-v.copied, 0), func(at float64) {
 		if !v.isAtSource() || !v.isDestinationValid() {
-			m.endMove(at, v) // without a destination its memory goes with its source
+			m.endMove(at, v) // without a valid destination, the generation's memory is lost with the source
 			return
 		}
 		m.driver.events.schedule(at+resumeDelay, func(at float64) { m.resumeAtDestination(at, v) })
 	})
 }
 
-// resume goes on at the destination.
+// resumeAtDestination resumes the generation at the destination.
 func (m *migrator) resumeAtDestination(now float64, v *move) {
 	c := v.call
 	usable := v.isAtSource() && v.isDestinationValid()
@@ -222,7 +229,7 @@
 	}
 }
 
-// hold takes memory at the destination.
+// reserveMemory reserves memory at the destination.
 func (v *move) reserveMemory(tokens int) bool {
 	if !v.to.engine.Hold(tokens) {
 		return false
@@ -231,10 +238,11 @@
 	return true
 }
 
-// there reports whether the destination is still the engine that was chosen.
+// isDestinationValid reports whether the destination still runs the engine on
+// which memory was reserved.
 func (v *move) isDestinationValid() bool { return !v.to.isGone && v.to.engine == v.engine }
 
-// giveBack gives back the memory and the turn that a move holds.
+// releaseMove releases the memory and the migration slot of a move.
 func (m *migrator) releaseMove(v *move) {
 	if v.heldMemory > 0 {
 		v.engine.Release(v.heldMemory)
@@ -243,7 +251,7 @@
 	m.slots.End(upstreamName(v.from), v.call.sequence.ID)
 }
 
-// end ends a move and begins the entry's next one.
+// endMove ends a move and starts the entry's next one.
 func (m *migrator) endMove(now float64, v *move) {
 	m.releaseMove(v)
 	if m.strategy != strategyOnce {
--- a/internal/bench/mgbench/oracle.go
+++ b/internal/bench/mgbench/oracle.go
@@ -7,9 +7,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// Costs by which the oracle compares upstreams and foresees an end, in ms: a
-// token's part of a step in a usual batch, a whole step of a light batch, a
-// prompt token's computing, and a whole step of a full batch.
+// Costs, in ms, by which the oracle compares upstreams and predicts the end of
+// a call: a token's share of a step in a usual batch, a whole step of a light
+// batch, the computation of a prompt token, and a whole step of a full batch.
 const (
 	batchTokenCost = 0.4
 	lightStepCost  = 14
@@ -17,8 +17,9 @@
 	fullStepCost   = 18
 )
 
-// oracleDepth is how many queued calls the oracle looks at per turn. The order
-// puts the best first, so that more changes nothing that shows.
+// maxOracleScan is the maximum number of queued calls that the oracle examines
+// per poll. The queue is sorted best first, so that a deeper scan makes no
+// visible difference.
 const maxOracleScan = 64
 
 // oracle is a gate that knows all output lengths.
@@ -31,14 +32,15 @@
 	batch    []callMemory
 }
 
-// load is what a running call still does to memory: what it holds and how many
-// steps it holds on.
+// callMemory is the future memory use of a running call: the tokens that it
+// holds now and the number of steps until it ends.
 type callMemory struct {
 	heldTokens, remainingTokens int
 }
 
-// oraclePolicy knows lengths and orders freely. No order is the best for every
-// load: the driver runs the orders of oracleOrders and keeps the best run.
+// oraclePolicy knows all output lengths and orders calls freely. No order is
+// best for every load, so job.measure runs all orders of oracleOrders and
+// keeps the best run.
 func oraclePolicy() policy {
 	return policy{
 		name:        "oracle",
@@ -46,7 +48,7 @@
 	}
 }
 
-// oracleOrders returns the oracle's candidates.
+// oracleOrders returns the candidate orders of the oracle.
 func oracleOrders() []policy {
 	return []policy{
 		newOraclePolicy("oracle/short", byWork, true),
@@ -56,8 +58,8 @@
 	}
 }
 
-// peakPolicy knows lengths but keeps the queue and the routes of the
-// baselines: what knowing the lengths alone is worth.
+// peakPolicy knows the output lengths but keeps the queue and the routing of
+// the baselines; it shows the benefit of known lengths alone.
 func peakPolicy() policy {
 	return newOraclePolicy("peak", byArrival, false)
 }
@@ -90,8 +92,8 @@
 	}
 }
 
-// careful returns p with upstreams that expect the step of a full batch, so that
-// less is begun that ends too late.
+// withFullStepEstimate returns p with upstreams that assume the step duration
+// of a full batch, so that fewer calls are started that miss their deadline.
 func withFullStepEstimate(p policy) policy {
 	build := p.build
 	p.build = func(s ScenarioSpec, us []*upstream, seed uint64) router {
@@ -115,13 +117,14 @@
 	return a.index - b.index
 }
 
-// work returns the memory that c takes, summed over its steps.
+// memorySteps returns the memory that c occupies, summed over its steps.
 func (c *call) memorySteps() int {
 	out := c.sequence.Output
 	return (c.sequence.Prompt + out/2) * out
 }
 
-// backlog returns the ms until c would be done at u.
+// completionEstimate returns the estimated time in ms until c would finish at
+// u.
 func (u *upstream) completionEstimate(c *call) float64 {
 	tokens := 0
 	for _, other := range u.calls {
@@ -148,7 +151,7 @@
 	return nil
 }
 
-// leave forgets a call, which may have been handed to a peer.
+// remove deletes a call, which may have been passed to a peer.
 func (o *oracle) remove(_ mgclock.Millis, c *call) {
 	for _, p := range o.peers {
 		if i := slices.Index(p.queue, c); i >= 0 {
@@ -157,8 +160,8 @@
 	}
 }
 
-// poll starts what fits the future, in order, then what idle engines can take
-// from others' lines.
+// poll starts the queued calls that fit, in order. If the order is free and
+// the queue is empty, it then starts calls from the queues of its peers.
 func (o *oracle) poll(now mgclock.Millis, dst []verdict) []verdict {
 	o.batch = o.batch[:0]
 	for _, c := range o.upstream.calls {
@@ -184,8 +187,9 @@
 // tooLate is the oracle's refusal.
 var tooLate = mgproblem.New(mgproblem.Late, mgproblem.NotRun, "no time is left", "ask with a later deadline")
 
-// take starts calls of a line that fit. With a free order, calls that can't be
-// in time any more are given up and calls that don't fit are passed over.
+// startFitting starts the calls of a queue that fit. If the order is free, it
+// gives up calls that can no longer meet their deadline and skips calls that
+// don't fit.
 func (o *oracle) startFitting(now mgclock.Millis, from *oracle, dst []verdict) []verdict {
 	queue := from.queue
 	from.queue = queue[:0:0]
@@ -212,8 +216,8 @@
 	return dst
 }
 
-// pass gives c up if the quickest peer can't do it in time either. Else c stays
-// in that peer's line or moves to it.
+// passToFastest gives c up if the fastest peer can't meet its deadline either.
+// Otherwise c stays in that peer's queue or moves to it.
 func (o *oracle) passToFastest(now mgclock.Millis, c *call, from *oracle, dst []verdict) []verdict {
 	fastest := o.fastestPeer()
 	switch {
@@ -230,8 +234,8 @@
 	return dst
 }
 
-// quickest returns the quickest peer that takes work. What a slow upstream
-// can't do in time goes to its line.
+// fastestPeer returns the fastest peer that accepts work. Calls whose deadline
+// a slow upstream can't meet go to its queue.
 func (o *oracle) fastestPeer() *oracle {
 	chosen := o
 	for _, p := range o.peers {
@@ -243,15 +247,15 @@
 	return chosen
 }
 
-// hopeless reports whether c can't be in time even in a light batch.
+// isTooLate reports whether c misses its deadline even in a light batch.
 func (o *oracle) isTooLate(now mgclock.Millis, c *call) bool {
 	minDuration := o.upstream.stepEstimate * float64(c.remainingTokens()) / o.upstream.engine.Spec().Speed
 	return float64(now)+minDuration > c.deadline
 }
 
-// fits reports whether the peak of memory stays within bounds with c, and
-// counts c in if so. All calls grow by a token per step until their ends, so
-// that the peak is at one of the ends.
+// reserveIfFits reports whether the future peak of memory stays within bounds
+// with c, and adds c to the batch if so. All calls grow by one token per step
+// until they end, so that the peak coincides with the end of a call.
 func (o *oracle) reserveIfFits(c *call) bool {
 	own := callMemory{
 		heldTokens:      c.heldTokens(),
--- a/internal/bench/mgbench/ours.go
+++ b/internal/bench/mgbench/ours.go
@@ -10,15 +10,15 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// Names that the bench's one entry and its upstreams go by.
+// Names of the model, zone and region of the simulated deployment.
 const (
 	modelName  = "model"
 	zoneName   = "a"
 	regionName = "r"
 )
 
-// entry is what an entry does with the decision packages: it asks a few
-// upstreams about a call and takes one of their offers.
+// entry routes calls with the decision packages: it asks several agents for an
+// offer on a call and chooses one.
 type entry struct {
 	fleet      *mgrouting.Fleet
 	upstreams  []*upstream
@@ -28,19 +28,19 @@
 	offers     []mgrouting.Offer
 }
 
-// agent is the gate of ours: a scheduler beside one engine.
+// agent is the gate of the "ours" policies: a scheduler beside one engine.
 type agent struct {
 	entry     *entry
 	upstream  *upstream
 	scheduler *mgscheduler.Scheduler
 	accounts  []AccountSpec
-	prefer    Preference // in place of the services' own, unless empty
+	prefer    Preference // overrides the services' preferences unless empty
 	calls     map[string]*call
 	decisions []mgscheduler.Decision
 }
 
-// oursPolicy drives the decision packages with a set of settings. A preference
-// that isn't empty goes before those of the services.
+// oursPolicy returns a policy that runs the decision packages with the given
+// settings. A non-empty preference overrides those of the services.
 func oursPolicy(name, text string, settings mgscheduler.Policy, prefer Preference) policy {
 	return policy{
 		name:        name,
@@ -69,9 +69,9 @@
 	}
 }
 
-// oursPolicies returns ours as it is set by default, and the same queue,
-// routes and refusals over plainer rules on memory, which shows what the
-// estimate of lengths is worth.
+// oursPolicies returns "ours" with its default settings, and variants with the
+// same queue, routing and refusals but simpler memory rules, which show the
+// benefit of estimating lengths.
 func oursPolicies() []policy {
 	return []policy{
 		oursPolicy("ours", "the decision packages", settingsByName("ours"), ""),
@@ -81,8 +81,9 @@
 	}
 }
 
-// frontPolicies returns the settings between many answers and few preemptions,
-// and ours when all services have one preference. They run by name only.
+// tradeOffPolicies returns the settings on the trade-off between many answers
+// and few preemptions, and "ours" with one preference for all services. They
+// run only when selected by name.
 func tradeOffPolicies() []policy {
 	front := []policy{
 		oursPolicy("ours/steady", "ours, all services prefer steady", settingsByName("ours"), Steady),
@@ -96,7 +97,7 @@
 	return front
 }
 
-// oursNamed returns ours with another named set of settings.
+// oursWithSettings returns "ours" with another named set of settings.
 func oursWithSettings(name string) policy {
 	return oursPolicy("ours/"+name, "the decision packages, set as "+name, settingsByName(name), "")
 }
@@ -109,8 +110,8 @@
 	return settings
 }
 
-// route asks the candidates and takes an offer. When all refuse, the caller is
-// told the earliest time to come back.
+// route asks the candidates for offers and chooses one. If all refuse, it
+// returns the refusal with the earliest retry time.
 func (e *entry) route(now mgclock.Millis, c *call) (*upstream, *mgproblem.Problem) {
 	for i, u := range e.upstreams {
 		if u.isLeaving {
@@ -142,8 +143,8 @@
 	return e.upstreams[e.offers[best].Upstream], nil
 }
 
-// affinity returns the hash of the prompt's first block, which the account's
-// requests to the service share, or 0 for a prompt shorter than a block.
+// affinity returns the hash of the prompt's first block, which requests of an
+// account to the service share, or 0 for a prompt shorter than a block.
 func (c *call) affinity() uint64 {
 	if len(c.sequence.Prefix) == 0 {
 		return 0
@@ -186,7 +187,8 @@
 	}
 }
 
-// offer asks the scheduler what c would meet here.
+// offer asks the scheduler for the conditions that c would get at this
+// upstream.
 func (a *agent) offer(now mgclock.Millis, c *call) (mgrouting.Offer, *mgproblem.Problem) {
 	r := a.request(c)
 	o := a.scheduler.Offer(now, r)
@@ -201,8 +203,8 @@
 	}, o.Refused
 }
 
-// request returns c as the scheduler sees it. The engine's cache stands for
-// the agent's record of cache events.
+// request converts c to a request of the scheduler. The engine's cache stands
+// in for the agent's record of cache events.
 func (a *agent) request(c *call) mgscheduler.Request {
 	account := a.accounts[c.account]
 	r := mgscheduler.Request{
--- a/internal/bench/mgbench/plot.go
+++ b/internal/bench/mgbench/plot.go
@@ -26,8 +26,9 @@
 	glyphRadius = 4
 )
 
-// palette holds colours that can be told apart, also by the colour-blind (Okabe
-// and Ito 2008), in the order of use; dashes tell the later rounds apart.
+// palette holds colours that remain distinguishable for colour-blind readers
+// (Okabe and Ito 2008), in order of use. When colours repeat, dashes
+// distinguish the lines.
 var palette = []color.RGBA{
 	{R: 0x00, G: 0x72, B: 0xb2, A: 0xff},
 	{R: 0xd5, G: 0x5e, B: 0x00, A: 0xff},
@@ -38,7 +39,7 @@
 	{R: 0x00, G: 0x00, B: 0x00, A: 0xff},
 }
 
-// style returns the i-th line style.
+// lineStyle returns the i-th line style.
 func lineStyle(i int) draw.LineStyle {
 	line := draw.LineStyle{
 		Color: palette[i%len(palette)],
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// plotTail draws the share of gaps between tokens that are longer than a time.
+// plotTail draws the complementary distribution of the gaps between tokens.
 func plotTail(s ScenarioSpec, policies []policy, runs []run) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = s.Name + ": gaps between tokens"
@@ -97,7 +98,7 @@
 	for i, o := range policies {
 		line, err := plotter.NewLine(tailOf(runsOf(runs, s.Name, o.name)))
 		if err != nil {
-			continue // a policy under which nothing was answered has no gaps
+			continue // a policy without tokens has no gaps
 		}
 		line.LineStyle = lineStyle(i)
 		p.Add(line)
@@ -107,11 +108,11 @@
 	return p
 }
 
-// tailLeast is the smallest share that a tail shows: below it a point stands
-// for a few gaps only.
+// minTailShare is the smallest share in a tail plot: below it a point stands
+// for only a few gaps.
 const minTailShare = 1e-6
 
-// tailOf returns the tail of the gaps of runs.
+// tailOf returns the complementary distribution of the gaps of runs.
 func tailOf(runs []run) plotter.XYs {
 	gaps := newHistogram()
 	for _, r := range runs {
@@ -134,18 +135,19 @@
 	return points
 }
 
-// middle returns the middle of a bar in ms.
+// middle returns the midpoint of a histogram bar in ms.
 func middle(bar hdrhistogram.Bar) float64 {
 	return float64(bar.From+bar.To) / 2 * microsecond
 }
 
-// spreads holds the medians and ranges of bars, for plotter.NewYErrorBars.
+// barRanges holds the medians and ranges of bars, for plotter.NewYErrorBars.
 type barRanges struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// plotBars draws a figure's median per policy, with the range over the seeds.
+// plotBars draws a figure's median for each policy, with the range over the
+// seeds.
 func plotBars(s ScenarioSpec, policies []policy, runs []run, f figure) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = s.Name + ": " + f.heading + ", median and range"
@@ -181,17 +183,20 @@
 	return p, nil
 }
 
-// frontLeast is what stands for nothing on the front's logarithmic scale.
+// minPreemptions replaces zero on the logarithmic axis of the trade-off plot.
 const minPreemptions = 0.01
 
-// frontMargin is the part of the front's width that the legend takes.
+// legendMargin is the fraction of the trade-off plot's width reserved for the
+// legend.
 const legendMargin = 0.35
 
-// edgeMargin keeps the outermost glyph whole.
+// edgeMargin is the fraction of the width that keeps the outermost glyph from
+// being clipped.
 const edgeMargin = 0.03
 
-// plotFront draws each policy by what the services of each preference mind: the
-// gaps of those that prefer steady tokens, the preemptions of the others.
+// plotTradeOff draws a point for each policy: the gaps of the services that
+// prefer steady tokens against the preemptions of the services that prefer
+// whole answers.
 func plotTradeOff(s ScenarioSpec, policies []policy, runs []run) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = s.Name + ": steady tokens against preemptions, medians"
@@ -227,7 +232,7 @@
 }
 
 // plotShares draws the weight-normalized service of each account over time,
-// under each policy, of the first seed.
+// one tile per policy, for the first seed.
 func plotShares(path string, s ScenarioSpec, policies []policy, runs []run) error {
 	plots := make([][]*plot.Plot, 0, len(policies))
 	maxY := 0.0
@@ -249,8 +254,8 @@
 	return writePNG(path, canvas)
 }
 
-// plotShare draws one policy's tile. The legend names the first accounts, which
-// are the large ones, as more would cover the lines.
+// plotShare draws the tile of one policy. The legend names only the first
+// accounts, which are the largest, since more names would cover the lines.
 func plotShare(s ScenarioSpec, o policy, r run) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = s.Name + ", " + o.name + ": service per weight"
@@ -268,7 +273,7 @@
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
-			continue // a run shorter than a window has no points
+			continue // a run shorter than a window has no points to plot
 		}
 		line.LineStyle = lineStyle(i)
 		p.Add(line)
@@ -276,7 +281,7 @@
 			p.Legend.Add(fmt.Sprintf("%s, weight %g", a.Name, a.Weight), line)
 		}
 	}
-	p.X.Max = s.Duration * 1.3 // leaves room for the legend
+	p.X.Max = s.Duration * 1.3 // leaves space for the legend
 	return p
 }
 
--- a/internal/bench/mgbench/policy.go
+++ b/internal/bench/mgbench/policy.go
@@ -9,18 +9,18 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// state tells where a call stands.
+// state is the state of a call.
 type state int
 
 const (
-	atClient state = iota // at the client: not sent yet, or waiting to ask again
+	atClient state = iota // at the client: not sent yet, or waiting for a retry
 	queued                // in a gate's queue
-	running               // given to an engine
-	moving                // stopped at its engine, to go on at another
+	running               // added to an engine
+	moving                // stopped at its engine, to be resumed at another
 	ended
 )
 
-// call is a request on its way under one policy.
+// call is the state of a request under one policy.
 type call struct {
 	*request
 	spec             ServiceSpec
@@ -30,16 +30,17 @@
 	produced         int
 	firstTokenAt     float64 // time of the first token, ms
 	lastTokenAt      float64 // time of the latest token, ms
-	moveStarted      bool    // a move of it has begun
-	resumedElsewhere bool    // its next token is the first one elsewhere
-	pausedByMove     bool    // a move made its caller wait
-	hasLongGap       bool    // it stood still for longer than pauseBound
+	moveStarted      bool    // a move has started
+	resumedElsewhere bool    // its next token is the first one after a move
+	pausedByMove     bool    // a move caused a gap above pauseThreshold
+	hasLongGap       bool    // it had a gap above pauseThreshold
 }
 
-// left returns the tokens still to come. Only the oracle may ask.
+// remainingTokens returns the number of tokens still to be produced. Only the
+// oracle may use it, since other policies don't know the output length.
 func (c *call) remainingTokens() int { return c.sequence.Output - c.produced }
 
-// held returns the memory that c takes now.
+// heldTokens returns the memory that c takes now.
 func (c *call) heldTokens() int { return c.sequence.Prompt + c.produced }
 
 // upstream is an engine with the policy's gate beside it.
@@ -47,21 +48,22 @@
 	index           int
 	engine          *mgmodel.Engine
 	gate            gate
-	stepEstimate    float64 // ms that the oracle expects of a step, else 0
-	calls           []*call // queued or running here, in the order of their coming
-	isStepScheduled bool    // its next turn is scheduled
-	isLeaving       bool    // takes no new work
+	stepEstimate    float64 // step duration in ms that the oracle assumes; 0 for other policies
+	calls           []*call // queued or running here, in order of arrival
+	isStepScheduled bool    // its next step is scheduled
+	isLeaving       bool    // accepts no new work
 	isGone          bool
 }
 
-// verdict is a gate's decision on a queued call: start it, or give it up with
-// a problem.
+// verdict is a gate's decision on a queued call: start it, or refuse it with a
+// problem.
 type verdict struct {
 	call    *call
 	problem *mgproblem.Problem
 }
 
-// gate is a policy's part beside one engine. Nil fields do nothing.
+// gate is the part of a policy that runs beside one engine. Optional functions
+// are nil.
 type gate struct {
 	submit    func(now mgclock.Millis, c *call) *mgproblem.Problem
 	poll      func(now mgclock.Millis, dst []verdict) []verdict
@@ -72,20 +74,20 @@
 	priority  func(c *call) int // for the engine
 }
 
-// policy is a way to admit, order, turn away and route.
+// policy admits, orders, refuses and routes calls.
 type policy struct {
 	name         string
 	description  string
-	moveStrategy moveStrategy // how generations leave an engine; empty where none of them moves
+	moveStrategy moveStrategy // how generations leave a reclaimed engine; empty for policies without moves
 	// build sets the gates of the upstreams and returns the router.
 	build func(s ScenarioSpec, us []*upstream, seed uint64) router
 }
 
-// router chooses the upstream of a call among those that take new work, or
-// says why there is none.
+// router chooses the upstream of a call among those that accept new work, or
+// returns the reason why there is none.
 type router func(now mgclock.Millis, c *call) (*upstream, *mgproblem.Problem)
 
-// noUpstream is the refusal when no upstream takes work.
+// noUpstream is the refusal when no upstream accepts work.
 var noUpstream = mgproblem.New(mgproblem.Crowded, mgproblem.NotRun, "no upstream takes work", "ask again later").WithRetry(mgclock.Second)
 
 // policies returns all policies in the order of the tables.
@@ -98,7 +100,7 @@
 	return append(all, peakPolicy(), oraclePolicy())
 }
 
-// policyNamed returns the policy of a name.
+// policyByName returns the policy of a name.
 func policyByName(name string) (policy, error) {
 	var names []string
 	for _, p := range slices.Concat(policies(), tradeOffPolicies(), movePolicies()) {
@@ -115,7 +117,8 @@
 	return lowestCost(us, func(u *upstream, _ *call) float64 { return float64(len(u.calls)) })
 }
 
-// least chooses the upstream of the least cost among those that take new work.
+// lowestCost chooses the upstream of the lowest cost among those that accept
+// new work.
 func lowestCost(us []*upstream, cost func(u *upstream, c *call) float64) router {
 	return func(_ mgclock.Millis, c *call) (*upstream, *mgproblem.Problem) {
 		var chosen *upstream
@@ -135,12 +138,12 @@
 	}
 }
 
-// reclaims reports whether engines come and go in a scenario. Only policies that
-// say how generations leave them play it, and those play nothing else: the
-// others' gates count on engines that stay.
+// hasReclaims reports whether engines are reclaimed and return in a scenario.
+// Only policies with a moveStrategy run such a scenario, and they run no
+// other: the gates of the other policies rely on engines that stay.
 func (s ScenarioSpec) hasReclaims() bool { return s.Reclaim.Interval > 0 }
 
-// playable returns those of some policies that play a scenario.
+// playablePolicies returns the candidates that can run a scenario.
 func (s ScenarioSpec) playablePolicies(candidates []policy) []policy {
 	var chosen []policy
 	for _, p := range candidates {
--- a/internal/bench/mgbench/reclaim.go
+++ b/internal/bench/mgbench/reclaim.go
@@ -14,17 +14,19 @@
 )
 
 const (
-	// resumeSpan is the time from the end of a copy to the first token that
-	// follows it: the ways between entry and engines, and a step, in ms.
+	// resumeDelay is the time in ms from the end of a copy to the token that
+	// follows it: the network paths between entry and engines, and one step.
 	resumeDelay = 30.0
-	// hubSpan is how often entries tell each other what they sent, in ms.
+	// reportInterval is the interval in ms at which entries exchange the loads
+	// that they sent.
 	reportInterval = 200.0
-	// foresight is how much earlier the oracle of moves knows of a leaving, in ms.
+	// foresightTime is how much earlier, in ms, the strategy with foresight
+	// learns that an engine leaves.
 	foresightTime = 1000.0
 )
 
-// moves places calls by what all entries sent, takes engines away and moves
-// their generations.
+// migrator routes calls by the loads that all entries report, reclaims engines
+// and migrates their generations.
 type migrator struct {
 	driver               *driver
 	spec                 ReclaimSpec
@@ -33,10 +35,10 @@
 	hub                  mgload.Hub
 	counts               []mgload.Count // by entry
 	otherReports         []mgload.Report
-	linkFreeAt           []float64 // by upstream, when its link is free
+	linkFreeAt           []float64 // by upstream, time at which its link is free
 	random               *rand.Rand
-	waitingList          *mgroom.Room // nil where requests wait at engines
-	isPlacementScheduled bool         // the room is looked at again soon
+	waitingList          *mgroom.Room // nil if requests wait at engines
+	isPlacementScheduled bool         // the next placement round is scheduled
 }
 
 func newMigrator(d *driver, strategy moveStrategy, seed uint64) *migrator {
@@ -57,7 +59,7 @@
 	return m
 }
 
-// enter puts reclaims and the entries' messages on the agenda.
+// scheduleAll schedules the reclaims and the reports between entries.
 func (m *migrator) scheduleAll() {
 	duration := m.driver.workload.scenario.Duration * 1000
 	for at := 0.0; at < duration; at += reportInterval {
@@ -71,7 +73,7 @@
 	}
 }
 
-// tell exchanges what the entries sent.
+// exchangeReports exchanges the loads that the entries sent.
 func (m *migrator) exchangeReports(now float64) {
 	for i := range m.counts {
 		m.otherReports[i] = m.hub.Tell(toClock(now), strconv.Itoa(i), mgload.Report{
@@ -80,7 +82,7 @@
 	}
 }
 
-// reclaim gives some engines notice.
+// reclaim gives notice to randomly chosen engines.
 func (m *migrator) reclaim(now float64) {
 	remaining := m.spec.Engines
 	for _, i := range m.random.Perm(len(m.driver.upstreams)) {
@@ -99,7 +101,7 @@
 	}
 }
 
-// take takes an engine away; what is left there is cut.
+// removeEngine removes an engine. Its remaining generations are lost for good.
 func (m *migrator) removeEngine(now float64, u *upstream) {
 	for _, c := range slices.Clone(u.calls) {
 		m.driver.meter.countLostForGood(now, c)
@@ -119,16 +121,18 @@
 
 func (m *migrator) entryOf(c *call) int { return c.index % len(m.counts) }
 
-// memoryPart is the part of an expected output that counts as taken: what a
-// generation has made on average while it runs.
+// expectedOutputShare is the fraction of an expected output that is counted as
+// used memory: what a generation has produced on average while it runs.
 const expectedOutputShare = 0.5
 
-// need returns the tokens of memory that a call is counted with.
+// countedMemory returns the tokens of memory that load reports count for a
+// call.
 func (c *call) countedMemory() int {
 	return c.sequence.Prompt + int(expectedOutputShare*float64(c.expectedOutput()))
 }
 
-// hold has a call wait for its place, unless calls wait at engines.
+// addToWaitingList adds a call to the waiting list, and returns false if calls
+// wait at engines instead.
 func (m *migrator) addToWaitingList(now float64, c *call) bool {
 	if m == nil || m.waitingList == nil {
 		return false
@@ -147,16 +151,17 @@
 	return true
 }
 
-// The times by which a call is held, in ms: those of the engines' model.
+// Times of the engine model by which calls on the waiting list are placed, in
+// ms unless noted otherwise.
 const (
-	promptReadRate    = 14.0 // prompt tokens that are read in a ms
-	firstTokenSlack   = 60.0 // between a call's place and its first token, beside the reading
-	tokenInterval     = 8.0  // of each token
-	grantDelay        = 2.0  // until a place that was given is used
-	placementInterval = 10.0 // between two looks
+	promptReadRate    = 14.0 // prompt tokens that are computed per ms
+	firstTokenSlack   = 60.0 // from a call's placement to its first token, without computing the prompt
+	tokenInterval     = 8.0  // per output token
+	grantDelay        = 2.0  // from a grant to its use
+	placementInterval = 10.0 // between two placement rounds
 )
 
-// look gives places to calls that wait.
+// placeWaiting assigns placements to calls on the waiting list.
 func (m *migrator) placeWaiting(now float64) {
 	var placements []mgroom.Place
 	for _, u := range m.driver.upstreams {
@@ -173,7 +178,7 @@
 	}
 	for _, grant := range m.waitingList.Look(toClock(now), placements) {
 		if grant.Place == "" {
-			continue // given up at its deadline, at which its caller hangs up
+			continue // given up at its deadline, when its client hangs up anyway
 		}
 		c, u := m.driver.callByID(grant.Name), m.upstreamByName(grant.Place)
 		m.driver.events.schedule(now+grantDelay, func(at float64) { m.driver.submit(at, c, u) })
@@ -187,7 +192,7 @@
 	}
 }
 
-// named returns the upstream that a decision names.
+// upstreamByName returns the upstream that a decision names.
 func (m *migrator) upstreamByName(name string) *upstream {
 	index, err := strconv.Atoi(name)
 	if err != nil {
@@ -196,14 +201,15 @@
 	return m.driver.upstreams[index]
 }
 
-// drop forgets a call that waits for its place.
+// removeWaiting removes a call from the waiting list.
 func (m *migrator) removeWaiting(c *call) {
 	if m != nil && m.waitingList != nil {
 		m.waitingList.Drop(c.sequence.ID)
 	}
 }
 
-// carry counts a call at its upstream, or takes it away from there.
+// countCall adds a call to the load of its upstream, or subtracts it if sign
+// is -1.
 func (m *migrator) countCall(c *call, sign int) {
 	if m == nil {
 		return
@@ -219,7 +225,8 @@
 	})
 }
 
-// read counts a call's prompt as read, before its first token.
+// countPromptRead subtracts a call's prompt from the pending tokens of its
+// upstream, once its first token is produced.
 func (m *migrator) countPromptRead(c *call) {
 	if m != nil && c.produced == 0 {
 		m.counts[m.entryOf(c)].Add(upstreamName(c.upstream), mgload.Row{
@@ -228,10 +235,10 @@
 	}
 }
 
-// expected returns the output that entries expect, tokens.
+// expectedOutput returns the output length that entries assume, in tokens.
 func (c *call) expectedOutput() int { return int(c.spec.Output.Median) }
 
-// route sends a call to the cheapest upstream.
+// route chooses the upstream of the lowest cost for a call.
 func (m *migrator) route(_ mgclock.Millis, c *call) (*upstream, *mgproblem.Problem) {
 	entry := m.entryOf(c)
 	query := m.query(c, m.zone(entry))
@@ -251,7 +258,8 @@
 	}
 }
 
-// cost returns what a request costs at an upstream by what an entry knows.
+// cost returns the cost of a request at an upstream according to the load that
+// an entry knows.
 func (m *migrator) cost(u *upstream, entry int, query mgload.Query) float64 {
 	row := m.counts[entry].Row(upstreamName(u)).Add(m.otherReports[entry].Rows[upstreamName(u)])
 	return mgload.Cost(mgload.State{
@@ -260,7 +268,8 @@
 	}, query)
 }
 
-// copy does the first step, while the generation goes on.
+// copyWhileRunning is the first phase of a move: it copies the memory produced
+// so far while the generation continues to run.
 func (m *migrator) copyWhileRunning(now float64, v *move) {
 	if !v.reserveMemory(v.call.heldTokens()) {
 		m.abandonMove(now, v)
--- a/internal/bench/mgbench/reclaim_test.go
+++ b/internal/bench/mgbench/reclaim_test.go
@@ -6,10 +6,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Reports of eight seconds run on engines that are reclaimed at two seconds'
-// notice. Their callers see them cut where nothing moves them, and stand still
-// where many copies share a link. Entries that take turns, and send a copy where
-// it is soon done, come near to one that knows of the leaving a second earlier.
+// Guards against moves that cut or pause reports of eight seconds when engines
+// are reclaimed at two seconds' notice. Without moves they are cut; with many
+// copies on one link they stall. Migration slots must come close to a second
+// of foresight.
 func TestMovesCutOrPauseGenerations(t *testing.T) {
 	cut, paused := map[string]float64{}, map[string]float64{}
 	s := withDuration(reclaimScenario(), 200)
@@ -38,10 +38,9 @@
 	})
 }
 
-// Two dozen entries send prompts to engines that look empty to all of them, and
-// that are full a moment later. Their callers wait for seconds at one engine while
-// the next one has room. One entry that gives the places, and has requests wait
-// for memory in one line, gets more answers out on time.
+// Guards against requests that wait for seconds at one engine while another
+// has memory: two dozen entries see the same empty engine and fill it at once.
+// One waiting list for placements must get more answers out on time.
 func TestRequestsWaitAtFullEngines(t *testing.T) {
 	reports, notes, expired := map[moveStrategy]float64{}, map[moveStrategy]float64{}, map[moveStrategy]float64{}
 	s := withDuration(packedScenario(), 60)
@@ -59,8 +58,9 @@
 	})
 }
 
-// Calls that are given up in the line are named without a place. A run of the bench
-// ended there with a stack trace, once a line grew longer than its callers' patience.
+// Guards against a crash on calls that are given up on the waiting list, which
+// are reported without a placement, once the list is longer than its clients
+// wait.
 func TestGivenUpRequestHasNoPlacement(t *testing.T) {
 	Convey("Calls that wait in the line until their deadline are hung up on", t, func() {
 		s := withDuration(packedScenario(), 30)
@@ -75,8 +75,8 @@
 	})
 }
 
-// A policy whose gates count on engines that stay would be measured on engines
-// that come back empty, and look broken.
+// Guards against scenarios with reclaims under policies whose gates rely on
+// engines that stay; their figures would look broken.
 func TestPolicyPlaysUnsupportedScenario(t *testing.T) {
 	Convey("Only policies that say how generations leave play reclaims", t, func() {
 		So(reclaimScenario().playablePolicies(policies()), ShouldBeEmpty)
--- a/internal/bench/mgbench/report.go
+++ b/internal/bench/mgbench/report.go
@@ -10,8 +10,8 @@
 	"text/tabwriter"
 )
 
-// writeTable writes a scenario's runs as a table of medians, with the range
-// over the seeds below when there are several.
+// writeTable writes a scenario's medians as a table, with the range over the
+// seeds below each row if there are several runs.
 func writeTable(w io.Writer, s ScenarioSpec, policies []policy, runs []run) error {
 	fmt.Fprintf(w, "%s: %s\n", s.Name, s.Description)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -77,10 +77,12 @@
 	return nil
 }
 
-// summarized are the figures that get a table of their own over all scenarios.
+// summarized lists the figures that get a table of their own over all
+// scenarios.
 var summarized = []string{"goodput", "tokens", "preempts", "stall", "p99", "first50", "away", "jain", "steady99", "steady999", "wholestall", "wholepreempts"}
 
-// writeSummary writes a Markdown table of medians for each main figure.
+// writeSummary writes a Markdown table of medians for each figure in
+// summarized.
 func writeSummary(w io.Writer, scenarios []ScenarioSpec, policies []policy, runs []run) error {
 	page := new(strings.Builder)
 	for _, name := range summarized {
@@ -106,8 +108,8 @@
 	return nil
 }
 
-// writePages writes all scenarios as Markdown tables: medians, with the ranges
-// over the seeds in brackets.
+// writePages writes a Markdown table for each scenario: medians, with the
+// ranges over the seeds in parentheses.
 func writePages(w io.Writer, scenarios []ScenarioSpec, policies []policy, runs []run) error {
 	page := new(strings.Builder)
 	for _, s := range scenarios {
--- a/internal/bench/mgbench/scenario.go
+++ b/internal/bench/mgbench/scenario.go
@@ -6,16 +6,17 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/bench/mgmodel"
 )
 
-// Spans and sizes that the scenarios share.
+// Durations and sizes that the scenarios share.
 const (
-	runDuration = 600.0 // s of arrivals: several times the longest deadline
-	runEngines  = 4     // enough for routing to matter, cheap enough for sweeps
-	lossEngines = 8     // so that a quarter is two engines
+	runDuration = 600.0 // duration of arrivals in s: several times the longest deadline
+	runEngines  = 4     // enough for routing to matter, few enough for parameter sweeps
+	lossEngines = 8     // a quarter of them is two engines
 )
 
-// Saturation rates in requests per second and engine: the tokens that an engine
-// produces under peak when about twice as much arrives, over the mean length of
-// an answer (docs/MEASUREMENTS.md, "Saturation").
+// Saturation rates in requests per second and engine: the tokens per second
+// that an engine produces under the policy "peak" at about twice the
+// sustainable load, divided by the mean length of an answer
+// (docs/MEASUREMENTS.md, "Saturation").
 const (
 	mixedRate = 3.4
 	longRate  = 2.0
@@ -31,7 +32,7 @@
 	}
 }
 
-// scenarioNamed returns the scenario of a name.
+// scenarioByName returns the scenario of a name.
 func scenarioByName(name string) (ScenarioSpec, error) {
 	for _, s := range Scenarios() {
 		if s.Name == name {
@@ -67,7 +68,7 @@
 	}
 }
 
-// lookup is a short answer that somebody waits for at a tank.
+// lookupService requests short answers for which a person waits at a tank.
 func lookupService(share float64) ServiceSpec {
 	return ServiceSpec{
 		Name:         "lookup",
@@ -81,7 +82,7 @@
 	}
 }
 
-// note is a gauge anomaly note.
+// noteService requests notes on gauge anomalies.
 func noteService(share float64) ServiceSpec {
 	return ServiceSpec{
 		Name:         "note",
@@ -95,7 +96,8 @@
 	}
 }
 
-// report is a shift report or a dossier, a third of them very long.
+// reportService requests shift reports and dossiers; a third of them are very
+// long.
 func reportService(share float64) ServiceSpec {
 	return ServiceSpec{
 		Name:         "report",
@@ -108,13 +110,13 @@
 	}
 }
 
-// mixed returns the services of most scenarios.
+// mixedServices returns the services of most scenarios.
 func mixedServices() []ServiceSpec {
 	return []ServiceSpec{lookupService(0.45), noteService(0.25), reportService(0.30)}
 }
 
-// equals returns accounts of equal weights and Zipf-like shares of the load,
-// as a few are large.
+// equalAccounts returns accounts of equal weights and Zipf-like shares of the
+// load, so that a few accounts are large.
 func equalAccounts(count int, from float64) []AccountSpec {
 	accounts := make([]AccountSpec, count)
 	for i := range accounts {
@@ -236,8 +238,9 @@
 	return s
 }
 
-// reclaim has the figures of a deployment of twelve engines whose provider takes
-// a sixth away every 3.3 s at two seconds' notice: four in ten reports meet that.
+// reclaimScenario models a deployment of twelve engines whose provider
+// reclaims a sixth of them every 3.3 s with two seconds' notice; this affects
+// four in ten reports.
 func reclaimScenario() ScenarioSpec {
 	s := baseScenario("reclaim", "two of twelve engines leave on 1.5 to 2.1 s notice every 3.3 s, and are back 4 s later", 0.5)
 	s.Engines = 12
@@ -247,7 +250,7 @@
 		Batch:   32,
 		Base:    7,
 		Each:    0.12,
-		Context: 0.001, // next to nothing: 0 would take the default
+		Context: 0.001, // practically zero; 0 itself would select the default
 		Prefill: 71,
 	}
 	s.Services = []ServiceSpec{
@@ -283,8 +286,9 @@
 	return s
 }
 
-// packed has the figures of a deployment of 44 engines whose memory the load all
-// but fills: what runs takes 95 % of that of the engines that are there.
+// packedScenario models a deployment of 44 engines whose memory is almost
+// full: running generations take 95 % of the memory of the engines that are
+// present.
 func packedScenario() ScenarioSpec {
 	s := reclaimScenario()
 	s.Name = "packed"
--- a/internal/bench/mgbench/strategy.go
+++ b/internal/bench/mgbench/strategy.go
@@ -1,20 +1,20 @@
 package mgbench
 
-// way is how generations leave an engine that is reclaimed.
+// moveStrategy determines how generations leave an engine that is reclaimed.
 type moveStrategy string
 
-// The ways.
+// Move strategies.
 const (
-	strategyStay        moveStrategy = "stay"     // not at all
-	strategyOnce        moveStrategy = "once"     // stopped and copied, all at once
-	strategySelf        moveStrategy = "self"     // each entry for itself, in two steps
-	strategySlots       moveStrategy = "turns"    // by turns, in two steps
-	strategyWaitingList moveStrategy = "room"     // by turns, and requests wait for memory in one line
-	strategyForeseen    moveStrategy = "foreseen" // by turns, and the leaving is known earlier
+	strategyStay        moveStrategy = "stay"     // generations are not moved
+	strategyOnce        moveStrategy = "once"     // all generations are stopped and copied at once
+	strategySelf        moveStrategy = "self"     // each entry moves its own generations in two phases, uncoordinated
+	strategySlots       moveStrategy = "turns"    // two phases, coordinated by migration slots
+	strategyWaitingList moveStrategy = "room"     // migration slots, and requests wait for memory in one waiting list
+	strategyForeseen    moveStrategy = "foreseen" // migration slots, and earlier notice
 )
 
-// movePolicies returns the ways of moving generations over the same placement
-// and admission, which is that of entries that reach engines directly.
+// movePolicies returns one policy per move strategy. All use the same routing
+// and admission, in which entries reach engines directly.
 func movePolicies() []policy {
 	texts := []struct {
 		strategy moveStrategy
@@ -39,8 +39,8 @@
 	return all
 }
 
-// directBuild sets gates that give each call to the engine at once, where it
-// waits in the engine's own line.
+// directBuild sets gates that pass each call to the engine at once, where it
+// waits in the engine's own queue.
 func directBuild(_ ScenarioSpec, us []*upstream, _ uint64) router {
 	for _, u := range us {
 		f := &fifo{
--- a/internal/bench/mgbench/workload.go
+++ b/internal/bench/mgbench/workload.go
@@ -10,18 +10,19 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/bench/mgmodel"
 )
 
-// request is one request of a workload. It is the same for each policy.
+// request is one request of a workload. It is the same under each policy.
 type request struct {
 	index    int
 	account  int
 	service  int
 	arrival  float64 // ms
 	deadline float64 // ms
-	jitter   float64 // 0 to 1, for the client's waits
+	jitter   float64 // 0 to 1, for the client's retry waits
 	sequence mgmodel.Sequence
 }
 
-// workload is what the clients of a scenario send under one seed.
+// workload holds the requests that the clients of a scenario send for one
+// seed.
 type workload struct {
 	scenario ScenarioSpec
 	requests []request
@@ -35,10 +36,10 @@
 	services    distuv.Categorical
 	block       int
 	bursting    bool
-	stateEndsAt float64 // when the burst state ends or begins, ms
+	stateEndsAt float64 // time of the next change between burst and calm, ms
 }
 
-// newWorkload draws the requests of s under seed.
+// newWorkload draws the requests of s for a seed.
 func newWorkload(s ScenarioSpec, seed uint64) *workload {
 	d := newSampler(s, seed)
 	w := &workload{
@@ -52,7 +53,8 @@
 	return w
 }
 
-// stream separates the bench's random numbers from other uses of a seed.
+// randomStream separates the benchmark's random numbers from other uses of a
+// seed.
 const randomStream = 0x6d617267
 
 func newSampler(s ScenarioSpec, seed uint64) *sampler {
@@ -85,9 +87,10 @@
 	}.Rand()
 }
 
-// next draws the arrival after now. A draw that passes the next turn of the
-// rate is drawn again from there, which changes nothing in distribution, as
-// the exponential has no memory.
+// nextArrival draws the time of the arrival after now. A draw beyond the next
+// state change is discarded and drawn again from that change on, which leaves
+// the distribution unchanged because the exponential distribution is
+// memoryless.
 func (d *sampler) nextArrival(now float64) float64 {
 	for {
 		at := now + d.exponential(d.meanInterarrival(now))
@@ -104,7 +107,7 @@
 	}
 }
 
-// meanGap returns the mean time in ms between arrivals at now.
+// meanInterarrival returns the mean time in ms between arrivals at now.
 func (d *sampler) meanInterarrival(now float64) float64 {
 	s := d.scenario
 	rate := s.SaturationRate * s.Load * float64(s.Engines) * d.phase(now).Rate * s.Burst.factor(d.bursting)
@@ -112,7 +115,7 @@
 }
 
 // factor returns the factor on the mean rate in the burst or the calm state.
-// The calm one keeps the mean.
+// The rate in the calm state is chosen so that the mean is kept.
 func (b BurstSpec) factor(bursting bool) float64 {
 	switch {
 	case b.Factor == 0:
@@ -124,7 +127,7 @@
 	}
 }
 
-// phase returns the phase that holds at now.
+// phase returns the phase in effect at now.
 func (d *sampler) phase(now float64) PhaseSpec {
 	current := PhaseSpec{
 		Rate:   1,
@@ -160,7 +163,7 @@
 	}
 }
 
-// account draws an account among those that have come by now.
+// account draws an account among those that are active at now.
 func (d *sampler) account(now float64) int {
 	runFraction := now / (d.scenario.Duration * 1000)
 	total := 0.0
@@ -182,7 +185,7 @@
 	return 0
 }
 
-// length draws a number of tokens, stretched by a factor.
+// length draws a number of tokens, scaled by a factor.
 func (d *sampler) length(s LengthSpec, factor float64) int {
 	median := s.Median
 	if s.SecondWeight > 0 && d.uniform.Rand() < s.SecondWeight {
@@ -196,8 +199,9 @@
 	return min(max(int(n), 1), s.Limit)
 }
 
-// prefix returns the hashes of a prompt's whole blocks. The leading ones, a
-// part of the service's median prompt, are common to the account's requests.
+// prefix returns the hashes of a prompt's complete blocks. The leading ones, a
+// fraction of the service's median prompt, are common to the account's
+// requests.
 func (d *sampler) prefix(index, account, service, prompt int) []uint64 {
 	spec := d.scenario.Services[service]
 	common := int(spec.SharedPrefix*spec.Prompt.Median) / d.block
