--- a/internal/bench/mgbench/command_test.go
+++ b/internal/bench/mgbench/command_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestCommand(t *testing.T) {
-	Convey("A whole run repeats by its seed", t, func() {
+	Convey("A complete run is reproducible from its seed", t, func() {
 		dir := t.TempDir()
 		var table bytes.Buffer
 		So(smallCommand(dir).Run(context.Background(), &table), ShouldBeNil)
@@ -42,7 +42,7 @@
 		})
 	})
 
-	Convey("A wrong name is refused with the right ones", t, func() {
+	Convey("An unknown name is refused with a list of the known ones", t, func() {
 		c := smallCommand("")
 		c.Scenario = "brust"
 		So(c.Run(context.Background(), &bytes.Buffer{}).Error(), ShouldContainSubstring, "burst")
@@ -51,7 +51,7 @@
 		So(c.Run(context.Background(), &bytes.Buffer{}).Error(), ShouldContainSubstring, "mark20")
 	})
 
-	Convey("A run stops with its context", t, func() {
+	Convey("A run stops when its context is cancelled", t, func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		So(smallCommand("").Run(ctx, &bytes.Buffer{}), ShouldWrap, context.Canceled)
--- a/internal/bench/mgbench/driver.go
+++ b/internal/bench/mgbench/driver.go
@@ -259,7 +259,7 @@
 func (d *driver) callByID(id string) *call {
 	i, err := strconv.Atoi(id)
 	if err != nil {
-		panic("mgbench: a sequence that the driver didn't name: " + id)
+		panic("mgbench: unknown sequence: " + id)
 	}
 	return d.calls[i]
 }
@@ -291,7 +291,7 @@
 		sequence.Priority = u.gate.priority(c)
 	}
 	if !u.engine.Add(sequence) {
-		panic("mgbench: the model refuses " + c.sequence.ID)
+		panic("mgbench: the engine model refuses sequence " + c.sequence.ID)
 	}
 }
 
@@ -331,7 +331,7 @@
 // finish ends a call whose answer is complete.
 func (d *driver) finish(now float64, c *call) {
 	if c.produced != min(c.sequence.Output, d.maxOutput(c)) {
-		panic("mgbench: an answer ended early: " + c.sequence.ID)
+		panic("mgbench: answer of unexpected length: " + c.sequence.ID)
 	}
 	d.meter.finish(now, c)
 	if f := c.upstream.gate.finish; f != nil {
--- a/internal/bench/mgbench/driver_test.go
+++ b/internal/bench/mgbench/driver_test.go
@@ -74,7 +74,7 @@
 // sees it first, can't meet its deadline, though a fast engine could. The load
 // is light enough for the fast engines alone.
 func TestOracleRefusesBecauseOfSlowEngine(t *testing.T) {
-	Convey("The oracle turns nothing away for the sake of a slow engine", t, func() {
+	Convey("The oracle refuses nothing because of a slow engine", t, func() {
 		s := withDuration(slowScenario(), 60)
 		s.Load = 0.6
 		s.Fault.From, s.Fault.Until, s.Fault.Speed = 0, 1, 0.1
@@ -111,10 +111,10 @@
 		retry mgclock.Millis
 		asked int
 	}{
-		{"not told to return, doesn't", 0, 1},
-		{"told a second, asks as often as a person would", mgclock.Second, maxAttempts},
-		{"told a time past its deadline, doesn't", 20 * mgclock.Second, 1},
-		{"told a moment, waits the least time", 1, maxAttempts},
+		{"given no retry time doesn't retry", 0, 1},
+		{"given one second retries until its attempts are used up", mgclock.Second, maxAttempts},
+		{"given a time past its deadline doesn't retry", 20 * mgclock.Second, 1},
+		{"given a very short time waits for the minimum", 1, maxAttempts},
 	}
 	for _, c := range cases {
 		Convey("A client that is "+c.name, t, func() {
@@ -130,7 +130,7 @@
 // that stalls until its client hangs up has no next token, so the policy that
 // starves streams would look best.
 func TestOpenGapNotCountedAsStall(t *testing.T) {
-	Convey("A gap that is open at the deadline counts", t, func() {
+	Convey("A gap that is open at the deadline counts as stall time", t, func() {
 		m := newMeter(calmScenario())
 		c := &call{
 			request: &request{
@@ -169,9 +169,9 @@
 		served []float64
 		want   float64
 	}{
-		{"alike", []float64{2, 2, 2}, 1},
-		{"one gets all", []float64{9, 0, 0}, 1.0 / 3},
-		{"none gets any", []float64{0, 0}, 1},
+		{"all are served equally", []float64{2, 2, 2}, 1},
+		{"one gets everything", []float64{9, 0, 0}, 1.0 / 3},
+		{"none gets anything", []float64{0, 0}, 1},
 		{"one gets twice as much", []float64{1, 2}, 0.9},
 	}
 	for _, c := range cases {
@@ -183,7 +183,7 @@
 
 func TestWorkload(t *testing.T) {
 	Convey("A workload", t, func() {
-		Convey("keeps the mean rate, with bursts too", func() {
+		Convey("keeps the mean rate, also with bursts", func() {
 			for _, s := range []ScenarioSpec{calmScenario(), burstScenario()} {
 				s = withDuration(s, 3000)
 				mean := s.SaturationRate * s.Load * float64(s.Engines) * s.Duration
@@ -191,7 +191,7 @@
 			}
 		})
 
-		Convey("repeats by its seed", func() {
+		Convey("is reproducible from its seed", func() {
 			s := withDuration(burstScenario(), 60)
 			So(newWorkload(s, 5).requests, ShouldResemble, newWorkload(s, 5).requests)
 			So(newWorkload(s, 5).requests, ShouldNotResemble, newWorkload(s, 6).requests)
--- a/internal/bench/mgbench/figures.go
+++ b/internal/bench/mgbench/figures.go
@@ -32,7 +32,7 @@
 			return f
 		}
 	}
-	panic("mgbench: no figure " + name)
+	panic("mgbench: unknown figure " + name)
 }
 
 // preferenceFigures returns the figures per service preference. They are left
--- a/internal/bench/mgbench/meter.go
+++ b/internal/bench/mgbench/meter.go
@@ -38,7 +38,7 @@
 func record(h *hdrhistogram.Histogram, ms float64) {
 	value := min(max(int64(ms/microsecond), 1), 600_000_000)
 	if err := h.RecordValue(value); err != nil {
-		panic("mgbench: a delay out of the histogram's range")
+		panic("mgbench: delay is outside the histogram's range")
 	}
 }
 
--- a/internal/bench/mgbench/move.go
+++ b/internal/bench/mgbench/move.go
@@ -221,7 +221,7 @@
 	c.resumedElsewhere = true
 	c.moveStarted = false
 	if !v.to.engine.Resume(c.sequence, c.produced, 1) {
-		panic("mgbench: the model refuses " + c.sequence.ID)
+		panic("mgbench: the engine model refuses sequence " + c.sequence.ID)
 	}
 	m.driver.scheduleStep(now, v.to)
 	if v.to.isLeaving {
--- a/internal/bench/mgbench/reclaim.go
+++ b/internal/bench/mgbench/reclaim.go
@@ -196,7 +196,7 @@
 func (m *migrator) upstreamByName(name string) *upstream {
 	index, err := strconv.Atoi(name)
 	if err != nil {
-		panic("mgbench: a place that the driver didn't name: " + name)
+		panic("mgbench: unknown placement: " + name)
 	}
 	return m.driver.upstreams[index]
 }
--- a/internal/bench/mgbench/reclaim_test.go
+++ b/internal/bench/mgbench/reclaim_test.go
@@ -7,9 +7,8 @@
 )
 
 // Guards against moves that cut or pause reports of eight seconds when engines
-// are reclaimed at two seconds' notice. Without moves they are cut; with many
-// copies on one link they stall. Migration slots must come close to a second
-// of foresight.
+// are reclaimed at two seconds' notice: without moves they are cut, with many
+// copies on one link they stall. Slots must come close to foresight.
 func TestMovesCutOrPauseGenerations(t *testing.T) {
 	cut, paused := map[string]float64{}, map[string]float64{}
 	s := withDuration(reclaimScenario(), 200)
@@ -21,18 +20,18 @@
 		}
 		t.Logf("%-14s cut %5.2f, paused %5.2f of 100", p.name, cut[p.name], paused[p.name])
 	}
-	Convey("Of a hundred requests, 42 of them reports", t, func() {
-		Convey("moves by turns lose few", func() {
+	Convey("Among 100 requests, 42 of them reports", t, func() {
+		Convey("moves with migration slots lose few", func() {
 			So(cut["move/stay"], ShouldBeGreaterThan, 10)
 			So(cut["move/self"], ShouldBeGreaterThan, 5*cut["move/turns"])
 			So(cut["move/turns"], ShouldBeLessThan, 0.6)
 		})
-		Convey("and make few wait", func() {
+		Convey("and pause few", func() {
 			So(paused["move/once"], ShouldBeGreaterThan, 10*paused["move/turns"])
 			So(paused["move/self"], ShouldBeGreaterThan, 10*paused["move/turns"])
 			So(paused["move/turns"], ShouldBeLessThan, 0.6)
 		})
-		Convey("and are within half a percent of foresight", func() {
+		Convey("and are within half a percentage point of foresight", func() {
 			So(cut["move/turns"]-cut["move/foreseen"], ShouldBeLessThan, 0.5)
 		})
 	})
@@ -51,7 +50,7 @@
 		m := simulate(newWorkload(s, 1), p, 1)
 		reports[p.moveStrategy], notes[p.moveStrategy], expired[p.moveStrategy] = m.onTimePercent(0), m.onTimePercent(1), m.percent(m.expired)
 	}
-	Convey("Where memory is all but full", t, func() {
+	Convey("Where memory is almost full", t, func() {
 		So(reports[strategyWaitingList], ShouldBeGreaterThan, reports[strategySlots]+3)
 		So(notes[strategyWaitingList], ShouldBeGreaterThan, notes[strategySlots]+10)
 		So(expired[strategyWaitingList], ShouldBeLessThan, expired[strategySlots]/2)
@@ -62,7 +61,7 @@
 // are reported without a placement, once the list is longer than its clients
 // wait.
 func TestGivenUpRequestHasNoPlacement(t *testing.T) {
-	Convey("Calls that wait in the line until their deadline are hung up on", t, func() {
+	Convey("Clients of calls on the waiting list hang up at their deadline", t, func() {
 		s := withDuration(packedScenario(), 30)
 		s.SaturationRate *= 2
 		for _, p := range movePolicies() {
@@ -78,7 +77,7 @@
 // Guards against scenarios with reclaims under policies whose gates rely on
 // engines that stay; their figures would look broken.
 func TestPolicyPlaysUnsupportedScenario(t *testing.T) {
-	Convey("Only policies that say how generations leave play reclaims", t, func() {
+	Convey("Only policies with a move strategy run scenarios with reclaims", t, func() {
 		So(reclaimScenario().playablePolicies(policies()), ShouldBeEmpty)
 		So(len(reclaimScenario().playablePolicies(movePolicies())), ShouldEqual, len(movePolicies()))
 		So(calmScenario().playablePolicies(movePolicies()), ShouldBeEmpty)
