--- a/internal/bench/mgbench/driver.go
+++ b/internal/bench/mgbench/driver.go
@@ -205,7 +205,8 @@
 	}
 }
 
-// reclaim removes an upstream. Its running generations start over elsewhere.
+// reclaim removes an upstream. Its calls are routed elsewhere, where running
+// generations start over.
 func (d *driver) reclaim(now float64, u *upstream) {
 	for _, c := range slices.Clone(u.calls) {
 		d.meter.countLost(now, c)
--- a/internal/bench/mgbench/driver_test.go
+++ b/internal/bench/mgbench/driver_test.go
@@ -12,7 +12,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// withSpan returns a scenario with a duration of arrivals in seconds.
+// withDuration returns a scenario with a duration of arrivals in seconds.
 func withDuration(s ScenarioSpec, duration float64) ScenarioSpec {
 	s.Duration = duration
 	return s
--- a/internal/bench/mgbench/move.go
+++ b/internal/bench/mgbench/move.go
@@ -169,7 +169,7 @@
 }
 
 // transfer copies tokens after the copies that are already queued on both
-// links, and calls then at the end.
+// links, and calls done at the end.
 func (m *migrator) transfer(now float64, v *move, tokens int, done func(at float64)) {
 	begin := max(now, m.linkFreeAt[v.from.index], m.linkFreeAt[v.to.index])
 	end := begin + m.copyDuration(v.from, v.to, tokens)
--- a/internal/bench/mgbench/plot.go
+++ b/internal/bench/mgbench/plot.go
@@ -273,7 +273,7 @@
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
-			continue // a run shorter than a window has no points to plot
+			continue // a run shorter than a window has no points
 		}
 		line.LineStyle = lineStyle(i)
 		p.Add(line)
--- a/internal/bench/mgbench/spec.go
+++ b/internal/bench/mgbench/spec.go
@@ -8,7 +8,7 @@
 // Preferences, as the operators' table names them.
 const (
 	Steady Preference = "steady" // even gaps between tokens
-	Whole  Preference = "whole"  // few stalls and preemptions
+	Whole  Preference = "whole"  // as few stalls and preemptions as possible
 )
 
 // LengthSpec describes a mixture of two lognormal distributions of token
@@ -52,7 +52,7 @@
 
 // PhaseSpec changes the load from a point in the run on.
 type PhaseSpec struct {
-	From   float64 // as a part of the run
+	From   float64 // as a fraction of the run
 	Rate   float64 // factor on the arrival rate
 	Length float64 // factor on the output lengths
 }
@@ -60,7 +60,7 @@
 // FaultSpec describes a fault of some engines in the middle of a run.
 type FaultSpec struct {
 	Engines int     // number of engines, from the first one on
-	From    float64 // as a part of the run
+	From    float64 // as a fraction of the run
 	Until   float64 // as a fraction of the run; for a slow upstream
 	Speed   float64 // speed factor of a slow upstream; 0 means that the engines leave
 	Notice  float64 // time before they leave, s
--- a/internal/bench/mgnet/net.go
+++ b/internal/bench/mgnet/net.go
@@ -1,7 +1,7 @@
 // Package mgnet simulates the network between the members of a test in virtual
 // time: it delays and loses messages, partitions the network and pauses
-// members. It serves the tests and benchmarks of configuration, membership and
-// shares, and nothing else.
+// members. It serves the tests and scaling measurements of configuration,
+// membership and shares, and nothing else.
 package mgnet
 
 import (
