--- a/internal/bench/mgbench/driver_test.go
+++ b/internal/bench/mgbench/driver_test.go
@@ -12,35 +12,34 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// shortened returns a scenario with a span in seconds.
-func shortened(s ScenarioSpec, span float64) ScenarioSpec {
-	s.Span = span
+// withDuration returns a scenario with a duration of arrivals in seconds.
+func withDuration(s ScenarioSpec, duration float64) ScenarioSpec {
+	s.Duration = duration
 	return s
 }
 
-// A user sees each request answered, turned away or timed out, once, whatever
-// happens to engines on the way. Each scenario runs under each policy; the
-// model's memory and the order of tokens are checked by the driver and the
-// model. A request that was counted twice or got lost would flatter a policy,
-// and one that ours leaves waiting until its deadline never hears "not run".
-func TestEachRequestEndsOnce(t *testing.T) {
-	for _, r := range measured(t, scenarioNames(), 8, 1) {
+// Guards against requests that end twice or get lost, which would flatter a
+// policy, when engines fail: each must be answered, refused or timed out once.
+// Under "ours" none may wait until its deadline without a refusal "not run".
+func TestRequestEndsMoreThanOnceOrNever(t *testing.T) {
+	for _, r := range measureAll(t, scenarioNames(), 8, 1) {
 		Convey(r.scenario+" and "+r.policy, t, func() {
-			So(r.meter.inTime+r.meter.away+r.meter.expired+r.meter.cut, ShouldEqual, r.meter.asked)
+			So(r.meter.inTime+r.meter.refused+r.meter.expired+r.meter.lostForGood, ShouldEqual, r.meter.asked)
 			if strings.HasPrefix(r.policy, "ours") {
-				So(r.meter.late, ShouldEqual, 0)
+				So(r.meter.lateNotRun, ShouldEqual, 0)
 			}
 		})
 	}
 }
 
-// measured runs scenarios of a span in seconds under all policies.
-func measured(t *testing.T, names []string, span float64, seeds int) []run {
+// measureAll runs scenarios, with a duration of arrivals in seconds, under all
+// policies.
+func measureAll(t *testing.T, names []string, duration float64, seeds int) []run {
 	c := Command{
 		Scenario: strings.Join(names, ","),
 		Seed:     1,
 		Seeds:    seeds,
-		Span:     span,
+		Span:     duration,
 	}
 	scenarios, err := c.scenarios()
 	if err != nil {
@@ -53,51 +52,49 @@
 	return runs
 }
 
-// The oracle knows all lengths, so that a policy that answers more in time
-// shows that the oracle is wrong and every figure against it misleads. The
-// cases are small enough for an order to matter: a burst that must wait, and a
-// memory that holds a handful of reports.
-func TestOracleIsTheLimit(t *testing.T) {
+// Guards against an oracle that is no upper bound: it knows all lengths, so a
+// policy with more answers in time means that every comparison misleads. The
+// cases are small enough for the order to matter.
+func TestPolicyBeatsOracle(t *testing.T) {
 	limits := make(map[string]int)
-	runs := measured(t, []string{"burst", "slow", "small", "long", "sat20"}, 50, 2)
+	runs := measureAll(t, []string{"burst", "slow", "small", "long", "sat20"}, 50, 2)
 	for _, r := range runs {
 		if r.policy == "oracle" {
-			limits[r.name()] = r.meter.inTime
+			limits[r.label()] = r.meter.inTime
 		}
 	}
 	for _, r := range runs {
-		Convey(r.name()+", "+r.policy, t, func() {
-			So(r.meter.inTime, ShouldBeLessThanOrEqualTo, limits[r.name()])
+		Convey(r.label()+", "+r.policy, t, func() {
+			So(r.meter.inTime, ShouldBeLessThanOrEqualTo, limits[r.label()])
 		})
 	}
 }
 
-// A quick engine could answer in time what the oracle turns away, because the
-// slow engine beside it looked at the request first and saw no time left. A
-// policy then beats the oracle. The load is light enough for the quick engines
-// to do all.
-func TestOracleLooksBeyondSlowEngine(t *testing.T) {
-	Convey("The oracle turns nothing away for the sake of a slow engine", t, func() {
-		s := shortened(slow(), 60)
+// Guards against an oracle that refuses a request because a slow engine, which
+// sees it first, can't meet its deadline, though a fast engine could. The load
+// is light enough for the fast engines alone.
+func TestOracleRefusesBecauseOfSlowEngine(t *testing.T) {
+	Convey("The oracle refuses nothing because of a slow engine", t, func() {
+		s := withDuration(slowScenario(), 60)
 		s.Load = 0.6
 		s.Fault.From, s.Fault.Until, s.Fault.Speed = 0, 1, 0.1
 		for _, p := range oracleOrders() {
-			So(simulate(newWorkload(s, 1), p, 1).away, ShouldEqual, 0)
+			So(simulate(newWorkload(s, 1), p, 1).refused, ShouldEqual, 0)
 		}
 	})
 }
 
-// name returns what a run shares with those of the other policies.
-func (r run) name() string { return fmt.Sprintf("%s, seed %d", r.scenario, r.seed) }
+// label returns the scenario and seed, which runs of different policies share.
+func (r run) label() string { return fmt.Sprintf("%s, seed %d", r.scenario, r.seed) }
 
-// refuser is a policy that turns each request away and says when to return.
-func refuser(retry mgclock.Millis) policy {
+// refusingPolicy returns a policy that refuses each request with a retry time.
+func refusingPolicy(retryAfter mgclock.Millis) policy {
 	problem := mgproblem.New(mgproblem.Crowded, mgproblem.NotRun, "full", "come back")
 	return policy{
 		build: func(_ ScenarioSpec, us []*upstream, _ uint64) router {
 			for _, u := range us {
 				u.gate = gate{
-					submit: func(mgclock.Millis, *call) *mgproblem.Problem { return problem.WithRetry(retry) },
+					submit: func(mgclock.Millis, *call) *mgproblem.Problem { return problem.WithRetry(retryAfter) },
 					poll:   func(_ mgclock.Millis, dst []verdict) []verdict { return dst },
 				}
 			}
@@ -106,35 +103,35 @@
 	}
 }
 
-func TestClients(t *testing.T) {
-	s := shortened(calm(), 20)
-	s.Services = []ServiceSpec{lookup(1)}
+func TestClientRetries(t *testing.T) {
+	s := withDuration(calmScenario(), 20)
+	s.Services = []ServiceSpec{lookupService(1)}
 	cases := []struct {
 		name  string
 		retry mgclock.Millis
 		asked int
 	}{
-		{"not told to return, doesn't", 0, 1},
-		{"told a second, asks as often as a person would", mgclock.Second, askAgain},
-		{"told a time past its deadline, doesn't", 20 * mgclock.Second, 1},
-		{"told a moment, waits the least time", 1, askAgain},
+		{"given no retry time doesn't retry", 0, 1},
+		{"given one second retries until its attempts are used up", mgclock.Second, maxAttempts},
+		{"given a time past its deadline doesn't retry", 20 * mgclock.Second, 1},
+		{"given a very short time waits for the minimum", 1, maxAttempts},
 	}
 	for _, c := range cases {
 		Convey("A client that is "+c.name, t, func() {
-			m := simulate(newWorkload(s, 1), refuser(c.retry), 1)
+			m := simulate(newWorkload(s, 1), refusingPolicy(c.retry), 1)
 			So(m.refusals, ShouldEqual, c.asked*m.asked)
-			So(m.away, ShouldEqual, m.asked)
-			So(m.late, ShouldEqual, 0)
+			So(m.refused, ShouldEqual, m.asked)
+			So(m.lateNotRun, ShouldEqual, 0)
 		})
 	}
 }
 
-// A caller whose stream stands still until it hangs up has stalled, though no
-// later token closes the gap. A meter that counts gaps at the next token only
-// would make the policy that starves a stream look the best.
-func TestOpenGapIsStall(t *testing.T) {
-	Convey("A gap that is open at the deadline counts", t, func() {
-		m := newMeter(calm())
+// Guards against a meter that counts gaps only at the next token: a stream
+// that stalls until its client hangs up has no next token, so the policy that
+// starves streams would look best.
+func TestOpenGapNotCountedAsStall(t *testing.T) {
+	Convey("A gap that is open at the deadline counts as stall time", t, func() {
+		m := newMeter(calmScenario())
 		c := &call{
 			request: &request{
 				deadline: 5000,
@@ -147,12 +144,12 @@
 	})
 }
 
-// A client whose request waits until its deadline never learns that it didn't
-// run. A gate that keeps quiet so that the client doesn't ask again must not
-// get away with it: the request counts as a late "not run".
-func TestSilenceIsLate(t *testing.T) {
+// Guards against a gate that leaves a request waiting until its deadline, so
+// that its client neither learns that it didn't run nor retries. Such a
+// request must count as a late "not run".
+func TestUnansweredRequestNotCountedAsLate(t *testing.T) {
 	Convey("A request that waits until its deadline counts as late", t, func() {
-		silent := refuser(0)
+		silent := refusingPolicy(0)
 		build := silent.build
 		silent.build = func(s ScenarioSpec, us []*upstream, seed uint64) router {
 			r := build(s, us, seed)
@@ -161,8 +158,8 @@
 			}
 			return r
 		}
-		m := simulate(newWorkload(shortened(calm(), 20), 1), silent, 1)
-		So(m.late, ShouldEqual, m.asked)
+		m := simulate(newWorkload(withDuration(calmScenario(), 20), 1), silent, 1)
+		So(m.lateNotRun, ShouldEqual, m.asked)
 	})
 }
 
@@ -172,9 +169,9 @@
 		served []float64
 		want   float64
 	}{
-		{"alike", []float64{2, 2, 2}, 1},
-		{"one gets all", []float64{9, 0, 0}, 1.0 / 3},
-		{"none gets any", []float64{0, 0}, 1},
+		{"all are served equally", []float64{2, 2, 2}, 1},
+		{"one gets everything", []float64{9, 0, 0}, 1.0 / 3},
+		{"none gets anything", []float64{0, 0}, 1},
 		{"one gets twice as much", []float64{1, 2}, 0.9},
 	}
 	for _, c := range cases {
@@ -186,24 +183,24 @@
 
 func TestWorkload(t *testing.T) {
 	Convey("A workload", t, func() {
-		Convey("keeps the mean rate, with bursts too", func() {
-			for _, s := range []ScenarioSpec{calm(), burst()} {
-				s = shortened(s, 3000)
-				mean := s.Rate * s.Load * float64(s.Engines) * s.Span
+		Convey("keeps the mean rate, also with bursts", func() {
+			for _, s := range []ScenarioSpec{calmScenario(), burstScenario()} {
+				s = withDuration(s, 3000)
+				mean := s.SaturationRate * s.Load * float64(s.Engines) * s.Duration
 				So(float64(len(newWorkload(s, 2).requests))/mean, ShouldAlmostEqual, 1, 0.1)
 			}
 		})
 
-		Convey("repeats by its seed", func() {
-			s := shortened(burst(), 60)
+		Convey("is reproducible from its seed", func() {
+			s := withDuration(burstScenario(), 60)
 			So(newWorkload(s, 5).requests, ShouldResemble, newWorkload(s, 5).requests)
 			So(newWorkload(s, 5).requests, ShouldNotResemble, newWorkload(s, 6).requests)
 		})
 
 		Convey("doubles its accounts at a takeover", func() {
-			s := takeover()
+			s := takeoverScenario()
 			for _, r := range newWorkload(s, 1).requests {
-				if s.Accounts[r.account].From*s.Span*1000 > r.arrival {
+				if s.Accounts[r.account].From*s.Duration*1000 > r.arrival {
 					So(r, ShouldBeZeroValue)
 				}
 			}
@@ -212,12 +209,12 @@
 }
 
 func BenchmarkSimulate(b *testing.B) {
-	s := shortened(saturation("sat10", 1), 60)
+	s := withDuration(saturationScenario("sat10", 1), 60)
 	w := newWorkload(s, 1)
 	p := simplePolicy()
 	tokens := int64(0)
 	for b.Loop() {
-		tokens += simulate(w, p, 1).between.TotalCount()
+		tokens += simulate(w, p, 1).tokenGaps.TotalCount()
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(tokens), "ns/token")
 }
--- a/internal/bench/mgbench/fifo.go
+++ b/internal/bench/mgbench/fifo.go
@@ -8,13 +8,13 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// fifo is the gate of the baselines: first come, first served, while a rule on
-// memory holds for the call at the head.
+// fifo is the gate of the baselines: it starts calls in order of arrival while
+// an admission rule on memory holds for the call at the head of the queue.
 type fifo struct {
 	upstream *upstream
-	fits     func(c *call, pending int) bool
-	line     []*call
-	reserved int // prompt and maximum of the running calls, tokens
+	canAdmit func(c *call, pending int) bool
+	queue    []*call
+	reserved int // prompts and maximum outputs of the running calls, tokens
 }
 
 // gate returns f as a gate.
@@ -22,30 +22,31 @@
 	return gate{
 		submit:   f.submit,
 		poll:     f.poll,
-		finish:   f.leave,
-		withdraw: f.leave,
+		finish:   f.remove,
+		withdraw: f.remove,
 	}
 }
 
 func (f *fifo) submit(_ mgclock.Millis, c *call) *mgproblem.Problem {
-	f.line = append(f.line, c)
+	f.queue = append(f.queue, c)
 	return nil
 }
 
-// poll starts calls from the head. Calls that the engine preempted go first,
-// as they do in its own waiting line.
+// poll starts calls from the head of the queue. Calls that the engine
+// preempted are served first, since they are at the head of the engine's own
+// queue.
 func (f *fifo) poll(_ mgclock.Millis, dst []verdict) []verdict {
 	if f.upstream.engine.Waiting() > 0 {
 		return dst
 	}
-	room := f.upstream.engine.Spec().Batch - f.upstream.engine.Running()
+	freeBatch := f.upstream.engine.Spec().Batch - f.upstream.engine.Running()
 	pending := 0
-	for len(f.line) > 0 && room > 0 && f.mayStart(pending) {
-		c := f.line[0]
-		f.line = f.line[1:]
-		f.reserved += c.most()
+	for len(f.queue) > 0 && freeBatch > 0 && f.mayStart(pending) {
+		c := f.queue[0]
+		f.queue = f.queue[1:]
+		f.reserved += c.maxMemory()
 		pending += c.sequence.Prompt
-		room--
+		freeBatch--
 		dst = append(dst, verdict{
 			call: c,
 		})
@@ -53,39 +54,41 @@
 	return dst
 }
 
-// mayStart applies the rule to the head. An idle engine takes it in any case,
-// or a call larger than the rule's share of memory would wait for ever.
+// mayStart applies the admission rule to the head of the queue. An idle engine
+// admits the head in any case; otherwise a call larger than the rule's share
+// of memory would wait forever.
 func (f *fifo) mayStart(pending int) bool {
 	if f.upstream.engine.Running() == 0 && pending == 0 {
 		return true
 	}
-	return f.fits(f.line[0], pending)
+	return f.canAdmit(f.queue[0], pending)
 }
 
-// leave forgets a call that ended or was withdrawn.
-func (f *fifo) leave(_ mgclock.Millis, c *call) {
-	if i := slices.Index(f.line, c); i >= 0 {
-		f.line = slices.Delete(f.line, i, i+1)
+// remove deletes a call that finished or was withdrawn.
+func (f *fifo) remove(_ mgclock.Millis, c *call) {
+	if i := slices.Index(f.queue, c); i >= 0 {
+		f.queue = slices.Delete(f.queue, i, i+1)
 		return
 	}
-	f.reserved -= c.most()
+	f.reserved -= c.maxMemory()
 }
 
-// most returns the memory that c takes at its maximum length.
-func (c *call) most() int { return c.sequence.Prompt + c.spec.Output.Limit }
+// maxMemory returns the memory that c takes at its maximum length.
+func (c *call) maxMemory() int { return c.sequence.Prompt + c.spec.Output.Limit }
 
-// fifoPolicy returns a policy of least connections and fifo gates. The rule is
-// told the tokens that calls just started will take.
+// fifoPolicy returns a policy of least-connections routing and fifo gates.
+// pending is the number of prompt tokens of the calls that were started in the
+// same poll.
 func fifoPolicy(name, text string, fits func(f *fifo, c *call, pending int) bool) policy {
 	return policy{
-		name: name,
-		text: text,
+		name:        name,
+		description: text,
 		build: func(_ ScenarioSpec, us []*upstream, _ uint64) router {
 			for _, u := range us {
 				f := &fifo{
 					upstream: u,
 				}
-				f.fits = func(c *call, pending int) bool { return fits(f, c, pending) }
+				f.canAdmit = func(c *call, pending int) bool { return fits(f, c, pending) }
 				u.gate = f.gate()
 			}
 			return leastConnections(us)
@@ -93,7 +96,7 @@
 	}
 }
 
-// simplePolicy admits while the prompt fits now.
+// simplePolicy admits a call if its prompt fits into free memory now.
 func simplePolicy() policy {
 	return fifoPolicy("simple", "least connections, FIFO, admit while it fits now",
 		func(f *fifo, c *call, pending int) bool {
@@ -101,15 +104,16 @@
 		})
 }
 
-// reservePolicy admits while the maximum lengths of all fit.
+// reservePolicy admits a call if the maximum lengths of all running calls and
+// its own fit into memory.
 func reservePolicy() policy {
 	return fifoPolicy("reserve", "least connections, FIFO, the maximum length reserved",
 		func(f *fifo, c *call, _ int) bool {
-			return f.reserved+c.most() <= f.upstream.engine.Spec().Memory
+			return f.reserved+c.maxMemory() <= f.upstream.engine.Spec().Memory
 		})
 }
 
-// markPolicy admits while a share of memory stays free.
+// markPolicy admits a call if a percentage of memory stays free.
 func markPolicy(percent int) policy {
 	return fifoPolicy(fmt.Sprintf("mark%d", percent),
 		fmt.Sprintf("least connections, FIFO, admit while %d %% of memory stays free", percent),
--- a/internal/bench/mgbench/meter.go
+++ b/internal/bench/mgbench/meter.go
@@ -6,28 +6,31 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// stallBound is the gap between two tokens, in ms, above which a reader
-// notices that the stream stands still. It is five times the step of a full
-// batch of the default engine (about 20 ms), and the same for all policies, so
-// that a policy can't gain by slowing its usual step.
-const stallBound = 100.0
+// stallThreshold is the gap between two tokens, in ms, above which a reader
+// notices that the stream stalls. It is five times the step of a full batch of
+// the default engine (about 20 ms), and the same for all policies, so that a
+// policy can't gain by slowing down its usual step.
+const stallThreshold = 100.0
 
-// window is the span over which fairness and shares are taken, in ms. It is
-// some times the life of a usual answer, so that one answer doesn't decide it.
-const window = 20000.0
+// fairnessWindow is the window, in ms, over which fairness and shares are
+// computed. It is several times the duration of a usual answer, so that a
+// single answer doesn't dominate it.
+const fairnessWindow = 20000.0
 
-// promptShare is what a prompt token counts for in the service that an account
-// gets; an output token counts 1. Prompts are computed in parallel.
-const promptShare = 0.1
+// promptTokenWeight is the weight of a prompt token in the service that an
+// account receives; an output token has weight 1. Prompt tokens weigh less
+// because they are computed in parallel.
+const promptTokenWeight = 0.1
 
-// pauseBound is the gap that a move may make between two tokens, in ms: above
-// it the reader of a report has waited.
-const pauseBound = 180.0
+// pauseThreshold is the maximum gap between two tokens, in ms, that a move may
+// cause without the reader of a report noticing a wait.
+const pauseThreshold = 180.0
 
-// microsecond is the histograms' unit in ms.
+// microsecond is the unit of the histograms, in ms.
 const microsecond = 0.001
 
-// newHistogram returns a histogram of 1 microsecond to 10 minutes, to 3 digits.
+// newHistogram returns a histogram of 1 microsecond to 10 minutes with 3
+// significant digits.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, 600_000_000, 3)
 }
@@ -35,85 +38,85 @@
 func record(h *hdrhistogram.Histogram, ms float64) {
 	value := min(max(int64(ms/microsecond), 1), 600_000_000)
 	if err := h.RecordValue(value); err != nil {
-		panic("mgbench: a delay out of the histogram's range")
+		panic("mgbench: delay is outside the histogram's range")
 	}
 }
 
-// meter measures one run.
+// meter collects the measurements of one run.
 type meter struct {
-	scenario ScenarioSpec
-	asked    int
-	inTime   int
-	tokens   int   // of answers in time
-	away     int   // requests that ended "not run"
-	refusals int   // times that a client was told "not run"
-	expired  int   // requests that the client hung up on
-	late     int   // of these, such as nobody had started or turned away
-	lost     int   // generations that went with their engine
-	cut      int   // of these, such as nobody went on with
-	paused   int   // answers that a move made wait, see pauseBound
-	onTime   []int // by service: whole, begun within the aim and without a longer gap
-	sought   []int // by service: requests
-	preempts int
-	stall    float64 // ms
-	between  *hdrhistogram.Histogram
-	first    *hdrhistogram.Histogram
-	steady   streamMeter // of the services that prefer steady tokens
-	whole    streamMeter // of those that mind stalls and preemptions
-	accounts []accountMeter
-	windows  int
-	looks    int
-	jains    []float64
+	scenario         ScenarioSpec
+	asked            int
+	inTime           int
+	tokens           int   // in answers within their deadline
+	refused          int   // requests whose last refusal was final
+	refusals         int   // refusals with the outcome "not run", retried ones included
+	expired          int   // requests whose client hung up at the deadline
+	lateNotRun       int   // requests that were neither started nor refused before the deadline
+	lost             int   // generations that were running on an engine when it left
+	lostForGood      int   // lost generations that were not continued elsewhere
+	pausedByMove     int   // answers with a gap above pauseThreshold that a move caused
+	onTimeCount      []int // by service: complete answers, first token in time, no gap above pauseThreshold
+	requestCount     []int // by service
+	preempts         int
+	stall            float64 // ms
+	tokenGaps        *hdrhistogram.Histogram
+	firstTokenDelays *hdrhistogram.Histogram
+	steadyStreams    streamMeter // of services that prefer steady tokens
+	wholeStreams     streamMeter // of services that prefer few stalls and preemptions
+	accounts         []accountMeter
+	windows          int
+	demandSamples    int
+	jains            []float64
 }
 
-// streamMeter is the part of a meter for the services of one preference.
+// streamMeter collects the measurements of the services of one preference.
 type streamMeter struct {
-	between  *hdrhistogram.Histogram
-	stall    float64 // ms
-	preempts int
-	inTime   int
+	tokenGaps *hdrhistogram.Histogram
+	stall     float64 // ms
+	preempts  int
+	inTime    int
 }
 
-// streams returns the part for c's preference.
+// streams returns the streamMeter for the preference of c's service.
 func (m *meter) streams(c *call) *streamMeter {
 	if c.spec.Prefer == Whole {
-		return &m.whole
+		return &m.wholeStreams
 	}
-	return &m.steady
+	return &m.steadyStreams
 }
 
-// accountMeter is an account's part of a meter.
+// accountMeter collects the measurements of one account.
 type accountMeter struct {
-	demand  int     // requests that wait or were turned away for now
-	least   int     // demand, the least within the window
-	service float64 // within the window
-	shares  []float64
+	demand    int     // requests that wait or were refused and will be retried
+	minDemand int     // minimum demand within the window
+	service   float64 // within the window
+	shares    []float64
 }
 
 func newMeter(s ScenarioSpec) *meter {
 	return &meter{
-		scenario: s,
-		between:  newHistogram(),
-		first:    newHistogram(),
-		accounts: make([]accountMeter, len(s.Accounts)),
-		onTime:   make([]int, len(s.Services)),
-		sought:   make([]int, len(s.Services)),
-		steady: streamMeter{
-			between: newHistogram(),
+		scenario:         s,
+		tokenGaps:        newHistogram(),
+		firstTokenDelays: newHistogram(),
+		accounts:         make([]accountMeter, len(s.Accounts)),
+		onTimeCount:      make([]int, len(s.Services)),
+		requestCount:     make([]int, len(s.Services)),
+		steadyStreams: streamMeter{
+			tokenGaps: newHistogram(),
 		},
-		whole: streamMeter{
-			between: newHistogram(),
+		wholeStreams: streamMeter{
+			tokenGaps: newHistogram(),
 		},
 	}
 }
 
 func (m *meter) arrive(c *call) {
 	m.asked++
-	m.sought[c.service]++
+	m.requestCount[c.service]++
 	m.accounts[c.account].demand++
 }
 
-// requeue counts a running or queued call as waiting again.
+// requeue counts a running call as waiting again.
 func (m *meter) requeue(c *call) {
 	if c.state == running {
 		m.accounts[c.account].demand++
@@ -123,40 +126,40 @@
 func (m *meter) start(_ float64, c *call) {
 	a := &m.accounts[c.account]
 	a.demand--
-	a.service += promptShare * float64(c.sequence.Prompt)
+	a.service += promptTokenWeight * float64(c.sequence.Prompt)
 }
 
-// token counts a token and the gap before it.
+// token records a token and the gap before it.
 func (m *meter) token(now float64, c *call) {
 	m.accounts[c.account].service++
-	if c.last > 0 {
-		record(m.between, now-c.last)
-		record(m.streams(c).between, now-c.last)
-		m.stalled(c, now-c.last)
-		c.stood = c.stood || now-c.last > pauseBound
-		c.paused = c.paused || c.moved && now-c.last > pauseBound
-		c.moved = false
-	} else if c.first == 0 {
-		c.first = now
-		record(m.first, now-c.arrival)
+	if c.lastTokenAt > 0 {
+		record(m.tokenGaps, now-c.lastTokenAt)
+		record(m.streams(c).tokenGaps, now-c.lastTokenAt)
+		m.countStall(c, now-c.lastTokenAt)
+		c.hasLongGap = c.hasLongGap || now-c.lastTokenAt > pauseThreshold
+		c.pausedByMove = c.pausedByMove || c.resumedElsewhere && now-c.lastTokenAt > pauseThreshold
+		c.resumedElsewhere = false
+	} else if c.firstTokenAt == 0 {
+		c.firstTokenAt = now
+		record(m.firstTokenDelays, now-c.arrival)
 	}
-	c.last = now
+	c.lastTokenAt = now
 }
 
-// stalled counts a gap as stall time if it is long.
-func (m *meter) stalled(c *call, gap float64) {
-	if gap > stallBound {
+// countStall adds a gap above stallThreshold to the stall time.
+func (m *meter) countStall(c *call, gap float64) {
+	if gap > stallThreshold {
 		m.stall += gap
 		m.streams(c).stall += gap
 	}
 }
 
 func (m *meter) finish(now float64, c *call) {
-	if c.paused {
-		m.paused++
+	if c.pausedByMove {
+		m.pausedByMove++
 	}
-	if !c.stood && c.first-c.arrival <= c.spec.Aim*1000 {
-		m.onTime[c.service]++
+	if !c.hasLongGap && c.firstTokenAt-c.arrival <= c.spec.FirstTokenLimit*1000 {
+		m.onTimeCount[c.service]++
 	}
 	if now <= c.deadline {
 		m.inTime++
@@ -168,40 +171,42 @@
 func (m *meter) refuse(now float64, c *call, again bool) {
 	m.refusals++
 	if now > c.deadline {
-		m.late++
+		m.lateNotRun++
 	}
 	if !again {
-		m.away++
+		m.refused++
 		m.accounts[c.account].demand--
 	}
 }
 
-// expire counts a client that hangs up. A gap that is still open is stall time
-// too, or a policy could hide its longest stalls behind the deadline.
+// expire records a client that hangs up. A gap that is still open counts as
+// stall time too; otherwise a policy could hide its longest stalls behind the
+// deadline.
 func (m *meter) expire(now float64, c *call) {
 	m.expired++
-	m.stalled(c, c.gapUntil(now))
+	m.countStall(c, c.openGap(now))
 	switch c.state {
 	case queued:
-		m.late++
+		m.lateNotRun++
 		m.accounts[c.account].demand--
-	case asking:
+	case atClient:
 		m.accounts[c.account].demand--
 	}
 }
 
-func (m *meter) lose(now float64, c *call) {
+func (m *meter) countLost(now float64, c *call) {
 	if c.state == running {
 		m.lost++
-		m.stalled(c, c.gapUntil(now))
+		m.countStall(c, c.openGap(now))
 	}
 }
 
-// sever counts a generation that went with its engine and ends there.
-func (m *meter) sever(now float64, c *call) {
+// countLostForGood records a generation that was running on an engine when it
+// left, and that is not continued elsewhere.
+func (m *meter) countLostForGood(now float64, c *call) {
 	m.lost++
-	m.cut++
-	m.stalled(c, c.gapUntil(now))
+	m.lostForGood++
+	m.countStall(c, c.openGap(now))
 }
 
 func (m *meter) preempt(c *call) {
@@ -209,40 +214,41 @@
 	m.streams(c).preempts++
 }
 
-// look samples the accounts' demands, and closes a window when it is full.
-func (m *meter) look(now float64) {
+// sampleDemand samples the accounts' demand, and closes the fairness window
+// once it is complete.
+func (m *meter) sampleDemand(now float64) {
 	for i := range m.accounts {
 		a := &m.accounts[i]
-		if m.looks == 0 || a.demand < a.least {
-			a.least = a.demand
+		if m.demandSamples == 0 || a.demand < a.minDemand {
+			a.minDemand = a.demand
 		}
 	}
-	m.looks++
-	if now >= float64(m.windows+1)*window-lookEvery {
-		m.close()
+	m.demandSamples++
+	if now >= float64(m.windows+1)*fairnessWindow-demandSampleInterval {
+		m.closeWindow()
 	}
 }
 
-// close ends a window.
-func (m *meter) close() {
-	var served []float64
+// closeWindow evaluates the fairness window and starts the next one.
+func (m *meter) closeWindow() {
+	var services []float64
 	for i := range m.accounts {
 		a := &m.accounts[i]
 		a.shares = append(a.shares, a.service)
-		if a.least >= m.scenario.Engines { // fewer can't take a share of each engine
-			served = append(served, a.service/m.scenario.Accounts[i].Weight)
+		if a.minDemand >= m.scenario.Engines { // with fewer it can't use a share of each engine
+			services = append(services, a.service/m.scenario.Accounts[i].Weight)
 		}
 		a.service = 0
 	}
-	if len(served) > 1 {
-		m.jains = append(m.jains, jain(served))
+	if len(services) > 1 {
+		m.jains = append(m.jains, jain(services))
 	}
 	m.windows++
-	m.looks = 0
+	m.demandSamples = 0
 }
 
-// jain returns the fairness index of Jain, Chiu and Hawe: 1 when all are
-// served alike, 1/n when one gets all.
+// jain returns the fairness index of Jain, Chiu and Hawe: 1 if all are served
+// equally, 1/n if one gets everything.
 func jain(served []float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, x := range served {
@@ -255,8 +261,8 @@
 	return sum * sum / (float64(len(served)) * squares)
 }
 
-// fairness returns the mean index over windows with two backlogged accounts or
-// more, or NaN when there were none.
+// fairness returns the mean index over the windows with at least two
+// backlogged accounts, or NaN if there were none.
 func (m *meter) fairness() float64 {
 	if len(m.jains) == 0 {
 		return math.NaN()
--- a/internal/bench/mgbench/oracle.go
+++ b/internal/bench/mgbench/oracle.go
@@ -7,96 +7,98 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// Costs by which the oracle compares upstreams and foresees an end, in ms: a
-// token's part of a step in a usual batch, a whole step of a light batch, a
-// prompt token's computing, and a whole step of a full batch.
+// Costs, in ms, by which the oracle compares upstreams and predicts the end of
+// a call: a token's share of a step in a usual batch, a whole step of a light
+// batch, the computation of a prompt token, and a whole step of a full batch.
 const (
-	shareCost  = 0.4
-	stepCost   = 14
-	promptCost = 0.03
-	fullCost   = 18
+	batchTokenCost = 0.4
+	lightStepCost  = 14
+	promptCost     = 0.03
+	fullStepCost   = 18
 )
 
-// oracleDepth is how many queued calls the oracle looks at per turn. The order
-// puts the best first, so that more changes nothing that shows.
-const oracleDepth = 64
+// maxOracleScan is the maximum number of queued calls that the oracle examines
+// per poll. The queue is sorted best first, so that a deeper scan makes no
+// visible difference.
+const maxOracleScan = 64
 
 // oracle is a gate that knows all output lengths.
 type oracle struct {
 	upstream *upstream
 	peers    []*oracle
 	order    func(a, b *call) int
-	steal    bool
-	line     []*call
-	batch    []load
+	canSteal bool
+	queue    []*call
+	batch    []callMemory
 }
 
-// load is what a running call still does to memory: what it holds and how many
-// steps it holds on.
-type load struct {
-	held, left int
+// callMemory is the future memory use of a running call: the tokens that it
+// holds now and the number of steps until it ends.
+type callMemory struct {
+	heldTokens, remainingTokens int
 }
 
-// oraclePolicy knows lengths and orders freely. No order is the best for every
-// load: the driver runs the orders of oracleOrders and keeps the best run.
+// oraclePolicy knows all output lengths and orders calls freely. No order is
+// best for every load, so job.measure runs all orders of oracleOrders and
+// keeps the best run.
 func oraclePolicy() policy {
 	return policy{
-		name: "oracle",
-		text: "lengths known, exact peak of memory, the best of several orders, work moves to idle engines",
+		name:        "oracle",
+		description: "lengths known, exact peak of memory, the best of several orders, work moves to idle engines",
 	}
 }
 
-// oracleOrders returns the oracle's candidates.
+// oracleOrders returns the candidate orders of the oracle.
 func oracleOrders() []policy {
 	return []policy{
-		oracleOrdered("oracle/short", byWork, true),
-		oracleOrdered("oracle/due", byDeadline, true),
-		oracleOrdered("oracle/fifo", byArrival, true),
-		careful(oracleOrdered("oracle/careful", byDeadline, true)),
+		newOraclePolicy("oracle/short", byWork, true),
+		newOraclePolicy("oracle/due", byDeadline, true),
+		newOraclePolicy("oracle/fifo", byArrival, true),
+		withFullStepEstimate(newOraclePolicy("oracle/careful", byDeadline, true)),
 	}
 }
 
-// peakPolicy knows lengths but keeps the queue and the routes of the
-// baselines: what knowing the lengths alone is worth.
+// peakPolicy knows the output lengths but keeps the queue and the routing of
+// the baselines; it shows the benefit of known lengths alone.
 func peakPolicy() policy {
-	return oracleOrdered("peak", byArrival, false)
+	return newOraclePolicy("peak", byArrival, false)
 }
 
-func oracleOrdered(name string, order func(a, b *call) int, free bool) policy {
+func newOraclePolicy(name string, order func(a, b *call) int, isFree bool) policy {
 	return policy{
-		name: name,
-		text: "least connections, FIFO, lengths known, exact peak of memory",
+		name:        name,
+		description: "least connections, FIFO, lengths known, exact peak of memory",
 		build: func(_ ScenarioSpec, us []*upstream, _ uint64) router {
 			peers := make([]*oracle, len(us))
 			for i, u := range us {
-				if u.step == 0 {
-					u.step = stepCost
+				if u.stepEstimate == 0 {
+					u.stepEstimate = lightStepCost
 				}
 				peers[i] = &oracle{
 					upstream: u,
 					order:    order,
-					steal:    free,
+					canSteal: isFree,
 				}
 				u.gate = peers[i].gate()
 			}
 			for _, o := range peers {
 				o.peers = peers
 			}
-			if free {
-				return least(us, (*upstream).backlog)
+			if isFree {
+				return lowestCost(us, (*upstream).completionEstimate)
 			}
 			return leastConnections(us)
 		},
 	}
 }
 
-// careful returns p with upstreams that expect the step of a full batch, so that
-// less is begun that ends too late.
-func careful(p policy) policy {
+// withFullStepEstimate returns p with upstreams that assume the step duration
+// of a full batch, so that fewer calls are started that miss their deadline.
+func withFullStepEstimate(p policy) policy {
 	build := p.build
 	p.build = func(s ScenarioSpec, us []*upstream, seed uint64) router {
 		for _, u := range us {
-			u.step = fullCost
+			u.stepEstimate = fullStepCost
 		}
 		return build(s, us, seed)
 	}
@@ -104,7 +106,7 @@
 }
 
 func byWork(a, b *call) int {
-	return a.work() - b.work()
+	return a.memorySteps() - b.memorySteps()
 }
 
 func byDeadline(a, b *call) int {
@@ -115,21 +117,22 @@
 	return a.index - b.index
 }
 
-// work returns the memory that c takes, summed over its steps.
-func (c *call) work() int {
+// memorySteps returns the memory that c occupies, summed over its steps.
+func (c *call) memorySteps() int {
 	out := c.sequence.Output
 	return (c.sequence.Prompt + out/2) * out
 }
 
-// backlog returns the ms until c would be done at u.
-func (u *upstream) backlog(c *call) float64 {
+// completionEstimate returns the estimated time in ms until c would finish at
+// u.
+func (u *upstream) completionEstimate(c *call) float64 {
 	tokens := 0
 	for _, other := range u.calls {
-		tokens += other.left()
+		tokens += other.remainingTokens()
 	}
 	uncached := c.sequence.Prompt - u.engine.Cached(c.sequence.Prefix)
-	cost := shareCost*float64(tokens) + promptCost*float64(uncached)
-	cost += u.step * float64(c.left())
+	cost := batchTokenCost*float64(tokens) + promptCost*float64(uncached)
+	cost += u.stepEstimate * float64(c.remainingTokens())
 	return cost / u.engine.Spec().Speed
 }
 
@@ -138,44 +141,44 @@
 	return gate{
 		submit:   o.submit,
 		poll:     o.poll,
-		withdraw: o.leave,
+		withdraw: o.remove,
 	}
 }
 
 func (o *oracle) submit(_ mgclock.Millis, c *call) *mgproblem.Problem {
-	at, _ := slices.BinarySearchFunc(o.line, c, o.order)
-	o.line = slices.Insert(o.line, at, c)
+	at, _ := slices.BinarySearchFunc(o.queue, c, o.order)
+	o.queue = slices.Insert(o.queue, at, c)
 	return nil
 }
 
-// leave forgets a call, which may have been handed to a peer.
-func (o *oracle) leave(_ mgclock.Millis, c *call) {
+// remove deletes a call, which may have been passed to a peer.
+func (o *oracle) remove(_ mgclock.Millis, c *call) {
 	for _, p := range o.peers {
-		if i := slices.Index(p.line, c); i >= 0 {
-			p.line = slices.Delete(p.line, i, i+1)
+		if i := slices.Index(p.queue, c); i >= 0 {
+			p.queue = slices.Delete(p.queue, i, i+1)
 		}
 	}
 }
 
-// poll starts what fits the future, in order, then what idle engines can take
-// from others' lines.
+// poll starts the queued calls that fit, in order. If the order is free and
+// the queue is empty, it then starts calls from the queues of its peers.
 func (o *oracle) poll(now mgclock.Millis, dst []verdict) []verdict {
 	o.batch = o.batch[:0]
 	for _, c := range o.upstream.calls {
 		if c.state == running {
-			o.batch = append(o.batch, load{
-				held: c.held(),
-				left: c.left(),
+			o.batch = append(o.batch, callMemory{
+				heldTokens:      c.heldTokens(),
+				remainingTokens: c.remainingTokens(),
 			})
 		}
 	}
-	dst = o.take(now, o, dst)
-	if !o.steal || len(o.line) > 0 || o.upstream.leaving {
+	dst = o.startFitting(now, o, dst)
+	if !o.canSteal || len(o.queue) > 0 || o.upstream.isLeaving {
 		return dst
 	}
 	for _, other := range o.peers {
 		if other != o {
-			dst = o.take(now, other, dst)
+			dst = o.startFitting(now, other, dst)
 		}
 	}
 	return dst
@@ -184,85 +187,86 @@
 // tooLate is the oracle's refusal.
 var tooLate = mgproblem.New(mgproblem.Late, mgproblem.NotRun, "no time is left", "ask with a later deadline")
 
-// take starts calls of a line that fit. With a free order, calls that can't be
-// in time any more are given up and calls that don't fit are passed over.
-func (o *oracle) take(now mgclock.Millis, from *oracle, dst []verdict) []verdict {
-	line := from.line
-	from.line = line[:0:0]
-	for i, c := range line {
+// startFitting starts the calls of a queue that fit. If the order is free, it
+// gives up calls that can no longer meet their deadline and skips calls that
+// don't fit.
+func (o *oracle) startFitting(now mgclock.Millis, from *oracle, dst []verdict) []verdict {
+	queue := from.queue
+	from.queue = queue[:0:0]
+	for i, c := range queue {
 		full := len(o.batch) >= o.upstream.engine.Spec().Batch
-		if full || i >= oracleDepth {
-			from.line = append(from.line, line[i:]...)
+		if full || i >= maxOracleScan {
+			from.queue = append(from.queue, queue[i:]...)
 			return dst
 		}
 		switch {
-		case o.steal && o.hopeless(now, c):
-			dst = o.pass(now, c, from, dst)
-		case o.fits(c):
+		case o.canSteal && o.isTooLate(now, c):
+			dst = o.passToFastest(now, c, from, dst)
+		case o.reserveIfFits(c):
 			dst = append(dst, verdict{
 				call: c,
 			})
-		case o.steal:
-			from.line = append(from.line, c)
+		case o.canSteal:
+			from.queue = append(from.queue, c)
 		default:
-			from.line = append(from.line, line[i:]...)
+			from.queue = append(from.queue, queue[i:]...)
 			return dst
 		}
 	}
 	return dst
 }
 
-// pass gives c up if the quickest peer can't do it in time either. Else c stays
-// in that peer's line or moves to it.
-func (o *oracle) pass(now mgclock.Millis, c *call, from *oracle, dst []verdict) []verdict {
-	quickest := o.quickest()
+// passToFastest gives c up if the fastest peer can't meet its deadline either.
+// Otherwise c stays in that peer's queue or moves to it.
+func (o *oracle) passToFastest(now mgclock.Millis, c *call, from *oracle, dst []verdict) []verdict {
+	fastest := o.fastestPeer()
 	switch {
-	case quickest.hopeless(now, c):
+	case fastest.isTooLate(now, c):
 		return append(dst, verdict{
 			call:    c,
 			problem: tooLate,
 		})
-	case quickest == from:
-		from.line = append(from.line, c)
+	case fastest == from:
+		from.queue = append(from.queue, c)
 	default:
-		quickest.submit(now, c)
+		fastest.submit(now, c)
 	}
 	return dst
 }
 
-// quickest returns the quickest peer that takes work. What a slow upstream
-// can't do in time goes to its line.
-func (o *oracle) quickest() *oracle {
+// fastestPeer returns the fastest peer that accepts work. Calls whose deadline
+// a slow upstream can't meet go to its queue.
+func (o *oracle) fastestPeer() *oracle {
 	chosen := o
 	for _, p := range o.peers {
 		faster := p.upstream.engine.Spec().Speed > chosen.upstream.engine.Spec().Speed
-		if !p.upstream.leaving && faster {
+		if !p.upstream.isLeaving && faster {
 			chosen = p
 		}
 	}
 	return chosen
 }
 
-// hopeless reports whether c can't be in time even in a light batch.
-func (o *oracle) hopeless(now mgclock.Millis, c *call) bool {
-	least := o.upstream.step * float64(c.left()) / o.upstream.engine.Spec().Speed
-	return float64(now)+least > c.deadline
+// isTooLate reports whether c misses its deadline even in a light batch.
+func (o *oracle) isTooLate(now mgclock.Millis, c *call) bool {
+	minDuration := o.upstream.stepEstimate * float64(c.remainingTokens()) / o.upstream.engine.Spec().Speed
+	return float64(now)+minDuration > c.deadline
 }
 
-// fits reports whether the peak of memory stays within bounds with c, and
-// counts c in if so. All calls grow by a token per step until their ends, so
-// that the peak is at one of the ends.
-func (o *oracle) fits(c *call) bool {
-	own := load{
-		held: c.held(),
-		left: c.left(),
+// reserveIfFits reports whether the future peak of memory stays within bounds
+// with c, and adds c to the batch if so. All calls grow by one token per step
+// until they end, so that the peak coincides with the end of a call.
+func (o *oracle) reserveIfFits(c *call) bool {
+	own := callMemory{
+		heldTokens:      c.heldTokens(),
+		remainingTokens: c.remainingTokens(),
 	}
 	batch := append(o.batch, own)
-	slices.SortFunc(batch, func(a, b load) int { return a.left - b.left })
+	slices.SortFunc(batch, func(a, b callMemory) int { return a.remainingTokens - b.remainingTokens })
 	sum, peak := 0, 0
 	for i := len(batch) - 1; i >= 0; i-- {
-		sum += batch[i].held
-		peak = max(peak, sum+batch[i].left*(len(batch)-i))
+		sum += batch[i].heldTokens
+		peak = max(peak, sum+batch[i].remainingTokens*(len(batch)-i))
 	}
 	if peak <= o.upstream.engine.Spec().Memory {
 		o.batch = batch
--- a/internal/bench/mgbench/plot.go
+++ b/internal/bench/mgbench/plot.go
@@ -21,13 +21,14 @@
 	plotHeight  = 13 * vg.Centimeter
 	tileHeight  = 7 * vg.Centimeter
 	barWidth    = 14 * vg.Millimeter
-	barInch     = 2.4 * vg.Centimeter
+	widthPerBar = 2.4 * vg.Centimeter
 	lineWidth   = 1.5
 	glyphRadius = 4
 )
 
-// palette holds colours that can be told apart, also by the colour-blind (Okabe
-// and Ito 2008), in the order of use; dashes tell the later rounds apart.
+// palette holds colours that remain distinguishable for colour-blind readers
+// (Okabe and Ito 2008), in order of use. When colours repeat, dashes
+// distinguish the lines.
 var palette = []color.RGBA{
 	{R: 0x00, G: 0x72, B: 0xb2, A: 0xff},
 	{R: 0xd5, G: 0x5e, B: 0x00, A: 0xff},
@@ -38,8 +39,8 @@
 	{R: 0x00, G: 0x00, B: 0x00, A: 0xff},
 }
 
-// style returns the i-th line style.
-func style(i int) draw.LineStyle {
+// lineStyle returns the i-th line style.
+func lineStyle(i int) draw.LineStyle {
 	line := draw.LineStyle{
 		Color: palette[i%len(palette)],
 		Width: vg.Points(lineWidth),
@@ -52,22 +53,22 @@
 
 // writePlots writes the plots of a scenario to a directory.
 func writePlots(dir string, s ScenarioSpec, policies []policy, runs []run) error {
-	policies = s.playable(policies)
+	policies = s.playablePolicies(policies)
 	tail := plotTail(s, policies, runs)
 	if err := save(tail, plotWidth, plotHeight, dir, "tail-"+s.Name); err != nil {
 		return err
 	}
 	for _, name := range []string{"stall", "preempts", "goodput", "p99"} {
-		bars, err := plotBars(s, policies, runs, figureNamed(name))
+		bars, err := plotBars(s, policies, runs, figureByName(name))
 		if err != nil {
 			return fmt.Errorf("plot: %w", err)
 		}
-		width := barInch * vg.Length(len(policies)+1)
+		width := widthPerBar * vg.Length(len(policies)+1)
 		if err := save(bars, width, plotHeight, dir, name+"-"+s.Name); err != nil {
 			return err
 		}
 	}
-	front, err := plotFront(s, policies, runs)
+	front, err := plotTradeOff(s, policies, runs)
 	if err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// plotTail draws the share of gaps between tokens that are longer than a time.
+// plotTail draws the complementary distribution of the gaps between tokens.
 func plotTail(s ScenarioSpec, policies []policy, runs []run) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = s.Name + ": gaps between tokens"
@@ -97,9 +98,9 @@
 	for i, o := range policies {
 		line, err := plotter.NewLine(tailOf(runsOf(runs, s.Name, o.name)))
 		if err != nil {
-			continue // a policy under which nothing was answered has no gaps
+			continue // a policy without tokens has no gaps
 		}
-		line.LineStyle = style(i)
+		line.LineStyle = lineStyle(i)
 		p.Add(line)
 		p.Legend.Add(o.name, line)
 	}
@@ -107,63 +108,64 @@
 	return p
 }
 
-// tailLeast is the smallest share that a tail shows: below it a point stands
-// for a few gaps only.
-const tailLeast = 1e-6
+// minTailShare is the smallest share in a tail plot: below it a point stands
+// for only a few gaps.
+const minTailShare = 1e-6
 
-// tailOf returns the tail of the gaps of runs.
+// tailOf returns the complementary distribution of the gaps of runs.
 func tailOf(runs []run) plotter.XYs {
-	all := newHistogram()
+	gaps := newHistogram()
 	for _, r := range runs {
-		all.Merge(r.meter.between)
+		gaps.Merge(r.meter.tokenGaps)
 	}
 	var points plotter.XYs
-	total := float64(all.TotalCount())
-	seen := 0.0
-	for _, bar := range all.Distribution() {
-		seen += float64(bar.Count)
-		rest := 1 - seen/total
-		if bar.Count == 0 || rest < tailLeast {
+	total := float64(gaps.TotalCount())
+	countedGaps := 0.0
+	for _, bar := range gaps.Distribution() {
+		countedGaps += float64(bar.Count)
+		tailShare := 1 - countedGaps/total
+		if bar.Count == 0 || tailShare < minTailShare {
 			continue
 		}
 		points = append(points, plotter.XY{
 			X: middle(bar),
-			Y: rest,
+			Y: tailShare,
 		})
 	}
 	return points
 }
 
-// middle returns the middle of a bar in ms.
+// middle returns the midpoint of a histogram bar in ms.
 func middle(bar hdrhistogram.Bar) float64 {
 	return float64(bar.From+bar.To) / 2 * microsecond
 }
 
-// spreads holds the medians and ranges of bars, for plotter.NewYErrorBars.
-type spreads struct {
+// barRanges holds the medians and ranges of bars, for plotter.NewYErrorBars.
+type barRanges struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// plotBars draws a figure's median per policy, with the range over the seeds.
+// plotBars draws a figure's median for each policy, with the range over the
+// seeds.
 func plotBars(s ScenarioSpec, policies []policy, runs []run, f figure) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text = s.Name + ": " + f.head + ", median and range"
-	p.Y.Label.Text = f.head
+	p.Title.Text = s.Name + ": " + f.heading + ", median and range"
+	p.Y.Label.Text = f.heading
 	p.Y.Min = 0
 	var values plotter.Values
-	var errors spreads
+	var errors barRanges
 	var names []string
 	for i, o := range policies {
-		median, least, most := spreadOf(runsOf(runs, s.Name, o.name), f)
+		median, minimum, maximum := medianAndRange(runsOf(runs, s.Name, o.name), f)
 		values = append(values, median)
 		errors.XYs = append(errors.XYs, plotter.XY{
 			X: float64(i),
 			Y: median,
 		})
 		errors.YErrors = append(errors.YErrors, struct{ Low, High float64 }{
-			Low:  median - least,
-			High: most - median,
+			Low:  median - minimum,
+			High: maximum - median,
 		})
 		names = append(names, o.name)
 	}
@@ -181,32 +183,35 @@
 	return p, nil
 }
 
-// frontLeast is what stands for nothing on the front's logarithmic scale.
-const frontLeast = 0.01
+// minPreemptions replaces zero on the logarithmic axis of the trade-off plot.
+const minPreemptions = 0.01
 
-// frontMargin is the part of the front's width that the legend takes.
-const frontMargin = 0.35
+// legendMargin is the fraction of the trade-off plot's width reserved for the
+// legend.
+const legendMargin = 0.35
 
-// edgeMargin keeps the outermost glyph whole.
+// edgeMargin is the fraction of the width that keeps the outermost glyph from
+// being clipped.
 const edgeMargin = 0.03
 
-// plotFront draws each policy by what the services of each preference mind: the
-// gaps of those that prefer steady tokens, the preemptions of the others.
-func plotFront(s ScenarioSpec, policies []policy, runs []run) (*plot.Plot, error) {
+// plotTradeOff draws a point for each policy: the gaps of the services that
+// prefer steady tokens against the preemptions of the services that prefer
+// whole answers.
+func plotTradeOff(s ScenarioSpec, policies []policy, runs []run) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = s.Name + ": steady tokens against preemptions, medians"
 	p.X.Label.Text = "steady services: p99 between tokens, ms"
-	p.Y.Label.Text = fmt.Sprintf("whole services: preemptions per 100, at least %g", frontLeast)
+	p.Y.Label.Text = fmt.Sprintf("whole services: preemptions per 100, at least %g", minPreemptions)
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	p.Add(plotter.NewGrid())
 	p.Legend.Top, p.Legend.Left = true, true
 	for i, o := range policies {
 		own := runsOf(runs, s.Name, o.name)
-		x, _, _ := spreadOf(own, figureNamed("steady99"))
-		y, _, _ := spreadOf(own, figureNamed("wholepreempts"))
+		x, _, _ := medianAndRange(own, figureByName("steady99"))
+		y, _, _ := medianAndRange(own, figureByName("wholepreempts"))
 		point, err := plotter.NewScatter(plotter.XYs{{
 			X: x,
-			Y: max(y, frontLeast),
+			Y: max(y, minPreemptions),
 		}})
 		if err != nil {
 			return nil, err
@@ -220,20 +225,20 @@
 		p.Legend.Add(o.name, point)
 	}
 	width := p.X.Max - p.X.Min
-	p.X.Min -= frontMargin * width
+	p.X.Min -= legendMargin * width
 	p.X.Max += edgeMargin * width
-	p.Y.Min, p.Y.Max = frontLeast/2, max(p.Y.Max, 1)
+	p.Y.Min, p.Y.Max = minPreemptions/2, max(p.Y.Max, 1)
 	return p, nil
 }
 
 // plotShares draws the weight-normalized service of each account over time,
-// under each policy, of the first seed.
+// one tile per policy, for the first seed.
 func plotShares(path string, s ScenarioSpec, policies []policy, runs []run) error {
 	plots := make([][]*plot.Plot, 0, len(policies))
-	most := 0.0
+	maxY := 0.0
 	for _, o := range policies {
 		p := plotShare(s, o, runsOf(runs, s.Name, o.name)[0])
-		most = max(most, p.Y.Max)
+		maxY = max(maxY, p.Y.Max)
 		plots = append(plots, []*plot.Plot{p})
 	}
 	canvas := vgimg.New(plotWidth, tileHeight*vg.Length(len(plots)))
@@ -243,14 +248,14 @@
 		PadY: vg.Points(8),
 	}
 	for i, row := range plot.Align(plots, tiles, draw.New(canvas)) {
-		plots[i][0].Y.Max = most
+		plots[i][0].Y.Max = maxY
 		plots[i][0].Draw(row[0])
 	}
 	return writePNG(path, canvas)
 }
 
-// plotShare draws one policy's tile. The legend names the first accounts, which
-// are the large ones, as more would cover the lines.
+// plotShare draws the tile of one policy. The legend names only the first
+// accounts, which are the largest, since more names would cover the lines.
 func plotShare(s ScenarioSpec, o policy, r run) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = s.Name + ", " + o.name + ": service per weight"
@@ -262,21 +267,21 @@
 		points := make(plotter.XYs, len(r.meter.accounts[i].shares))
 		for k, tokens := range r.meter.accounts[i].shares {
 			points[k] = plotter.XY{
-				X: float64(k+1) * window / 1000,
-				Y: tokens / a.Weight / (window / 1000),
+				X: float64(k+1) * fairnessWindow / 1000,
+				Y: tokens / a.Weight / (fairnessWindow / 1000),
 			}
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
 			continue // a run shorter than a window has no points
 		}
-		line.LineStyle = style(i)
+		line.LineStyle = lineStyle(i)
 		p.Add(line)
 		if i < len(palette) {
 			p.Legend.Add(fmt.Sprintf("%s, weight %g", a.Name, a.Weight), line)
 		}
 	}
-	p.X.Max = s.Span * 1.3 // leaves room for the legend
+	p.X.Max = s.Duration * 1.3 // leaves space for the legend
 	return p
 }
 
--- a/internal/bench/mgbench/report.go
+++ b/internal/bench/mgbench/report.go
@@ -10,17 +10,17 @@
 	"text/tabwriter"
 )
 
-// writeTable writes a scenario's runs as a table of medians, with the range
-// over the seeds below when there are several.
+// writeTable writes a scenario's medians as a table, with the range over the
+// seeds below each row if there are several runs.
 func writeTable(w io.Writer, s ScenarioSpec, policies []policy, runs []run) error {
-	fmt.Fprintf(w, "%s: %s\n", s.Name, s.Text)
+	fmt.Fprintf(w, "%s: %s\n", s.Name, s.Description)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "policy\t")
 	for _, f := range figuresOf(s) {
-		fmt.Fprint(t, f.head, "\t")
+		fmt.Fprint(t, f.heading, "\t")
 	}
 	fmt.Fprintln(t)
-	for _, p := range s.playable(policies) {
+	for _, p := range s.playablePolicies(policies) {
 		writeRow(t, figuresOf(s), p.name, runsOf(runs, s.Name, p.name))
 	}
 	if err := t.Flush(); err != nil {
@@ -33,8 +33,8 @@
 func writeRow(w io.Writer, figures []figure, name string, runs []run) {
 	fmt.Fprint(w, name, "\t")
 	for _, f := range figures {
-		median, _, _ := spreadOf(runs, f)
-		fmt.Fprint(w, number(median, f.digits), "\t")
+		median, _, _ := medianAndRange(runs, f)
+		fmt.Fprint(w, formatNumber(median, f.digits), "\t")
 	}
 	fmt.Fprintln(w)
 	if len(runs) < 2 {
@@ -42,13 +42,13 @@
 	}
 	fmt.Fprint(w, "\t")
 	for _, f := range figures {
-		_, least, most := spreadOf(runs, f)
-		fmt.Fprint(w, number(least, f.digits), "..", number(most, f.digits), "\t")
+		_, minimum, maximum := medianAndRange(runs, f)
+		fmt.Fprint(w, formatNumber(minimum, f.digits), "..", formatNumber(maximum, f.digits), "\t")
 	}
 	fmt.Fprintln(w)
 }
 
-func number(x float64, digits int) string {
+func formatNumber(x float64, digits int) string {
 	if math.IsNaN(x) {
 		return "-"
 	}
@@ -77,63 +77,65 @@
 	return nil
 }
 
-// summarized are the figures that get a table of their own over all scenarios.
+// summarized lists the figures that get a table of their own over all
+// scenarios.
 var summarized = []string{"goodput", "tokens", "preempts", "stall", "p99", "first50", "away", "jain", "steady99", "steady999", "wholestall", "wholepreempts"}
 
-// writeSummary writes a Markdown table of medians for each main figure.
+// writeSummary writes a Markdown table of medians for each figure in
+// summarized.
 func writeSummary(w io.Writer, scenarios []ScenarioSpec, policies []policy, runs []run) error {
-	text := new(strings.Builder)
+	page := new(strings.Builder)
 	for _, name := range summarized {
-		f := figureNamed(name)
-		fmt.Fprintf(text, "### %s\n\n| policy |", f.head)
+		f := figureByName(name)
+		fmt.Fprintf(page, "### %s\n\n| policy |", f.heading)
 		for _, s := range scenarios {
-			fmt.Fprintf(text, " %s |", s.Name)
+			fmt.Fprintf(page, " %s |", s.Name)
 		}
-		fmt.Fprintf(text, "\n|---|%s\n", strings.Repeat("---|", len(scenarios)))
+		fmt.Fprintf(page, "\n|---|%s\n", strings.Repeat("---|", len(scenarios)))
 		for _, p := range policies {
-			fmt.Fprintf(text, "| %s |", p.name)
+			fmt.Fprintf(page, "| %s |", p.name)
 			for _, s := range scenarios {
-				median, _, _ := spreadOf(runsOf(runs, s.Name, p.name), f)
-				fmt.Fprintf(text, " %s |", number(median, f.digits))
+				median, _, _ := medianAndRange(runsOf(runs, s.Name, p.name), f)
+				fmt.Fprintf(page, " %s |", formatNumber(median, f.digits))
 			}
-			fmt.Fprintln(text)
+			fmt.Fprintln(page)
 		}
-		fmt.Fprintln(text)
+		fmt.Fprintln(page)
 	}
-	if _, err := io.WriteString(w, text.String()); err != nil {
+	if _, err := io.WriteString(w, page.String()); err != nil {
 		return fmt.Errorf("summary: %w", err)
 	}
 	return nil
 }
 
-// writePages writes all scenarios as Markdown tables: medians, with the ranges
-// over the seeds in brackets.
+// writePages writes a Markdown table for each scenario: medians, with the
+// ranges over the seeds in parentheses.
 func writePages(w io.Writer, scenarios []ScenarioSpec, policies []policy, runs []run) error {
-	text := new(strings.Builder)
+	page := new(strings.Builder)
 	for _, s := range scenarios {
-		fmt.Fprintf(text, "### %s\n\n%s.\n\n| policy |", s.Name, s.Text)
+		fmt.Fprintf(page, "### %s\n\n%s.\n\n| policy |", s.Name, s.Description)
 		for _, f := range figuresOf(s) {
-			fmt.Fprintf(text, " %s |", f.head)
+			fmt.Fprintf(page, " %s |", f.heading)
 		}
-		fmt.Fprintf(text, "\n|---|%s\n", strings.Repeat("---|", len(figuresOf(s))))
-		for _, p := range s.playable(policies) {
-			pageRow(text, figuresOf(s), p.name, runsOf(runs, s.Name, p.name))
+		fmt.Fprintf(page, "\n|---|%s\n", strings.Repeat("---|", len(figuresOf(s))))
+		for _, p := range s.playablePolicies(policies) {
+			writePageRow(page, figuresOf(s), p.name, runsOf(runs, s.Name, p.name))
 		}
-		fmt.Fprintln(text)
+		fmt.Fprintln(page)
 	}
-	if _, err := io.WriteString(w, text.String()); err != nil {
+	if _, err := io.WriteString(w, page.String()); err != nil {
 		return fmt.Errorf("tables: %w", err)
 	}
 	return nil
 }
 
-func pageRow(w io.Writer, figures []figure, name string, runs []run) {
+func writePageRow(w io.Writer, figures []figure, name string, runs []run) {
 	fmt.Fprintf(w, "| %s |", name)
 	for _, f := range figures {
-		median, least, most := spreadOf(runs, f)
-		fmt.Fprintf(w, " %s", number(median, f.digits))
-		if least < most {
-			fmt.Fprintf(w, " (%s to %s)", number(least, f.digits), number(most, f.digits))
+		median, minimum, maximum := medianAndRange(runs, f)
+		fmt.Fprintf(w, " %s", formatNumber(median, f.digits))
+		if minimum < maximum {
+			fmt.Fprintf(w, " (%s to %s)", formatNumber(minimum, f.digits), formatNumber(maximum, f.digits))
 		}
 		fmt.Fprint(w, " |")
 	}
--- a/internal/bench/mgbench/workload.go
+++ b/internal/bench/mgbench/workload.go
@@ -10,18 +10,19 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/bench/mgmodel"
 )
 
-// request is one request of a workload. It is the same for each policy.
+// request is one request of a workload. It is the same under each policy.
 type request struct {
 	index    int
 	account  int
 	service  int
 	arrival  float64 // ms
 	deadline float64 // ms
-	jitter   float64 // 0 to 1, for the client's waits
+	jitter   float64 // 0 to 1, for the client's retry waits
 	sequence mgmodel.Sequence
 }
 
-// workload is what the clients of a scenario send under one seed.
+// workload holds the requests that the clients of a scenario send for one
+// seed.
 type workload struct {
 	scenario ScenarioSpec
 	requests []request
@@ -29,34 +30,35 @@
 
 // sampler draws the random numbers of a workload.
 type sampler struct {
-	scenario ScenarioSpec
-	source   rand.Source
-	uniform  distuv.Uniform
-	services distuv.Categorical
-	block    int
-	bursting bool
-	turn     float64 // when the burst state ends or begins, ms
+	scenario    ScenarioSpec
+	source      rand.Source
+	uniform     distuv.Uniform
+	services    distuv.Categorical
+	block       int
+	bursting    bool
+	stateEndsAt float64 // time of the next change between burst and calm, ms
 }
 
-// newWorkload draws the requests of s under seed.
+// newWorkload draws the requests of s for a seed.
 func newWorkload(s ScenarioSpec, seed uint64) *workload {
 	d := newSampler(s, seed)
 	w := &workload{
 		scenario: s,
 	}
-	now := d.next(0)
-	for now < s.Span*1000 {
+	now := d.nextArrival(0)
+	for now < s.Duration*1000 {
 		w.requests = append(w.requests, d.request(len(w.requests), now))
-		now = d.next(now)
+		now = d.nextArrival(now)
 	}
 	return w
 }
 
-// stream separates the bench's random numbers from other uses of a seed.
-const stream = 0x6d617267
+// randomStream separates the benchmark's random numbers from other uses of a
+// seed.
+const randomStream = 0x6d617267
 
 func newSampler(s ScenarioSpec, seed uint64) *sampler {
-	source := rand.NewPCG(seed, stream)
+	source := rand.NewPCG(seed, randomStream)
 	d := &sampler{
 		scenario: s,
 		source:   source,
@@ -71,9 +73,9 @@
 		weights[i] = service.Share
 	}
 	d.services = distuv.NewCategorical(weights, source)
-	d.turn = math.Inf(1)
+	d.stateEndsAt = math.Inf(1)
 	if s.Burst.Factor > 0 {
-		d.turn = d.exponential(s.Burst.Calm * 1000)
+		d.stateEndsAt = d.exponential(s.Burst.CalmDuration * 1000)
 	}
 	return d
 }
@@ -85,34 +87,35 @@
 	}.Rand()
 }
 
-// next draws the arrival after now. A draw that passes the next turn of the
-// rate is drawn again from there, which changes nothing in distribution, as
-// the exponential has no memory.
-func (d *sampler) next(now float64) float64 {
+// nextArrival draws the time of the arrival after now. A draw beyond the next
+// state change is discarded and drawn again from that change on, which leaves
+// the distribution unchanged because the exponential distribution is
+// memoryless.
+func (d *sampler) nextArrival(now float64) float64 {
 	for {
-		at := now + d.exponential(d.meanGap(now))
-		if at < d.turn {
+		at := now + d.exponential(d.meanInterarrival(now))
+		if at < d.stateEndsAt {
 			return at
 		}
-		now = d.turn
+		now = d.stateEndsAt
 		d.bursting = !d.bursting
-		stay := d.scenario.Burst.Calm
+		meanDuration := d.scenario.Burst.CalmDuration
 		if d.bursting {
-			stay = d.scenario.Burst.Burst
+			meanDuration = d.scenario.Burst.BurstDuration
 		}
-		d.turn = now + d.exponential(stay*1000)
+		d.stateEndsAt = now + d.exponential(meanDuration*1000)
 	}
 }
 
-// meanGap returns the mean time in ms between arrivals at now.
-func (d *sampler) meanGap(now float64) float64 {
+// meanInterarrival returns the mean time in ms between arrivals at now.
+func (d *sampler) meanInterarrival(now float64) float64 {
 	s := d.scenario
-	rate := s.Rate * s.Load * float64(s.Engines) * d.phase(now).Rate * s.Burst.factor(d.bursting)
+	rate := s.SaturationRate * s.Load * float64(s.Engines) * d.phase(now).Rate * s.Burst.factor(d.bursting)
 	return 1000 / rate
 }
 
 // factor returns the factor on the mean rate in the burst or the calm state.
-// The calm one keeps the mean.
+// The rate in the calm state is chosen so that the mean is kept.
 func (b BurstSpec) factor(bursting bool) float64 {
 	switch {
 	case b.Factor == 0:
@@ -120,18 +123,18 @@
 	case bursting:
 		return b.Factor
 	default:
-		return (b.Burst + b.Calm - b.Factor*b.Burst) / b.Calm
+		return (b.BurstDuration + b.CalmDuration - b.Factor*b.BurstDuration) / b.CalmDuration
 	}
 }
 
-// phase returns the phase that holds at now.
+// phase returns the phase in effect at now.
 func (d *sampler) phase(now float64) PhaseSpec {
 	current := PhaseSpec{
 		Rate:   1,
 		Length: 1,
 	}
 	for _, p := range d.scenario.Phases {
-		if now >= p.From*d.scenario.Span*1000 {
+		if now >= p.From*d.scenario.Duration*1000 {
 			current = p
 		}
 	}
@@ -160,33 +163,33 @@
 	}
 }
 
-// account draws an account among those that have come by now.
+// account draws an account among those that are active at now.
 func (d *sampler) account(now float64) int {
-	part := now / (d.scenario.Span * 1000)
+	runFraction := now / (d.scenario.Duration * 1000)
 	total := 0.0
 	for _, a := range d.scenario.Accounts {
-		if part >= a.From {
+		if runFraction >= a.From {
 			total += a.Share
 		}
 	}
-	left := d.uniform.Rand() * total
+	remaining := d.uniform.Rand() * total
 	for i, a := range d.scenario.Accounts {
-		if part < a.From {
+		if runFraction < a.From {
 			continue
 		}
-		left -= a.Share
-		if left < 0 {
+		remaining -= a.Share
+		if remaining < 0 {
 			return i
 		}
 	}
 	return 0
 }
 
-// length draws a number of tokens, stretched by a factor.
+// length draws a number of tokens, scaled by a factor.
 func (d *sampler) length(s LengthSpec, factor float64) int {
 	median := s.Median
-	if s.Share > 0 && d.uniform.Rand() < s.Share {
-		median = s.Far
+	if s.SecondWeight > 0 && d.uniform.Rand() < s.SecondWeight {
+		median = s.SecondMedian
 	}
 	n := distuv.LogNormal{
 		Mu:    math.Log(median * factor),
@@ -196,11 +199,12 @@
 	return min(max(int(n), 1), s.Limit)
 }
 
-// prefix returns the hashes of a prompt's whole blocks. The leading ones, a
-// part of the service's median prompt, are common to the account's requests.
+// prefix returns the hashes of a prompt's complete blocks. The leading ones, a
+// fraction of the service's median prompt, are common to the account's
+// requests.
 func (d *sampler) prefix(index, account, service, prompt int) []uint64 {
 	spec := d.scenario.Services[service]
-	common := int(spec.Common*spec.Prompt.Median) / d.block
+	common := int(spec.SharedPrefix*spec.Prompt.Median) / d.block
 	blocks := make([]uint64, prompt/d.block)
 	for i := range blocks {
 		owner := uint64(account)<<8 | uint64(service)
--- a/internal/bench/mgmodel/cache.go
+++ b/internal/bench/mgmodel/cache.go
@@ -2,22 +2,23 @@
 
 import "container/list"
 
-// cache is the prefix cache: block hashes, the least recently used first out.
+// cache is the prefix cache: a set of block hashes with eviction of the least
+// recently used.
 type cache struct {
-	limit  int
-	blocks map[uint64]*list.Element
-	recent list.List
+	maxBlocks int
+	blocks    map[uint64]*list.Element
+	lru       list.List
 }
 
-// newCache returns a cache of at most limit blocks.
-func newCache(limit int) *cache {
+// newCache returns a cache that holds up to maxBlocks blocks.
+func newCache(maxBlocks int) *cache {
 	return &cache{
-		limit:  limit,
-		blocks: make(map[uint64]*list.Element),
+		maxBlocks: maxBlocks,
+		blocks:    make(map[uint64]*list.Element),
 	}
 }
 
-// match returns how many leading blocks of prefix are cached.
+// match returns the number of leading blocks of prefix that are cached.
 func (c *cache) match(prefix []uint64) int {
 	for i, hash := range prefix {
 		if c.blocks[hash] == nil {
@@ -27,23 +28,24 @@
 	return len(prefix)
 }
 
-// touch makes the blocks of prefix the most recently used, the leading one
-// last, since a chain is of no use without its head.
+// touch marks the blocks of prefix as the most recently used and evicts blocks
+// above the limit. The leading block is marked last, so that it is evicted
+// after the blocks that are useless without it.
 func (c *cache) touch(prefix []uint64) {
 	for i := len(prefix) - 1; i >= 0; i-- {
-		c.use(prefix[i])
+		c.touchBlock(prefix[i])
 	}
-	for c.recent.Len() > c.limit {
-		oldest := c.recent.Back()
-		c.recent.Remove(oldest)
+	for c.lru.Len() > c.maxBlocks {
+		oldest := c.lru.Back()
+		c.lru.Remove(oldest)
 		delete(c.blocks, oldest.Value.(uint64))
 	}
 }
 
-func (c *cache) use(hash uint64) {
+func (c *cache) touchBlock(hash uint64) {
 	if e := c.blocks[hash]; e != nil {
-		c.recent.MoveToFront(e)
+		c.lru.MoveToFront(e)
 		return
 	}
-	c.blocks[hash] = c.recent.PushFront(hash)
+	c.blocks[hash] = c.lru.PushFront(hash)
 }
--- a/internal/bench/mgmodel/engine.go
+++ b/internal/bench/mgmodel/engine.go
@@ -8,21 +8,22 @@
 // sequence is a Sequence with its state in the engine.
 type sequence struct {
 	Sequence
-	produced int
-	copied   int // context tokens that came from another engine
-	left     int // context tokens still to be computed; 0 is decoding
+	produced   int
+	copied     int // context tokens copied from another engine
+	uncomputed int // context tokens still to be computed; 0 means decoding
 }
 
-// context returns the tokens of memory that q holds while it runs.
+// context returns the tokens of memory that q occupies while it runs.
 func (q *sequence) context() int { return q.Prompt + q.produced }
 
-// An Engine batches sequences continuously. It is for one goroutine.
+// Engine simulates continuous batching of sequences. It is not safe for
+// concurrent use.
 type Engine struct {
 	spec    Spec
 	cache   *cache
 	byID    map[string]*sequence
-	waiting []*sequence // by priority, then first come
-	running []*sequence // the oldest first
+	waiting []*sequence // by priority, then first come, first served
+	running []*sequence // oldest first
 	used    int
 	result  Result
 }
@@ -40,38 +41,38 @@
 // Spec returns the engine's description with the defaults filled in.
 func (e *Engine) Spec() Spec { return e.spec }
 
-// SetSpeed makes the steps from now on speed times as fast as described; it
-// models an upstream that turns slow.
-func (e *Engine) SetSpeed(speed float64) { e.spec.Speed = orFloat(speed, 1) }
+// SetSpeed scales the speed of all later steps; it models an upstream that
+// becomes slow.
+func (e *Engine) SetSpeed(speed float64) { e.spec.Speed = floatOrDefault(speed, 1) }
 
-// Free returns the tokens of memory that nothing holds.
+// Free returns the tokens of memory that are neither used nor held.
 func (e *Engine) Free() int { return e.spec.Memory - e.used }
 
-// Used returns the tokens of memory that running sequences hold.
+// Used returns the tokens of memory that running sequences and copies occupy.
 func (e *Engine) Used() int { return e.used }
 
 // Running returns the number of sequences in the batch.
 func (e *Engine) Running() int { return len(e.running) }
 
-// Waiting returns the number of sequences in the waiting line.
+// Waiting returns the number of sequences in the waiting queue.
 func (e *Engine) Waiting() int { return len(e.waiting) }
 
-// Cached returns how many tokens of a prompt with this prefix need not be
-// computed now.
+// Cached returns the number of tokens of a prompt with this prefix that the
+// cache saves from being computed.
 func (e *Engine) Cached(prefix []uint64) int {
 	return e.cache.match(prefix) * e.spec.Block
 }
 
-// Add puts a sequence in the waiting line. It reports false, and changes
-// nothing, when the name is taken or the prompt can never fit. An output that
-// would outgrow the whole memory ends where memory does.
+// Add enqueues a sequence. It returns false, and changes nothing, if the ID is
+// in use or the prompt can never fit. The output is truncated to what fits
+// into the whole memory.
 func (e *Engine) Add(s Sequence) bool {
 	s.Output = max(s.Output, 1)
-	room := e.spec.Memory - s.Prompt
-	if e.byID[s.ID] != nil || s.Prompt < 1 || room < 1 {
+	maxOutput := e.spec.Memory - s.Prompt
+	if e.byID[s.ID] != nil || s.Prompt < 1 || maxOutput < 1 {
 		return false
 	}
-	s.Output = min(s.Output, room)
+	s.Output = min(s.Output, maxOutput)
 	q := &sequence{
 		Sequence: s,
 	}
@@ -80,22 +81,23 @@
 	return true
 }
 
-// Cancel drops a sequence and frees its memory. It reports whether the engine
-// had it.
+// Cancel removes a sequence and frees its memory. It reports whether the
+// engine had the sequence.
 func (e *Engine) Cancel(id string) bool {
 	q := e.byID[id]
 	if q == nil {
 		return false
 	}
 	delete(e.byID, id)
-	if !e.leaveLine(q) {
+	if !e.removeWaiting(q) {
 		e.evict(q)
 	}
 	return true
 }
 
-// leaveLine takes q out of the waiting line, or reports false when it isn't there.
-func (e *Engine) leaveLine(q *sequence) bool {
+// removeWaiting removes q from the waiting queue and reports whether it was
+// there.
+func (e *Engine) removeWaiting(q *sequence) bool {
 	i := slices.Index(e.waiting, q)
 	if i < 0 {
 		return false
@@ -115,56 +117,58 @@
 	if len(e.running) == 0 {
 		return e.result
 	}
-	e.makeRoom()
+	e.preemptForDecode()
 	computed := e.prefill()
 	attended := e.used
 	decoded := e.decode()
 	e.retire()
-	e.result.duration = e.cost(decoded, attended, computed)
+	e.result.duration = e.stepDuration(decoded, attended, computed)
 	return e.result
 }
 
-// enqueue puts q at the end of its priority in the waiting line, or at its
-// head.
-func (e *Engine) enqueue(q *sequence, head bool) {
-	at := sort.Search(len(e.waiting), func(i int) bool {
+// enqueue inserts q into the waiting queue, behind the sequences of its
+// priority or, with atHead, ahead of them.
+func (e *Engine) enqueue(q *sequence, atHead bool) {
+	index := sort.Search(len(e.waiting), func(i int) bool {
 		other := e.waiting[i].Priority
-		return other < q.Priority || head && other == q.Priority
+		return other < q.Priority || atHead && other == q.Priority
 	})
-	e.waiting = slices.Insert(e.waiting, at, q)
+	e.waiting = slices.Insert(e.waiting, index, q)
 }
 
-// admit moves sequences from the waiting line into the batch, in order, while
-// the context of the next one fits now with a token to spare.
+// admit moves sequences from the waiting queue into the batch, in order, while
+// the context of the next one and one more token fit into free memory.
 func (e *Engine) admit() {
-	n := 0
-	for n < len(e.waiting) && len(e.running) < e.spec.Batch {
-		q := e.waiting[n]
+	admitted := 0
+	for admitted < len(e.waiting) && len(e.running) < e.spec.Batch {
+		q := e.waiting[admitted]
 		if q.context()+1 > e.Free() {
 			break
 		}
 		e.start(q)
-		n++
+		admitted++
 	}
-	e.waiting = slices.Delete(e.waiting, 0, n)
+	e.waiting = slices.Delete(e.waiting, 0, admitted)
 }
 
-// start takes q's memory and what the prefix cache saves it. At least one
-// token is computed, as the next one follows from it.
+// start reserves memory for q and computes how much of its context is still to
+// be computed after the prefix cache or a copy. At least one token is
+// computed, since the next token is derived from it.
 func (e *Engine) start(q *sequence) {
 	e.used += q.context()
-	q.left = max(q.context()-max(e.Cached(q.Prefix), q.copied), 1)
+	q.uncomputed = max(q.context()-max(e.Cached(q.Prefix), q.copied), 1)
 	e.cache.touch(q.Prefix)
 	if q.copied > 0 {
-		e.running = slices.Insert(e.running, 0, q) // it lacks a token, the others a prompt
+		e.running = slices.Insert(e.running, 0, q) // ahead of the others, which lack whole prompts where it lacks few tokens
 		return
 	}
 	e.running = append(e.running, q)
 }
 
-// makeRoom preempts until each decoding sequence can take one more token.
-func (e *Engine) makeRoom() {
-	for e.decoding() > e.Free() {
+// preemptForDecode preempts sequences until each decoding sequence can grow by
+// one token.
+func (e *Engine) preemptForDecode() {
+	for e.maxDecodeCount() > e.Free() {
 		q := e.victim()
 		e.evict(q)
 		e.enqueue(q, true)
@@ -172,13 +176,14 @@
 	}
 }
 
-// decoding returns an upper bound on the tokens that this step produces: those
-// that decode and those whose prefill ends within the chunk.
-func (e *Engine) decoding() int {
+// maxDecodeCount returns an upper bound on the tokens that this step produces:
+// one for each decoding sequence and each one whose prefill ends within the
+// chunk.
+func (e *Engine) maxDecodeCount() int {
 	count, chunk := 0, e.spec.Chunk
 	for _, q := range e.running {
-		if q.left <= chunk {
-			chunk -= q.left
+		if q.uncomputed <= chunk {
+			chunk -= q.uncomputed
 			count++
 		} else {
 			chunk = 0
@@ -187,7 +192,7 @@
 	return count
 }
 
-// victim returns the sequence to preempt: lowest priority, the youngest first.
+// victim returns the sequence to preempt: the youngest of the lowest priority.
 func (e *Engine) victim() *sequence {
 	chosen := e.running[0]
 	for _, q := range e.running[1:] {
@@ -198,7 +203,7 @@
 	return chosen
 }
 
-// evict takes q out of the batch and frees its memory.
+// evict removes q from the batch and frees its memory.
 func (e *Engine) evict(q *sequence) {
 	i := slices.Index(e.running, q)
 	e.running = slices.Delete(e.running, i, i+1)
@@ -206,26 +211,27 @@
 	q.copied = 0
 }
 
-// prefill computes at most a chunk of prompts, the oldest first, and returns
-// its tokens.
+// prefill computes up to a chunk of prompt tokens, oldest sequence first, and
+// returns the number computed.
 func (e *Engine) prefill() int {
 	chunk := e.spec.Chunk
 	for _, q := range e.running {
 		if chunk == 0 {
 			break
 		}
-		n := min(q.left, chunk)
-		q.left -= n
+		n := min(q.uncomputed, chunk)
+		q.uncomputed -= n
 		chunk -= n
 	}
 	return e.spec.Chunk - chunk
 }
 
-// decode produces one token of each sequence whose context is computed.
+// decode produces one token for each sequence whose context is computed, and
+// returns the number of tokens.
 func (e *Engine) decode() int {
 	count := 0
 	for _, q := range e.running {
-		if q.left > 0 {
+		if q.uncomputed > 0 {
 			continue
 		}
 		q.produced++
@@ -239,7 +245,7 @@
 	return count
 }
 
-// retire frees the sequences that have produced their whole output.
+// retire removes the sequences that have produced their whole output.
 func (e *Engine) retire() {
 	kept := e.running[:0]
 	for _, q := range e.running {
@@ -255,8 +261,8 @@
 	e.running = kept
 }
 
-// cost returns the duration of a step in ms.
-func (e *Engine) cost(decoded, attended, computed int) float64 {
+// stepDuration returns the duration of a step in ms.
+func (e *Engine) stepDuration(decoded, attended, computed int) float64 {
 	s := e.spec
 	work := s.Base + s.Each*float64(decoded)
 	work += s.Context * float64(attended) / 1000
--- a/internal/bench/mgnet/net.go
+++ b/internal/bench/mgnet/net.go
@@ -1,6 +1,7 @@
-// Package mgnet is a link between the members of a focused test, in virtual
-// time: it delays, loses and cuts messages and pauses members. It serves the
-// tests and slopes of configuration, membership and shares, and nothing else.
+// Package mgnet simulates the network between the members of a test in virtual
+// time: it delays and loses messages, partitions the network and pauses
+// members. It serves the tests and scaling measurements of configuration,
+// membership and shares, and nothing else.
 package mgnet
 
 import (
@@ -10,25 +11,26 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Net delivers messages and timers in the order of their times. Its zero
-// value loses nothing and delays nothing.
+// Net delivers messages and timers in order of their due times. Its zero value
+// neither loses nor delays messages.
 type Net struct {
-	now    mgclock.Millis
-	rng    *rand.Rand
-	queue  queue
-	count  uint64
-	paused map[string]mgclock.Millis
-
-	// delay returns how long a message takes, cut whether it is lost.
+	now     mgclock.Millis
+	rng     *rand.Rand
+	queue   eventQueue
+	lastSeq uint64
+	paused  map[string]mgclock.Millis
+
+	// delay returns the latency of a message; isCut reports whether the path
+	// between two members is cut.
 	delay func(from, to string) mgclock.Millis
-	cut   func(from, to string) bool
+	isCut func(from, to string) bool
 	loss  float64
 
 	messages map[string]int // sent and received, by member
 	bytes    map[string]int
 }
 
-// New returns a net whose losses and jitter follow from a seed.
+// New returns a network whose random losses follow from seed.
 func New(seed uint64, delay func(from, to string) mgclock.Millis) *Net {
 	return &Net{
 		rng:      rand.New(rand.NewPCG(seed, 1)),
@@ -42,61 +44,65 @@
 // Now returns the virtual time.
 func (n *Net) Now() mgclock.Millis { return n.now }
 
-// Cut loses the messages for which cut is true, and a share of all others.
-func (n *Net) Cut(loss float64, cut func(from, to string) bool) {
+// Cut drops the messages for which isCut returns true, and a random fraction
+// loss of all others.
+func (n *Net) Cut(loss float64, isCut func(from, to string) bool) {
 	n.loss = loss
-	n.cut = cut
+	n.isCut = isCut
 }
 
-// Pause stops a member for a span. What falls due for it waits.
-func (n *Net) Pause(name string, span mgclock.Millis) {
-	n.paused[name] = max(n.paused[name], n.now+span)
+// Pause suspends a member for a duration. Its events are deferred to the end
+// of the pause.
+func (n *Net) Pause(name string, duration mgclock.Millis) {
+	n.paused[name] = max(n.paused[name], n.now+duration)
 }
 
-// Send runs a function at the receiver after the delay, unless it is lost.
+// Send runs a function at the receiver after the delay, unless the message is
+// lost.
 func (n *Net) Send(from, to string, size int, run func()) {
-	n.meter(from, size)
-	if n.cut != nil && n.cut(from, to) || n.loss > 0 && n.rng.Float64() < n.loss {
+	n.countTraffic(from, size)
+	if n.isCut != nil && n.isCut(from, to) || n.loss > 0 && n.rng.Float64() < n.loss {
 		return
 	}
-	span := mgclock.Millis(0)
+	delay := mgclock.Millis(0)
 	if n.delay != nil {
-		span = n.delay(from, to)
+		delay = n.delay(from, to)
 	}
-	n.At(n.now+span, to, func() {
-		n.meter(to, size)
+	n.At(n.now+delay, to, func() {
+		n.countTraffic(to, size)
 		run()
 	})
 }
 
-func (n *Net) meter(name string, size int) {
+func (n *Net) countTraffic(name string, size int) {
 	if n.messages != nil {
 		n.messages[name]++
 		n.bytes[name] += size
 	}
 }
 
-// Traffic returns the messages and bytes that a member sent and received.
+// Traffic returns the number of messages and bytes that a member sent and
+// received.
 func (n *Net) Traffic(name string) (messages, bytes int) { return n.messages[name], n.bytes[name] }
 
-// At runs a function of a member at a time.
+// At schedules a function of a member at a time.
 func (n *Net) At(at mgclock.Millis, owner string, run func()) {
-	n.count++
+	n.lastSeq++
 	heap.Push(&n.queue, event{
-		at:    at,
-		seq:   n.count,
+		due:   at,
+		seq:   n.lastSeq,
 		owner: owner,
 		run:   run,
 	})
 }
 
-// Run delivers what falls due until a time.
+// Run processes all events that are due up to a time.
 func (n *Net) Run(until mgclock.Millis) {
-	for len(n.queue) > 0 && n.queue[0].at <= until {
+	for len(n.queue) > 0 && n.queue[0].due <= until {
 		e := heap.Pop(&n.queue).(event)
-		n.now = max(n.now, e.at)
-		if wakes := n.paused[e.owner]; wakes > n.now {
-			n.At(wakes, e.owner, e.run)
+		n.now = max(n.now, e.due)
+		if resumeAt := n.paused[e.owner]; resumeAt > n.now {
+			n.At(resumeAt, e.owner, e.run)
 			continue
 		}
 		e.run()
@@ -106,29 +112,29 @@
 
 // event is a message or a timer.
 type event struct {
-	at    mgclock.Millis
+	due   mgclock.Millis
 	seq   uint64
 	owner string
 	run   func()
 }
 
-// queue is a heap of events.
-type queue []event
+// eventQueue is a heap of events, ordered by due time, then by insertion.
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
+func (q eventQueue) Len() int { return len(q) }
 
-func (q queue) Less(i, j int) bool {
-	if q[i].at != q[j].at {
-		return q[i].at < q[j].at
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].due != q[j].due {
+		return q[i].due < q[j].due
 	}
 	return q[i].seq < q[j].seq
 }
 
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (q *queue) Push(x any) { *q = append(*q, x.(event)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-func (q *queue) Pop() any {
+func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
