--- a/pkg/mgtable/build.go
+++ b/pkg/mgtable/build.go
@@ -64,18 +64,18 @@
 // Build makes a table. The error is a *Faults with all faults.
 func Build(spec Spec) (*Table, error) {
 	var faults Faults
-	return assemble(collect(spec.Version, spec.records(), &faults), &faults)
+	return assemble(buildRows(spec.Version, spec.records(), &faults), &faults)
 }
 
 // Pages returns the pages of the table that Build would make, of at most limit
 // bytes each, with what was read of them. Faults between rows are found by Join.
 func (s Spec) Pages(limit int) (Manifest, []*Page, error) {
 	var faults Faults
-	set := collect(s.Version, s.records(), &faults)
+	set := buildRows(s.Version, s.records(), &faults)
 	if err := faults.err(); err != nil {
 		return Manifest{}, nil, err
 	}
-	set.sorted()
+	set.sortByName()
 	return splitPages(set, limit)
 }
 
@@ -114,7 +114,7 @@
 	}
 	row.cells = cells(row.cells).text("kind", Generation).
 		text("model", s.Model).
-		text("move", yes(s.Move)).
+		text("move", yesOrNo(s.Move)).
 		count("copy", s.Copy).
 		count("stride", s.Stride)
 	return row
@@ -148,15 +148,15 @@
 			count("goal", r.Goal).
 			count("gap", r.Gap).
 			count("priority", r.Priority).
-			text("resume", yes(r.Resumes)).
-			text("public", yes(r.Public)).
-			text("sticky", yes(r.Sticky)).
+			text("resume", yesOrNo(r.Resumes)).
+			text("public", yesOrNo(r.Public)).
+			text("sticky", yesOrNo(r.Sticky)).
 			list("homes", r.Homes),
 	}
 }
 
-func yes(is bool) string {
-	if is {
+func yesOrNo(isSet bool) string {
+	if isSet {
 		return Yes
 	}
 	return No
--- a/pkg/mgtable/column.go
+++ b/pkg/mgtable/column.go
@@ -11,23 +11,23 @@
 // Bounds of the columns. They are far above any deployment and far below what
 // would overflow when sums over all rows are taken.
 const (
-	maxName     = 64
-	maxWeight   = 1e6
-	maxRate     = 1e9
-	maxStreams  = 1_000_000
-	maxPriority = 9
-	maxDeadline = 3_600_000 // an hour in ms
-	maxTokens   = 1_000_000_000
-	maxBatch    = 100_000
-	maxList     = 1_000
+	maxNameLength     = 64
+	maxWeight         = 1e6
+	maxRate           = 1e9
+	maxStreams        = 1_000_000
+	maxPriority       = 9
+	maxDeadlineMillis = 3_600_000 // an hour in ms
+	maxTokens         = 1_000_000_000
+	maxBatch          = 100_000
+	maxListItems      = 1_000
 )
 
 // defaultDeadline is in force where the column is left out, in ms. Nothing
 // waits without a bound.
-const defaultDeadline = 30_000
+const defaultDeadlineMillis = 30_000
 
 // marks are the characters of a name besides letters and digits.
-const marks = "._-:/"
+const nameSymbols = "._-:/"
 
 // form is the syntactic form of a value.
 type form int
@@ -48,13 +48,13 @@
 }
 
 // complaint is a fault without its place.
-type complaint struct {
+type valueFault struct {
 	text   string
 	remedy string
 }
 
-func complain(remedy, format string, args ...any) *complaint {
-	return &complaint{
+func newValueFault(remedy, format string, args ...any) *valueFault {
+	return &valueFault{
 		text:   fmt.Sprintf(format, args...),
 		remedy: remedy,
 	}
@@ -63,25 +63,25 @@
 // column reads and writes one column of rows of type R.
 type column[R any] struct {
 	name string
-	set  func(r *R, v value) *complaint
+	set  func(r *R, v value) *valueFault
 	get  func(r *R) value
 }
 
 // numberColumn holds a float from low, or above it when open, up to high.
-func numberColumn[R any](name string, low, high float64, open bool, field func(*R) *float64) column[R] {
+func numberColumn[R any](name string, low, high float64, excludeLow bool, field func(*R) *float64) column[R] {
 	bounds := fmt.Sprintf("write a number from %g to %g", low, high)
-	if open {
+	if excludeLow {
 		bounds = fmt.Sprintf("write a number above %g, up to %g", low, high)
 	}
 	return column[R]{
 		name: name,
-		set: func(r *R, v value) *complaint {
+		set: func(r *R, v value) *valueFault {
 			x, c := parseNumber(v)
 			if c != nil {
 				return c
 			}
-			if x < low || x > high || (open && x == low) {
-				return complain(bounds, "%g is out of bounds", x)
+			if x < low || x > high || (excludeLow && x == low) {
+				return newValueFault(bounds, "%g is out of bounds", x)
 			}
 			*field(r) = x
 			return nil
@@ -100,17 +100,17 @@
 }
 
 // parseNumber reads a finite number.
-func parseNumber(v value) (float64, *complaint) {
+func parseNumber(v value) (float64, *valueFault) {
 	const remedy = "write a finite number"
 	if v.form != number && v.form != cell {
-		return 0, complain(remedy, "not a number")
+		return 0, newValueFault(remedy, "not a number")
 	}
 	x, err := strconv.ParseFloat(strings.ReplaceAll(v.text, "_", ""), 64)
 	if err != nil {
-		return 0, complain(remedy, "%q is not a number", clip(v.text))
+		return 0, newValueFault(remedy, "%q is not a number", clip(v.text))
 	}
 	if math.IsNaN(x) || math.IsInf(x, 0) {
-		return 0, complain(remedy, "%s is not finite", clip(v.text))
+		return 0, newValueFault(remedy, "%s is not finite", clip(v.text))
 	}
 	return x, nil
 }
@@ -119,17 +119,17 @@
 func countColumn[R any](name string, high int64, field func(*R) *int64) column[R] {
 	return column[R]{
 		name: name,
-		set: func(r *R, v value) *complaint {
+		set: func(r *R, v value) *valueFault {
 			remedy := fmt.Sprintf("write a whole number from 0 to %d", high)
 			if v.form != number && v.form != cell {
-				return complain(remedy, "not a number")
+				return newValueFault(remedy, "not a number")
 			}
 			n, err := strconv.ParseInt(strings.ReplaceAll(v.text, "_", ""), 10, 64)
 			if err != nil {
-				return complain(remedy, "%q is not a whole number in bounds", clip(v.text))
+				return newValueFault(remedy, "%q is not a whole number in bounds", clip(v.text))
 			}
 			if n < 0 || n > high {
-				return complain(remedy, "%d is out of bounds", n)
+				return newValueFault(remedy, "%d is out of bounds", n)
 			}
 			*field(r) = n
 			return nil
@@ -151,9 +151,9 @@
 func nameColumn[R any](name string, field func(*R) *string) column[R] {
 	return column[R]{
 		name: name,
-		set: func(r *R, v value) *complaint {
+		set: func(r *R, v value) *valueFault {
 			if v.form != text && v.form != cell {
-				return complain("write the name as a string", "not a string")
+				return newValueFault("write the name as a string", "not a string")
 			}
 			if c := checkName(v.text); c != nil {
 				return c
@@ -169,9 +169,9 @@
 func choiceColumn[R any](name string, choices []string, field func(*R) *string) column[R] {
 	return column[R]{
 		name: name,
-		set: func(r *R, v value) *complaint {
+		set: func(r *R, v value) *valueFault {
 			if (v.form != text && v.form != cell) || !contains(choices, v.text) {
-				return complain("write one of "+strings.Join(choices, ", "), "%q is not a choice", clip(v.text))
+				return newValueFault("write one of "+strings.Join(choices, ", "), "%q is not a choice", clip(v.text))
 			}
 			*field(r) = v.text
 			return nil
@@ -184,7 +184,7 @@
 func namesColumn[R any](name string, field func(*R) *[]string) column[R] {
 	return column[R]{
 		name: name,
-		set: func(r *R, v value) *complaint {
+		set: func(r *R, v value) *valueFault {
 			items, c := listItems(v)
 			if c != nil {
 				return c
@@ -195,7 +195,7 @@
 					return c
 				}
 				if seen[item] {
-					return complain("name it once", "%q stands twice in the list", item)
+					return newValueFault("name it once", "%q stands twice in the list", item)
 				}
 				seen[item] = true
 			}
@@ -210,7 +210,7 @@
 func digestsColumn[R any](name string, field func(*R) *[]Digest) column[R] {
 	return column[R]{
 		name: name,
-		set: func(r *R, v value) *complaint {
+		set: func(r *R, v value) *valueFault {
 			items, c := listItems(v)
 			if c != nil {
 				return c
@@ -238,57 +238,57 @@
 
 // parseDigest reads 64 lower-case hexadecimal digits. Its complaint doesn't
 // repeat the text: a key written in the clear by mistake must not reach a log.
-func parseDigest(item string) (Digest, *complaint) {
+func parseDigest(item string) (Digest, *valueFault) {
 	var d Digest
 	raw, err := hex.DecodeString(item)
 	if err != nil || len(raw) != len(d) || strings.ToLower(item) != item {
-		return d, complain("write the SHA-256 of the key as 64 lower-case hexadecimal digits", "an entry is not a digest")
+		return d, newValueFault("write the SHA-256 of the key as 64 lower-case hexadecimal digits", "an entry is not a digest")
 	}
 	copy(d[:], raw)
 	return d, nil
 }
 
-func listItems(v value) ([]string, *complaint) {
+func listItems(v value) ([]string, *valueFault) {
 	switch v.form {
 	case list:
 	case cell:
 		v.items = strings.Fields(v.text)
 	default:
-		return nil, complain("write a list of strings, such as [\"a\", \"b\"]", "not a list")
+		return nil, newValueFault("write a list of strings, such as [\"a\", \"b\"]", "not a list")
 	}
-	if len(v.items) > maxList {
-		return nil, complain(fmt.Sprintf("list at most %d", maxList), "%d items are too many", len(v.items))
+	if len(v.items) > maxListItems {
+		return nil, newValueFault(fmt.Sprintf("list at most %d", maxListItems), "%d items are too many", len(v.items))
 	}
 	return v.items, nil
 }
 
 // checkName accepts letters, digits and a few marks, so that a name stands
 // unchanged in a URL, a metric, a log line and a spreadsheet's cell.
-func checkName(name string) *complaint {
+func checkName(name string) *valueFault {
 	if name == "" {
-		return complain("give it a name", "the name is empty")
+		return newValueFault("give it a name", "the name is empty")
 	}
-	if len(name) > maxName {
-		return complain(fmt.Sprintf("use at most %d characters", maxName), "the name %q is too long", clip(name))
+	if len(name) > maxNameLength {
+		return newValueFault(fmt.Sprintf("use at most %d characters", maxNameLength), "the name %q is too long", clip(name))
 	}
-	if !nameRune(rune(name[0])) || strings.ContainsRune(marks, rune(name[0])) {
+	if !isNameRune(rune(name[0])) || strings.ContainsRune(nameSymbols, rune(name[0])) {
 		// A spreadsheet takes a cell that begins with a mark as a formula.
-		return complain("begin it with a letter or a digit", "the name %q begins with a mark", clip(name))
+		return newValueFault("begin it with a letter or a digit", "the name %q begins with a mark", clip(name))
 	}
 	for _, r := range name {
-		if !nameRune(r) {
-			return complain("use ASCII letters, digits and . _ - : /", "the name %q holds %q", clip(name), r)
+		if !isNameRune(r) {
+			return newValueFault("use ASCII letters, digits and . _ - : /", "the name %q holds %q", clip(name), r)
 		}
 	}
 	return nil
 }
 
-func nameRune(r rune) bool {
+func isNameRune(r rune) bool {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
 		return true
 	default:
-		return strings.ContainsRune(marks, r)
+		return strings.ContainsRune(nameSymbols, r)
 	}
 }
 
@@ -314,9 +314,9 @@
 
 // clip shortens text for a message.
 func clip(s string) string {
-	const most = 40
-	if len(s) <= most {
+	const maxLen = 40
+	if len(s) <= maxLen {
 		return s
 	}
-	return s[:most] + "…"
+	return s[:maxLen] + "…"
 }
--- a/pkg/mgtable/columns.go
+++ b/pkg/mgtable/columns.go
@@ -25,14 +25,14 @@
 	nameColumn("model", func(s *Service) *string { return &s.model }),
 	choiceColumn("prefer", []string{Steady, Whole}, func(s *Service) *string { return &s.prefer }),
 	countColumn("priority", maxPriority, func(s *Service) *int64 { return &s.priority }),
-	countColumn("deadline", maxDeadline, func(s *Service) *int64 { return &s.deadline }),
+	countColumn("deadline", maxDeadlineMillis, func(s *Service) *int64 { return &s.deadline }),
 	countColumn("max", maxTokens, func(s *Service) *int64 { return &s.max }),
 	choiceColumn("repeat", []string{Safe, Never}, func(s *Service) *string { return &s.repeat }),
 	numberColumn("hedge", 0, 1, false, func(s *Service) *float64 { return &s.hedge }),
 	choiceColumn("move", []string{Yes, No}, func(s *Service) *string { return &s.move }),
 	countColumn("copy", maxBatch, func(s *Service) *int64 { return &s.copy }),
 	countColumn("stride", maxBatch, func(s *Service) *int64 { return &s.stride }),
-	countColumn("cold", maxDeadline, func(s *Service) *int64 { return &s.cold }),
+	countColumn("cold", maxDeadlineMillis, func(s *Service) *int64 { return &s.cold }),
 	numberColumn("ramp", 0, maxRate, false, func(s *Service) *float64 { return &s.ramp }),
 	namesColumn("paths", func(s *Service) *[]string { return &s.paths }),
 }
@@ -70,7 +70,7 @@
 		s.prefer = Steady
 	}
 	if s.deadline == 0 {
-		s.deadline = defaultDeadline
+		s.deadline = defaultDeadlineMillis
 	}
 	if s.repeat == "" {
 		s.repeat = Never
--- a/pkg/mgtable/csv.go
+++ b/pkg/mgtable/csv.go
@@ -14,10 +14,10 @@
 var csvColumns = unionColumns()
 
 // csvKind is the header of the column that holds the kind of row.
-const csvKind = "row"
+const csvKindColumn = "row"
 
 func unionColumns() []string {
-	names := []string{csvKind}
+	names := []string{csvKindColumn}
 	for _, list := range []string{
 		columnNames(accountColumns),
 		columnNames(serviceColumns),
@@ -62,7 +62,7 @@
 		line := make([]string, len(csvColumns))
 		line[0] = kind
 		for i, name := range csvColumns {
-			if at := find(columns, name); at >= 0 {
+			if at := columnIndex(columns, name); at >= 0 {
 				line[i] = cellText(columns[at].get(row))
 			}
 		}
@@ -82,7 +82,7 @@
 func Import(data []byte) (*Table, error) {
 	var faults Faults
 	version, records := readCSV(data, &faults)
-	return assemble(collect(version, records, &faults), &faults)
+	return assemble(buildRows(version, records, &faults), &faults)
 }
 
 // readCSV splits a text into records.
@@ -128,24 +128,24 @@
 			return c.version, c.records
 		}
 		if err != nil {
-			c.syntax(err)
+			c.addSyntaxFault(err)
 			return c.version, c.records
 		}
 		line, _ := c.csv.FieldPos(0)
 		if c.header == nil {
-			c.header = c.headerOf(cells, line)
+			c.header = c.checkHeader(cells, line)
 			continue
 		}
-		c.line(cells, line)
+		c.readLine(cells, line)
 	}
 }
 
 // headerOf checks the header.
-func (c *csvReader) headerOf(cells []string, line int) []string {
-	if cells[0] != csvKind {
+func (c *csvReader) checkHeader(cells []string, line int) []string {
+	if cells[0] != csvKindColumn {
 		c.faults.add(Fault{
 			line:   line,
-			text:   "the first cell is not \"" + csvKind + "\"",
+			text:   "the first cell is not \"" + csvKindColumn + "\"",
 			remedy: "begin with the header that export writes",
 		})
 	}
@@ -153,7 +153,7 @@
 }
 
 // line reads one row.
-func (c *csvReader) line(cells []string, line int) {
+func (c *csvReader) readLine(cells []string, line int) {
 	kind := strings.TrimSpace(cells[0])
 	if kind == versionColumn {
 		c.readVersion(cells, line)
@@ -203,7 +203,7 @@
 	})
 }
 
-func (c *csvReader) syntax(err error) {
+func (c *csvReader) addSyntaxFault(err error) {
 	line := 0
 	var parse *csv.ParseError
 	if errors.As(err, &parse) {
--- a/pkg/mgtable/fault.go
+++ b/pkg/mgtable/fault.go
@@ -78,7 +78,7 @@
 }
 
 // whole adds a fault of the table as a whole.
-func (f *Faults) whole(text, remedy string) {
+func (f *Faults) addTableFault(text, remedy string) {
 	f.add(Fault{
 		text:   text,
 		remedy: remedy,
--- a/pkg/mgtable/large_test.go
+++ b/pkg/mgtable/large_test.go
@@ -8,7 +8,7 @@
 
 // Large returns a table of count accounts beside 9 models and 900 engines. Each
 // edit gives one account another weight.
-func Large(count, edit int) *Table {
+func LargeTable(count, edit int) *Table {
 	set := rows{
 		version: uint64(edit + 1),
 	}
@@ -63,7 +63,7 @@
 const targetAccounts = 35_000
 
 func BenchmarkParse(b *testing.B) {
-	data := Large(targetAccounts, 0).TOML()
+	data := LargeTable(targetAccounts, 0).TOML()
 	b.SetBytes(int64(len(data)))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -74,19 +74,19 @@
 }
 
 // BenchmarkAdopt reads what one edit changed and joins the pages anew.
-func BenchmarkAdopt(b *testing.B) {
-	older, texts, _ := Large(targetAccounts, 0).Pages(1 << 20)
-	newer, edited, _ := Large(targetAccounts, 1).Pages(1 << 20)
+func BenchmarkAdoptEdit(b *testing.B) {
+	older, texts, _ := LargeTable(targetAccounts, 0).Pages(1 << 20)
+	newer, edited, _ := LargeTable(targetAccounts, 1).Pages(1 << 20)
 	pages := make([]*Page, len(texts))
 	for i, text := range texts {
 		pages[i], _ = ReadPage(text)
 	}
 	changed := 0
-	moved := len(newer.Bytes())
+	transferred := len(newer.Bytes())
 	for i := range edited {
 		if older.Pages[i] != newer.Pages[i] {
 			changed = i
-			moved += len(edited[i])
+			transferred += len(edited[i])
 		}
 	}
 	b.ReportAllocs()
@@ -100,17 +100,17 @@
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(moved), "moved-B")
+	b.ReportMetric(float64(transferred), "moved-B")
 	b.ReportMetric(float64(len(texts)), "pages")
 }
 
 // BenchmarkMemory reports the live heap of a table with its pages, as a process
 // keeps it.
-func BenchmarkMemory(b *testing.B) {
-	m, texts, _ := Large(targetAccounts, 0).Pages(1 << 20)
+func BenchmarkLiveHeap(b *testing.B) {
+	m, texts, _ := LargeTable(targetAccounts, 0).Pages(1 << 20)
 	b.ResetTimer()
 	for b.Loop() {
-		before := heap()
+		before := liveHeapBytes()
 		pages := make([]*Page, len(texts))
 		size := 0
 		for i, text := range texts {
@@ -121,14 +121,14 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.ReportMetric(float64(heap()-before), "heap-B")
+		b.ReportMetric(float64(liveHeapBytes()-before), "heap-B")
 		b.ReportMetric(float64(size), "text-B")
 		runtime.KeepAlive(table)
 		runtime.KeepAlive(pages)
 	}
 }
 
-func heap() uint64 {
+func liveHeapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -136,7 +136,7 @@
 }
 
 func BenchmarkByKey(b *testing.B) {
-	t := Large(targetAccounts, 0)
+	t := LargeTable(targetAccounts, 0)
 	for b.Loop() {
 		if t.ByKey("sample-account-00077") == nil {
 			b.Fatal("missing")
--- a/pkg/mgtable/memory_test.go
+++ b/pkg/mgtable/memory_test.go
@@ -15,7 +15,7 @@
 		b.Run(fmt.Sprintf("gogc=%d", percent), func(b *testing.B) {
 			debug.FreeOSMemory()
 			defer debug.SetGCPercent(debug.SetGCPercent(percent))
-			manifest, texts, _ := Large(targetAccounts, 0).Pages(1 << 20)
+			manifest, texts, _ := LargeTable(targetAccounts, 0).Pages(1 << 20)
 			pages := make([]*Page, len(texts))
 			for i, text := range texts {
 				pages[i], _ = ReadPage(text)
@@ -24,15 +24,15 @@
 			texts = nil
 			debug.FreeOSMemory()
 			var table *Table
-			most := uint64(0)
+			maxInUse := uint64(0)
 			for b.Loop() {
 				pages[1], _ = ReadPage(edited)
 				table, _ = Join(manifest, pages)
 				var m runtime.MemStats
 				runtime.ReadMemStats(&m)
-				most = max(most, m.HeapInuse+m.StackInuse+m.MSpanInuse+m.GCSys)
+				maxInUse = max(maxInUse, m.HeapInuse+m.StackInuse+m.MSpanInuse+m.GCSys)
 			}
-			b.ReportMetric(float64(most)/(1<<20), "inuse-MB")
+			b.ReportMetric(float64(maxInUse)/(1<<20), "inuse-MB")
 			runtime.KeepAlive(table)
 		})
 	}
--- a/pkg/mgtable/page.go
+++ b/pkg/mgtable/page.go
@@ -13,7 +13,7 @@
 // pages of 64 KiB make a manifest of about 17 KB, so that both parts of an
 // edit's cost are of the same order; pages of 1 MB would move fifteen times as
 // much an edit.
-const targetPage = 64 << 10
+const targetPageBytes = 64 << 10
 
 // Errors of pages.
 var (
@@ -29,14 +29,14 @@
 	rows   rows
 
 	// odd is the text of a page that is not in the canonical form.
-	odd []byte
+	nonCanonical []byte
 }
 
 // ReadPage reads a page. The error is a *Faults with the faults of its rows.
 func ReadPage(data []byte) (*Page, error) {
 	var faults Faults
 	_, records := readTOML(data, &faults)
-	set := collect(0, records, &faults)
+	set := buildRows(0, records, &faults)
 	if err := faults.err(); err != nil {
 		return nil, err
 	}
@@ -45,7 +45,7 @@
 		rows:   set,
 	}
 	if !bytes.Equal(writeTOML(set), data) {
-		p.odd = bytes.Clone(data)
+		p.nonCanonical = bytes.Clone(data)
 	}
 	return p, nil
 }
@@ -55,8 +55,8 @@
 
 // Bytes returns the page's text. Callers don't change it.
 func (p *Page) Bytes() []byte {
-	if p.odd != nil {
-		return p.odd
+	if p.nonCanonical != nil {
+		return p.nonCanonical
 	}
 	return writeTOML(p.rows)
 }
@@ -86,7 +86,7 @@
 	if size > limit {
 		return Manifest{}, nil, fmt.Errorf("base rows take %d of %d bytes: %w", size, limit, errPageLarge)
 	}
-	split, err := splitAccounts(set.accounts, min(limit, targetPage))
+	split, err := splitAccounts(set.accounts, min(limit, targetPageBytes))
 	if err != nil {
 		return Manifest{}, nil, err
 	}
--- a/pkg/mgtable/route.go
+++ b/pkg/mgtable/route.go
@@ -101,7 +101,7 @@
 
 // Pick returns the service for a number drawn evenly from all 64-bit numbers,
 // by the services' weights.
-func (r *Route) Pick(drawn uint64) string {
+func (r *Route) Pick(random uint64) string {
 	total := uint64(0)
 	for _, share := range r.services {
 		total += uint64(share.weight)
@@ -109,12 +109,12 @@
 	if total == 0 {
 		return r.services[0].service
 	}
-	at := drawn % total
+	remaining := random % total
 	for _, share := range r.services {
-		if at < uint64(share.weight) {
+		if remaining < uint64(share.weight) {
 			return share.service
 		}
-		at -= uint64(share.weight)
+		remaining -= uint64(share.weight)
 	}
 	return r.services[len(r.services)-1].service
 }
@@ -123,7 +123,7 @@
 // the longest prefix that begins the path, or nil. A path is looked up once for
 // each of its slashes, so that the number of routes doesn't matter.
 func (t *Table) Route(host, path string) *Route {
-	prefixes := t.hosts[strings.ToLower(host)]
+	prefixes := t.routesByHost[strings.ToLower(host)]
 	if prefixes == nil {
 		return nil
 	}
@@ -147,9 +147,9 @@
 	choiceColumn("kind", []string{Stream, Safe, Never}, func(r *Route) *string { return &r.kind }),
 	sharesColumn("services", func(r *Route) *[]Share { return &r.services }),
 	countColumn("attempts", maxBatch, func(r *Route) *int64 { return &r.attempts }),
-	countColumn("timeout", maxDeadline, func(r *Route) *int64 { return &r.timeout }),
-	countColumn("goal", maxDeadline, func(r *Route) *int64 { return &r.goal }),
-	countColumn("gap", maxDeadline, func(r *Route) *int64 { return &r.gap }),
+	countColumn("timeout", maxDeadlineMillis, func(r *Route) *int64 { return &r.timeout }),
+	countColumn("goal", maxDeadlineMillis, func(r *Route) *int64 { return &r.goal }),
+	countColumn("gap", maxDeadlineMillis, func(r *Route) *int64 { return &r.gap }),
 	countColumn("priority", maxPriority, func(r *Route) *int64 { return &r.priority }),
 	choiceColumn("resume", []string{Yes, No}, func(r *Route) *string { return &r.resume }),
 	choiceColumn("public", []string{Yes, No}, func(r *Route) *string { return &r.public }),
@@ -167,7 +167,7 @@
 		r.attempts = 1
 	}
 	if r.timeout == 0 {
-		r.timeout = defaultDeadline
+		r.timeout = defaultDeadlineMillis
 	}
 }
 
@@ -176,13 +176,13 @@
 	const remedy = "write a path of visible ASCII that begins and ends with a slash"
 	return column[R]{
 		name: name,
-		set: func(r *R, v value) *complaint {
+		set: func(r *R, v value) *valueFault {
 			if v.form != text && v.form != cell {
-				return complain(remedy, "not a string")
+				return newValueFault(remedy, "not a string")
 			}
 			p := v.text
-			if len(p) > maxPrefix || !strings.HasPrefix(p, "/") || !strings.HasSuffix(p, "/") || strings.ContainsFunc(p, unsafePath) {
-				return complain(remedy, "%q is not a prefix", clip(p))
+			if len(p) > maxPrefixBytes || !strings.HasPrefix(p, "/") || !strings.HasSuffix(p, "/") || strings.ContainsFunc(p, isUnsafePathRune) {
+				return newValueFault(remedy, "%q is not a prefix", clip(p))
 			}
 			*field(r) = p
 			return nil
@@ -192,11 +192,11 @@
 }
 
 // maxPrefix bounds a route's prefix in bytes.
-const maxPrefix = 256
+const maxPrefixBytes = 256
 
 // unsafePath reports whether a character can't stand in a path, or would need
 // an escape in the canonical form.
-func unsafePath(c rune) bool {
+func isUnsafePathRune(c rune) bool {
 	return c <= ' ' || c > '~' || strings.ContainsRune(`"\?#`, c)
 }
 
@@ -205,7 +205,7 @@
 func sharesColumn[R any](name string, field func(*R) *[]Share) column[R] {
 	return column[R]{
 		name: name,
-		set: func(r *R, v value) *complaint {
+		set: func(r *R, v value) *valueFault {
 			items, c := listItems(v)
 			if c != nil {
 				return c
@@ -231,8 +231,8 @@
 	}
 }
 
-func parseShare(item string) (Share, *complaint) {
-	service, weight, weighted := strings.Cut(item, "=")
+func parseShare(item string) (Share, *valueFault) {
+	service, weight, hasWeight := strings.Cut(item, "=")
 	if c := checkName(service); c != nil {
 		return Share{}, c
 	}
@@ -240,46 +240,46 @@
 		service: service,
 		weight:  1,
 	}
-	if !weighted {
+	if !hasWeight {
 		return share, nil
 	}
 	n, err := strconv.ParseInt(weight, 10, 64)
 	if err != nil || n < 0 || n > maxWeight {
-		return Share{}, complain("write service=weight with a weight from 0 to 1000000", "%q is not a share", clip(item))
+		return Share{}, newValueFault("write service=weight with a weight from 0 to 1000000", "%q is not a share", clip(item))
 	}
 	share.weight = n
 	return share, nil
 }
 
 // route checks what a route refers to.
-func (c checker) route(r *Route) {
+func (c checker) checkRoute(r *Route) {
 	if r.host == "" {
-		c.empty(routeRow, r.name, "host", r.line)
+		c.addEmptyColumn(routeRow, r.name, "host", r.line)
 	}
 	if r.prefix == "" {
-		c.empty(routeRow, r.name, "prefix", r.line)
+		c.addEmptyColumn(routeRow, r.name, "prefix", r.line)
 	}
 	if len(r.services) == 0 {
-		c.empty(routeRow, r.name, "services", r.line)
+		c.addEmptyColumn(routeRow, r.name, "services", r.line)
 	}
 	for _, share := range r.services {
 		if c.table.services[share.service] == nil {
-			c.unknown(routeRow, r.name, "services", r.line, serviceRow, share.service)
+			c.addUnknownName(routeRow, r.name, "services", r.line, serviceRow, share.service)
 		}
 	}
-	c.place(r)
+	c.indexRoute(r)
 }
 
 // place files a route under its host and prefix.
-func (c checker) place(r *Route) {
+func (c checker) indexRoute(r *Route) {
 	host := strings.ToLower(r.host)
-	prefixes := c.table.hosts[host]
+	prefixes := c.table.routesByHost[host]
 	if prefixes == nil {
 		prefixes = map[string]*Route{}
-		c.table.hosts[host] = prefixes
+		c.table.routesByHost[host] = prefixes
 	}
 	if other := prefixes[r.prefix]; other != nil {
-		c.add(routeRow, r.name, "prefix", r.line,
+		c.addFault(routeRow, r.name, "prefix", r.line,
 			"route "+other.name+" has this host and prefix", "give each route a prefix of its own")
 		return
 	}
--- a/pkg/mgtable/route_test.go
+++ b/pkg/mgtable/route_test.go
@@ -8,7 +8,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-const routed = `version = 3
+const tableWithRoutes = `version = 3
 
 [[service]]
 name = "ledger"
@@ -40,7 +40,7 @@
 
 // A call under a longer prefix is sent by the rules of a shorter one, and a
 // write that may not be repeated is repeated.
-func TestRouteOfPath(t *testing.T) {
+func TestShorterPrefixTaken(t *testing.T) {
 	cases := []struct {
 		host, path, route string
 	}{
@@ -55,7 +55,7 @@
 		{host: "other.example", path: "/book/2f"},
 	}
 	Convey("The route with the longest prefix is taken", t, func() {
-		table, err := mgtable.Parse([]byte(routed))
+		table, err := mgtable.Parse([]byte(tableWithRoutes))
 		So(err, ShouldBeNil)
 		for _, c := range cases {
 			Convey(c.host+c.path, func() {
@@ -72,9 +72,9 @@
 
 // Ten in a hundred calls of a split route go to the new service; all or none
 // would be another configuration than the operator's.
-func TestRouteShares(t *testing.T) {
+func TestServicesPickedAgainstWeights(t *testing.T) {
 	Convey("Services are picked by their weights", t, func() {
-		table, err := mgtable.Parse([]byte(routed))
+		table, err := mgtable.Parse([]byte(tableWithRoutes))
 		So(err, ShouldBeNil)
 		got := map[string]int{}
 		for drawn := range uint64(1000) {
@@ -87,9 +87,9 @@
 
 // Routes that are lost or changed on their way through pages, TOML or CSV send
 // requests elsewhere than the operator said.
-func TestRoutesKept(t *testing.T) {
+func TestRouteLostInRoundTrip(t *testing.T) {
 	Convey("Routes stay what they are", t, func() {
-		table, err := mgtable.Parse([]byte(routed))
+		table, err := mgtable.Parse([]byte(tableWithRoutes))
 		So(err, ShouldBeNil)
 		Convey("through TOML", func() {
 			again, err := mgtable.Parse(table.TOML())
@@ -120,7 +120,7 @@
 }
 
 // A faulty route is found when the table is checked and not by a caller.
-func TestRouteFaults(t *testing.T) {
+func TestFaultyRouteAccepted(t *testing.T) {
 	cases := map[string]string{
 		"unknown service":   `services = ["nobody"]`,
 		"no service":        ``,
@@ -130,12 +130,12 @@
 	Convey("A route with a fault is refused", t, func() {
 		for name, row := range cases {
 			Convey(name, func() {
-				_, err := mgtable.Parse([]byte(routed + "\n[[route]]\nname = \"bad\"\nhost = \"tanks.example\"\n" + row + "\n"))
+				_, err := mgtable.Parse([]byte(tableWithRoutes + "\n[[route]]\nname = \"bad\"\nhost = \"tanks.example\"\n" + row + "\n"))
 				So(err, ShouldNotBeNil)
 			})
 		}
 		Convey("two routes under one host and prefix", func() {
-			_, err := mgtable.Parse([]byte(routed + "\n[[route]]\nname = \"twin\"\nhost = \"tanks.example\"\nprefix = \"/book/\"\nservices = [\"ledger\"]\n"))
+			_, err := mgtable.Parse([]byte(tableWithRoutes + "\n[[route]]\nname = \"twin\"\nhost = \"tanks.example\"\nprefix = \"/book/\"\nservices = [\"ledger\"]\n"))
 			So(err, ShouldNotBeNil)
 		})
 	})
--- a/pkg/mgtable/rows.go
+++ b/pkg/mgtable/rows.go
@@ -40,7 +40,7 @@
 }
 
 // collect makes rows of records.
-func collect(version uint64, records []record, faults *Faults) rows {
+func buildRows(version uint64, records []record, faults *Faults) rows {
 	set := rows{
 		version: version,
 	}
@@ -48,27 +48,27 @@
 	for _, r := range records {
 		switch r.kind {
 		case accountRow:
-			a := fill(r, accountColumns, faults)
+			a := parseRow(r, accountColumns, faults)
 			a.line = r.line
-			a.services = names.list(a.services)
+			a.services = names.intern(a.services)
 			setAccountDefaults(a)
 			set.accounts = append(set.accounts, a)
 		case serviceRow:
-			s := fill(r, serviceColumns, faults)
+			s := parseRow(r, serviceColumns, faults)
 			s.line = r.line
 			setServiceDefaults(s)
 			set.services = append(set.services, s)
 		case modelRow:
-			m := fill(r, modelColumns, faults)
+			m := parseRow(r, modelColumns, faults)
 			m.line = r.line
 			set.models = append(set.models, m)
 		case upstreamRow:
-			u := fill(r, upstreamColumns, faults)
+			u := parseRow(r, upstreamColumns, faults)
 			u.line = r.line
 			setUpstreamDefaults(u)
 			set.upstreams = append(set.upstreams, u)
 		case routeRow:
-			row := fill(r, routeColumns, faults)
+			row := parseRow(r, routeColumns, faults)
 			row.line = r.line
 			setRouteDefaults(row)
 			set.routes = append(set.routes, row)
@@ -85,7 +85,7 @@
 }
 
 // fill reads the cells of a record into a new row.
-func fill[R any](r record, columns []column[R], faults *Faults) *R {
+func parseRow[R any](r record, columns []column[R], faults *Faults) *R {
 	row := new(R)
 	label := r.kind + " " + r.name()
 	seen := make([]bool, len(columns))
@@ -95,7 +95,7 @@
 			row:    label,
 			column: clip(e.name),
 		}
-		i := find(columns, e.name)
+		i := columnIndex(columns, e.name)
 		switch {
 		case i < 0:
 			fault.text = "unknown column"
@@ -126,7 +126,7 @@
 	return row
 }
 
-func find[R any](columns []column[R], name string) int {
+func columnIndex[R any](columns []column[R], name string) int {
 	for i := range columns {
 		if columns[i].name == name {
 			return i
@@ -144,7 +144,7 @@
 }
 
 // sorted orders the rows by name, the order of the canonical form.
-func (s *rows) sorted() {
+func (s *rows) sortByName() {
 	sort.Slice(s.accounts, func(i, j int) bool { return s.accounts[i].name < s.accounts[j].name })
 	sort.Slice(s.services, func(i, j int) bool { return s.services[i].name < s.services[j].name })
 	sort.Slice(s.models, func(i, j int) bool { return s.models[i].name < s.models[j].name })
@@ -156,7 +156,7 @@
 // Without it a table of 35,000 accounts holds the services' names 35,000 times.
 type interner map[string][]string
 
-func (n interner) list(names []string) []string {
+func (n interner) intern(names []string) []string {
 	if len(names) == 0 {
 		return nil
 	}
--- a/pkg/mgtable/table.go
+++ b/pkg/mgtable/table.go
@@ -6,22 +6,22 @@
 
 // A Table is a checked table. It never changes. The zero Table is empty.
 type Table struct {
-	version   uint64
-	rows      rows
-	accounts  map[string]*Account
-	keys      map[Digest]*Account
-	services  map[string]*Service
-	models    map[string]*Model
-	upstreams map[string]*Upstream
-	routes    map[string]*Route
-	hosts     map[string]map[string]*Route // by host and prefix
+	version       uint64
+	rows          rows
+	accounts      map[string]*Account
+	accountsByKey map[Digest]*Account
+	services      map[string]*Service
+	models        map[string]*Model
+	upstreams     map[string]*Upstream
+	routes        map[string]*Route
+	routesByHost  map[string]map[string]*Route // by host and prefix
 }
 
 // Parse reads a table from TOML. The error is a *Faults with all faults.
 func Parse(data []byte) (*Table, error) {
 	var faults Faults
 	version, records := readTOML(data, &faults)
-	return assemble(collect(version, records, &faults), &faults)
+	return assemble(buildRows(version, records, &faults), &faults)
 }
 
 // Check returns all faults of a table in TOML, or nil.
@@ -33,24 +33,24 @@
 // assemble indexes rows and checks them against each other. Rows with faults of
 // their own take part, so that one run shows the faults of both kinds.
 func assemble(set rows, faults *Faults) (*Table, error) {
-	set.sorted()
+	set.sortByName()
 	t := &Table{
-		version:   set.version,
-		rows:      set,
-		accounts:  make(map[string]*Account, len(set.accounts)),
-		keys:      make(map[Digest]*Account, len(set.accounts)),
-		services:  make(map[string]*Service, len(set.services)),
-		models:    make(map[string]*Model, len(set.models)),
-		upstreams: make(map[string]*Upstream, len(set.upstreams)),
-		routes:    make(map[string]*Route, len(set.routes)),
-		hosts:     make(map[string]map[string]*Route),
+		version:       set.version,
+		rows:          set,
+		accounts:      make(map[string]*Account, len(set.accounts)),
+		accountsByKey: make(map[Digest]*Account, len(set.accounts)),
+		services:      make(map[string]*Service, len(set.services)),
+		models:        make(map[string]*Model, len(set.models)),
+		upstreams:     make(map[string]*Upstream, len(set.upstreams)),
+		routes:        make(map[string]*Route, len(set.routes)),
+		routesByHost:  make(map[string]map[string]*Route),
 	}
 	c := checker{
 		table:  t,
 		faults: faults,
 	}
-	c.index()
-	c.references()
+	c.indexRows()
+	c.checkReferences()
 	if err := faults.err(); err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 // ByKey returns the account that has an API key, or nil. The lookup compares
 // digests of what was presented, so that its time tells nothing about how much
 // of a key was right.
-func (t *Table) ByKey(key string) *Account { return t.keys[DigestOf([]byte(key))] }
+func (t *Table) ByKey(key string) *Account { return t.accountsByKey[DigestOf([]byte(key))] }
 
 // Service returns the service of a name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
@@ -81,21 +81,21 @@
 func (t *Table) Len() int { return len(t.rows.accounts) }
 
 // Accounts goes through the accounts by name.
-func (t *Table) Accounts() iter.Seq[*Account] { return each(t.rows.accounts) }
+func (t *Table) Accounts() iter.Seq[*Account] { return iterate(t.rows.accounts) }
 
 // Services goes through the services by name.
-func (t *Table) Services() iter.Seq[*Service] { return each(t.rows.services) }
+func (t *Table) Services() iter.Seq[*Service] { return iterate(t.rows.services) }
 
 // Models goes through the models by name.
-func (t *Table) Models() iter.Seq[*Model] { return each(t.rows.models) }
+func (t *Table) Models() iter.Seq[*Model] { return iterate(t.rows.models) }
 
 // Routes goes through the routes by name.
-func (t *Table) Routes() iter.Seq[*Route] { return each(t.rows.routes) }
+func (t *Table) Routes() iter.Seq[*Route] { return iterate(t.rows.routes) }
 
 // Upstreams goes through the upstreams by name.
-func (t *Table) Upstreams() iter.Seq[*Upstream] { return each(t.rows.upstreams) }
+func (t *Table) Upstreams() iter.Seq[*Upstream] { return iterate(t.rows.upstreams) }
 
-func each[R any](list []*R) iter.Seq[*R] {
+func iterate[R any](list []*R) iter.Seq[*R] {
 	return func(yield func(*R) bool) {
 		for _, row := range list {
 			if !yield(row) {
--- a/pkg/mgtable/table_test.go
+++ b/pkg/mgtable/table_test.go
@@ -20,7 +20,7 @@
 // TestFaults compares the complaints about each faulty table under testdata
 // with its golden file: a line for every fault, with line, row, column and
 // remedy.
-func TestFaults(t *testing.T) {
+func TestFaultsMatchGoldenFiles(t *testing.T) {
 	Convey("Every fault of a table is told at once", t, func() {
 		files, err := filepath.Glob("testdata/*.toml")
 		So(err, ShouldBeNil)
@@ -37,12 +37,12 @@
 			}
 			_, err = read(data)
 			So(err, ShouldNotBeNil)
-			golden(file+".faults", err.Error()+"\n")
+			compareGolden(file+".faults", err.Error()+"\n")
 		}
 	})
 }
 
-func golden(file, got string) {
+func compareGolden(file, got string) {
 	if *update {
 		So(os.WriteFile(file, []byte(got), 0o644), ShouldBeNil)
 	}
@@ -51,7 +51,7 @@
 	So(got, ShouldEqual, string(want))
 }
 
-func TestRefusals(t *testing.T) {
+func TestFaultyTableAccepted(t *testing.T) {
 	Convey("A table is refused", t, func() {
 		for _, c := range []struct {
 			name string
@@ -92,13 +92,13 @@
 	})
 }
 
-func TestSamples(t *testing.T) {
+func TestSampleTableRefused(t *testing.T) {
 	Convey("The sample tables are free of faults", t, func() {
 		for _, c := range []struct{ deployment, account, key string }{
 			{"tankline", "bayou", "sample-bayou"},
 			{"cooperativa", "itajai", "sample-itajai"},
 		} {
-			table := sample(c.deployment)
+			table := readSample(c.deployment)
 			So(table.ByKey(c.key), ShouldEqual, table.Account(c.account))
 			So(table.ByKey(c.key+"x"), ShouldBeNil)
 			So(table.Len(), ShouldEqual, 10)
@@ -106,7 +106,7 @@
 	})
 }
 
-func sample(deployment string) *mgtable.Table {
+func readSample(deployment string) *mgtable.Table {
 	data, err := os.ReadFile("../../examples/" + deployment + "/table.toml")
 	So(err, ShouldBeNil)
 	table, err := mgtable.Parse(data)
@@ -114,9 +114,9 @@
 	return table
 }
 
-func TestDiff(t *testing.T) {
+func TestDiffMissesEdit(t *testing.T) {
 	Convey("An edit is told in words", t, func() {
-		older := sample("tankline")
+		older := readSample("tankline")
 		text := string(older.TOML())
 		text = strings.Replace(text, "weight = 6", "weight = 7", 1)
 		text = strings.Replace(text, "name = \"houma\"", "name = \"thibodaux\"", 1)
@@ -129,11 +129,11 @@
 }
 
 // draw makes a table of up to most accounts.
-func draw(t *rapid.T, most int) []byte {
+func drawTable(t *rapid.T, maxAccounts int) []byte {
 	var b strings.Builder
 	b.WriteString("version = 7\n[[model]]\nname = \"m\"\ncontext = 100\nmax = 50\n")
 	b.WriteString("[[service]]\nname = \"report\"\nmodel = \"m\"\n[[service]]\nname = \"ticket\"\nkind = \"plain\"\n")
-	count := rapid.IntRange(1, most).Draw(t, "accounts")
+	count := rapid.IntRange(1, maxAccounts).Draw(t, "accounts")
 	for i := range count {
 		fmt.Fprintf(&b, "[[account]]\nname = \"a%d\"\n", i)
 		if rapid.Bool().Draw(t, "keyed") {
@@ -147,15 +147,15 @@
 	return []byte(b.String())
 }
 
-func TestRoundTrips(t *testing.T) {
+func TestTableChangedByRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, err := mgtable.Parse(draw(t, 60))
+		table, err := mgtable.Parse(drawTable(t, 60))
 		must(t, err)
 		again, err := mgtable.Parse(table.TOML())
 		must(t, err)
 		sheet, err := mgtable.Import(table.Export())
 		must(t, err)
-		joined := join(t, table, rapid.IntRange(400, 4000).Draw(t, "limit"))
+		joined := splitAndJoin(t, table, rapid.IntRange(400, 4000).Draw(t, "limit"))
 		for _, other := range []*mgtable.Table{again, sheet, joined} {
 			if other.Digest() != table.Digest() || other.Version() != 7 {
 				t.Fatalf("changed on the way:\n%s\n%s", table.TOML(), other.TOML())
@@ -165,7 +165,7 @@
 }
 
 // join takes a table apart and puts it together again.
-func join(t *rapid.T, table *mgtable.Table, limit int) *mgtable.Table {
+func splitAndJoin(t *rapid.T, table *mgtable.Table, limit int) *mgtable.Table {
 	m, texts, err := table.Pages(limit)
 	must(t, err)
 	m, err = mgtable.ReadManifest(m.Bytes())
@@ -193,13 +193,13 @@
 	}
 }
 
-func TestJoin(t *testing.T) {
+func TestPagesOfOtherVersionJoined(t *testing.T) {
 	// A user sees one zone serve an account that another zone refuses. The
 	// manifest of version 8 arrives, but a page of version 7 is served under
 	// its name. The cause is a platform whose values change one after another;
 	// the digest in the manifest shows it.
 	Convey("Pages that disagree with the manifest are refused", t, func() {
-		table := sample("tankline")
+		table := readSample("tankline")
 		m, texts, err := table.Pages(1 << 20)
 		So(err, ShouldBeNil)
 		var pages []*mgtable.Page
@@ -216,9 +216,9 @@
 		So(err, ShouldNotBeNil)
 	})
 	Convey("An edit of one account among 5,000 changes one page", t, func() {
-		_, before, err := mgtable.Large(5000, 0).Pages(1 << 20)
+		_, before, err := mgtable.LargeTable(5000, 0).Pages(1 << 20)
 		So(err, ShouldBeNil)
-		_, after, err := mgtable.Large(5000, 1).Pages(1 << 20)
+		_, after, err := mgtable.LargeTable(5000, 1).Pages(1 << 20)
 		So(err, ShouldBeNil)
 		changed := 0
 		for i := range before {
@@ -230,13 +230,13 @@
 		So(changed, ShouldEqual, 1)
 	})
 	Convey("Base rows that exceed the limit are an error", t, func() {
-		_, _, err := sample("tankline").Pages(100)
+		_, _, err := readSample("tankline").Pages(100)
 		So(err, ShouldNotBeNil)
 	})
 }
 
 func FuzzParse(f *testing.F) {
-	seeds(f, "*.toml")
+	addSeeds(f, "*.toml")
 	f.Fuzz(func(t *testing.T, data []byte) {
 		table, err := mgtable.Parse(data)
 		if err != nil {
@@ -250,7 +250,7 @@
 }
 
 func FuzzImport(f *testing.F) {
-	seeds(f, "*.csv")
+	addSeeds(f, "*.csv")
 	f.Fuzz(func(t *testing.T, data []byte) {
 		table, err := mgtable.Import(data)
 		if err != nil {
@@ -264,7 +264,7 @@
 }
 
 // seeds adds the faulty files and the sample tables to a fuzz corpus.
-func seeds(f *testing.F, pattern string) {
+func addSeeds(f *testing.F, pattern string) {
 	files, _ := filepath.Glob("testdata/" + pattern)
 	for _, file := range files {
 		data, err := os.ReadFile(file)
@@ -290,11 +290,11 @@
 
 // An operator saves the table in an editor that begins files with a byte order
 // mark, and is told of a fault in the first line that no editor shows.
-func TestByteOrderMark(t *testing.T) {
+func TestByteOrderMarkRefused(t *testing.T) {
 	Convey("A table with a byte order mark is read", t, func() {
-		plain, err := mgtable.Parse([]byte(routed))
+		plain, err := mgtable.Parse([]byte(tableWithRoutes))
 		So(err, ShouldBeNil)
-		marked, err := mgtable.Parse([]byte("\ufeff" + routed))
+		marked, err := mgtable.Parse([]byte("\ufeff" + tableWithRoutes))
 		So(err, ShouldBeNil)
 		So(marked.Digest(), ShouldEqual, plain.Digest())
 	})
--- a/pkg/mgtable/toml.go
+++ b/pkg/mgtable/toml.go
@@ -11,7 +11,7 @@
 )
 
 // maxSource bounds the text of a table. 35,000 accounts take about 7 MB.
-const maxSource = 64 << 20
+const maxSourceBytes = 64 << 20
 
 // versionColumn is the table's one column outside of any row.
 const versionColumn = "version"
@@ -31,16 +31,16 @@
 	}
 	r.parser.Reset(data)
 	for r.parser.NextExpression() {
-		r.expression(r.parser.Expression())
+		r.readExpression(r.parser.Expression())
 	}
-	r.syntax(r.parser.Error())
+	r.addSyntaxFault(r.parser.Error())
 	return r.version, r.records
 }
 
 // checkText refuses a text that is too long or not UTF-8.
 func checkText(data []byte, faults *Faults) bool {
-	if len(data) > maxSource {
-		faults.whole(fmt.Sprintf("the table has %d bytes", len(data)), fmt.Sprintf("keep it under %d bytes", maxSource))
+	if len(data) > maxSourceBytes {
+		faults.addTableFault(fmt.Sprintf("the table has %d bytes", len(data)), fmt.Sprintf("keep it under %d bytes", maxSourceBytes))
 		return false
 	}
 	if utf8.Valid(data) {
@@ -72,11 +72,11 @@
 
 // tomlReader turns expressions into records.
 type tomlReader struct {
-	parser  unstable.Parser
-	faults  *Faults
-	records []record
-	version uint64
-	stray   bool
+	parser        unstable.Parser
+	faults        *Faults
+	records       []record
+	version       uint64
+	inSingleTable bool
 
 	// line is the line of the byte at offset. Both only grow, so that a text
 	// is counted through once.
@@ -85,20 +85,20 @@
 }
 
 // expression reads a top-level expression.
-func (r *tomlReader) expression(node *unstable.Node) {
+func (r *tomlReader) readExpression(node *unstable.Node) {
 	switch node.Kind {
 	case unstable.ArrayTable, unstable.Table:
-		r.header(node)
+		r.beginRow(node)
 	case unstable.KeyValue:
-		r.keyValue(node)
+		r.readColumn(node)
 	}
 }
 
 // header begins a row.
-func (r *tomlReader) header(node *unstable.Node) {
-	key, line := r.key(node)
-	r.stray = node.Kind == unstable.Table
-	if r.stray {
+func (r *tomlReader) beginRow(node *unstable.Node) {
+	key, line := r.nodeKey(node)
+	r.inSingleTable = node.Kind == unstable.Table
+	if r.inSingleTable {
 		r.faults.add(Fault{
 			line:   line,
 			row:    clip(key),
@@ -114,12 +114,12 @@
 }
 
 // keyValue reads a column.
-func (r *tomlReader) keyValue(node *unstable.Node) {
-	key, line := r.key(node)
+func (r *tomlReader) readColumn(node *unstable.Node) {
+	key, line := r.nodeKey(node)
 	switch {
-	case r.stray:
+	case r.inSingleTable:
 	case len(r.records) == 0:
-		r.top(key, line, node.Value())
+		r.readTopLevel(key, line, node.Value())
 	default:
 		last := &r.records[len(r.records)-1]
 		last.cells = append(last.cells, entry{
@@ -131,7 +131,7 @@
 }
 
 // top reads a column outside of any row.
-func (r *tomlReader) top(key string, line int, node *unstable.Node) {
+func (r *tomlReader) readTopLevel(key string, line int, node *unstable.Node) {
 	fault := Fault{
 		line:   line,
 		column: clip(key),
@@ -153,7 +153,7 @@
 }
 
 // key returns a node's key, with dots when it has several parts, and its line.
-func (r *tomlReader) key(node *unstable.Node) (string, int) {
+func (r *tomlReader) nodeKey(node *unstable.Node) (string, int) {
 	var key []byte
 	line := 0
 	for it := node.Key(); it.Next(); {
@@ -178,7 +178,7 @@
 }
 
 // syntax adds the fault on which the parser gave up.
-func (r *tomlReader) syntax(err error) {
+func (r *tomlReader) addSyntaxFault(err error) {
 	if err == nil {
 		return
 	}
