--- a/pkg/mgclient/answer.go
+++ b/pkg/mgclient/answer.go
@@ -14,13 +14,13 @@
 
 // An Answer is what came of a request.
 type Answer struct {
-	name    string
-	text    string
-	end     string
-	tokens  uint64
-	starts  int
-	resumes int
-	evicted int
+	name      string
+	text      string
+	end       string
+	tokens    uint64
+	starts    int
+	resumes   int
+	preempted int
 }
 
 // Name returns the answer's name, by which it can be resumed.
@@ -44,4 +44,4 @@
 func (a Answer) Resumes() int { return a.resumes }
 
 // Preempted returns how many times the engine evicted the answer's generation.
-func (a Answer) Preempted() int { return a.evicted }
+func (a Answer) Preempted() int { return a.preempted }
--- a/pkg/mgclient/backoff.go
+++ b/pkg/mgclient/backoff.go
@@ -10,24 +10,24 @@
 // The bounds of the backoff. The first is about a hundred round trips to an
 // entry; the last lets eight tries outlast the replacement of a VM's process.
 const (
-	firstWait = 100 * mgclock.Millis(1)
-	lastWait  = 5 * mgclock.Second
+	minBackoff = 100 * mgclock.Millis(1)
+	maxBackoff = 5 * mgclock.Second
 )
 
 // backoff returns how long to wait before a try, the first being 1. The wait
 // asked for is kept in full, and the jitter comes on top, so that callers who
 // were turned away together don't come back together.
 func backoff(try int, asked mgclock.Millis, jitter float64) mgclock.Millis {
-	span := lastWait
+	window := maxBackoff
 	if doublings := try - 1; doublings < 6 {
-		span = min(firstWait<<doublings, lastWait)
+		window = min(minBackoff<<doublings, maxBackoff)
 	}
-	return asked + mgclock.Millis(jitter*float64(span))
+	return asked + mgclock.Millis(jitter*float64(window))
 }
 
 // passes reports whether a problem that is attested not run may pass by
 // itself.
-func passes(p *mgproblem.Problem) bool {
+func isTransient(p *mgproblem.Problem) bool {
 	if p.Outcome() != mgproblem.NotRun {
 		return false
 	}
@@ -41,7 +41,7 @@
 }
 
 // elsewhere reports whether another entry may do better.
-func elsewhere(err error) bool {
+func shouldSwitchEntry(err error) bool {
 	var problem *mgproblem.Problem
 	if !errors.As(err, &problem) {
 		return true
@@ -55,7 +55,7 @@
 }
 
 // retryOf returns the wait that err asks for.
-func retryOf(err error) mgclock.Millis {
+func retryAfter(err error) mgclock.Millis {
 	var problem *mgproblem.Problem
 	if errors.As(err, &problem) {
 		return problem.Retry()
--- a/pkg/mgclient/call.go
+++ b/pkg/mgclient/call.go
@@ -16,13 +16,13 @@
 // Mint returns the id of a new operation of a service. An id that is never
 // used costs nothing, so Mint tries again whatever failed.
 func (c *Client) Mint(ctx context.Context, service string) (string, error) {
-	reply, err := c.repeat(ctx, servicePath(service, "operations"), CallSpec{
+	reply, err := c.callWithRetries(ctx, servicePath(service, "operations"), CallSpec{
 		Method: http.MethodPost,
 	})
 	if err != nil {
 		return "", err
 	}
-	var m minted
+	var m mintReply
 	if json.Unmarshal(reply.Body, &m) != nil || m.Operation == "" {
 		return "", mgproblem.New(mgproblem.Internal, mgproblem.NotRun,
 			fmt.Sprintf("status %d without an operation", reply.Status), "check the service's name and the base URLs")
@@ -34,7 +34,7 @@
 // reply. A call under an operation id, and one whose method is safe, is tried
 // again when nothing came back; any other ends as Unconfirmed.
 func (c *Client) Call(ctx context.Context, spec CallSpec) (Reply, error) {
-	return c.repeat(ctx, servicePath(spec.Service, spec.Path), spec)
+	return c.callWithRetries(ctx, servicePath(spec.Service, spec.Path), spec)
 }
 
 func servicePath(service, path string) string {
@@ -42,31 +42,31 @@
 }
 
 // repeat makes a call until a reply or a final problem comes.
-func (c *Client) repeat(ctx context.Context, path string, spec CallSpec) (Reply, error) {
-	if problem := c.ready(); problem != nil {
+func (c *Client) callWithRetries(ctx context.Context, path string, spec CallSpec) (Reply, error) {
+	if problem := c.checkReady(); problem != nil {
 		return Reply{}, problem
 	}
-	doubt := false // an earlier try may have run
-	for try := 1; ; try++ {
-		reply, err := c.once(ctx, path, spec)
+	inDoubt := false // an earlier try may have run
+	for attempt := 1; ; attempt++ {
+		reply, err := c.attemptCall(ctx, path, spec)
 		if err == nil {
 			return reply, nil
 		}
-		doubt = doubt || mayHaveRun(err)
+		inDoubt = inDoubt || mayHaveRun(err)
 		if ctx.Err() != nil {
-			return Reply{}, ended(ctx, outcomeOf(doubt))
+			return Reply{}, cancelledProblem(ctx, outcomeOf(inDoubt))
 		}
-		if problem := c.judgeCall(err, try, doubt, repeatable(spec)); problem != nil {
+		if problem := c.finalCallProblem(err, attempt, inDoubt, isRepeatable(spec)); problem != nil {
 			return Reply{}, problem
 		}
-		if !c.spec.Clock.Sleep(ctx, backoff(try, retryOf(err), c.jitter())) {
-			return Reply{}, ended(ctx, outcomeOf(doubt))
+		if !c.spec.Clock.Sleep(ctx, backoff(attempt, retryAfter(err), c.jitter())) {
+			return Reply{}, cancelledProblem(ctx, outcomeOf(inDoubt))
 		}
 	}
 }
 
 // repeatable reports whether a call that may have run may be sent again.
-func repeatable(spec CallSpec) bool {
+func isRepeatable(spec CallSpec) bool {
 	switch spec.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
 		return true
@@ -84,8 +84,8 @@
 	return mgproblem.From(err).Outcome() == mgproblem.Unknown
 }
 
-func outcomeOf(doubt bool) mgproblem.Outcome {
-	if doubt {
+func outcomeOf(inDoubt bool) mgproblem.Outcome {
+	if inDoubt {
 		return mgproblem.Unknown
 	}
 	return mgproblem.NotRun
@@ -93,21 +93,21 @@
 
 // judgeCall returns the final problem after a failed try, or nil when the next
 // try may follow.
-func (c *Client) judgeCall(err error, try int, doubt, repeatable bool) *mgproblem.Problem {
-	last := try >= c.tries()
+func (c *Client) finalCallProblem(err error, attempt int, inDoubt, isRepeatable bool) *mgproblem.Problem {
+	isLast := attempt >= c.maxTries()
 	var problem *mgproblem.Problem
 	if errors.As(err, &problem) {
-		again := passes(problem) || repeatable && problem.Retry() > 0
-		if again && !last {
+		canRetry := isTransient(problem) || isRepeatable && problem.Retry() > 0
+		if canRetry && !isLast {
 			return nil
 		}
-		return final(problem, doubt)
+		return problemOfCall(problem, inDoubt)
 	}
 	switch {
-	case !doubt && last:
-		return unreached(err)
-	case doubt && (last || !repeatable):
-		return unconfirmed(err)
+	case !inDoubt && isLast:
+		return unreachableProblem(err)
+	case inDoubt && (isLast || !isRepeatable):
+		return unconfirmedProblem(err)
 	default:
 		return nil
 	}
@@ -116,16 +116,16 @@
 // final returns the system's problem as the outcome of the whole call. It
 // speaks for its own try only: after an earlier one that may have run, "not
 // run" would be a claim too many.
-func final(problem *mgproblem.Problem, doubt bool) *mgproblem.Problem {
-	if doubt && problem.Outcome() == mgproblem.NotRun {
-		return unconfirmed(problem)
+func problemOfCall(problem *mgproblem.Problem, inDoubt bool) *mgproblem.Problem {
+	if inDoubt && problem.Outcome() == mgproblem.NotRun {
+		return unconfirmedProblem(problem)
 	}
 	return problem
 }
 
 // once makes one try.
-func (c *Client) once(ctx context.Context, path string, spec CallSpec) (Reply, error) {
-	r, n, err := c.request(ctx, spec.Method, path, spec.Body)
+func (c *Client) attemptCall(ctx context.Context, path string, spec CallSpec) (Reply, error) {
+	r, entry, err := c.request(ctx, spec.Method, path, spec.Body)
 	if err != nil {
 		return Reply{}, err
 	}
@@ -135,33 +135,33 @@
 	if spec.Operation != "" {
 		r.Header.Set("Idempotency-Key", spec.Operation)
 	}
-	reply, err := c.receive(ctx, r)
-	if err != nil && elsewhere(err) {
-		c.leave(n)
+	reply, err := c.readReply(ctx, r)
+	if err != nil && shouldSwitchEntry(err) {
+		c.switchEntry(entry)
 	}
 	return reply, err
 }
 
 // receive sends r and reads the whole reply.
-func (c *Client) receive(ctx context.Context, r *http.Request) (Reply, error) {
+func (c *Client) readReply(ctx context.Context, r *http.Request) (Reply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer c.watch(c.begin(), cancel)()
+	defer c.cancelAfter(c.beginTimeout(), cancel)()
 	response, err := c.send(r.WithContext(ctx))
 	if err != nil {
 		return Reply{}, err
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, replyBytes+1))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes+1))
 	if err != nil {
 		return Reply{}, &transportError{
 			sent:  true,
 			cause: err,
 		}
 	}
-	if len(data) > replyBytes {
+	if len(data) > maxReplyBytes {
 		return Reply{}, mgproblem.New(mgproblem.Large, mgproblem.Done,
-			fmt.Sprintf("the reply has over %d bytes", replyBytes), "ask the service for less")
+			fmt.Sprintf("the reply has over %d bytes", maxReplyBytes), "ask the service for less")
 	}
 	return Reply{
 		Status: response.StatusCode,
--- a/pkg/mgclient/client.go
+++ b/pkg/mgclient/client.go
@@ -21,24 +21,24 @@
 
 // The defaults of a Spec.
 const (
-	defaultSilence = 5 * mgclock.Second // five heartbeats
-	defaultBegin   = mgclock.Minute
-	defaultTries   = 8
+	defaultSilenceTimeout = 5 * mgclock.Second // five heartbeats
+	defaultBeginTimeout   = mgclock.Minute
+	defaultMaxTries       = 8
 )
 
 // replyBytes bounds a reply that is read as a whole.
-const replyBytes = 8 << 20
+const maxReplyBytes = 8 << 20
 
 // problemType begins the type of each problem that is the system's own, and
 // not a plain service's.
-const problemType = "urn:marjoramgauge:"
+const problemTypePrefix = "urn:marjoramgauge:"
 
 // A Client calls through entries that may fail. It is safe for use by several
 // goroutines. The zero Client knows no entry: its calls fail as Invalid.
 type Client struct {
-	spec   Spec
-	http   *http.Client
-	chosen atomic.Uint64 // number of the entry in use
+	spec        Spec
+	http        *http.Client
+	entryNumber atomic.Uint64 // number of the entry in use
 }
 
 // New returns a client.
@@ -53,25 +53,25 @@
 	}
 }
 
-func (c *Client) silence() mgclock.Millis {
+func (c *Client) silenceTimeout() mgclock.Millis {
 	if c.spec.Silence > 0 {
 		return c.spec.Silence
 	}
-	return defaultSilence
+	return defaultSilenceTimeout
 }
 
-func (c *Client) begin() mgclock.Millis {
+func (c *Client) beginTimeout() mgclock.Millis {
 	if c.spec.Begin > 0 {
 		return c.spec.Begin
 	}
-	return defaultBegin
+	return defaultBeginTimeout
 }
 
-func (c *Client) tries() int {
+func (c *Client) maxTries() int {
 	if c.spec.Tries > 0 {
 		return c.spec.Tries
 	}
-	return defaultTries
+	return defaultMaxTries
 }
 
 func (c *Client) jitter() float64 {
@@ -82,13 +82,13 @@
 }
 
 // base returns the entry in use.
-func (c *Client) base() (string, uint64) {
-	n := c.chosen.Load()
+func (c *Client) currentEntry() (string, uint64) {
+	n := c.entryNumber.Load()
 	return strings.TrimSuffix(c.spec.Bases[n%uint64(len(c.spec.Bases))], "/"), n
 }
 
 // leave turns to the next entry, unless another goroutine already did.
-func (c *Client) leave(n uint64) { c.chosen.CompareAndSwap(n, n+1) }
+func (c *Client) switchEntry(entry uint64) { c.entryNumber.CompareAndSwap(entry, entry+1) }
 
 // transportError is a try that brought no reply from the system.
 type transportError struct {
@@ -123,14 +123,14 @@
 }
 
 // watch calls cancel after span, unless it is stopped before.
-func (c *Client) watch(span mgclock.Millis, cancel func()) (stop func()) {
+func (c *Client) cancelAfter(timeout mgclock.Millis, cancel func()) (stop func()) {
 	stopped := make(chan struct{})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		select {
 		case <-stopped:
-		case <-c.spec.Clock.After(span):
+		case <-c.spec.Clock.After(timeout):
 			cancel()
 		}
 	}()
@@ -145,7 +145,7 @@
 	if !strings.HasPrefix(response.Header.Get("Content-Type"), mgproblem.MediaType) {
 		return nil
 	}
-	data, err := io.ReadAll(io.LimitReader(response.Body, replyBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	_ = response.Body.Close()
 	response.Body = io.NopCloser(bytes.NewReader(data))
 	if err != nil {
@@ -168,7 +168,7 @@
 		Type string `json:"type"`
 	}
 	problem := &mgproblem.Problem{}
-	if json.Unmarshal(data, &typed) != nil || !strings.HasPrefix(typed.Type, problemType) {
+	if json.Unmarshal(data, &typed) != nil || !strings.HasPrefix(typed.Type, problemTypePrefix) {
 		return nil
 	}
 	if json.Unmarshal(data, problem) != nil {
@@ -178,7 +178,7 @@
 }
 
 // ready reports why the client can't call, or nil.
-func (c *Client) ready() *mgproblem.Problem {
+func (c *Client) checkReady() *mgproblem.Problem {
 	if len(c.spec.Bases) == 0 || c.http == nil {
 		return mgproblem.New(mgproblem.Invalid, mgproblem.NotRun,
 			"the client knows no entry", "create it by New with the entries' base URLs")
@@ -188,7 +188,7 @@
 
 // request returns a request to the entry in use and the entry's number.
 func (c *Client) request(ctx context.Context, method, path string, data []byte) (*http.Request, uint64, error) {
-	base, n := c.base()
+	base, n := c.currentEntry()
 	r, err := http.NewRequestWithContext(ctx, method, base+path, bytes.NewReader(data))
 	if err != nil {
 		return nil, n, mgproblem.New(mgproblem.Invalid, mgproblem.NotRun,
@@ -199,27 +199,27 @@
 
 // Cancel ends an answer, which its caller then can't resume.
 func (c *Client) Cancel(ctx context.Context, answer string) error {
-	_, err := c.repeat(ctx, "/v1/answers/"+url.PathEscape(answer), CallSpec{
+	_, err := c.callWithRetries(ctx, "/v1/answers/"+url.PathEscape(answer), CallSpec{
 		Method: http.MethodDelete,
 	})
 	return err
 }
 
 // unconfirmed returns the problem of a request of which nothing is known.
-func unconfirmed(err error) *mgproblem.Problem {
+func unconfirmedProblem(err error) *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown,
 		"the request was sent and nothing came back",
 		"find out whether it ran before asking again").WithCause(err)
 }
 
 // unreached returns the problem of a request that no entry has seen.
-func unreached(err error) *mgproblem.Problem {
+func unreachableProblem(err error) *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
 		"no entry can be reached", "check the base URLs and try again later").WithCause(err)
 }
 
 // ended returns the problem of a request whose context ended.
-func ended(ctx context.Context, outcome mgproblem.Outcome) *mgproblem.Problem {
+func cancelledProblem(ctx context.Context, outcome mgproblem.Outcome) *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Cancelled, outcome,
 		fmt.Sprintf("the caller gave up: %v", context.Cause(ctx)),
 		"resume by the answer's name, or ask again").WithCause(context.Cause(ctx))
--- a/pkg/mgclient/client_test.go
+++ b/pkg/mgclient/client_test.go
@@ -17,7 +17,7 @@
 )
 
 // patience bounds a test that hangs; no verdict depends on it.
-const patience = 30 * time.Second
+const hangTimeout = 30 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -25,7 +25,7 @@
 // fails somewhere on the way, once or twice. The gauger must read each token
 // once and in order, or be told that the report isn't whole; and a report that
 // may be running is never started a second time.
-func TestComplete(t *testing.T) {
+func TestAnswerLosesOrRepeatsTokens(t *testing.T) {
 	cases := []struct {
 		name    string
 		steps   []step
@@ -37,137 +37,137 @@
 	}{
 		{
 			name:  "nothing fails",
-			steps: []step{rest("a", 1, 2, 3, 4)},
+			steps: []step{sendAndFinish("a", 1, 2, 3, 4)},
 			text:  "1,2,3,4,",
-			asked: []string{post},
+			asked: []string{postRequest},
 		},
 		{
 			name:  "the connection is cut",
-			steps: []step{part("a", 1, 2), rest("a", 3, 4)},
+			steps: []step{sendAndCut("a", 1, 2), sendAndFinish("a", 3, 4)},
 			text:  "1,2,3,4,",
-			asked: []string{post, resume + "2"},
+			asked: []string{postRequest, resumeRequest + "2"},
 		},
 		{
 			name:  "the connection is cut twice, and tokens come twice",
-			steps: []step{part("a", 1, 2), part("a", 1, 2, 3), rest("a", 2, 3, 4)},
+			steps: []step{sendAndCut("a", 1, 2), sendAndCut("a", 1, 2, 3), sendAndFinish("a", 2, 3, 4)},
 			text:  "1,2,3,4,",
-			asked: []string{post, resume + "2", resume + "3"},
+			asked: []string{postRequest, resumeRequest + "2", resumeRequest + "3"},
 		},
 		{
 			name:    "the connection falls silent for good",
-			steps:   []step{silent("a", 1, 2), rest("a", 1, 2, 3, 4)},
+			steps:   []step{sendAndHang("a", 1, 2), sendAndFinish("a", 1, 2, 3, 4)},
 			silence: 100,
 			text:    "1,2,3,4,",
 		},
 		{
 			name:  "a token is missing",
-			steps: []step{part("a", 1, 3), rest("a", 2, 3, 4)},
+			steps: []step{sendAndCut("a", 1, 3), sendAndFinish("a", 2, 3, 4)},
 			text:  "1,2,3,4,",
-			asked: []string{post, resume + "1"},
+			asked: []string{postRequest, resumeRequest + "1"},
 		},
 		{
 			name:  "another answer's token comes",
-			steps: []step{part("a", 1, 2), part("b", 3), rest("a", 3, 4)},
+			steps: []step{sendAndCut("a", 1, 2), sendAndCut("b", 3), sendAndFinish("a", 3, 4)},
 			text:  "1,2,3,4,",
-			asked: []string{post, resume + "2", resume + "2"},
+			asked: []string{postRequest, resumeRequest + "2", resumeRequest + "2"},
 		},
 		{
 			name:  "the end comes before the last tokens",
-			steps: []step{rest("a", 1, 2), rest("a", 3, 4)},
+			steps: []step{sendAndFinish("a", 1, 2), sendAndFinish("a", 3, 4)},
 			text:  "1,2,3,4,",
-			asked: []string{post, resume + "2"},
+			asked: []string{postRequest, resumeRequest + "2"},
 		},
 		{
 			name:  "the next entry isn't ready",
-			steps: []step{part("a", 1), refuse(mgproblem.Unready), rest("a", 2, 3, 4)},
+			steps: []step{sendAndCut("a", 1), refuseWith(mgproblem.Unready), sendAndFinish("a", 2, 3, 4)},
 			text:  "1,2,3,4,",
-			asked: []string{post, resume + "1", resume + "1"},
+			asked: []string{postRequest, resumeRequest + "1", resumeRequest + "1"},
 		},
 		{
 			name:  "it is turned away and comes back when told",
-			steps: []step{refuse(mgproblem.Crowded), rest("a", 1, 2, 3, 4)},
+			steps: []step{refuseWith(mgproblem.Crowded), sendAndFinish("a", 1, 2, 3, 4)},
 			text:  "1,2,3,4,",
-			asked: []string{post, post},
+			asked: []string{postRequest, postRequest},
 		},
 		{
 			name:  "it was given a name, waited, and attested not run",
-			steps: []step{fail(mgproblem.Crowded, mgproblem.NotRun), rest("a", 1, 2, 3, 4)},
+			steps: []step{failWith(mgproblem.Crowded, mgproblem.NotRun), sendAndFinish("a", 1, 2, 3, 4)},
 			text:  "1,2,3,4,",
-			asked: []string{post, post},
+			asked: []string{postRequest, postRequest},
 		},
 		{
 			name:  "its name came ahead, and it was turned away",
-			steps: []step{early(refuse(mgproblem.Crowded)), rest("a", 1, 2, 3, 4)},
+			steps: []step{withEarlyHints(refuseWith(mgproblem.Crowded)), sendAndFinish("a", 1, 2, 3, 4)},
 			text:  "1,2,3,4,",
-			asked: []string{post, post},
+			asked: []string{postRequest, postRequest},
 		},
 		{
 			name:  "its name came ahead, and it was started anew elsewhere",
-			steps: []step{early(part("b", 1, 2)), rest("b", 3, 4)},
+			steps: []step{withEarlyHints(sendAndCut("b", 1, 2)), sendAndFinish("b", 3, 4)},
 			text:  "1,2,3,4,",
-			asked: []string{post, "GET /v1/answers/b b.2"},
+			asked: []string{postRequest, "GET /v1/answers/b b.2"},
 		},
 		{
 			name:  "its name came ahead, and the entry dies",
-			steps: []step{early(lost), rest("a", 1, 2, 3, 4)},
+			steps: []step{withEarlyHints(abort), sendAndFinish("a", 1, 2, 3, 4)},
 			text:  "1,2,3,4,",
-			asked: []string{post, resume + "0"},
+			asked: []string{postRequest, resumeRequest + "0"},
 		},
 		{
 			// A lookup's engine dies before the first token. The entry starts over
 			// elsewhere and streams under a new name, and the caller, who held to
 			// the first name, gave the right answer up.
 			name:  "its name came ahead, and it started over elsewhere",
-			steps: []step{early(moved("b", rest("b", 1, 2, 3, 4)))},
+			steps: []step{withEarlyHints(withLaterName("b", sendAndFinish("b", 1, 2, 3, 4)))},
 			text:  "1,2,3,4,",
-			asked: []string{post},
+			asked: []string{postRequest},
 		},
 		{
 			name:  "it started over elsewhere, and the entry dies",
-			steps: []step{early(moved("b", lost)), rest("b", 1, 2, 3, 4)},
+			steps: []step{withEarlyHints(withLaterName("b", abort)), sendAndFinish("b", 1, 2, 3, 4)},
 			text:  "1,2,3,4,",
-			asked: []string{post, "GET /v1/answers/b b.0"},
+			asked: []string{postRequest, "GET /v1/answers/b b.0"},
 		},
 		{
 			name: "its name came ahead, and its generation was lost",
-			steps: []step{early(func(w http.ResponseWriter, _ *http.Request) {
+			steps: []step{withEarlyHints(func(w http.ResponseWriter, _ *http.Request) {
 				mgproblem.Write(w, mgproblem.New(mgproblem.Interrupted, mgproblem.Unknown, "a test", "none").WithRetry(1))
 			})},
 			kind:    mgproblem.Interrupted,
 			outcome: mgproblem.Unknown,
-			asked:   []string{post},
+			asked:   []string{postRequest},
 		},
 		{
 			name:    "the entry dies before it answers",
-			steps:   []step{lost},
+			steps:   []step{abort},
 			kind:    mgproblem.Unconfirmed,
 			outcome: mgproblem.Unknown,
-			asked:   []string{post},
+			asked:   []string{postRequest},
 		},
 		{
 			name:    "the engine dies in the middle",
-			steps:   []step{fail(mgproblem.Interrupted, mgproblem.Unknown, 1, 2)},
+			steps:   []step{failWith(mgproblem.Interrupted, mgproblem.Unknown, 1, 2)},
 			text:    "1,2,",
 			kind:    mgproblem.Interrupted,
 			outcome: mgproblem.Unknown,
-			asked:   []string{post},
+			asked:   []string{postRequest},
 		},
 		{
 			name:    "the key is wrong",
-			steps:   []step{refuse(mgproblem.Stranger)},
+			steps:   []step{refuseWith(mgproblem.Stranger)},
 			kind:    mgproblem.Stranger,
 			outcome: mgproblem.NotRun,
 		},
 		{
 			name:    "its resume is refused, which says nothing of the answer",
-			steps:   []step{part("a", 1), refuse(mgproblem.Stranger)},
+			steps:   []step{sendAndCut("a", 1), refuseWith(mgproblem.Stranger)},
 			text:    "1,",
 			kind:    mgproblem.Stranger,
 			outcome: mgproblem.Unknown,
 		},
 		{
 			name:    "each try to resume fails",
-			steps:   []step{part("a", 1), lost, lost, lost, lost, lost, lost},
+			steps:   []step{sendAndCut("a", 1), abort, abort, abort, abort, abort, abort},
 			text:    "1,",
 			kind:    mgproblem.Interrupted,
 			outcome: mgproblem.Unknown,
@@ -176,8 +176,8 @@
 	Convey("An answer when", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				e := newEntries(c.steps...)
-				ctx, cancel := context.WithTimeout(context.Background(), patience)
+				e := newFakeEntries(c.steps...)
+				ctx, cancel := context.WithTimeout(context.Background(), hangTimeout)
 				defer cancel()
 				var got string
 				answer, err := e.client(c.silence).Complete(ctx, mgclient.Request{
@@ -189,7 +189,7 @@
 				So(got, ShouldEqual, c.text)
 				So(answer.Text(), ShouldEqual, c.text)
 				if c.asked != nil {
-					So(e.heard(), ShouldResemble, c.asked)
+					So(e.requests(), ShouldResemble, c.asked)
 				}
 				if c.kind == "" {
 					So(err, ShouldBeNil)
@@ -205,13 +205,13 @@
 }
 
 // booked is a service's reply.
-func booked(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "booked") }
+func replyBooked(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "booked") }
 
 // A gauger books a transfer ticket and the reply is lost. Booked again under a
 // new name it would move two barrels; not booked again it may move none. Under
 // an operation id each try names the same operation; without one there is no
 // second try, and the gauger is told that nobody knows.
-func TestCall(t *testing.T) {
+func TestLostReplyRunsCallTwice(t *testing.T) {
 	const write, read = "POST /v1/services/tickets/book ", "GET /v1/services/tickets/book "
 	cases := []struct {
 		name      string
@@ -226,13 +226,13 @@
 			name:      "a write under an operation id is sent again under the same",
 			method:    http.MethodPost,
 			operation: "op",
-			steps:     []step{lost, lost, booked},
+			steps:     []step{abort, abort, replyBooked},
 			asked:     []string{write + "op", write + "op", write + "op"},
 		},
 		{
 			name:    "a write without one is sent once",
 			method:  http.MethodPost,
-			steps:   []step{lost, booked},
+			steps:   []step{abort, replyBooked},
 			kind:    mgproblem.Unconfirmed,
 			outcome: mgproblem.Unknown,
 			asked:   []string{write},
@@ -240,20 +240,20 @@
 		{
 			name:   "a lookup is sent again",
 			method: http.MethodGet,
-			steps:  []step{lost, booked},
+			steps:  []step{abort, replyBooked},
 			asked:  []string{read, read},
 		},
 		{
 			name:   "a write that didn't run is sent again when told",
 			method: http.MethodPost,
-			steps:  []step{refuse(mgproblem.Crowded), booked},
+			steps:  []step{refuseWith(mgproblem.Crowded), replyBooked},
 			asked:  []string{write, write},
 		},
 		{
 			name:      "not run speaks for the last try only",
 			method:    http.MethodPost,
 			operation: "op",
-			steps:     []step{lost, refuse(mgproblem.Forbidden)},
+			steps:     []step{abort, refuseWith(mgproblem.Forbidden)},
 			kind:      mgproblem.Unconfirmed,
 			outcome:   mgproblem.Unknown,
 		},
@@ -262,7 +262,7 @@
 			method: http.MethodPost,
 			steps: []step{func(w http.ResponseWriter, r *http.Request) {
 				w.WriteHeader(http.StatusServiceUnavailable)
-				booked(w, r)
+				replyBooked(w, r)
 			}},
 			asked: []string{write},
 		},
@@ -270,8 +270,8 @@
 	Convey("A call of a service:", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				e := newEntries(c.steps...)
-				ctx, cancel := context.WithTimeout(context.Background(), patience)
+				e := newFakeEntries(c.steps...)
+				ctx, cancel := context.WithTimeout(context.Background(), hangTimeout)
 				defer cancel()
 				reply, err := e.client(0).Call(ctx, mgclient.CallSpec{
 					Service:   "tickets",
@@ -280,7 +280,7 @@
 					Operation: c.operation,
 				})
 				if c.asked != nil {
-					So(e.heard(), ShouldResemble, c.asked)
+					So(e.requests(), ShouldResemble, c.asked)
 				}
 				if c.kind == "" {
 					So(err, ShouldBeNil)
@@ -296,7 +296,7 @@
 
 // All entries are gone, as in the first seconds of a replacement. Nothing was
 // sent, and the caller is told so.
-func TestUnreached(t *testing.T) {
+func TestUnreachableEntriesNotReportedNotRun(t *testing.T) {
 	Convey("Without an entry nothing ran", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
--- a/pkg/mgclient/complete.go
+++ b/pkg/mgclient/complete.go
@@ -11,7 +11,7 @@
 // in order. Each may be nil; its error ends the answer. With an error, the
 // Answer holds what came before it.
 func (c *Client) Complete(ctx context.Context, request Request, each func(Token) error) (Answer, error) {
-	if problem := c.ready(); problem != nil {
+	if problem := c.checkReady(); problem != nil {
 		return Answer{}, problem
 	}
 	request.Stream = true
@@ -21,9 +21,9 @@
 			"the request can't be written as JSON", "check its text").WithCause(err)
 	}
 	s := session{
-		client: c,
-		data:   data,
-		each:   each,
+		client:  c,
+		data:    data,
+		onToken: each,
 	}
 	err = s.run(ctx)
 	s.answer.text = s.text.String()
@@ -33,17 +33,17 @@
 // Resume goes on with an answer from the token after the last one that the
 // caller has. The Answer holds only the tokens from there on.
 func (c *Client) Resume(ctx context.Context, answer string, last uint64, each func(Token) error) (Answer, error) {
-	if problem := c.ready(); problem != nil {
+	if problem := c.checkReady(); problem != nil {
 		return Answer{}, problem
 	}
 	s := session{
-		client: c,
-		each:   each,
+		client:  c,
+		onToken: each,
 		answer: Answer{
 			name:   answer,
 			tokens: last,
 		},
-		named: true,
+		isNameSettled: true,
 	}
 	err := s.run(ctx)
 	s.answer.text = s.text.String()
--- a/pkg/mgclient/entries_test.go
+++ b/pkg/mgclient/entries_test.go
@@ -20,15 +20,15 @@
 type step func(w http.ResponseWriter, r *http.Request)
 
 // entries are two fake entries that follow one script.
-type entries struct {
+type fakeEntries struct {
 	mu    sync.Mutex
 	steps []step
 	asked []string // method, path, Last-Event-ID and Idempotency-Key of each request
 	bases []string
 }
 
-func newEntries(steps ...step) *entries {
-	e := &entries{
+func newFakeEntries(steps ...step) *fakeEntries {
+	e := &fakeEntries{
 		steps: steps,
 	}
 	for range 2 {
@@ -39,7 +39,7 @@
 	return e
 }
 
-func (e *entries) serve(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEntries) serve(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	e.mu.Lock()
 	n := len(e.asked)
@@ -53,14 +53,14 @@
 }
 
 // heard returns what the requests were.
-func (e *entries) heard() []string {
+func (e *fakeEntries) requests() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.asked)
 }
 
 // client returns a caller of the two entries.
-func (e *entries) client(silence mgclock.Millis) *mgclient.Client {
+func (e *fakeEntries) client(silence mgclock.Millis) *mgclient.Client {
 	return mgclient.New(mgclient.Spec{
 		Bases:   e.bases,
 		Key:     "key",
@@ -78,14 +78,14 @@
 }
 
 // part sends tokens and cuts the connection.
-func part(answer string, seqs ...int) step {
+func sendAndCut(answer string, seqs ...int) step {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		tokens(w, answer, seqs...)
 	}
 }
 
 // rest sends tokens and the answer's end.
-func rest(answer string, seqs ...int) step {
+func sendAndFinish(answer string, seqs ...int) step {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		tokens(w, answer, seqs...)
 		_, _ = fmt.Fprintf(w, ": hb\n\nid: %s.4\ndata: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n", answer)
@@ -93,7 +93,7 @@
 }
 
 // silent sends tokens and then nothing more.
-func silent(answer string, seqs ...int) step {
+func sendAndHang(answer string, seqs ...int) step {
 	return func(w http.ResponseWriter, r *http.Request) {
 		tokens(w, answer, seqs...)
 		_ = http.NewResponseController(w).Flush()
@@ -102,7 +102,7 @@
 }
 
 // early tells the answer's name ahead of the response.
-func early(then step) step {
+func withEarlyHints(then step) step {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Answer", "a")
 		w.WriteHeader(http.StatusEarlyHints)
@@ -112,7 +112,7 @@
 }
 
 // moved tells the name of the generation that the answer started over with.
-func moved(answer string, then step) step {
+func withLaterName(answer string, then step) step {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Answer", answer)
 		w.WriteHeader(http.StatusEarlyHints)
@@ -121,17 +121,17 @@
 }
 
 // lost breaks the connection without a reply.
-func lost(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 // refuse answers with a problem that is attested not run.
-func refuse(kind mgproblem.Kind) step {
+func refuseWith(kind mgproblem.Kind) step {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		mgproblem.Write(w, mgproblem.New(kind, mgproblem.NotRun, "a test", "none"))
 	}
 }
 
 // fail sends tokens and a problem in the stream.
-func fail(kind mgproblem.Kind, outcome mgproblem.Outcome, seqs ...int) step {
+func failWith(kind mgproblem.Kind, outcome mgproblem.Outcome, seqs ...int) step {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		tokens(w, "a", seqs...)
 		data, _ := json.Marshal(mgproblem.New(kind, outcome, "a test", "none"))
@@ -140,6 +140,6 @@
 }
 
 const (
-	post   = "POST /v1/chat/completions "
-	resume = "GET /v1/answers/a a."
+	postRequest   = "POST /v1/chat/completions "
+	resumeRequest = "GET /v1/answers/a a."
 )
--- a/pkg/mgclient/session.go
+++ b/pkg/mgclient/session.go
@@ -15,12 +15,12 @@
 
 // session is one answer on its way, over as many connections as it takes.
 type session struct {
-	client *Client
-	data   []byte
-	each   func(Token) error
-	answer Answer
-	text   strings.Builder
-	named  bool // a token or a resume has settled the answer's name
+	client        *Client
+	data          []byte
+	onToken       func(Token) error
+	answer        Answer
+	text          strings.Builder
+	isNameSettled bool // a token or a resume has settled the answer's name
 }
 
 // errSilent is the cause of a connection given up for its silence. A
@@ -29,27 +29,27 @@
 var errSilent = errors.New("no sign of life on the connection: it was given up")
 
 // errCut is the cause of a connection that ended before the answer did.
-var errCut = errors.New("the connection ended before the answer did")
+var errConnectionEnded = errors.New("the connection ended before the answer did")
 
 // run tries until the answer is whole or nothing more can be done.
 func (s *session) run(ctx context.Context) error {
-	for try := 1; ; try++ {
-		had := s.answer.tokens
-		err := s.try(ctx)
+	for attempt := 1; ; attempt++ {
+		tokensBefore := s.answer.tokens
+		err := s.attempt(ctx)
 		if err == nil {
 			return nil
 		}
 		if ctx.Err() != nil {
-			return ended(ctx, s.outcome())
+			return cancelledProblem(ctx, s.outcome())
 		}
-		if s.answer.tokens > had {
-			try = 1
+		if s.answer.tokens > tokensBefore {
+			attempt = 1
 		}
-		if problem := s.judge(err, try); problem != nil {
-			return s.whole(problem)
+		if problem := s.finalProblem(err, attempt); problem != nil {
+			return s.problemOfRequest(problem)
 		}
-		if !s.client.spec.Clock.Sleep(ctx, s.wait(err, try)) {
-			return ended(ctx, s.outcome())
+		if !s.client.spec.Clock.Sleep(ctx, s.retryDelay(err, attempt)) {
+			return cancelledProblem(ctx, s.outcome())
 		}
 	}
 }
@@ -63,18 +63,18 @@
 }
 
 // try asks for the answer, or for the rest of it, once.
-func (s *session) try(ctx context.Context) error {
-	method, path, wait := http.MethodPost, "/v1/chat/completions", s.client.begin()
+func (s *session) attempt(ctx context.Context) error {
+	method, path, timeout := http.MethodPost, "/v1/chat/completions", s.client.beginTimeout()
 	if s.answer.name != "" {
-		method, path, wait = http.MethodGet, "/v1/answers/"+url.PathEscape(s.answer.name), s.client.silence()
+		method, path, timeout = http.MethodGet, "/v1/answers/"+url.PathEscape(s.answer.name), s.client.silenceTimeout()
 	}
-	r, n, err := s.client.request(ctx, method, path, s.data)
+	r, entry, err := s.client.request(ctx, method, path, s.data)
 	if err != nil {
 		return err
 	}
 	r.Header.Set("Accept", "text/event-stream")
 	if s.answer.name != "" {
-		s.named = true
+		s.isNameSettled = true
 		r.Header.Set("Last-Event-ID", s.answer.name+"."+strconv.FormatUint(s.answer.tokens, 10))
 		s.answer.resumes++
 	} else {
@@ -82,12 +82,12 @@
 		r.Header.Set(resumeHeader, "yes")
 		s.answer.starts++
 	}
-	err = s.stream(ctx, r, wait)
+	err = s.stream(ctx, r, timeout)
 	if err != nil && method == http.MethodPost {
-		s.disown(err)
+		s.clearNameIfNotRun(err)
 	}
-	if err != nil && elsewhere(err) {
-		s.client.leave(n)
+	if err != nil && shouldSwitchEntry(err) {
+		s.client.switchEntry(entry)
 	}
 	return err
 }
@@ -98,33 +98,33 @@
 // Without an answer's name, a try that may have run is final: asking again
 // would start a second generation. With it, the answer can be asked for as
 // often as it takes.
-func (s *session) judge(err error, try int) *mgproblem.Problem {
+func (s *session) finalProblem(err error, attempt int) *mgproblem.Problem {
 	var problem *mgproblem.Problem
 	if errors.As(err, &problem) {
-		if !s.again(problem) || try >= s.client.tries() {
+		if !s.shouldRetry(problem) || attempt >= s.client.maxTries() {
 			return problem
 		}
 		return nil
 	}
 	var transport *transportError
-	sent := !errors.As(err, &transport) || transport.sent
+	wasSent := !errors.As(err, &transport) || transport.sent
 	switch {
-	case s.answer.name == "" && sent:
-		return unconfirmed(err)
-	case try < s.client.tries():
+	case s.answer.name == "" && wasSent:
+		return unconfirmedProblem(err)
+	case attempt < s.client.maxTries():
 		return nil
 	case s.answer.name == "":
-		return unreached(err)
+		return unreachableProblem(err)
 	default:
 		return mgproblem.New(mgproblem.Interrupted, mgproblem.Unknown,
-			fmt.Sprintf("%d tries to resume after token %d failed", try, s.answer.tokens),
+			fmt.Sprintf("%d tries to resume after token %d failed", attempt, s.answer.tokens),
 			"resume later by the answer's name").WithCause(err)
 	}
 }
 
 // whole returns the problem of the last try as that of the request. "Not run"
 // in the reply to a resume speaks of the resume: the answer has begun.
-func (s *session) whole(problem *mgproblem.Problem) *mgproblem.Problem {
+func (s *session) problemOfRequest(problem *mgproblem.Problem) *mgproblem.Problem {
 	if s.answer.resumes == 0 || problem.Outcome() != mgproblem.NotRun {
 		return problem
 	}
@@ -134,18 +134,18 @@
 
 // again reports whether the next try may do better after a problem. A
 // generation that was lost stays lost, also where a new request may succeed.
-func (s *session) again(problem *mgproblem.Problem) bool {
+func (s *session) shouldRetry(problem *mgproblem.Problem) bool {
 	if problem.Kind() == mgproblem.Interrupted {
 		return false
 	}
-	return passes(problem) || s.answer.name != "" && (elsewhere(problem) || problem.Retry() > 0)
+	return isTransient(problem) || s.answer.name != "" && (shouldSwitchEntry(problem) || problem.Retry() > 0)
 }
 
 // wait returns how long to wait before the next try. An answer whose
 // connection failed for the first time goes on at once.
-func (s *session) wait(err error, try int) mgclock.Millis {
-	if s.answer.name != "" && try == 1 && retryOf(err) == 0 {
+func (s *session) retryDelay(err error, attempt int) mgclock.Millis {
+	if s.answer.name != "" && attempt == 1 && retryAfter(err) == 0 {
 		return 0
 	}
-	return backoff(try, retryOf(err), s.client.jitter())
+	return backoff(attempt, retryAfter(err), s.client.jitter())
 }
--- a/pkg/mgclient/spec.go
+++ b/pkg/mgclient/spec.go
@@ -67,6 +67,6 @@
 }
 
 // minted is the reply to Mint.
-type minted struct {
+type mintReply struct {
 	Operation string `json:"operation"`
 }
--- a/pkg/mgclient/sse.go
+++ b/pkg/mgclient/sse.go
@@ -9,7 +9,7 @@
 )
 
 // eventBytes bounds one line of a stream.
-const eventBytes = 1 << 20
+const maxEventBytes = 1 << 20
 
 // event is one server-sent event (WHATWG HTML, section 9.2). One without data
 // is a sign of life.
@@ -21,15 +21,15 @@
 
 // events reads a stream into a channel, which is closed after its end. The
 // reader stops when body is closed and quit is.
-func events(body io.Reader, quit <-chan struct{}) <-chan event {
+func readEventStream(body io.Reader, quit <-chan struct{}) <-chan event {
 	read := make(chan event)
 	go func() {
 		defer close(read)
 		scanner := bufio.NewScanner(body)
-		scanner.Buffer(nil, eventBytes)
+		scanner.Buffer(nil, maxEventBytes)
 		var e event
 		for scanner.Scan() {
-			if !e.take(scanner.Text()) {
+			if !e.addLine(scanner.Text()) {
 				continue
 			}
 			select {
@@ -45,7 +45,7 @@
 
 // take takes one line and reports whether the event is complete. A comment is
 // passed on at once, as a sign of life, unless an event has begun.
-func (e *event) take(line string) bool {
+func (e *event) addLine(line string) bool {
 	if line == "" {
 		return *e != event{}
 	}
@@ -71,7 +71,7 @@
 var errEventID = errors.New("an event's id isn't <answer>.<number>: the entry is at fault; report it")
 
 // parseID splits an event's id into the answer and the token's number.
-func parseID(id string) (string, uint64, error) {
+func parseEventID(id string) (string, uint64, error) {
 	at := strings.LastIndexByte(id, '.')
 	if at < 1 {
 		return "", 0, errEventID
--- a/pkg/mgclient/sse_test.go
+++ b/pkg/mgclient/sse_test.go
@@ -14,7 +14,7 @@
 	f.Add(": hb\n\nevent: error\ndata: x\ndata: y\n\n", "", "x")
 	f.Add("data\n:\n\nid:\n\ndata: [DONE]", "a.18446744073709551616", "")
 	f.Fuzz(func(t *testing.T, stream, id, data string) {
-		_, _, _ = parseID(id)
+		_, _, _ = parseEventID(id)
 		written := event{
 			id:   strings.Join(strings.Fields(id), ""),
 			data: strings.Join(strings.Fields(data), ""),
@@ -23,7 +23,7 @@
 		defer close(quit)
 		text := stream + fmt.Sprintf("\n\nid: %s\ndata: %s\n\n", written.id, written.data)
 		var last event
-		for e := range events(strings.NewReader(text), quit) {
+		for e := range readEventStream(strings.NewReader(text), quit) {
 			last = e
 		}
 		if written.data != "" && last != written {
--- a/pkg/mgclient/stream.go
+++ b/pkg/mgclient/stream.go
@@ -12,10 +12,10 @@
 )
 
 // stream sends r and reads its events until the answer is whole.
-func (s *session) stream(ctx context.Context, r *http.Request, wait mgclock.Millis) error {
+func (s *session) stream(ctx context.Context, r *http.Request, timeout mgclock.Millis) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := s.client.watch(wait, cancel)
+	stop := s.client.cancelAfter(timeout, cancel)
 	var early earlyName
 	response, err := s.client.send(r.WithContext(early.trace(ctx)))
 	stop()
@@ -26,11 +26,11 @@
 		return err
 	}
 	quit := make(chan struct{})
-	read := events(response.Body, quit)
+	received := readEventStream(response.Body, quit)
 	defer func() {
 		close(quit)
 		_ = response.Body.Close()
-		for range read { // the reader's end: it holds nothing after this
+		for range received { // the reader's end: it holds nothing after this
 		}
 	}()
 	if response.StatusCode != http.StatusOK {
@@ -39,32 +39,32 @@
 			cause: fmt.Errorf("status %s without a problem: something between answered", response.Status),
 		}
 	}
-	return s.follow(ctx, read)
+	return s.readEvents(ctx, received)
 }
 
 // follow takes events until the answer is whole, the connection ends or falls
 // silent.
-func (s *session) follow(ctx context.Context, read <-chan event) error {
-	clock, silence := s.client.spec.Clock, s.client.silence()
-	life := clock.Now()
-	alarm := clock.After(silence)
+func (s *session) readEvents(ctx context.Context, received <-chan event) error {
+	clock, silence := s.client.spec.Clock, s.client.silenceTimeout()
+	lastReceived := clock.Now()
+	timer := clock.After(silence)
 	for {
 		select {
-		case e, ok := <-read:
+		case e, ok := <-received:
 			if !ok {
-				return errCut
+				return errConnectionEnded
 			}
-			life = clock.Now()
-			whole, err := s.take(e)
-			if whole || err != nil {
+			lastReceived = clock.Now()
+			isWhole, err := s.handleEvent(e)
+			if isWhole || err != nil {
 				return err
 			}
-		case <-alarm:
-			left := life + silence - clock.Now()
-			if left <= 0 {
+		case <-timer:
+			remaining := lastReceived + silence - clock.Now()
+			if remaining <= 0 {
 				return errSilent
 			}
-			alarm = clock.After(left)
+			timer = clock.After(remaining)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -72,22 +72,22 @@
 }
 
 // take takes one event and reports whether the answer is whole.
-func (s *session) take(e event) (bool, error) {
+func (s *session) handleEvent(e event) (bool, error) {
 	if problem := parseProblem([]byte(e.data)); problem != nil {
 		return false, problem
 	}
 	if e.data == "" || e.data == "[DONE]" {
 		return s.answer.end != "", nil
 	}
-	name, seq, err := parseID(e.id)
+	name, seq, err := parseEventID(e.id)
 	if err != nil {
 		return false, err
 	}
-	if !s.named {
+	if !s.isNameSettled {
 		// The name that came ahead may be of a generation that was lost before
 		// its first token; the entry has then started another.
 		s.answer.name = name
-		s.named = true
+		s.isNameSettled = true
 	}
 	if name != s.answer.name {
 		return false, fmt.Errorf("a token of the answer %q came: the connection was given up", name)
@@ -99,26 +99,26 @@
 	if len(c.Choices) == 0 {
 		return false, nil
 	}
-	s.answer.evicted = max(s.answer.evicted, c.Preempted)
-	return s.accept(seq, c.Choices[0])
+	s.answer.preempted = max(s.answer.preempted, c.Preempted)
+	return s.handleChunk(seq, c.Choices[0])
 }
 
 // disown forgets the answer's name where the system attests that no generation
 // is behind it, so that asking again is safe. "Not run" in the reply to a
 // resume may speak of the resume alone.
-func (s *session) disown(err error) {
+func (s *session) clearNameIfNotRun(err error) {
 	var problem *mgproblem.Problem
-	attested := errors.As(err, &problem) && problem.Outcome() == mgproblem.NotRun
-	if attested && s.answer.tokens == 0 {
+	notRun := errors.As(err, &problem) && problem.Outcome() == mgproblem.NotRun
+	if notRun && s.answer.tokens == 0 {
 		s.answer.name = ""
-		s.named = false
+		s.isNameSettled = false
 	}
 }
 
 // accept takes one event of the right answer. An event that only ends the
 // answer carries the number of its last token.
-func (s *session) accept(seq uint64, c choice) (bool, error) {
-	ends := c.Finish != nil && *c.Finish != ""
+func (s *session) handleChunk(seq uint64, c choice) (bool, error) {
+	isLast := c.Finish != nil && *c.Finish != ""
 	switch {
 	case seq > s.answer.tokens+1 || seq == s.answer.tokens+1 && seq == 0:
 		return false, fmt.Errorf("token %d came after %d: the connection was given up", seq, s.answer.tokens)
@@ -126,19 +126,19 @@
 		if err := s.deliver(seq, c.Delta.Content); err != nil {
 			return false, err
 		}
-	case ends && seq < s.answer.tokens:
+	case isLast && seq < s.answer.tokens:
 		return false, fmt.Errorf("the answer ended at token %d after token %d: the connection was given up", seq, s.answer.tokens)
 	}
-	if ends {
+	if isLast {
 		s.answer.end = *c.Finish
 	}
-	return ends, nil
+	return isLast, nil
 }
 
 // deliver passes a new token on.
 func (s *session) deliver(seq uint64, text string) error {
-	if s.each != nil {
-		err := s.each(Token{
+	if s.onToken != nil {
+		err := s.onToken(Token{
 			seq:  seq,
 			text: text,
 		})
