--- a/pkg/mgclock/clock.go
+++ b/pkg/mgclock/clock.go
@@ -45,30 +45,30 @@
 
 // After returns a channel that is closed once span has passed. The zero
 // Clock's channel is released by the runtime when its timer fires.
-func (c Clock) After(span Millis) <-chan struct{} {
+func (c Clock) After(delay Millis) <-chan struct{} {
 	if c.after != nil {
-		return c.after(span)
+		return c.after(delay)
 	}
 	done := make(chan struct{})
-	time.AfterFunc(span.Duration(), func() { close(done) })
+	time.AfterFunc(delay.Duration(), func() { close(done) })
 	return done
 }
 
 // Sleep waits until span has passed or ctx ends. It reports whether the whole
 // span passed.
-func (c Clock) Sleep(ctx context.Context, span Millis) bool {
-	if span <= 0 {
+func (c Clock) Sleep(ctx context.Context, duration Millis) bool {
+	if duration <= 0 {
 		return ctx.Err() == nil
 	}
 	if c.after != nil {
 		select {
-		case <-c.after(span):
+		case <-c.after(duration):
 			return true
 		case <-ctx.Done():
 			return false
 		}
 	}
-	timer := time.NewTimer(span.Duration())
+	timer := time.NewTimer(duration.Duration())
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -83,7 +83,7 @@
 func Unix() int64 { return time.Now().Unix() }
 
 // Deadline returns span from now in the form that connections take.
-func Deadline(span Millis) time.Time { return time.Now().Add(span.Duration()) }
+func Deadline(timeout Millis) time.Time { return time.Now().Add(timeout.Duration()) }
 
 // UnixMillis returns the ms since 1970 by the system's clock, as Unix does.
 func UnixMillis() int64 { return time.Now().UnixMilli() }
--- a/pkg/mgclock/clock_test.go
+++ b/pkg/mgclock/clock_test.go
@@ -10,7 +10,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-func TestManual(t *testing.T) {
+func TestManualClockFiresTooEarly(t *testing.T) {
 	Convey("A manual clock", t, func() {
 		var manual mgclock.Manual
 		clock := manual.Clock()
@@ -19,8 +19,8 @@
 			early := clock.After(10)
 			late := clock.After(20)
 			manual.Advance(10)
-			So(closed(early), ShouldBeTrue)
-			So(closed(late), ShouldBeFalse)
+			So(isClosed(early), ShouldBeTrue)
+			So(isClosed(late), ShouldBeFalse)
 			So(manual.Waiting(), ShouldEqual, 1)
 		})
 
@@ -32,7 +32,7 @@
 	})
 }
 
-func closed(c <-chan struct{}) bool {
+func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
--- a/pkg/mgclock/manual.go
+++ b/pkg/mgclock/manual.go
@@ -14,8 +14,8 @@
 }
 
 type manualTimer struct {
-	at   Millis
-	done chan struct{}
+	deadline Millis
+	done     chan struct{}
 }
 
 // Clock returns the clock that m drives.
@@ -35,17 +35,17 @@
 
 // Advance moves the time by span, which is 0 or more, and fires the timers
 // that fall due in the order of their times.
-func (m *Manual) Advance(span Millis) {
+func (m *Manual) Advance(step Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.now += span
-	sort.SliceStable(m.timers, func(i, j int) bool { return m.timers[i].at < m.timers[j].at })
-	due := 0
-	for due < len(m.timers) && m.timers[due].at <= m.now {
-		close(m.timers[due].done)
-		due++
+	m.now += step
+	sort.SliceStable(m.timers, func(i, j int) bool { return m.timers[i].deadline < m.timers[j].deadline })
+	dueCount := 0
+	for dueCount < len(m.timers) && m.timers[dueCount].deadline <= m.now {
+		close(m.timers[dueCount].done)
+		dueCount++
 	}
-	m.timers = m.timers[due:]
+	m.timers = m.timers[dueCount:]
 }
 
 // Waiting returns the number of timers that have not fired, so that a test
@@ -56,17 +56,17 @@
 	return len(m.timers)
 }
 
-func (m *Manual) after(span Millis) <-chan struct{} {
+func (m *Manual) after(delay Millis) <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	done := make(chan struct{})
-	if span <= 0 {
+	if delay <= 0 {
 		close(done)
 		return done
 	}
 	m.timers = append(m.timers, manualTimer{
-		at:   m.now + span,
-		done: done,
+		deadline: m.now + delay,
+		done:     done,
 	})
 	return done
 }
--- a/pkg/mgdial/dial.go
+++ b/pkg/mgdial/dial.go
@@ -16,25 +16,25 @@
 // connect bounds the opening of a connection. A zone is half a millisecond
 // away; a second leaves room for one lost SYN, which the kernel repeats after
 // one second, only where the caller's own deadline allows it.
-const connect = 1500 * time.Millisecond
+const connectTimeout = 1500 * time.Millisecond
 
 // near bounds the opening of a connection within a region, where a round trip
 // takes a few ms: an upstream that doesn't answer by then is given up while the
 // shortest deadlines still allow another.
-const near = 250 * time.Millisecond
+const regionalConnectTimeout = 250 * time.Millisecond
 
 // Near opens a connection within a region. Its other end is asked for a sign of
 // life by the kernel after silence (net.KeepAliveConfig): a connection that a
 // partition or a lost entry of a middlebox has cut falls silent without a reset,
 // and whoever waits on it would wait for its whole timeout.
-func Near(silence time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
+func Near(silenceTimeout time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	dialer := net.Dialer{
-		Timeout: near,
+		Timeout: regionalConnectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     silence / (keepAlives + 1),
-			Interval: silence / (keepAlives + 1),
-			Count:    keepAlives,
+			Idle:     silenceTimeout / (maxUnansweredProbes + 1),
+			Interval: silenceTimeout / (maxUnansweredProbes + 1),
+			Count:    maxUnansweredProbes,
 		},
 	}
 	return dialer.DialContext
@@ -42,10 +42,10 @@
 
 // keepAlives is the number of unanswered signs of life that end a connection:
 // one may be lost.
-const keepAlives = 2
+const maxUnansweredProbes = 2
 
 // headerBytes bounds the header of a response.
-const headerBytes = 64 << 10
+const maxHeaderBytes = 64 << 10
 
 // A Failure is an exchange that brought no response.
 type Failure struct {
@@ -72,7 +72,7 @@
 // that may not be repeated a second time.
 func NewClient() *http.Client {
 	dialer := &net.Dialer{
-		Timeout: connect,
+		Timeout: connectTimeout,
 	}
 	return NewClientWith(dialer.DialContext)
 }
@@ -84,7 +84,7 @@
 			DialContext:            dial,
 			DisableKeepAlives:      true,
 			DisableCompression:     true,
-			MaxResponseHeaderBytes: headerBytes,
+			MaxResponseHeaderBytes: maxHeaderBytes,
 			// A present, empty map keeps HTTP/2 off, which shares one
 			// connection among requests.
 			TLSNextProto: map[string]func(string, *tls.Conn) http.RoundTripper{},
@@ -103,15 +103,15 @@
 // would not do, since a request whose context ended may still be on its way
 // to the socket.
 func Do(client *http.Client, r *http.Request) (*http.Response, error) {
-	var got atomic.Bool
+	var hasConn atomic.Bool
 	trace := &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { got.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { hasConn.Store(true) },
 	}
 	r = r.WithContext(httptrace.WithClientTrace(r.Context(), trace))
 	response, err := client.Do(r)
 	if err != nil {
 		return nil, &Failure{
-			sent:  got.Load(),
+			sent:  hasConn.Load(),
 			cause: err,
 		}
 	}
@@ -123,7 +123,7 @@
 // host may be down or cut off.
 func Refuses(ctx context.Context, addr string) (bool, error) {
 	dialer := net.Dialer{
-		Timeout: near,
+		Timeout: regionalConnectTimeout,
 	}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if errors.Is(err, syscall.ECONNREFUSED) {
--- a/pkg/mgdial/dial_test.go
+++ b/pkg/mgdial/dial_test.go
@@ -14,7 +14,7 @@
 // A call waits on a connection that a partition has cut without a reset, until
 // its whole timeout is over. The kernel must be asked for signs of life, at
 // the interval that the caller set.
-func TestSilence(t *testing.T) {
+func TestSilentConnectionNotProbed(t *testing.T) {
 	Convey("A connection has keep-alives", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
@@ -22,14 +22,14 @@
 		conn, err := mgdial.Near(3*time.Second)(context.Background(), "tcp", listener.Addr().String())
 		So(err, ShouldBeNil)
 		defer conn.Close()
-		idle, count := keepAlive(t, conn)
+		idle, count := readKeepAlive(t, conn)
 		So(idle, ShouldEqual, 1)
 		So(count, ShouldEqual, 2)
 	})
 }
 
 // An upstream whose connection was reset must not be taken for one that has ended.
-func TestRefuses(t *testing.T) {
+func TestLiveUpstreamTakenForEnded(t *testing.T) {
 	Convey("Of an address", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
--- a/pkg/mgdial/keepalive_test.go
+++ b/pkg/mgdial/keepalive_test.go
@@ -10,7 +10,7 @@
 
 // keepAlive returns the idle seconds before the first sign of life is asked
 // for, and how many may stay unanswered.
-func keepAlive(t *testing.T, conn net.Conn) (idle, count int) {
+func readKeepAlive(t *testing.T, conn net.Conn) (idle, count int) {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
--- a/pkg/mgproblem/problem.go
+++ b/pkg/mgproblem/problem.go
@@ -73,8 +73,8 @@
 }
 
 // WithRetry returns a copy that tells the caller to come back after span.
-func (p Problem) WithRetry(span mgclock.Millis) *Problem {
-	p.retry = span
+func (p Problem) WithRetry(delay mgclock.Millis) *Problem {
+	p.retry = delay
 	return &p
 }
 
@@ -168,7 +168,7 @@
 }
 
 // wire is the JSON form of a Problem.
-type wire struct {
+type problemJSON struct {
 	Type    string `json:"type"`
 	Title   string `json:"title"`
 	Status  int    `json:"status"`
@@ -179,11 +179,11 @@
 	Retry   int64  `json:"retry,omitempty"`
 	// Error repeats the text in the form of OpenAI's API, whose clients show
 	// nothing of an answer without it but its status.
-	Error wireError `json:"error"`
+	Error errorJSON `json:"error"`
 }
 
 // wireError is the error object of OpenAI's API.
-type wireError struct {
+type errorJSON struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 	Code    string `json:"code"`
@@ -192,7 +192,7 @@
 // MarshalJSON returns the application/problem+json form. The cause stays
 // inside: it may name addresses.
 func (p *Problem) MarshalJSON() ([]byte, error) {
-	return json.Marshal(wire{
+	return json.Marshal(problemJSON{
 		Type:    "urn:marjoramgauge:" + string(p.Kind()),
 		Title:   string(p.Kind()),
 		Status:  p.Status(),
@@ -201,7 +201,7 @@
 		Remedy:  p.remedy,
 		Outcome: string(p.Outcome()),
 		Retry:   int64(p.retry),
-		Error: wireError{
+		Error: errorJSON{
 			Message: p.detail + ": " + p.remedy,
 			Type:    string(p.Kind()),
 			Code:    string(p.Outcome()),
@@ -211,7 +211,7 @@
 
 // UnmarshalJSON reads the application/problem+json form.
 func (p *Problem) UnmarshalJSON(data []byte) error {
-	var w wire
+	var w problemJSON
 	if err := json.Unmarshal(data, &w); err != nil {
 		return fmt.Errorf("problem: not the JSON of a problem: check the sender: %w", err)
 	}
--- a/pkg/mgproblem/problem_test.go
+++ b/pkg/mgproblem/problem_test.go
@@ -13,7 +13,7 @@
 // A developer's OpenAI client says "401 status code (no body)": its key was
 // missing, the answer said so, and the client shows only the error object of
 // its own API.
-func TestErrorObject(t *testing.T) {
+func TestProblemLacksOpenAIErrorObject(t *testing.T) {
 	Convey("A problem has the error object of OpenAI's API", t, func() {
 		recorder := httptest.NewRecorder()
 		mgproblem.Write(recorder, mgproblem.New(mgproblem.Stranger, mgproblem.NotRun, "no key", "send one"))
