--- a/pkg/mgtable/build.go
+++ b/pkg/mgtable/build.go
@@ -2,8 +2,9 @@
 
 import "strconv"
 
-// Spec is a table as a program makes it, out of another format. It is checked as
-// what operators write.
+// Spec describes a table that a program builds, for example from another
+// configuration format. It passes the same checks as a table written by an
+// operator.
 type Spec struct {
 	Version  uint64
 	Accounts []AccountSpec
@@ -12,32 +13,33 @@
 	Routes   []RouteSpec
 }
 
-// AccountSpec is a client account.
+// AccountSpec describes a client account.
 type AccountSpec struct {
 	Name  string
 	Keys  []Digest
 	Homes []string // regions
 }
 
-// ServiceSpec is a service. Model is empty for a plain one.
+// ServiceSpec describes a service. Model is empty for a plain service.
 type ServiceSpec struct {
 	Name   string
 	Model  string
-	Move   bool
-	Stride int64   // tokens of one event, 0 for 1
-	Copy   int64   // µs in which a token's memory is copied
+	Move   bool    // whether running generations may migrate between engines
+	Stride int64   // tokens per stream event, 0 for 1
+	Copy   int64   // µs to copy one token's memory to another engine
 	Cold   int64   // ms for which an upstream is cold after its start
-	Ramp   float64 // requests a second that a cold one bears, 0 for no bound
+	Ramp   float64 // max requests per second to a cold upstream, 0 for no limit
 }
 
-// ModelSpec is a model; Context and Max are in tokens.
+// ModelSpec describes a model; Context and Max are in tokens.
 type ModelSpec struct {
 	Name    string
 	Context int64
 	Max     int64
 }
 
-// RouteSpec is a route; see the accessors of Route. Times are in ms.
+// RouteSpec describes a route; see the accessors of Route for its fields. Times
+// are in ms.
 type RouteSpec struct {
 	Name     string
 	Host     string
@@ -55,20 +57,22 @@
 	Homes    []string // regions
 }
 
-// ShareSpec is a service's part of a route.
+// ShareSpec names a service of a route and its weight.
 type ShareSpec struct {
 	Service string
 	Weight  int64
 }
 
-// Build makes a table. The error is a *Faults with all faults.
+// Build checks a spec and returns its table. The error is a *Faults with all
+// faults.
 func Build(spec Spec) (*Table, error) {
 	var faults Faults
 	return assemble(buildRows(spec.Version, spec.records(), &faults), &faults)
 }
 
-// Pages returns the pages of the table that Build would make, of at most limit
-// bytes each, with what was read of them. Faults between rows are found by Join.
+// Pages returns the manifest and the pages of the table that Build would
+// return, each page of at most limit bytes. It checks each row by itself; Join
+// checks the references between rows.
 func (s Spec) Pages(limit int) (Manifest, []*Page, error) {
 	var faults Faults
 	set := buildRows(s.Version, s.records(), &faults)
@@ -162,7 +166,7 @@
 	return No
 }
 
-// cells collects the columns of a record.
+// cells builds the columns of a record.
 type cells []entry
 
 func (c cells) text(name, content string) cells {
--- a/pkg/mgtable/check.go
+++ b/pkg/mgtable/check.go
@@ -2,13 +2,14 @@
 
 import "fmt"
 
-// checker finds the faults that show only between rows.
+// checker checks rows against one another: duplicates, references and
+// conflicting columns.
 type checker struct {
 	table  *Table
 	faults *Faults
 }
 
-// index fills the table's maps and finds duplicates.
+// indexRows fills the table's maps and reports duplicate names and keys.
 func (c checker) indexRows() {
 	t := c.table
 	for _, m := range t.rows.models {
@@ -29,7 +30,8 @@
 	}
 }
 
-// unique adds a row under its name. Rows without a name have a fault already.
+// addUnique indexes a row under its name and reports a duplicate. It skips rows
+// without a name: parsing has reported them.
 func addUnique[R any](c checker, rows map[string]*R, name string, row *R, kind string, line int) {
 	if name == "" {
 		return
@@ -41,8 +43,8 @@
 	rows[name] = row
 }
 
-// keys finds keys that two accounts share, which would charge one for the
-// other's calls.
+// indexKeys reports keys that two accounts share: the calls of one would be
+// charged to the other.
 func (c checker) indexKeys(a *Account) {
 	for _, d := range a.keys {
 		other := c.table.accountsByKey[d]
@@ -55,7 +57,8 @@
 	}
 }
 
-// references checks the names that rows use for one another.
+// checkReferences checks that each name in a row refers to an existing row of
+// the right kind.
 func (c checker) checkReferences() {
 	t := c.table
 	if len(t.rows.accounts) == 0 {
--- a/pkg/mgtable/column.go
+++ b/pkg/mgtable/column.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Bounds of the columns. They are far above any deployment and far below what
-// would overflow when sums over all rows are taken.
+// Limits of the columns. They are far above the needs of any deployment, and so
+// far below the range of their types that sums over all rows would not overflow.
 const (
 	maxNameLength     = 64
 	maxWeight         = 1e6
@@ -22,14 +22,14 @@
 	maxListItems      = 1_000
 )
 
-// defaultDeadline is in force where the column is left out, in ms. Nothing
-// waits without a bound.
+// defaultDeadlineMillis applies where the column is omitted, in ms, so that no
+// request waits without a limit.
 const defaultDeadlineMillis = 30_000
 
-// marks are the characters of a name besides letters and digits.
+// nameSymbols are the characters allowed in a name besides letters and digits.
 const nameSymbols = "._-:/"
 
-// form is the syntactic form of a value.
+// form is the syntactic type of a value.
 type form int
 
 const (
@@ -37,17 +37,17 @@
 	text        // a string
 	number      // an integer or a float
 	list        // a list of strings
-	cell        // a spreadsheet's cell, which can be any of them
+	cell        // a CSV cell, which may hold any of the other forms
 )
 
-// value is a column's content before it is checked.
+// value is the unchecked content of a column.
 type value struct {
 	form  form
 	text  string
 	items []string
 }
 
-// complaint is a fault without its place.
+// valueFault is a fault without its line, row and column.
 type valueFault struct {
 	text   string
 	remedy string
@@ -60,14 +60,14 @@
 	}
 }
 
-// column reads and writes one column of rows of type R.
+// column parses and formats one column of rows of type R.
 type column[R any] struct {
 	name string
 	set  func(r *R, v value) *valueFault
 	get  func(r *R) value
 }
 
-// numberColumn holds a float from low, or above it when open, up to high.
+// numberColumn holds a float from low to high; excludeLow excludes low itself.
 func numberColumn[R any](name string, low, high float64, excludeLow bool, field func(*R) *float64) column[R] {
 	bounds := fmt.Sprintf("write a number from %g to %g", low, high)
 	if excludeLow {
@@ -99,7 +99,7 @@
 	}
 }
 
-// parseNumber reads a finite number.
+// parseNumber parses a finite number.
 func parseNumber(v value) (float64, *valueFault) {
 	const remedy = "write a finite number"
 	if v.form != number && v.form != cell {
@@ -165,7 +165,7 @@
 	}
 }
 
-// choiceColumn holds one of a few words.
+// choiceColumn holds one of a fixed set of words.
 func choiceColumn[R any](name string, choices []string, field func(*R) *string) column[R] {
 	return column[R]{
 		name: name,
@@ -236,8 +236,8 @@
 	}
 }
 
-// parseDigest reads 64 lower-case hexadecimal digits. Its complaint doesn't
-// repeat the text: a key written in the clear by mistake must not reach a log.
+// parseDigest parses 64 lower-case hexadecimal digits. The fault doesn't quote
+// the text: a key written in the clear by mistake must not reach a log.
 func parseDigest(item string) (Digest, *valueFault) {
 	var d Digest
 	raw, err := hex.DecodeString(item)
@@ -262,8 +262,8 @@
 	return v.items, nil
 }
 
-// checkName accepts letters, digits and a few marks, so that a name stands
-// unchanged in a URL, a metric, a log line and a spreadsheet's cell.
+// checkName accepts letters, digits and nameSymbols, so that a name needs no
+// escaping in a URL, a metric, a log line or a spreadsheet cell.
 func checkName(name string) *valueFault {
 	if name == "" {
 		return newValueFault("give it a name", "the name is empty")
@@ -272,7 +272,7 @@
 		return newValueFault(fmt.Sprintf("use at most %d characters", maxNameLength), "the name %q is too long", clip(name))
 	}
 	if !isNameRune(rune(name[0])) || strings.ContainsRune(nameSymbols, rune(name[0])) {
-		// A spreadsheet takes a cell that begins with a mark as a formula.
+		// Spreadsheets interpret a cell that begins with a symbol as a formula.
 		return newValueFault("begin it with a letter or a digit", "the name %q begins with a mark", clip(name))
 	}
 	for _, r := range name {
@@ -312,7 +312,7 @@
 	}
 }
 
-// clip shortens text for a message.
+// clip truncates text for a message.
 func clip(s string) string {
 	const maxLen = 40
 	if len(s) <= maxLen {
--- a/pkg/mgtable/columns.go
+++ b/pkg/mgtable/columns.go
@@ -53,15 +53,15 @@
 	choiceColumn("orders", []string{Checked, Ignored}, func(u *Upstream) *string { return &u.orders }),
 }
 
-// setAccountDefaults fills the columns that were left out.
+// setAccountDefaults fills in omitted columns.
 func setAccountDefaults(a *Account) {
 	if a.weight == 0 {
 		a.weight = 1
 	}
 }
 
-// setServiceDefaults fills the columns that were left out. A plain service that
-// doesn't say whether its calls may be repeated is taken as one whose may not.
+// setServiceDefaults fills in omitted columns. Calls of a plain service are not
+// repeated unless the table says that they may be.
 func setServiceDefaults(s *Service) {
 	if s.kind == "" {
 		s.kind = Generation
@@ -77,8 +77,8 @@
 	}
 }
 
-// setUpstreamDefaults fills the columns that were left out. An upstream that
-// isn't known to check orders is taken as one that doesn't.
+// setUpstreamDefaults fills in omitted columns. An upstream is assumed not to
+// check the fencing numbers of orders unless the table says that it does.
 func setUpstreamDefaults(u *Upstream) {
 	if u.kind == "" {
 		u.kind = Engine
--- a/pkg/mgtable/csv.go
+++ b/pkg/mgtable/csv.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// csvColumns is the header of a table as CSV: the kind of row and then every
-// column that some kind of row has.
+// csvColumns is the CSV header: the kind of row, followed by the union of the
+// columns of all kinds of rows.
 var csvColumns = unionColumns()
 
-// csvKind is the header of the column that holds the kind of row.
+// csvKindColumn is the header of the column that holds the kind of row.
 const csvKindColumn = "row"
 
 func unionColumns() []string {
@@ -34,8 +34,8 @@
 	return names
 }
 
-// Export returns the table as CSV for spreadsheets: one row a line, lists with
-// spaces between their items.
+// Export returns the table as CSV for spreadsheets: one line per row, list items
+// separated by spaces.
 func (t *Table) Export() []byte {
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
@@ -51,7 +51,7 @@
 	lines = append(lines, csvLines(upstreamRow, upstreamColumns, t.rows.upstreams)...)
 	lines = append(lines, csvLines(routeRow, routeColumns, t.rows.routes)...)
 	lines = append(lines, csvLines(accountRow, accountColumns, t.rows.accounts)...)
-	// Writing to a buffer fails only when memory does.
+	// Writing to a bytes.Buffer returns no error.
 	_ = w.WriteAll(lines)
 	return b.Bytes()
 }
@@ -78,14 +78,14 @@
 	return v.text
 }
 
-// Import reads a table from CSV. The error is a *Faults with all faults.
+// Import parses a table from CSV. The error is a *Faults with all faults.
 func Import(data []byte) (*Table, error) {
 	var faults Faults
 	version, records := readCSV(data, &faults)
 	return assemble(buildRows(version, records, &faults), &faults)
 }
 
-// readCSV splits a text into records.
+// readCSV parses CSV into records.
 func readCSV(data []byte, faults *Faults) (uint64, []record) {
 	if !checkText(data, faults) {
 		return 0, nil
@@ -102,8 +102,8 @@
 	return c.read()
 }
 
-// separator returns the separator of the header. Where the decimal mark is a
-// comma, spreadsheets separate the cells by semicolons.
+// separator detects the separator from the header. In locales whose decimal
+// mark is a comma, spreadsheets separate cells by semicolons.
 func separator(data []byte) rune {
 	header, _, _ := bytes.Cut(data, []byte("\n"))
 	if bytes.Count(header, []byte(";")) > bytes.Count(header, []byte(",")) {
@@ -112,7 +112,7 @@
 	return ','
 }
 
-// csvReader turns lines into records.
+// csvReader converts lines to records.
 type csvReader struct {
 	faults  *Faults
 	csv     *csv.Reader
@@ -140,7 +140,7 @@
 	}
 }
 
-// headerOf checks the header.
+// checkHeader reports a header that doesn't begin with csvKindColumn.
 func (c *csvReader) checkHeader(cells []string, line int) []string {
 	if cells[0] != csvKindColumn {
 		c.faults.add(Fault{
@@ -152,7 +152,7 @@
 	return cells
 }
 
-// line reads one row.
+// readLine converts one line to a record.
 func (c *csvReader) readLine(cells []string, line int) {
 	kind := strings.TrimSpace(cells[0])
 	if kind == versionColumn {
--- a/pkg/mgtable/diff.go
+++ b/pkg/mgtable/diff.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// A Change is what an edit does to one row.
+// A Change is a difference in one row between two versions of a table.
 type Change struct {
 	row  string
 	name string
@@ -18,14 +18,14 @@
 // Name returns the row's name.
 func (c Change) Name() string { return c.name }
 
-// Text returns the change in words.
+// Text describes the change, for example "weight from 6 to 7".
 func (c Change) Text() string { return c.text }
 
-// String returns the change in one line.
+// String returns the change as one line.
 func (c Change) String() string { return c.row + " " + c.name + ": " + c.text }
 
-// Diff returns what differs between two tables, row by row in the order of
-// their names, accounts first.
+// Diff returns the differences between two tables: accounts, services, models,
+// upstreams and routes, each sorted by name.
 func Diff(older, newer *Table) []Change {
 	var changes []Change
 	changes = append(changes, diffRows(accountRow, accountColumns, older.accounts, newer.accounts)...)
@@ -66,7 +66,7 @@
 	return changes
 }
 
-// diffRow says which columns of a row change.
+// diffRow lists the columns of a row that differ, with both values.
 func diffRow[R any](columns []column[R], before, after *R) string {
 	var parts []string
 	for _, c := range columns {
--- a/pkg/mgtable/fault.go
+++ b/pkg/mgtable/fault.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// maxFaults bounds the faults that are kept of one table: a file of another
-// kind would otherwise yield one for every line.
+// maxFaults limits the faults that are kept per table: a file in another format
+// would otherwise yield a fault for every line.
 const maxFaults = 200
 
 // A Fault is one reason why a table is refused.
@@ -18,8 +18,8 @@
 	remedy string
 }
 
-// Line returns the line of the text on which the fault stands, from 1, or 0
-// when it belongs to the table as a whole.
+// Line returns the line of the fault in the text, from 1, or 0 for a fault of
+// the table as a whole.
 func (f Fault) Line() int { return f.line }
 
 // Row returns the kind and the name of the row, such as "account harbour".
@@ -34,7 +34,7 @@
 // Remedy returns what to do about it.
 func (f Fault) Remedy() string { return f.remedy }
 
-// String returns the fault in one line.
+// String returns the fault as one line.
 func (f Fault) String() string {
 	var b strings.Builder
 	if f.line > 0 {
@@ -52,7 +52,7 @@
 	return b.String()
 }
 
-// Faults is the error of a refused table. It holds every fault up to a bound.
+// Faults is the error of a refused table. It holds up to maxFaults faults.
 type Faults struct {
 	list []Fault
 }
@@ -60,7 +60,7 @@
 // List returns the faults in the order in which they were found.
 func (f *Faults) List() []Fault { return f.list }
 
-// Error returns the faults, one a line.
+// Error returns the faults, one per line.
 func (f *Faults) Error() string {
 	lines := make([]string, 0, len(f.list))
 	for _, fault := range f.list {
@@ -69,7 +69,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// add appends a fault and reports whether more are wanted.
+// add appends a fault and reports whether there is capacity for another.
 func (f *Faults) add(fault Fault) bool {
 	if len(f.list) < maxFaults {
 		f.list = append(f.list, fault)
@@ -77,7 +77,7 @@
 	return len(f.list) < maxFaults
 }
 
-// whole adds a fault of the table as a whole.
+// addTableFault adds a fault of the table as a whole.
 func (f *Faults) addTableFault(text, remedy string) {
 	f.add(Fault{
 		text:   text,
--- a/pkg/mgtable/large_test.go
+++ b/pkg/mgtable/large_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Large returns a table of count accounts beside 9 models and 900 engines. Each
-// edit gives one account another weight.
+// LargeTable returns a table of count accounts, 9 models and 900 engines. An
+// edit above 0 changes the weight of the account with that index.
 func LargeTable(count, edit int) *Table {
 	set := rows{
 		version: uint64(edit + 1),
@@ -73,7 +73,7 @@
 	}
 }
 
-// BenchmarkAdopt reads what one edit changed and joins the pages anew.
+// BenchmarkAdoptEdit reads the page that an edit changed and joins all pages.
 func BenchmarkAdoptEdit(b *testing.B) {
 	older, texts, _ := LargeTable(targetAccounts, 0).Pages(1 << 20)
 	newer, edited, _ := LargeTable(targetAccounts, 1).Pages(1 << 20)
@@ -104,8 +104,8 @@
 	b.ReportMetric(float64(len(texts)), "pages")
 }
 
-// BenchmarkMemory reports the live heap of a table with its pages, as a process
-// keeps it.
+// BenchmarkLiveHeap reports the live heap of a table and its pages, as a process
+// holds them.
 func BenchmarkLiveHeap(b *testing.B) {
 	m, texts, _ := LargeTable(targetAccounts, 0).Pages(1 << 20)
 	b.ResetTimer()
--- a/pkg/mgtable/manifest.go
+++ b/pkg/mgtable/manifest.go
@@ -6,17 +6,17 @@
 	"fmt"
 )
 
-// A Manifest names the pages of one version of a table. It is the value that
-// the platform publishes under the key "manifest".
+// A Manifest lists the digests of the pages of one version of a table. The
+// platform publishes it under the key "manifest".
 type Manifest struct {
 	Version uint64   `json:"version"`
 	Pages   []string `json:"pages"`
 }
 
-// maxPages bounds a manifest well below the platform's limit for one value.
+// maxPages keeps a manifest well below the platform's limit for one value.
 const maxPages = 4096
 
-// ReadManifest reads a manifest from JSON.
+// ReadManifest parses and checks a manifest in JSON.
 func ReadManifest(data []byte) (Manifest, error) {
 	var m Manifest
 	if err := json.Unmarshal(data, &m); err != nil {
@@ -36,7 +36,7 @@
 
 // Bytes returns the manifest as JSON.
 func (m Manifest) Bytes() []byte {
-	// A struct of a number and strings always has a JSON form.
+	// Marshaling a struct of a number and strings never fails.
 	data, _ := json.Marshal(m)
 	return data
 }
--- a/pkg/mgtable/memory_test.go
+++ b/pkg/mgtable/memory_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// BenchmarkFootprint adopts edits at 35,000 accounts, one after another, and
-// reports what the runtime took from the system, at several settings of the
-// garbage collector.
+// BenchmarkFootprint adopts edits of a table of 35,000 accounts one after
+// another and reports the peak memory in use by the runtime, at several values
+// of GOGC.
 func BenchmarkFootprint(b *testing.B) {
 	for _, percent := range []int{100, 50, 25} {
 		b.Run(fmt.Sprintf("gogc=%d", percent), func(b *testing.B) {
--- a/pkg/mgtable/page.go
+++ b/pkg/mgtable/page.go
@@ -8,31 +8,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// targetPage is the size that pages of accounts stay below, in bytes. An edit
-// moves one page and one manifest to every process. At 35,000 accounts (7 MB)
-// pages of 64 KiB make a manifest of about 17 KB, so that both parts of an
-// edit's cost are of the same order; pages of 1 MB would move fifteen times as
-// much an edit.
+// targetPageBytes is the maximum size of a page of accounts. Every process
+// fetches one page and the manifest for each edit. At 35,000 accounts (7 MB),
+// pages of 64 KiB give a manifest of about 17 KB, so that both transfers are of
+// the same order; pages of 1 MB would transfer fifteen times as much per edit.
 const targetPageBytes = 64 << 10
 
-// Errors of pages.
 var (
 	errPageLarge  = errors.New("page: a page exceeds the limit: shorten the base rows or raise the limit")
 	errPageDigest = errors.New("page: the pages are not those of the manifest: fetch them again by digest")
 )
 
-// A Page is one checked page. It never changes. The text of a page in the
-// canonical form is not kept but written again when a peer asks for it, which
-// is rare: of 35,000 accounts it would take 7 MB.
+// A Page is one checked page. It never changes. The text of a page in canonical
+// form is not stored but written again when a peer requests it, which is rare:
+// for 35,000 accounts it would take 7 MB.
 type Page struct {
 	digest Digest
 	rows   rows
 
-	// odd is the text of a page that is not in the canonical form.
+	// nonCanonical is the text of a page that is not in canonical form, or nil.
 	nonCanonical []byte
 }
 
-// ReadPage reads a page. The error is a *Faults with the faults of its rows.
+// ReadPage parses a page and checks its rows. The error is a *Faults.
 func ReadPage(data []byte) (*Page, error) {
 	var faults Faults
 	_, records := readTOML(data, &faults)
@@ -53,7 +51,7 @@
 // Digest returns the digest of the page's text.
 func (p *Page) Digest() Digest { return p.digest }
 
-// Bytes returns the page's text. Callers don't change it.
+// Bytes returns the page's text. Callers must not modify it.
 func (p *Page) Bytes() []byte {
 	if p.nonCanonical != nil {
 		return p.nonCanonical
@@ -100,7 +98,7 @@
 	return m, pages, nil
 }
 
-// newPage makes a page of rows and returns the size of its text in bytes.
+// newPage returns a page of rows and the size of its text in bytes.
 func newPage(set rows) (page *Page, size int) {
 	text := writeTOML(set)
 	return &Page{
@@ -109,9 +107,9 @@
 	}, len(text)
 }
 
-// splitAccounts writes accounts to the fewest pages, of a power of two, that all
-// stay below limit. The power of two keeps the number of pages, and so the
-// place of every account, from changing with most edits.
+// splitAccounts distributes accounts over the smallest power of two of pages
+// that all stay within limit. With a power of two, the number of pages, and so
+// the page of every account, stays the same over most edits.
 func splitAccounts(accounts []*Account, limit int) ([]*Page, error) {
 	for count := 1; count < maxPages; count *= 2 {
 		buckets := make([]rows, count)
@@ -134,9 +132,9 @@
 	return nil, fmt.Errorf("%d pages don't hold the accounts: %w", maxPages, errPageLarge)
 }
 
-// Join makes a table of a manifest's pages, which were read before. Pages that
-// two versions share are not read again. The result depends on nothing but the
-// arguments, so that every process accepts or refuses a version alike.
+// Join assembles and checks the table of a manifest from its parsed pages. Pages
+// that two versions share need not be parsed again. The result depends on the
+// arguments alone, so that all processes accept or refuse a version alike.
 func Join(m Manifest, pages []*Page) (*Table, error) {
 	if len(pages) != len(m.Pages) {
 		return nil, fmt.Errorf("version %d has %d of %d pages: %w", m.Version, len(pages), len(m.Pages), errPageDigest)
--- a/pkg/mgtable/route.go
+++ b/pkg/mgtable/route.go
@@ -7,17 +7,17 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Stream is the kind of routes whose answers are streams of events. The other
-// kinds, Safe and Never, say whether a call may run more than once.
+// Stream is the kind of a route whose responses are event streams. The other
+// kinds, Safe and Never, specify whether a call may run more than once.
 const Stream = "stream"
 
-// Yes and No are the values of columns that are true or false.
+// Yes and No are the values of boolean columns.
 const (
 	Yes = "yes"
 	No  = "no"
 )
 
-// A Route sends requests of one host whose paths begin with a prefix to
+// A Route forwards the requests of one host whose paths begin with a prefix to
 // services, unchanged.
 type Route struct {
 	name     string
@@ -37,7 +37,7 @@
 	line     int
 }
 
-// A Share is a service's part of a route.
+// A Share is a service of a route and its weight.
 type Share struct {
 	service string
 	weight  int64
@@ -46,52 +46,54 @@
 // Service returns the service's name.
 func (s Share) Service() string { return s.service }
 
-// Weight returns the service's weight relative to the route's others.
+// Weight returns the service's weight relative to the others of the route.
 func (s Share) Weight() int { return int(s.weight) }
 
 // Name returns the route's name.
 func (r *Route) Name() string { return r.name }
 
-// Host returns the host that requests name.
+// Host returns the host name of the route's requests.
 func (r *Route) Host() string { return r.host }
 
-// Prefix returns what paths begin with; it begins and ends with a slash.
+// Prefix returns the path prefix; it begins and ends with a slash.
 func (r *Route) Prefix() string { return r.prefix }
 
 // Kind returns Stream, Safe or Never.
 func (r *Route) Kind() string { return r.kind }
 
-// Services returns the services and their weights. Callers don't change it.
+// Services returns the services and their weights. Callers must not modify the
+// slice.
 func (r *Route) Services() []Share { return r.services }
 
-// Attempts returns the most upstreams that one request may be sent to.
+// Attempts returns the maximum number of upstreams that one request may be sent to.
 func (r *Route) Attempts() int { return int(r.attempts) }
 
-// Timeout returns the longest time a request may take in all.
+// Timeout returns the timeout of a request, including all its attempts.
 func (r *Route) Timeout() mgclock.Millis { return mgclock.Millis(r.timeout) }
 
-// Goal returns the time to the reply, or to a stream's first event, that
-// callers expect, or 0 when none is given.
+// Goal returns the latency goal: the time to the reply, or to the first event of
+// a stream, or 0 when none is given.
 func (r *Route) Goal() mgclock.Millis { return mgclock.Millis(r.goal) }
 
-// Gap returns the longest pause between events that callers expect, or 0.
+// Gap returns the goal for the maximum interval between events, or 0 when none
+// is given.
 func (r *Route) Gap() mgclock.Millis { return mgclock.Millis(r.gap) }
 
-// Priority returns the priority from 0 to 9; more goes first.
+// Priority returns the priority from 0 to 9; higher priorities are served first.
 func (r *Route) Priority() int { return int(r.priority) }
 
-// Resumes reports whether a stream may go on in another run, after the last
-// event that was delivered.
+// Resumes reports whether an interrupted stream may be continued by running the
+// request again, after the last event that was delivered.
 func (r *Route) Resumes() bool { return r.resume == Yes }
 
 // Public reports whether callers need no key.
 func (r *Route) Public() bool { return r.public == Yes }
 
-// Sticky reports whether requests name the parts of their prompts.
+// Sticky reports whether requests list the parts of their prompts.
 func (r *Route) Sticky() bool { return r.sticky == Yes }
 
-// Homes returns the regions in which the route's requests may run; none listed means
-// all. Callers don't change it.
+// Homes returns the regions in which the route's requests may run; none listed
+// means all. Callers must not modify the slice.
 func (r *Route) Homes() []string { return r.homes }
 
 // Repeatable reports whether a request may run more than once.
@@ -99,8 +101,7 @@
 	return r.kind == Safe || r.kind == Stream && r.Resumes()
 }
 
-// Pick returns the service for a number drawn evenly from all 64-bit numbers,
-// by the services' weights.
+// Pick selects a service by weight, given a uniformly distributed random number.
 func (r *Route) Pick(random uint64) string {
 	total := uint64(0)
 	for _, share := range r.services {
@@ -119,9 +120,9 @@
 	return r.services[len(r.services)-1].service
 }
 
-// Route returns the route of a host and a path as it was sent: the one with
-// the longest prefix that begins the path, or nil. A path is looked up once for
-// each of its slashes, so that the number of routes doesn't matter.
+// Route returns the route with the longest prefix of an unmodified request path
+// on a host, or nil. It does one map lookup per slash of the path, so that its
+// cost doesn't depend on the number of routes.
 func (t *Table) Route(host, path string) *Route {
 	prefixes := t.routesByHost[strings.ToLower(host)]
 	if prefixes == nil {
@@ -157,8 +158,8 @@
 	namesColumn("homes", func(r *Route) *[]string { return &r.homes }),
 }
 
-// setRouteDefaults fills the columns that were left out. A route that doesn't
-// say whether its calls may be repeated is taken as one whose may not.
+// setRouteDefaults fills in omitted columns. Calls of a route are not repeated
+// unless the table says that they may be.
 func setRouteDefaults(r *Route) {
 	if r.kind == "" {
 		r.kind = Never
@@ -191,17 +192,17 @@
 	}
 }
 
-// maxPrefix bounds a route's prefix in bytes.
+// maxPrefixBytes limits the length of a route's prefix.
 const maxPrefixBytes = 256
 
-// unsafePath reports whether a character can't stand in a path, or would need
-// an escape in the canonical form.
+// isUnsafePathRune reports whether a character is not allowed in a path or would
+// need an escape in the canonical form.
 func isUnsafePathRune(c rune) bool {
 	return c <= ' ' || c > '~' || strings.ContainsRune(`"\?#`, c)
 }
 
-// sharesColumn holds a list of services with weights, such as "ledger=90". A
-// weight that is left out is 1.
+// sharesColumn holds a list of services with weights, such as "ledger=90". The
+// default weight is 1.
 func sharesColumn[R any](name string, field func(*R) *[]Share) column[R] {
 	return column[R]{
 		name: name,
@@ -251,7 +252,7 @@
 	return share, nil
 }
 
-// route checks what a route refers to.
+// checkRoute checks the mandatory columns and the references of a route.
 func (c checker) checkRoute(r *Route) {
 	if r.host == "" {
 		c.addEmptyColumn(routeRow, r.name, "host", r.line)
@@ -270,7 +271,8 @@
 	c.indexRoute(r)
 }
 
-// place files a route under its host and prefix.
+// indexRoute adds a route to the table's index by host and prefix and reports a
+// duplicate.
 func (c checker) indexRoute(r *Route) {
 	host := strings.ToLower(r.host)
 	prefixes := c.table.routesByHost[host]
--- a/pkg/mgtable/route_test.go
+++ b/pkg/mgtable/route_test.go
@@ -38,8 +38,8 @@
 name = "tankline"
 `
 
-// A call under a longer prefix is sent by the rules of a shorter one, and a
-// write that may not be repeated is repeated.
+// Guards against a shorter prefix taking precedence over a longer one: a write
+// that may not be repeated would then follow another route's rules and be repeated.
 func TestShorterPrefixTaken(t *testing.T) {
 	cases := []struct {
 		host, path, route string
@@ -54,7 +54,7 @@
 		{host: "tanks.example", path: ""},
 		{host: "other.example", path: "/book/2f"},
 	}
-	Convey("The route with the longest prefix is taken", t, func() {
+	Convey("The route with the longest prefix is selected", t, func() {
 		table, err := mgtable.Parse([]byte(tableWithRoutes))
 		So(err, ShouldBeNil)
 		for _, c := range cases {
@@ -70,10 +70,10 @@
 	})
 }
 
-// Ten in a hundred calls of a split route go to the new service; all or none
-// would be another configuration than the operator's.
+// Guards against a split route that ignores its weights: ten in a hundred calls
+// must go to the second service, not all or none.
 func TestServicesPickedAgainstWeights(t *testing.T) {
-	Convey("Services are picked by their weights", t, func() {
+	Convey("Services are selected by their weights", t, func() {
 		table, err := mgtable.Parse([]byte(tableWithRoutes))
 		So(err, ShouldBeNil)
 		got := map[string]int{}
@@ -85,10 +85,10 @@
 	})
 }
 
-// Routes that are lost or changed on their way through pages, TOML or CSV send
-// requests elsewhere than the operator said.
+// Guards against routes that are lost or changed by a round trip through pages,
+// TOML or CSV: requests would go to a service that the operator didn't configure.
 func TestRouteLostInRoundTrip(t *testing.T) {
-	Convey("Routes stay what they are", t, func() {
+	Convey("Routes are unchanged by a round trip", t, func() {
 		table, err := mgtable.Parse([]byte(tableWithRoutes))
 		So(err, ShouldBeNil)
 		Convey("through TOML", func() {
@@ -119,7 +119,8 @@
 	})
 }
 
-// A faulty route is found when the table is checked and not by a caller.
+// Guards against a faulty route that passes the check of the table and fails
+// only when a caller uses it.
 func TestFaultyRouteAccepted(t *testing.T) {
 	cases := map[string]string{
 		"unknown service":   `services = ["nobody"]`,
--- a/pkg/mgtable/row.go
+++ b/pkg/mgtable/row.go
@@ -7,7 +7,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Digest is a SHA-256.
+// A Digest is a SHA-256 digest.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of data.
@@ -22,14 +22,15 @@
 	Plain      = "plain"
 )
 
-// The preferences of a service: steady tokens, or whole answers without stalls
-// and preemptions.
+// The preferences of a service: Steady prefers a steady rate of tokens, Whole
+// prefers complete answers without stalls and preemptions.
 const (
 	Steady = "steady"
 	Whole  = "whole"
 )
 
-// Whether the calls of a plain service may be repeated.
+// Values of the column that specifies whether the calls of a plain service may
+// be repeated.
 const (
 	Safe  = "safe"
 	Never = "never"
@@ -41,7 +42,8 @@
 	ServiceHost = "service"
 )
 
-// Whether an upstream refuses orders that carry an old fencing number.
+// Values of the column that specifies whether an upstream refuses orders with an
+// outdated fencing number.
 const (
 	Checked = "checked"
 	Ignored = "ignored"
@@ -62,24 +64,26 @@
 // Name returns the account's name.
 func (a *Account) Name() string { return a.name }
 
-// Keys returns the digests of the account's API keys. Callers don't change it.
+// Keys returns the digests of the account's API keys. Callers must not modify
+// the slice.
 func (a *Account) Keys() []Digest { return a.keys }
 
-// Weight returns the account's share relative to others where they contend.
+// Weight returns the account's fair-share weight, relative to other accounts
+// that compete for the same upstreams.
 func (a *Account) Weight() float64 { return a.weight }
 
-// Rate returns the cap in tokens a second, or 0 when there is none.
+// Rate returns the limit in tokens per second, or 0 when there is none.
 func (a *Account) Rate() float64 { return a.rate }
 
-// Streams returns the cap on concurrent streams, or 0 when there is none.
+// Streams returns the limit of concurrent streams, or 0 when there is none.
 func (a *Account) Streams() int { return int(a.streams) }
 
 // Services returns the services the account may use; none listed means all.
-// Callers don't change it.
+// Callers must not modify the slice.
 func (a *Account) Services() []string { return a.services }
 
-// Homes returns the regions in which the account's requests may run; none listed means
-// all. Callers don't change it.
+// Homes returns the regions in which the account's requests may run; none listed
+// means all. Callers must not modify the slice.
 func (a *Account) Homes() []string { return a.homes }
 
 // Allows reports whether the account may use a service.
@@ -90,7 +94,8 @@
 	return contains(a.services, service)
 }
 
-// A Service is what callers ask for by name.
+// A Service is a generation service or a plain HTTP service that callers request
+// by name.
 type Service struct {
 	name     string
 	kind     string
@@ -122,39 +127,42 @@
 // Prefer returns Steady or Whole.
 func (s *Service) Prefer() string { return s.prefer }
 
-// Priority returns the priority from 0 to 9; more goes first.
+// Priority returns the priority from 0 to 9; higher priorities are served first.
 func (s *Service) Priority() int { return int(s.priority) }
 
-// Deadline returns the longest wait to the first token or reply.
+// Deadline returns the maximum time to the first token or the reply.
 func (s *Service) Deadline() mgclock.Millis { return mgclock.Millis(s.deadline) }
 
-// Max returns the longest output in tokens, or 0 for the model's own bound.
+// Max returns the maximum output in tokens, or 0 for the model's own limit.
 func (s *Service) Max() int { return int(s.max) }
 
 // Repeatable reports whether calls may run more than once.
 func (s *Service) Repeatable() bool { return s.repeat == Safe }
 
-// Hedge returns the share of calls that may be sent twice, from 0 to 1.
+// Hedge returns the fraction of calls that may be sent twice, from 0 to 1.
 func (s *Service) Hedge() float64 { return s.hedge }
 
-// Move reports whether the service's engines hand running generations over.
+// Move reports whether running generations of the service may migrate between
+// engines.
 func (s *Service) Move() bool { return s.move == Yes }
 
-// Copy returns the time in µs in which a token's memory is copied between two
-// engines of one availability zone, or 0 when it isn't known.
+// Copy returns the time in µs to copy the memory of one token between two
+// engines of an availability zone, or 0 when it is unknown.
 func (s *Service) Copy() int { return int(s.copy) }
 
-// Stride returns the tokens that one event of a stream holds.
+// Stride returns the number of tokens per stream event.
 func (s *Service) Stride() int { return max(int(s.stride), 1) }
 
-// Cold returns for how long an upstream is cold after its start, or 0 where it isn't.
+// Cold returns how long an upstream is cold after its start, or 0 when it is
+// warm at once.
 func (s *Service) Cold() mgclock.Millis { return mgclock.Millis(s.cold) }
 
-// Ramp returns the requests a second that a cold upstream bears, or 0 for no bound.
+// Ramp returns the maximum requests per second to a cold upstream, or 0 for no
+// limit.
 func (s *Service) Ramp() float64 { return s.ramp }
 
 // Paths returns the upstreams that serve a plain service; none listed means
-// all that name the service. Callers don't change it.
+// all upstreams that list the service. Callers must not modify the slice.
 func (s *Service) Paths() []string { return s.paths }
 
 // A Model is a language model.
@@ -168,13 +176,13 @@
 // Name returns the model's name.
 func (m *Model) Name() string { return m.name }
 
-// Context returns the longest prompt and output together in tokens.
+// Context returns the maximum length of prompt and output together, in tokens.
 func (m *Model) Context() int { return int(m.context) }
 
-// Max returns the longest output in tokens.
+// Max returns the maximum output in tokens.
 func (m *Model) Max() int { return int(m.max) }
 
-// An Upstream is a model engine or the host of plain services.
+// An Upstream is a model engine or a host of plain services.
 type Upstream struct {
 	name     string
 	kind     string
@@ -192,16 +200,18 @@
 // Kind returns Engine or ServiceHost.
 func (u *Upstream) Kind() string { return u.kind }
 
-// Models returns the models an engine may hold. Callers don't change it.
+// Models returns the models an engine may load. Callers must not modify the
+// slice.
 func (u *Upstream) Models() []string { return u.models }
 
-// Services returns the plain services a host runs. Callers don't change it.
+// Services returns the plain services a host runs. Callers must not modify the
+// slice.
 func (u *Upstream) Services() []string { return u.services }
 
-// Memory returns an engine's memory in tokens.
+// Memory returns an engine's memory capacity in tokens.
 func (u *Upstream) Memory() int { return int(u.memory) }
 
-// Batch returns the most generations or calls that run at once.
+// Batch returns the maximum number of concurrent generations or calls.
 func (u *Upstream) Batch() int { return int(u.batch) }
 
 // Orders returns Checked or Ignored.
--- a/pkg/mgtable/rows.go
+++ b/pkg/mgtable/rows.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// record is a row as it was read, before it is checked.
+// record is a parsed row before it is checked.
 type record struct {
 	kind  string
 	line  int
@@ -19,7 +19,7 @@
 	value value
 }
 
-// name returns the record's name as far as it can be told, for messages.
+// name returns the record's name for messages, or "" when it has none.
 func (r record) name() string {
 	for _, e := range r.cells {
 		if e.name == "name" {
@@ -39,7 +39,7 @@
 	routes    []*Route
 }
 
-// collect makes rows of records.
+// buildRows converts records to rows.
 func buildRows(version uint64, records []record, faults *Faults) rows {
 	set := rows{
 		version: version,
@@ -84,7 +84,7 @@
 	return set
 }
 
-// fill reads the cells of a record into a new row.
+// parseRow converts the cells of a record to a row.
 func parseRow[R any](r record, columns []column[R], faults *Faults) *R {
 	row := new(R)
 	label := r.kind + " " + r.name()
@@ -143,7 +143,7 @@
 	return strings.Join(names, ", ")
 }
 
-// sorted orders the rows by name, the order of the canonical form.
+// sortByName sorts the rows by name, the order of the canonical form.
 func (s *rows) sortByName() {
 	sort.Slice(s.accounts, func(i, j int) bool { return s.accounts[i].name < s.accounts[j].name })
 	sort.Slice(s.services, func(i, j int) bool { return s.services[i].name < s.services[j].name })
@@ -152,8 +152,8 @@
 	sort.Slice(s.routes, func(i, j int) bool { return s.routes[i].name < s.routes[j].name })
 }
 
-// interner keeps one copy of each list of names that many accounts share.
-// Without it a table of 35,000 accounts holds the services' names 35,000 times.
+// interner deduplicates the lists of names that many accounts share. Without it
+// a table of 35,000 accounts would hold the names of the services 35,000 times.
 type interner map[string][]string
 
 func (n interner) intern(names []string) []string {
--- a/pkg/mgtable/table.go
+++ b/pkg/mgtable/table.go
@@ -4,7 +4,7 @@
 	"iter"
 )
 
-// A Table is a checked table. It never changes. The zero Table is empty.
+// A Table is a checked table. It is immutable. The zero Table is empty.
 type Table struct {
 	version       uint64
 	rows          rows
@@ -17,7 +17,7 @@
 	routesByHost  map[string]map[string]*Route // by host and prefix
 }
 
-// Parse reads a table from TOML. The error is a *Faults with all faults.
+// Parse parses a table from TOML. The error is a *Faults with all faults.
 func Parse(data []byte) (*Table, error) {
 	var faults Faults
 	version, records := readTOML(data, &faults)
@@ -30,8 +30,8 @@
 	return err
 }
 
-// assemble indexes rows and checks them against each other. Rows with faults of
-// their own take part, so that one run shows the faults of both kinds.
+// assemble indexes rows and checks them against one another. Rows with faults of
+// their own are included, so that one run reports both kinds of faults.
 func assemble(set rows, faults *Faults) (*Table, error) {
 	set.sortByName()
 	t := &Table{
@@ -60,39 +60,39 @@
 // Version returns the table's version, or 0 when it has none.
 func (t *Table) Version() uint64 { return t.version }
 
-// Account returns the account of a name, or nil.
+// Account returns the account with a name, or nil.
 func (t *Table) Account(name string) *Account { return t.accounts[name] }
 
-// ByKey returns the account that has an API key, or nil. The lookup compares
-// digests of what was presented, so that its time tells nothing about how much
-// of a key was right.
+// ByKey returns the account with an API key, or nil. It looks up the digest of
+// the presented key, so that the time of the lookup doesn't reveal how much of a
+// key was correct.
 func (t *Table) ByKey(key string) *Account { return t.accountsByKey[DigestOf([]byte(key))] }
 
-// Service returns the service of a name, or nil.
+// Service returns the service with a name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Model returns the model of a name, or nil.
+// Model returns the model with a name, or nil.
 func (t *Table) Model(name string) *Model { return t.models[name] }
 
-// Upstream returns the upstream of a name, or nil.
+// Upstream returns the upstream with a name, or nil.
 func (t *Table) Upstream(name string) *Upstream { return t.upstreams[name] }
 
 // Len returns the number of accounts.
 func (t *Table) Len() int { return len(t.rows.accounts) }
 
-// Accounts goes through the accounts by name.
+// Accounts iterates over the accounts in order of their names.
 func (t *Table) Accounts() iter.Seq[*Account] { return iterate(t.rows.accounts) }
 
-// Services goes through the services by name.
+// Services iterates over the services in order of their names.
 func (t *Table) Services() iter.Seq[*Service] { return iterate(t.rows.services) }
 
-// Models goes through the models by name.
+// Models iterates over the models in order of their names.
 func (t *Table) Models() iter.Seq[*Model] { return iterate(t.rows.models) }
 
-// Routes goes through the routes by name.
+// Routes iterates over the routes in order of their names.
 func (t *Table) Routes() iter.Seq[*Route] { return iterate(t.rows.routes) }
 
-// Upstreams goes through the upstreams by name.
+// Upstreams iterates over the upstreams in order of their names.
 func (t *Table) Upstreams() iter.Seq[*Upstream] { return iterate(t.rows.upstreams) }
 
 func iterate[R any](list []*R) iter.Seq[*R] {
--- a/pkg/mgtable/table_test.go
+++ b/pkg/mgtable/table_test.go
@@ -17,11 +17,11 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files under testdata")
 
-// TestFaults compares the complaints about each faulty table under testdata
-// with its golden file: a line for every fault, with line, row, column and
-// remedy.
+// Guards against faults that are missed or reported without line, row, column
+// or remedy: compares the faults of each table under testdata with its golden
+// file, which has one line per fault.
 func TestFaultsMatchGoldenFiles(t *testing.T) {
-	Convey("Every fault of a table is told at once", t, func() {
+	Convey("All faults of a table are reported at once", t, func() {
 		files, err := filepath.Glob("testdata/*.toml")
 		So(err, ShouldBeNil)
 		sheets, err := filepath.Glob("testdata/*.csv")
@@ -115,7 +115,7 @@
 }
 
 func TestDiffMissesEdit(t *testing.T) {
-	Convey("An edit is told in words", t, func() {
+	Convey("An edit is described row by row", t, func() {
 		older := readSample("tankline")
 		text := string(older.TOML())
 		text = strings.Replace(text, "weight = 6", "weight = 7", 1)
@@ -128,7 +128,7 @@
 	})
 }
 
-// draw makes a table of up to most accounts.
+// drawTable generates the TOML of a table of up to maxAccounts accounts.
 func drawTable(t *rapid.T, maxAccounts int) []byte {
 	var b strings.Builder
 	b.WriteString("version = 7\n[[model]]\nname = \"m\"\ncontext = 100\nmax = 50\n")
@@ -164,7 +164,7 @@
 	})
 }
 
-// join takes a table apart and puts it together again.
+// splitAndJoin splits a table into pages and joins them again.
 func splitAndJoin(t *rapid.T, table *mgtable.Table, limit int) *mgtable.Table {
 	m, texts, err := table.Pages(limit)
 	must(t, err)
@@ -194,10 +194,9 @@
 }
 
 func TestPagesOfOtherVersionJoined(t *testing.T) {
-	// A user sees one zone serve an account that another zone refuses. The
-	// manifest of version 8 arrives, but a page of version 7 is served under
-	// its name. The cause is a platform whose values change one after another;
-	// the digest in the manifest shows it.
+	// Guards against a table of mixed versions, with which one zone serves an
+	// account that another refuses: the platform publishes values one after
+	// another, so a process may get the manifest of version 8 and a page of version 7.
 	Convey("Pages that disagree with the manifest are refused", t, func() {
 		table := readSample("tankline")
 		m, texts, err := table.Pages(1 << 20)
@@ -263,7 +262,7 @@
 	})
 }
 
-// seeds adds the faulty files and the sample tables to a fuzz corpus.
+// addSeeds adds the faulty files and the sample tables to a fuzz corpus.
 func addSeeds(f *testing.F, pattern string) {
 	files, _ := filepath.Glob("testdata/" + pattern)
 	for _, file := range files {
@@ -288,10 +287,10 @@
 	}
 }
 
-// An operator saves the table in an editor that begins files with a byte order
-// mark, and is told of a fault in the first line that no editor shows.
+// Guards against refusing a file that an editor saved with a byte order mark:
+// the operator would get a fault in the first line that no editor shows.
 func TestByteOrderMarkRefused(t *testing.T) {
-	Convey("A table with a byte order mark is read", t, func() {
+	Convey("A table with a byte order mark is parsed", t, func() {
 		plain, err := mgtable.Parse([]byte(tableWithRoutes))
 		So(err, ShouldBeNil)
 		marked, err := mgtable.Parse([]byte("\ufeff" + tableWithRoutes))
--- a/pkg/mgtable/toml.go
+++ b/pkg/mgtable/toml.go
@@ -10,15 +10,15 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxSource bounds the text of a table. 35,000 accounts take about 7 MB.
+// maxSourceBytes limits the text of a table. 35,000 accounts take about 7 MB.
 const maxSourceBytes = 64 << 20
 
-// versionColumn is the table's one column outside of any row.
+// versionColumn is the table's only column outside of any row.
 const versionColumn = "version"
 
-// readTOML splits a text into records. It walks the syntax tree in place of
+// readTOML parses TOML into records. It walks the syntax tree instead of
 // decoding into structs, because a decoder stops at the first value of a wrong
-// type and an operator wants all faults of an edit at once.
+// type, and operators need all faults of an edit at once.
 func readTOML(data []byte, faults *Faults) (uint64, []record) {
 	if !checkText(data, faults) {
 		return 0, nil
@@ -37,7 +37,7 @@
 	return r.version, r.records
 }
 
-// checkText refuses a text that is too long or not UTF-8.
+// checkText reports a text that is too long or not UTF-8.
 func checkText(data []byte, faults *Faults) bool {
 	if len(data) > maxSourceBytes {
 		faults.addTableFault(fmt.Sprintf("the table has %d bytes", len(data)), fmt.Sprintf("keep it under %d bytes", maxSourceBytes))
@@ -70,7 +70,7 @@
 	return line
 }
 
-// tomlReader turns expressions into records.
+// tomlReader converts expressions to records.
 type tomlReader struct {
 	parser        unstable.Parser
 	faults        *Faults
@@ -78,13 +78,13 @@
 	version       uint64
 	inSingleTable bool
 
-	// line is the line of the byte at offset. Both only grow, so that a text
-	// is counted through once.
+	// line is the line of the byte at offset. Both only increase, so that the
+	// newlines of a text are counted once.
 	line   int
 	offset int
 }
 
-// expression reads a top-level expression.
+// readExpression processes a top-level expression.
 func (r *tomlReader) readExpression(node *unstable.Node) {
 	switch node.Kind {
 	case unstable.ArrayTable, unstable.Table:
@@ -94,7 +94,7 @@
 	}
 }
 
-// header begins a row.
+// beginRow starts a new record.
 func (r *tomlReader) beginRow(node *unstable.Node) {
 	key, line := r.nodeKey(node)
 	r.inSingleTable = node.Kind == unstable.Table
@@ -113,7 +113,7 @@
 	})
 }
 
-// keyValue reads a column.
+// readColumn adds a column to the current record.
 func (r *tomlReader) readColumn(node *unstable.Node) {
 	key, line := r.nodeKey(node)
 	switch {
@@ -130,7 +130,7 @@
 	}
 }
 
-// top reads a column outside of any row.
+// readTopLevel processes a column outside of any row.
 func (r *tomlReader) readTopLevel(key string, line int, node *unstable.Node) {
 	fault := Fault{
 		line:   line,
@@ -152,7 +152,7 @@
 	r.version = version
 }
 
-// key returns a node's key, with dots when it has several parts, and its line.
+// nodeKey returns a node's key, its parts joined by dots, and its line.
 func (r *tomlReader) nodeKey(node *unstable.Node) (string, int) {
 	var key []byte
 	line := 0
@@ -167,7 +167,8 @@
 	return string(key), line
 }
 
-// lineAt returns the line of an offset that is not before the last one asked.
+// lineAt returns the line of an offset. Offsets must not decrease from call to
+// call.
 func (r *tomlReader) lineAt(offset int) int {
 	data := r.parser.Data()
 	if offset > r.offset && offset <= len(data) {
@@ -177,7 +178,7 @@
 	return r.line
 }
 
-// syntax adds the fault on which the parser gave up.
+// addSyntaxFault adds a fault for the parser's error, if any.
 func (r *tomlReader) addSyntaxFault(err error) {
 	if err == nil {
 		return
@@ -215,7 +216,7 @@
 	}
 }
 
-// tomlList returns a list of strings; any other item makes the value absent,
+// tomlList returns a list of strings. With any other item the value is absent,
 // which every column refuses.
 func tomlList(node *unstable.Node) value {
 	v := value{
@@ -230,8 +231,8 @@
 	return v
 }
 
-// writeTOML writes rows in the canonical form: one column a line, empty columns
-// left out, in the order of the rows. Names hold no character that TOML would
+// writeTOML writes rows in canonical form: one column per line, in the order of
+// the rows, without empty columns. Names hold no character that TOML would
 // escape.
 func writeTOML(set rows) []byte {
 	var b bytes.Buffer
