--- a/pkg/mgtable/table_test.go
+++ b/pkg/mgtable/table_test.go
@@ -158,7 +158,7 @@
 		joined := splitAndJoin(t, table, rapid.IntRange(400, 4000).Draw(t, "limit"))
 		for _, other := range []*mgtable.Table{again, sheet, joined} {
 			if other.Digest() != table.Digest() || other.Version() != 7 {
-				t.Fatalf("changed on the way:\n%s\n%s", table.TOML(), other.TOML())
+				t.Fatalf("changed by the round trip:\n%s\n%s", table.TOML(), other.TOML())
 			}
 		}
 	})
@@ -243,7 +243,7 @@
 		}
 		again, err := mgtable.Parse(table.TOML())
 		if err != nil || again.Digest() != table.Digest() {
-			t.Fatalf("changed on the way: %v", err)
+			t.Fatalf("changed by the round trip: %v", err)
 		}
 	})
 }
@@ -257,7 +257,7 @@
 		}
 		again, err := mgtable.Import(table.Export())
 		if err != nil || again.Digest() != table.Digest() {
-			t.Fatalf("changed on the way: %v", err)
+			t.Fatalf("changed by the round trip: %v", err)
 		}
 	})
 }
