--- a/pkg/mgclient/answer.go
+++ b/pkg/mgclient/answer.go
@@ -12,7 +12,7 @@
 // Text returns the token's text.
 func (t Token) Text() string { return t.text }
 
-// An Answer is what came of a request.
+// An Answer is the result of a request, complete or not.
 type Answer struct {
 	name      string
 	text      string
@@ -23,24 +23,24 @@
 	preempted int
 }
 
-// Name returns the answer's name, by which it can be resumed.
+// Name returns the answer's name, which identifies it for Resume.
 func (a Answer) Name() string { return a.name }
 
-// Text returns the answer's tokens in one piece.
+// Text returns the concatenated text of the tokens.
 func (a Answer) Text() string { return a.text }
 
-// End returns why the answer ended, such as "stop" or "length", or nothing
-// when it isn't whole.
+// End returns the reason why the answer ended, such as "stop" or "length", or ""
+// when the answer is incomplete.
 func (a Answer) End() string { return a.end }
 
 // Tokens returns the number of tokens.
 func (a Answer) Tokens() uint64 { return a.tokens }
 
-// Starts returns how many times a generation was asked for. All but the last
-// were attested not run.
+// Starts returns how many times a generation was requested. For all but the last
+// request, the system attested that no generation ran.
 func (a Answer) Starts() int { return a.starts }
 
-// Resumes returns how many times the answer went on through a new connection.
+// Resumes returns how many times the answer was resumed on a new connection.
 func (a Answer) Resumes() int { return a.resumes }
 
 // Preempted returns how many times the engine evicted the answer's generation.
--- a/pkg/mgclient/backoff.go
+++ b/pkg/mgclient/backoff.go
@@ -7,16 +7,17 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// The bounds of the backoff. The first is about a hundred round trips to an
-// entry; the last lets eight tries outlast the replacement of a VM's process.
+// Limits of the backoff. The minimum is about a hundred round trips to an entry;
+// with the maximum, eight attempts take longer than the replacement of a VM's
+// process.
 const (
 	minBackoff = 100 * mgclock.Millis(1)
 	maxBackoff = 5 * mgclock.Second
 )
 
-// backoff returns how long to wait before a try, the first being 1. The wait
-// asked for is kept in full, and the jitter comes on top, so that callers who
-// were turned away together don't come back together.
+// backoff returns the delay after a failed attempt, counted from 1. The delay
+// requested by the system is kept in full and the jitter is added to it, so that
+// callers refused at the same time don't retry at the same time.
 func backoff(try int, asked mgclock.Millis, jitter float64) mgclock.Millis {
 	window := maxBackoff
 	if doublings := try - 1; doublings < 6 {
@@ -25,8 +26,8 @@
 	return asked + mgclock.Millis(jitter*float64(window))
 }
 
-// passes reports whether a problem that is attested not run may pass by
-// itself.
+// isTransient reports whether a problem may go away by itself and is attested
+// not run, so that a retry is safe.
 func isTransient(p *mgproblem.Problem) bool {
 	if p.Outcome() != mgproblem.NotRun {
 		return false
@@ -40,7 +41,8 @@
 	}
 }
 
-// elsewhere reports whether another entry may do better.
+// shouldSwitchEntry reports whether another entry may succeed where this one
+// failed.
 func shouldSwitchEntry(err error) bool {
 	var problem *mgproblem.Problem
 	if !errors.As(err, &problem) {
@@ -54,7 +56,7 @@
 	}
 }
 
-// retryOf returns the wait that err asks for.
+// retryAfter returns the delay that err requests, or 0.
 func retryAfter(err error) mgclock.Millis {
 	var problem *mgproblem.Problem
 	if errors.As(err, &problem) {
--- a/pkg/mgclient/call.go
+++ b/pkg/mgclient/call.go
@@ -14,7 +14,7 @@
 )
 
 // Mint returns the id of a new operation of a service. An id that is never
-// used costs nothing, so Mint tries again whatever failed.
+// used costs nothing, so Mint may be retried after any transport failure.
 func (c *Client) Mint(ctx context.Context, service string) (string, error) {
 	reply, err := c.callWithRetries(ctx, servicePath(service, "operations"), CallSpec{
 		Method: http.MethodPost,
@@ -31,8 +31,8 @@
 }
 
 // Call makes one call of a plain service. Any status of the service's own is a
-// reply. A call under an operation id, and one whose method is safe, is tried
-// again when nothing came back; any other ends as Unconfirmed.
+// reply. A call with an operation id or a safe method is retried when no reply
+// arrives; any other call fails as Unconfirmed then.
 func (c *Client) Call(ctx context.Context, spec CallSpec) (Reply, error) {
 	return c.callWithRetries(ctx, servicePath(spec.Service, spec.Path), spec)
 }
@@ -41,12 +41,13 @@
 	return "/v1/services/" + url.PathEscape(service) + "/" + strings.TrimPrefix(path, "/")
 }
 
-// repeat makes a call until a reply or a final problem comes.
+// callWithRetries makes a call and retries it until there is a reply or a final
+// problem.
 func (c *Client) callWithRetries(ctx context.Context, path string, spec CallSpec) (Reply, error) {
 	if problem := c.checkReady(); problem != nil {
 		return Reply{}, problem
 	}
-	inDoubt := false // an earlier try may have run
+	inDoubt := false // an earlier attempt may have run
 	for attempt := 1; ; attempt++ {
 		reply, err := c.attemptCall(ctx, path, spec)
 		if err == nil {
@@ -65,7 +66,7 @@
 	}
 }
 
-// repeatable reports whether a call that may have run may be sent again.
+// isRepeatable reports whether a call that may have run may be sent again.
 func isRepeatable(spec CallSpec) bool {
 	switch spec.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
@@ -75,7 +76,7 @@
 	return spec.Operation != "" || spec.Service == ""
 }
 
-// mayHaveRun reports whether a failed try leaves a doubt.
+// mayHaveRun reports whether the call of a failed attempt may have run.
 func mayHaveRun(err error) bool {
 	var transport *transportError
 	if errors.As(err, &transport) {
@@ -91,8 +92,8 @@
 	return mgproblem.NotRun
 }
 
-// judgeCall returns the final problem after a failed try, or nil when the next
-// try may follow.
+// finalCallProblem returns the final problem after a failed attempt, or nil when
+// the call is to be retried.
 func (c *Client) finalCallProblem(err error, attempt int, inDoubt, isRepeatable bool) *mgproblem.Problem {
 	isLast := attempt >= c.maxTries()
 	var problem *mgproblem.Problem
@@ -113,9 +114,9 @@
 	}
 }
 
-// final returns the system's problem as the outcome of the whole call. It
-// speaks for its own try only: after an earlier one that may have run, "not
-// run" would be a claim too many.
+// problemOfCall converts the problem of the last attempt to that of the whole
+// call. The outcome "not run" covers only that attempt: after an earlier one that
+// may have run, it would be wrong for the call.
 func problemOfCall(problem *mgproblem.Problem, inDoubt bool) *mgproblem.Problem {
 	if inDoubt && problem.Outcome() == mgproblem.NotRun {
 		return unconfirmedProblem(problem)
@@ -123,7 +124,7 @@
 	return problem
 }
 
-// once makes one try.
+// attemptCall makes one attempt.
 func (c *Client) attemptCall(ctx context.Context, path string, spec CallSpec) (Reply, error) {
 	r, entry, err := c.request(ctx, spec.Method, path, spec.Body)
 	if err != nil {
@@ -142,7 +143,7 @@
 	return reply, err
 }
 
-// receive sends r and reads the whole reply.
+// readReply sends r and reads the whole reply.
 func (c *Client) readReply(ctx context.Context, r *http.Request) (Reply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/pkg/mgclient/client.go
+++ b/pkg/mgclient/client.go
@@ -21,24 +21,25 @@
 
 // The defaults of a Spec.
 const (
-	defaultSilenceTimeout = 5 * mgclock.Second // five heartbeats
+	defaultSilenceTimeout = 5 * mgclock.Second // five heartbeat intervals
 	defaultBeginTimeout   = mgclock.Minute
 	defaultMaxTries       = 8
 )
 
-// replyBytes bounds a reply that is read as a whole.
+// maxReplyBytes limits a reply that is read as a whole.
 const maxReplyBytes = 8 << 20
 
-// problemType begins the type of each problem that is the system's own, and
-// not a plain service's.
+// problemTypePrefix is the prefix of the type of the system's own problems, as
+// opposed to those of a plain service.
 const problemTypePrefix = "urn:marjoramgauge:"
 
-// A Client calls through entries that may fail. It is safe for use by several
-// goroutines. The zero Client knows no entry: its calls fail as Invalid.
+// A Client makes requests through a list of entries and switches to the next one
+// when an entry fails. It is safe for concurrent use. The zero Client has no
+// entry: its calls fail as Invalid.
 type Client struct {
 	spec        Spec
 	http        *http.Client
-	entryNumber atomic.Uint64 // number of the entry in use
+	entryNumber atomic.Uint64 // of the entry in use, modulo the number of entries
 }
 
 // New returns a client.
@@ -81,18 +82,18 @@
 	return rand.Float64()
 }
 
-// base returns the entry in use.
+// currentEntry returns the base URL and the number of the entry in use.
 func (c *Client) currentEntry() (string, uint64) {
 	n := c.entryNumber.Load()
 	return strings.TrimSuffix(c.spec.Bases[n%uint64(len(c.spec.Bases))], "/"), n
 }
 
-// leave turns to the next entry, unless another goroutine already did.
+// switchEntry selects the next entry, unless another goroutine already did.
 func (c *Client) switchEntry(entry uint64) { c.entryNumber.CompareAndSwap(entry, entry+1) }
 
-// transportError is a try that brought no reply from the system.
+// transportError is a failed attempt without a reply from the system.
 type transportError struct {
-	sent  bool // the system may have seen it
+	sent  bool // the system may have received the request
 	cause error
 }
 
@@ -122,7 +123,7 @@
 	return response, nil
 }
 
-// watch calls cancel after span, unless it is stopped before.
+// cancelAfter calls cancel after timeout unless stop is called before.
 func (c *Client) cancelAfter(timeout mgclock.Millis, cancel func()) (stop func()) {
 	stopped := make(chan struct{})
 	done := make(chan struct{})
@@ -140,7 +141,7 @@
 	}
 }
 
-// problemOf returns the system's own problem that a response carries, or nil.
+// problemOf returns the system's own problem in a response, or nil.
 func problemOf(response *http.Response) *mgproblem.Problem {
 	if !strings.HasPrefix(response.Header.Get("Content-Type"), mgproblem.MediaType) {
 		return nil
@@ -177,7 +178,7 @@
 	return problem
 }
 
-// ready reports why the client can't call, or nil.
+// checkReady returns a problem when the client has no entries, or nil.
 func (c *Client) checkReady() *mgproblem.Problem {
 	if len(c.spec.Bases) == 0 || c.http == nil {
 		return mgproblem.New(mgproblem.Invalid, mgproblem.NotRun,
@@ -188,16 +189,16 @@
 
 // request returns a request to the entry in use and the entry's number.
 func (c *Client) request(ctx context.Context, method, path string, data []byte) (*http.Request, uint64, error) {
-	base, n := c.currentEntry()
+	base, entry := c.currentEntry()
 	r, err := http.NewRequestWithContext(ctx, method, base+path, bytes.NewReader(data))
 	if err != nil {
-		return nil, n, mgproblem.New(mgproblem.Invalid, mgproblem.NotRun,
+		return nil, entry, mgproblem.New(mgproblem.Invalid, mgproblem.NotRun,
 			"the request can't be formed", "check the base URL, method and path").WithCause(err)
 	}
-	return r, n, nil
+	return r, entry, nil
 }
 
-// Cancel ends an answer, which its caller then can't resume.
+// Cancel ends an answer. A cancelled answer can't be resumed.
 func (c *Client) Cancel(ctx context.Context, answer string) error {
 	_, err := c.callWithRetries(ctx, "/v1/answers/"+url.PathEscape(answer), CallSpec{
 		Method: http.MethodDelete,
@@ -205,20 +206,21 @@
 	return err
 }
 
-// unconfirmed returns the problem of a request of which nothing is known.
+// unconfirmedProblem returns the problem of a request that may or may not have
+// run.
 func unconfirmedProblem(err error) *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown,
 		"the request was sent and nothing came back",
 		"find out whether it ran before asking again").WithCause(err)
 }
 
-// unreached returns the problem of a request that no entry has seen.
+// unreachableProblem returns the problem of a request that reached no entry.
 func unreachableProblem(err error) *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
 		"no entry can be reached", "check the base URLs and try again later").WithCause(err)
 }
 
-// ended returns the problem of a request whose context ended.
+// cancelledProblem returns the problem of a request whose context ended.
 func cancelledProblem(ctx context.Context, outcome mgproblem.Outcome) *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Cancelled, outcome,
 		fmt.Sprintf("the caller gave up: %v", context.Cause(ctx)),
--- a/pkg/mgclient/client_test.go
+++ b/pkg/mgclient/client_test.go
@@ -16,15 +16,14 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// patience bounds a test that hangs; no verdict depends on it.
+// hangTimeout limits a test that hangs; no result depends on it.
 const hangTimeout = 30 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A gauger reads a shift report as it is written. The entry or the link to it
-// fails somewhere on the way, once or twice. The gauger must read each token
-// once and in order, or be told that the report isn't whole; and a report that
-// may be running is never started a second time.
+// Guards against lost, repeated or reordered tokens when an entry or the connection
+// to it fails once or twice. An incomplete answer must be reported as such, and a
+// generation that may be running is never started a second time.
 func TestAnswerLosesOrRepeatsTokens(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -48,13 +47,13 @@
 			asked: []string{postRequest, resumeRequest + "2"},
 		},
 		{
-			name:  "the connection is cut twice, and tokens come twice",
+			name:  "the connection is cut twice and tokens are repeated",
 			steps: []step{sendAndCut("a", 1, 2), sendAndCut("a", 1, 2, 3), sendAndFinish("a", 2, 3, 4)},
 			text:  "1,2,3,4,",
 			asked: []string{postRequest, resumeRequest + "2", resumeRequest + "3"},
 		},
 		{
-			name:    "the connection falls silent for good",
+			name:    "the connection stays silent",
 			steps:   []step{sendAndHang("a", 1, 2), sendAndFinish("a", 1, 2, 3, 4)},
 			silence: 100,
 			text:    "1,2,3,4,",
@@ -66,7 +65,7 @@
 			asked: []string{postRequest, resumeRequest + "1"},
 		},
 		{
-			name:  "another answer's token comes",
+			name:  "a token of another answer is received",
 			steps: []step{sendAndCut("a", 1, 2), sendAndCut("b", 3), sendAndFinish("a", 3, 4)},
 			text:  "1,2,3,4,",
 			asked: []string{postRequest, resumeRequest + "2", resumeRequest + "2"},
@@ -84,52 +83,52 @@
 			asked: []string{postRequest, resumeRequest + "1", resumeRequest + "1"},
 		},
 		{
-			name:  "it is turned away and comes back when told",
+			name:  "it is refused and retried after the requested delay",
 			steps: []step{refuseWith(mgproblem.Crowded), sendAndFinish("a", 1, 2, 3, 4)},
 			text:  "1,2,3,4,",
 			asked: []string{postRequest, postRequest},
 		},
 		{
-			name:  "it was given a name, waited, and attested not run",
+			name:  "it waited and was attested not run in the stream",
 			steps: []step{failWith(mgproblem.Crowded, mgproblem.NotRun), sendAndFinish("a", 1, 2, 3, 4)},
 			text:  "1,2,3,4,",
 			asked: []string{postRequest, postRequest},
 		},
 		{
-			name:  "its name came ahead, and it was turned away",
+			name:  "its name came early and it was refused",
 			steps: []step{withEarlyHints(refuseWith(mgproblem.Crowded)), sendAndFinish("a", 1, 2, 3, 4)},
 			text:  "1,2,3,4,",
 			asked: []string{postRequest, postRequest},
 		},
 		{
-			name:  "its name came ahead, and it was started anew elsewhere",
+			name:  "its name came early and the tokens have another name",
 			steps: []step{withEarlyHints(sendAndCut("b", 1, 2)), sendAndFinish("b", 3, 4)},
 			text:  "1,2,3,4,",
 			asked: []string{postRequest, "GET /v1/answers/b b.2"},
 		},
 		{
-			name:  "its name came ahead, and the entry dies",
+			name:  "its name came early and the entry fails",
 			steps: []step{withEarlyHints(abort), sendAndFinish("a", 1, 2, 3, 4)},
 			text:  "1,2,3,4,",
 			asked: []string{postRequest, resumeRequest + "0"},
 		},
 		{
-			// A lookup's engine dies before the first token. The entry starts over
-			// elsewhere and streams under a new name, and the caller, who held to
-			// the first name, gave the right answer up.
-			name:  "its name came ahead, and it started over elsewhere",
+			// Guards against a caller that keeps the first name and so rejects the
+			// right answer: the engine fails before the first token, and the entry
+			// restarts the generation elsewhere under a new name.
+			name:  "its name came early and it was restarted under a new one",
 			steps: []step{withEarlyHints(withLaterName("b", sendAndFinish("b", 1, 2, 3, 4)))},
 			text:  "1,2,3,4,",
 			asked: []string{postRequest},
 		},
 		{
-			name:  "it started over elsewhere, and the entry dies",
+			name:  "it was restarted under a new name and the entry fails",
 			steps: []step{withEarlyHints(withLaterName("b", abort)), sendAndFinish("b", 1, 2, 3, 4)},
 			text:  "1,2,3,4,",
 			asked: []string{postRequest, "GET /v1/answers/b b.0"},
 		},
 		{
-			name: "its name came ahead, and its generation was lost",
+			name: "its name came early and its generation was lost",
 			steps: []step{withEarlyHints(func(w http.ResponseWriter, _ *http.Request) {
 				mgproblem.Write(w, mgproblem.New(mgproblem.Interrupted, mgproblem.Unknown, "a test", "none").WithRetry(1))
 			})},
@@ -138,14 +137,14 @@
 			asked:   []string{postRequest},
 		},
 		{
-			name:    "the entry dies before it answers",
+			name:    "the entry fails before it responds",
 			steps:   []step{abort},
 			kind:    mgproblem.Unconfirmed,
 			outcome: mgproblem.Unknown,
 			asked:   []string{postRequest},
 		},
 		{
-			name:    "the engine dies in the middle",
+			name:    "the engine fails after some tokens",
 			steps:   []step{failWith(mgproblem.Interrupted, mgproblem.Unknown, 1, 2)},
 			text:    "1,2,",
 			kind:    mgproblem.Interrupted,
@@ -159,14 +158,14 @@
 			outcome: mgproblem.NotRun,
 		},
 		{
-			name:    "its resume is refused, which says nothing of the answer",
+			name:    "its resume is refused, which leaves its outcome unknown",
 			steps:   []step{sendAndCut("a", 1), refuseWith(mgproblem.Stranger)},
 			text:    "1,",
 			kind:    mgproblem.Stranger,
 			outcome: mgproblem.Unknown,
 		},
 		{
-			name:    "each try to resume fails",
+			name:    "each attempt to resume fails",
 			steps:   []step{sendAndCut("a", 1), abort, abort, abort, abort, abort, abort},
 			text:    "1,",
 			kind:    mgproblem.Interrupted,
@@ -204,13 +203,12 @@
 	})
 }
 
-// booked is a service's reply.
+// replyBooked replies as the service.
 func replyBooked(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "booked") }
 
-// A gauger books a transfer ticket and the reply is lost. Booked again under a
-// new name it would move two barrels; not booked again it may move none. Under
-// an operation id each try names the same operation; without one there is no
-// second try, and the gauger is told that nobody knows.
+// Guards against a write that runs twice, or never, when its reply is lost. With
+// an operation id, every attempt must carry the same id; without one there must
+// be no second attempt, and the call fails as Unconfirmed.
 func TestLostReplyRunsCallTwice(t *testing.T) {
 	const write, read = "POST /v1/services/tickets/book ", "GET /v1/services/tickets/book "
 	cases := []struct {
@@ -223,14 +221,14 @@
 		asked     []string
 	}{
 		{
-			name:      "a write under an operation id is sent again under the same",
+			name:      "a write with an operation id is repeated with the same id",
 			method:    http.MethodPost,
 			operation: "op",
 			steps:     []step{abort, abort, replyBooked},
 			asked:     []string{write + "op", write + "op", write + "op"},
 		},
 		{
-			name:    "a write without one is sent once",
+			name:    "a write without an operation id is sent once",
 			method:  http.MethodPost,
 			steps:   []step{abort, replyBooked},
 			kind:    mgproblem.Unconfirmed,
@@ -238,19 +236,19 @@
 			asked:   []string{write},
 		},
 		{
-			name:   "a lookup is sent again",
+			name:   "a read is repeated",
 			method: http.MethodGet,
 			steps:  []step{abort, replyBooked},
 			asked:  []string{read, read},
 		},
 		{
-			name:   "a write that didn't run is sent again when told",
+			name:   "a write that didn't run is repeated after the requested delay",
 			method: http.MethodPost,
 			steps:  []step{refuseWith(mgproblem.Crowded), replyBooked},
 			asked:  []string{write, write},
 		},
 		{
-			name:      "not run speaks for the last try only",
+			name:      "the outcome not run covers the last attempt only",
 			method:    http.MethodPost,
 			operation: "op",
 			steps:     []step{abort, refuseWith(mgproblem.Forbidden)},
@@ -294,10 +292,10 @@
 	})
 }
 
-// All entries are gone, as in the first seconds of a replacement. Nothing was
-// sent, and the caller is told so.
+// Guards against an unknown outcome when no entry is reachable, as in the first
+// seconds of a replacement: nothing was sent, so the outcome must be "not run".
 func TestUnreachableEntriesNotReportedNotRun(t *testing.T) {
-	Convey("Without an entry nothing ran", t, func() {
+	Convey("Without a reachable entry the outcome is not run", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		So(l.Close(), ShouldBeNil)
--- a/pkg/mgclient/complete.go
+++ b/pkg/mgclient/complete.go
@@ -7,10 +7,10 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// Complete asks for one answer and passes each of its tokens to each, once and
-// in order. Each may be nil; its error ends the answer. With an error, the
-// Answer holds what came before it.
-func (c *Client) Complete(ctx context.Context, request Request, each func(Token) error) (Answer, error) {
+// Complete requests one answer and calls onToken with each of its tokens, once
+// and in order. onToken may be nil; its error ends the answer. With an error, the
+// Answer holds the tokens received before it.
+func (c *Client) Complete(ctx context.Context, request Request, onToken func(Token) error) (Answer, error) {
 	if problem := c.checkReady(); problem != nil {
 		return Answer{}, problem
 	}
@@ -23,25 +23,25 @@
 	s := session{
 		client:  c,
 		data:    data,
-		onToken: each,
+		onToken: onToken,
 	}
 	err = s.run(ctx)
 	s.answer.text = s.text.String()
 	return s.answer, err
 }
 
-// Resume goes on with an answer from the token after the last one that the
-// caller has. The Answer holds only the tokens from there on.
-func (c *Client) Resume(ctx context.Context, answer string, last uint64, each func(Token) error) (Answer, error) {
+// Resume continues an answer after token lastSeq, the last one that the caller
+// has. The text of the Answer holds only the tokens after it.
+func (c *Client) Resume(ctx context.Context, answer string, lastSeq uint64, onToken func(Token) error) (Answer, error) {
 	if problem := c.checkReady(); problem != nil {
 		return Answer{}, problem
 	}
 	s := session{
 		client:  c,
-		onToken: each,
+		onToken: onToken,
 		answer: Answer{
 			name:   answer,
-			tokens: last,
+			tokens: lastSeq,
 		},
 		isNameSettled: true,
 	}
--- a/pkg/mgclient/early.go
+++ b/pkg/mgclient/early.go
@@ -9,22 +9,23 @@
 )
 
 // nameHeader carries the answer's name in an informational response (RFC 8297,
-// status 103) before the first token is there. Without it a caller whose entry
-// dies while the request waits could neither resume nor safely ask again.
+// status 103) before the first token. Without it, a caller whose entry fails
+// while the request waits could neither resume nor safely repeat the request.
 const nameHeader = "Answer"
 
-// resumeHeader tells the entry that this caller comes back after a lost
-// connection, so that its generation is kept for a while.
+// resumeHeader declares that this caller resumes after a lost connection, so
+// that the entry keeps its generation for a while.
 const resumeHeader = "Resume"
 
-// An earlyName is the answer's name as an informational response told it; the
-// last one counts, for the entry may have started over elsewhere.
+// An earlyName holds the answer's name from an informational response. The last
+// one is valid, because the entry may have restarted the generation on another
+// upstream.
 type earlyName struct {
 	name atomic.Pointer[string]
 }
 
-// trace returns a context in which a request's informational responses are
-// read.
+// trace returns a context that records the name from a request's informational
+// responses.
 func (e *earlyName) trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		Got1xxResponse: func(code int, header textproto.MIMEHeader) error {
@@ -36,7 +37,7 @@
 	})
 }
 
-// load returns the name, or "" when none came.
+// load returns the name, or "" when none was received.
 func (e *earlyName) load() string {
 	if name := e.name.Load(); name != nil {
 		return *name
--- a/pkg/mgclient/entries_test.go
+++ b/pkg/mgclient/entries_test.go
@@ -16,10 +16,11 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// A step is what the fake entries do with one request.
+// A step handles one request to the fake entries.
 type step func(w http.ResponseWriter, r *http.Request)
 
-// entries are two fake entries that follow one script.
+// fakeEntries are two servers that handle successive requests by the steps of
+// one script.
 type fakeEntries struct {
 	mu    sync.Mutex
 	steps []step
@@ -52,14 +53,14 @@
 	e.steps[n](w, r)
 }
 
-// heard returns what the requests were.
+// requests returns the requests received so far.
 func (e *fakeEntries) requests() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.asked)
 }
 
-// client returns a caller of the two entries.
+// client returns a client of the two entries.
 func (e *fakeEntries) client(silence mgclock.Millis) *mgclient.Client {
 	return mgclient.New(mgclient.Spec{
 		Bases:   e.bases,
@@ -77,14 +78,14 @@
 	}
 }
 
-// part sends tokens and cuts the connection.
+// sendAndCut sends tokens and cuts the connection.
 func sendAndCut(answer string, seqs ...int) step {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		tokens(w, answer, seqs...)
 	}
 }
 
-// rest sends tokens and the answer's end.
+// sendAndFinish sends tokens and the answer's end.
 func sendAndFinish(answer string, seqs ...int) step {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		tokens(w, answer, seqs...)
@@ -92,7 +93,7 @@
 	}
 }
 
-// silent sends tokens and then nothing more.
+// sendAndHang sends tokens and then nothing more.
 func sendAndHang(answer string, seqs ...int) step {
 	return func(w http.ResponseWriter, r *http.Request) {
 		tokens(w, answer, seqs...)
@@ -101,7 +102,7 @@
 	}
 }
 
-// early tells the answer's name ahead of the response.
+// withEarlyHints sends the answer's name ahead of the response.
 func withEarlyHints(then step) step {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Answer", "a")
@@ -111,7 +112,7 @@
 	}
 }
 
-// moved tells the name of the generation that the answer started over with.
+// withLaterName sends the name of the generation that replaces the first one.
 func withLaterName(answer string, then step) step {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Answer", answer)
@@ -120,17 +121,17 @@
 	}
 }
 
-// lost breaks the connection without a reply.
+// abort breaks the connection without a reply.
 func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// refuse answers with a problem that is attested not run.
+// refuseWith replies with a problem that is attested not run.
 func refuseWith(kind mgproblem.Kind) step {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		mgproblem.Write(w, mgproblem.New(kind, mgproblem.NotRun, "a test", "none"))
 	}
 }
 
-// fail sends tokens and a problem in the stream.
+// failWith sends tokens and a problem in the stream.
 func failWith(kind mgproblem.Kind, outcome mgproblem.Outcome, seqs ...int) step {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		tokens(w, "a", seqs...)
--- a/pkg/mgclient/session.go
+++ b/pkg/mgclient/session.go
@@ -13,25 +13,26 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// session is one answer on its way, over as many connections as it takes.
+// session receives one answer over as many connections as needed.
 type session struct {
 	client        *Client
 	data          []byte
 	onToken       func(Token) error
 	answer        Answer
 	text          strings.Builder
-	isNameSettled bool // a token or a resume has settled the answer's name
+	isNameSettled bool // a token or a resume has confirmed the answer's name
 }
 
-// errSilent is the cause of a connection given up for its silence. A
-// middlebox may have dropped its entry for it, so that it would never break by
-// itself.
+// errSilent is the cause of a connection that was closed because nothing was
+// received. A middlebox may have dropped its state of the connection, which then
+// would never break by itself.
 var errSilent = errors.New("no sign of life on the connection: it was given up")
 
-// errCut is the cause of a connection that ended before the answer did.
+// errConnectionEnded is the cause of a connection that ended before the answer.
 var errConnectionEnded = errors.New("the connection ended before the answer did")
 
-// run tries until the answer is whole or nothing more can be done.
+// run makes attempts until the answer is complete or a problem is final. An
+// attempt that received tokens resets the count.
 func (s *session) run(ctx context.Context) error {
 	for attempt := 1; ; attempt++ {
 		tokensBefore := s.answer.tokens
@@ -54,7 +55,7 @@
 	}
 }
 
-// outcome returns what a caller who gives up is told.
+// outcome returns the outcome to report to a caller who gives up.
 func (s *session) outcome() mgproblem.Outcome {
 	if s.answer.starts == 0 {
 		return mgproblem.NotRun
@@ -62,7 +63,7 @@
 	return mgproblem.Unknown
 }
 
-// try asks for the answer, or for the rest of it, once.
+// attempt requests the answer, or the rest of it, once.
 func (s *session) attempt(ctx context.Context) error {
 	method, path, timeout := http.MethodPost, "/v1/chat/completions", s.client.beginTimeout()
 	if s.answer.name != "" {
@@ -92,12 +93,12 @@
 	return err
 }
 
-// judge returns the final problem after a failed try, or nil when the next try
-// may follow.
+// finalProblem returns the final problem after a failed attempt, or nil when it
+// is to be retried.
 //
-// Without an answer's name, a try that may have run is final: asking again
-// would start a second generation. With it, the answer can be asked for as
-// often as it takes.
+// Without the answer's name, an attempt that may have run is final: repeating it
+// would start a second generation. With the name, the answer can be requested
+// any number of times.
 func (s *session) finalProblem(err error, attempt int) *mgproblem.Problem {
 	var problem *mgproblem.Problem
 	if errors.As(err, &problem) {
@@ -122,8 +123,9 @@
 	}
 }
 
-// whole returns the problem of the last try as that of the request. "Not run"
-// in the reply to a resume speaks of the resume: the answer has begun.
+// problemOfRequest converts the problem of the last attempt to that of the
+// request. "Not run" in the reply to a resume applies to the resume alone: the
+// answer has begun.
 func (s *session) problemOfRequest(problem *mgproblem.Problem) *mgproblem.Problem {
 	if s.answer.resumes == 0 || problem.Outcome() != mgproblem.NotRun {
 		return problem
@@ -132,8 +134,8 @@
 		WithRetry(problem.Retry()).WithCause(problem)
 }
 
-// again reports whether the next try may do better after a problem. A
-// generation that was lost stays lost, also where a new request may succeed.
+// shouldRetry reports whether another attempt may succeed after a problem. A
+// lost generation can't be resumed, even if a new request may succeed.
 func (s *session) shouldRetry(problem *mgproblem.Problem) bool {
 	if problem.Kind() == mgproblem.Interrupted {
 		return false
@@ -141,8 +143,8 @@
 	return isTransient(problem) || s.answer.name != "" && (shouldSwitchEntry(problem) || problem.Retry() > 0)
 }
 
-// wait returns how long to wait before the next try. An answer whose
-// connection failed for the first time goes on at once.
+// retryDelay returns the delay before the next attempt. An answer whose
+// connection failed for the first time is resumed at once.
 func (s *session) retryDelay(err error, attempt int) mgclock.Millis {
 	if s.answer.name != "" && attempt == 1 && retryAfter(err) == 0 {
 		return 0
--- a/pkg/mgclient/sse.go
+++ b/pkg/mgclient/sse.go
@@ -8,19 +8,19 @@
 	"strings"
 )
 
-// eventBytes bounds one line of a stream.
+// maxEventBytes limits one line of a stream.
 const maxEventBytes = 1 << 20
 
-// event is one server-sent event (WHATWG HTML, section 9.2). One without data
-// is a sign of life.
+// event is one server-sent event (WHATWG HTML, section 9.2). An event without
+// data is a heartbeat.
 type event struct {
 	id   string
 	name string
 	data string
 }
 
-// events reads a stream into a channel, which is closed after its end. The
-// reader stops when body is closed and quit is.
+// readEventStream sends the events of a stream to a channel and closes it at the
+// end of the stream. To stop it early, close both body and quit.
 func readEventStream(body io.Reader, quit <-chan struct{}) <-chan event {
 	read := make(chan event)
 	go func() {
@@ -43,8 +43,8 @@
 	return read
 }
 
-// take takes one line and reports whether the event is complete. A comment is
-// passed on at once, as a sign of life, unless an event has begun.
+// addLine parses one line and reports whether the event is complete. A comment
+// completes an empty event, a heartbeat, unless an event has begun.
 func (e *event) addLine(line string) bool {
 	if line == "" {
 		return *e != event{}
@@ -67,10 +67,11 @@
 	return false
 }
 
-// errEventID is the fault of an event whose id names no token.
+// errEventID is the error for an event whose id doesn't identify a token.
 var errEventID = errors.New("an event's id isn't <answer>.<number>: the entry is at fault; report it")
 
-// parseID splits an event's id into the answer and the token's number.
+// parseEventID splits an event's id into the answer's name and the token's
+// number.
 func parseEventID(id string) (string, uint64, error) {
 	at := strings.LastIndexByte(id, '.')
 	if at < 1 {
--- a/pkg/mgclient/sse_test.go
+++ b/pkg/mgclient/sse_test.go
@@ -6,9 +6,8 @@
 	"testing"
 )
 
-// FuzzEvents reads streams as an entry, or something that stands in its place,
-// might send them: whatever comes, the reader ends, and an event written in
-// full comes out as it went in.
+// FuzzEvents reads arbitrary streams. The reader must end on any input, and must
+// return a complete event unchanged.
 func FuzzEvents(f *testing.F) {
 	f.Add("id: a.1\ndata: {}\n\n", "a.1", "{}")
 	f.Add(": hb\n\nevent: error\ndata: x\ndata: y\n\n", "", "x")
--- a/pkg/mgclient/stream.go
+++ b/pkg/mgclient/stream.go
@@ -11,16 +11,16 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// stream sends r and reads its events until the answer is whole.
+// stream sends r and reads its events until the answer is complete.
 func (s *session) stream(ctx context.Context, r *http.Request, timeout mgclock.Millis) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := s.client.cancelAfter(timeout, cancel)
-	var early earlyName
-	response, err := s.client.send(r.WithContext(early.trace(ctx)))
+	var earlyHints earlyName
+	response, err := s.client.send(r.WithContext(earlyHints.trace(ctx)))
 	stop()
 	if s.answer.name == "" {
-		s.answer.name = early.load()
+		s.answer.name = earlyHints.load()
 	}
 	if err != nil {
 		return err
@@ -30,7 +30,7 @@
 	defer func() {
 		close(quit)
 		_ = response.Body.Close()
-		for range received { // the reader's end: it holds nothing after this
+		for range received { // wait until the reader goroutine has ended
 		}
 	}()
 	if response.StatusCode != http.StatusOK {
@@ -42,8 +42,8 @@
 	return s.readEvents(ctx, received)
 }
 
-// follow takes events until the answer is whole, the connection ends or falls
-// silent.
+// readEvents handles events until the answer is complete, the connection ends or
+// nothing is received within the silence timeout.
 func (s *session) readEvents(ctx context.Context, received <-chan event) error {
 	clock, silence := s.client.spec.Clock, s.client.silenceTimeout()
 	lastReceived := clock.Now()
@@ -71,7 +71,7 @@
 	}
 }
 
-// take takes one event and reports whether the answer is whole.
+// handleEvent processes one event and reports whether the answer is complete.
 func (s *session) handleEvent(e event) (bool, error) {
 	if problem := parseProblem([]byte(e.data)); problem != nil {
 		return false, problem
@@ -84,8 +84,8 @@
 		return false, err
 	}
 	if !s.isNameSettled {
-		// The name that came ahead may be of a generation that was lost before
-		// its first token; the entry has then started another.
+		// The name from the early response may be that of a generation that was
+		// lost before its first token; the entry has then started another.
 		s.answer.name = name
 		s.isNameSettled = true
 	}
@@ -103,9 +103,9 @@
 	return s.handleChunk(seq, c.Choices[0])
 }
 
-// disown forgets the answer's name where the system attests that no generation
-// is behind it, so that asking again is safe. "Not run" in the reply to a
-// resume may speak of the resume alone.
+// clearNameIfNotRun clears the answer's name when the system attests that its
+// generation did not run, so that a new request is safe. It is not for replies to
+// a resume, where "not run" may apply to the resume alone.
 func (s *session) clearNameIfNotRun(err error) {
 	var problem *mgproblem.Problem
 	notRun := errors.As(err, &problem) && problem.Outcome() == mgproblem.NotRun
@@ -115,7 +115,7 @@
 	}
 }
 
-// accept takes one event of the right answer. An event that only ends the
+// handleChunk processes one chunk of this answer. A chunk that only ends the
 // answer carries the number of its last token.
 func (s *session) handleChunk(seq uint64, c choice) (bool, error) {
 	isLast := c.Finish != nil && *c.Finish != ""
@@ -135,7 +135,7 @@
 	return isLast, nil
 }
 
-// deliver passes a new token on.
+// deliver appends a new token and passes it to the caller.
 func (s *session) deliver(seq uint64, text string) error {
 	if s.onToken != nil {
 		err := s.onToken(Token{
