--- a/pkg/mgclient/session.go
+++ b/pkg/mgclient/session.go
@@ -26,7 +26,7 @@
 // errSilent is the cause of a connection that was closed because nothing was
 // received. A middlebox may have dropped its state of the connection, which then
 // would never break by itself.
-var errSilent = errors.New("no sign of life on the connection: it was given up")
+var errSilent = errors.New("nothing was received on the connection in time: it was closed")
 
 // errConnectionEnded is the cause of a connection that ended before the answer.
 var errConnectionEnded = errors.New("the connection ended before the answer did")
--- a/pkg/mgclient/sse.go
+++ b/pkg/mgclient/sse.go
@@ -68,7 +68,7 @@
 }
 
 // errEventID is the error for an event whose id doesn't identify a token.
-var errEventID = errors.New("an event's id isn't <answer>.<number>: the entry is at fault; report it")
+var errEventID = errors.New("an event's id isn't <answer>.<number>: report a fault of the entry")
 
 // parseEventID splits an event's id into the answer's name and the token's
 // number.
--- a/pkg/mgclient/stream.go
+++ b/pkg/mgclient/stream.go
@@ -36,7 +36,7 @@
 	if response.StatusCode != http.StatusOK {
 		return &transportError{
 			sent:  true,
-			cause: fmt.Errorf("status %s without a problem: something between answered", response.Status),
+			cause: fmt.Errorf("status %s without a problem: a proxy may have responded", response.Status),
 		}
 	}
 	return s.readEvents(ctx, received)
@@ -90,11 +90,11 @@
 		s.isNameSettled = true
 	}
 	if name != s.answer.name {
-		return false, fmt.Errorf("a token of the answer %q came: the connection was given up", name)
+		return false, fmt.Errorf("a token of the answer %q came: the connection was closed", name)
 	}
 	var c chunk
 	if err := json.Unmarshal([]byte(e.data), &c); err != nil {
-		return false, fmt.Errorf("event %s can't be read: the connection was given up: %w", e.id, err)
+		return false, fmt.Errorf("event %s can't be read: the connection was closed: %w", e.id, err)
 	}
 	if len(c.Choices) == 0 {
 		return false, nil
@@ -121,13 +121,13 @@
 	isLast := c.Finish != nil && *c.Finish != ""
 	switch {
 	case seq > s.answer.tokens+1 || seq == s.answer.tokens+1 && seq == 0:
-		return false, fmt.Errorf("token %d came after %d: the connection was given up", seq, s.answer.tokens)
+		return false, fmt.Errorf("token %d came after %d: the connection was closed", seq, s.answer.tokens)
 	case seq == s.answer.tokens+1:
 		if err := s.deliver(seq, c.Delta.Content); err != nil {
 			return false, err
 		}
 	case isLast && seq < s.answer.tokens:
-		return false, fmt.Errorf("the answer ended at token %d after token %d: the connection was given up", seq, s.answer.tokens)
+		return false, fmt.Errorf("the answer ended at token %d after token %d: the connection was closed", seq, s.answer.tokens)
 	}
 	if isLast {
 		s.answer.end = *c.Finish
