--- a/pkg/mgclock/clock.go
+++ b/pkg/mgclock/clock.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Millis is a time or a span of time in milliseconds. As a time it counts
-// from an origin of the clock's own and compares only with the same clock.
+// Millis is a time or a duration in milliseconds. A time counts from the origin
+// of its clock and is comparable only with times of the same clock.
 type Millis int64
 
-// Second and Minute are spans for the declaration of constants.
+// Second and Minute are durations for the declaration of constants.
 const (
 	Second Millis = 1000
 	Minute        = 60 * Second
 )
 
-// Duration returns m as the standard library's span of time.
+// Duration returns m as a time.Duration.
 func (m Millis) Duration() time.Duration {
 	return time.Duration(m) * time.Millisecond
 }
@@ -25,17 +25,17 @@
 	return Millis(d / time.Millisecond)
 }
 
-// A Clock tells the time in milliseconds. The zero Clock reads the system's
-// monotonic time.
+// A Clock measures time in milliseconds and provides timers. The zero Clock
+// reads the system's monotonic time.
 type Clock struct {
 	now   func() Millis
 	after func(Millis) <-chan struct{}
 }
 
-// origin anchors the monotonic readings of the zero Clock.
+// origin is the origin of the zero Clock's times.
 var origin = time.Now()
 
-// Now returns the present time.
+// Now returns the current time.
 func (c Clock) Now() Millis {
 	if c.now != nil {
 		return c.now()
@@ -43,8 +43,8 @@
 	return FromDuration(time.Since(origin))
 }
 
-// After returns a channel that is closed once span has passed. The zero
-// Clock's channel is released by the runtime when its timer fires.
+// After returns a channel that is closed after delay. With the zero Clock, the
+// runtime holds the channel until its timer fires.
 func (c Clock) After(delay Millis) <-chan struct{} {
 	if c.after != nil {
 		return c.after(delay)
@@ -54,8 +54,8 @@
 	return done
 }
 
-// Sleep waits until span has passed or ctx ends. It reports whether the whole
-// span passed.
+// Sleep waits for duration or until ctx ends. It reports whether the whole
+// duration passed.
 func (c Clock) Sleep(ctx context.Context, duration Millis) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
@@ -78,12 +78,14 @@
 	}
 }
 
-// Unix returns the seconds since 1970 by the system's clock, for the formats
-// that want them. It may jump; no decision goes by it.
+// Unix returns the seconds since 1970 by the system's clock, for formats that
+// require them. It may jump; no decision may depend on it.
 func Unix() int64 { return time.Now().Unix() }
 
-// Deadline returns span from now in the form that connections take.
+// Deadline returns the time after timeout as a time.Time, for the deadlines of
+// connections.
 func Deadline(timeout Millis) time.Time { return time.Now().Add(timeout.Duration()) }
 
-// UnixMillis returns the ms since 1970 by the system's clock, as Unix does.
+// UnixMillis returns the ms since 1970 by the system's clock. It may jump, as
+// Unix may.
 func UnixMillis() int64 { return time.Now().UnixMilli() }
--- a/pkg/mgclock/clock_test.go
+++ b/pkg/mgclock/clock_test.go
@@ -15,7 +15,7 @@
 		var manual mgclock.Manual
 		clock := manual.Clock()
 
-		Convey("fires only the timers that fall due", func() {
+		Convey("fires only the timers that have expired", func() {
 			early := clock.After(10)
 			late := clock.After(20)
 			manual.Advance(10)
--- a/pkg/mgclock/doc.go
+++ b/pkg/mgclock/doc.go
@@ -1,5 +1,5 @@
-// Package mgclock is the project's one clock, in milliseconds.
+// Package mgclock provides the clock of all other packages, in milliseconds.
 //
 // All deadlines, leases and intervals are Millis read from a Clock, so that a
-// test replaces time by a Manual clock and gets the same verdict each run.
+// test can replace it by a Manual clock and get the same result in each run.
 package mgclock
--- a/pkg/mgclock/manual.go
+++ b/pkg/mgclock/manual.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// A Manual clock stands still until it is advanced. The zero Manual starts at
-// 0 and is ready for use by several goroutines.
+// A Manual clock advances only by calls of Advance. The zero Manual starts at 0.
+// It is safe for concurrent use.
 type Manual struct {
 	mu     sync.Mutex
 	now    Millis
@@ -26,15 +26,15 @@
 	}
 }
 
-// Now returns the time that m was advanced to.
+// Now returns the current time of m.
 func (m *Manual) Now() Millis {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.now
 }
 
-// Advance moves the time by span, which is 0 or more, and fires the timers
-// that fall due in the order of their times.
+// Advance advances the time by step, which is 0 or more, and fires the expired
+// timers in the order of their deadlines.
 func (m *Manual) Advance(step Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -48,8 +48,8 @@
 	m.timers = m.timers[dueCount:]
 }
 
-// Waiting returns the number of timers that have not fired, so that a test
-// knows when every goroutine has come to rest.
+// Waiting returns the number of timers that have not fired, so that a test can
+// detect when all goroutines wait.
 func (m *Manual) Waiting() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/mgdial/dial.go
+++ b/pkg/mgdial/dial.go
@@ -13,20 +13,21 @@
 	"time"
 )
 
-// connect bounds the opening of a connection. A zone is half a millisecond
-// away; a second leaves room for one lost SYN, which the kernel repeats after
-// one second, only where the caller's own deadline allows it.
+// connectTimeout limits the opening of a connection. The round trip to a zone
+// takes half a millisecond, and the kernel repeats a lost SYN after one second:
+// the timeout tolerates one lost SYN where the caller's own deadline does.
 const connectTimeout = 1500 * time.Millisecond
 
-// near bounds the opening of a connection within a region, where a round trip
-// takes a few ms: an upstream that doesn't answer by then is given up while the
-// shortest deadlines still allow another.
+// regionalConnectTimeout limits the opening of a connection within a region,
+// where a round trip takes a few ms. It is short enough to try another upstream
+// within the shortest deadlines.
 const regionalConnectTimeout = 250 * time.Millisecond
 
-// Near opens a connection within a region. Its other end is asked for a sign of
-// life by the kernel after silence (net.KeepAliveConfig): a connection that a
-// partition or a lost entry of a middlebox has cut falls silent without a reset,
-// and whoever waits on it would wait for its whole timeout.
+// Near returns a dial function for connections within a region. The kernel probes
+// the peer with TCP keep-alives (net.KeepAliveConfig) and ends the connection
+// after silenceTimeout without an acknowledgement: a partition, or a middlebox that
+// drops its state, cuts a connection without a reset, and a reader would
+// otherwise wait for its whole timeout.
 func Near(silenceTimeout time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	dialer := net.Dialer{
 		Timeout: regionalConnectTimeout,
@@ -40,26 +41,26 @@
 	return dialer.DialContext
 }
 
-// keepAlives is the number of unanswered signs of life that end a connection:
-// one may be lost.
+// maxUnansweredProbes is the number of unanswered keep-alive probes that end a
+// connection: one may be lost.
 const maxUnansweredProbes = 2
 
-// headerBytes bounds the header of a response.
+// maxHeaderBytes limits the header of a response.
 const maxHeaderBytes = 64 << 10
 
-// A Failure is an exchange that brought no response.
+// A Failure is the error of a request without a response.
 type Failure struct {
 	sent  bool
 	cause error
 }
 
-// Sent reports whether any of the request can have reached the other side.
+// Sent reports whether any part of the request may have reached the server.
 func (f *Failure) Sent() bool { return f.sent }
 
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.cause }
 
-// Error returns what is known and the cause.
+// Error returns whether the request may have been sent, a remedy and the cause.
 func (f *Failure) Error() string {
 	if f.sent {
 		return fmt.Sprintf("no response after sending: ask what became of the request before repeating it: %v", f.cause)
@@ -77,7 +78,7 @@
 	return NewClientWith(dialer.DialContext)
 }
 
-// NewClientWith is NewClient with a dial function of the caller's.
+// NewClientWith is like NewClient but opens connections with dial.
 func NewClientWith(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -85,7 +86,7 @@
 			DisableKeepAlives:      true,
 			DisableCompression:     true,
 			MaxResponseHeaderBytes: maxHeaderBytes,
-			// A present, empty map keeps HTTP/2 off, which shares one
+			// A non-nil, empty map disables HTTP/2, which shares one
 			// connection among requests.
 			TLSNextProto: map[string]func(string, *tls.Conn) http.RoundTripper{},
 		},
@@ -98,10 +99,10 @@
 // Do sends r and returns the response, whose body the caller closes, or a
 // *Failure.
 //
-// The proof that nothing was sent is that the transport never got a
-// connection for r: it writes only to one it got. A count of written bytes
-// would not do, since a request whose context ended may still be on its way
-// to the socket.
+// Nothing was sent if the transport never got a connection for r, because it
+// writes to no other. A count of written bytes would not prove it, since a
+// request whose context ended may still be in the process of being written to
+// the socket.
 func Do(client *http.Client, r *http.Request) (*http.Response, error) {
 	var hasConn atomic.Bool
 	trace := &httptrace.ClientTrace{
@@ -118,9 +119,9 @@
 	return response, nil
 }
 
-// Refuses reports whether an address refuses connections, as the address of a process
-// that has ended does while its host lives. An error says that neither is known: the
-// host may be down or cut off.
+// Refuses reports whether an address refuses connections, as it does after its
+// process has ended while the host is up. An error means that neither is known:
+// the host may be down or unreachable.
 func Refuses(ctx context.Context, addr string) (bool, error) {
 	dialer := net.Dialer{
 		Timeout: regionalConnectTimeout,
--- a/pkg/mgdial/dial_test.go
+++ b/pkg/mgdial/dial_test.go
@@ -11,8 +11,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgdial"
 )
 
-// A call waits on a connection that a partition has cut without a reset, until
-// its whole timeout is over. The kernel must be asked for signs of life, at
+// Guards against a call that waits for its whole timeout on a connection that a
+// partition has cut without a reset. The kernel must send keep-alive probes at
 // the interval that the caller set.
 func TestSilentConnectionNotProbed(t *testing.T) {
 	Convey("A connection has keep-alives", t, func() {
@@ -28,25 +28,26 @@
 	})
 }
 
-// An upstream whose connection was reset must not be taken for one that has ended.
+// Guards against taking an upstream for ended when a connection to it fails: its
+// process has ended only if the address refuses connections.
 func TestLiveUpstreamTakenForEnded(t *testing.T) {
-	Convey("Of an address", t, func() {
+	Convey("An address", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer listener.Close()
 		addr := listener.Addr().String()
-		Convey("where somebody listens it is told that it doesn't refuse", func() {
+		Convey("with a listener doesn't refuse", func() {
 			refuses, err := mgdial.Refuses(context.Background(), addr)
 			So(err, ShouldBeNil)
 			So(refuses, ShouldBeFalse)
 		})
-		Convey("where nobody does any more, that it refuses", func() {
+		Convey("whose listener is closed refuses", func() {
 			So(listener.Close(), ShouldBeNil)
 			refuses, err := mgdial.Refuses(context.Background(), addr)
 			So(err, ShouldBeNil)
 			So(refuses, ShouldBeTrue)
 		})
-		Convey("that gives no answer in time, that it isn't known", func() {
+		Convey("that doesn't respond in time yields an error", func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
 			_, err := mgdial.Refuses(ctx, addr)
--- a/pkg/mgdial/doc.go
+++ b/pkg/mgdial/doc.go
@@ -1,10 +1,9 @@
-// Package mgdial makes HTTP exchanges whose failures tell whether the other
-// side can have seen the request.
+// Package mgdial makes HTTP requests whose errors specify whether the server may
+// have received the request.
 //
-// Each exchange opens a connection of its own. A pooled connection may be
-// dead without a sign, as when a middlebox dropped its entry for it; a request
-// written to it waits out its whole timeout, and net/http repeats some requests
-// by itself when a reused connection breaks. Neither can happen
-// on a connection that nothing else has used, and a failure before there is
-// one proves that nothing was written.
+// Each request opens its own connection. A pooled connection may be dead without
+// an indication, for example when a middlebox dropped its state; a request
+// written to it waits for its whole timeout, and net/http repeats some requests
+// by itself when a reused connection breaks. Neither can happen on a new
+// connection, and a failure to connect proves that nothing was written.
 package mgdial
--- a/pkg/mgdial/keepalive_test.go
+++ b/pkg/mgdial/keepalive_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// keepAlive returns the idle seconds before the first sign of life is asked
-// for, and how many may stay unanswered.
+// readKeepAlive returns the idle seconds before the first keep-alive probe and
+// the number of probes that may stay unanswered.
 func readKeepAlive(t *testing.T, conn net.Conn) (idle, count int) {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
--- a/pkg/mgproblem/doc.go
+++ b/pkg/mgproblem/doc.go
@@ -1,7 +1,7 @@
-// Package mgproblem holds the typed errors that callers and operators see.
+// Package mgproblem defines the typed errors that callers and operators see.
 //
-// A Problem names what went wrong (kind), what to do (remedy), what became of
-// the request (outcome) and, where waiting helps, when to come back. Over HTTP
-// it travels as application/problem+json (Nottingham, Wilde, Dalal 2023, RFC
-// 9457).
+// A Problem has a kind and a detail (what went wrong), a remedy (what to do
+// about it), an outcome (whether the request ran) and, where a later request may
+// succeed, a delay before the retry. Over HTTP it is sent as
+// application/problem+json (Nottingham, Wilde, Dalal 2023, RFC 9457).
 package mgproblem
--- a/pkg/mgproblem/problem.go
+++ b/pkg/mgproblem/problem.go
@@ -10,37 +10,37 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Kind is a typed cause.
+// Kind is the type of a problem.
 type Kind string
 
 // The kinds of problems.
 const (
 	Invalid      Kind = "invalid"      // the request can't be understood
 	Stranger     Kind = "stranger"     // no client account has this key
-	Forbidden    Kind = "forbidden"    // the account may not do this
+	Forbidden    Kind = "forbidden"    // the account isn't allowed to do this
 	Missing      Kind = "missing"      // no such answer, service or model
-	Large        Kind = "large"        // a bound on size is exceeded
-	Capped       Kind = "capped"       // the account's cap is used up
-	Crowded      Kind = "crowded"      // no upstream can answer in time
-	Late         Kind = "late"         // the deadline passed while it waited
-	Leaving      Kind = "leaving"      // the process or upstream is leaving
-	Unready      Kind = "unready"      // no configuration is in force yet
+	Large        Kind = "large"        // a size limit is exceeded
+	Capped       Kind = "capped"       // the account's limit is reached
+	Crowded      Kind = "crowded"      // no upstream has capacity in time
+	Late         Kind = "late"         // the deadline passed while the request waited
+	Leaving      Kind = "leaving"      // the process or upstream is shutting down
+	Unready      Kind = "unready"      // the process has no configuration yet
 	Behind       Kind = "behind"       // the process has an older version
-	Incarnation  Kind = "incarnation"  // the process was replaced
-	Tombstone    Kind = "tombstone"    // the attempt was cancelled before
-	Interrupted  Kind = "interrupted"  // the generation ended before its end
+	Incarnation  Kind = "incarnation"  // the process was replaced by a new incarnation
+	Tombstone    Kind = "tombstone"    // the attempt was cancelled before it arrived
+	Interrupted  Kind = "interrupted"  // the generation stopped before it was complete
 	Crashed      Kind = "crashed"      // the upstream ended as it began the request
-	Unconfirmed  Kind = "unconfirmed"  // whether it ran can't be told
-	Unpromisable Kind = "unpromisable" // the promise asked for can't be kept
-	Cancelled    Kind = "cancelled"    // the caller cancelled it
-	Quarantined  Kind = "quarantined"  // the request crashes upstreams and is held back
+	Unconfirmed  Kind = "unconfirmed"  // it is unknown whether the request ran
+	Unpromisable Kind = "unpromisable" // the requested guarantee can't be given
+	Cancelled    Kind = "cancelled"    // the caller cancelled the request
+	Quarantined  Kind = "quarantined"  // the request crashes upstreams and is quarantined
 	Internal     Kind = "internal"     // a fault of the system
 )
 
-// Outcome tells what became of a request.
+// Outcome specifies whether a request ran.
 type Outcome string
 
-// The outcomes. NotRun is said only where it is attested.
+// The outcomes. NotRun is used only where it is attested.
 const (
 	Done    Outcome = "done"
 	NotRun  Outcome = "notrun"
@@ -61,8 +61,8 @@
 	cause   error
 }
 
-// New returns a problem of a kind. Detail says what went wrong, remedy what to
-// do about it; outcome tells what became of the request.
+// New returns a problem of a kind. detail describes what went wrong, remedy what
+// to do about it; outcome specifies whether the request ran.
 func New(kind Kind, outcome Outcome, detail, remedy string) *Problem {
 	return &Problem{
 		kind:    kind,
@@ -72,7 +72,7 @@
 	}
 }
 
-// WithRetry returns a copy that tells the caller to come back after span.
+// WithRetry returns a copy that asks the caller to retry after delay.
 func (p Problem) WithRetry(delay mgclock.Millis) *Problem {
 	p.retry = delay
 	return &p
@@ -84,7 +84,7 @@
 	return &p
 }
 
-// Kind returns the typed cause.
+// Kind returns the type of the problem.
 func (p *Problem) Kind() Kind {
 	if p.kind == "" {
 		return Internal
@@ -92,7 +92,7 @@
 	return p.kind
 }
 
-// Outcome returns what became of the request.
+// Outcome returns whether the request ran.
 func (p *Problem) Outcome() Outcome {
 	if p.outcome == "" {
 		return Unknown
@@ -106,7 +106,7 @@
 // Remedy returns what to do about it.
 func (p *Problem) Remedy() string { return p.remedy }
 
-// Retry returns the span after which to come back, or 0.
+// Retry returns the delay after which to retry, or 0.
 func (p *Problem) Retry() mgclock.Millis { return p.retry }
 
 // Unwrap returns the cause, or nil.
@@ -157,7 +157,7 @@
 	case Crowded, Leaving, Unready, Behind:
 		return http.StatusServiceUnavailable
 	case Quarantined:
-		// Callers take 503 for the word that the request did not run.
+		// Callers interpret 503 as an attestation that the request did not run.
 		if p.Outcome() == NotRun {
 			return http.StatusServiceUnavailable
 		}
@@ -177,8 +177,8 @@
 	Remedy  string `json:"remedy"`
 	Outcome string `json:"outcome"`
 	Retry   int64  `json:"retry,omitempty"`
-	// Error repeats the text in the form of OpenAI's API, whose clients show
-	// nothing of an answer without it but its status.
+	// Error repeats the text as the error object of OpenAI's API: without it,
+	// clients of that API show only the status.
 	Error errorJSON `json:"error"`
 }
 
@@ -189,8 +189,8 @@
 	Code    string `json:"code"`
 }
 
-// MarshalJSON returns the application/problem+json form. The cause stays
-// inside: it may name addresses.
+// MarshalJSON returns the application/problem+json form. It omits the cause,
+// which may contain internal addresses.
 func (p *Problem) MarshalJSON() ([]byte, error) {
 	return json.Marshal(problemJSON{
 		Type:    "urn:marjoramgauge:" + string(p.Kind()),
@@ -209,7 +209,7 @@
 	})
 }
 
-// UnmarshalJSON reads the application/problem+json form.
+// UnmarshalJSON parses the application/problem+json form.
 func (p *Problem) UnmarshalJSON(data []byte) error {
 	var w problemJSON
 	if err := json.Unmarshal(data, &w); err != nil {
@@ -225,8 +225,8 @@
 	return nil
 }
 
-// Write answers an HTTP request with the problem. Retry-After is in whole
-// seconds, rounded up, so that nobody comes back too early.
+// Write responds to an HTTP request with the problem. Retry-After is in whole
+// seconds, rounded up, so that callers don't retry too early.
 func Write(w http.ResponseWriter, p *Problem) {
 	body, err := json.Marshal(p)
 	if err != nil {
--- a/pkg/mgproblem/problem_test.go
+++ b/pkg/mgproblem/problem_test.go
@@ -10,9 +10,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// A developer's OpenAI client says "401 status code (no body)": its key was
-// missing, the answer said so, and the client shows only the error object of
-// its own API.
+// Guards against problems that OpenAI clients can't show. They read only the
+// error object of their own API and otherwise print "401 status code (no body)",
+// even when the body explains that the key is missing.
 func TestProblemLacksOpenAIErrorObject(t *testing.T) {
 	Convey("A problem has the error object of OpenAI's API", t, func() {
 		recorder := httptest.NewRecorder()
