--- a/pkg/mgdial/dial.go
+++ b/pkg/mgdial/dial.go
@@ -63,7 +63,7 @@
 // Error returns whether the request may have been sent, a remedy and the cause.
 func (f *Failure) Error() string {
 	if f.sent {
-		return fmt.Sprintf("no response after sending: ask what became of the request before repeating it: %v", f.cause)
+		return fmt.Sprintf("no response after sending: find out whether the request ran before repeating it: %v", f.cause)
 	}
 	return fmt.Sprintf("no connection, nothing was sent: repeat it or choose another upstream: %v", f.cause)
 }
@@ -131,7 +131,7 @@
 		return true, nil
 	}
 	if err != nil {
-		return false, fmt.Errorf("%s: whether it refuses connections isn't known: try again: %w", addr, err)
+		return false, fmt.Errorf("%s: can't determine whether it refuses connections: try again: %w", addr, err)
 	}
 	_ = conn.Close() // nothing was sent
 	return false, nil
