--- a/internal/connection/mglink/bubble_test.go
+++ b/internal/connection/mglink/bubble_test.go
@@ -10,7 +10,7 @@
 )
 
 // bubble plays with an agent's handler in virtual time.
-func bubble(t *testing.T, handler http.Handler, body func(*mgnetwork.Network)) {
+func runWithNetwork(t *testing.T, handler http.Handler, body func(*mgnetwork.Network)) {
 	synctest.Test(t, func(*testing.T) {
 		var n mgnetwork.Network
 		n.Serve("agent", handler)
@@ -20,7 +20,7 @@
 	})
 }
 
-func token(seq uint64, text string) *mgrpc.Frame {
+func tokenFrame(seq uint64, text string) *mgrpc.Frame {
 	return &mgrpc.Frame{
 		Generation: "g",
 		Seq:        seq,
@@ -28,7 +28,7 @@
 	}
 }
 
-func last(total uint64) *mgrpc.Frame {
+func finalFrame(total uint64) *mgrpc.Frame {
 	return &mgrpc.Frame{
 		Generation: "g",
 		End:        "stop",
--- a/internal/connection/mglink/call.go
+++ b/internal/connection/mglink/call.go
@@ -16,7 +16,7 @@
 )
 
 // maxReply bounds the body of a call's reply in bytes.
-const maxReply = 64 << 20
+const maxReplyBytes = 64 << 20
 
 // Alive returns a handler that answers 102 at once and at each interval until
 // next has its response, so that the client knows that the connection works
@@ -30,17 +30,17 @@
 			next.ServeHTTP(w, r)
 			return
 		}
-		a := &aliveWriter{
-			to:     w,
+		a := &heartbeatWriter{
+			inner:  w,
 			header: make(http.Header),
 		}
 		ctx, cancel := context.WithCancel(r.Context())
-		var beats sync.WaitGroup
-		beats.Go(func() {
-			for a.beat() && clock.Sleep(ctx, interval) {
+		var heartbeats sync.WaitGroup
+		heartbeats.Go(func() {
+			for a.writeHeartbeat() && clock.Sleep(ctx, interval) {
 			}
 		})
-		defer beats.Wait()
+		defer heartbeats.Wait()
 		defer cancel()
 		next.ServeHTTP(a, r)
 	})
@@ -48,47 +48,47 @@
 
 // aliveWriter keeps the handler's header apart from the one that the heartbeats
 // are written with, which another goroutine reads.
-type aliveWriter struct {
-	mu     sync.Mutex
-	to     http.ResponseWriter
-	header http.Header
-	wrote  bool
+type heartbeatWriter struct {
+	mu            sync.Mutex
+	inner         http.ResponseWriter
+	header        http.Header
+	headerWritten bool
 }
 
-func (a *aliveWriter) Header() http.Header { return a.header }
+func (a *heartbeatWriter) Header() http.Header { return a.header }
 
-func (a *aliveWriter) WriteHeader(status int) {
+func (a *heartbeatWriter) WriteHeader(status int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.writeHeader(status)
 }
 
-func (a *aliveWriter) Write(b []byte) (int, error) {
+func (a *heartbeatWriter) Write(b []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.writeHeader(http.StatusOK)
-	return a.to.Write(b)
+	return a.inner.Write(b)
 }
 
-func (a *aliveWriter) writeHeader(status int) {
-	if a.wrote {
+func (a *heartbeatWriter) writeHeader(status int) {
+	if a.headerWritten {
 		return
 	}
-	a.wrote = true
+	a.headerWritten = true
 	for key, values := range a.header {
-		a.to.Header()[key] = values
+		a.inner.Header()[key] = values
 	}
-	a.to.WriteHeader(status)
+	a.inner.WriteHeader(status)
 }
 
 // beat writes a heartbeat and reports whether more are wanted.
-func (a *aliveWriter) beat() bool {
+func (a *heartbeatWriter) writeHeartbeat() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.wrote {
+	if a.headerWritten {
 		return false
 	}
-	a.to.WriteHeader(http.StatusProcessing)
+	a.inner.WriteHeader(http.StatusProcessing)
 	return true
 }
 
@@ -110,7 +110,7 @@
 	Interval mgclock.Millis
 }
 
-func (g *Guard) silence() mgclock.Millis {
+func (g *Guard) silenceTimeout() mgclock.Millis {
 	if g.Interval <= 0 {
 		return silentIntervals * DefaultInterval
 	}
@@ -119,7 +119,7 @@
 
 // RoundTrip implements http.RoundTripper.
 func (g *Guard) RoundTrip(r *http.Request) (*http.Response, error) {
-	response, err := g.try(r, g.Pooled)
+	response, err := g.attempt(r, g.Pooled)
 	if err == nil || r.Context().Err() != nil || !errors.Is(err, errSilent) {
 		return response, err
 	}
@@ -127,34 +127,34 @@
 		Transport: g.Pooled,
 	}
 	client.CloseIdleConnections()
-	again, err := rewind(r)
+	repeated, err := cloneForRetry(r)
 	if err != nil {
 		return nil, err
 	}
-	by := g.Again
-	if by == nil {
-		by = Fresh(g.silence()).Transport
+	transport := g.Again
+	if transport == nil {
+		transport = Fresh(g.silenceTimeout()).Transport
 	}
-	return g.try(again, by)
+	return g.attempt(repeated, transport)
 }
 
 // try makes a call and reads its reply while something is heard.
-func (g *Guard) try(r *http.Request, by http.RoundTripper) (*http.Response, error) {
+func (g *Guard) attempt(r *http.Request, transport http.RoundTripper) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
-	var heard atomic.Int64
-	hear := func() { heard.Store(int64(g.Clock.Now())) }
-	hear()
-	go g.watch(ctx, cancel, &heard)
+	var lastReceived atomic.Int64
+	markReceived := func() { lastReceived.Store(int64(g.Clock.Now())) }
+	markReceived()
+	go g.cancelWhenSilent(ctx, cancel, &lastReceived)
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		Got1xxResponse: func(int, textproto.MIMEHeader) error {
-			hear()
+			markReceived()
 			return nil
 		},
 	})
-	response, err := by.RoundTrip(r.WithContext(traced))
+	response, err := transport.RoundTrip(r.WithContext(traced))
 	if err == nil {
-		err = readAll(response, hear)
+		err = readBody(response, markReceived)
 	}
 	if err != nil && errors.Is(context.Cause(ctx), errSilent) {
 		return nil, fmt.Errorf("%w: %w", errSilent, err)
@@ -163,27 +163,27 @@
 }
 
 // watch ends a try once nothing was heard for a span of silence.
-func (g *Guard) watch(ctx context.Context, cancel context.CancelCauseFunc, heard *atomic.Int64) {
+func (g *Guard) cancelWhenSilent(ctx context.Context, cancel context.CancelCauseFunc, lastReceived *atomic.Int64) {
 	for {
-		wait := mgclock.Millis(heard.Load()) + g.silence() - g.Clock.Now()
-		if wait <= 0 {
+		remaining := mgclock.Millis(lastReceived.Load()) + g.silenceTimeout() - g.Clock.Now()
+		if remaining <= 0 {
 			cancel(errSilent)
 			return
 		}
-		if !g.Clock.Sleep(ctx, wait) {
+		if !g.Clock.Sleep(ctx, remaining) {
 			return
 		}
 	}
 }
 
 // readAll puts the whole reply in place of the response's body.
-func readAll(response *http.Response, hear func()) error {
+func readBody(response *http.Response, onRead func()) error {
 	defer func() { _ = response.Body.Close() }()
 	var body bytes.Buffer
 	chunk := make([]byte, 32<<10)
-	for body.Len() <= maxReply {
+	for body.Len() <= maxReplyBytes {
 		n, err := response.Body.Read(chunk)
-		hear()
+		onRead()
 		body.Write(chunk[:n])
 		if errors.Is(err, io.EOF) {
 			response.Body = io.NopCloser(&body)
@@ -193,13 +193,13 @@
 			return err
 		}
 	}
-	return fmt.Errorf("link: reply beyond %d bytes: bound what the service answers", maxReply)
+	return fmt.Errorf("link: reply beyond %d bytes: bound what the service answers", maxReplyBytes)
 }
 
-func rewind(r *http.Request) (*http.Request, error) {
-	again := r.Clone(r.Context())
+func cloneForRetry(r *http.Request) (*http.Request, error) {
+	clone := r.Clone(r.Context())
 	if r.Body == nil || r.Body == http.NoBody {
-		return again, nil
+		return clone, nil
 	}
 	if r.GetBody == nil {
 		return nil, fmt.Errorf("%w: its body can't be sent again", errSilent)
@@ -208,6 +208,6 @@
 	if err != nil {
 		return nil, err
 	}
-	again.Body = body
-	return again, nil
+	clone.Body = body
+	return clone, nil
 }
--- a/internal/connection/mglink/stream.go
+++ b/internal/connection/mglink/stream.go
@@ -18,7 +18,7 @@
 	// errSilent is why a connection was given up that nobody closed.
 	errSilent = errors.New("link: connection silent: it is reopened")
 	// errCut is why a connection was given up that ended before the stream.
-	errCut = errors.New("link: connection ended before the stream: it is reopened")
+	errConnectionEnded = errors.New("link: connection ended before the stream: it is reopened")
 )
 
 const (
@@ -64,32 +64,32 @@
 // A Stream reads the frames of one generation over as many connections as it
 // takes. It is used by one goroutine.
 type Stream struct {
-	spec    StreamSpec
-	begun   mgclock.Millis
-	last    uint64
-	barren  int // tries in a row that brought nothing
-	reopens int
-	ended   bool // the final frame was read
-	over    bool // nothing follows, whatever the reader thinks of it
-	current *connection
+	spec           StreamSpec
+	startTime      mgclock.Millis
+	lastToken      uint64
+	failedAttempts int // tries in a row that brought nothing
+	reopenCount    int
+	finalRead      bool // the final frame was read
+	isClosed       bool // nothing follows, whatever the reader thinks of it
+	current        *connection
 }
 
 // connection is one try: a goroutine that opens a body and reads it.
 type connection struct {
-	cancel context.CancelFunc
-	frames chan *mgrpc.Frame
-	failed chan error
-	opened mgclock.Millis
-	heard  mgclock.Millis
-	alarm  <-chan struct{}
+	cancel       context.CancelFunc
+	frames       chan *mgrpc.Frame
+	errs         chan error
+	opened       mgclock.Millis
+	lastReceived mgclock.Millis
+	timer        <-chan struct{}
 }
 
 // NewStream returns a Stream that opens its first connection on Next.
 func NewStream(spec StreamSpec) *Stream {
 	return &Stream{
-		spec:  spec.withDefaults(),
-		begun: spec.Clock.Now(),
-		last:  spec.From,
+		spec:      spec.withDefaults(),
+		startTime: spec.Clock.Now(),
+		lastToken: spec.From,
 	}
 }
 
@@ -97,45 +97,45 @@
 func (s *Stream) Silence() mgclock.Millis { return silentIntervals * s.spec.Interval }
 
 // Reopens returns how often the stream went on on a new connection.
-func (s *Stream) Reopens() int { return s.reopens }
+func (s *Stream) Reopens() int { return s.reopenCount }
 
 // Close gives up the connection, if there is one.
 func (s *Stream) Close() {
-	s.over = true
-	s.drop()
+	s.isClosed = true
+	s.closeConnection()
 }
 
 // Reopen makes the next Next read from the token after last on a new
 // connection, for a reader that refused a frame. The final frame may be refused
 // as well: it may be another generation's, or come before the tokens it ends.
-func (s *Stream) Reopen(last uint64) {
-	s.drop()
-	s.ended = false
-	s.last = last
-	s.barren++
+func (s *Stream) Reopen(lastToken uint64) {
+	s.closeConnection()
+	s.finalRead = false
+	s.lastToken = lastToken
+	s.failedAttempts++
 }
 
 // Next returns the next frame that isn't a heartbeat. After the final frame it
 // returns io.EOF. It returns ErrLost when the stream can't be had any more, and
 // the Problem when the agent says why.
 func (s *Stream) Next(ctx context.Context) (*mgrpc.Frame, error) {
-	for !s.over && !s.ended {
+	for !s.isClosed && !s.finalRead {
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
 		if s.current == nil {
 			s.open(ctx)
 		}
-		f, err := s.read(ctx)
+		f, err := s.readFrame(ctx)
 		switch {
 		case err != nil && ctx.Err() != nil:
 			return nil, ctx.Err()
 		case err != nil:
-			if err := s.fail(ctx, err); err != nil {
+			if err := s.handleFailure(ctx, err); err != nil {
 				return nil, err
 			}
 		case !Heartbeat(f):
-			s.take(f)
+			s.recordProgress(f)
 			return f, nil
 		}
 	}
@@ -148,15 +148,15 @@
 	ctx, cancel := context.WithCancel(ctx)
 	now := s.spec.Clock.Now()
 	c := &connection{
-		cancel: cancel,
-		frames: make(chan *mgrpc.Frame),
-		failed: make(chan error, 1),
-		opened: now,
-		heard:  now,
+		cancel:       cancel,
+		frames:       make(chan *mgrpc.Frame),
+		errs:         make(chan error, 1),
+		opened:       now,
+		lastReceived: now,
 	}
 	s.current = c
-	from := s.last + 1
-	go func() { c.failed <- c.run(ctx, s.spec.Open, from) }()
+	from := s.lastToken + 1
+	go func() { c.errs <- c.run(ctx, s.spec.Open, from) }()
 }
 
 func (c *connection) run(ctx context.Context, open func(context.Context, uint64) (io.ReadCloser, error), from uint64) error {
@@ -175,7 +175,7 @@
 	for {
 		f, err := ReadFrame(in)
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			return errCut
+			return errConnectionEnded
 		}
 		if err != nil {
 			return err
@@ -189,33 +189,33 @@
 }
 
 // read returns the connection's next frame, or why there is none.
-func (s *Stream) read(ctx context.Context) (*mgrpc.Frame, error) {
+func (s *Stream) readFrame(ctx context.Context) (*mgrpc.Frame, error) {
 	c := s.current
 	for {
-		if c.alarm == nil {
+		if c.timer == nil {
 			// One timer serves all frames until it fires.
-			c.alarm = s.spec.Clock.After(s.silentAt() - s.spec.Clock.Now())
+			c.timer = s.spec.Clock.After(s.silenceDeadline() - s.spec.Clock.Now())
 		}
 		select {
 		case f := <-c.frames:
-			c.heard = s.spec.Clock.Now()
+			c.lastReceived = s.spec.Clock.Now()
 			return f, nil
-		case err := <-c.failed:
+		case err := <-c.errs:
 			return nil, err
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-c.alarm:
-			c.alarm = nil
+		case <-c.timer:
+			c.timer = nil
 		}
 		// The reader itself may have slept past the bound, as a paused process
 		// does, while frames came: they are taken before the verdict.
 		select {
 		case f := <-c.frames:
-			c.heard = s.spec.Clock.Now()
+			c.lastReceived = s.spec.Clock.Now()
 			return f, nil
 		default:
 		}
-		if s.spec.Clock.Now() >= s.silentAt() {
+		if s.spec.Clock.Now() >= s.silenceDeadline() {
 			// Neither end has closed the connection, and nothing comes: a device
 			// between them has forgotten it. TCP alone would wait for minutes.
 			return nil, errSilent
@@ -223,56 +223,56 @@
 	}
 }
 
-func (s *Stream) silentAt() mgclock.Millis { return s.current.heard + s.Silence() }
+func (s *Stream) silenceDeadline() mgclock.Millis { return s.current.lastReceived + s.Silence() }
 
 // take notes a frame's progress.
-func (s *Stream) take(f *mgrpc.Frame) {
-	if n := uint64(len(f.GetText())); n > 0 && f.GetSeq() <= s.last+1 {
-		s.last = max(s.last, f.GetSeq()+n-1)
-		s.barren = 0
+func (s *Stream) recordProgress(f *mgrpc.Frame) {
+	if n := uint64(len(f.GetText())); n > 0 && f.GetSeq() <= s.lastToken+1 {
+		s.lastToken = max(s.lastToken, f.GetSeq()+n-1)
+		s.failedAttempts = 0
 	}
 	if Final(f) {
-		s.ended = true
-		s.drop()
+		s.finalRead = true
+		s.closeConnection()
 	}
 }
 
 // fail gives up the connection and waits before the next, or says that there
 // will be none.
-func (s *Stream) fail(ctx context.Context, cause error) error {
-	if s.current.heard-s.current.opened > s.Silence() {
-		s.barren = 0 // it worked for a while, even if there were no tokens yet
+func (s *Stream) handleFailure(ctx context.Context, cause error) error {
+	if s.current.lastReceived-s.current.opened > s.Silence() {
+		s.failedAttempts = 0 // it worked for a while, even if there were no tokens yet
 	}
-	s.drop()
-	if final(cause) {
-		s.over = true
+	s.closeConnection()
+	if isPermanent(cause) {
+		s.isClosed = true
 		return cause
 	}
-	wait := s.backoff()
-	s.barren++
-	if s.barren >= s.spec.Attempts || s.late(wait) {
-		s.over = true
+	delay := s.backoff()
+	s.failedAttempts++
+	if s.failedAttempts >= s.spec.Attempts || s.exceedsBudget(delay) {
+		s.isClosed = true
 		return fmt.Errorf("%w: %w", ErrLost, cause)
 	}
-	s.reopens++
-	s.spec.Clock.Sleep(ctx, wait)
+	s.reopenCount++
+	s.spec.Clock.Sleep(ctx, delay)
 	return nil
 }
 
 // backoff returns the wait before the next try: none after a connection that
 // brought something.
 func (s *Stream) backoff() mgclock.Millis {
-	if s.barren == 0 {
+	if s.failedAttempts == 0 {
 		return 0
 	}
-	return s.spec.Backoff << (s.barren - 1)
+	return s.spec.Backoff << (s.failedAttempts - 1)
 }
 
-func (s *Stream) late(wait mgclock.Millis) bool {
-	return s.spec.Budget > 0 && s.spec.Clock.Now()+wait >= s.begun+s.spec.Budget
+func (s *Stream) exceedsBudget(delay mgclock.Millis) bool {
+	return s.spec.Budget > 0 && s.spec.Clock.Now()+delay >= s.startTime+s.spec.Budget
 }
 
-func (s *Stream) drop() {
+func (s *Stream) closeConnection() {
 	if s.current != nil {
 		s.current.cancel()
 		s.current = nil
@@ -280,7 +280,7 @@
 }
 
 // final reports whether a problem stays on another connection.
-func final(err error) bool {
+func isPermanent(err error) bool {
 	var problem *mgproblem.Problem
 	if !errors.As(err, &problem) {
 		return false
--- a/internal/connection/mglink/stream_test.go
+++ b/internal/connection/mglink/stream_test.go
@@ -27,18 +27,18 @@
 const (
 	interval mgclock.Millis = 100
 	// patience ends a reading that would go on for ever.
-	patience = 5 * mgclock.Minute
+	hangTimeout = 5 * mgclock.Minute
 )
 
 // agent serves a generation of ten tokens, one each second.
 type agent struct {
-	clock  mgclock.Clock
-	begun  mgclock.Millis
-	mu     sync.Mutex
-	failed []error
+	clock       mgclock.Clock
+	startTime   mgclock.Millis
+	mu          sync.Mutex
+	writeErrors []error
 }
 
-const whole = 10
+const totalTokens = 10
 
 func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
@@ -49,18 +49,18 @@
 	err := mglink.Response(w, "g", a.clock, interval).Copy(ctx, frames)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.failed = append(a.failed, err)
+	a.writeErrors = append(a.writeErrors, err)
 }
 
 func (a *agent) generate(ctx context.Context, from uint64, frames chan<- *mgrpc.Frame) {
-	for seq := from; seq <= whole+1; seq++ {
-		due := a.begun + mgclock.Millis(min(seq, whole))*mgclock.Second
+	for seq := from; seq <= totalTokens+1; seq++ {
+		due := a.startTime + mgclock.Millis(min(seq, totalTokens))*mgclock.Second
 		if !a.clock.Sleep(ctx, due-a.clock.Now()) && ctx.Err() != nil {
 			return
 		}
-		f := token(seq, fmt.Sprint("t", seq))
-		if seq > whole {
-			f = last(whole)
+		f := tokenFrame(seq, fmt.Sprint("t", seq))
+		if seq > totalTokens {
+			f = finalFrame(totalTokens)
 		}
 		select {
 		case frames <- f:
@@ -70,7 +70,7 @@
 	}
 }
 
-func open(n *mgnetwork.Network) func(context.Context, uint64) (io.ReadCloser, error) {
+func openStream(n *mgnetwork.Network) func(context.Context, uint64) (io.ReadCloser, error) {
 	client := http.Client{
 		Transport: n.Transport("entry", false),
 	}
@@ -88,10 +88,10 @@
 }
 
 // read returns all tokens and the longest time without one.
-func read(s *mglink.Stream, each func(seq uint64)) (text string, stall mgclock.Millis, err error) {
+func readTokens(s *mglink.Stream, each func(seq uint64)) (text string, stall mgclock.Millis, err error) {
 	var clock mgclock.Clock
 	before := clock.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), patience.Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), hangTimeout.Duration())
 	defer cancel()
 	for {
 		f, err := s.Next(ctx)
@@ -115,20 +115,20 @@
 // A member watches a dossier being written, and it stops. The connection went
 // silent for good: neither end was told, and a new one works. The stream goes on
 // over a new one within the span of silence, with no token lost or twice.
-func TestSilentForGood(t *testing.T) {
+func TestSilentConnectionLosesTokens(t *testing.T) {
 	Convey("A silent connection is left for a new one", t, func() {
 		var a agent
 		var text string
 		var stall mgclock.Millis
 		var err error
 		var reopens, dials int
-		bubble(t, &a, func(n *mgnetwork.Network) {
-			a.begun = a.clock.Now()
+		runWithNetwork(t, &a, func(n *mgnetwork.Network) {
+			a.startTime = a.clock.Now()
 			s := mglink.NewStream(mglink.StreamSpec{
-				Open:     open(n),
+				Open:     openStream(n),
 				Interval: interval,
 			})
-			text, stall, err = read(s, func(seq uint64) {
+			text, stall, err = readTokens(s, func(seq uint64) {
 				if seq == 3 || seq == 6 {
 					n.Silence("agent")
 				}
@@ -146,17 +146,17 @@
 
 // A generation waits long for its turn. Heartbeats keep the stream from being
 // taken for lost.
-func TestIdle(t *testing.T) {
+func TestIdleStreamReopened(t *testing.T) {
 	Convey("A stream without tokens stays on its connection", t, func() {
 		var a agent
 		reopens := -1
-		bubble(t, &a, func(n *mgnetwork.Network) {
-			a.begun = a.clock.Now() + mgclock.Minute
+		runWithNetwork(t, &a, func(n *mgnetwork.Network) {
+			a.startTime = a.clock.Now() + mgclock.Minute
 			s := mglink.NewStream(mglink.StreamSpec{
-				Open:     open(n),
+				Open:     openStream(n),
 				Interval: interval,
 			})
-			_, _, _ = read(s, nil)
+			_, _, _ = readTokens(s, nil)
 			reopens = s.Reopens()
 		})
 		So(reopens, ShouldEqual, 0)
@@ -165,13 +165,13 @@
 
 // An entry's process is paused for ten seconds and wakes up late. Frames have
 // come in the meantime: the connection is not to be blamed for its reader.
-func TestPausedReader(t *testing.T) {
+func TestPausedReaderReopensStream(t *testing.T) {
 	Convey("A reader that slept takes the frames that wait", t, func() {
 		var b bytes.Buffer
-		for seq := uint64(1); seq <= whole; seq++ {
-			So(mglink.WriteFrame(&b, token(seq, fmt.Sprint("t", seq))), ShouldBeNil)
+		for seq := uint64(1); seq <= totalTokens; seq++ {
+			So(mglink.WriteFrame(&b, tokenFrame(seq, fmt.Sprint("t", seq))), ShouldBeNil)
 		}
-		So(mglink.WriteFrame(&b, last(whole)), ShouldBeNil)
+		So(mglink.WriteFrame(&b, finalFrame(totalTokens)), ShouldBeNil)
 		var text string
 		reopens := -1
 		synctest.Test(t, func(*testing.T) {
@@ -182,7 +182,7 @@
 				},
 				Interval: interval,
 			})
-			text, _, _ = read(s, func(uint64) { clock.Sleep(context.Background(), 10*mgclock.Second) })
+			text, _, _ = readTokens(s, func(uint64) { clock.Sleep(context.Background(), 10*mgclock.Second) })
 			reopens = s.Reopens()
 		})
 		So(text, ShouldEqual, allTokens)
@@ -192,19 +192,19 @@
 
 // The end of an answer overtakes its last tokens, or is another's: the reader
 // refuses it. Taken as the end of reading, it would lose an answer that is there.
-func TestFinalFrameRefused(t *testing.T) {
+func TestRefusedFinalFrameEndsStream(t *testing.T) {
 	Convey("A stream whose final frame was refused is read again", t, func() {
 		var a agent
 		var again string
-		bubble(t, &a, func(n *mgnetwork.Network) {
-			a.begun = a.clock.Now()
+		runWithNetwork(t, &a, func(n *mgnetwork.Network) {
+			a.startTime = a.clock.Now()
 			s := mglink.NewStream(mglink.StreamSpec{
-				Open:     open(n),
+				Open:     openStream(n),
 				Interval: interval,
 			})
-			_, _, _ = read(s, nil)
-			s.Reopen(whole - 2)
-			again, _, _ = read(s, nil)
+			_, _, _ = readTokens(s, nil)
+			s.Reopen(totalTokens - 2)
+			again, _, _ = readTokens(s, nil)
 		})
 		So(again, ShouldEqual, "t9t10")
 	})
@@ -212,81 +212,81 @@
 
 // An entry vanishes without a word. The agent's writes to it fail in time, and
 // don't hold its goroutine until the system gives up.
-func TestReaderGone(t *testing.T) {
+func TestWriterBlocksWithoutReader(t *testing.T) {
 	Convey("A writer whose reader is gone fails", t, func() {
 		var a agent
-		var failed []error
+		var writeErrors []error
 		synctest.Test(t, func(*testing.T) {
 			var n mgnetwork.Network
 			n.Serve("agent", &a)
-			a.begun = a.clock.Now()
+			a.startTime = a.clock.Now()
 			conn, _ := n.Dial("entry")(context.Background(), "tcp", "agent:80")
 			_, _ = io.WriteString(conn, "GET /?from=1 HTTP/1.1\r\nHost: agent\r\n\r\n")
 			a.clock.Sleep(context.Background(), 5*mgclock.Second)
 			synctest.Wait()
 			a.mu.Lock()
-			failed = append(failed, a.failed...)
+			writeErrors = append(writeErrors, a.writeErrors...)
 			a.mu.Unlock()
 			n.Close()
 			synctest.Wait()
 		})
-		So(len(failed), ShouldEqual, 1)
-		So(errors.Is(failed[0], os.ErrDeadlineExceeded), ShouldBeTrue)
+		So(len(writeErrors), ShouldEqual, 1)
+		So(errors.Is(writeErrors[0], os.ErrDeadlineExceeded), ShouldBeTrue)
 	})
 }
 
 // An agent is gone, or says that it hasn't the generation. The entry learns it
 // after a bounded number of tries, or at once.
-func TestGivesUp(t *testing.T) {
+func TestFailedStreamAttemptedTooOften(t *testing.T) {
 	missing := mgproblem.New(mgproblem.Missing, mgproblem.Unknown, "no such generation", "start another")
 	leaving := mgproblem.New(mgproblem.Leaving, mgproblem.Unknown, "leaving", "come back")
 	cases := []struct {
-		story  string
-		cause  error
-		budget mgclock.Millis
-		tries  int
-		lost   bool
+		name     string
+		cause    error
+		budget   mgclock.Millis
+		attempts int
+		lost     bool
 	}{
 		{
-			story: "refused connections",
-			cause: io.ErrClosedPipe,
-			tries: mglink.DefaultAttempts,
-			lost:  true,
+			name:     "refused connections",
+			cause:    io.ErrClosedPipe,
+			attempts: mglink.DefaultAttempts,
+			lost:     true,
 		},
 		{
-			story: "a problem that passes",
-			cause: leaving,
-			tries: mglink.DefaultAttempts,
-			lost:  true,
+			name:     "a problem that passes",
+			cause:    leaving,
+			attempts: mglink.DefaultAttempts,
+			lost:     true,
 		},
 		{
-			story: "a problem that stays",
-			cause: missing,
-			tries: 1,
+			name:     "a problem that stays",
+			cause:    missing,
+			attempts: 1,
 		},
 		{
-			story:  "a budget of time",
-			cause:  io.ErrClosedPipe,
-			budget: 250,
-			tries:  3, // at 0, at 0 and at 100 ms
-			lost:   true,
+			name:     "a budget of time",
+			cause:    io.ErrClosedPipe,
+			budget:   250,
+			attempts: 3, // at 0, at 0 and at 100 ms
+			lost:     true,
 		},
 	}
 	Convey("A stream gives up", t, func() {
 		for _, c := range cases {
-			Convey(c.story, func() {
-				tries := 0
+			Convey(c.name, func() {
+				attempts := 0
 				var err error
 				synctest.Test(t, func(*testing.T) {
 					_, err = mglink.NewStream(mglink.StreamSpec{
 						Open: func(context.Context, uint64) (io.ReadCloser, error) {
-							tries++
+							attempts++
 							return nil, c.cause
 						},
 						Budget: c.budget,
 					}).Next(context.Background())
 				})
-				So(tries, ShouldEqual, c.tries)
+				So(attempts, ShouldEqual, c.attempts)
 				So(errors.Is(err, mglink.ErrLost), ShouldEqual, c.lost)
 				So(errors.Is(err, c.cause), ShouldBeTrue)
 			})
@@ -297,7 +297,7 @@
 // A call to an agent hangs: its pooled connection was forgotten on the way. The
 // call is made again on a new one, and the caller waits for a span of silence
 // only. A call that merely takes long isn't made twice.
-func TestGuard(t *testing.T) {
+func TestSilentPooledConnectionBlocksCall(t *testing.T) {
 	Convey("A guarded call", t, func() {
 		var clock mgclock.Clock
 		calls, status := 0, 0
@@ -311,9 +311,9 @@
 		}
 		call := func(g *mglink.Guard) {
 			r, _ := http.NewRequest(http.MethodPost, "http://agent/", strings.NewReader("body"))
-			begun := clock.Now()
+			startTime := clock.Now()
 			response, err := g.RoundTrip(r)
-			took = clock.Now() - begun
+			took = clock.Now() - startTime
 			if err == nil {
 				status = response.StatusCode
 			}
@@ -326,7 +326,7 @@
 			}
 		}
 		Convey("leaves a silent connection of the pool", func() {
-			bubble(t, handler(0), func(n *mgnetwork.Network) {
+			runWithNetwork(t, handler(0), func(n *mgnetwork.Network) {
 				g := guard(n)
 				call(g)
 				synctest.Wait()
@@ -338,7 +338,7 @@
 			So(took, ShouldBeBetweenOrEqual, 3*interval, 4*interval)
 		})
 		Convey("waits for one that takes long", func() {
-			bubble(t, handler(mgclock.Minute), func(n *mgnetwork.Network) { call(guard(n)) })
+			runWithNetwork(t, handler(mgclock.Minute), func(n *mgnetwork.Network) { call(guard(n)) })
 			So(status, ShouldEqual, http.StatusAccepted)
 			So(calls, ShouldEqual, 1)
 			So(took, ShouldEqual, mgclock.Minute)
@@ -346,16 +346,16 @@
 	})
 }
 
-func TestCodec(t *testing.T) {
+func TestDamagedFrameAccepted(t *testing.T) {
 	Convey("A frame beyond the bound is refused unread", t, func() {
 		var b bytes.Buffer
-		So(mglink.WriteFrame(&b, token(1, strings.Repeat("x", mglink.MaxFrame))), ShouldBeNil)
+		So(mglink.WriteFrame(&b, tokenFrame(1, strings.Repeat("x", mglink.MaxFrame))), ShouldBeNil)
 		_, err := mglink.ReadFrame(bufio.NewReader(&b))
 		So(errors.Is(err, mglink.ErrFrame), ShouldBeTrue)
 	})
 	Convey("A frame that is cut short is told from the end", t, func() {
 		var b bytes.Buffer
-		So(mglink.WriteFrame(&b, token(1, "text")), ShouldBeNil)
+		So(mglink.WriteFrame(&b, tokenFrame(1, "text")), ShouldBeNil)
 		_, err := mglink.ReadFrame(bufio.NewReader(bytes.NewReader(b.Bytes()[:b.Len()-1])))
 		So(err, ShouldEqual, io.ErrUnexpectedEOF)
 		_, err = mglink.ReadFrame(bufio.NewReader(bytes.NewReader(nil)))
@@ -365,8 +365,8 @@
 
 func FuzzReadFrame(f *testing.F) {
 	var b bytes.Buffer
-	_ = mglink.WriteFrame(&b, token(1, "text"))
-	_ = mglink.WriteFrame(&b, last(1))
+	_ = mglink.WriteFrame(&b, tokenFrame(1, "text"))
+	_ = mglink.WriteFrame(&b, finalFrame(1))
 	f.Add(b.Bytes())
 	f.Add(b.Bytes()[:b.Len()-2])
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x7f})
--- a/internal/connection/mglink/writer.go
+++ b/internal/connection/mglink/writer.go
@@ -41,9 +41,9 @@
 // A Writer writes the frames of one stream, and heartbeats between them. It is
 // used by one goroutine.
 type Writer struct {
-	spec  WriterSpec
-	wrote mgclock.Millis
-	alarm <-chan struct{}
+	spec      WriterSpec
+	lastWrite mgclock.Millis
+	timer     <-chan struct{}
 }
 
 // NewWriter returns a Writer.
@@ -63,8 +63,8 @@
 		Generation: generation,
 		Out:        w,
 		Flush:      control.Flush,
-		Extend: func(span mgclock.Millis) error {
-			err := control.SetWriteDeadline(time.Now().Add(span.Duration()))
+		Extend: func(timeout mgclock.Millis) error {
+			err := control.SetWriteDeadline(time.Now().Add(timeout.Duration()))
 			if errors.Is(err, http.ErrNotSupported) {
 				return nil // a response in memory doesn't block
 			}
@@ -87,7 +87,7 @@
 	if err := WriteFrame(w.spec.Out, f); err != nil {
 		return err
 	}
-	w.wrote = w.spec.Clock.Now()
+	w.lastWrite = w.spec.Clock.Now()
 	if w.spec.Flush == nil {
 		return nil
 	}
@@ -130,17 +130,17 @@
 // Idle returns a channel that is closed when it is time to call Tend. One timer
 // an interval serves any number of frames.
 func (w *Writer) Idle() <-chan struct{} {
-	if w.alarm == nil {
-		quiet := w.spec.Clock.Now() - w.wrote
-		w.alarm = w.spec.Clock.After(w.spec.Interval - quiet)
+	if w.timer == nil {
+		idle := w.spec.Clock.Now() - w.lastWrite
+		w.timer = w.spec.Clock.After(w.spec.Interval - idle)
 	}
-	return w.alarm
+	return w.timer
 }
 
 // Tend beats if nothing was written for an interval.
 func (w *Writer) Tend() error {
-	w.alarm = nil
-	if w.spec.Clock.Now()-w.wrote < w.spec.Interval {
+	w.timer = nil
+	if w.spec.Clock.Now()-w.lastWrite < w.spec.Interval {
 		return nil
 	}
 	return w.Beat()
