--- a/internal/connection/mglink/call.go
+++ b/internal/connection/mglink/call.go
@@ -15,12 +15,12 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// maxReply bounds the body of a call's reply in bytes.
+// maxReplyBytes limits the body of a call's reply.
 const maxReplyBytes = 64 << 20
 
-// Alive returns a handler that answers 102 at once and at each interval until
-// next has its response, so that the client knows that the connection works
-// while a call takes its time. It is for calls, not for streams.
+// Alive returns a handler that sends an informational response (102) at once and
+// at each interval until next writes its response, so that the client can detect
+// a dead connection during a long call. It is for calls, not for streams.
 func Alive(next http.Handler, clock mgclock.Clock, interval mgclock.Millis) http.Handler {
 	if interval <= 0 {
 		interval = DefaultInterval
@@ -46,8 +46,8 @@
 	})
 }
 
-// aliveWriter keeps the handler's header apart from the one that the heartbeats
-// are written with, which another goroutine reads.
+// heartbeatWriter keeps the handler's header separate from that of the
+// heartbeats, which another goroutine reads.
 type heartbeatWriter struct {
 	mu            sync.Mutex
 	inner         http.ResponseWriter
@@ -81,7 +81,8 @@
 	a.inner.WriteHeader(status)
 }
 
-// beat writes a heartbeat and reports whether more are wanted.
+// writeHeartbeat writes a heartbeat unless the response has begun, and reports
+// whether it did.
 func (a *heartbeatWriter) writeHeartbeat() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -92,21 +93,21 @@
 	return true
 }
 
-// A Guard makes calls over pooled connections without ever waiting out a dead
-// one: a call on which nothing is heard for a span of silence, not even a 102,
-// is made again on a new connection, and the idle ones are closed.
+// A Guard is a transport for calls over pooled connections that detects dead
+// connections: when nothing is received within the silence timeout, not even a
+// 102, it repeats the call on a new connection and closes the idle ones.
 //
-// Made again means that the first may have arrived too. So all calls that go
-// through a Guard are idempotent by an id of theirs, or may be repeated.
+// The first call may have arrived as well. So all calls through a Guard must be
+// idempotent, by an id of their own or by nature.
 type Guard struct {
-	// Pooled makes the first try. If it is an *http.Transport, or closes idle
-	// connections as one does, they are closed after a silent call.
+	// Pooled makes the first attempt. If it has a CloseIdleConnections method, as
+	// *http.Transport has, its idle connections are closed after a silent call.
 	Pooled http.RoundTripper
-	// Again makes the second, by default Fresh's.
+	// Again makes the second attempt, by default the transport of Fresh.
 	Again http.RoundTripper
-	// Clock tells the time.
+	// Clock measures the silence.
 	Clock mgclock.Clock
-	// Interval between heartbeats, by default DefaultInterval.
+	// Interval is the heartbeat interval, by default DefaultInterval.
 	Interval mgclock.Millis
 }
 
@@ -138,7 +139,8 @@
 	return g.attempt(repeated, transport)
 }
 
-// try makes a call and reads its reply while something is heard.
+// attempt makes a call and reads its whole reply. It fails with errSilent when
+// nothing is received within the silence timeout.
 func (g *Guard) attempt(r *http.Request, transport http.RoundTripper) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
@@ -162,7 +164,8 @@
 	return response, err
 }
 
-// watch ends a try once nothing was heard for a span of silence.
+// cancelWhenSilent cancels an attempt when nothing was received within the
+// silence timeout.
 func (g *Guard) cancelWhenSilent(ctx context.Context, cancel context.CancelCauseFunc, lastReceived *atomic.Int64) {
 	for {
 		remaining := mgclock.Millis(lastReceived.Load()) + g.silenceTimeout() - g.Clock.Now()
@@ -176,7 +179,8 @@
 	}
 }
 
-// readAll puts the whole reply in place of the response's body.
+// readBody replaces the response's body by a buffer with the whole reply. It
+// calls onRead after each read.
 func readBody(response *http.Response, onRead func()) error {
 	defer func() { _ = response.Body.Close() }()
 	var body bytes.Buffer
--- a/internal/connection/mglink/codec.go
+++ b/internal/connection/mglink/codec.go
@@ -11,14 +11,14 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgrpc"
 )
 
-// MaxFrame bounds a frame in bytes. A frame holds a few tokens; one that
-// resumes a long answer is cut into several.
+// MaxFrame is the maximum size of a frame in bytes. A frame usually holds a few
+// tokens; the tokens that resume a long answer are split into several frames.
 const MaxFrame = 256 << 10
 
-// ErrFrame is returned for bytes that are no frame.
+// ErrFrame is returned for bytes that can't be decoded as a frame.
 var ErrFrame = errors.New("link: not a frame: both ends must run compatible versions")
 
-// WriteFrame writes one frame with its length before it.
+// WriteFrame writes one frame with a length prefix.
 func WriteFrame(w io.Writer, f *mgrpc.Frame) error {
 	if _, err := protodelim.MarshalTo(w, f); err != nil {
 		return fmt.Errorf("link: write: %w", err)
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// ReadFrame reads one frame. It returns io.EOF at the end of the stream and
-// io.ErrUnexpectedEOF within a frame.
+// ReadFrame reads one frame. It returns io.EOF when the stream ends between
+// frames and io.ErrUnexpectedEOF when it ends within one.
 func ReadFrame(r *bufio.Reader) (*mgrpc.Frame, error) {
 	f := new(mgrpc.Frame)
 	options := protodelim.UnmarshalOptions{
@@ -44,12 +44,12 @@
 	}
 }
 
-// Heartbeat reports whether f only says that its sender lives.
+// Heartbeat reports whether f is a heartbeat, a frame without content.
 func Heartbeat(f *mgrpc.Frame) bool {
 	return len(f.GetText()) == 0 && !Final(f)
 }
 
-// Final reports whether no frame follows f.
+// Final reports whether f is the last frame of its stream.
 func Final(f *mgrpc.Frame) bool {
 	return f.GetEnd() != "" || f.GetFault() != "" || f.GetMoved() != ""
 }
--- a/internal/connection/mglink/fresh.go
+++ b/internal/connection/mglink/fresh.go
@@ -7,12 +7,12 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Fresh returns a client that makes a new connection for each request and
-// gives up on one that isn't made within silence.
+// Fresh returns a client that opens a new connection for each request, with
+// silence as the connect timeout.
 //
-// When a stream goes silent, idle connections to the same agent took the same
-// way and may be forgotten as well. A request on one of them would wait a whole
-// span of silence again, and the next one too.
+// When a stream goes silent, the idle connections to the same agent use the same
+// network path and may be dead as well. A request on one of them would wait for
+// the whole silence timeout again, and so would the next one.
 func Fresh(silence mgclock.Millis) *http.Client {
 	dialer := &net.Dialer{
 		Timeout: silence.Duration(),
--- a/internal/connection/mglink/bubble_test.go
+++ b/internal/connection/mglink/network_test.go
@@ -9,7 +9,8 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/standin/mgnetwork"
 )
 
-// bubble plays with an agent's handler in virtual time.
+// runWithNetwork runs body in virtual time, with a simulated network on which
+// handler serves the agent.
 func runWithNetwork(t *testing.T, handler http.Handler, body func(*mgnetwork.Network)) {
 	synctest.Test(t, func(*testing.T) {
 		var n mgnetwork.Network
--- a/internal/connection/mglink/stream.go
+++ b/internal/connection/mglink/stream.go
@@ -13,38 +13,38 @@
 )
 
 var (
-	// ErrLost is returned when no connection gives the stream any more.
+	// ErrLost is returned when no further attempt is made to reopen the stream.
 	ErrLost = errors.New("link: stream lost: go by the generation's record")
-	// errSilent is why a connection was given up that nobody closed.
+	// errSilent is the cause of closing a connection that neither end had closed.
 	errSilent = errors.New("link: connection silent: it is reopened")
-	// errCut is why a connection was given up that ended before the stream.
+	// errConnectionEnded is the error of a connection that ended before the stream.
 	errConnectionEnded = errors.New("link: connection ended before the stream: it is reopened")
 )
 
 const (
-	// DefaultAttempts bounds the connections in a row that bring nothing.
+	// DefaultAttempts is the maximum number of consecutive attempts without tokens.
 	DefaultAttempts = 6
-	// DefaultBackoff is the wait before the second try; it doubles each time, so
-	// that an agent that restarts has about three seconds to be back.
+	// DefaultBackoff is the delay before the second attempt; it doubles each time,
+	// so that an agent has about three seconds to restart.
 	DefaultBackoff mgclock.Millis = 100
 )
 
-// A StreamSpec describes the entry's end of a stream.
+// A StreamSpec configures the entry's end of a stream.
 type StreamSpec struct {
-	// Open asks, on a new connection, for the frames from token number from on.
-	// Its body ends with ctx. A Problem that another try can't mend ends the
-	// stream.
+	// Open requests, on a new connection, the frames beginning with token number
+	// from. Its body ends with ctx. A permanent Problem ends the stream.
 	Open func(ctx context.Context, from uint64) (io.ReadCloser, error)
-	// Clock tells the time.
+	// Clock measures silence and backoff.
 	Clock mgclock.Clock
-	// Interval between heartbeats, by default DefaultInterval.
+	// Interval is the heartbeat interval, by default DefaultInterval.
 	Interval mgclock.Millis
-	// Attempts and Backoff bound the tries that bring nothing.
+	// Attempts is the maximum number of consecutive attempts without tokens, and
+	// Backoff the delay before the second one.
 	Attempts int
 	Backoff  mgclock.Millis
-	// Budget is the span after which the stream isn't reopened; 0 is no bound.
+	// Budget is the time after which the stream isn't reopened; 0 means no limit.
 	Budget mgclock.Millis
-	// From is the last token that the reader has.
+	// From is the number of the last token that the reader has.
 	From uint64
 }
 
@@ -61,20 +61,20 @@
 	return s
 }
 
-// A Stream reads the frames of one generation over as many connections as it
-// takes. It is used by one goroutine.
+// A Stream reads the frames of one generation over as many connections as
+// needed. It is not safe for concurrent use.
 type Stream struct {
 	spec           StreamSpec
 	startTime      mgclock.Millis
 	lastToken      uint64
-	failedAttempts int // tries in a row that brought nothing
+	failedAttempts int // consecutive attempts without tokens
 	reopenCount    int
 	finalRead      bool // the final frame was read
-	isClosed       bool // nothing follows, whatever the reader thinks of it
+	isClosed       bool // nothing more is read, even after Reopen
 	current        *connection
 }
 
-// connection is one try: a goroutine that opens a body and reads it.
+// connection is one attempt: a goroutine that opens a body and reads its frames.
 type connection struct {
 	cancel       context.CancelFunc
 	frames       chan *mgrpc.Frame
@@ -84,7 +84,7 @@
 	timer        <-chan struct{}
 }
 
-// NewStream returns a Stream that opens its first connection on Next.
+// NewStream returns a Stream that opens its first connection in Next.
 func NewStream(spec StreamSpec) *Stream {
 	return &Stream{
 		spec:      spec.withDefaults(),
@@ -93,21 +93,22 @@
 	}
 }
 
-// Silence returns the longest time without a frame on a working connection.
+// Silence returns the silence timeout: the maximum time without a frame after
+// which a connection is still used.
 func (s *Stream) Silence() mgclock.Millis { return silentIntervals * s.spec.Interval }
 
-// Reopens returns how often the stream went on on a new connection.
+// Reopens returns how often the stream was reopened after a failure.
 func (s *Stream) Reopens() int { return s.reopenCount }
 
-// Close gives up the connection, if there is one.
+// Close ends the stream and closes its connection.
 func (s *Stream) Close() {
 	s.isClosed = true
 	s.closeConnection()
 }
 
-// Reopen makes the next Next read from the token after last on a new
-// connection, for a reader that refused a frame. The final frame may be refused
-// as well: it may be another generation's, or come before the tokens it ends.
+// Reopen makes the next call of Next read from the token after lastToken on a new
+// connection, for a reader that rejected a frame. This includes the final frame,
+// which may belong to another generation or arrive before the last tokens.
 func (s *Stream) Reopen(lastToken uint64) {
 	s.closeConnection()
 	s.finalRead = false
@@ -116,8 +117,8 @@
 }
 
 // Next returns the next frame that isn't a heartbeat. After the final frame it
-// returns io.EOF. It returns ErrLost when the stream can't be had any more, and
-// the Problem when the agent says why.
+// returns io.EOF. It returns ErrLost when the stream can't be reopened, and the
+// agent's Problem when that is permanent.
 func (s *Stream) Next(ctx context.Context) (*mgrpc.Frame, error) {
 	for !s.isClosed && !s.finalRead {
 		if err := ctx.Err(); err != nil {
@@ -142,8 +143,8 @@
 	return nil, io.EOF
 }
 
-// open starts a connection. It outlives the call of Next that opened it, but
-// not ctx's cancellation.
+// open starts a connection, which stays open after Next returns but ends with
+// ctx.
 func (s *Stream) open(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	now := s.spec.Clock.Now()
@@ -164,7 +165,7 @@
 	if err != nil {
 		return err
 	}
-	// A read on a silent connection returns only once its body is closed.
+	// A read on a silent connection returns only when its body is closed.
 	stop := context.AfterFunc(ctx, func() { _ = body.Close() })
 	defer func() {
 		if stop() {
@@ -188,12 +189,12 @@
 	}
 }
 
-// read returns the connection's next frame, or why there is none.
+// readFrame returns the connection's next frame or an error.
 func (s *Stream) readFrame(ctx context.Context) (*mgrpc.Frame, error) {
 	c := s.current
 	for {
 		if c.timer == nil {
-			// One timer serves all frames until it fires.
+			// One timer covers all frames until it fires.
 			c.timer = s.spec.Clock.After(s.silenceDeadline() - s.spec.Clock.Now())
 		}
 		select {
@@ -207,8 +208,8 @@
 		case <-c.timer:
 			c.timer = nil
 		}
-		// The reader itself may have slept past the bound, as a paused process
-		// does, while frames came: they are taken before the verdict.
+		// The reader itself may have been paused beyond the timeout while frames
+		// arrived: read them before the connection is considered silent.
 		select {
 		case f := <-c.frames:
 			c.lastReceived = s.spec.Clock.Now()
@@ -216,8 +217,8 @@
 		default:
 		}
 		if s.spec.Clock.Now() >= s.silenceDeadline() {
-			// Neither end has closed the connection, and nothing comes: a device
-			// between them has forgotten it. TCP alone would wait for minutes.
+			// Neither end has closed the connection and nothing is received: a device
+			// between them has dropped its state. TCP alone would wait for minutes.
 			return nil, errSilent
 		}
 	}
@@ -225,7 +226,7 @@
 
 func (s *Stream) silenceDeadline() mgclock.Millis { return s.current.lastReceived + s.Silence() }
 
-// take notes a frame's progress.
+// recordProgress records the last token of a frame and whether it is final.
 func (s *Stream) recordProgress(f *mgrpc.Frame) {
 	if n := uint64(len(f.GetText())); n > 0 && f.GetSeq() <= s.lastToken+1 {
 		s.lastToken = max(s.lastToken, f.GetSeq()+n-1)
@@ -237,11 +238,11 @@
 	}
 }
 
-// fail gives up the connection and waits before the next, or says that there
-// will be none.
+// handleFailure closes the connection and waits before the next attempt, or
+// returns an error when there is to be none.
 func (s *Stream) handleFailure(ctx context.Context, cause error) error {
 	if s.current.lastReceived-s.current.opened > s.Silence() {
-		s.failedAttempts = 0 // it worked for a while, even if there were no tokens yet
+		s.failedAttempts = 0 // it worked for a while, even without tokens
 	}
 	s.closeConnection()
 	if isPermanent(cause) {
@@ -259,8 +260,8 @@
 	return nil
 }
 
-// backoff returns the wait before the next try: none after a connection that
-// brought something.
+// backoff returns the delay before the next attempt: 0 after a connection that
+// worked.
 func (s *Stream) backoff() mgclock.Millis {
 	if s.failedAttempts == 0 {
 		return 0
@@ -279,7 +280,8 @@
 	}
 }
 
-// final reports whether a problem stays on another connection.
+// isPermanent reports whether err is a problem that another connection would not
+// resolve.
 func isPermanent(err error) bool {
 	var problem *mgproblem.Problem
 	if !errors.As(err, &problem) {
--- a/internal/connection/mglink/stream_test.go
+++ b/internal/connection/mglink/stream_test.go
@@ -26,7 +26,7 @@
 
 const (
 	interval mgclock.Millis = 100
-	// patience ends a reading that would go on for ever.
+	// hangTimeout ends a read that would otherwise never end.
 	hangTimeout = 5 * mgclock.Minute
 )
 
@@ -87,7 +87,7 @@
 	}
 }
 
-// read returns all tokens and the longest time without one.
+// readTokens returns the text of all tokens and the longest time without one.
 func readTokens(s *mglink.Stream, each func(seq uint64)) (text string, stall mgclock.Millis, err error) {
 	var clock mgclock.Clock
 	before := clock.Now()
@@ -112,11 +112,11 @@
 
 const allTokens = "t1t2t3t4t5t6t7t8t9t10"
 
-// A member watches a dossier being written, and it stops. The connection went
-// silent for good: neither end was told, and a new one works. The stream goes on
-// over a new one within the span of silence, with no token lost or twice.
+// Guards against an answer that stops when its connection goes silent for good:
+// neither end learns it, but a new connection works. The stream must resume on one
+// within the silence timeout, with no token lost or repeated.
 func TestSilentConnectionLosesTokens(t *testing.T) {
-	Convey("A silent connection is left for a new one", t, func() {
+	Convey("A silent connection is replaced by a new one", t, func() {
 		var a agent
 		var text string
 		var stall mgclock.Millis
@@ -139,13 +139,13 @@
 		So(text, ShouldEqual, allTokens)
 		So(reopens, ShouldEqual, 2)
 		So(dials, ShouldEqual, 3)
-		// Tokens come each second, so that a silence of 300 ms hides between two.
+		// Tokens come each second, so that a silence of 300 ms fits between two.
 		So(stall, ShouldBeLessThanOrEqualTo, mgclock.Second)
 	})
 }
 
-// A generation waits long for its turn. Heartbeats keep the stream from being
-// taken for lost.
+// Guards against treating a stream as lost while its generation waits in a
+// queue: heartbeats must keep its connection open.
 func TestIdleStreamReopened(t *testing.T) {
 	Convey("A stream without tokens stays on its connection", t, func() {
 		var a agent
@@ -163,10 +163,10 @@
 	})
 }
 
-// An entry's process is paused for ten seconds and wakes up late. Frames have
-// come in the meantime: the connection is not to be blamed for its reader.
+// Guards against treating a connection as silent after its reader, the entry's
+// process, was paused for ten seconds while frames arrived.
 func TestPausedReaderReopensStream(t *testing.T) {
-	Convey("A reader that slept takes the frames that wait", t, func() {
+	Convey("A reader that was paused reads the frames that arrived", t, func() {
 		var b bytes.Buffer
 		for seq := uint64(1); seq <= totalTokens; seq++ {
 			So(mglink.WriteFrame(&b, tokenFrame(seq, fmt.Sprint("t", seq))), ShouldBeNil)
@@ -190,10 +190,10 @@
 	})
 }
 
-// The end of an answer overtakes its last tokens, or is another's: the reader
-// refuses it. Taken as the end of reading, it would lose an answer that is there.
+// Guards against a lost answer when the reader rejects a final frame that arrives
+// before the last tokens or belongs to another generation: reading must go on.
 func TestRefusedFinalFrameEndsStream(t *testing.T) {
-	Convey("A stream whose final frame was refused is read again", t, func() {
+	Convey("A stream whose final frame was rejected is read again", t, func() {
 		var a agent
 		var again string
 		runWithNetwork(t, &a, func(n *mgnetwork.Network) {
@@ -210,8 +210,8 @@
 	})
 }
 
-// An entry vanishes without a word. The agent's writes to it fail in time, and
-// don't hold its goroutine until the system gives up.
+// Guards against an agent's goroutine that blocks until the kernel's timeout
+// when an entry disappears without closing its connection.
 func TestWriterBlocksWithoutReader(t *testing.T) {
 	Convey("A writer whose reader is gone fails", t, func() {
 		var a agent
@@ -235,8 +235,9 @@
 	})
 }
 
-// An agent is gone, or says that it hasn't the generation. The entry learns it
-// after a bounded number of tries, or at once.
+// Guards against an entry that keeps reopening a stream when the agent is gone,
+// for which attempts are limited, or when the agent has no such generation, which
+// is final at once.
 func TestFailedStreamAttemptedTooOften(t *testing.T) {
 	missing := mgproblem.New(mgproblem.Missing, mgproblem.Unknown, "no such generation", "start another")
 	leaving := mgproblem.New(mgproblem.Leaving, mgproblem.Unknown, "leaving", "come back")
@@ -254,25 +255,25 @@
 			lost:     true,
 		},
 		{
-			name:     "a problem that passes",
+			name:     "a transient problem",
 			cause:    leaving,
 			attempts: mglink.DefaultAttempts,
 			lost:     true,
 		},
 		{
-			name:     "a problem that stays",
+			name:     "a permanent problem",
 			cause:    missing,
 			attempts: 1,
 		},
 		{
-			name:     "a budget of time",
+			name:     "a time budget",
 			cause:    io.ErrClosedPipe,
 			budget:   250,
 			attempts: 3, // at 0, at 0 and at 100 ms
 			lost:     true,
 		},
 	}
-	Convey("A stream gives up", t, func() {
+	Convey("A stream ends after", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				attempts := 0
@@ -294,9 +295,9 @@
 	})
 }
 
-// A call to an agent hangs: its pooled connection was forgotten on the way. The
-// call is made again on a new one, and the caller waits for a span of silence
-// only. A call that merely takes long isn't made twice.
+// Guards against a call that hangs because its pooled connection is dead: it must
+// be repeated on a new one after the silence timeout. A call that merely takes
+// long must not be repeated.
 func TestSilentPooledConnectionBlocksCall(t *testing.T) {
 	Convey("A guarded call", t, func() {
 		var clock mgclock.Clock
@@ -325,7 +326,7 @@
 				Interval: interval,
 			}
 		}
-		Convey("leaves a silent connection of the pool", func() {
+		Convey("is repeated when its pooled connection is silent", func() {
 			runWithNetwork(t, handler(0), func(n *mgnetwork.Network) {
 				g := guard(n)
 				call(g)
@@ -337,7 +338,7 @@
 			So(calls, ShouldEqual, 2)
 			So(took, ShouldBeBetweenOrEqual, 3*interval, 4*interval)
 		})
-		Convey("waits for one that takes long", func() {
+		Convey("isn't repeated when it takes long", func() {
 			runWithNetwork(t, handler(mgclock.Minute), func(n *mgnetwork.Network) { call(guard(n)) })
 			So(status, ShouldEqual, http.StatusAccepted)
 			So(calls, ShouldEqual, 1)
@@ -347,13 +348,13 @@
 }
 
 func TestDamagedFrameAccepted(t *testing.T) {
-	Convey("A frame beyond the bound is refused unread", t, func() {
+	Convey("A frame that is too large is refused", t, func() {
 		var b bytes.Buffer
 		So(mglink.WriteFrame(&b, tokenFrame(1, strings.Repeat("x", mglink.MaxFrame))), ShouldBeNil)
 		_, err := mglink.ReadFrame(bufio.NewReader(&b))
 		So(errors.Is(err, mglink.ErrFrame), ShouldBeTrue)
 	})
-	Convey("A frame that is cut short is told from the end", t, func() {
+	Convey("A truncated frame is distinguished from the end of the stream", t, func() {
 		var b bytes.Buffer
 		So(mglink.WriteFrame(&b, tokenFrame(1, "text")), ShouldBeNil)
 		_, err := mglink.ReadFrame(bufio.NewReader(bytes.NewReader(b.Bytes()[:b.Len()-1])))
--- a/internal/connection/mglink/writer.go
+++ b/internal/connection/mglink/writer.go
@@ -11,35 +11,34 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// The spans that both ends go by unless the settings say otherwise.
 const (
-	// DefaultInterval between heartbeats: at 30 bytes a second a stream, the
-	// cost is small against its tokens.
+	// DefaultInterval is the default heartbeat interval of both ends: at 30 bytes
+	// per second and stream, the cost is small compared with that of the tokens.
 	DefaultInterval mgclock.Millis = 500
-	// silentIntervals makes silence: one heartbeat may be late by an interval
-	// when its process is busy, and one more keeps a long pause of the
-	// collector or the scheduler from being taken for a lost connection.
+	// silentIntervals is the silence timeout in heartbeat intervals: one heartbeat
+	// may be late by an interval when its process is busy, and one more tolerates
+	// a long pause of the garbage collector or the scheduler.
 	silentIntervals = 3
 )
 
-// A WriterSpec describes the agent's end of a stream.
+// A WriterSpec configures the agent's end of a stream.
 type WriterSpec struct {
-	// Generation is the one that heartbeats name.
+	// Generation is the generation id in heartbeats.
 	Generation string
-	// Out takes the bytes.
+	// Out receives the encoded frames.
 	Out io.Writer
-	// Flush sends what Out holds. It may be nil.
+	// Flush sends the bytes that Out has buffered. It may be nil.
 	Flush func() error
-	// Extend allows the next write this span before it fails. It may be nil.
+	// Extend sets the timeout of the next write. It may be nil.
 	Extend func(mgclock.Millis) error
-	// Clock tells the time.
+	// Clock measures the time since the last write.
 	Clock mgclock.Clock
-	// Interval is the longest time between frames, by default DefaultInterval.
+	// Interval is the heartbeat interval, by default DefaultInterval.
 	Interval mgclock.Millis
 }
 
 // A Writer writes the frames of one stream, and heartbeats between them. It is
-// used by one goroutine.
+// not safe for concurrent use.
 type Writer struct {
 	spec      WriterSpec
 	lastWrite mgclock.Millis
@@ -56,7 +55,7 @@
 	}
 }
 
-// Response returns a Writer on an HTTP response.
+// Response returns a Writer that writes to an HTTP response.
 func Response(w http.ResponseWriter, generation string, clock mgclock.Clock, interval mgclock.Millis) *Writer {
 	control := http.NewResponseController(w)
 	return NewWriter(WriterSpec{
@@ -66,7 +65,7 @@
 		Extend: func(timeout mgclock.Millis) error {
 			err := control.SetWriteDeadline(time.Now().Add(timeout.Duration()))
 			if errors.Is(err, http.ErrNotSupported) {
-				return nil // a response in memory doesn't block
+				return nil // writes to an in-memory response don't block
 			}
 			return err
 		},
@@ -78,8 +77,9 @@
 // Write writes a frame and sends it.
 func (w *Writer) Write(f *mgrpc.Frame) error {
 	if w.spec.Extend != nil {
-		// The reader's end may be gone without a word; the write then blocks once
-		// the buffers are full, and would hold the agent's goroutine for good.
+		// The reader may be gone without closing the connection; the write then
+		// blocks once the buffers are full, and would block the agent's goroutine
+		// forever.
 		if err := w.spec.Extend(silentIntervals * w.spec.Interval); err != nil {
 			return err
 		}
@@ -101,9 +101,9 @@
 	})
 }
 
-// Copy writes the frames that come, with heartbeats between them, until the
-// final one, the channel's end, or the end of ctx. It begins with a heartbeat,
-// so that the reader knows at once that the connection works.
+// Copy writes the frames from a channel, with heartbeats between them, until the
+// final frame, the end of the channel or the end of ctx. It begins with a
+// heartbeat, so that the reader knows at once that the connection works.
 func (w *Writer) Copy(ctx context.Context, frames <-chan *mgrpc.Frame) error {
 	if err := w.Beat(); err != nil {
 		return err
@@ -127,8 +127,8 @@
 	}
 }
 
-// Idle returns a channel that is closed when it is time to call Tend. One timer
-// an interval serves any number of frames.
+// Idle returns a channel that is closed when it is time to call Tend. It uses one
+// timer per interval for any number of frames.
 func (w *Writer) Idle() <-chan struct{} {
 	if w.timer == nil {
 		idle := w.spec.Clock.Now() - w.lastWrite
@@ -137,7 +137,7 @@
 	return w.timer
 }
 
-// Tend beats if nothing was written for an interval.
+// Tend writes a heartbeat if nothing was written for an interval.
 func (w *Writer) Tend() error {
 	w.timer = nil
 	if w.spec.Clock.Now()-w.lastWrite < w.spec.Interval {
