--- a/internal/connection/mglink/call.go
+++ b/internal/connection/mglink/call.go
@@ -197,7 +197,7 @@
 			return err
 		}
 	}
-	return fmt.Errorf("link: reply beyond %d bytes: bound what the service answers", maxReplyBytes)
+	return fmt.Errorf("link: reply exceeds %d bytes: limit the replies of the service", maxReplyBytes)
 }
 
 func cloneForRetry(r *http.Request) (*http.Request, error) {
--- a/internal/connection/mglink/stream.go
+++ b/internal/connection/mglink/stream.go
@@ -14,11 +14,11 @@
 
 var (
 	// ErrLost is returned when no further attempt is made to reopen the stream.
-	ErrLost = errors.New("link: stream lost: go by the generation's record")
+	ErrLost = errors.New("link: stream lost: check the generation's record")
 	// errSilent is the cause of closing a connection that neither end had closed.
-	errSilent = errors.New("link: connection silent: it is reopened")
+	errSilent = errors.New("link: connection silent: reopening it")
 	// errConnectionEnded is the error of a connection that ended before the stream.
-	errConnectionEnded = errors.New("link: connection ended before the stream: it is reopened")
+	errConnectionEnded = errors.New("link: connection ended before the stream: reopening it")
 )
 
 const (
