--- a/internal/connection/mgengine/client.go
+++ b/internal/connection/mgengine/client.go
@@ -32,7 +32,7 @@
 // Start starts a generation, or does nothing when the engine has its id.
 func (c Client) Start(ctx context.Context, spec StartSpec) error {
 	if c.start == nil {
-		return absent("start")
+		return unsupportedCall("start")
 	}
 	return c.start(ctx, spec)
 }
@@ -41,7 +41,7 @@
 // from 1. The stream ends with ctx.
 func (c Client) Stream(ctx context.Context, id string, from uint64) (*TokenStream, error) {
 	if c.stream == nil {
-		return nil, absent("stream")
+		return nil, unsupportedCall("stream")
 	}
 	return c.stream(ctx, id, from)
 }
@@ -50,7 +50,7 @@
 // failure: it doesn't run.
 func (c Client) Cancel(ctx context.Context, id string) error {
 	if c.cancel == nil {
-		return absent("cancel")
+		return unsupportedCall("cancel")
 	}
 	return c.cancel(ctx, id)
 }
@@ -58,7 +58,7 @@
 // Load returns the engine's report, which lags.
 func (c Client) Load(ctx context.Context) (Load, error) {
 	if c.load == nil {
-		return Load{}, absent("load")
+		return Load{}, unsupportedCall("load")
 	}
 	return c.load(ctx)
 }
@@ -66,7 +66,7 @@
 // Events returns the published cache events after a number, oldest first.
 func (c Client) Events(ctx context.Context, after uint64) ([]Event, error) {
 	if c.events == nil {
-		return nil, absent("events")
+		return nil, unsupportedCall("events")
 	}
 	return c.events(ctx, after)
 }
@@ -75,7 +75,7 @@
 // replaced another picks up its predecessor's.
 func (c Client) List(ctx context.Context) ([]Generation, error) {
 	if c.list == nil {
-		return nil, absent("list")
+		return nil, unsupportedCall("list")
 	}
 	return c.list(ctx)
 }
@@ -83,7 +83,7 @@
 // Order gives an order. A *FenceError says that a newer agent gives them.
 func (c Client) Order(ctx context.Context, spec OrderSpec) error {
 	if c.order == nil {
-		return absent("order")
+		return unsupportedCall("order")
 	}
 	return c.order(ctx, spec)
 }
@@ -94,12 +94,12 @@
 // last call.
 func (c Client) Move(ctx context.Context, spec MoveSpec) (Copy, error) {
 	if c.move == nil {
-		return Copy{}, absent("move")
+		return Copy{}, unsupportedCall("move")
 	}
 	return c.move(ctx, spec)
 }
 
 // absent returns the failure of a call that the client has no way to make.
-func absent(call string) error {
+func unsupportedCall(call string) error {
 	return NewFailure(NotStarted, call, "the client has no such call", nil)
 }
--- a/internal/connection/mgengine/errors.go
+++ b/internal/connection/mgengine/errors.go
@@ -18,11 +18,11 @@
 
 // Failure is a failed call to an engine.
 type Failure struct {
-	kind   Kind
-	call   string
-	detail string
-	cause  error
-	word   bool // the engine itself answered
+	kind      Kind
+	call      string
+	detail    string
+	cause     error
+	isRefusal bool // the engine itself answered
 }
 
 // Kind returns what is certain.
@@ -89,7 +89,7 @@
 // clients of other protocols.
 func NewRefusal(call string, cause error) *Failure {
 	failure := NewFailure(NotStarted, call, "", cause)
-	failure.word = true
+	failure.isRefusal = true
 	return failure
 }
 
@@ -98,7 +98,7 @@
 // can't be reached.
 func Refused(err error) bool {
 	var failure *Failure
-	return errors.As(err, &failure) && failure.word
+	return errors.As(err, &failure) && failure.isRefusal
 }
 
 // NewFenceError returns a refusal of an old fencing number, for clients of
--- a/internal/connection/mgengine/http.go
+++ b/internal/connection/mgengine/http.go
@@ -14,7 +14,7 @@
 )
 
 // answerBytes bounds the body of any answer but a stream.
-const answerBytes = 8 << 20
+const maxAnswerBytes = 8 << 20
 
 // NewHTTP returns a client of the HTTP protocol at base, such as
 // "http://127.0.0.1:7301". A nil client stands for mgdial.NewClient(); one
@@ -23,7 +23,7 @@
 	if client == nil {
 		client = mgdial.NewClient()
 	}
-	p := protocol{
+	p := httpProtocol{
 		base:   base,
 		client: client,
 	}
@@ -41,16 +41,16 @@
 
 // protocol is the HTTP protocol: JSON bodies, and streams of one JSON object
 // a line.
-type protocol struct {
+type httpProtocol struct {
 	base   string
 	client *http.Client
 }
 
-func (p protocol) start(ctx context.Context, spec StartSpec) error {
+func (p httpProtocol) start(ctx context.Context, spec StartSpec) error {
 	return p.exchange(ctx, "start", http.MethodPost, "/v1/generations", spec, nil)
 }
 
-func (p protocol) cancel(ctx context.Context, id string) error {
+func (p httpProtocol) cancel(ctx context.Context, id string) error {
 	err := p.exchange(ctx, "cancel", http.MethodDelete, "/v1/generations/"+url.PathEscape(id), nil, nil)
 	if KindOf(err) == Missing {
 		return nil
@@ -58,25 +58,25 @@
 	return err
 }
 
-func (p protocol) load(ctx context.Context) (Load, error) {
+func (p httpProtocol) load(ctx context.Context) (Load, error) {
 	var load Load
 	err := p.exchange(ctx, "load", http.MethodGet, "/v1/load", nil, &load)
 	return load, err
 }
 
-func (p protocol) events(ctx context.Context, after uint64) ([]Event, error) {
+func (p httpProtocol) events(ctx context.Context, after uint64) ([]Event, error) {
 	var events []Event
 	err := p.exchange(ctx, "events", http.MethodGet, fmt.Sprintf("/v1/events?after=%d", after), nil, &events)
 	return events, err
 }
 
-func (p protocol) list(ctx context.Context) ([]Generation, error) {
+func (p httpProtocol) list(ctx context.Context) ([]Generation, error) {
 	var generations []Generation
 	err := p.exchange(ctx, "list", http.MethodGet, "/v1/generations", nil, &generations)
 	return generations, err
 }
 
-func (p protocol) order(ctx context.Context, spec OrderSpec) error {
+func (p httpProtocol) order(ctx context.Context, spec OrderSpec) error {
 	err := p.exchange(ctx, "order", http.MethodPost, "/v1/orders", spec, nil)
 	var refused *refusedError
 	if errors.As(err, &refused) && refused.refusal.Kind == FenceRefusal {
@@ -85,13 +85,13 @@
 	return err
 }
 
-func (p protocol) move(ctx context.Context, spec MoveSpec) (Copy, error) {
-	var made Copy
-	err := p.exchange(ctx, "move", http.MethodPost, "/v1/generations/"+url.PathEscape(spec.ID)+"/move", spec, &made)
-	return made, err
+func (p httpProtocol) move(ctx context.Context, spec MoveSpec) (Copy, error) {
+	var copied Copy
+	err := p.exchange(ctx, "move", http.MethodPost, "/v1/generations/"+url.PathEscape(spec.ID)+"/move", spec, &copied)
+	return copied, err
 }
 
-func (p protocol) stream(ctx context.Context, id string, from uint64) (*TokenStream, error) {
+func (p httpProtocol) stream(ctx context.Context, id string, from uint64) (*TokenStream, error) {
 	path := fmt.Sprintf("/v1/generations/%s/stream?from=%d", url.PathEscape(id), from)
 	response, err := p.send(ctx, "stream", http.MethodGet, path, nil)
 	if err != nil {
@@ -99,33 +99,33 @@
 	}
 	if response.StatusCode != http.StatusOK {
 		defer response.Body.Close()
-		return nil, refuse("stream", response)
+		return nil, failureOfResponse("stream", response)
 	}
-	l := newLines(response.Body)
+	l := newLineReader(response.Body)
 	return NewTokenStream(l.next, func() { _ = l.body.Close() }), nil
 }
 
 // exchange sends one call and decodes its answer into out, unless out is nil.
-func (p protocol) exchange(ctx context.Context, call, method, path string, in, out any) error {
+func (p httpProtocol) exchange(ctx context.Context, call, method, path string, in, out any) error {
 	response, err := p.send(ctx, call, method, path, in)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
 	if response.StatusCode >= http.StatusBadRequest || response.StatusCode < http.StatusOK {
-		return refuse(call, response)
+		return failureOfResponse(call, response)
 	}
 	if out == nil {
 		return nil
 	}
-	if err := json.NewDecoder(io.LimitReader(response.Body, answerBytes)).Decode(out); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(out); err != nil {
 		return NewFailure(Unknown, call, "the answer can't be read", err)
 	}
 	return nil
 }
 
 // send returns the response to one call.
-func (p protocol) send(ctx context.Context, call, method, path string, in any) (*http.Response, error) {
+func (p httpProtocol) send(ctx context.Context, call, method, path string, in any) (*http.Response, error) {
 	var body io.Reader
 	if in != nil {
 		data, err := json.Marshal(in)
@@ -154,11 +154,11 @@
 // refuse returns the failure that a response with an error status stands for.
 // Only a status of the 4xx class attests that the engine did nothing; a 5xx
 // may come after it acted, or from something between.
-func refuse(call string, response *http.Response) error {
+func failureOfResponse(call string, response *http.Response) error {
 	refused := &refusedError{
 		status: response.StatusCode,
 	}
-	body, _ := io.ReadAll(io.LimitReader(response.Body, lineBytes))
+	body, _ := io.ReadAll(io.LimitReader(response.Body, maxLineBytes))
 	if json.Unmarshal(body, &refused.refusal) != nil {
 		refused.refusal.Detail = string(body)
 	}
--- a/internal/connection/mgengine/refused_test.go
+++ b/internal/connection/mgengine/refused_test.go
@@ -13,7 +13,7 @@
 
 // An engine that refuses one request and one that can't be reached both leave it
 // certain that nothing runs. Only the first may be given other requests.
-func TestRefused(t *testing.T) {
+func TestUnreachableEngineTakenForRefusal(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, `{"kind":"invalid","detail":"the prompt is too long"}`, http.StatusBadRequest)
 	}))
--- a/internal/connection/mgengine/stream.go
+++ b/internal/connection/mgengine/stream.go
@@ -10,7 +10,7 @@
 )
 
 // lineBytes bounds one token on the wire.
-const lineBytes = 64 << 10
+const maxLineBytes = 64 << 10
 
 // A TokenStream reads the tokens of one generation. One goroutine at a time
 // calls Next; Close may be called from any. The zero TokenStream is at its
@@ -47,22 +47,22 @@
 }
 
 // lines reads tokens, one JSON object a line.
-type lines struct {
+type lineReader struct {
 	body    io.ReadCloser
 	scanner *bufio.Scanner
 	ended   bool
 }
 
-func newLines(body io.ReadCloser) *lines {
+func newLineReader(body io.ReadCloser) *lineReader {
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(nil, lineBytes)
-	return &lines{
+	scanner.Buffer(nil, maxLineBytes)
+	return &lineReader{
 		body:    body,
 		scanner: scanner,
 	}
 }
 
-func (l *lines) next(ctx context.Context) (Token, error) {
+func (l *lineReader) next(ctx context.Context) (Token, error) {
 	if l.ended {
 		return Token{}, io.EOF
 	}
@@ -74,7 +74,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = l.body.Close() })
 	defer stop()
 	if !l.scanner.Scan() {
-		return Token{}, l.broken(ctx)
+		return Token{}, l.brokenFailure(ctx)
 	}
 	var t Token
 	line := bytes.TrimSpace(l.scanner.Bytes())
@@ -90,7 +90,7 @@
 
 // broken returns why the stream broke off. An end of file without the
 // generation's end is a cut, never a finished answer.
-func (l *lines) broken(ctx context.Context) error {
+func (l *lineReader) brokenFailure(ctx context.Context) error {
 	cause := l.scanner.Err()
 	if cause == nil {
 		cause = io.ErrUnexpectedEOF
--- a/internal/connection/mglistener/listener.go
+++ b/internal/connection/mglistener/listener.go
@@ -16,13 +16,13 @@
 
 // A Listener is a TCP listener. Make one with Listen.
 type Listener struct {
-	tcp       *net.TCPListener
-	identity  *tls.Config // nil: without TLS
-	finishing atomic.Bool
+	tcp         *net.TCPListener
+	tlsConfig   *tls.Config // nil: without TLS
+	isFinishing atomic.Bool
 }
 
 // Listen opens a listener on an IP and port, with TLS where identity isn't nil.
-func Listen(address string, identity *tls.Config) (*Listener, error) {
+func Listen(address string, tlsConfig *tls.Config) (*Listener, error) {
 	// Multipath TCP sockets take no filters.
 	var config net.ListenConfig
 	config.SetMultipathTCP(false)
@@ -31,8 +31,8 @@
 		return nil, err
 	}
 	return &Listener{
-		tcp:      l.(*net.TCPListener),
-		identity: identity,
+		tcp:       l.(*net.TCPListener),
+		tlsConfig: tlsConfig,
 	}, nil
 }
 
@@ -40,14 +40,14 @@
 // completed, and then net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	conn, err := l.tcp.Accept()
-	if l.finishing.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
+	if l.isFinishing.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
 		conn, err = l.acceptQueued()
 	}
 	if err != nil {
 		return nil, err
 	}
-	if l.identity != nil {
-		return tls.Server(conn, l.identity), nil
+	if l.tlsConfig != nil {
+		return tls.Server(conn, l.tlsConfig), nil
 	}
 	return conn, nil
 }
@@ -56,13 +56,13 @@
 // of settle, and then lets Accept empty the queue and close the socket. The error says
 // that connection requests can't be dropped; one that is completed between the last Accept
 // and the close is reset then.
-func (l *Listener) Finish(settle mgclock.Millis) error {
-	l.finishing.Store(true)
+func (l *Listener) Finish(settleTime mgclock.Millis) error {
+	l.isFinishing.Store(true)
 	err := dropRequests(l.tcp)
 	if err != nil {
 		err = fmt.Errorf("%s: connection requests can't be dropped while the listener closes: use a system with socket filters: %w", l.Addr(), err)
 	}
-	return errors.Join(err, l.tcp.SetDeadline(time.Now().Add(settle.Duration())))
+	return errors.Join(err, l.tcp.SetDeadline(time.Now().Add(settleTime.Duration())))
 }
 
 // acceptQueued returns a connection of the accept queue without waiting. When there is
@@ -73,19 +73,19 @@
 		return nil, err
 	}
 	var conn net.Conn
-	var failed error
-	err = raw.Control(func(fd uintptr) { conn, failed = acceptNow(fd) })
+	var acceptErr error
+	err = raw.Control(func(fd uintptr) { conn, acceptErr = acceptNonBlocking(fd) })
 	if err != nil {
 		return nil, err
 	}
-	if errors.Is(failed, syscall.EAGAIN) {
+	if errors.Is(acceptErr, syscall.EAGAIN) {
 		return nil, errors.Join(net.ErrClosed, l.tcp.Close())
 	}
-	return conn, failed
+	return conn, acceptErr
 }
 
 // acceptNow accepts one connection from a listening socket that doesn't block.
-func acceptNow(fd uintptr) (net.Conn, error) {
+func acceptNonBlocking(fd uintptr) (net.Conn, error) {
 	accepted, err := acceptSocket(int(fd))
 	for errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ECONNABORTED) {
 		accepted, err = acceptSocket(int(fd))
@@ -101,7 +101,7 @@
 // Close closes the socket at once.
 func (l *Listener) Close() error {
 	err := l.tcp.Close()
-	if l.finishing.Load() && errors.Is(err, net.ErrClosed) {
+	if l.isFinishing.Load() && errors.Is(err, net.ErrClosed) {
 		return nil
 	}
 	return err
--- a/internal/connection/mglistener/listener_test.go
+++ b/internal/connection/mglistener/listener_test.go
@@ -15,7 +15,7 @@
 )
 
 // settle is long enough for what is under way on loopback.
-const settle = 50 * mgclock.Millis(1)
+const settleTime = 50 * mgclock.Millis(1)
 
 // A connection that waits to be accepted must not be reset by the end of its listener.
 func TestFinishKeepsAcceptQueue(t *testing.T) {
@@ -55,18 +55,18 @@
 		listener, err := mglistener.Listen("127.0.0.1:0", nil)
 		So(err, ShouldBeNil)
 		var callers sync.WaitGroup
-		lost := make(chan error, 8)
-		for range cap(lost) {
-			callers.Go(func() { lost <- callUntilRefused(listener.Addr().String()) })
+		failures := make(chan error, 8)
+		for range cap(failures) {
+			callers.Go(func() { failures <- callUntilRefused(listener.Addr().String()) })
 		}
-		ended := make(chan error, 1)
-		go func() { ended <- echo(listener) }()
+		acceptEnded := make(chan error, 1)
+		go func() { acceptEnded <- echoUntilClosed(listener) }()
 		mgclock.Clock{}.Sleep(t.Context(), 100)
-		So(listener.Finish(settle), ShouldBeNil)
-		So(errors.Is(<-ended, net.ErrClosed), ShouldBeTrue)
+		So(listener.Finish(settleTime), ShouldBeNil)
+		So(errors.Is(<-acceptEnded, net.ErrClosed), ShouldBeTrue)
 		callers.Wait()
-		close(lost)
-		for err := range lost {
+		close(failures)
+		for err := range failures {
 			So(err, ShouldBeNil)
 		}
 	})
@@ -94,7 +94,7 @@
 }
 
 // echo answers each connection's byte until the listener ends.
-func echo(l net.Listener) error {
+func echoUntilClosed(l net.Listener) error {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
--- a/internal/connection/mglistener/socket_linux.go
+++ b/internal/connection/mglistener/socket_linux.go
@@ -17,23 +17,23 @@
 // dropRequests attaches a filter that drops the segments that open a connection, SYN
 // without ACK. Other segments pass, so that handshakes in progress are completed.
 func dropRequests(l *net.TCPListener) error {
-	const whole = 1<<32 - 1 // bytes of a segment to keep: all
-	isRequest := statement(unix.BPF_JMP|unix.BPF_JEQ|unix.BPF_K, flagSYN)
+	const allBytes = 1<<32 - 1 // bytes of a segment to keep: all
+	isRequest := instruction(unix.BPF_JMP|unix.BPF_JEQ|unix.BPF_K, flagSYN)
 	isRequest.Jf = 1
 	program := []unix.SockFilter{
-		statement(unix.BPF_LD|unix.BPF_B|unix.BPF_ABS, flagsOffset),
-		statement(unix.BPF_ALU|unix.BPF_AND|unix.BPF_K, flagSYN|flagACK),
+		instruction(unix.BPF_LD|unix.BPF_B|unix.BPF_ABS, flagsOffset),
+		instruction(unix.BPF_ALU|unix.BPF_AND|unix.BPF_K, flagSYN|flagACK),
 		isRequest,
-		statement(unix.BPF_RET|unix.BPF_K, 0),
-		statement(unix.BPF_RET|unix.BPF_K, whole),
+		instruction(unix.BPF_RET|unix.BPF_K, 0),
+		instruction(unix.BPF_RET|unix.BPF_K, allBytes),
 	}
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var failed error
+	var setErr error
 	err = raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{
+		setErr = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{
 			Len:    uint16(len(program)),
 			Filter: &program[0],
 		})
@@ -41,11 +41,11 @@
 	if err != nil {
 		return err
 	}
-	return os.NewSyscallError("setsockopt", failed)
+	return os.NewSyscallError("setsockopt", setErr)
 }
 
 // statement returns an instruction of a filter that goes on with the next one.
-func statement(code uint16, k uint32) unix.SockFilter {
+func instruction(code uint16, k uint32) unix.SockFilter {
 	return unix.SockFilter{
 		Code: code,
 		K:    k,
--- a/internal/connection/mgpeer/peer.go
+++ b/internal/connection/mgpeer/peer.go
@@ -17,16 +17,16 @@
 )
 
 // scheme stands before the shared key in the Authorization header.
-const scheme = "Bearer "
+const authScheme = "Bearer "
 
 // minSecret is the least length of a shared key in characters: 16 random
 // characters can't be guessed over a network.
-const minSecret = 16
+const minSecretLength = 16
 
 // idleConnection bounds how long an unused connection is pooled. Something
 // between two processes may lose track of an idle connection; a short life
 // keeps few suspects, and each call has a deadline of its own besides.
-const idleConnection = 5 * time.Second
+const idleConnTimeout = 5 * time.Second
 
 // dialTimeout bounds a new connection between processes.
 const dialTimeout = time.Second
@@ -50,10 +50,10 @@
 // A Guard admits only the system's own processes. The zero Guard admits
 // nobody.
 type Guard struct {
-	open     bool // the network itself admits nobody else
-	secret   string
-	digests  [][sha256.Size]byte
-	identity *tls.Config
+	isOpen    bool // the network itself admits nobody else
+	secret    string
+	digests   [][sha256.Size]byte
+	tlsConfig *tls.Config
 }
 
 // Spec is what a guard is made of.
@@ -71,28 +71,28 @@
 }
 
 // New returns the guard for a process's settings.
-func New(settings Spec) (*Guard, error) {
-	if len(settings.Secret) < minSecret {
-		return nil, fmt.Errorf("key secret: has %d characters: give %d or more", len(settings.Secret), minSecret)
+func New(spec Spec) (*Guard, error) {
+	if len(spec.Secret) < minSecretLength {
+		return nil, fmt.Errorf("key secret: has %d characters: give %d or more", len(spec.Secret), minSecretLength)
 	}
-	guard := &Guard{secret: settings.Secret}
-	for _, secret := range []string{settings.Secret, settings.Previous} {
+	guard := &Guard{secret: spec.Secret}
+	for _, secret := range []string{spec.Secret, spec.Previous} {
 		if secret != "" {
 			guard.digests = append(guard.digests, sha256.Sum256([]byte(secret)))
 		}
 	}
-	identity, err := loadTLS(settings.TLS)
+	tlsConfig, err := loadTLS(spec.TLS)
 	if err != nil {
 		return nil, err
 	}
-	guard.identity = identity
+	guard.tlsConfig = tlsConfig
 	return guard, nil
 }
 
 // Unkeyed returns a guard that asks for no key, for networks on which only the
 // system's own processes reach the listener for peers.
 func Unkeyed() *Guard {
-	return &Guard{open: true}
+	return &Guard{isOpen: true}
 }
 
 // loadTLS returns the mutual TLS configuration, or nil when none is set.
@@ -124,7 +124,7 @@
 // Require passes on only requests that carry a shared key.
 func (g *Guard) Require(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !g.open && !g.known(r.Header.Get("Authorization")) {
+		if !g.isOpen && !g.hasAcceptedKey(r.Header.Get("Authorization")) {
 			mgproblem.Write(w, mgproblem.New(mgproblem.Stranger, mgproblem.NotRun,
 				"this listener is for the system's own processes", "give all processes the same secret in their settings"))
 			return
@@ -135,8 +135,8 @@
 
 // known compares in constant time with each accepted key, so that the time of
 // an answer tells nothing of the key.
-func (g *Guard) known(header string) bool {
-	digest := sha256.Sum256([]byte(strings.TrimPrefix(header, scheme)))
+func (g *Guard) hasAcceptedKey(header string) bool {
+	digest := sha256.Sum256([]byte(strings.TrimPrefix(header, authScheme)))
 	found := 0
 	for i := range g.digests {
 		found |= subtle.ConstantTimeCompare(digest[:], g.digests[i][:])
@@ -146,7 +146,7 @@
 
 // Listen opens a listener for the system's other processes.
 func (g *Guard) Listen(address string) (*mglistener.Listener, error) {
-	listener, err := mglistener.Listen(address, g.identity)
+	listener, err := mglistener.Listen(address, g.tlsConfig)
 	if err != nil {
 		return nil, fmt.Errorf("key peer: can't listen on %s: give a free IP and port of this VM: %w", address, err)
 	}
@@ -155,7 +155,7 @@
 
 // Base returns the URL of a process at an IP and port.
 func (g *Guard) Base(address string) string {
-	if g.identity != nil {
+	if g.tlsConfig != nil {
 		return "https://" + address
 	}
 	return "http://" + address
@@ -163,29 +163,29 @@
 
 // Transport returns a transport of its own connections that sends the key.
 // With fresh set no connection is used twice.
-func (g *Guard) Transport(fresh bool) http.RoundTripper {
+func (g *Guard) Transport(noReuse bool) http.RoundTripper {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	return &keyed{
-		header: scheme + g.secret,
+	return &keyTransport{
+		header: authScheme + g.secret,
 		inner: &http.Transport{
 			DialContext:         dialer.DialContext,
-			TLSClientConfig:     g.identity,
-			DisableKeepAlives:   fresh,
+			TLSClientConfig:     g.tlsConfig,
+			DisableKeepAlives:   noReuse,
 			DisableCompression:  true,
-			IdleConnTimeout:     idleConnection,
+			IdleConnTimeout:     idleConnTimeout,
 			MaxIdleConnsPerHost: 64,
 		},
 	}
 }
 
 // keyed adds the shared key to each request.
-type keyed struct {
+type keyTransport struct {
 	header string
 	inner  *http.Transport
 }
 
 // RoundTrip sends a copy of the request with the key.
-func (k *keyed) RoundTrip(r *http.Request) (*http.Response, error) {
+func (k *keyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	sent := r.Clone(r.Context())
 	sent.Header.Set("Authorization", k.header)
 	return k.inner.RoundTrip(sent)
@@ -193,4 +193,4 @@
 
 // CloseIdleConnections drops the pooled connections, for example after a
 // pause, when any of them may be dead.
-func (k *keyed) CloseIdleConnections() { k.inner.CloseIdleConnections() }
+func (k *keyTransport) CloseIdleConnections() { k.inner.CloseIdleConnections() }
--- a/internal/connection/mgpeer/peer_test.go
+++ b/internal/connection/mgpeer/peer_test.go
@@ -21,21 +21,21 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgpeer"
 )
 
-var hello = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+var respondNoContent = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 
-func guard(secret, previous string) *mgpeer.Guard {
-	made, err := mgpeer.New(mgpeer.Spec{
+func newGuard(secret, previous string) *mgpeer.Guard {
+	g, err := mgpeer.New(mgpeer.Spec{
 		Secret:   secret,
 		Previous: previous,
 	})
 	So(err, ShouldBeNil)
-	return made
+	return g
 }
 
 // A stranger on the network finds an agent's port and asks it to start work.
 // Without the key it must learn nothing and run nothing. While operators change
 // the key VM by VM, both keys are about, and no call between processes fails.
-func TestRequire(t *testing.T) {
+func TestStrangerAdmitted(t *testing.T) {
 	const present, before = "present-secret-0001", "before-secret-00001"
 	cases := []struct {
 		name   string
@@ -59,11 +59,11 @@
 		},
 	}
 	Convey("A listener of the system's own", t, func() {
-		server := httptest.NewServer(guard(present, before).Require(hello))
+		server := httptest.NewServer(newGuard(present, before).Require(respondNoContent))
 		defer server.Close()
 		for _, c := range cases {
 			Convey("answers "+c.name, func() {
-				client := &http.Client{Transport: guard(c.sender, "").Transport(true)}
+				client := &http.Client{Transport: newGuard(c.sender, "").Transport(true)}
 				response, err := client.Get(server.URL)
 				So(err, ShouldBeNil)
 				defer response.Body.Close()
@@ -86,40 +86,40 @@
 
 // A process with the right key and a certificate of another authority connects.
 // With mutual TLS set the handshake ends it before the key is even sent.
-func TestTLS(t *testing.T) {
+func TestForeignCertificateAccepted(t *testing.T) {
 	Convey("With certificates set", t, func() {
-		ours, strangers := identity(t), identity(t)
-		listener, err := guardTLS(ours).Listen("127.0.0.1:0")
+		ours, strangers := writeCertificate(t), writeCertificate(t)
+		listener, err := newTLSGuard(ours).Listen("127.0.0.1:0")
 		So(err, ShouldBeNil)
-		server := &http.Server{Handler: guardTLS(ours).Require(hello)}
+		server := &http.Server{Handler: newTLSGuard(ours).Require(respondNoContent)}
 		go func() { _ = server.Serve(listener) }()
 		defer server.Close()
-		url := guardTLS(ours).Base(listener.Addr().String())
+		url := newTLSGuard(ours).Base(listener.Addr().String())
 
 		Convey("a process of the same authority is answered", func() {
-			response, err := (&http.Client{Transport: guardTLS(ours).Transport(true)}).Get(url)
+			response, err := (&http.Client{Transport: newTLSGuard(ours).Transport(true)}).Get(url)
 			So(err, ShouldBeNil)
 			defer response.Body.Close()
 			So(response.StatusCode, ShouldEqual, http.StatusNoContent)
 		})
 		Convey("a process of another authority is not", func() {
-			_, err := (&http.Client{Transport: guardTLS(strangers).Transport(true)}).Get(url)
+			_, err := (&http.Client{Transport: newTLSGuard(strangers).Transport(true)}).Get(url)
 			So(err, ShouldNotBeNil)
 		})
 	})
 }
 
-func guardTLS(files mgpeer.Files) *mgpeer.Guard {
-	made, err := mgpeer.New(mgpeer.Spec{
+func newTLSGuard(files mgpeer.Files) *mgpeer.Guard {
+	g, err := mgpeer.New(mgpeer.Spec{
 		Secret: "present-secret-0001",
 		TLS:    files,
 	})
 	So(err, ShouldBeNil)
-	return made
+	return g
 }
 
 // identity writes a certificate that is its own authority.
-func identity(t *testing.T) mgpeer.Files {
+func writeCertificate(t *testing.T) mgpeer.Files {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	So(err, ShouldBeNil)
 	template := &x509.Certificate{
@@ -140,12 +140,12 @@
 		Key:  filepath.Join(folder, "key.pem"),
 		CA:   filepath.Join(folder, "cert.pem"),
 	}
-	write(files.Cert, "CERTIFICATE", certificate)
-	write(files.Key, "PRIVATE KEY", private)
+	writePEM(files.Cert, "CERTIFICATE", certificate)
+	writePEM(files.Key, "PRIVATE KEY", private)
 	return files
 }
 
-func write(path, kind string, data []byte) {
+func writePEM(path, kind string, data []byte) {
 	block := pem.EncodeToMemory(&pem.Block{
 		Type:  kind,
 		Bytes: data,
--- a/internal/connection/mgplatform/client.go
+++ b/internal/connection/mgplatform/client.go
@@ -13,7 +13,7 @@
 )
 
 // maxValue is the platform's limit for one value, in bytes.
-const maxValue = 1 << 20
+const maxValueBytes = 1 << 20
 
 // versionHeader carries a value's version.
 const versionHeader = "Version"
@@ -150,12 +150,12 @@
 	if err != nil {
 		return Value{}, fmt.Errorf("%w: the answer has no version", ErrDown)
 	}
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxValue+1))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxValueBytes+1))
 	if err != nil {
 		return Value{}, fmt.Errorf("%w: the answer broke off: %w", ErrDown, err)
 	}
-	if len(data) > maxValue {
-		return Value{}, fmt.Errorf("%w: the value of %s exceeds %d bytes", ErrDown, key, maxValue)
+	if len(data) > maxValueBytes {
+		return Value{}, fmt.Errorf("%w: the value of %s exceeds %d bytes", ErrDown, key, maxValueBytes)
 	}
 	return NewValue(version, data), nil
 }
--- a/internal/connection/mgplatform/client_test.go
+++ b/internal/connection/mgplatform/client_test.go
@@ -12,7 +12,7 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgplatform"
 )
 
-func TestClient(t *testing.T) {
+func TestPlatformResponseMisread(t *testing.T) {
 	Convey("Over HTTP", t, func() {
 		for _, c := range []struct {
 			name    string
--- a/internal/connection/mgservice/client.go
+++ b/internal/connection/mgservice/client.go
@@ -12,7 +12,7 @@
 )
 
 // bodyBytes bounds the bodies of calls and replies.
-const bodyBytes = 1 << 20
+const maxBodyBytes = 1 << 20
 
 // Kind tells what is certain after a failed call.
 type Kind string
@@ -102,8 +102,8 @@
 }
 
 func exchange(ctx context.Context, base string, client *http.Client, spec CallSpec) (Reply, error) {
-	if len(spec.Body) > bodyBytes {
-		return Reply{}, NewFailure(NotSent, fmt.Sprintf("the body has over %d bytes", bodyBytes), nil)
+	if len(spec.Body) > maxBodyBytes {
+		return Reply{}, NewFailure(NotSent, fmt.Sprintf("the body has over %d bytes", maxBodyBytes), nil)
 	}
 	r, err := http.NewRequestWithContext(ctx, spec.Method, base+spec.Path, bytes.NewReader(spec.Body))
 	if err != nil {
@@ -125,12 +125,12 @@
 		return Reply{}, NewFailure(kind, "no reply", err)
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, bodyBytes+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes+1))
 	if err != nil {
 		return Reply{}, NewFailure(Unknown, "the reply broke off", err)
 	}
-	if len(body) > bodyBytes {
-		return Reply{}, NewFailure(Unknown, fmt.Sprintf("the reply has over %d bytes", bodyBytes), nil)
+	if len(body) > maxBodyBytes {
+		return Reply{}, NewFailure(Unknown, fmt.Sprintf("the reply has over %d bytes", maxBodyBytes), nil)
 	}
 	return Reply{
 		Status: response.StatusCode,
--- a/internal/connection/mgservice/client_test.go
+++ b/internal/connection/mgservice/client_test.go
@@ -21,35 +21,35 @@
 // before the reply. Told "not sent", the gauger would book again: two barrels
 // for one. So each break after a connection stood is Unknown, only one before
 // is NotSent, and nothing under the client repeats the call.
-func TestCertainty(t *testing.T) {
-	cut := func(w http.ResponseWriter) {
+func TestFailureKindContradictsService(t *testing.T) {
+	cutConnection := func(w http.ResponseWriter) {
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err == nil {
 			_ = conn.Close()
 		}
 	}
 	cases := []struct {
-		name   string
-		answer http.HandlerFunc
-		ended  bool
-		kind   mgservice.Kind
-		runs   int64
+		name        string
+		answer      http.HandlerFunc
+		isCancelled bool
+		kind        mgservice.Kind
+		runs        int64
 	}{
 		{
-			name:  "nobody listens",
-			kind:  mgservice.NotSent,
-			ended: false,
+			name:        "nobody listens",
+			kind:        mgservice.NotSent,
+			isCancelled: false,
 		},
 		{
-			name:   "the caller had given up before it was sent",
-			answer: func(http.ResponseWriter, *http.Request) {},
-			ended:  true,
-			kind:   mgservice.NotSent,
+			name:        "the caller had given up before it was sent",
+			answer:      func(http.ResponseWriter, *http.Request) {},
+			isCancelled: true,
+			kind:        mgservice.NotSent,
 		},
 		{
 			name: "the link breaks before the body was read",
 			answer: func(w http.ResponseWriter, _ *http.Request) {
-				cut(w)
+				cutConnection(w)
 			},
 			kind: mgservice.Unknown,
 			runs: 1,
@@ -60,7 +60,7 @@
 				_, _ = io.Copy(io.Discard, r.Body)
 				w.Header().Set("Content-Length", "10")
 				_, _ = io.WriteString(w, "book")
-				cut(w)
+				cutConnection(w)
 			},
 			kind: mgservice.Unknown,
 			runs: 1,
@@ -85,7 +85,7 @@
 		for _, c := range cases {
 			Convey(c.name, func() {
 				var runs atomic.Int64
-				base := "http://" + refusing(t)
+				base := "http://" + refusingAddr(t)
 				if c.answer != nil {
 					s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 						runs.Add(1)
@@ -96,7 +96,7 @@
 				}
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
-				if c.ended {
+				if c.isCancelled {
 					cancel()
 				}
 				_, err := mgservice.NewHTTP(base, nil).Call(ctx, mgservice.CallSpec{
@@ -118,7 +118,7 @@
 }
 
 // refusing returns an address on which nobody listens.
-func refusing(t *testing.T) string {
+func refusingAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -132,7 +132,7 @@
 // books it and the connection breaks before the reply. net/http takes the
 // Idempotency-Key for a permission to send the request again on another
 // connection, and the service, which knows no such key, books two barrels.
-func TestSilentRepeat(t *testing.T) {
+func TestPooledConnectionRepeatsCall(t *testing.T) {
 	cases := []struct {
 		name   string
 		client *http.Client
