--- a/internal/connection/mgengine/client.go
+++ b/internal/connection/mgengine/client.go
@@ -15,7 +15,7 @@
 	move   func(ctx context.Context, spec MoveSpec) (Copy, error)
 }
 
-// NewClient returns a client that makes its calls by s.
+// NewClient returns a client that makes its calls through s.
 func NewClient(s Seams) Client {
 	return Client{
 		start:  s.Start,
@@ -29,7 +29,8 @@
 	}
 }
 
-// Start starts a generation, or does nothing when the engine has its id.
+// Start starts a generation. It does nothing when the engine already has one with
+// the same id.
 func (c Client) Start(ctx context.Context, spec StartSpec) error {
 	if c.start == nil {
 		return unsupportedCall("start")
@@ -37,8 +38,8 @@
 	return c.start(ctx, spec)
 }
 
-// Stream opens the stream of a generation at the token from, which counts
-// from 1. The stream ends with ctx.
+// Stream opens the stream of a generation, beginning with token number from.
+// Tokens are counted from 1. The stream ends with ctx.
 func (c Client) Stream(ctx context.Context, id string, from uint64) (*TokenStream, error) {
 	if c.stream == nil {
 		return nil, unsupportedCall("stream")
@@ -46,8 +47,8 @@
 	return c.stream(ctx, id, from)
 }
 
-// Cancel ends a generation. A generation that the engine doesn't hold is no
-// failure: it doesn't run.
+// Cancel ends a generation. It succeeds when the engine has no such generation,
+// because then none runs.
 func (c Client) Cancel(ctx context.Context, id string) error {
 	if c.cancel == nil {
 		return unsupportedCall("cancel")
@@ -55,7 +56,7 @@
 	return c.cancel(ctx, id)
 }
 
-// Load returns the engine's report, which lags.
+// Load returns the engine's load report, which lags behind its real load.
 func (c Client) Load(ctx context.Context) (Load, error) {
 	if c.load == nil {
 		return Load{}, unsupportedCall("load")
@@ -63,7 +64,8 @@
 	return c.load(ctx)
 }
 
-// Events returns the published cache events after a number, oldest first.
+// Events returns the published cache events after a sequence number, oldest
+// first.
 func (c Client) Events(ctx context.Context, after uint64) ([]Event, error) {
 	if c.events == nil {
 		return nil, unsupportedCall("events")
@@ -71,8 +73,8 @@
 	return c.events(ctx, after)
 }
 
-// List returns the generations that the engine holds, so that an agent that
-// replaced another picks up its predecessor's.
+// List returns the generations that the engine holds, so that a restarted agent
+// can adopt those of its predecessor.
 func (c Client) List(ctx context.Context) ([]Generation, error) {
 	if c.list == nil {
 		return nil, unsupportedCall("list")
@@ -80,7 +82,8 @@
 	return c.list(ctx)
 }
 
-// Order gives an order. A *FenceError says that a newer agent gives them.
+// Order sends an order. A *FenceError means that a newer agent controls the
+// engine.
 func (c Client) Order(ctx context.Context, spec OrderSpec) error {
 	if c.order == nil {
 		return unsupportedCall("order")
@@ -88,10 +91,10 @@
 	return c.order(ctx, spec)
 }
 
-// Move copies a generation to another engine, and returns once the copy is
-// complete. Called again, it copies what is new. A NotStarted failure says that
-// the other engine has no room; the generation then goes on, unless this was the
-// last call.
+// Move copies a generation to another engine and returns when the copy is
+// complete. Called again, it copies the tokens added since. A NotStarted failure
+// means that the other engine has no memory for it; the generation then continues,
+// unless this was the last call (MoveSpec.Last).
 func (c Client) Move(ctx context.Context, spec MoveSpec) (Copy, error) {
 	if c.move == nil {
 		return Copy{}, unsupportedCall("move")
@@ -99,7 +102,7 @@
 	return c.move(ctx, spec)
 }
 
-// absent returns the failure of a call that the client has no way to make.
+// unsupportedCall returns the failure of a call that the client doesn't implement.
 func unsupportedCall(call string) error {
 	return NewFailure(NotStarted, call, "the client has no such call", nil)
 }
--- a/internal/connection/mgengine/errors.go
+++ b/internal/connection/mgengine/errors.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// Kind tells what is certain after a failed call.
+// Kind specifies what is certain after a failed call.
 type Kind string
 
 // The kinds of failures.
 const (
-	NotStarted Kind = "notstarted" // the engine refused it or never saw it
-	Unknown    Kind = "unknown"    // the engine may have acted on it
+	NotStarted Kind = "notstarted" // the engine refused or never received the call
+	Unknown    Kind = "unknown"    // the engine may have executed the call
 	Missing    Kind = "missing"    // the engine holds no such generation
 	Broken     Kind = "broken"     // a stream broke off; resume it from the last token
 )
@@ -31,7 +31,7 @@
 // Unwrap returns the cause, or nil.
 func (f *Failure) Unwrap() error { return f.cause }
 
-// Error returns the call, what is certain, and the remedy.
+// Error returns the call, the kind, the detail, the remedy and the cause.
 func (f *Failure) Error() string {
 	text := fmt.Sprintf("engine: %s: %s", f.call, f.kind)
 	if f.detail != "" {
@@ -44,7 +44,7 @@
 	return text
 }
 
-// remedies says what to do about each kind.
+// remedies are the remedies by kind of failure.
 var remedies = map[Kind]string{
 	NotStarted: "start it elsewhere",
 	Unknown:    "send it again by the same id, or cancel it",
@@ -52,7 +52,7 @@
 	Broken:     "stream again from the token after the last one",
 }
 
-// FenceError is the refusal of an order that carries an old fencing number.
+// FenceError is the refusal of an order with an outdated fencing number.
 type FenceError struct {
 	sent   uint64
 	newest uint64
@@ -66,7 +66,7 @@
 	return fmt.Sprintf("engine: order: fencing number %d is older than %d: a newer agent gives the orders; stop giving them", e.sent, e.newest)
 }
 
-// KindOf returns what is certain after err, Unknown where nothing is.
+// KindOf returns the kind of the Failure in err's chain, or Unknown.
 func KindOf(err error) Kind {
 	var failure *Failure
 	if errors.As(err, &failure) {
@@ -75,7 +75,7 @@
 	return Unknown
 }
 
-// NewFailure returns a failure of a call, for clients of other protocols.
+// NewFailure returns the failure of a call, for clients of other protocols.
 func NewFailure(kind Kind, call, detail string, cause error) *Failure {
 	return &Failure{
 		kind:   kind,
@@ -94,14 +94,14 @@
 }
 
 // Refused reports whether err is an engine's own refusal. Such an engine is
-// there, and other requests may fare better; NotStarted alone may mean that it
+// reachable and other requests may succeed; NotStarted alone may mean that it
 // can't be reached.
 func Refused(err error) bool {
 	var failure *Failure
 	return errors.As(err, &failure) && failure.isRefusal
 }
 
-// NewFenceError returns a refusal of an old fencing number, for clients of
+// NewFenceError returns the refusal of an outdated fencing number, for clients of
 // other protocols.
 func NewFenceError(sent, newest uint64) *FenceError {
 	return &FenceError{
--- a/internal/connection/mgengine/http.go
+++ b/internal/connection/mgengine/http.go
@@ -13,12 +13,12 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgdial"
 )
 
-// answerBytes bounds the body of any answer but a stream.
+// maxAnswerBytes limits the body of a response other than a stream.
 const maxAnswerBytes = 8 << 20
 
-// NewHTTP returns a client of the HTTP protocol at base, such as
-// "http://127.0.0.1:7301". A nil client stands for mgdial.NewClient(); one
-// that pools connections would undo the errors' certainty.
+// NewHTTP returns a client of the HTTP protocol at the URL base, such as
+// "http://127.0.0.1:7301". A nil client means mgdial.NewClient(). With a client
+// that pools connections, the kinds of failures would not be reliable.
 func NewHTTP(base string, client *http.Client) Client {
 	if client == nil {
 		client = mgdial.NewClient()
@@ -39,8 +39,8 @@
 	})
 }
 
-// protocol is the HTTP protocol: JSON bodies, and streams of one JSON object
-// a line.
+// httpProtocol implements the HTTP protocol: JSON bodies, and streams with one
+// JSON object per line.
 type httpProtocol struct {
 	base   string
 	client *http.Client
@@ -105,7 +105,7 @@
 	return NewTokenStream(l.next, func() { _ = l.body.Close() }), nil
 }
 
-// exchange sends one call and decodes its answer into out, unless out is nil.
+// exchange makes one call and decodes its response into out, unless out is nil.
 func (p httpProtocol) exchange(ctx context.Context, call, method, path string, in, out any) error {
 	response, err := p.send(ctx, call, method, path, in)
 	if err != nil {
@@ -151,9 +151,9 @@
 	return response, nil
 }
 
-// refuse returns the failure that a response with an error status stands for.
-// Only a status of the 4xx class attests that the engine did nothing; a 5xx
-// may come after it acted, or from something between.
+// failureOfResponse returns the failure for a response with an error status.
+// Only a 4xx status attests that the engine did nothing; a 5xx status may come
+// after the engine acted, or from a proxy.
 func failureOfResponse(call string, response *http.Response) error {
 	refused := &refusedError{
 		status: response.StatusCode,
@@ -180,7 +180,7 @@
 	refusal Refusal
 }
 
-// Error returns the status and what the engine said.
+// Error returns the status, kind and detail of the refusal.
 func (e *refusedError) Error() string {
 	return fmt.Sprintf("status %d: %s: %s", e.status, e.refusal.Kind, e.refusal.Detail)
 }
--- a/internal/connection/mgengine/refused_test.go
+++ b/internal/connection/mgengine/refused_test.go
@@ -11,8 +11,8 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgengine"
 )
 
-// An engine that refuses one request and one that can't be reached both leave it
-// certain that nothing runs. Only the first may be given other requests.
+// Guards against treating an unreachable engine like one that refused a request.
+// In both cases nothing runs, but only the latter may get other requests.
 func TestUnreachableEngineTakenForRefusal(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, `{"kind":"invalid","detail":"the prompt is too long"}`, http.StatusBadRequest)
--- a/internal/connection/mgengine/seams.go
+++ b/internal/connection/mgengine/seams.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// Seams are the calls of an engine's protocol. One that is nil fails as
-// NotStarted.
+// Seams are the functions that implement the calls of an engine's protocol. A
+// call whose function is nil fails as NotStarted.
 type Seams struct {
 	Start  func(ctx context.Context, spec StartSpec) error
 	Stream func(ctx context.Context, id string, from uint64) (*TokenStream, error)
--- a/internal/connection/mgengine/stream.go
+++ b/internal/connection/mgengine/stream.go
@@ -9,19 +9,19 @@
 	"io"
 )
 
-// lineBytes bounds one token on the wire.
+// maxLineBytes limits the encoded size of one token.
 const maxLineBytes = 64 << 10
 
-// A TokenStream reads the tokens of one generation. One goroutine at a time
-// calls Next; Close may be called from any. The zero TokenStream is at its
-// end.
+// A TokenStream reads the tokens of one generation. Next must not be called
+// concurrently; Close may be called from any goroutine. The zero TokenStream is
+// empty.
 type TokenStream struct {
 	next  func(ctx context.Context) (Token, error)
 	close func()
 }
 
-// NewTokenStream returns a stream that reads by next and is released by
-// close.
+// NewTokenStream returns a stream whose tokens are returned by next and whose
+// resources are released by close.
 func NewTokenStream(next func(ctx context.Context) (Token, error), close func()) *TokenStream {
 	return &TokenStream{
 		next:  next,
@@ -30,8 +30,8 @@
 }
 
 // Next returns the next token or heartbeat. It returns io.EOF after the token
-// that ended the generation, and a Broken failure when the stream broke off
-// before. When ctx ends, the stream is over.
+// that ended the generation, and a Broken failure when the stream ended
+// before. The stream can't be used after ctx has ended.
 func (s *TokenStream) Next(ctx context.Context) (Token, error) {
 	if s.next == nil {
 		return Token{}, io.EOF
@@ -39,14 +39,14 @@
 	return s.next(ctx)
 }
 
-// Close releases the stream and ends a Next that waits.
+// Close releases the stream and unblocks a waiting Next.
 func (s *TokenStream) Close() {
 	if s.close != nil {
 		s.close()
 	}
 }
 
-// lines reads tokens, one JSON object a line.
+// lineReader reads tokens, one JSON object per line.
 type lineReader struct {
 	body    io.ReadCloser
 	scanner *bufio.Scanner
@@ -69,8 +69,8 @@
 	if err := ctx.Err(); err != nil {
 		return Token{}, NewFailure(Broken, "stream", "", err)
 	}
-	// A read from a silent link returns only when the body is closed under
-	// it.
+	// A read from a silent connection returns only when the body is closed
+	// concurrently.
 	stop := context.AfterFunc(ctx, func() { _ = l.body.Close() })
 	defer stop()
 	if !l.scanner.Scan() {
@@ -88,8 +88,8 @@
 	return t, nil
 }
 
-// broken returns why the stream broke off. An end of file without the
-// generation's end is a cut, never a finished answer.
+// brokenFailure returns the failure of a stream that ended early. An end of file
+// before the generation's end is a broken connection, never a complete answer.
 func (l *lineReader) brokenFailure(ctx context.Context) error {
 	cause := l.scanner.Err()
 	if cause == nil {
--- a/internal/connection/mgengine/wire.go
+++ b/internal/connection/mgengine/wire.go
@@ -2,7 +2,7 @@
 
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 
-// StartSpec says what a generation is to be.
+// StartSpec describes a generation to start.
 type StartSpec struct {
 	ID       string   `json:"id"`
 	Model    string   `json:"model"`
@@ -10,26 +10,26 @@
 	Tokens   int      `json:"tokens"`           // length of the prompt in tokens
 	Prefix   []uint64 `json:"prefix,omitempty"` // hashes of the prompt's blocks, outermost first
 	Max      int      `json:"max"`              // bound on the output in tokens
-	Priority int      `json:"priority"`         // higher goes first
-	Copy     string   `json:"copy,omitempty"`   // of the same generation, to go on from
+	Priority int      `json:"priority"`         // higher priorities are served first
+	Copy     string   `json:"copy,omitempty"`   // name of a copy of the generation to continue
 }
 
-// MoveSpec says where a generation is to be copied.
+// MoveSpec describes a copy of a generation to another engine.
 type MoveSpec struct {
 	ID   string `json:"-"`
 	To   string `json:"to"`   // the other engine's base URL
-	Last bool   `json:"last"` // the generation stops first, and its stream breaks off
+	Last bool   `json:"last"` // stop the generation before the copy, which ends its stream
 }
 
-// Copy is what another engine holds of a generation.
+// Copy is a copy of a generation on another engine.
 type Copy struct {
-	Name string `json:"name"` // to start from, once
-	Made uint64 `json:"made"` // tokens in it
+	Name string `json:"name"` // for one start from the copy (StartSpec.Copy)
+	Made uint64 `json:"made"` // number of tokens in the copy
 }
 
-// Token is one step of a stream. Seq counts from 1; a Token with Seq 0 and
-// neither End nor Fault is a heartbeat, which shows that the link lives while
-// the generation waits or prefills.
+// Token is one item of a stream. Seq counts from 1; a Token with Seq 0 and
+// neither End nor Fault is a heartbeat, which shows that the connection works
+// while the generation waits or prefills.
 type Token struct {
 	Seq       uint64 `json:"seq,omitempty"`
 	Text      string `json:"text,omitempty"`
@@ -38,27 +38,28 @@
 	Preempted int    `json:"preempted,omitempty"`
 }
 
-// Heartbeat reports whether t carries nothing but a sign of life.
+// Heartbeat reports whether t is a heartbeat, without content.
 func (t Token) Heartbeat() bool {
 	return t.Seq == 0 && t.End == "" && t.Fault == ""
 }
 
-// Load is an engine's own report, which lags behind what it was given.
+// Load is an engine's load report, which lags behind the requests sent to it.
 type Load struct {
 	Running  int      `json:"running"`
 	Waiting  int      `json:"waiting"`
-	Free     int64    `json:"free"`     // tokens of memory not in use
-	Capacity int64    `json:"capacity"` // tokens of memory in all
-	Models   []string `json:"models"`   // models and adapters that are loaded
+	Free     int64    `json:"free"`     // free memory in tokens
+	Capacity int64    `json:"capacity"` // total memory in tokens
+	Models   []string `json:"models"`   // loaded models and adapters
 	Role     string   `json:"role"`
 	Fence    uint64   `json:"fence"`   // highest fencing number it accepted, 0 if it ignores them
-	Leaving  bool     `json:"leaving"` // it takes no new generations
+	Leaving  bool     `json:"leaving"` // it accepts no new generations
 
-	// Notice is how long until it is gone, 0 when nobody has said.
+	// Notice is the announced time until the engine is shut down, 0 when none is
+	// announced.
 	Notice mgclock.Millis `json:"notice,omitempty"`
 }
 
-// Event is a change of the prefix cache. Seq rises by one; a gap means that
+// Event is a change of the prefix cache. Seq increases by one; a gap means that
 // events were lost.
 type Event struct {
 	Seq   uint64 `json:"seq"`
@@ -72,12 +73,12 @@
 	Evicted = "evicted"
 )
 
-// Generation is one that the engine holds, running or finished and still
-// resumable.
+// Generation is a generation that the engine holds: running, or finished and
+// still resumable.
 type Generation struct {
 	ID       string `json:"id"`
 	Model    string `json:"model"`
-	Produced uint64 `json:"produced"` // tokens that can be streamed
+	Produced uint64 `json:"produced"` // number of tokens that can be streamed
 	Done     bool   `json:"done"`
 }
 
@@ -103,5 +104,5 @@
 	Fence  uint64 `json:"fence,omitempty"`
 }
 
-// FenceRefusal is the kind of a Refusal of an old fencing number.
+// FenceRefusal is the kind of a Refusal for an outdated fencing number.
 const FenceRefusal = "fence"
--- a/internal/connection/mglistener/listener.go
+++ b/internal/connection/mglistener/listener.go
@@ -14,16 +14,16 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Listener is a TCP listener. Make one with Listen.
+// A Listener is a TCP listener with a graceful shutdown. Create it with Listen.
 type Listener struct {
 	tcp         *net.TCPListener
-	tlsConfig   *tls.Config // nil: without TLS
+	tlsConfig   *tls.Config // nil means no TLS
 	isFinishing atomic.Bool
 }
 
-// Listen opens a listener on an IP and port, with TLS where identity isn't nil.
+// Listen opens a listener on an IP and port, with TLS unless tlsConfig is nil.
 func Listen(address string, tlsConfig *tls.Config) (*Listener, error) {
-	// Multipath TCP sockets take no filters.
+	// Multipath TCP sockets don't support socket filters.
 	var config net.ListenConfig
 	config.SetMultipathTCP(false)
 	l, err := config.Listen(context.Background(), "tcp", address)
@@ -37,7 +37,7 @@
 }
 
 // Accept returns the next connection. After Finish it returns those that the kernel has
-// completed, and then net.ErrClosed.
+// established, and then net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	conn, err := l.tcp.Accept()
 	if l.isFinishing.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
@@ -52,10 +52,10 @@
 	return conn, nil
 }
 
-// Finish has the kernel drop connection requests, leaves handshakes in progress the time
-// of settle, and then lets Accept empty the queue and close the socket. The error says
-// that connection requests can't be dropped; one that is completed between the last Accept
-// and the close is reset then.
+// Finish makes the kernel drop connection requests, waits settleTime for handshakes in
+// progress, and then lets Accept empty the queue and close the socket. It returns an
+// error when connection requests can't be dropped; a connection established between the
+// last Accept and the close is then reset.
 func (l *Listener) Finish(settleTime mgclock.Millis) error {
 	l.isFinishing.Store(true)
 	err := dropRequests(l.tcp)
@@ -65,8 +65,8 @@
 	return errors.Join(err, l.tcp.SetDeadline(time.Now().Add(settleTime.Duration())))
 }
 
-// acceptQueued returns a connection of the accept queue without waiting. When there is
-// none it closes the socket and returns net.ErrClosed.
+// acceptQueued returns a connection from the accept queue without waiting. When the
+// queue is empty it closes the socket and returns net.ErrClosed.
 func (l *Listener) acceptQueued() (net.Conn, error) {
 	raw, err := l.tcp.SyscallConn()
 	if err != nil {
@@ -84,7 +84,7 @@
 	return conn, acceptErr
 }
 
-// acceptNow accepts one connection from a listening socket that doesn't block.
+// acceptNonBlocking accepts one connection from a non-blocking listening socket.
 func acceptNonBlocking(fd uintptr) (net.Conn, error) {
 	accepted, err := acceptSocket(int(fd))
 	for errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ECONNABORTED) {
--- a/internal/connection/mglistener/listener_test.go
+++ b/internal/connection/mglistener/listener_test.go
@@ -14,12 +14,12 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// settle is long enough for what is under way on loopback.
+// settleTime is long enough for handshakes in progress on loopback.
 const settleTime = 50 * mgclock.Millis(1)
 
-// A connection that waits to be accepted must not be reset by the end of its listener.
+// Guards against a shutdown that resets the connections in the accept queue.
 func TestFinishKeepsAcceptQueue(t *testing.T) {
-	Convey("Connections that nobody has accepted when the listener ends", t, func() {
+	Convey("Connections in the accept queue when the listener shuts down are accepted", t, func() {
 		const count = 20
 		listener, err := mglistener.Listen("127.0.0.1:0", nil)
 		So(err, ShouldBeNil)
@@ -49,9 +49,10 @@
 	})
 }
 
-// A caller that connects while a listener ends is answered or refused, never reset.
+// Guards against a reset of a caller that connects during the shutdown: it must be
+// answered or refused.
 func TestFinishUnderLoad(t *testing.T) {
-	Convey("Callers that open one connection after another while the listener ends", t, func() {
+	Convey("Callers that keep connecting during the shutdown are answered or refused", t, func() {
 		listener, err := mglistener.Listen("127.0.0.1:0", nil)
 		So(err, ShouldBeNil)
 		var callers sync.WaitGroup
@@ -72,7 +73,8 @@
 	})
 }
 
-// callUntilRefused sends a byte on each of a row of connections, until one is refused.
+// callUntilRefused opens connections one after another, exchanges a byte on each, and
+// returns nil when one is refused.
 func callUntilRefused(address string) error {
 	for {
 		conn, err := net.Dial("tcp", address)
@@ -93,7 +95,7 @@
 	}
 }
 
-// echo answers each connection's byte until the listener ends.
+// echoUntilClosed echoes one byte on each connection until the listener is closed.
 func echoUntilClosed(l net.Listener) error {
 	for {
 		conn, err := l.Accept()
--- a/internal/connection/mglistener/socket_linux.go
+++ b/internal/connection/mglistener/socket_linux.go
@@ -7,15 +7,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Fields of a TCP header, RFC 9293, section 3.1.
+// Flags of the TCP header and their offset, RFC 9293, section 3.1.
 const (
 	flagsOffset = 13
 	flagSYN     = 0x02
 	flagACK     = 0x10
 )
 
-// dropRequests attaches a filter that drops the segments that open a connection, SYN
-// without ACK. Other segments pass, so that handshakes in progress are completed.
+// dropRequests attaches a socket filter that drops the segments that open a connection,
+// SYN without ACK. Other segments pass, so that handshakes in progress are completed.
 func dropRequests(l *net.TCPListener) error {
 	const allBytes = 1<<32 - 1 // bytes of a segment to keep: all
 	isRequest := instruction(unix.BPF_JMP|unix.BPF_JEQ|unix.BPF_K, flagSYN)
@@ -44,7 +44,7 @@
 	return os.NewSyscallError("setsockopt", setErr)
 }
 
-// statement returns an instruction of a filter that goes on with the next one.
+// instruction returns an instruction of a filter without jump offsets.
 func instruction(code uint16, k uint32) unix.SockFilter {
 	return unix.SockFilter{
 		Code: code,
--- a/internal/connection/mgpeer/peer.go
+++ b/internal/connection/mgpeer/peer.go
@@ -16,23 +16,23 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// scheme stands before the shared key in the Authorization header.
+// authScheme precedes the shared key in the Authorization header.
 const authScheme = "Bearer "
 
-// minSecret is the least length of a shared key in characters: 16 random
+// minSecretLength is the minimum length of a shared key in characters: 16 random
 // characters can't be guessed over a network.
 const minSecretLength = 16
 
-// idleConnection bounds how long an unused connection is pooled. Something
-// between two processes may lose track of an idle connection; a short life
-// keeps few suspects, and each call has a deadline of its own besides.
+// idleConnTimeout limits how long an unused connection is pooled. A middlebox may
+// drop the state of an idle connection; with a short timeout few pooled connections
+// can be dead, and each call has a deadline of its own.
 const idleConnTimeout = 5 * time.Second
 
-// dialTimeout bounds a new connection between processes.
+// dialTimeout limits the opening of a connection between processes.
 const dialTimeout = time.Second
 
-// Public returns the TLS configuration towards callers, or nil when no
-// certificate is set and the platform's balancer ends TLS.
+// Public returns the TLS configuration of the listener for callers, or nil when
+// no certificate is configured and the platform's load balancer terminates TLS.
 func Public(files Files) (*tls.Config, error) {
 	if files.Cert == "" && files.Key == "" {
 		return nil, nil
@@ -47,23 +47,24 @@
 	}, nil
 }
 
-// A Guard admits only the system's own processes. The zero Guard admits
-// nobody.
+// A Guard authenticates the system's own processes and refuses all other
+// clients. The zero Guard refuses all requests.
 type Guard struct {
-	isOpen    bool // the network itself admits nobody else
+	isOpen    bool // only the system's own processes can reach the network
 	secret    string
 	digests   [][sha256.Size]byte
 	tlsConfig *tls.Config
 }
 
-// Spec is what a guard is made of.
+// Spec configures a Guard.
 type Spec struct {
 	Secret   string // the shared key
-	Previous string // the key before the last change, accepted while a new one spreads
+	Previous string // the previous key, still accepted while a new one is rolled out
 	TLS      Files
 }
 
-// Files names the PEM files of a certificate. The zero Files means none.
+// Files are the paths of the PEM files of a certificate. The zero Files means no
+// certificate.
 type Files struct {
 	Cert string
 	Key  string
@@ -89,13 +90,13 @@
 	return guard, nil
 }
 
-// Unkeyed returns a guard that asks for no key, for networks on which only the
-// system's own processes reach the listener for peers.
+// Unkeyed returns a guard that requires no key, for networks on which only the
+// system's own processes can reach the peer listener.
 func Unkeyed() *Guard {
 	return &Guard{isOpen: true}
 }
 
-// loadTLS returns the mutual TLS configuration, or nil when none is set.
+// loadTLS returns the mutual TLS configuration, or nil when no file is given.
 func loadTLS(files Files) (*tls.Config, error) {
 	if files.Cert == "" && files.Key == "" && files.CA == "" {
 		return nil, nil
@@ -121,7 +122,8 @@
 	}, nil
 }
 
-// Require passes on only requests that carry a shared key.
+// Require returns a handler that forwards requests with an accepted key to next
+// and refuses others.
 func (g *Guard) Require(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !g.isOpen && !g.hasAcceptedKey(r.Header.Get("Authorization")) {
@@ -133,8 +135,8 @@
 	})
 }
 
-// known compares in constant time with each accepted key, so that the time of
-// an answer tells nothing of the key.
+// hasAcceptedKey compares the presented key with each accepted key in constant
+// time, so that the response time doesn't reveal anything about a key.
 func (g *Guard) hasAcceptedKey(header string) bool {
 	digest := sha256.Sum256([]byte(strings.TrimPrefix(header, authScheme)))
 	found := 0
@@ -144,7 +146,7 @@
 	return found == 1
 }
 
-// Listen opens a listener for the system's other processes.
+// Listen opens a listener for peers.
 func (g *Guard) Listen(address string) (*mglistener.Listener, error) {
 	listener, err := mglistener.Listen(address, g.tlsConfig)
 	if err != nil {
@@ -153,7 +155,7 @@
 	return listener, nil
 }
 
-// Base returns the URL of a process at an IP and port.
+// Base returns the base URL of a process at an IP and port.
 func (g *Guard) Base(address string) string {
 	if g.tlsConfig != nil {
 		return "https://" + address
@@ -161,8 +163,8 @@
 	return "http://" + address
 }
 
-// Transport returns a transport of its own connections that sends the key.
-// With fresh set no connection is used twice.
+// Transport returns a transport that sends the key with each request. It has its
+// own connection pool; with noReuse, each request opens a new connection.
 func (g *Guard) Transport(noReuse bool) http.RoundTripper {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &keyTransport{
@@ -178,7 +180,7 @@
 	}
 }
 
-// keyed adds the shared key to each request.
+// keyTransport adds the shared key to each request.
 type keyTransport struct {
 	header string
 	inner  *http.Transport
@@ -191,6 +193,6 @@
 	return k.inner.RoundTrip(sent)
 }
 
-// CloseIdleConnections drops the pooled connections, for example after a
-// pause, when any of them may be dead.
+// CloseIdleConnections closes the pooled connections, for example after the
+// process was paused, when any of them may be dead.
 func (k *keyTransport) CloseIdleConnections() { k.inner.CloseIdleConnections() }
--- a/internal/connection/mgpeer/peer_test.go
+++ b/internal/connection/mgpeer/peer_test.go
@@ -32,9 +32,9 @@
 	return g
 }
 
-// A stranger on the network finds an agent's port and asks it to start work.
-// Without the key it must learn nothing and run nothing. While operators change
-// the key VM by VM, both keys are about, and no call between processes fails.
+// Guards against requests from strangers on the network, which must be refused,
+// and against failed calls between processes while operators change the key VM by
+// VM and both keys are in use.
 func TestStrangerAdmitted(t *testing.T) {
 	const present, before = "present-secret-0001", "before-secret-00001"
 	cases := []struct {
@@ -43,12 +43,12 @@
 		status int
 	}{
 		{
-			name:   "the present key",
+			name:   "the current key",
 			sender: present,
 			status: http.StatusNoContent,
 		},
 		{
-			name:   "the key before the change",
+			name:   "the previous key",
 			sender: before,
 			status: http.StatusNoContent,
 		},
@@ -58,7 +58,7 @@
 			status: http.StatusUnauthorized,
 		},
 	}
-	Convey("A listener of the system's own", t, func() {
+	Convey("A listener for peers", t, func() {
 		server := httptest.NewServer(newGuard(present, before).Require(respondNoContent))
 		defer server.Close()
 		for _, c := range cases {
@@ -84,10 +84,10 @@
 	})
 }
 
-// A process with the right key and a certificate of another authority connects.
-// With mutual TLS set the handshake ends it before the key is even sent.
+// Guards against admitting a process that has the right key and a certificate of
+// another authority: with mutual TLS the handshake must fail before the key is sent.
 func TestForeignCertificateAccepted(t *testing.T) {
-	Convey("With certificates set", t, func() {
+	Convey("With mutual TLS", t, func() {
 		ours, strangers := writeCertificate(t), writeCertificate(t)
 		listener, err := newTLSGuard(ours).Listen("127.0.0.1:0")
 		So(err, ShouldBeNil)
@@ -118,7 +118,7 @@
 	return g
 }
 
-// identity writes a certificate that is its own authority.
+// writeCertificate writes a self-signed certificate and its key.
 func writeCertificate(t *testing.T) mgpeer.Files {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	So(err, ShouldBeNil)
--- a/internal/connection/mgplatform/bench_test.go
+++ b/internal/connection/mgplatform/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkReadList reads the text of a list, as each process does with each list that
-// is newer than its own.
+// BenchmarkReadList parses a list, as each process does for each list that is
+// newer than its own.
 func BenchmarkReadList(b *testing.B) {
 	for _, count := range []int{60, 150, 3000} {
 		list := List{
--- a/internal/connection/mgplatform/client.go
+++ b/internal/connection/mgplatform/client.go
@@ -12,7 +12,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// maxValue is the platform's limit for one value, in bytes.
+// maxValueBytes is the platform's limit for one value.
 const maxValueBytes = 1 << 20
 
 // versionHeader carries a value's version.
@@ -22,17 +22,17 @@
 var (
 	ErrMissing   = errors.New("platform: no value has this key: publish it")
 	ErrUnchanged = errors.New("platform: the value has not changed: watch again")
-	// ErrLong ends a process's first read of a list of VMs that takes many calls: a peer
-	// may have it already.
+	// ErrLong ends a process's first read of a list of VMs that would take many calls:
+	// a peer may already have the list.
 	ErrLong = errors.New("platform: the list of VMs takes many calls: ask a peer for it, then read it again")
-	// ErrCordons ends a watch of the manifest where the platform shows the operator's
-	// cordons beside it: the list of VMs has them.
+	// ErrCordons ends a watch of the manifest when the cordons of zones have changed,
+	// on platforms that publish them next to it: the list of VMs contains them.
 	ErrCordons = errors.New("platform: cordons of availability zones have changed: read the list of VMs")
 	ErrRate    = errors.New("platform: too many reads a second: read less often")
 	ErrDown    = errors.New("platform: no answer: keep what is in force and try again later")
 )
 
-// A Value is what was read under a key.
+// A Value is the content of a key and its version.
 type Value struct {
 	version uint64
 	data    []byte
@@ -46,21 +46,21 @@
 	}
 }
 
-// Version returns the version that the service gave the value. It is not the
-// version of a table.
+// Version returns the version that the platform assigned to the value. It is not
+// the version of a table.
 func (v Value) Version() uint64 { return v.version }
 
-// Bytes returns the content. Callers don't change it.
+// Bytes returns the content. Callers must not modify it.
 func (v Value) Bytes() []byte { return v.data }
 
-// A Client reads and watches values. The zero Client has no platform and fails
-// with ErrDown.
+// A Client reads and watches values. The calls of the zero Client fail with
+// ErrDown.
 type Client struct {
 	read  func(ctx context.Context, key string) (Value, error)
 	watch func(ctx context.Context, key string, after uint64, wait mgclock.Millis) (Value, error)
 }
 
-// NewClient returns a client that reads by read and watches by watch.
+// NewClient returns a client that calls read and watch, for other protocols.
 func NewClient(
 	read func(ctx context.Context, key string) (Value, error),
 	watch func(ctx context.Context, key string, after uint64, wait mgclock.Millis) (Value, error),
@@ -71,8 +71,8 @@
 	}
 }
 
-// NewHTTP returns a client of the service at base, such as
-// "http://127.0.0.1:7401". A nil client stands for http.DefaultClient.
+// NewHTTP returns a client of the service at the URL base, such as
+// "http://127.0.0.1:7401". A nil client means http.DefaultClient.
 func NewHTTP(base string, client *http.Client) Client {
 	if client == nil {
 		client = http.DefaultClient
@@ -102,8 +102,8 @@
 	return c.read(ctx, key)
 }
 
-// Watch returns the value of a key once its version is above after, or
-// ErrUnchanged when that doesn't happen within wait.
+// Watch is a long poll: it returns the value of a key when its version is above
+// after, or ErrUnchanged when that doesn't happen within wait.
 func (c Client) Watch(ctx context.Context, key string, after uint64, wait mgclock.Millis) (Value, error) {
 	if c.watch == nil {
 		return Value{}, ErrDown
@@ -111,7 +111,7 @@
 	return c.watch(ctx, key, after, wait)
 }
 
-// httpReader reads over HTTP.
+// httpReader reads values over HTTP.
 type httpReader struct {
 	base   string
 	client *http.Client
--- a/internal/connection/mgplatform/client_test.go
+++ b/internal/connection/mgplatform/client_test.go
@@ -33,28 +33,28 @@
 				err:    mgplatform.ErrMissing,
 			},
 			{
-				name:   "a quiet watch is unchanged",
+				name:   "a watch without a change is unchanged",
 				status: http.StatusNotModified,
 				err:    mgplatform.ErrUnchanged,
 			},
 			{
-				name:   "too many reads are told apart",
+				name:   "too many reads have an error of their own",
 				status: http.StatusTooManyRequests,
 				err:    mgplatform.ErrRate,
 			},
 			{
-				name:   "a fault is no answer",
+				name:   "an error status means that the platform is down",
 				status: http.StatusBadGateway,
 				err:    mgplatform.ErrDown,
 			},
 			{
-				name:   "a value without a version is no answer",
+				name:   "a value without a version means that the platform is down",
 				status: http.StatusOK,
 				body:   "x",
 				err:    mgplatform.ErrDown,
 			},
 			{
-				name:    "a value over a megabyte is no answer",
+				name:    "a value over a megabyte means that the platform is down",
 				status:  http.StatusOK,
 				version: "7",
 				body:    strings.Repeat("x", 1<<20+1),
@@ -93,7 +93,7 @@
 			So(err, ShouldWrap, mgplatform.ErrDown)
 		})
 	})
-	Convey("A list leaves out VMs that have no name", t, func() {
+	Convey("A list omits VMs that have no name", t, func() {
 		list, err := mgplatform.ReadList([]byte(`{"version":3,"vms":[{"name":"a","addr":"x"},{"addr":"y"}]}`))
 		So(err, ShouldBeNil)
 		So(list.VMs, ShouldHaveLength, 1)
--- a/internal/connection/mgplatform/list.go
+++ b/internal/connection/mgplatform/list.go
@@ -20,7 +20,7 @@
 	EntryKind = "entry"
 	AgentKind = "agent"
 	// UpstreamKind is an upstream that entries reach directly. No process of
-	// the system runs there, so that it is nobody's peer.
+	// the system runs there, so it is not a peer.
 	UpstreamKind = "upstream"
 )
 
@@ -34,17 +34,17 @@
 type VM struct {
 	Name     string   `json:"name"`
 	Kind     string   `json:"kind"`
-	Addr     string   `json:"addr"`           // where callers (entry) or entries (agent) reach it
-	Peer     string   `json:"peer,omitempty"` // where other processes reach it, Addr when empty
+	Addr     string   `json:"addr"`           // address for callers (of an entry) or for entries (of an agent)
+	Peer     string   `json:"peer,omitempty"` // address for other processes, Addr when empty
 	Zone     string   `json:"zone"`
 	Region   string   `json:"region"`
 	Upstream string   `json:"upstream,omitempty"`
 	Models   []string `json:"models,omitempty"`
 	Services []string `json:"services,omitempty"`
 	State    string   `json:"state"`
-	Power    int      `json:"power,omitempty"` // of its processor and link, relative to others; 0 where nobody says
-	Cold     int64    `json:"cold,omitempty"`  // ms for which it bears few requests a second yet
-	Born     int64    `json:"born,omitempty"`  // when it started, where the platform says; rises with each start under its name
+	Power    int      `json:"power,omitempty"` // capacity of its processor and network relative to others; 0 if unknown
+	Cold     int64    `json:"cold,omitempty"`  // ms for which its request rate is still limited after its start
+	Born     int64    `json:"born,omitempty"`  // start time, if the platform provides it; increases with each start under the same name
 }
 
 // PeerAddr returns the address at which other processes reach the VM.
@@ -55,20 +55,20 @@
 	return v.Addr
 }
 
-// List is the value of ListKey. It lags behind what it shows.
+// List is the value of ListKey. It lags behind the real state of the VMs.
 type List struct {
 	Version uint64 `json:"version"`
-	// Era rises each time that the platform comes back from an older copy of its values, which
-	// may show what was true seconds ago. Versions rise with it.
+	// Era increases each time the platform is restored from an older copy of its
+	// values, which may be outdated by seconds. Versions increase with it.
 	Era uint64 `json:"era,omitempty"`
 	VMs []VM   `json:"vms"`
 	// Cordoned are the availability zones whose upstreams get no new work until the
-	// operator takes that back. What runs there goes on.
+	// operator removes the cordon. Running work continues.
 	Cordoned []string `json:"cordoned,omitempty"`
 }
 
-// ReadList reads a list. VMs without a name are left out: no process could be
-// told from another by them.
+// ReadList parses a list. It omits VMs without a name, because processes are
+// identified by the names of their VMs.
 func ReadList(data []byte) (List, error) {
 	var list List
 	if err := json.Unmarshal(data, &list); err != nil {
--- a/internal/connection/mgrpc/doc.go
+++ b/internal/connection/mgrpc/doc.go
@@ -1,8 +1,9 @@
-// Package mgrpc holds the messages between the system's own processes: the
-// agent's calls, the peers' exchange and the token frames. The code is
-// generated from the .proto files beside it by generate.sh and committed.
+// Package mgrpc defines the messages between the system's own processes: the
+// calls to agents, the exchange between peers and the token frames. The code is
+// generated from the .proto files of this folder by generate.sh and committed.
 package mgrpc
 
-// FramesPath is the agent's path of a generation's frames. The generation
-// follows it, and the query's from is the first token that is wanted, from 1.
+// FramesPath is the URL path prefix of the frames of a generation on an agent. The
+// generation's id follows it; the query parameter from is the number of the first
+// requested token, counted from 1.
 const FramesPath = "/frames/"
--- a/internal/connection/mgservice/bench_test.go
+++ b/internal/connection/mgservice/bench_test.go
@@ -9,8 +9,7 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgservice"
 )
 
-// BenchmarkCall measures what a connection for each call costs beside pooled
-// ones.
+// BenchmarkCall compares a new connection for each call with pooled connections.
 func BenchmarkCall(b *testing.B) {
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer s.Close()
--- a/internal/connection/mgservice/client.go
+++ b/internal/connection/mgservice/client.go
@@ -11,19 +11,19 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgdial"
 )
 
-// bodyBytes bounds the bodies of calls and replies.
+// maxBodyBytes limits the bodies of calls and replies.
 const maxBodyBytes = 1 << 20
 
-// Kind tells what is certain after a failed call.
+// Kind specifies what is certain after a failed call.
 type Kind string
 
 // The kinds of failures.
 const (
-	NotSent Kind = "notsent" // the service can't have seen the call
+	NotSent Kind = "notsent" // the service can't have received the call
 	Unknown Kind = "unknown" // the service may have run the call
 )
 
-// Failure is a call that brought no reply.
+// Failure is the error of a call without a reply.
 type Failure struct {
 	kind   Kind
 	detail string
@@ -36,7 +36,7 @@
 // Unwrap returns the cause, or nil.
 func (f *Failure) Unwrap() error { return f.cause }
 
-// Error returns what is certain and the remedy.
+// Error returns the kind, the detail, a remedy and the cause.
 func (f *Failure) Error() string {
 	remedy := "send it again or elsewhere"
 	if f.kind == Unknown {
@@ -58,7 +58,7 @@
 	}
 }
 
-// KindOf returns what is certain after err, Unknown where nothing is.
+// KindOf returns the kind of the Failure in err's chain, or Unknown.
 func KindOf(err error) Kind {
 	var failure *Failure
 	if errors.As(err, &failure) {
@@ -73,16 +73,16 @@
 	call func(ctx context.Context, spec CallSpec) (Reply, error)
 }
 
-// NewClient returns a client that makes its calls by call.
+// NewClient returns a client that makes its calls through call.
 func NewClient(call func(ctx context.Context, spec CallSpec) (Reply, error)) Client {
 	return Client{
 		call: call,
 	}
 }
 
-// NewHTTP returns a client of the service at base, such as
-// "http://127.0.0.1:7401". A nil client stands for mgdial.NewClient(); one
-// that pools connections would undo the failures' certainty.
+// NewHTTP returns a client of the service at the URL base, such as
+// "http://127.0.0.1:7401". A nil client means mgdial.NewClient(). With a client
+// that pools connections, the kinds of failures would not be reliable.
 func NewHTTP(base string, client *http.Client) Client {
 	if client == nil {
 		client = mgdial.NewClient()
@@ -92,8 +92,8 @@
 	})
 }
 
-// Call makes one call. Any status is a reply; the service's own errors are
-// not failures.
+// Call makes one call. A response with any status is a reply; the service's own
+// errors are not failures.
 func (c Client) Call(ctx context.Context, spec CallSpec) (Reply, error) {
 	if c.call == nil {
 		return Reply{}, NewFailure(NotSent, "the client has no service", nil)
--- a/internal/connection/mgservice/client_test.go
+++ b/internal/connection/mgservice/client_test.go
@@ -17,10 +17,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A gauger books a transfer ticket. The service runs it and the link breaks
-// before the reply. Told "not sent", the gauger would book again: two barrels
-// for one. So each break after a connection stood is Unknown, only one before
-// is NotSent, and nothing under the client repeats the call.
+// Guards against a write that runs twice because its caller repeats it after a
+// wrong NotSent. A failure after a connection was established must be Unknown, only
+// one before is NotSent, and the client never repeats the call by itself.
 func TestFailureKindContradictsService(t *testing.T) {
 	cutConnection := func(w http.ResponseWriter) {
 		conn, _, err := w.(http.Hijacker).Hijack()
@@ -41,13 +40,13 @@
 			isCancelled: false,
 		},
 		{
-			name:        "the caller had given up before it was sent",
+			name:        "the caller cancelled it before it was sent",
 			answer:      func(http.ResponseWriter, *http.Request) {},
 			isCancelled: true,
 			kind:        mgservice.NotSent,
 		},
 		{
-			name: "the link breaks before the body was read",
+			name: "the connection breaks before the body was read",
 			answer: func(w http.ResponseWriter, _ *http.Request) {
 				cutConnection(w)
 			},
@@ -55,7 +54,7 @@
 			runs: 1,
 		},
 		{
-			name: "the reply breaks off in its middle",
+			name: "the reply is truncated",
 			answer: func(w http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
 				w.Header().Set("Content-Length", "10")
@@ -66,7 +65,7 @@
 			runs: 1,
 		},
 		{
-			name: "the reply is larger than its bound",
+			name: "the reply is larger than the limit",
 			answer: func(w http.ResponseWriter, _ *http.Request) {
 				_, _ = w.Write(make([]byte, 1<<20+1))
 			},
@@ -74,14 +73,14 @@
 			runs: 1,
 		},
 		{
-			name: "the service sends it elsewhere, which would run it twice",
+			name: "the service redirects it, which would run it twice",
 			answer: func(w http.ResponseWriter, r *http.Request) {
 				http.Redirect(w, r, "/tickets", http.StatusTemporaryRedirect)
 			},
 			runs: 1,
 		},
 	}
-	Convey("A call tells what is certain when", t, func() {
+	Convey("The kind of failure is right when", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				var runs atomic.Int64
@@ -117,7 +116,7 @@
 	})
 }
 
-// refusing returns an address on which nobody listens.
+// refusingAddr returns an address without a listener.
 func refusingAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -128,10 +127,9 @@
 	return l.Addr().String()
 }
 
-// A gauger's second ticket goes over the connection of the first. The service
-// books it and the connection breaks before the reply. net/http takes the
-// Idempotency-Key for a permission to send the request again on another
-// connection, and the service, which knows no such key, books two barrels.
+// Guards against a write that net/http runs twice: when a reused connection breaks
+// before the reply, net/http takes an Idempotency-Key as permission to repeat the
+// request on another connection, although the service may not know such keys.
 func TestPooledConnectionRepeatsCall(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -143,7 +141,7 @@
 			runs: 1,
 		},
 		{
-			name: "the broken variant, pooled connections: two runs",
+			name: "pooled connections, the broken variant: two runs",
 			client: &http.Client{
 				Transport: &http.Transport{},
 			},
--- a/internal/connection/mgservice/doc.go
+++ b/internal/connection/mgservice/doc.go
@@ -1,7 +1,7 @@
-// Package mgservice is the client of a plain HTTP service beside the model
-// engines.
+// Package mgservice is the client of a plain HTTP service, as opposed to a model
+// engine.
 //
-// Some of a service's calls may not be repeated, so a failure is typed by
-// what it proves: NotSent, the service can't have run it, or Unknown, it may
-// have. There is no third kind, and no call is ever repeated here.
+// Some calls of a service may not be repeated, so each failure has one of two
+// kinds: NotSent, the service can't have run the call, or Unknown, it may have.
+// This package never repeats a call.
 package mgservice
--- a/internal/connection/mgservice/wire.go
+++ b/internal/connection/mgservice/wire.go
@@ -1,6 +1,6 @@
 package mgservice
 
-// CallSpec is one call of a service.
+// CallSpec describes one call of a service.
 type CallSpec struct {
 	Method    string
 	Path      string // with its query
@@ -9,7 +9,7 @@
 	Operation string // idempotency key, empty for calls that may be repeated
 }
 
-// Reply is a service's answer.
+// Reply is a service's response.
 type Reply struct {
 	Status int
 	Mime   string
