--- a/internal/connection/mgengine/client.go
+++ b/internal/connection/mgengine/client.go
@@ -104,5 +104,5 @@
 
 // unsupportedCall returns the failure of a call that the client doesn't implement.
 func unsupportedCall(call string) error {
-	return NewFailure(NotStarted, call, "the client has no such call", nil)
+	return NewFailure(NotStarted, call, "the client doesn't support this call", nil)
 }
--- a/internal/connection/mgengine/errors.go
+++ b/internal/connection/mgengine/errors.go
@@ -63,7 +63,7 @@
 
 // Error returns both numbers and the remedy.
 func (e *FenceError) Error() string {
-	return fmt.Sprintf("engine: order: fencing number %d is older than %d: a newer agent gives the orders; stop giving them", e.sent, e.newest)
+	return fmt.Sprintf("engine: order: fencing number %d is older than %d: a newer agent controls the engine; stop sending orders", e.sent, e.newest)
 }
 
 // KindOf returns the kind of the Failure in err's chain, or Unknown.
--- a/internal/connection/mgengine/http.go
+++ b/internal/connection/mgengine/http.go
@@ -119,7 +119,7 @@
 		return nil
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(out); err != nil {
-		return NewFailure(Unknown, call, "the answer can't be read", err)
+		return NewFailure(Unknown, call, "the response can't be decoded", err)
 	}
 	return nil
 }
@@ -130,13 +130,13 @@
 	if in != nil {
 		data, err := json.Marshal(in)
 		if err != nil {
-			return nil, NewFailure(NotStarted, call, "the request can't be written", err)
+			return nil, NewFailure(NotStarted, call, "the request can't be encoded", err)
 		}
 		body = bytes.NewReader(data)
 	}
 	r, err := http.NewRequestWithContext(ctx, method, p.base+path, body)
 	if err != nil {
-		return nil, NewFailure(NotStarted, call, "the engine's address is no URL", err)
+		return nil, NewFailure(NotStarted, call, "the engine's address is not a valid URL", err)
 	}
 	r.Header.Set("Content-Type", "application/json")
 	response, err := mgdial.Do(p.client, r)
--- a/internal/connection/mgplatform/client.go
+++ b/internal/connection/mgplatform/client.go
@@ -148,11 +148,11 @@
 	}
 	version, err := strconv.ParseUint(response.Header.Get(versionHeader), 10, 64)
 	if err != nil {
-		return Value{}, fmt.Errorf("%w: the answer has no version", ErrDown)
+		return Value{}, fmt.Errorf("%w: the response has no version", ErrDown)
 	}
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxValueBytes+1))
 	if err != nil {
-		return Value{}, fmt.Errorf("%w: the answer broke off: %w", ErrDown, err)
+		return Value{}, fmt.Errorf("%w: the response was truncated: %w", ErrDown, err)
 	}
 	if len(data) > maxValueBytes {
 		return Value{}, fmt.Errorf("%w: the value of %s exceeds %d bytes", ErrDown, key, maxValueBytes)
--- a/internal/connection/mgservice/client.go
+++ b/internal/connection/mgservice/client.go
@@ -40,7 +40,7 @@
 func (f *Failure) Error() string {
 	remedy := "send it again or elsewhere"
 	if f.kind == Unknown {
-		remedy = "ask the service what became of it; repeat it only if it is idempotent"
+		remedy = "ask the service whether it ran; repeat it only if it is idempotent"
 	}
 	text := fmt.Sprintf("service: %s: %s: %s", f.kind, f.detail, remedy)
 	if f.cause != nil {
@@ -107,7 +107,7 @@
 	}
 	r, err := http.NewRequestWithContext(ctx, spec.Method, base+spec.Path, bytes.NewReader(spec.Body))
 	if err != nil {
-		return Reply{}, NewFailure(NotSent, "the method or path is no part of a request", err)
+		return Reply{}, NewFailure(NotSent, "the method or path is not valid", err)
 	}
 	if spec.Mime != "" {
 		r.Header.Set("Content-Type", spec.Mime)
@@ -127,7 +127,7 @@
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes+1))
 	if err != nil {
-		return Reply{}, NewFailure(Unknown, "the reply broke off", err)
+		return Reply{}, NewFailure(Unknown, "the reply was truncated", err)
 	}
 	if len(body) > maxBodyBytes {
 		return Reply{}, NewFailure(Unknown, fmt.Sprintf("the reply has over %d bytes", maxBodyBytes), nil)
