--- a/internal/connection/mglink/call.go
+++ b/internal/connection/mglink/call.go
@@ -103,7 +103,7 @@
 	// Pooled makes the first attempt. If it has a CloseIdleConnections method, as
 	// *http.Transport has, its idle connections are closed after a silent call.
 	Pooled http.RoundTripper
-	// Again makes the second attempt, by default the transport of Fresh.
+	// Again makes the second attempt, by default that of NewUnpooledClient.
 	Again http.RoundTripper
 	// Clock measures the silence.
 	Clock mgclock.Clock
@@ -134,7 +134,7 @@
 	}
 	transport := g.Again
 	if transport == nil {
-		transport = Fresh(g.silenceTimeout()).Transport
+		transport = NewUnpooledClient(g.silenceTimeout()).Transport
 	}
 	return g.attempt(repeated, transport)
 }
--- a/internal/connection/mglink/codec.go
+++ b/internal/connection/mglink/codec.go
@@ -11,9 +11,9 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgrpc"
 )
 
-// MaxFrame is the maximum size of a frame in bytes. A frame usually holds a few
+// MaxFrameBytes is the maximum size of a frame in bytes. A frame usually holds a few
 // tokens; the tokens that resume a long answer are split into several frames.
-const MaxFrame = 256 << 10
+const MaxFrameBytes = 256 << 10
 
 // ErrFrame is returned for bytes that can't be decoded as a frame.
 var ErrFrame = errors.New("link: not a frame: both ends must run compatible versions")
@@ -31,7 +31,7 @@
 func ReadFrame(r *bufio.Reader) (*mgrpc.Frame, error) {
 	f := new(mgrpc.Frame)
 	options := protodelim.UnmarshalOptions{
-		MaxSize: MaxFrame,
+		MaxSize: MaxFrameBytes,
 	}
 	err := options.UnmarshalFrom(r, f)
 	switch {
@@ -44,8 +44,8 @@
 	}
 }
 
-// Heartbeat reports whether f is a heartbeat, a frame without content.
-func Heartbeat(f *mgrpc.Frame) bool {
+// IsHeartbeat reports whether f is a heartbeat, a frame without content.
+func IsHeartbeat(f *mgrpc.Frame) bool {
 	return len(f.GetText()) == 0 && !Final(f)
 }
 
--- a/internal/connection/mglink/stream.go
+++ b/internal/connection/mglink/stream.go
@@ -97,8 +97,8 @@
 // which a connection is still used.
 func (s *Stream) Silence() mgclock.Millis { return silentIntervals * s.spec.Interval }
 
-// Reopens returns how often the stream was reopened after a failure.
-func (s *Stream) Reopens() int { return s.reopenCount }
+// ReopenCount returns how often the stream was reopened after a failure.
+func (s *Stream) ReopenCount() int { return s.reopenCount }
 
 // Close ends the stream and closes its connection.
 func (s *Stream) Close() {
@@ -135,7 +135,7 @@
 			if err := s.handleFailure(ctx, err); err != nil {
 				return nil, err
 			}
-		case !Heartbeat(f):
+		case !IsHeartbeat(f):
 			s.recordProgress(f)
 			return f, nil
 		}
--- a/internal/connection/mglink/stream_test.go
+++ b/internal/connection/mglink/stream_test.go
@@ -133,7 +133,7 @@
 					n.Silence("agent")
 				}
 			})
-			reopens, dials = s.Reopens(), n.Dials("agent")
+			reopens, dials = s.ReopenCount(), n.Dials("agent")
 		})
 		So(err, ShouldBeNil)
 		So(text, ShouldEqual, allTokens)
@@ -157,7 +157,7 @@
 				Interval: interval,
 			})
 			_, _, _ = readTokens(s, nil)
-			reopens = s.Reopens()
+			reopens = s.ReopenCount()
 		})
 		So(reopens, ShouldEqual, 0)
 	})
@@ -183,7 +183,7 @@
 				Interval: interval,
 			})
 			text, _, _ = readTokens(s, func(uint64) { clock.Sleep(context.Background(), 10*mgclock.Second) })
-			reopens = s.Reopens()
+			reopens = s.ReopenCount()
 		})
 		So(text, ShouldEqual, allTokens)
 		So(reopens, ShouldEqual, 0)
@@ -350,7 +350,7 @@
 func TestDamagedFrameAccepted(t *testing.T) {
 	Convey("A frame that is too large is refused", t, func() {
 		var b bytes.Buffer
-		So(mglink.WriteFrame(&b, tokenFrame(1, strings.Repeat("x", mglink.MaxFrame))), ShouldBeNil)
+		So(mglink.WriteFrame(&b, tokenFrame(1, strings.Repeat("x", mglink.MaxFrameBytes))), ShouldBeNil)
 		_, err := mglink.ReadFrame(bufio.NewReader(&b))
 		So(errors.Is(err, mglink.ErrFrame), ShouldBeTrue)
 	})
--- a/internal/connection/mglink/fresh.go
+++ b/internal/connection/mglink/unpooled.go
@@ -7,13 +7,13 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Fresh returns a client that opens a new connection for each request, with
+// NewUnpooledClient returns a client that opens a new connection for each request, with
 // silence as the connect timeout.
 //
 // When a stream goes silent, the idle connections to the same agent use the same
 // network path and may be dead as well. A request on one of them would wait for
 // the whole silence timeout again, and so would the next one.
-func Fresh(silence mgclock.Millis) *http.Client {
+func NewUnpooledClient(silence mgclock.Millis) *http.Client {
 	dialer := &net.Dialer{
 		Timeout: silence.Duration(),
 	}
