--- a/internal/connection/mgplatform/client.go
+++ b/internal/connection/mgplatform/client.go
@@ -29,7 +29,7 @@
 	// on platforms that publish them next to it: the list of VMs contains them.
 	ErrCordons = errors.New("platform: cordons of availability zones have changed: read the list of VMs")
 	ErrRate    = errors.New("platform: too many reads a second: read less often")
-	ErrDown    = errors.New("platform: no answer: keep what is in force and try again later")
+	ErrDown    = errors.New("platform: no response: keep the current configuration and try again later")
 )
 
 // A Value is the content of a key and its version.
