--- a/internal/connection/mglink/call.go
+++ b/internal/connection/mglink/call.go
@@ -15,12 +15,12 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// maxReply bounds the body of a call's reply in bytes.
-const maxReply = 64 << 20
+// maxReplyBytes limits the body of a call's reply.
+const maxReplyBytes = 64 << 20
 
-// Alive returns a handler that answers 102 at once and at each interval until
-// next has its response, so that the client knows that the connection works
-// while a call takes its time. It is for calls, not for streams.
+// Alive returns a handler that sends an informational response (102) at once and
+// at each interval until next writes its response, so that the client can detect
+// a dead connection during a long call. It is for calls, not for streams.
 func Alive(next http.Handler, clock mgclock.Clock, interval mgclock.Millis) http.Handler {
 	if interval <= 0 {
 		interval = DefaultInterval
@@ -30,87 +30,88 @@
 			next.ServeHTTP(w, r)
 			return
 		}
-		a := &aliveWriter{
-			to:     w,
+		a := &heartbeatWriter{
+			inner:  w,
 			header: make(http.Header),
 		}
 		ctx, cancel := context.WithCancel(r.Context())
-		var beats sync.WaitGroup
-		beats.Go(func() {
-			for a.beat() && clock.Sleep(ctx, interval) {
+		var heartbeats sync.WaitGroup
+		heartbeats.Go(func() {
+			for a.writeHeartbeat() && clock.Sleep(ctx, interval) {
 			}
 		})
-		defer beats.Wait()
+		defer heartbeats.Wait()
 		defer cancel()
 		next.ServeHTTP(a, r)
 	})
 }
 
-// aliveWriter keeps the handler's header apart from the one that the heartbeats
-// are written with, which another goroutine reads.
-type aliveWriter struct {
-	mu     sync.Mutex
-	to     http.ResponseWriter
-	header http.Header
-	wrote  bool
+// heartbeatWriter keeps the handler's header separate from that of the
+// heartbeats, which another goroutine reads.
+type heartbeatWriter struct {
+	mu            sync.Mutex
+	inner         http.ResponseWriter
+	header        http.Header
+	headerWritten bool
 }
 
-func (a *aliveWriter) Header() http.Header { return a.header }
+func (a *heartbeatWriter) Header() http.Header { return a.header }
 
-func (a *aliveWriter) WriteHeader(status int) {
+func (a *heartbeatWriter) WriteHeader(status int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.writeHeader(status)
 }
 
-func (a *aliveWriter) Write(b []byte) (int, error) {
+func (a *heartbeatWriter) Write(b []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.writeHeader(http.StatusOK)
-	return a.to.Write(b)
+	return a.inner.Write(b)
 }
 
-func (a *aliveWriter) writeHeader(status int) {
-	if a.wrote {
+func (a *heartbeatWriter) writeHeader(status int) {
+	if a.headerWritten {
 		return
 	}
-	a.wrote = true
+	a.headerWritten = true
 	for key, values := range a.header {
-		a.to.Header()[key] = values
+		a.inner.Header()[key] = values
 	}
-	a.to.WriteHeader(status)
+	a.inner.WriteHeader(status)
 }
 
-// beat writes a heartbeat and reports whether more are wanted.
-func (a *aliveWriter) beat() bool {
+// writeHeartbeat writes a heartbeat unless the response has begun, and reports
+// whether it did.
+func (a *heartbeatWriter) writeHeartbeat() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.wrote {
+	if a.headerWritten {
 		return false
 	}
-	a.to.WriteHeader(http.StatusProcessing)
+	a.inner.WriteHeader(http.StatusProcessing)
 	return true
 }
 
-// A Guard makes calls over pooled connections without ever waiting out a dead
-// one: a call on which nothing is heard for a span of silence, not even a 102,
-// is made again on a new connection, and the idle ones are closed.
+// A Guard is a transport for calls over pooled connections that detects dead
+// connections: when nothing is received within the silence timeout, not even a
+// 102, it repeats the call on a new connection and closes the idle ones.
 //
-// Made again means that the first may have arrived too. So all calls that go
-// through a Guard are idempotent by an id of theirs, or may be repeated.
+// The first call may have arrived as well. So all calls through a Guard must be
+// idempotent, by an id of their own or by nature.
 type Guard struct {
-	// Pooled makes the first try. If it is an *http.Transport, or closes idle
-	// connections as one does, they are closed after a silent call.
+	// Pooled makes the first attempt. If it has a CloseIdleConnections method, as
+	// *http.Transport has, its idle connections are closed after a silent call.
 	Pooled http.RoundTripper
-	// Again makes the second, by default Fresh's.
+	// Again makes the second attempt, by default that of NewUnpooledClient.
 	Again http.RoundTripper
-	// Clock tells the time.
+	// Clock measures the silence.
 	Clock mgclock.Clock
-	// Interval between heartbeats, by default DefaultInterval.
+	// Interval is the heartbeat interval, by default DefaultInterval.
 	Interval mgclock.Millis
 }
 
-func (g *Guard) silence() mgclock.Millis {
+func (g *Guard) silenceTimeout() mgclock.Millis {
 	if g.Interval <= 0 {
 		return silentIntervals * DefaultInterval
 	}
@@ -119,7 +120,7 @@
 
 // RoundTrip implements http.RoundTripper.
 func (g *Guard) RoundTrip(r *http.Request) (*http.Response, error) {
-	response, err := g.try(r, g.Pooled)
+	response, err := g.attempt(r, g.Pooled)
 	if err == nil || r.Context().Err() != nil || !errors.Is(err, errSilent) {
 		return response, err
 	}
@@ -127,34 +128,35 @@
 		Transport: g.Pooled,
 	}
 	client.CloseIdleConnections()
-	again, err := rewind(r)
+	repeated, err := cloneForRetry(r)
 	if err != nil {
 		return nil, err
 	}
-	by := g.Again
-	if by == nil {
-		by = Fresh(g.silence()).Transport
+	transport := g.Again
+	if transport == nil {
+		transport = NewUnpooledClient(g.silenceTimeout()).Transport
 	}
-	return g.try(again, by)
+	return g.attempt(repeated, transport)
 }
 
-// try makes a call and reads its reply while something is heard.
-func (g *Guard) try(r *http.Request, by http.RoundTripper) (*http.Response, error) {
+// attempt makes a call and reads its whole reply. It fails with errSilent when
+// nothing is received within the silence timeout.
+func (g *Guard) attempt(r *http.Request, transport http.RoundTripper) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
-	var heard atomic.Int64
-	hear := func() { heard.Store(int64(g.Clock.Now())) }
-	hear()
-	go g.watch(ctx, cancel, &heard)
+	var lastReceived atomic.Int64
+	markReceived := func() { lastReceived.Store(int64(g.Clock.Now())) }
+	markReceived()
+	go g.cancelWhenSilent(ctx, cancel, &lastReceived)
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		Got1xxResponse: func(int, textproto.MIMEHeader) error {
-			hear()
+			markReceived()
 			return nil
 		},
 	})
-	response, err := by.RoundTrip(r.WithContext(traced))
+	response, err := transport.RoundTrip(r.WithContext(traced))
 	if err == nil {
-		err = readAll(response, hear)
+		err = readBody(response, markReceived)
 	}
 	if err != nil && errors.Is(context.Cause(ctx), errSilent) {
 		return nil, fmt.Errorf("%w: %w", errSilent, err)
@@ -162,28 +164,30 @@
 	return response, err
 }
 
-// watch ends a try once nothing was heard for a span of silence.
-func (g *Guard) watch(ctx context.Context, cancel context.CancelCauseFunc, heard *atomic.Int64) {
+// cancelWhenSilent cancels an attempt when nothing was received within the
+// silence timeout.
+func (g *Guard) cancelWhenSilent(ctx context.Context, cancel context.CancelCauseFunc, lastReceived *atomic.Int64) {
 	for {
-		wait := mgclock.Millis(heard.Load()) + g.silence() - g.Clock.Now()
-		if wait <= 0 {
+		remaining := mgclock.Millis(lastReceived.Load()) + g.silenceTimeout() - g.Clock.Now()
+		if remaining <= 0 {
 			cancel(errSilent)
 			return
 		}
-		if !g.Clock.Sleep(ctx, wait) {
+		if !g.Clock.Sleep(ctx, remaining) {
 			return
 		}
 	}
 }
 
-// readAll puts the whole reply in place of the response's body.
-func readAll(response *http.Response, hear func()) error {
+// readBody replaces the response's body by a buffer with the whole reply. It
+// calls onRead after each read.
+func readBody(response *http.Response, onRead func()) error {
 	defer func() { _ = response.Body.Close() }()
 	var body bytes.Buffer
 	chunk := make([]byte, 32<<10)
-	for body.Len() <= maxReply {
+	for body.Len() <= maxReplyBytes {
 		n, err := response.Body.Read(chunk)
-		hear()
+		onRead()
 		body.Write(chunk[:n])
 		if errors.Is(err, io.EOF) {
 			response.Body = io.NopCloser(&body)
@@ -193,13 +197,13 @@
 			return err
 		}
 	}
-	return fmt.Errorf("link: reply beyond %d bytes: bound what the service answers", maxReply)
+	return fmt.Errorf("link: reply exceeds %d bytes: limit the replies of the service", maxReplyBytes)
 }
 
-func rewind(r *http.Request) (*http.Request, error) {
-	again := r.Clone(r.Context())
+func cloneForRetry(r *http.Request) (*http.Request, error) {
+	clone := r.Clone(r.Context())
 	if r.Body == nil || r.Body == http.NoBody {
-		return again, nil
+		return clone, nil
 	}
 	if r.GetBody == nil {
 		return nil, fmt.Errorf("%w: its body can't be sent again", errSilent)
@@ -208,6 +212,6 @@
 	if err != nil {
 		return nil, err
 	}
-	again.Body = body
-	return again, nil
+	clone.Body = body
+	return clone, nil
 }
--- a/internal/connection/mglink/bubble_test.go
+++ b/internal/connection/mglink/network_test.go
@@ -9,8 +9,9 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/standin/mgnetwork"
 )
 
-// bubble plays with an agent's handler in virtual time.
-func bubble(t *testing.T, handler http.Handler, body func(*mgnetwork.Network)) {
+// runWithNetwork runs body in virtual time, with a simulated network on which
+// handler serves the agent.
+func runWithNetwork(t *testing.T, handler http.Handler, body func(*mgnetwork.Network)) {
 	synctest.Test(t, func(*testing.T) {
 		var n mgnetwork.Network
 		n.Serve("agent", handler)
@@ -20,7 +21,7 @@
 	})
 }
 
-func token(seq uint64, text string) *mgrpc.Frame {
+func tokenFrame(seq uint64, text string) *mgrpc.Frame {
 	return &mgrpc.Frame{
 		Generation: "g",
 		Seq:        seq,
@@ -28,7 +29,7 @@
 	}
 }
 
-func last(total uint64) *mgrpc.Frame {
+func finalFrame(total uint64) *mgrpc.Frame {
 	return &mgrpc.Frame{
 		Generation: "g",
 		End:        "stop",
--- a/internal/connection/mglink/stream.go
+++ b/internal/connection/mglink/stream.go
@@ -13,38 +13,38 @@
 )
 
 var (
-	// ErrLost is returned when no connection gives the stream any more.
-	ErrLost = errors.New("link: stream lost: go by the generation's record")
-	// errSilent is why a connection was given up that nobody closed.
-	errSilent = errors.New("link: connection silent: it is reopened")
-	// errCut is why a connection was given up that ended before the stream.
-	errCut = errors.New("link: connection ended before the stream: it is reopened")
+	// ErrLost is returned when no further attempt is made to reopen the stream.
+	ErrLost = errors.New("link: stream lost: check the generation's record")
+	// errSilent is the cause of closing a connection that neither end had closed.
+	errSilent = errors.New("link: connection silent: reopening it")
+	// errConnectionEnded is the error of a connection that ended before the stream.
+	errConnectionEnded = errors.New("link: connection ended before the stream: reopening it")
 )
 
 const (
-	// DefaultAttempts bounds the connections in a row that bring nothing.
+	// DefaultAttempts is the maximum number of consecutive attempts without tokens.
 	DefaultAttempts = 6
-	// DefaultBackoff is the wait before the second try; it doubles each time, so
-	// that an agent that restarts has about three seconds to be back.
+	// DefaultBackoff is the delay before the second attempt; it doubles each time,
+	// so that an agent has about three seconds to restart.
 	DefaultBackoff mgclock.Millis = 100
 )
 
-// A StreamSpec describes the entry's end of a stream.
+// A StreamSpec configures the entry's end of a stream.
 type StreamSpec struct {
-	// Open asks, on a new connection, for the frames from token number from on.
-	// Its body ends with ctx. A Problem that another try can't mend ends the
-	// stream.
+	// Open requests, on a new connection, the frames beginning with token number
+	// from. Its body ends with ctx. A permanent Problem ends the stream.
 	Open func(ctx context.Context, from uint64) (io.ReadCloser, error)
-	// Clock tells the time.
+	// Clock measures silence and backoff.
 	Clock mgclock.Clock
-	// Interval between heartbeats, by default DefaultInterval.
+	// Interval is the heartbeat interval, by default DefaultInterval.
 	Interval mgclock.Millis
-	// Attempts and Backoff bound the tries that bring nothing.
+	// Attempts is the maximum number of consecutive attempts without tokens, and
+	// Backoff the delay before the second one.
 	Attempts int
 	Backoff  mgclock.Millis
-	// Budget is the span after which the stream isn't reopened; 0 is no bound.
+	// Budget is the time after which the stream isn't reopened; 0 means no limit.
 	Budget mgclock.Millis
-	// From is the last token that the reader has.
+	// From is the number of the last token that the reader has.
 	From uint64
 }
 
@@ -61,102 +61,103 @@
 	return s
 }
 
-// A Stream reads the frames of one generation over as many connections as it
-// takes. It is used by one goroutine.
+// A Stream reads the frames of one generation over as many connections as
+// needed. It is not safe for concurrent use.
 type Stream struct {
-	spec    StreamSpec
-	begun   mgclock.Millis
-	last    uint64
-	barren  int // tries in a row that brought nothing
-	reopens int
-	ended   bool // the final frame was read
-	over    bool // nothing follows, whatever the reader thinks of it
-	current *connection
+	spec           StreamSpec
+	startTime      mgclock.Millis
+	lastToken      uint64
+	failedAttempts int // consecutive attempts without tokens
+	reopenCount    int
+	finalRead      bool // the final frame was read
+	isClosed       bool // nothing more is read, even after Reopen
+	current        *connection
 }
 
-// connection is one try: a goroutine that opens a body and reads it.
+// connection is one attempt: a goroutine that opens a body and reads its frames.
 type connection struct {
-	cancel context.CancelFunc
-	frames chan *mgrpc.Frame
-	failed chan error
-	opened mgclock.Millis
-	heard  mgclock.Millis
-	alarm  <-chan struct{}
+	cancel       context.CancelFunc
+	frames       chan *mgrpc.Frame
+	errs         chan error
+	opened       mgclock.Millis
+	lastReceived mgclock.Millis
+	timer        <-chan struct{}
 }
 
-// NewStream returns a Stream that opens its first connection on Next.
+// NewStream returns a Stream that opens its first connection in Next.
 func NewStream(spec StreamSpec) *Stream {
 	return &Stream{
-		spec:  spec.withDefaults(),
-		begun: spec.Clock.Now(),
-		last:  spec.From,
+		spec:      spec.withDefaults(),
+		startTime: spec.Clock.Now(),
+		lastToken: spec.From,
 	}
 }
 
-// Silence returns the longest time without a frame on a working connection.
+// Silence returns the silence timeout: the maximum time without a frame after
+// which a connection is still used.
 func (s *Stream) Silence() mgclock.Millis { return silentIntervals * s.spec.Interval }
 
-// Reopens returns how often the stream went on on a new connection.
-func (s *Stream) Reopens() int { return s.reopens }
+// ReopenCount returns how often the stream was reopened after a failure.
+func (s *Stream) ReopenCount() int { return s.reopenCount }
 
-// Close gives up the connection, if there is one.
+// Close ends the stream and closes its connection.
 func (s *Stream) Close() {
-	s.over = true
-	s.drop()
+	s.isClosed = true
+	s.closeConnection()
 }
 
-// Reopen makes the next Next read from the token after last on a new
-// connection, for a reader that refused a frame. The final frame may be refused
-// as well: it may be another generation's, or come before the tokens it ends.
-func (s *Stream) Reopen(last uint64) {
-	s.drop()
-	s.ended = false
-	s.last = last
-	s.barren++
+// Reopen makes the next call of Next read from the token after lastToken on a new
+// connection, for a reader that rejected a frame. This includes the final frame,
+// which may belong to another generation or arrive before the last tokens.
+func (s *Stream) Reopen(lastToken uint64) {
+	s.closeConnection()
+	s.finalRead = false
+	s.lastToken = lastToken
+	s.failedAttempts++
 }
 
 // Next returns the next frame that isn't a heartbeat. After the final frame it
-// returns io.EOF. It returns ErrLost when the stream can't be had any more, and
-// the Problem when the agent says why.
+// returns io.EOF. It returns ErrLost when the stream can't be reopened, and the
+// agent's Problem when that is permanent.
 func (s *Stream) Next(ctx context.Context) (*mgrpc.Frame, error) {
-	for !s.over && !s.ended {
+	for !s.isClosed && !s.finalRead {
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
 		if s.current == nil {
 			s.open(ctx)
 		}
-		f, err := s.read(ctx)
+		f, err := s.readFrame(ctx)
 		switch {
 		case err != nil && ctx.Err() != nil:
 			return nil, ctx.Err()
 		case err != nil:
-			if err := s.fail(ctx, err); err != nil {
+			if err := s.handleFailure(ctx, err); err != nil {
 				return nil, err
 			}
-		case !Heartbeat(f):
-			s.take(f)
+		case !IsHeartbeat(f):
+			s.recordProgress(f)
 			return f, nil
 		}
 	}
 	return nil, io.EOF
 }
 
-// open starts a connection. It outlives the call of Next that opened it, but
-// not ctx's cancellation.
+// open starts a connection, which stays open after Next returns but ends with
+// ctx.
 func (s *Stream) open(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	now := s.spec.Clock.Now()
 	c := &connection{
-		cancel: cancel,
-		frames: make(chan *mgrpc.Frame),
-		failed: make(chan error, 1),
-		opened: now,
-		heard:  now,
+		cancel:       cancel,
+		frames:       make(chan *mgrpc.Frame),
+		errs:         make(chan error, 1),
+		opened:       now,
+		lastReceived: now,
 	}
 	s.current = c
-	from := s.last + 1
-	go func() { c.failed <- c.run(ctx, s.spec.Open, from) }()
+	from := s.lastToken + 1
+	go func() { c.errs <- c.run(ctx, s.spec.Open, from) }()
 }
 
 func (c *connection) run(ctx context.Context, open func(context.Context, uint64) (io.ReadCloser, error), from uint64) error {
@@ -164,7 +165,7 @@
 	if err != nil {
 		return err
 	}
-	// A read on a silent connection returns only once its body is closed.
+	// A read on a silent connection returns only when its body is closed.
 	stop := context.AfterFunc(ctx, func() { _ = body.Close() })
 	defer func() {
 		if stop() {
@@ -175,7 +176,7 @@
 	for {
 		f, err := ReadFrame(in)
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			return errCut
+			return errConnectionEnded
 		}
 		if err != nil {
 			return err
@@ -188,99 +189,100 @@
 	}
 }
 
-// read returns the connection's next frame, or why there is none.
-func (s *Stream) read(ctx context.Context) (*mgrpc.Frame, error) {
+// readFrame returns the connection's next frame or an error.
+func (s *Stream) readFrame(ctx context.Context) (*mgrpc.Frame, error) {
 	c := s.current
 	for {
-		if c.alarm == nil {
-			// One timer serves all frames until it fires.
-			c.alarm = s.spec.Clock.After(s.silentAt() - s.spec.Clock.Now())
+		if c.timer == nil {
+			// One timer covers all frames until it fires.
+			c.timer = s.spec.Clock.After(s.silenceDeadline() - s.spec.Clock.Now())
 		}
 		select {
 		case f := <-c.frames:
-			c.heard = s.spec.Clock.Now()
+			c.lastReceived = s.spec.Clock.Now()
 			return f, nil
-		case err := <-c.failed:
+		case err := <-c.errs:
 			return nil, err
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-c.alarm:
-			c.alarm = nil
+		case <-c.timer:
+			c.timer = nil
 		}
-		// The reader itself may have slept past the bound, as a paused process
-		// does, while frames came: they are taken before the verdict.
+		// The reader itself may have been paused beyond the timeout while frames
+		// arrived: read them before the connection is considered silent.
 		select {
 		case f := <-c.frames:
-			c.heard = s.spec.Clock.Now()
+			c.lastReceived = s.spec.Clock.Now()
 			return f, nil
 		default:
 		}
-		if s.spec.Clock.Now() >= s.silentAt() {
-			// Neither end has closed the connection, and nothing comes: a device
-			// between them has forgotten it. TCP alone would wait for minutes.
+		if s.spec.Clock.Now() >= s.silenceDeadline() {
+			// Neither end has closed the connection and nothing is received: a device
+			// between them has dropped its state. TCP alone would wait for minutes.
 			return nil, errSilent
 		}
 	}
 }
 
-func (s *Stream) silentAt() mgclock.Millis { return s.current.heard + s.Silence() }
+func (s *Stream) silenceDeadline() mgclock.Millis { return s.current.lastReceived + s.Silence() }
 
-// take notes a frame's progress.
-func (s *Stream) take(f *mgrpc.Frame) {
-	if n := uint64(len(f.GetText())); n > 0 && f.GetSeq() <= s.last+1 {
-		s.last = max(s.last, f.GetSeq()+n-1)
-		s.barren = 0
+// recordProgress records the last token of a frame and whether it is final.
+func (s *Stream) recordProgress(f *mgrpc.Frame) {
+	if n := uint64(len(f.GetText())); n > 0 && f.GetSeq() <= s.lastToken+1 {
+		s.lastToken = max(s.lastToken, f.GetSeq()+n-1)
+		s.failedAttempts = 0
 	}
 	if Final(f) {
-		s.ended = true
-		s.drop()
+		s.finalRead = true
+		s.closeConnection()
 	}
 }
 
-// fail gives up the connection and waits before the next, or says that there
-// will be none.
-func (s *Stream) fail(ctx context.Context, cause error) error {
-	if s.current.heard-s.current.opened > s.Silence() {
-		s.barren = 0 // it worked for a while, even if there were no tokens yet
+// handleFailure closes the connection and waits before the next attempt, or
+// returns an error when there is to be none.
+func (s *Stream) handleFailure(ctx context.Context, cause error) error {
+	if s.current.lastReceived-s.current.opened > s.Silence() {
+		s.failedAttempts = 0 // it worked for a while, even without tokens
 	}
-	s.drop()
-	if final(cause) {
-		s.over = true
+	s.closeConnection()
+	if isPermanent(cause) {
+		s.isClosed = true
 		return cause
 	}
-	wait := s.backoff()
-	s.barren++
-	if s.barren >= s.spec.Attempts || s.late(wait) {
-		s.over = true
+	delay := s.backoff()
+	s.failedAttempts++
+	if s.failedAttempts >= s.spec.Attempts || s.exceedsBudget(delay) {
+		s.isClosed = true
 		return fmt.Errorf("%w: %w", ErrLost, cause)
 	}
-	s.reopens++
-	s.spec.Clock.Sleep(ctx, wait)
+	s.reopenCount++
+	s.spec.Clock.Sleep(ctx, delay)
 	return nil
 }
 
-// backoff returns the wait before the next try: none after a connection that
-// brought something.
+// backoff returns the delay before the next attempt: 0 after a connection that
+// worked.
 func (s *Stream) backoff() mgclock.Millis {
-	if s.barren == 0 {
+	if s.failedAttempts == 0 {
 		return 0
 	}
-	return s.spec.Backoff << (s.barren - 1)
+	return s.spec.Backoff << (s.failedAttempts - 1)
 }
 
-func (s *Stream) late(wait mgclock.Millis) bool {
-	return s.spec.Budget > 0 && s.spec.Clock.Now()+wait >= s.begun+s.spec.Budget
+func (s *Stream) exceedsBudget(delay mgclock.Millis) bool {
+	return s.spec.Budget > 0 && s.spec.Clock.Now()+delay >= s.startTime+s.spec.Budget
 }
 
-func (s *Stream) drop() {
+func (s *Stream) closeConnection() {
 	if s.current != nil {
 		s.current.cancel()
 		s.current = nil
 	}
 }
 
-// final reports whether a problem stays on another connection.
-func final(err error) bool {
+// isPermanent reports whether err is a problem that another connection would not
+// resolve.
+func isPermanent(err error) bool {
 	var problem *mgproblem.Problem
 	if !errors.As(err, &problem) {
 		return false
--- a/internal/connection/mgservice/client_test.go
+++ b/internal/connection/mgservice/client_test.go
@@ -17,56 +17,55 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A gauger books a transfer ticket. The service runs it and the link breaks
-// before the reply. Told "not sent", the gauger would book again: two barrels
-// for one. So each break after a connection stood is Unknown, only one before
-// is NotSent, and nothing under the client repeats the call.
-func TestCertainty(t *testing.T) {
-	cut := func(w http.ResponseWriter) {
+// Guards against a write that runs twice because its caller repeats it after a
+// wrong NotSent. A failure after a connection was established must be Unknown, only
+// one before is NotSent, and the client never repeats the call by itself.
+func TestFailureKindContradictsService(t *testing.T) {
+	cutConnection := func(w http.ResponseWriter) {
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err == nil {
 			_ = conn.Close()
 		}
 	}
 	cases := []struct {
-		name   string
-		answer http.HandlerFunc
-		ended  bool
-		kind   mgservice.Kind
-		runs   int64
+		name        string
+		answer      http.HandlerFunc
+		isCancelled bool
+		kind        mgservice.Kind
+		runs        int64
 	}{
 		{
-			name:  "nobody listens",
-			kind:  mgservice.NotSent,
-			ended: false,
+			name:        "nobody listens",
+			kind:        mgservice.NotSent,
+			isCancelled: false,
 		},
 		{
-			name:   "the caller had given up before it was sent",
-			answer: func(http.ResponseWriter, *http.Request) {},
-			ended:  true,
-			kind:   mgservice.NotSent,
+			name:        "the caller cancelled it before it was sent",
+			answer:      func(http.ResponseWriter, *http.Request) {},
+			isCancelled: true,
+			kind:        mgservice.NotSent,
 		},
 		{
-			name: "the link breaks before the body was read",
+			name: "the connection breaks before the body was read",
 			answer: func(w http.ResponseWriter, _ *http.Request) {
-				cut(w)
+				cutConnection(w)
 			},
 			kind: mgservice.Unknown,
 			runs: 1,
 		},
 		{
-			name: "the reply breaks off in its middle",
+			name: "the reply is truncated",
 			answer: func(w http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
 				w.Header().Set("Content-Length", "10")
 				_, _ = io.WriteString(w, "book")
-				cut(w)
+				cutConnection(w)
 			},
 			kind: mgservice.Unknown,
 			runs: 1,
 		},
 		{
-			name: "the reply is larger than its bound",
+			name: "the reply is larger than the limit",
 			answer: func(w http.ResponseWriter, _ *http.Request) {
 				_, _ = w.Write(make([]byte, 1<<20+1))
 			},
@@ -74,18 +73,18 @@
 			runs: 1,
 		},
 		{
-			name: "the service sends it elsewhere, which would run it twice",
+			name: "the service redirects it, which would run it twice",
 			answer: func(w http.ResponseWriter, r *http.Request) {
 				http.Redirect(w, r, "/tickets", http.StatusTemporaryRedirect)
 			},
 			runs: 1,
 		},
 	}
-	Convey("A call tells what is certain when", t, func() {
+	Convey("The kind of failure is right when", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				var runs atomic.Int64
-				base := "http://" + refusing(t)
+				base := "http://" + refusingAddr(t)
 				if c.answer != nil {
 					s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 						runs.Add(1)
@@ -96,7 +95,7 @@
 				}
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
-				if c.ended {
+				if c.isCancelled {
 					cancel()
 				}
 				_, err := mgservice.NewHTTP(base, nil).Call(ctx, mgservice.CallSpec{
@@ -117,8 +116,8 @@
 	})
 }
 
-// refusing returns an address on which nobody listens.
-func refusing(t *testing.T) string {
+// refusingAddr returns an address without a listener.
+func refusingAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -128,11 +127,10 @@
 	return l.Addr().String()
 }
 
-// A gauger's second ticket goes over the connection of the first. The service
-// books it and the connection breaks before the reply. net/http takes the
-// Idempotency-Key for a permission to send the request again on another
-// connection, and the service, which knows no such key, books two barrels.
-func TestSilentRepeat(t *testing.T) {
+// Guards against a write that net/http runs twice: when a reused connection breaks
+// before the reply, net/http takes an Idempotency-Key as permission to repeat the
+// request on another connection, although the service may not know such keys.
+func TestPooledConnectionRepeatsCall(t *testing.T) {
 	cases := []struct {
 		name   string
 		client *http.Client
@@ -143,7 +141,7 @@
 			runs: 1,
 		},
 		{
-			name: "the broken variant, pooled connections: two runs",
+			name: "pooled connections, the broken variant: two runs",
 			client: &http.Client{
 				Transport: &http.Transport{},
 			},
--- a/pkg/mgclient/complete.go
+++ b/pkg/mgclient/complete.go
@@ -7,11 +7,11 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// Complete asks for one answer and passes each of its tokens to each, once and
-// in order. Each may be nil; its error ends the answer. With an error, the
-// Answer holds what came before it.
-func (c *Client) Complete(ctx context.Context, request Request, each func(Token) error) (Answer, error) {
-	if problem := c.ready(); problem != nil {
+// Complete requests one answer and calls onToken with each of its tokens, once
+// and in order. onToken may be nil; its error ends the answer. With an error, the
+// Answer holds the tokens received before it.
+func (c *Client) Complete(ctx context.Context, request Request, onToken func(Token) error) (Answer, error) {
+	if problem := c.checkReady(); problem != nil {
 		return Answer{}, problem
 	}
 	request.Stream = true
@@ -21,29 +21,29 @@
 			"the request can't be written as JSON", "check its text").WithCause(err)
 	}
 	s := session{
-		client: c,
-		data:   data,
-		each:   each,
+		client:  c,
+		data:    data,
+		onToken: onToken,
 	}
 	err = s.run(ctx)
 	s.answer.text = s.text.String()
 	return s.answer, err
 }
 
-// Resume goes on with an answer from the token after the last one that the
-// caller has. The Answer holds only the tokens from there on.
-func (c *Client) Resume(ctx context.Context, answer string, last uint64, each func(Token) error) (Answer, error) {
-	if problem := c.ready(); problem != nil {
+// Resume continues an answer after token lastSeq, the last one that the caller
+// has. The text of the Answer holds only the tokens after it.
+func (c *Client) Resume(ctx context.Context, answer string, lastSeq uint64, onToken func(Token) error) (Answer, error) {
+	if problem := c.checkReady(); problem != nil {
 		return Answer{}, problem
 	}
 	s := session{
-		client: c,
-		each:   each,
+		client:  c,
+		onToken: onToken,
 		answer: Answer{
 			name:   answer,
-			tokens: last,
+			tokens: lastSeq,
 		},
-		named: true,
+		isNameSettled: true,
 	}
 	err := s.run(ctx)
 	s.answer.text = s.text.String()
--- a/pkg/mgclient/session.go
+++ b/pkg/mgclient/session.go
@@ -13,48 +13,49 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// session is one answer on its way, over as many connections as it takes.
+// session receives one answer over as many connections as needed.
 type session struct {
-	client *Client
-	data   []byte
-	each   func(Token) error
-	answer Answer
-	text   strings.Builder
-	named  bool // a token or a resume has settled the answer's name
+	client        *Client
+	data          []byte
+	onToken       func(Token) error
+	answer        Answer
+	text          strings.Builder
+	isNameSettled bool // a token or a resume has confirmed the answer's name
 }
 
-// errSilent is the cause of a connection given up for its silence. A
-// middlebox may have dropped its entry for it, so that it would never break by
-// itself.
-var errSilent = errors.New("no sign of life on the connection: it was given up")
+// errSilent is the cause of a connection that was closed because nothing was
+// received. A middlebox may have dropped its state of the connection, which then
+// would never break by itself.
+var errSilent = errors.New("nothing was received on the connection in time: it was closed")
 
-// errCut is the cause of a connection that ended before the answer did.
-var errCut = errors.New("the connection ended before the answer did")
+// errConnectionEnded is the cause of a connection that ended before the answer.
+var errConnectionEnded = errors.New("the connection ended before the answer did")
 
-// run tries until the answer is whole or nothing more can be done.
+// run makes attempts until the answer is complete or a problem is final. An
+// attempt that received tokens resets the count.
 func (s *session) run(ctx context.Context) error {
-	for try := 1; ; try++ {
-		had := s.answer.tokens
-		err := s.try(ctx)
+	for attempt := 1; ; attempt++ {
+		tokensBefore := s.answer.tokens
+		err := s.attempt(ctx)
 		if err == nil {
 			return nil
 		}
 		if ctx.Err() != nil {
-			return ended(ctx, s.outcome())
+			return cancelledProblem(ctx, s.outcome())
 		}
-		if s.answer.tokens > had {
-			try = 1
+		if s.answer.tokens > tokensBefore {
+			attempt = 1
 		}
-		if problem := s.judge(err, try); problem != nil {
-			return s.whole(problem)
+		if problem := s.finalProblem(err, attempt); problem != nil {
+			return s.problemOfRequest(problem)
 		}
-		if !s.client.spec.Clock.Sleep(ctx, s.wait(err, try)) {
-			return ended(ctx, s.outcome())
+		if !s.client.spec.Clock.Sleep(ctx, s.retryDelay(err, attempt)) {
+			return cancelledProblem(ctx, s.outcome())
 		}
 	}
 }
 
-// outcome returns what a caller who gives up is told.
+// outcome returns the outcome to report to a caller who gives up.
 func (s *session) outcome() mgproblem.Outcome {
 	if s.answer.starts == 0 {
 		return mgproblem.NotRun
@@ -62,19 +63,19 @@
 	return mgproblem.Unknown
 }
 
-// try asks for the answer, or for the rest of it, once.
-func (s *session) try(ctx context.Context) error {
-	method, path, wait := http.MethodPost, "/v1/chat/completions", s.client.begin()
+// attempt requests the answer, or the rest of it, once.
+func (s *session) attempt(ctx context.Context) error {
+	method, path, timeout := http.MethodPost, "/v1/chat/completions", s.client.beginTimeout()
 	if s.answer.name != "" {
-		method, path, wait = http.MethodGet, "/v1/answers/"+url.PathEscape(s.answer.name), s.client.silence()
+		method, path, timeout = http.MethodGet, "/v1/answers/"+url.PathEscape(s.answer.name), s.client.silenceTimeout()
 	}
-	r, n, err := s.client.request(ctx, method, path, s.data)
+	r, entry, err := s.client.request(ctx, method, path, s.data)
 	if err != nil {
 		return err
 	}
 	r.Header.Set("Accept", "text/event-stream")
 	if s.answer.name != "" {
-		s.named = true
+		s.isNameSettled = true
 		r.Header.Set("Last-Event-ID", s.answer.name+"."+strconv.FormatUint(s.answer.tokens, 10))
 		s.answer.resumes++
 	} else {
@@ -82,49 +83,50 @@
 		r.Header.Set(resumeHeader, "yes")
 		s.answer.starts++
 	}
-	err = s.stream(ctx, r, wait)
+	err = s.stream(ctx, r, timeout)
 	if err != nil && method == http.MethodPost {
-		s.disown(err)
+		s.clearNameIfNotRun(err)
 	}
-	if err != nil && elsewhere(err) {
-		s.client.leave(n)
+	if err != nil && shouldSwitchEntry(err) {
+		s.client.switchEntry(entry)
 	}
 	return err
 }
 
-// judge returns the final problem after a failed try, or nil when the next try
-// may follow.
+// finalProblem returns the final problem after a failed attempt, or nil when it
+// is to be retried.
 //
-// Without an answer's name, a try that may have run is final: asking again
-// would start a second generation. With it, the answer can be asked for as
-// often as it takes.
-func (s *session) judge(err error, try int) *mgproblem.Problem {
+// Without the answer's name, an attempt that may have run is final: repeating it
+// would start a second generation. With the name, the answer can be requested
+// any number of times.
+func (s *session) finalProblem(err error, attempt int) *mgproblem.Problem {
 	var problem *mgproblem.Problem
 	if errors.As(err, &problem) {
-		if !s.again(problem) || try >= s.client.tries() {
+		if !s.shouldRetry(problem) || attempt >= s.client.maxTries() {
 			return problem
 		}
 		return nil
 	}
 	var transport *transportError
-	sent := !errors.As(err, &transport) || transport.sent
+	wasSent := !errors.As(err, &transport) || transport.sent
 	switch {
-	case s.answer.name == "" && sent:
-		return unconfirmed(err)
-	case try < s.client.tries():
+	case s.answer.name == "" && wasSent:
+		return unconfirmedProblem(err)
+	case attempt < s.client.maxTries():
 		return nil
 	case s.answer.name == "":
-		return unreached(err)
+		return unreachableProblem(err)
 	default:
 		return mgproblem.New(mgproblem.Interrupted, mgproblem.Unknown,
-			fmt.Sprintf("%d tries to resume after token %d failed", try, s.answer.tokens),
+			fmt.Sprintf("%d tries to resume after token %d failed", attempt, s.answer.tokens),
 			"resume later by the answer's name").WithCause(err)
 	}
 }
 
-// whole returns the problem of the last try as that of the request. "Not run"
-// in the reply to a resume speaks of the resume: the answer has begun.
-func (s *session) whole(problem *mgproblem.Problem) *mgproblem.Problem {
+// problemOfRequest converts the problem of the last attempt to that of the
+// request. "Not run" in the reply to a resume applies to the resume alone: the
+// answer has begun.
+func (s *session) problemOfRequest(problem *mgproblem.Problem) *mgproblem.Problem {
 	if s.answer.resumes == 0 || problem.Outcome() != mgproblem.NotRun {
 		return problem
 	}
@@ -132,20 +134,20 @@
 		WithRetry(problem.Retry()).WithCause(problem)
 }
 
-// again reports whether the next try may do better after a problem. A
-// generation that was lost stays lost, also where a new request may succeed.
-func (s *session) again(problem *mgproblem.Problem) bool {
+// shouldRetry reports whether another attempt may succeed after a problem. A
+// lost generation can't be resumed, even if a new request may succeed.
+func (s *session) shouldRetry(problem *mgproblem.Problem) bool {
 	if problem.Kind() == mgproblem.Interrupted {
 		return false
 	}
-	return passes(problem) || s.answer.name != "" && (elsewhere(problem) || problem.Retry() > 0)
+	return isTransient(problem) || s.answer.name != "" && (shouldSwitchEntry(problem) || problem.Retry() > 0)
 }
 
-// wait returns how long to wait before the next try. An answer whose
-// connection failed for the first time goes on at once.
-func (s *session) wait(err error, try int) mgclock.Millis {
-	if s.answer.name != "" && try == 1 && retryOf(err) == 0 {
+// retryDelay returns the delay before the next attempt. An answer whose
+// connection failed for the first time is resumed at once.
+func (s *session) retryDelay(err error, attempt int) mgclock.Millis {
+	if s.answer.name != "" && attempt == 1 && retryAfter(err) == 0 {
 		return 0
 	}
-	return backoff(try, retryOf(err), s.client.jitter())
+	return backoff(attempt, retryAfter(err), s.client.jitter())
 }
--- a/pkg/mgclient/sse.go
+++ b/pkg/mgclient/sse.go
@@ -8,28 +8,28 @@
 	"strings"
 )
 
-// eventBytes bounds one line of a stream.
-const eventBytes = 1 << 20
+// maxEventBytes limits one line of a stream.
+const maxEventBytes = 1 << 20
 
-// event is one server-sent event (WHATWG HTML, section 9.2). One without data
-// is a sign of life.
+// event is one server-sent event (WHATWG HTML, section 9.2). An event without
+// data is a heartbeat.
 type event struct {
 	id   string
 	name string
 	data string
 }
 
-// events reads a stream into a channel, which is closed after its end. The
-// reader stops when body is closed and quit is.
-func events(body io.Reader, quit <-chan struct{}) <-chan event {
+// readEventStream sends the events of a stream to a channel and closes it at the
+// end of the stream. To stop it early, close both body and quit.
+func readEventStream(body io.Reader, quit <-chan struct{}) <-chan event {
 	read := make(chan event)
 	go func() {
 		defer close(read)
 		scanner := bufio.NewScanner(body)
-		scanner.Buffer(nil, eventBytes)
+		scanner.Buffer(nil, maxEventBytes)
 		var e event
 		for scanner.Scan() {
-			if !e.take(scanner.Text()) {
+			if !e.addLine(scanner.Text()) {
 				continue
 			}
 			select {
@@ -43,9 +43,9 @@
 	return read
 }
 
-// take takes one line and reports whether the event is complete. A comment is
-// passed on at once, as a sign of life, unless an event has begun.
-func (e *event) take(line string) bool {
+// addLine parses one line and reports whether the event is complete. A comment
+// completes an empty event, a heartbeat, unless an event has begun.
+func (e *event) addLine(line string) bool {
 	if line == "" {
 		return *e != event{}
 	}
@@ -67,11 +67,12 @@
 	return false
 }
 
-// errEventID is the fault of an event whose id names no token.
-var errEventID = errors.New("an event's id isn't <answer>.<number>: the entry is at fault; report it")
+// errEventID is the error for an event whose id doesn't identify a token.
+var errEventID = errors.New("an event's id isn't <answer>.<number>: report a fault of the entry")
 
-// parseID splits an event's id into the answer and the token's number.
-func parseID(id string) (string, uint64, error) {
+// parseEventID splits an event's id into the answer's name and the token's
+// number.
+func parseEventID(id string) (string, uint64, error) {
 	at := strings.LastIndexByte(id, '.')
 	if at < 1 {
 		return "", 0, errEventID
--- a/pkg/mgclock/manual.go
+++ b/pkg/mgclock/manual.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// A Manual clock stands still until it is advanced. The zero Manual starts at
-// 0 and is ready for use by several goroutines.
+// A Manual clock advances only by calls of Advance. The zero Manual starts at 0.
+// It is safe for concurrent use.
 type Manual struct {
 	mu     sync.Mutex
 	now    Millis
@@ -14,8 +14,8 @@
 }
 
 type manualTimer struct {
-	at   Millis
-	done chan struct{}
+	deadline Millis
+	done     chan struct{}
 }
 
 // Clock returns the clock that m drives.
@@ -26,47 +26,47 @@
 	}
 }
 
-// Now returns the time that m was advanced to.
+// Now returns the current time of m.
 func (m *Manual) Now() Millis {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.now
 }
 
-// Advance moves the time by span, which is 0 or more, and fires the timers
-// that fall due in the order of their times.
-func (m *Manual) Advance(span Millis) {
+// Advance advances the time by step, which is 0 or more, and fires the expired
+// timers in the order of their deadlines.
+func (m *Manual) Advance(step Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.now += span
-	sort.SliceStable(m.timers, func(i, j int) bool { return m.timers[i].at < m.timers[j].at })
-	due := 0
-	for due < len(m.timers) && m.timers[due].at <= m.now {
-		close(m.timers[due].done)
-		due++
+	m.now += step
+	sort.SliceStable(m.timers, func(i, j int) bool { return m.timers[i].deadline < m.timers[j].deadline })
+	dueCount := 0
+	for dueCount < len(m.timers) && m.timers[dueCount].deadline <= m.now {
+		close(m.timers[dueCount].done)
+		dueCount++
 	}
-	m.timers = m.timers[due:]
+	m.timers = m.timers[dueCount:]
 }
 
-// Waiting returns the number of timers that have not fired, so that a test
-// knows when every goroutine has come to rest.
+// Waiting returns the number of timers that have not fired, so that a test can
+// detect when all goroutines wait.
 func (m *Manual) Waiting() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.timers)
 }
 
-func (m *Manual) after(span Millis) <-chan struct{} {
+func (m *Manual) after(delay Millis) <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	done := make(chan struct{})
-	if span <= 0 {
+	if delay <= 0 {
 		close(done)
 		return done
 	}
 	m.timers = append(m.timers, manualTimer{
-		at:   m.now + span,
-		done: done,
+		deadline: m.now + delay,
+		done:     done,
 	})
 	return done
 }
--- a/pkg/mgtable/columns.go
+++ b/pkg/mgtable/columns.go
@@ -25,14 +25,14 @@
 	nameColumn("model", func(s *Service) *string { return &s.model }),
 	choiceColumn("prefer", []string{Steady, Whole}, func(s *Service) *string { return &s.prefer }),
 	countColumn("priority", maxPriority, func(s *Service) *int64 { return &s.priority }),
-	countColumn("deadline", maxDeadline, func(s *Service) *int64 { return &s.deadline }),
+	countColumn("deadline", maxDeadlineMillis, func(s *Service) *int64 { return &s.deadline }),
 	countColumn("max", maxTokens, func(s *Service) *int64 { return &s.max }),
 	choiceColumn("repeat", []string{Safe, Never}, func(s *Service) *string { return &s.repeat }),
 	numberColumn("hedge", 0, 1, false, func(s *Service) *float64 { return &s.hedge }),
 	choiceColumn("move", []string{Yes, No}, func(s *Service) *string { return &s.move }),
 	countColumn("copy", maxBatch, func(s *Service) *int64 { return &s.copy }),
 	countColumn("stride", maxBatch, func(s *Service) *int64 { return &s.stride }),
-	countColumn("cold", maxDeadline, func(s *Service) *int64 { return &s.cold }),
+	countColumn("cold", maxDeadlineMillis, func(s *Service) *int64 { return &s.cold }),
 	numberColumn("ramp", 0, maxRate, false, func(s *Service) *float64 { return &s.ramp }),
 	namesColumn("paths", func(s *Service) *[]string { return &s.paths }),
 }
@@ -53,15 +53,15 @@
 	choiceColumn("orders", []string{Checked, Ignored}, func(u *Upstream) *string { return &u.orders }),
 }
 
-// setAccountDefaults fills the columns that were left out.
+// setAccountDefaults fills in omitted columns.
 func setAccountDefaults(a *Account) {
 	if a.weight == 0 {
 		a.weight = 1
 	}
 }
 
-// setServiceDefaults fills the columns that were left out. A plain service that
-// doesn't say whether its calls may be repeated is taken as one whose may not.
+// setServiceDefaults fills in omitted columns. Calls of a plain service are not
+// repeated unless the table says that they may be.
 func setServiceDefaults(s *Service) {
 	if s.kind == "" {
 		s.kind = Generation
@@ -70,15 +70,15 @@
 		s.prefer = Steady
 	}
 	if s.deadline == 0 {
-		s.deadline = defaultDeadline
+		s.deadline = defaultDeadlineMillis
 	}
 	if s.repeat == "" {
 		s.repeat = Never
 	}
 }
 
-// setUpstreamDefaults fills the columns that were left out. An upstream that
-// isn't known to check orders is taken as one that doesn't.
+// setUpstreamDefaults fills in omitted columns. An upstream is assumed not to
+// check the fencing numbers of orders unless the table says that it does.
 func setUpstreamDefaults(u *Upstream) {
 	if u.kind == "" {
 		u.kind = Engine
--- a/pkg/mgtable/route_test.go
+++ b/pkg/mgtable/route_test.go
@@ -8,7 +8,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-const routed = `version = 3
+const tableWithRoutes = `version = 3
 
 [[service]]
 name = "ledger"
@@ -38,9 +38,9 @@
 name = "tankline"
 `
 
-// A call under a longer prefix is sent by the rules of a shorter one, and a
-// write that may not be repeated is repeated.
-func TestRouteOfPath(t *testing.T) {
+// Guards against a shorter prefix taking precedence over a longer one: a write
+// that may not be repeated would then follow another route's rules and be repeated.
+func TestShorterPrefixTaken(t *testing.T) {
 	cases := []struct {
 		host, path, route string
 	}{
@@ -54,8 +54,8 @@
 		{host: "tanks.example", path: ""},
 		{host: "other.example", path: "/book/2f"},
 	}
-	Convey("The route with the longest prefix is taken", t, func() {
-		table, err := mgtable.Parse([]byte(routed))
+	Convey("The route with the longest prefix is selected", t, func() {
+		table, err := mgtable.Parse([]byte(tableWithRoutes))
 		So(err, ShouldBeNil)
 		for _, c := range cases {
 			Convey(c.host+c.path, func() {
@@ -70,11 +70,11 @@
 	})
 }
 
-// Ten in a hundred calls of a split route go to the new service; all or none
-// would be another configuration than the operator's.
-func TestRouteShares(t *testing.T) {
-	Convey("Services are picked by their weights", t, func() {
-		table, err := mgtable.Parse([]byte(routed))
+// Guards against a split route that ignores its weights: ten in a hundred calls
+// must go to the second service, not all or none.
+func TestServicesPickedAgainstWeights(t *testing.T) {
+	Convey("Services are selected by their weights", t, func() {
+		table, err := mgtable.Parse([]byte(tableWithRoutes))
 		So(err, ShouldBeNil)
 		got := map[string]int{}
 		for drawn := range uint64(1000) {
@@ -85,11 +85,11 @@
 	})
 }
 
-// Routes that are lost or changed on their way through pages, TOML or CSV send
-// requests elsewhere than the operator said.
-func TestRoutesKept(t *testing.T) {
-	Convey("Routes stay what they are", t, func() {
-		table, err := mgtable.Parse([]byte(routed))
+// Guards against routes that are lost or changed by a round trip through pages,
+// TOML or CSV: requests would go to a service that the operator didn't configure.
+func TestRouteLostInRoundTrip(t *testing.T) {
+	Convey("Routes are unchanged by a round trip", t, func() {
+		table, err := mgtable.Parse([]byte(tableWithRoutes))
 		So(err, ShouldBeNil)
 		Convey("through TOML", func() {
 			again, err := mgtable.Parse(table.TOML())
@@ -119,8 +119,9 @@
 	})
 }
 
-// A faulty route is found when the table is checked and not by a caller.
-func TestRouteFaults(t *testing.T) {
+// Guards against a faulty route that passes the check of the table and fails
+// only when a caller uses it.
+func TestFaultyRouteAccepted(t *testing.T) {
 	cases := map[string]string{
 		"unknown service":   `services = ["nobody"]`,
 		"no service":        ``,
@@ -130,12 +131,12 @@
 	Convey("A route with a fault is refused", t, func() {
 		for name, row := range cases {
 			Convey(name, func() {
-				_, err := mgtable.Parse([]byte(routed + "\n[[route]]\nname = \"bad\"\nhost = \"tanks.example\"\n" + row + "\n"))
+				_, err := mgtable.Parse([]byte(tableWithRoutes + "\n[[route]]\nname = \"bad\"\nhost = \"tanks.example\"\n" + row + "\n"))
 				So(err, ShouldNotBeNil)
 			})
 		}
 		Convey("two routes under one host and prefix", func() {
-			_, err := mgtable.Parse([]byte(routed + "\n[[route]]\nname = \"twin\"\nhost = \"tanks.example\"\nprefix = \"/book/\"\nservices = [\"ledger\"]\n"))
+			_, err := mgtable.Parse([]byte(tableWithRoutes + "\n[[route]]\nname = \"twin\"\nhost = \"tanks.example\"\nprefix = \"/book/\"\nservices = [\"ledger\"]\n"))
 			So(err, ShouldNotBeNil)
 		})
 	})
--- a/pkg/mgtable/rows.go
+++ b/pkg/mgtable/rows.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// record is a row as it was read, before it is checked.
+// record is a parsed row before it is checked.
 type record struct {
 	kind  string
 	line  int
@@ -19,7 +19,7 @@
 	value value
 }
 
-// name returns the record's name as far as it can be told, for messages.
+// name returns the record's name for messages, or "" when it has none.
 func (r record) name() string {
 	for _, e := range r.cells {
 		if e.name == "name" {
@@ -39,8 +39,8 @@
 	routes    []*Route
 }
 
-// collect makes rows of records.
-func collect(version uint64, records []record, faults *Faults) rows {
+// buildRows converts records to rows.
+func buildRows(version uint64, records []record, faults *Faults) rows {
 	set := rows{
 		version: version,
 	}
@@ -48,27 +48,27 @@
 	for _, r := range records {
 		switch r.kind {
 		case accountRow:
-			a := fill(r, accountColumns, faults)
+			a := parseRow(r, accountColumns, faults)
 			a.line = r.line
-			a.services = names.list(a.services)
+			a.services = names.intern(a.services)
 			setAccountDefaults(a)
 			set.accounts = append(set.accounts, a)
 		case serviceRow:
-			s := fill(r, serviceColumns, faults)
+			s := parseRow(r, serviceColumns, faults)
 			s.line = r.line
 			setServiceDefaults(s)
 			set.services = append(set.services, s)
 		case modelRow:
-			m := fill(r, modelColumns, faults)
+			m := parseRow(r, modelColumns, faults)
 			m.line = r.line
 			set.models = append(set.models, m)
 		case upstreamRow:
-			u := fill(r, upstreamColumns, faults)
+			u := parseRow(r, upstreamColumns, faults)
 			u.line = r.line
 			setUpstreamDefaults(u)
 			set.upstreams = append(set.upstreams, u)
 		case routeRow:
-			row := fill(r, routeColumns, faults)
+			row := parseRow(r, routeColumns, faults)
 			row.line = r.line
 			setRouteDefaults(row)
 			set.routes = append(set.routes, row)
@@ -84,8 +84,8 @@
 	return set
 }
 
-// fill reads the cells of a record into a new row.
-func fill[R any](r record, columns []column[R], faults *Faults) *R {
+// parseRow converts the cells of a record to a row.
+func parseRow[R any](r record, columns []column[R], faults *Faults) *R {
 	row := new(R)
 	label := r.kind + " " + r.name()
 	seen := make([]bool, len(columns))
@@ -95,7 +95,7 @@
 			row:    label,
 			column: clip(e.name),
 		}
-		i := find(columns, e.name)
+		i := columnIndex(columns, e.name)
 		switch {
 		case i < 0:
 			fault.text = "unknown column"
@@ -126,7 +126,7 @@
 	return row
 }
 
-func find[R any](columns []column[R], name string) int {
+func columnIndex[R any](columns []column[R], name string) int {
 	for i := range columns {
 		if columns[i].name == name {
 			return i
@@ -143,8 +143,8 @@
 	return strings.Join(names, ", ")
 }
 
-// sorted orders the rows by name, the order of the canonical form.
-func (s *rows) sorted() {
+// sortByName sorts the rows by name, the order of the canonical form.
+func (s *rows) sortByName() {
 	sort.Slice(s.accounts, func(i, j int) bool { return s.accounts[i].name < s.accounts[j].name })
 	sort.Slice(s.services, func(i, j int) bool { return s.services[i].name < s.services[j].name })
 	sort.Slice(s.models, func(i, j int) bool { return s.models[i].name < s.models[j].name })
@@ -152,11 +152,11 @@
 	sort.Slice(s.routes, func(i, j int) bool { return s.routes[i].name < s.routes[j].name })
 }
 
-// interner keeps one copy of each list of names that many accounts share.
-// Without it a table of 35,000 accounts holds the services' names 35,000 times.
+// interner deduplicates the lists of names that many accounts share. Without it
+// a table of 35,000 accounts would hold the names of the services 35,000 times.
 type interner map[string][]string
 
-func (n interner) list(names []string) []string {
+func (n interner) intern(names []string) []string {
 	if len(names) == 0 {
 		return nil
 	}
--- a/pkg/mgtable/toml.go
+++ b/pkg/mgtable/toml.go
@@ -10,15 +10,15 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxSource bounds the text of a table. 35,000 accounts take about 7 MB.
-const maxSource = 64 << 20
+// maxSourceBytes limits the text of a table. 35,000 accounts take about 7 MB.
+const maxSourceBytes = 64 << 20
 
-// versionColumn is the table's one column outside of any row.
+// versionColumn is the table's only column outside of any row.
 const versionColumn = "version"
 
-// readTOML splits a text into records. It walks the syntax tree in place of
+// readTOML parses TOML into records. It walks the syntax tree instead of
 // decoding into structs, because a decoder stops at the first value of a wrong
-// type and an operator wants all faults of an edit at once.
+// type, and operators need all faults of an edit at once.
 func readTOML(data []byte, faults *Faults) (uint64, []record) {
 	if !checkText(data, faults) {
 		return 0, nil
@@ -31,16 +31,16 @@
 	}
 	r.parser.Reset(data)
 	for r.parser.NextExpression() {
-		r.expression(r.parser.Expression())
+		r.readExpression(r.parser.Expression())
 	}
-	r.syntax(r.parser.Error())
+	r.addSyntaxFault(r.parser.Error())
 	return r.version, r.records
 }
 
-// checkText refuses a text that is too long or not UTF-8.
+// checkText reports a text that is too long or not UTF-8.
 func checkText(data []byte, faults *Faults) bool {
-	if len(data) > maxSource {
-		faults.whole(fmt.Sprintf("the table has %d bytes", len(data)), fmt.Sprintf("keep it under %d bytes", maxSource))
+	if len(data) > maxSourceBytes {
+		faults.addTableFault(fmt.Sprintf("the table has %d bytes", len(data)), fmt.Sprintf("keep it under %d bytes", maxSourceBytes))
 		return false
 	}
 	if utf8.Valid(data) {
@@ -70,35 +70,35 @@
 	return line
 }
 
-// tomlReader turns expressions into records.
+// tomlReader converts expressions to records.
 type tomlReader struct {
-	parser  unstable.Parser
-	faults  *Faults
-	records []record
-	version uint64
-	stray   bool
+	parser        unstable.Parser
+	faults        *Faults
+	records       []record
+	version       uint64
+	inSingleTable bool
 
-	// line is the line of the byte at offset. Both only grow, so that a text
-	// is counted through once.
+	// line is the line of the byte at offset. Both only increase, so that the
+	// newlines of a text are counted once.
 	line   int
 	offset int
 }
 
-// expression reads a top-level expression.
-func (r *tomlReader) expression(node *unstable.Node) {
+// readExpression processes a top-level expression.
+func (r *tomlReader) readExpression(node *unstable.Node) {
 	switch node.Kind {
 	case unstable.ArrayTable, unstable.Table:
-		r.header(node)
+		r.beginRow(node)
 	case unstable.KeyValue:
-		r.keyValue(node)
+		r.readColumn(node)
 	}
 }
 
-// header begins a row.
-func (r *tomlReader) header(node *unstable.Node) {
-	key, line := r.key(node)
-	r.stray = node.Kind == unstable.Table
-	if r.stray {
+// beginRow starts a new record.
+func (r *tomlReader) beginRow(node *unstable.Node) {
+	key, line := r.nodeKey(node)
+	r.inSingleTable = node.Kind == unstable.Table
+	if r.inSingleTable {
 		r.faults.add(Fault{
 			line:   line,
 			row:    clip(key),
@@ -113,13 +113,13 @@
 	})
 }
 
-// keyValue reads a column.
-func (r *tomlReader) keyValue(node *unstable.Node) {
-	key, line := r.key(node)
+// readColumn adds a column to the current record.
+func (r *tomlReader) readColumn(node *unstable.Node) {
+	key, line := r.nodeKey(node)
 	switch {
-	case r.stray:
+	case r.inSingleTable:
 	case len(r.records) == 0:
-		r.top(key, line, node.Value())
+		r.readTopLevel(key, line, node.Value())
 	default:
 		last := &r.records[len(r.records)-1]
 		last.cells = append(last.cells, entry{
@@ -130,8 +130,8 @@
 	}
 }
 
-// top reads a column outside of any row.
-func (r *tomlReader) top(key string, line int, node *unstable.Node) {
+// readTopLevel processes a column outside of any row.
+func (r *tomlReader) readTopLevel(key string, line int, node *unstable.Node) {
 	fault := Fault{
 		line:   line,
 		column: clip(key),
@@ -152,8 +152,8 @@
 	r.version = version
 }
 
-// key returns a node's key, with dots when it has several parts, and its line.
-func (r *tomlReader) key(node *unstable.Node) (string, int) {
+// nodeKey returns a node's key, its parts joined by dots, and its line.
+func (r *tomlReader) nodeKey(node *unstable.Node) (string, int) {
 	var key []byte
 	line := 0
 	for it := node.Key(); it.Next(); {
@@ -167,7 +167,8 @@
 	return string(key), line
 }
 
-// lineAt returns the line of an offset that is not before the last one asked.
+// lineAt returns the line of an offset. Offsets must not decrease from call to
+// call.
 func (r *tomlReader) lineAt(offset int) int {
 	data := r.parser.Data()
 	if offset > r.offset && offset <= len(data) {
@@ -177,8 +178,8 @@
 	return r.line
 }
 
-// syntax adds the fault on which the parser gave up.
-func (r *tomlReader) syntax(err error) {
+// addSyntaxFault adds a fault for the parser's error, if any.
+func (r *tomlReader) addSyntaxFault(err error) {
 	if err == nil {
 		return
 	}
@@ -215,7 +216,7 @@
 	}
 }
 
-// tomlList returns a list of strings; any other item makes the value absent,
+// tomlList returns a list of strings. With any other item the value is absent,
 // which every column refuses.
 func tomlList(node *unstable.Node) value {
 	v := value{
@@ -230,8 +231,8 @@
 	return v
 }
 
-// writeTOML writes rows in the canonical form: one column a line, empty columns
-// left out, in the order of the rows. Names hold no character that TOML would
+// writeTOML writes rows in canonical form: one column per line, in the order of
+// the rows, without empty columns. Names hold no character that TOML would
 // escape.
 func writeTOML(set rows) []byte {
 	var b bytes.Buffer
