--- a/cmd/marjoramgauge/bench.go
+++ b/cmd/marjoramgauge/bench.go
@@ -4,13 +4,13 @@
 
 type benchCommand struct {
 	mgbench.Command
-	to streams
+	output outputs
 }
 
 // Execute measures policies in virtual time.
 func (c *benchCommand) Execute([]string) error {
-	ctx, cancel := interrupted()
+	ctx, cancel := interruptContext()
 	defer cancel()
-	c.Progress = c.to.err
-	return c.Run(ctx, c.to.out)
+	c.Progress = c.output.errOut
+	return c.Run(ctx, c.output.out)
 }
--- a/cmd/marjoramgauge/call.go
+++ b/cmd/marjoramgauge/call.go
@@ -20,7 +20,7 @@
 	Args    struct {
 		Prompt []string `positional-arg-name:"PROMPT" required:"yes"`
 	} `positional-args:"yes"`
-	to streams
+	output outputs
 }
 
 // Execute sends the prompt and prints the tokens as they come. A connection
@@ -31,9 +31,9 @@
 		key = os.Getenv(keyVariable)
 	}
 	if key == "" {
-		return usage("call: no key: give the account's key with --key or in %s", keyVariable)
+		return newUsageError("call: no key: give the account's key with --key or in %s", keyVariable)
 	}
-	ctx, cancel := interrupted()
+	ctx, cancel := interruptContext()
 	defer cancel()
 	client := mgclient.New(mgclient.Spec{
 		Bases: c.Entry,
@@ -47,13 +47,13 @@
 			Content: strings.Join(c.Args.Prompt, " "),
 		}},
 	}, func(t mgclient.Token) error {
-		_, err := fmt.Fprint(c.to.out, t.Text())
+		_, err := fmt.Fprint(c.output.out, t.Text())
 		return err
 	})
-	fmt.Fprintln(c.to.out)
+	fmt.Fprintln(c.output.out)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(c.to.err, "%d tokens, end %s, resumed %d times, answer %s\n", answer.Tokens(), answer.End(), answer.Resumes(), answer.Name())
+	fmt.Fprintf(c.output.errOut, "%d tokens, end %s, resumed %d times, answer %s\n", answer.Tokens(), answer.End(), answer.Resumes(), answer.Name())
 	return nil
 }
--- a/cmd/marjoramgauge/check.go
+++ b/cmd/marjoramgauge/check.go
@@ -18,7 +18,7 @@
 	Args struct {
 		File string `positional-arg-name:"SETTINGS|TABLE" required:"yes"`
 	} `positional-args:"yes"`
-	to streams
+	output outputs
 }
 
 // Execute checks a file and names every fault in it. What the file is shows in
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(c.to.out, "%s: %s without faults\n", c.Args.File, kind)
+	fmt.Fprintf(c.output.out, "%s: %s without faults\n", c.Args.File, kind)
 	return nil
 }
 
@@ -65,16 +65,16 @@
 	return mgtable.Parse(data)
 }
 
-type tableDiff struct {
+type tableDiffCommand struct {
 	Args struct {
 		Old string `positional-arg-name:"OLD" required:"yes"`
 		New string `positional-arg-name:"NEW" required:"yes"`
 	} `positional-args:"yes"`
-	to streams
+	output outputs
 }
 
 // Execute prints what an edit changes, a line each.
-func (c *tableDiff) Execute([]string) error {
+func (c *tableDiffCommand) Execute([]string) error {
 	older, err := readTable(c.Args.Old)
 	if err != nil {
 		return err
@@ -85,45 +85,45 @@
 	}
 	changes := mgtable.Diff(older, newer)
 	for _, change := range changes {
-		fmt.Fprintln(c.to.out, change.String())
+		fmt.Fprintln(c.output.out, change.String())
 	}
 	switch {
 	case len(changes) == 0:
-		fmt.Fprintln(c.to.out, "no change")
+		fmt.Fprintln(c.output.out, "no change")
 	case newer.Version() <= older.Version():
 		// Two tables under one version are settled by their digests, alike
 		// everywhere: the edit may be the one that isn't taken.
-		fmt.Fprintf(c.to.out, "version is still %d: raise it above %d, or the edit may not come into force\n", newer.Version(), older.Version())
+		fmt.Fprintf(c.output.out, "version is still %d: raise it above %d, or the edit may not come into force\n", newer.Version(), older.Version())
 	}
 	return nil
 }
 
-type tableExport struct {
+type tableExportCommand struct {
 	Args struct {
 		Table string `positional-arg-name:"TABLE" required:"yes"`
 	} `positional-args:"yes"`
-	to streams
+	output outputs
 }
 
 // Execute prints the table as CSV.
-func (c *tableExport) Execute([]string) error {
+func (c *tableExportCommand) Execute([]string) error {
 	table, err := readTable(c.Args.Table)
 	if err != nil {
 		return err
 	}
-	_, err = c.to.out.Write(table.Export())
+	_, err = c.output.out.Write(table.Export())
 	return err
 }
 
-type tableImport struct {
+type tableImportCommand struct {
 	Args struct {
 		File string `positional-arg-name:"CSV" required:"yes"`
 	} `positional-args:"yes"`
-	to streams
+	output outputs
 }
 
 // Execute prints the CSV as a table in TOML.
-func (c *tableImport) Execute([]string) error {
+func (c *tableImportCommand) Execute([]string) error {
 	data, err := os.ReadFile(c.Args.File)
 	if err != nil {
 		return fmt.Errorf("table import: can't read the file: name one that exists: %w", err)
@@ -132,23 +132,23 @@
 	if err != nil {
 		return err
 	}
-	_, err = c.to.out.Write(table.TOML())
+	_, err = c.output.out.Write(table.TOML())
 	return err
 }
 
 // dumpWait bounds a dump: a process that needs longer is stuck.
-const dumpWait = 10 * time.Second
+const dumpTimeout = 10 * time.Second
 
 type dumpCommand struct {
 	Args struct {
 		Address string `positional-arg-name:"ADDRESS" required:"yes" description:"the process's admin address and port"`
 	} `positional-args:"yes"`
-	to streams
+	output outputs
 }
 
 // Execute prints a process's state as JSON.
 func (c *dumpCommand) Execute([]string) error {
-	client := &http.Client{Timeout: dumpWait}
+	client := &http.Client{Timeout: dumpTimeout}
 	response, err := client.Get("http://" + strings.TrimPrefix(c.Args.Address, "http://") + "/dump")
 	if err != nil {
 		return fmt.Errorf("dump: can't reach the process: give its admin address as IP:port: %w", err)
@@ -157,6 +157,6 @@
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("dump: the process answered %s: give its admin address, not its callers' one", response.Status)
 	}
-	_, err = io.Copy(c.to.out, response.Body)
+	_, err = io.Copy(c.output.out, response.Body)
 	return err
 }
--- a/cmd/marjoramgauge/demo.go
+++ b/cmd/marjoramgauge/demo.go
@@ -10,21 +10,21 @@
 )
 
 // onceLimit bounds demo --once; it usually takes about ten seconds.
-const onceLimit = 60 * time.Second
+const onceTimeout = 60 * time.Second
 
 type demoCommand struct {
-	Once bool `long:"once" description:"send a short mixed load with failures, check every answer, and exit"`
-	Logs bool `long:"logs" description:"show the processes' logs on standard error"`
-	to   streams
+	Once   bool `long:"once" description:"send a short mixed load with failures, check every answer, and exit"`
+	Logs   bool `long:"logs" description:"show the processes' logs on standard error"`
+	output outputs
 }
 
 // Execute runs a whole deployment in this process.
 func (c *demoCommand) Execute([]string) error {
-	ctx, cancel := interrupted()
+	ctx, cancel := interruptContext()
 	defer cancel()
 	spec := mgdemo.Spec{}
 	if c.Logs {
-		spec.Log = c.to.err
+		spec.Log = c.output.errOut
 		spec.Level = "info"
 	}
 	deployment, err := mgdemo.Start(ctx, spec)
@@ -33,20 +33,20 @@
 	}
 	defer deployment.Close()
 	if c.Once {
-		return playOnce(ctx, deployment, c.to.out)
+		return runLoadOnce(ctx, deployment, c.output.out)
 	}
 	entry := deployment.Entries()[0]
-	fmt.Fprintf(c.to.out, "entries on %v\ntry:\n", deployment.Entries())
-	fmt.Fprintf(c.to.out, "  curl -N -H 'Authorization: Bearer sample-tankline' %s/v1/chat/completions \\\n", entry)
-	fmt.Fprintln(c.to.out, `    -d '{"model":"report","stream":true,"messages":[{"role":"user","content":"shift report len=60"}]}'`)
+	fmt.Fprintf(c.output.out, "entries on %v\ntry:\n", deployment.Entries())
+	fmt.Fprintf(c.output.out, "  curl -N -H 'Authorization: Bearer sample-tankline' %s/v1/chat/completions \\\n", entry)
+	fmt.Fprintln(c.output.out, `    -d '{"model":"report","stream":true,"messages":[{"role":"user","content":"shift report len=60"}]}'`)
 	<-ctx.Done()
 	return nil
 }
 
 // playOnce plays the load and fails when anything was lost, doubled or
 // crossed.
-func playOnce(ctx context.Context, deployment *mgdemo.Deployment, out io.Writer) error {
-	ctx, cancel := context.WithTimeout(ctx, onceLimit)
+func runLoadOnce(ctx context.Context, deployment *mgdemo.Deployment, out io.Writer) error {
+	ctx, cancel := context.WithTimeout(ctx, onceTimeout)
 	defer cancel()
 	report := deployment.Play(ctx)
 	if err := report.Write(out); err != nil {
--- a/cmd/marjoramgauge/main.go
+++ b/cmd/marjoramgauge/main.go
@@ -13,7 +13,7 @@
 
 // The exit codes.
 const (
-	exitDone   = 0
+	exitOK     = 0
 	exitFailed = 1
 	exitUsage  = 2
 )
@@ -23,9 +23,9 @@
 }
 
 // streams is where a command writes.
-type streams struct {
-	out io.Writer
-	err io.Writer
+type outputs struct {
+	out    io.Writer
+	errOut io.Writer
 }
 
 // usageError is a wrong use of a command.
@@ -36,31 +36,31 @@
 // Error returns what was wrong and the remedy.
 func (u usageError) Error() string { return u.text }
 
-func usage(format string, args ...any) error {
+func newUsageError(format string, args ...any) error {
 	return usageError{text: fmt.Sprintf(format, args...)}
 }
 
 func run(args []string, out, errOut io.Writer) int {
-	to := streams{
-		out: out,
-		err: errOut,
+	output := outputs{
+		out:    out,
+		errOut: errOut,
 	}
-	parser := newParser(to)
+	parser := newParser(output)
 	_, err := parser.ParseArgs(args)
-	var wrong *flags.Error
-	var misuse usageError
+	var flagsError *flags.Error
+	var usageErr usageError
 	switch {
 	case err == nil:
-		return exitDone
-	case errors.As(err, &wrong) && wrong.Type == flags.ErrHelp:
-		fmt.Fprintln(out, wrong.Message)
-		return exitDone
-	case errors.As(err, &wrong):
-		fmt.Fprintln(errOut, wrong.Message)
+		return exitOK
+	case errors.As(err, &flagsError) && flagsError.Type == flags.ErrHelp:
+		fmt.Fprintln(out, flagsError.Message)
+		return exitOK
+	case errors.As(err, &flagsError):
+		fmt.Fprintln(errOut, flagsError.Message)
 		fmt.Fprintln(errOut, "see marjoramgauge --help")
 		return exitUsage
-	case errors.As(err, &misuse):
-		fmt.Fprintln(errOut, misuse.text)
+	case errors.As(err, &usageErr):
+		fmt.Fprintln(errOut, usageErr.text)
 		return exitUsage
 	default:
 		fmt.Fprintln(errOut, err)
--- a/cmd/marjoramgauge/main_test.go
+++ b/cmd/marjoramgauge/main_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestRun(t *testing.T) {
+func TestWrongExitCodeOrOutput(t *testing.T) {
 	folder := t.TempDir()
 	faulty := filepath.Join(folder, "faulty.toml")
 	if err := os.WriteFile(faulty, []byte("[[account]]\nname = \"a\"\nweight = -3\ncolour = 1\n"), 0o600); err != nil {
@@ -26,7 +26,7 @@
 		{
 			name: "help lists the commands",
 			args: []string{"--help"},
-			exit: exitDone,
+			exit: exitOK,
 			want: "standin",
 		},
 		{
@@ -56,7 +56,7 @@
 		{
 			name: "a good table",
 			args: []string{"check", table},
-			exit: exitDone,
+			exit: exitOK,
 			want: "table without faults",
 		},
 		{
@@ -80,13 +80,13 @@
 		{
 			name: "no change",
 			args: []string{"table", "diff", table, table},
-			exit: exitDone,
+			exit: exitOK,
 			want: "no change",
 		},
 		{
 			name: "export",
 			args: []string{"table", "export", table},
-			exit: exitDone,
+			exit: exitOK,
 			want: "tankline",
 		},
 	}
@@ -105,7 +105,7 @@
 // An operator edits a weight, forgets to raise the version, and the fleet goes on
 // by the old weight without a word: two tables under one version are settled by
 // their digests.
-func TestVersionNotRaised(t *testing.T) {
+func TestDiffMissesUnraisedVersion(t *testing.T) {
 	Convey("A diff tells of a version that was not raised", t, func() {
 		const table = "../../examples/local/table.toml"
 		data, err := os.ReadFile(table)
@@ -113,36 +113,36 @@
 		edited := filepath.Join(t.TempDir(), "edited.toml")
 		text := strings.Replace(string(data), "weight = 4", "weight = 5", 1)
 		So(os.WriteFile(edited, []byte(text), 0o600), ShouldBeNil)
-		out, _ := output("table", "diff", table, edited)
+		out, _ := runCommand("table", "diff", table, edited)
 		So(out, ShouldContainSubstring, "weight from 4 to 5")
 		So(out, ShouldContainSubstring, "raise it above 1")
 		text = strings.Replace(text, "version = 1", "version = 2", 1)
 		So(os.WriteFile(edited, []byte(text), 0o600), ShouldBeNil)
-		out, _ = output("table", "diff", table, edited)
+		out, _ = runCommand("table", "diff", table, edited)
 		So(out, ShouldNotContainSubstring, "raise")
 	})
 }
 
 // An operator sends the table through a spreadsheet and back; an edit of one
 // weight must be all that changes.
-func TestSpreadsheet(t *testing.T) {
+func TestTableChangedByCSVRoundTrip(t *testing.T) {
 	Convey("A table survives the way through CSV", t, func() {
 		const table = "../../examples/tankline/table.toml"
 		folder := t.TempDir()
 		csv := filepath.Join(folder, "table.csv")
 		back := filepath.Join(folder, "table.toml")
-		export, problems := output("table", "export", table)
+		export, problems := runCommand("table", "export", table)
 		So(problems, ShouldEqual, "")
 		So(os.WriteFile(csv, []byte(export), 0o600), ShouldBeNil)
-		imported, problems := output("table", "import", csv)
+		imported, problems := runCommand("table", "import", csv)
 		So(problems, ShouldEqual, "")
 		So(os.WriteFile(back, []byte(imported), 0o600), ShouldBeNil)
-		changes, _ := output("table", "diff", table, back)
+		changes, _ := runCommand("table", "diff", table, back)
 		So(strings.TrimSpace(changes), ShouldEqual, "no change")
 	})
 }
 
-func output(args ...string) (out, errOut string) {
+func runCommand(args ...string) (out, errOut string) {
 	var o, e bytes.Buffer
 	run(args, &o, &e)
 	return o.String(), e.String()
--- a/cmd/marjoramgauge/process.go
+++ b/cmd/marjoramgauge/process.go
@@ -14,23 +14,23 @@
 
 // signals returns a context that ends with the first SIGINT or SIGTERM and one
 // that ends with the second.
-func signals() (stop, hurry context.Context) {
-	stop, stopNow := context.WithCancel(context.Background())
-	hurry, hurryNow := context.WithCancel(context.Background())
+func stopSignals() (stop, hurry context.Context) {
+	stop, cancelStop := context.WithCancel(context.Background())
+	hurry, cancelHurry := context.WithCancel(context.Background())
 	received := make(chan os.Signal, 2)
 	signal.Notify(received, os.Interrupt, syscall.SIGTERM)
 	go func() {
 		<-received
-		stopNow()
+		cancelStop()
 		<-received
-		hurryNow()
+		cancelHurry()
 	}()
 	return stop, hurry
 }
 
 // collectAt is the growth of the heap in per cent at which a process collects: half of
 // the usual, as a table of many accounts takes most of what a node may use.
-const collectAt = 50
+const gcPercent = 50
 
 // runProcess reads settings from a file and runs a process with them until it
 // is told to stop. Process is the part of settings that all processes have.
@@ -45,33 +45,33 @@
 	if err != nil {
 		return err
 	}
-	debug.SetGCPercent(collectAt)
-	stop, hurry := signals()
+	debug.SetGCPercent(gcPercent)
+	stop, hurry := stopSignals()
 	return run(stop, hurry, node)
 }
 
 type entryCommand struct {
 	Settings string `long:"settings" required:"yes" value-name:"FILE" description:"settings of the entry, TOML"`
-	to       streams
+	output   outputs
 }
 
 // Execute runs an entry until it is told to stop.
 func (c *entryCommand) Execute([]string) error {
 	var settings mgsettings.Entry
-	return runProcess(c.Settings, &settings, &settings.Process, c.to.err, func(stop, hurry context.Context, node *mgnode.Node) error {
+	return runProcess(c.Settings, &settings, &settings.Process, c.output.errOut, func(stop, hurry context.Context, node *mgnode.Node) error {
 		return mgnode.RunEntry(stop, hurry, settings, node)
 	})
 }
 
 type agentCommand struct {
 	Settings string `long:"settings" required:"yes" value-name:"FILE" description:"settings of the agent, TOML"`
-	to       streams
+	output   outputs
 }
 
 // Execute runs an agent until it is told to stop.
 func (c *agentCommand) Execute([]string) error {
 	var settings mgsettings.Agent
-	return runProcess(c.Settings, &settings, &settings.Process, c.to.err, func(stop, hurry context.Context, node *mgnode.Node) error {
+	return runProcess(c.Settings, &settings, &settings.Process, c.output.errOut, func(stop, hurry context.Context, node *mgnode.Node) error {
 		return mgnode.RunAgent(stop, hurry, settings, node)
 	})
 }
--- a/cmd/marjoramgauge/soak.go
+++ b/cmd/marjoramgauge/soak.go
@@ -4,12 +4,12 @@
 
 type soakCommand struct {
 	mgsoak.Command
-	to streams
+	output outputs
 }
 
 // Execute runs a deployment of separate processes under faults.
 func (c *soakCommand) Execute([]string) error {
-	ctx, cancel := interrupted()
+	ctx, cancel := interruptContext()
 	defer cancel()
-	return c.Run(ctx, c.to.out)
+	return c.Run(ctx, c.output.out)
 }
--- a/cmd/marjoramgauge/standin.go
+++ b/cmd/marjoramgauge/standin.go
@@ -15,7 +15,7 @@
 )
 
 // interrupted returns a context that ends with SIGINT or SIGTERM.
-func interrupted() (context.Context, context.CancelFunc) {
+func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
@@ -33,69 +33,69 @@
 }
 
 // listening tells which address a stand-in has.
-func listening(to streams, name string) func(string) {
+func printAddress(to outputs, name string) func(string) {
 	return func(addr string) { fmt.Fprintf(to.out, "%s on %s\n", name, addr) }
 }
 
-type standinEngine struct {
+type standinEngineCommand struct {
 	Settings string `long:"settings" required:"yes" value-name:"FILE" description:"settings of the engine, TOML"`
-	to       streams
+	output   outputs
 }
 
 // Execute runs an engine until it is interrupted.
-func (c *standinEngine) Execute([]string) error {
+func (c *standinEngineCommand) Execute([]string) error {
 	var spec mgstandin.EngineSpec
 	if err := readStandin(c.Settings, &spec); err != nil {
 		return err
 	}
-	ctx, cancel := interrupted()
+	ctx, cancel := interruptContext()
 	defer cancel()
-	return mgstandin.RunEngine(ctx, spec, listening(c.to, "engine"))
+	return mgstandin.RunEngine(ctx, spec, printAddress(c.output, "engine"))
 }
 
-type standinService struct {
+type standinServiceCommand struct {
 	Settings string `long:"settings" required:"yes" value-name:"FILE" description:"settings of the service, TOML"`
-	to       streams
+	output   outputs
 }
 
 // Execute runs a plain service until it is interrupted.
-func (c *standinService) Execute([]string) error {
+func (c *standinServiceCommand) Execute([]string) error {
 	var spec mgstandin.ServiceSpec
 	if err := readStandin(c.Settings, &spec); err != nil {
 		return err
 	}
-	ctx, cancel := interrupted()
+	ctx, cancel := interruptContext()
 	defer cancel()
-	return mgstandin.RunService(ctx, spec, listening(c.to, "service"))
+	return mgstandin.RunService(ctx, spec, printAddress(c.output, "service"))
 }
 
-type standinPlatform struct {
+type standinPlatformCommand struct {
 	Settings string `long:"settings" required:"yes" value-name:"FILE" description:"settings of the platform, TOML"`
-	to       streams
+	output   outputs
 }
 
 // Execute runs a platform until it is interrupted. Its files are named from
 // the settings' folder.
-func (c *standinPlatform) Execute([]string) error {
+func (c *standinPlatformCommand) Execute([]string) error {
 	var spec mgstandin.PlatformSpec
 	if err := readStandin(c.Settings, &spec); err != nil {
 		return err
 	}
 	folder := filepath.Dir(c.Settings)
-	spec.Table = beside(folder, spec.Table)
+	spec.Table = resolvePath(folder, spec.Table)
 	for i, value := range spec.Values {
 		key, file, found := strings.Cut(value, "=")
 		if found {
-			spec.Values[i] = key + "=" + beside(folder, file)
+			spec.Values[i] = key + "=" + resolvePath(folder, file)
 		}
 	}
-	ctx, cancel := interrupted()
+	ctx, cancel := interruptContext()
 	defer cancel()
-	return mgstandin.RunPlatform(ctx, spec, listening(c.to, "platform"))
+	return mgstandin.RunPlatform(ctx, spec, printAddress(c.output, "platform"))
 }
 
 // beside returns a file's path from a folder.
-func beside(folder, file string) string {
+func resolvePath(folder, file string) string {
 	if file == "" || filepath.IsAbs(file) {
 		return file
 	}
