--- a/cmd/marjoramgauge/call.go
+++ b/cmd/marjoramgauge/call.go
@@ -8,8 +8,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclient"
 )
 
-// keyVariable is the environment variable that holds the account's key, so
-// that it doesn't show in a list of processes.
+// keyVariable is the environment variable that holds the account's key. A key on the
+// command line is visible in lists of processes.
 const keyVariable = "MARJORAMGAUGE_KEY"
 
 type callCommand struct {
@@ -23,8 +23,8 @@
 	output outputs
 }
 
-// Execute sends the prompt and prints the tokens as they come. A connection
-// that drops is resumed.
+// Execute sends the prompt and prints the tokens as they arrive. After a lost
+// connection it resumes the answer.
 func (c *callCommand) Execute([]string) error {
 	key := c.Key
 	if key == "" {
--- a/cmd/marjoramgauge/check.go
+++ b/cmd/marjoramgauge/check.go
@@ -21,8 +21,8 @@
 	output outputs
 }
 
-// Execute checks a file and names every fault in it. What the file is shows in
-// its keys: a table has rows, an agent's settings an upstream.
+// Execute checks a file and reports every fault in it. It recognizes the kind of file
+// by its keys: a table has rows, the settings of an agent name an upstream.
 func (c *checkCommand) Execute([]string) error {
 	data, err := os.ReadFile(c.Args.File)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// readTable reads a table in TOML, or in CSV when its name ends so.
+// readTable reads a table in TOML, or in CSV if the file's extension is .csv.
 func readTable(path string) (*mgtable.Table, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -73,7 +73,7 @@
 	output outputs
 }
 
-// Execute prints what an edit changes, a line each.
+// Execute prints the changes between two tables, one per line.
 func (c *tableDiffCommand) Execute([]string) error {
 	older, err := readTable(c.Args.Old)
 	if err != nil {
@@ -91,8 +91,8 @@
 	case len(changes) == 0:
 		fmt.Fprintln(c.output.out, "no change")
 	case newer.Version() <= older.Version():
-		// Two tables under one version are settled by their digests, alike
-		// everywhere: the edit may be the one that isn't taken.
+		// Of two tables with the same version, every process selects the same one by
+		// the digests, so the edited table may not be the one selected.
 		fmt.Fprintf(c.output.out, "version is still %d: raise it above %d, or the edit may not come into force\n", newer.Version(), older.Version())
 	}
 	return nil
@@ -136,7 +136,7 @@
 	return err
 }
 
-// dumpWait bounds a dump: a process that needs longer is stuck.
+// dumpTimeout limits a dump: a process that needs longer is stuck.
 const dumpTimeout = 10 * time.Second
 
 type dumpCommand struct {
--- a/cmd/marjoramgauge/commands.go
+++ b/cmd/marjoramgauge/commands.go
@@ -7,7 +7,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// newParser returns the parser with every command.
+// newParser returns the parser with all commands.
 func newParser(output outputs) *flags.Parser {
 	parser := flags.NewNamedParser("marjoramgauge", flags.HelpFlag|flags.PassDoubleDash)
 	parser.ShortDescription = "serves language-model generations of unknown length on crowded engines"
@@ -32,8 +32,8 @@
 	return parser
 }
 
-// add adds a command; a wrong declaration of its options is a fault of the
-// program, which the test of the help finds.
+// addCommand adds a command. It panics if the declaration of the options is invalid, a
+// programming error that the test of --help detects.
 func addCommand(parent *flags.Command, name, short string, data any) *flags.Command {
 	command, err := parent.AddCommand(name, short, short, data)
 	if err != nil {
--- a/cmd/marjoramgauge/demo.go
+++ b/cmd/marjoramgauge/demo.go
@@ -9,7 +9,7 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/standin/mgdemo"
 )
 
-// onceLimit bounds demo --once; it usually takes about ten seconds.
+// onceTimeout limits demo --once, which usually takes about ten seconds.
 const onceTimeout = 60 * time.Second
 
 type demoCommand struct {
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// playOnce plays the load and fails when anything was lost, doubled or
-// crossed.
+// runLoadOnce runs the load and returns an error if any answer was lost, duplicated or
+// delivered to the wrong request.
 func runLoadOnce(ctx context.Context, deployment *mgdemo.Deployment, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, onceTimeout)
 	defer cancel()
--- a/cmd/marjoramgauge/main.go
+++ b/cmd/marjoramgauge/main.go
@@ -1,5 +1,5 @@
-// Command marjoramgauge is the one binary of the system: the entry, the agent,
-// stand-ins of what surrounds them, a caller and the operators' tools.
+// Command marjoramgauge is the system's single binary: the entry, the agent, stand-ins
+// for the services around them, a client and the operators' tools.
 package main
 
 import (
@@ -22,18 +22,18 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// streams is where a command writes.
+// outputs holds the writers to which a command prints.
 type outputs struct {
 	out    io.Writer
 	errOut io.Writer
 }
 
-// usageError is a wrong use of a command.
+// usageError reports invalid use of a command.
 type usageError struct {
 	text string
 }
 
-// Error returns what was wrong and the remedy.
+// Error returns the description of the error and its remedy.
 func (u usageError) Error() string { return u.text }
 
 func newUsageError(format string, args ...any) error {
--- a/cmd/marjoramgauge/main_test.go
+++ b/cmd/marjoramgauge/main_test.go
@@ -21,7 +21,7 @@
 		name string
 		args []string
 		exit int
-		want string // in what it writes
+		want string // substring of the output
 	}{
 		{
 			name: "help lists the commands",
@@ -102,9 +102,9 @@
 	})
 }
 
-// An operator edits a weight, forgets to raise the version, and the fleet goes on
-// by the old weight without a word: two tables under one version are settled by
-// their digests.
+// Guards against an edit without effect: if an operator edits a weight without raising
+// the version, processes select one of the two tables by their digests and may keep
+// the old weight.
 func TestDiffMissesUnraisedVersion(t *testing.T) {
 	Convey("A diff tells of a version that was not raised", t, func() {
 		const table = "../../examples/local/table.toml"
@@ -123,8 +123,8 @@
 	})
 }
 
-// An operator sends the table through a spreadsheet and back; an edit of one
-// weight must be all that changes.
+// Guards against a round trip through a spreadsheet that changes the table: an edit of
+// one weight must be the only change.
 func TestTableChangedByCSVRoundTrip(t *testing.T) {
 	Convey("A table survives the way through CSV", t, func() {
 		const table = "../../examples/tankline/table.toml"
--- a/cmd/marjoramgauge/process.go
+++ b/cmd/marjoramgauge/process.go
@@ -12,7 +12,7 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mgsettings"
 )
 
-// signals returns a context that ends with the first SIGINT or SIGTERM and one
+// stopSignals returns a context that ends with the first SIGINT or SIGTERM, and one
 // that ends with the second.
 func stopSignals() (stop, hurry context.Context) {
 	stop, cancelStop := context.WithCancel(context.Background())
@@ -28,12 +28,14 @@
 	return stop, hurry
 }
 
-// collectAt is the growth of the heap in per cent at which a process collects: half of
-// the usual, as a table of many accounts takes most of what a node may use.
+// gcPercent is the growth of the heap in percent that triggers a garbage collection.
+// It is half of the default, because a table with many accounts uses most of the
+// memory that a node may use.
 const gcPercent = 50
 
-// runProcess reads settings from a file and runs a process with them until it
-// is told to stop. Process is the part of settings that all processes have.
+// runProcess reads settings from a file and runs a process with them until it receives
+// a stop signal. The parameter process is the part of settings that all processes
+// share.
 func runProcess(
 	file string, settings any, process *mgsettings.Process, log io.Writer,
 	run func(stop, hurry context.Context, node *mgnode.Node) error,
@@ -55,7 +57,7 @@
 	output   outputs
 }
 
-// Execute runs an entry until it is told to stop.
+// Execute runs an entry until it receives a stop signal.
 func (c *entryCommand) Execute([]string) error {
 	var settings mgsettings.Entry
 	return runProcess(c.Settings, &settings, &settings.Process, c.output.errOut, func(stop, hurry context.Context, node *mgnode.Node) error {
@@ -68,7 +70,7 @@
 	output   outputs
 }
 
-// Execute runs an agent until it is told to stop.
+// Execute runs an agent until it receives a stop signal.
 func (c *agentCommand) Execute([]string) error {
 	var settings mgsettings.Agent
 	return runProcess(c.Settings, &settings, &settings.Process, c.output.errOut, func(stop, hurry context.Context, node *mgnode.Node) error {
--- a/cmd/marjoramgauge/standin.go
+++ b/cmd/marjoramgauge/standin.go
@@ -14,12 +14,12 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/standin/mgstandin"
 )
 
-// interrupted returns a context that ends with SIGINT or SIGTERM.
+// interruptContext returns a context that ends with SIGINT or SIGTERM.
 func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// readStandin reads a stand-in's settings.
+// readStandin reads the settings of a stand-in.
 func readStandin(path string, spec any) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// listening tells which address a stand-in has.
+// printAddress returns a function that prints the address of a stand-in.
 func printAddress(to outputs, name string) func(string) {
 	return func(addr string) { fmt.Fprintf(to.out, "%s on %s\n", name, addr) }
 }
@@ -74,8 +74,8 @@
 	output   outputs
 }
 
-// Execute runs a platform until it is interrupted. Its files are named from
-// the settings' folder.
+// Execute runs a stand-in for the platform until it is interrupted. Relative paths in
+// its settings start at the folder of the settings file.
 func (c *standinPlatformCommand) Execute([]string) error {
 	var spec mgstandin.PlatformSpec
 	if err := readStandin(c.Settings, &spec); err != nil {
@@ -94,7 +94,7 @@
 	return mgstandin.RunPlatform(ctx, spec, printAddress(c.output, "platform"))
 }
 
-// beside returns a file's path from a folder.
+// resolvePath returns the path of a file that is named relative to a folder.
 func resolvePath(folder, file string) string {
 	if file == "" || filepath.IsAbs(file) {
 		return file
