--- a/cmd/marjoramgauge/main_test.go
+++ b/cmd/marjoramgauge/main_test.go
@@ -106,7 +106,7 @@
 // the version, processes select one of the two tables by their digests and may keep
 // the old weight.
 func TestDiffMissesUnraisedVersion(t *testing.T) {
-	Convey("A diff tells of a version that was not raised", t, func() {
+	Convey("A diff reports a version that was not raised", t, func() {
 		const table = "../../examples/local/table.toml"
 		data, err := os.ReadFile(table)
 		So(err, ShouldBeNil)
@@ -126,7 +126,7 @@
 // Guards against a round trip through a spreadsheet that changes the table: an edit of
 // one weight must be the only change.
 func TestTableChangedByCSVRoundTrip(t *testing.T) {
-	Convey("A table survives the way through CSV", t, func() {
+	Convey("A table is unchanged after a round trip through CSV", t, func() {
 		const table = "../../examples/tankline/table.toml"
 		folder := t.TempDir()
 		csv := filepath.Join(folder, "table.csv")
--- a/cmd/marjoramgauge/standin.go
+++ b/cmd/marjoramgauge/standin.go
@@ -27,7 +27,7 @@
 	}
 	defer file.Close()
 	if err := toml.NewDecoder(file).DisallowUnknownFields().Decode(spec); err != nil {
-		return fmt.Errorf("standin: %s: mend the file: %w", path, err)
+		return fmt.Errorf("standin: %s: correct the file: %w", path, err)
 	}
 	return nil
 }
