--- a/cmd/marjoramgauge/process.go
+++ b/cmd/marjoramgauge/process.go
@@ -14,18 +14,18 @@
 
 // stopSignals returns a context that ends with the first SIGINT or SIGTERM, and one
 // that ends with the second.
-func stopSignals() (stop, hurry context.Context) {
+func stopSignals() (stop, forceStop context.Context) {
 	stop, cancelStop := context.WithCancel(context.Background())
-	hurry, cancelHurry := context.WithCancel(context.Background())
+	forceStop, cancelForce := context.WithCancel(context.Background())
 	received := make(chan os.Signal, 2)
 	signal.Notify(received, os.Interrupt, syscall.SIGTERM)
 	go func() {
 		<-received
 		cancelStop()
 		<-received
-		cancelHurry()
+		cancelForce()
 	}()
-	return stop, hurry
+	return stop, forceStop
 }
 
 // gcPercent is the growth of the heap in percent that triggers a garbage collection.
@@ -38,7 +38,7 @@
 // share.
 func runProcess(
 	file string, settings any, process *mgsettings.Process, log io.Writer,
-	run func(stop, hurry context.Context, node *mgnode.Node) error,
+	run func(stop, forceStop context.Context, node *mgnode.Node) error,
 ) error {
 	if err := mgsettings.Load(file, settings); err != nil {
 		return err
@@ -48,8 +48,8 @@
 		return err
 	}
 	debug.SetGCPercent(gcPercent)
-	stop, hurry := stopSignals()
-	return run(stop, hurry, node)
+	stop, forceStop := stopSignals()
+	return run(stop, forceStop, node)
 }
 
 type entryCommand struct {
@@ -60,8 +60,8 @@
 // Execute runs an entry until it receives a stop signal.
 func (c *entryCommand) Execute([]string) error {
 	var settings mgsettings.Entry
-	return runProcess(c.Settings, &settings, &settings.Process, c.output.errOut, func(stop, hurry context.Context, node *mgnode.Node) error {
-		return mgnode.RunEntry(stop, hurry, settings, node)
+	return runProcess(c.Settings, &settings, &settings.Process, c.output.errOut, func(stop, forceStop context.Context, node *mgnode.Node) error {
+		return mgnode.RunEntry(stop, forceStop, settings, node)
 	})
 }
 
@@ -73,7 +73,7 @@
 // Execute runs an agent until it receives a stop signal.
 func (c *agentCommand) Execute([]string) error {
 	var settings mgsettings.Agent
-	return runProcess(c.Settings, &settings, &settings.Process, c.output.errOut, func(stop, hurry context.Context, node *mgnode.Node) error {
-		return mgnode.RunAgent(stop, hurry, settings, node)
+	return runProcess(c.Settings, &settings, &settings.Process, c.output.errOut, func(stop, forceStop context.Context, node *mgnode.Node) error {
+		return mgnode.RunAgent(stop, forceStop, settings, node)
 	})
 }
