--- a/cmd/marjoramgauge/main.go
+++ b/cmd/marjoramgauge/main.go
@@ -1,5 +1,5 @@
-// Command marjoramgauge is the one binary of the system: the entry, the agent,
-// stand-ins of what surrounds them, a caller and the operators' tools.
+// Command marjoramgauge is the system's single binary: the entry, the agent, stand-ins
+// for the services around them, a client and the operators' tools.
 package main
 
 import (
@@ -13,7 +13,7 @@
 
 // The exit codes.
 const (
-	exitDone   = 0
+	exitOK     = 0
 	exitFailed = 1
 	exitUsage  = 2
 )
@@ -22,45 +22,45 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// streams is where a command writes.
-type streams struct {
-	out io.Writer
-	err io.Writer
+// outputs holds the writers to which a command prints.
+type outputs struct {
+	out    io.Writer
+	errOut io.Writer
 }
 
-// usageError is a wrong use of a command.
+// usageError reports invalid use of a command.
 type usageError struct {
 	text string
 }
 
-// Error returns what was wrong and the remedy.
+// Error returns the description of the error and its remedy.
 func (u usageError) Error() string { return u.text }
 
-func usage(format string, args ...any) error {
+func newUsageError(format string, args ...any) error {
 	return usageError{text: fmt.Sprintf(format, args...)}
 }
 
 func run(args []string, out, errOut io.Writer) int {
-	to := streams{
-		out: out,
-		err: errOut,
+	output := outputs{
+		out:    out,
+		errOut: errOut,
 	}
-	parser := newParser(to)
+	parser := newParser(output)
 	_, err := parser.ParseArgs(args)
-	var wrong *flags.Error
-	var misuse usageError
+	var flagsError *flags.Error
+	var usageErr usageError
 	switch {
 	case err == nil:
-		return exitDone
-	case errors.As(err, &wrong) && wrong.Type == flags.ErrHelp:
-		fmt.Fprintln(out, wrong.Message)
-		return exitDone
-	case errors.As(err, &wrong):
-		fmt.Fprintln(errOut, wrong.Message)
+		return exitOK
+	case errors.As(err, &flagsError) && flagsError.Type == flags.ErrHelp:
+		fmt.Fprintln(out, flagsError.Message)
+		return exitOK
+	case errors.As(err, &flagsError):
+		fmt.Fprintln(errOut, flagsError.Message)
 		fmt.Fprintln(errOut, "see marjoramgauge --help")
 		return exitUsage
-	case errors.As(err, &misuse):
-		fmt.Fprintln(errOut, misuse.text)
+	case errors.As(err, &usageErr):
+		fmt.Fprintln(errOut, usageErr.text)
 		return exitUsage
 	default:
 		fmt.Fprintln(errOut, err)
--- a/cmd/marjoramgauge/process.go
+++ b/cmd/marjoramgauge/process.go
@@ -12,31 +12,33 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mgsettings"
 )
 
-// signals returns a context that ends with the first SIGINT or SIGTERM and one
+// stopSignals returns a context that ends with the first SIGINT or SIGTERM, and one
 // that ends with the second.
-func signals() (stop, hurry context.Context) {
-	stop, stopNow := context.WithCancel(context.Background())
-	hurry, hurryNow := context.WithCancel(context.Background())
+func stopSignals() (stop, forceStop context.Context) {
+	stop, cancelStop := context.WithCancel(context.Background())
+	forceStop, cancelForce := context.WithCancel(context.Background())
 	received := make(chan os.Signal, 2)
 	signal.Notify(received, os.Interrupt, syscall.SIGTERM)
 	go func() {
 		<-received
-		stopNow()
+		cancelStop()
 		<-received
-		hurryNow()
+		cancelForce()
 	}()
-	return stop, hurry
+	return stop, forceStop
 }
 
-// collectAt is the growth of the heap in per cent at which a process collects: half of
-// the usual, as a table of many accounts takes most of what a node may use.
-const collectAt = 50
+// gcPercent is the growth of the heap in percent that triggers a garbage collection.
+// It is half of the default, because a table with many accounts uses most of the
+// memory that a node may use.
+const gcPercent = 50
 
-// runProcess reads settings from a file and runs a process with them until it
-// is told to stop. Process is the part of settings that all processes have.
+// runProcess reads settings from a file and runs a process with them until it receives
+// a stop signal. The parameter process is the part of settings that all processes
+// share.
 func runProcess(
 	file string, settings any, process *mgsettings.Process, log io.Writer,
-	run func(stop, hurry context.Context, node *mgnode.Node) error,
+	run func(stop, forceStop context.Context, node *mgnode.Node) error,
 ) error {
 	if err := mgsettings.Load(file, settings); err != nil {
 		return err
@@ -45,33 +47,33 @@
 	if err != nil {
 		return err
 	}
-	debug.SetGCPercent(collectAt)
-	stop, hurry := signals()
-	return run(stop, hurry, node)
+	debug.SetGCPercent(gcPercent)
+	stop, forceStop := stopSignals()
+	return run(stop, forceStop, node)
 }
 
 type entryCommand struct {
 	Settings string `long:"settings" required:"yes" value-name:"FILE" description:"settings of the entry, TOML"`
-	to       streams
+	output   outputs
 }
 
-// Execute runs an entry until it is told to stop.
+// Execute runs an entry until it receives a stop signal.
 func (c *entryCommand) Execute([]string) error {
 	var settings mgsettings.Entry
-	return runProcess(c.Settings, &settings, &settings.Process, c.to.err, func(stop, hurry context.Context, node *mgnode.Node) error {
-		return mgnode.RunEntry(stop, hurry, settings, node)
+	return runProcess(c.Settings, &settings, &settings.Process, c.output.errOut, func(stop, forceStop context.Context, node *mgnode.Node) error {
+		return mgnode.RunEntry(stop, forceStop, settings, node)
 	})
 }
 
 type agentCommand struct {
 	Settings string `long:"settings" required:"yes" value-name:"FILE" description:"settings of the agent, TOML"`
-	to       streams
+	output   outputs
 }
 
-// Execute runs an agent until it is told to stop.
+// Execute runs an agent until it receives a stop signal.
 func (c *agentCommand) Execute([]string) error {
 	var settings mgsettings.Agent
-	return runProcess(c.Settings, &settings, &settings.Process, c.to.err, func(stop, hurry context.Context, node *mgnode.Node) error {
-		return mgnode.RunAgent(stop, hurry, settings, node)
+	return runProcess(c.Settings, &settings, &settings.Process, c.output.errOut, func(stop, forceStop context.Context, node *mgnode.Node) error {
+		return mgnode.RunAgent(stop, forceStop, settings, node)
 	})
 }
