--- a/internal/soak/mgsoak/command.go
+++ b/internal/soak/mgsoak/command.go
@@ -26,7 +26,7 @@
 
 // record is what a run leaves behind: its schedule, to be replayed, and what was
 // found.
-type record struct {
+type runRecord struct {
 	Seed     uint64         `json:"seed"`
 	Size     Size           `json:"size"`
 	Length   mgclock.Millis `json:"length"`
@@ -50,7 +50,7 @@
 		if err != nil {
 			return fmt.Errorf("soak: %w", err)
 		}
-		if err := c.one(ctx, r, out); err != nil {
+		if err := c.runOne(ctx, r, out); err != nil {
 			return fmt.Errorf("soak: %w", err)
 		}
 		if len(r.findings) > 0 {
@@ -78,20 +78,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("replay: name a file that a run has written: %w", err)
 	}
-	var old record
-	if err := json.Unmarshal(data, &old); err != nil {
+	var recorded runRecord
+	if err := json.Unmarshal(data, &recorded); err != nil {
 		return nil, fmt.Errorf("replay %s: %w", c.Replay, err)
 	}
 	return &run{
-		seed:   old.Seed,
-		size:   old.Size,
-		faults: old.Faults,
-		length: old.Length,
+		seed:   recorded.Seed,
+		size:   recorded.Size,
+		faults: recorded.Faults,
+		length: recorded.Length,
 	}, nil
 }
 
 // one plays a run and tells of it.
-func (c *Command) one(ctx context.Context, r *run, out io.Writer) error {
+func (c *Command) runOne(ctx context.Context, r *run, out io.Writer) error {
 	folder, err := os.MkdirTemp("", "mgsoak")
 	if err != nil {
 		return err
@@ -115,7 +115,7 @@
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return fmt.Errorf("out: create the directory or name another: %w", err)
 	}
-	data, err := json.MarshalIndent(record{
+	data, err := json.MarshalIndent(runRecord{
 		Seed:     r.seed,
 		Size:     r.size,
 		Length:   r.length,
--- a/internal/soak/mgsoak/cordon_test.go
+++ b/internal/soak/mgsoak/cordon_test.go
@@ -10,12 +10,12 @@
 
 // Engines of a zone that operators empty begin generations, and a run that only looks at
 // answers finds nothing: each answer is whole.
-func TestBreached(t *testing.T) {
-	look := cordonLook{
-		zone:  "a",
-		begun: 1,
-		from:  10_000,
-		end:   14_000,
+func TestCordonBreachMissedOrFalselyReported(t *testing.T) {
+	check := cordonCheck{
+		zone:         "a",
+		startedCount: 1,
+		from:         10_000,
+		end:          14_000,
 	}
 	for _, c := range []struct {
 		name  string
@@ -73,24 +73,24 @@
 		},
 	} {
 		Convey("A cordon where "+c.name, t, func() {
-			look.begun = c.begun
+			check.startedCount = c.begun
 			r := run{
-				cordons: []cordonLook{look},
+				cordonChecks: []cordonCheck{check},
 			}
 			if c.other != (Fault{}) {
-				r.spans = append(r.spans, span{
+				r.faultIntervals = append(r.faultIntervals, faultInterval{
 					fault: c.other,
-					from:  c.from,
+					start: c.from,
 					end:   c.from + mgclock.Second,
 				})
 			}
-			So(len(r.breached()), ShouldEqual, c.found)
+			So(len(r.checkCordons()), ShouldEqual, c.found)
 		})
 	}
 }
 
 // A prompt that ends engines must be found, but where entries can't have known it.
-func TestEndedByPrompt(t *testing.T) {
+func TestPromptCrashesMissedOrFalselyReported(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		crashes int
@@ -120,36 +120,36 @@
 	} {
 		Convey(c.name, t, func() {
 			r := &run{
-				spans: []span{
+				faultIntervals: []faultInterval{
 					{
 						fault: Fault{
 							Kind: CrashPrompt,
 						},
-						from: 4_000,
-						end:  8_000,
+						start: 4_000,
+						end:   8_000,
 					},
 					{
 						fault: Fault{
 							Kind:   KillProcess,
 							Target: "entry-2",
 						},
-						from: 100,
-						end:  200,
+						start: 100,
+						end:   200,
 					},
 				},
 			}
 			r.evidence.crashes = c.crashes
 			for range c.entries {
-				r.spans = append(r.spans, span{
+				r.faultIntervals = append(r.faultIntervals, faultInterval{
 					fault: Fault{
 						Kind:   KillProcess,
 						Target: "entry-1",
 					},
-					from: 2_000,
-					end:  2_100,
+					start: 2_000,
+					end:   2_100,
 				})
 			}
-			So(len(r.endedByPrompt()), ShouldEqual, c.found)
+			So(len(r.checkPromptCrashes()), ShouldEqual, c.found)
 		})
 	}
 }
--- a/internal/soak/mgsoak/deployment.go
+++ b/internal/soak/mgsoak/deployment.go
@@ -21,26 +21,26 @@
 
 // A deployment is the processes of a run and the links before them.
 type deployment struct {
-	binary    string
-	folder    string
-	names     cast
-	processes map[string]*mgproc.Process
-	links     map[string]*mgproc.Link
-	standins  map[string]string // base URLs
-	admins    map[string]string // addresses
-	entries   []string          // base URLs for callers, over links
-	peers     map[string]string
-	version   int
-	list      uint64 // version of the list of VMs
-	revoked   bool
-	mark      string
+	binary       string
+	folder       string
+	names        processNames
+	processes    map[string]*mgproc.Process
+	links        map[string]*mgproc.Link
+	standins     map[string]string // base URLs
+	admins       map[string]string // addresses
+	entries      []string          // base URLs for callers, over links
+	peers        map[string]string
+	tableVersion int
+	listVersion  uint64 // version of the list of VMs
+	revoked      bool
+	versionMark  string
 }
 
 // Bounds of waits, and the interval of looks.
 const (
-	startWait = 30 * time.Second
-	lookEvery = 20 * time.Millisecond
-	askWait   = 2 * time.Second
+	startTimeout   = 30 * time.Second
+	pollInterval   = 20 * time.Millisecond
+	requestTimeout = 2 * time.Second
 )
 
 // newDeployment starts a deployment and returns once its processes are ready.
@@ -55,17 +55,17 @@
 		admins:    map[string]string{},
 		peers:     map[string]string{},
 	}
-	for _, step := range []func() error{d.startStandins, d.startSystem, func() error { return d.publishList() }, func() error { return d.edit(ctx) }} {
+	for _, step := range []func() error{d.startStandins, d.startSystem, func() error { return d.publishList() }, func() error { return d.publishTable(ctx) }} {
 		if err := step(); err != nil {
 			d.close()
 			return nil, fmt.Errorf("deployment: %w", err)
 		}
 	}
 	for name, admin := range d.admins {
-		if !until(ctx, startWait, func() bool { return status(ctx, "http://"+admin+"/ready") == http.StatusOK }) {
+		if !waitUntil(ctx, startTimeout, func() bool { return status(ctx, "http://"+admin+"/ready") == http.StatusOK }) {
 			text := d.processes[name].Log()
 			d.close()
-			return nil, fmt.Errorf("deployment: %s isn't ready after %v: %s", name, startWait, text)
+			return nil, fmt.Errorf("deployment: %s isn't ready after %v: %s", name, startTimeout, text)
 		}
 	}
 	return d, nil
@@ -138,10 +138,10 @@
 		}
 	}
 	for name, base := range d.standins {
-		if !until(context.Background(), startWait, func() bool {
+		if !waitUntil(context.Background(), startTimeout, func() bool {
 			return status(context.Background(), base+"/standin/counts") == http.StatusOK
 		}) {
-			return fmt.Errorf("%s serves nothing after %v: %s", name, startWait, d.processes[name].Log())
+			return fmt.Errorf("%s serves nothing after %v: %s", name, startTimeout, d.processes[name].Log())
 		}
 	}
 	return nil
@@ -196,9 +196,9 @@
 
 // publishList publishes the list of VMs with cordoned zones.
 func (d *deployment) publishList(cordoned ...string) error {
-	d.list++
+	d.listVersion++
 	list := mgplatform.List{
-		Version:  d.list,
+		Version:  d.listVersion,
 		Cordoned: cordoned,
 	}
 	for i, agent := range d.names.agents {
@@ -239,7 +239,7 @@
 // post sends a body to a stand-in's switch. The switches are reached without a
 // link: they are the run's own.
 func (d *deployment) post(standin, path string, body []byte) error {
-	ctx, cancel := context.WithTimeout(context.Background(), startWait)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, d.standins[standin]+"/standin/"+path, bytes.NewReader(body))
 	if err != nil {
@@ -267,7 +267,7 @@
 
 // counts reads a stand-in's counters.
 func (d *deployment) counts(standin string, counts any) error {
-	ctx, cancel := context.WithTimeout(context.Background(), startWait)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	_, body := get(ctx, d.standins[standin]+"/standin/counts", "")
 	if err := json.Unmarshal(body, counts); err != nil {
@@ -278,10 +278,10 @@
 
 // edit publishes the next version of the table. Its mark is a service that no
 // other version has.
-func (d *deployment) edit(context.Context) error {
-	d.version++
-	d.mark = fmt.Sprintf("mark%06d", d.version)
-	return d.post(platform, "table", []byte(tableOf(d.names, d.version, d.mark, d.revoked)))
+func (d *deployment) publishTable(context.Context) error {
+	d.tableVersion++
+	d.versionMark = fmt.Sprintf("mark%06d", d.tableVersion)
+	return d.post(platform, "table", []byte(tableText(d.names, d.tableVersion, d.versionMark, d.revoked)))
 }
 
 // get returns the status and body of a URL, or 0 when it can't be reached.
@@ -291,7 +291,7 @@
 
 // call is get with a method and a body to send.
 func call(ctx context.Context, method, url, key, body string) (int, []byte) {
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
@@ -300,7 +300,7 @@
 	if key != "" {
 		request.Header.Set("Authorization", "Bearer "+key)
 	}
-	response, err := fresh.Do(request)
+	response, err := unpooledClient.Do(request)
 	if err != nil {
 		return 0, nil
 	}
@@ -313,7 +313,7 @@
 }
 
 // fresh uses a connection for each request.
-var fresh = &http.Client{
+var unpooledClient = &http.Client{
 	Transport: &http.Transport{
 		DisableKeepAlives: true,
 	},
@@ -325,12 +325,12 @@
 }
 
 // until waits for a condition, and reports whether it came.
-func until(ctx context.Context, span time.Duration, is func() bool) bool {
-	ctx, cancel := context.WithTimeout(ctx, span)
+func waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	for !is() {
-		if !(mgclock.Clock{}).Sleep(ctx, mgclock.Millis(lookEvery/time.Millisecond)) {
-			return is()
+	for !condition() {
+		if !(mgclock.Clock{}).Sleep(ctx, mgclock.Millis(pollInterval/time.Millisecond)) {
+			return condition()
 		}
 	}
 	return true
--- a/internal/soak/mgsoak/evidence.go
+++ b/internal/soak/mgsoak/evidence.go
@@ -20,7 +20,7 @@
 // String returns the finding in a line.
 func (f Finding) String() string { return f.Promise + ": " + f.Seen }
 
-func finding(promise, format string, args ...any) Finding {
+func newFinding(promise, format string, args ...any) Finding {
 	return Finding{
 		Promise: promise,
 		Seen:    fmt.Sprintf(format, args...),
@@ -29,22 +29,22 @@
 
 // The promises, as findings name them.
 const (
-	oneGeneration = "one generation, each token once and in order"
-	startedOnce   = "a generation starts once"
-	ownAnswer     = "each caller has the answer to its own request"
-	trueRefusal   = "not run is true"
-	runOnce       = "a write runs at most once"
-	neverBack     = "a version in force does not go back"
-	inForce       = "a version is in force everywhere in time"
-	revokedKey    = "a key that was taken away opens nothing"
-	nothingCut    = "a planned stop cuts nothing"
-	noCause       = "nothing fails without a fault"
-	cordonKept    = "a cordoned zone gets no new work"
-	promptHeld    = "a prompt that ends engines is held back"
+	oneGeneration          = "one generation, each token once and in order"
+	generationStartsOnce   = "a generation starts once"
+	ownAnswerOnly          = "each caller has the answer to its own request"
+	notRunIsTrue           = "not run is true"
+	writeRunsOnce          = "a write runs at most once"
+	versionMonotonic       = "a version in force does not go back"
+	versionPropagates      = "a version is in force everywhere in time"
+	revokedKey             = "a key that was taken away opens nothing"
+	plannedStopCutsNothing = "a planned stop cuts nothing"
+	failureHasCause        = "nothing fails without a fault"
+	cordonRespected        = "a cordoned zone gets no new work"
+	crashPromptBlocked     = "a prompt that ends engines is held back"
 )
 
 // report is one answer as its caller has it.
-type report struct {
+type callerAnswer struct {
 	prompt string
 	length int
 	text   string
@@ -64,20 +64,20 @@
 }
 
 // look is what one entry showed of the table in force.
-type look struct {
-	entry   string
-	life    int // which of its processes
-	version int
+type tableObservation struct {
+	entry       string
+	incarnation int // which of its processes
+	version     int
 }
 
 // evidence is what callers and upstreams saw of a run.
 type evidence struct {
-	reports     []report
-	tickets     []ticket
-	looks       []look
-	generations map[string]mgstandin.Record
-	runs        map[string]int // of writes, by operation
-	crashes     int            // engines that the prompt ended
+	answers      []callerAnswer
+	tickets      []ticket
+	observations []tableObservation
+	generations  map[string]mgstandin.Record
+	runs         map[string]int // of writes, by operation
+	crashes      int            // engines that the prompt ended
 }
 
 // merge adds what one engine remembers: a generation that moved is known to two.
@@ -104,25 +104,25 @@
 	var found []Finding
 	for id, record := range e.generations {
 		if record.Starts > 1 {
-			found = append(found, finding(startedOnce, "generation %s was started %d times", id, record.Starts))
+			found = append(found, newFinding(generationStartsOnce, "generation %s was started %d times", id, record.Starts))
 		}
 	}
-	for _, r := range e.reports {
-		found = append(found, e.checkReport(r)...)
+	for _, r := range e.answers {
+		found = append(found, e.checkAnswer(r)...)
 	}
 	for operation, runs := range e.runs {
 		if runs > 1 {
-			found = append(found, finding(runOnce, "operation %s ran %d times", operation, runs))
+			found = append(found, newFinding(writeRunsOnce, "operation %s ran %d times", operation, runs))
 		}
 	}
 	for _, t := range e.tickets {
 		found = append(found, e.checkTicket(t)...)
 	}
-	return append(found, e.checkLooks()...)
+	return append(found, e.checkVersionOrder()...)
 }
 
 // own returns the generations of a prompt.
-func (e *evidence) own(prompt string) []string {
+func (e *evidence) generationsOf(prompt string) []string {
 	var ids []string
 	for id, record := range e.generations {
 		if strings.Contains(record.Prompt, prompt) {
@@ -132,27 +132,27 @@
 	return ids
 }
 
-func (e *evidence) checkReport(r report) []Finding {
-	own := e.own(r.prompt)
-	mine := r.tokens == 0 && r.text == ""
-	for _, id := range own {
-		mine = mine || mgstandin.Whole(id, r.tokens) == r.text
+func (e *evidence) checkAnswer(r callerAnswer) []Finding {
+	ids := e.generationsOf(r.prompt)
+	matches := r.tokens == 0 && r.text == ""
+	for _, id := range ids {
+		matches = matches || mgstandin.Whole(id, r.tokens) == r.text
 	}
 	var found []Finding
-	if !mine {
+	if !matches {
 		promise := oneGeneration
 		for id := range e.generations {
 			if mgstandin.Whole(id, r.tokens) == r.text {
-				promise = ownAnswer
+				promise = ownAnswerOnly
 			}
 		}
-		found = append(found, finding(promise, "%s: what came in %d tokens is the beginning of none of its generations %v", r.prompt, r.tokens, own))
+		found = append(found, newFinding(promise, "%s: what came in %d tokens is the beginning of none of its generations %v", r.prompt, r.tokens, ids))
 	}
 	if r.err == nil && r.tokens != r.length {
-		found = append(found, finding(oneGeneration, "%s: said to be whole with %d of %d tokens", r.prompt, r.tokens, r.length))
+		found = append(found, newFinding(oneGeneration, "%s: said to be whole with %d of %d tokens", r.prompt, r.tokens, r.length))
 	}
-	if r.err != nil && mgproblem.From(r.err).Outcome() == mgproblem.NotRun && len(own) > 0 {
-		found = append(found, finding(trueRefusal, "%s: told so, and generation %v began: %v", r.prompt, own, r.err))
+	if r.err != nil && mgproblem.From(r.err).Outcome() == mgproblem.NotRun && len(ids) > 0 {
+		found = append(found, newFinding(notRunIsTrue, "%s: told so, and generation %v began: %v", r.prompt, ids, r.err))
 	}
 	return found
 }
@@ -161,44 +161,44 @@
 	runs := e.runs[t.operation]
 	if t.err != nil {
 		if t.operation != "" && runs > 0 && mgproblem.From(t.err).Outcome() == mgproblem.NotRun {
-			return []Finding{finding(trueRefusal, "ticket %q ran: %v", t.body, t.err)}
+			return []Finding{newFinding(notRunIsTrue, "ticket %q ran: %v", t.body, t.err)}
 		}
 		return nil
 	}
 	if t.status == http.StatusServiceUnavailable {
 		if runs > 0 {
-			return []Finding{finding(trueRefusal, "ticket %q was refused by the service and ran", t.body)}
+			return []Finding{newFinding(notRunIsTrue, "ticket %q was refused by the service and ran", t.body)}
 		}
 		return nil
 	}
 	var reply mgstandin.ServiceReply
 	if err := json.Unmarshal(t.reply, &reply); err != nil {
-		return []Finding{finding(ownAnswer, "ticket %q: status %d with no reply of the service's: %v", t.body, t.status, err)}
+		return []Finding{newFinding(ownAnswerOnly, "ticket %q: status %d with no reply of the service's: %v", t.body, t.status, err)}
 	}
 	if reply.Digest != mgstandin.Digest(t.body) || reply.Operation != t.operation {
-		return []Finding{finding(ownAnswer, "ticket %q: the reply is another's", t.body)}
+		return []Finding{newFinding(ownAnswerOnly, "ticket %q: the reply is another's", t.body)}
 	}
 	if runs == 0 {
-		return []Finding{finding(runOnce, "ticket %q was answered and did not run", t.body)}
+		return []Finding{newFinding(writeRunsOnce, "ticket %q was answered and did not run", t.body)}
 	}
 	return nil
 }
 
 // checkLooks looks for versions that went back in one process.
-func (e *evidence) checkLooks() []Finding {
+func (e *evidence) checkVersionOrder() []Finding {
 	type process struct {
 		entry string
 		life  int
 	}
 	newest := map[process]int{}
 	var found []Finding
-	for _, l := range e.looks {
+	for _, l := range e.observations {
 		p := process{
 			entry: l.entry,
-			life:  l.life,
+			life:  l.incarnation,
 		}
 		if l.version < newest[p] {
-			found = append(found, finding(neverBack, "%s showed version %d after %d", l.entry, l.version, newest[p]))
+			found = append(found, newFinding(versionMonotonic, "%s showed version %d after %d", l.entry, l.version, newest[p]))
 		}
 		newest[p] = max(newest[p], l.version)
 	}
--- a/internal/soak/mgsoak/evidence_test.go
+++ b/internal/soak/mgsoak/evidence_test.go
@@ -15,7 +15,7 @@
 // sound is the evidence of a run in which every promise was kept: an answer that
 // is whole, one that was cut and said so, one that was refused, a generation that
 // moved, a write, and looks at two processes of an entry.
-func sound() *evidence {
+func validEvidence() *evidence {
 	reply, err := json.Marshal(mgstandin.ServiceReply{
 		Operation: "op",
 		Digest:    mgstandin.Digest([]byte("ticket 1")),
@@ -24,7 +24,7 @@
 		panic(err)
 	}
 	e := &evidence{
-		reports: []report{
+		answers: []callerAnswer{
 			{
 				prompt: "report 1.",
 				length: 9,
@@ -49,20 +49,20 @@
 			reply:     reply,
 			status:    http.StatusOK,
 		}},
-		looks: []look{
+		observations: []tableObservation{
 			{
 				entry:   "entry-1",
 				version: 2,
 			},
 			{
-				entry:   "entry-1",
-				life:    1,
-				version: 1,
+				entry:       "entry-1",
+				incarnation: 1,
+				version:     1,
 			},
 			{
-				entry:   "entry-1",
-				life:    1,
-				version: 2,
+				entry:       "entry-1",
+				incarnation: 1,
+				version:     2,
 			},
 		},
 		runs: map[string]int{"op": 1},
@@ -79,54 +79,54 @@
 
 // A check that can't fail lets each later fault pass unseen. Each case is a system
 // that breaks one promise: what its callers and upstreams would see.
-func TestChecksFail(t *testing.T) {
+func TestChecksMissABrokenPromise(t *testing.T) {
 	cases := []struct {
 		name    string
 		promise string
 		broken  func(e *evidence)
 	}{
 		{"a token comes twice", oneGeneration, func(e *evidence) {
-			e.reports[0].text = mgstandin.Text("g1", 1) + mgstandin.Whole("g1", 9)
-			e.reports[0].tokens = 10
-			e.reports[0].length = 10
+			e.answers[0].text = mgstandin.Text("g1", 1) + mgstandin.Whole("g1", 9)
+			e.answers[0].tokens = 10
+			e.answers[0].length = 10
 		}},
 		{"a token is missing", oneGeneration, func(e *evidence) {
-			e.reports[0].text = mgstandin.Whole("g1", 9)[len(mgstandin.Text("g1", 1)):]
+			e.answers[0].text = mgstandin.Whole("g1", 9)[len(mgstandin.Text("g1", 1)):]
 		}},
 		{"two generations are joined", oneGeneration, func(e *evidence) {
-			e.reports[0].text = mgstandin.Whole("g1", 8) + mgstandin.Text("g2", 9)
+			e.answers[0].text = mgstandin.Whole("g1", 8) + mgstandin.Text("g2", 9)
 		}},
-		{"a part looks whole", oneGeneration, func(e *evidence) { e.reports[1].err = nil }},
-		{"another's answer comes", ownAnswer, func(e *evidence) {
-			e.reports[1].text = mgstandin.Whole("g1", 4)
+		{"a part looks whole", oneGeneration, func(e *evidence) { e.answers[1].err = nil }},
+		{"another's answer comes", ownAnswerOnly, func(e *evidence) {
+			e.answers[1].text = mgstandin.Whole("g1", 4)
 		}},
-		{"a generation is started at two engines", startedOnce, func(e *evidence) {
+		{"a generation is started at two engines", generationStartsOnce, func(e *evidence) {
 			e.merge(mgstandin.EngineCounts{Generations: map[string]mgstandin.Record{"g1": {Starts: 1}}})
 		}},
-		{"a refused request has run", trueRefusal, func(e *evidence) {
+		{"a refused request has run", notRunIsTrue, func(e *evidence) {
 			e.generations["g3"] = mgstandin.Record{Starts: 1, Prompt: "report 3."}
 		}},
-		{"a write runs twice", runOnce, func(e *evidence) { e.runs["op"] = 2 }},
-		{"a write is answered and did not run", runOnce, func(e *evidence) { e.runs["op"] = 0 }},
-		{"a refused write has run", trueRefusal, func(e *evidence) {
+		{"a write runs twice", writeRunsOnce, func(e *evidence) { e.runs["op"] = 2 }},
+		{"a write is answered and did not run", writeRunsOnce, func(e *evidence) { e.runs["op"] = 0 }},
+		{"a refused write has run", notRunIsTrue, func(e *evidence) {
 			e.tickets[0].err = mgproblem.New(mgproblem.Crowded, mgproblem.NotRun, "full", "wait")
 		}},
-		{"a write gets another's reply", ownAnswer, func(e *evidence) { e.tickets[0].body = []byte("ticket 2") }},
-		{"a table goes back", neverBack, func(e *evidence) {
-			e.looks = append(e.looks, look{
-				entry:   "entry-1",
-				life:    1,
-				version: 1,
+		{"a write gets another's reply", ownAnswerOnly, func(e *evidence) { e.tickets[0].body = []byte("ticket 2") }},
+		{"a table goes back", versionMonotonic, func(e *evidence) {
+			e.observations = append(e.observations, tableObservation{
+				entry:       "entry-1",
+				incarnation: 1,
+				version:     1,
 			})
 		}},
 	}
 	Convey("A sound system has no findings", t, func() {
-		So(sound().check(), ShouldBeEmpty)
+		So(validEvidence().check(), ShouldBeEmpty)
 	})
 	Convey("A system is found out in which", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				e := sound()
+				e := validEvidence()
 				c.broken(e)
 				found := e.check()
 				So(found, ShouldNotBeEmpty)
@@ -137,19 +137,19 @@
 }
 
 // A finding whose seed draws another schedule next time can't be looked into.
-func TestDraw(t *testing.T) {
+func TestSeedDrawsAnotherSchedule(t *testing.T) {
 	size := Size{
 		Entries: 2,
 		Engines: 3,
 	}
 	Convey("A seed draws one schedule", t, func() {
-		one := Draw(7, size, 60000)
-		So(one, ShouldResemble, Draw(7, size, 60000))
-		So(one, ShouldNotResemble, Draw(8, size, 60000))
-		So(len(one), ShouldBeGreaterThan, 20)
+		schedule := Draw(7, size, 60000)
+		So(schedule, ShouldResemble, Draw(7, size, 60000))
+		So(schedule, ShouldNotResemble, Draw(8, size, 60000))
+		So(len(schedule), ShouldBeGreaterThan, 20)
 		revokes := 0
-		for _, f := range one {
-			So(f.At+f.Span, ShouldBeLessThanOrEqualTo, 60000-quietTail)
+		for _, f := range schedule {
+			So(f.At+f.Duration, ShouldBeLessThanOrEqualTo, 60000-faultFreeEnd)
 			if f.Kind == RevokeKey {
 				revokes++
 			}
@@ -163,6 +163,6 @@
 				seen[f.Kind] = true
 			}
 		}
-		So(len(seen), ShouldEqual, len(drawn)+2) // the cordon and the prompt are drawn by themselves
+		So(len(seen), ShouldEqual, len(faultWeights)+2) // the cordon and the prompt are drawn by themselves
 	})
 }
--- a/internal/soak/mgsoak/harm.go
+++ b/internal/soak/mgsoak/inject.go
@@ -15,17 +15,17 @@
 
 const (
 	// serviceTimes is how many calls of the service one fault strikes.
-	serviceTimes = 6
+	failedServiceCalls = 6
 	// slowFactor is how many times as slow an engine turns.
 	slowFactor = 8
 	// stopLongest bounds a planned stop; the settings' drain is shorter.
-	stopLongest = 25 * mgclock.Second
+	stopTimeout = 25 * mgclock.Second
 	// linkDelay is how late a delayed link passes each piece on.
 	linkDelay = 150 * mgclock.Millis(1)
 )
 
 // harm does one fault and undoes it after its span.
-func (r *run) harm(ctx context.Context, f Fault) error {
+func (r *run) injectFault(ctx context.Context, f Fault) error {
 	switch f.Kind {
 	case KillProcess:
 		return r.restart(f.Target)
@@ -34,17 +34,17 @@
 	case PauseProcess:
 		return r.pause(ctx, f)
 	case CutLink, MuteLink, BarLink, DelayLink, LoseLink:
-		r.harmLink(ctx, f, r.d.links[f.Target])
+		r.injectLinkFault(ctx, f, r.d.links[f.Target])
 		return nil
 	case DieEngine, SlowEngine, LeaveEngine:
-		return r.harmEngine(ctx, f)
-	case HarmService:
+		return r.injectEngineFault(ctx, f)
+	case FailService:
 		return r.d.set(service, mgstandin.Fault{
-			Kind:  f.How,
-			Times: serviceTimes,
+			Kind:  f.Variant,
+			Times: failedServiceCalls,
 		})
-	case HarmPlatform:
-		return r.harmPlatform(ctx, f)
+	case FailPlatform:
+		return r.injectPlatformFault(ctx, f)
 	case CordonZone:
 		return r.cordon(ctx, f)
 	case CrashPrompt:
@@ -54,21 +54,21 @@
 		r.editing.Lock()
 		defer r.editing.Unlock()
 		r.d.revoked = r.d.revoked || f.Kind == RevokeKey
-		return r.d.edit(ctx)
+		return r.d.publishTable(ctx)
 	}
 	return fmt.Errorf("schedule: %q is no kind of fault: use one that mgsoak names", f.Kind)
 }
 
 // wait waits for a span of the run.
-func (r *run) wait(ctx context.Context, span mgclock.Millis) { r.clock.Sleep(ctx, span) }
+func (r *run) sleep(ctx context.Context, duration mgclock.Millis) { r.clock.Sleep(ctx, duration) }
 
 // restart kills a process and starts it anew.
 func (r *run) restart(name string) error {
-	r.newLife(name)
+	r.advanceIncarnation(name)
 	if err := r.d.processes[name].Restart(); err != nil {
 		return err
 	}
-	r.newLife(name)
+	r.advanceIncarnation(name)
 	return nil
 }
 
@@ -80,7 +80,7 @@
 	}
 	select {
 	case <-p.Exited():
-	case <-r.clock.After(stopLongest):
+	case <-r.clock.After(stopTimeout):
 	case <-ctx.Done():
 	}
 	return r.restart(name)
@@ -91,35 +91,35 @@
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return nil // it has ended by another fault
 	}
-	r.wait(ctx, f.Span)
+	r.sleep(ctx, f.Duration)
 	_ = p.Signal(syscall.SIGCONT) // it may have been ended meanwhile
 	return nil
 }
 
-func (r *run) harmLink(ctx context.Context, f Fault, l *mgproc.Link) {
+func (r *run) injectLinkFault(ctx context.Context, f Fault, l *mgproc.Link) {
 	switch f.Kind {
 	case CutLink:
 		l.Cut()
 	case MuteLink:
 		l.Silence()
 	case BarLink:
-		l.Bar(true)
-		r.wait(ctx, f.Span)
-		l.Bar(false)
+		l.Block(true)
+		r.sleep(ctx, f.Duration)
+		l.Block(false)
 	case DelayLink:
 		l.Delay(linkDelay)
-		r.wait(ctx, f.Span)
+		r.sleep(ctx, f.Duration)
 		l.Delay(0)
 	case LoseLink:
-		l.Lose(true)
-		r.wait(ctx, f.Span)
-		l.Lose(false)
+		l.DropReplies(true)
+		r.sleep(ctx, f.Duration)
+		l.DropReplies(false)
 	}
 }
 
 // harmEngine turns a switch of an engine and heals it. Two faults of one engine
 // don't overlap: the second would end with the first.
-func (r *run) harmEngine(ctx context.Context, f Fault) error {
+func (r *run) injectEngineFault(ctx context.Context, f Fault) error {
 	r.engines[f.Target].Lock()
 	defer r.engines[f.Target].Unlock()
 	fault := mgstandin.Fault{
@@ -129,34 +129,34 @@
 	case SlowEngine:
 		fault.Kind, fault.Factor = mgstandin.Slow, slowFactor
 	case LeaveEngine:
-		fault.Kind, fault.Delay = mgstandin.Leave, f.Span
+		fault.Kind, fault.Delay = mgstandin.Leave, f.Duration
 	}
 	if err := r.d.set(f.Target, fault); err != nil {
 		return err
 	}
-	r.wait(ctx, f.Span)
+	r.sleep(ctx, f.Duration)
 	if f.Kind == LeaveEngine {
 		if err := r.d.set(f.Target, mgstandin.Fault{Kind: mgstandin.Die}); err != nil {
 			return err
 		}
-		r.wait(ctx, f.Span)
+		r.sleep(ctx, f.Duration)
 	}
 	return r.d.set(f.Target, mgstandin.Fault{Kind: mgstandin.Heal})
 }
 
-func (r *run) harmPlatform(ctx context.Context, f Fault) error {
+func (r *run) injectPlatformFault(ctx context.Context, f Fault) error {
 	r.platform.Lock()
 	defer r.platform.Unlock()
-	if err := r.d.set(platform, mgstandin.Fault{Kind: f.How}); err != nil {
+	if err := r.d.set(platform, mgstandin.Fault{Kind: f.Variant}); err != nil {
 		return err
 	}
-	r.wait(ctx, f.Span)
+	r.sleep(ctx, f.Duration)
 	return r.d.set(platform, mgstandin.Fault{Kind: mgstandin.Heal})
 }
 
 // cordonWait is the time in which every process must go by a cordon, the lag of the list
 // included.
-const cordonWait = 3 * mgclock.Second
+const cordonDelay = 3 * mgclock.Second
 
 // cordon keeps new work from a zone, and looks whether its engines begin any once all
 // processes must know. The platform doesn't fail meanwhile: it is what tells them.
@@ -166,23 +166,23 @@
 	if err := r.d.publishList(f.Target); err != nil {
 		return err
 	}
-	r.wait(ctx, cordonWait)
+	r.sleep(ctx, cordonDelay)
 	from := r.now()
 	before, err := r.starts(f.Target)
 	if err != nil {
 		return err
 	}
-	r.wait(ctx, f.Span)
+	r.sleep(ctx, f.Duration)
 	after, err := r.starts(f.Target)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.cordons = append(r.cordons, cordonLook{
-		zone:  f.Target,
-		begun: after - before,
-		from:  from,
-		end:   r.now(),
+	r.cordonChecks = append(r.cordonChecks, cordonCheck{
+		zone:         f.Target,
+		startedCount: after - before,
+		from:         from,
+		end:          r.now(),
 	})
 	r.mu.Unlock()
 	return r.d.publishList()
@@ -207,49 +207,49 @@
 }
 
 // promptPause is the time between two requests with the prompt that ends engines.
-const promptPause = 150 * mgclock.Millis(1)
+const promptInterval = 150 * mgclock.Millis(1)
 
 // sendPrompt sends a prompt that ends the engines which begin it, through one entry after
 // another.
 func (r *run) sendPrompt(ctx context.Context, f Fault) {
 	body := fmt.Sprintf(`{"model":"report","messages":[{"role":"user","content":"%s len=5"}]}`, mgstandin.CrashMark)
-	end := r.now() + f.Span
+	end := r.now() + f.Duration
 	for n := 0; r.now() < end && ctx.Err() == nil; n++ {
 		base := r.d.entries[n%len(r.d.entries)]
 		_, _ = call(ctx, http.MethodPost, base+"/v1/chat/completions", firstKey, body) // how it fails is no matter
-		r.wait(ctx, promptPause)
+		r.sleep(ctx, promptInterval)
 	}
 }
 
 // endedByPrompt looks for more engines that the prompt ended than entries can't have known.
-func (r *run) endedByPrompt() []Finding {
-	var sent span
-	for _, s := range r.spans {
+func (r *run) checkPromptCrashes() []Finding {
+	var sent faultInterval
+	for _, s := range r.faultIntervals {
 		if s.fault.Kind == CrashPrompt {
 			sent = s
 		}
 	}
 	// Another entry's word of an engine that started again under its name within a second
 	// is taken for a word of the same crash, once for each entry.
-	allowed := promptCrashes + max(r.size.Entries, reserve+1) - 1
-	for _, s := range r.spans {
-		if strings.HasPrefix(s.fault.Target, "entry-") && s.from < sent.end && sent.from < s.end+promptWord {
-			allowed += promptCrashes // an entry that starts anew, stands still or is cut off
+	allowed := maxPromptCrashes + max(r.size.Entries, spareProcesses+1) - 1
+	for _, s := range r.faultIntervals {
+		if strings.HasPrefix(s.fault.Target, "entry-") && s.start < sent.end && sent.start < s.end+promptReportDelay {
+			allowed += maxPromptCrashes // an entry that starts anew, stands still or is cut off
 		}
 	}
 	if r.evidence.crashes <= allowed {
 		return nil
 	}
-	return []Finding{finding(promptHeld, "%d engines ended, of %d that may have", r.evidence.crashes, allowed)}
+	return []Finding{newFinding(crashPromptBlocked, "%d engines ended, of %d that may have", r.evidence.crashes, allowed)}
 }
 
 // promptCrashes is how many engines end under a prompt before one entry holds it back.
-const promptCrashes = 3
+const maxPromptCrashes = 3
 
 // promptWord is how long after a fault an entry may not have heard of the prompt.
-const promptWord = 3 * mgclock.Second
+const promptReportDelay = 3 * mgclock.Second
 
 // planned reports whether a fault is one that answers must outlast by themselves.
-func (f Fault) planned() bool {
+func (f Fault) mustBeTolerated() bool {
 	return f.Kind == StopProcess && strings.HasPrefix(f.Target, "entry-") || slices.Contains([]Kind{EditTable, RevokeKey, CordonZone}, f.Kind)
 }
--- a/internal/soak/mgsoak/load.go
+++ b/internal/soak/mgsoak/load.go
@@ -17,19 +17,19 @@
 const (
 	// lengthMin and lengthMax bound the tokens of a report, up to about two seconds
 	// of an idle engine.
-	lengthMin = 20
-	lengthMax = 400
+	minReportTokens = 20
+	maxReportTokens = 400
 	// ticketPart is one in so many requests that is a write.
-	ticketPart = 3
+	requestsPerTicket = 3
 	// watchEvery is how often an entry's table is looked at, in ms.
-	watchEvery = 100 * mgclock.Millis(1)
+	observeInterval = 100 * mgclock.Millis(1)
 	// longGap is the gap between two tokens that the report shows, ms.
-	longGap = 200
+	minRecordedGap = 200
 )
 
 // caller sends one request after another until ctx ends, and notes what it got.
 // What is under way then is read to its end.
-func (r *run) caller(ctx context.Context, number int) {
+func (r *run) runCaller(ctx context.Context, number int) {
 	draw := rand.New(rand.NewPCG(r.seed, uint64(number)+1))
 	first := number % len(r.d.entries)
 	client := mgclient.New(mgclient.Spec{
@@ -43,18 +43,18 @@
 	})
 	for n := 0; ctx.Err() == nil; n++ {
 		name := fmt.Sprintf("caller %d, request %d,", number, n)
-		if draw.IntN(ticketPart) == 0 {
-			r.book(client, name)
+		if draw.IntN(requestsPerTicket) == 0 {
+			r.bookTicket(client, name)
 		} else {
-			r.ask(client, name, lengthMin+draw.IntN(lengthMax-lengthMin))
+			r.requestReport(client, name, minReportTokens+draw.IntN(maxReportTokens-minReportTokens))
 		}
 		r.clock.Sleep(ctx, mgclock.Millis(draw.IntN(100)))
 	}
 }
 
 // ask asks for a report of a length.
-func (r *run) ask(client *mgclient.Client, name string, length int) {
-	seen := report{
+func (r *run) requestReport(client *mgclient.Client, name string, length int) {
+	result := callerAnswer{
 		prompt: fmt.Sprintf("%s report len=%d.", name, length),
 		length: length,
 		began:  r.now(),
@@ -64,74 +64,74 @@
 		Model: "report",
 		Messages: []mgclient.Message{{
 			Role:    "user",
-			Content: seen.prompt,
+			Content: result.prompt,
 		}},
 	}, func(mgclient.Token) error {
 		now := r.now()
 		if last > 0 {
-			r.gap(now, now-last)
+			r.recordGap(now, now-last)
 		}
 		last = now
 		return nil
 	})
-	seen.text, seen.tokens, seen.err, seen.ended = answer.Text(), int(answer.Tokens()), err, r.now()
+	result.text, result.tokens, result.err, result.ended = answer.Text(), int(answer.Tokens()), err, r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.evidence.reports = append(r.evidence.reports, seen)
+	r.evidence.answers = append(r.evidence.answers, result)
 }
 
 // book books a ticket under an operation that is minted first.
-func (r *run) book(client *mgclient.Client, name string) {
+func (r *run) bookTicket(client *mgclient.Client, name string) {
 	ctx := context.Background()
-	seen := ticket{
+	result := ticket{
 		body: []byte(name + " ticket"),
 	}
-	seen.operation, seen.err = client.Mint(ctx, "ticket")
-	if seen.err == nil {
+	result.operation, result.err = client.Mint(ctx, "ticket")
+	if result.err == nil {
 		var reply mgclient.Reply
-		reply, seen.err = client.Call(ctx, mgclient.CallSpec{
+		reply, result.err = client.Call(ctx, mgclient.CallSpec{
 			Service:   "ticket",
 			Method:    http.MethodPost,
 			Path:      "/book",
 			Mime:      "text/plain",
-			Body:      seen.body,
-			Operation: seen.operation,
+			Body:      result.body,
+			Operation: result.operation,
 		})
-		seen.reply, seen.status = reply.Body, reply.Status
+		result.reply, result.status = reply.Body, reply.Status
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.evidence.tickets = append(r.evidence.tickets, seen)
+	r.evidence.tickets = append(r.evidence.tickets, result)
 }
 
 // observer looks at the table in force at an entry over one connection, which it
 // holds until that breaks, as a caller does that uses a connection until its
 // process is gone.
-func (r *run) observer(ctx context.Context, i int) {
+func (r *run) runObserver(ctx context.Context, i int) {
 	entry := r.d.names.entries[i]
 	client := &http.Client{
 		Transport: &http.Transport{},
 	}
 	defer client.CloseIdleConnections()
-	for r.clock.Sleep(ctx, watchEvery) {
-		before := r.life(entry)
-		version, ok := markAt(ctx, client, r.d.entries[i], firstKey)
-		if !ok || r.life(entry) != before {
+	for r.clock.Sleep(ctx, observeInterval) {
+		before := r.incarnation(entry)
+		version, ok := versionAt(ctx, client, r.d.entries[i], firstKey)
+		if !ok || r.incarnation(entry) != before {
 			continue // it may be the process before or after
 		}
 		r.mu.Lock()
-		r.evidence.looks = append(r.evidence.looks, look{
-			entry:   entry,
-			life:    before,
-			version: version,
+		r.evidence.observations = append(r.evidence.observations, tableObservation{
+			entry:       entry,
+			incarnation: before,
+			version:     version,
 		})
 		r.mu.Unlock()
 	}
 }
 
 // markAt returns the version of the table in force at an entry.
-func markAt(ctx context.Context, client *http.Client, base, key string) (int, bool) {
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+func versionAt(ctx context.Context, client *http.Client, base, key string) (int, bool) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/v1/models", nil)
 	if err != nil {
--- a/internal/soak/mgsoak/plot.go
+++ b/internal/soak/mgsoak/plot.go
@@ -32,8 +32,8 @@
 	p.X.Label.Text = "s from the start"
 	p.Y.Label.Text = "gap, s; answers a second"
 	p.Legend.Top = true
-	for _, s := range r.spans {
-		line, err := plotter.NewLine(plotter.XYs{{X: seconds(s.from)}, {X: seconds(s.end)}})
+	for _, s := range r.faultIntervals {
+		line, err := plotter.NewLine(plotter.XYs{{X: seconds(s.start)}, {X: seconds(s.end)}})
 		if err != nil {
 			return fmt.Errorf("plot: %w", err)
 		}
@@ -65,7 +65,7 @@
 	for _, g := range r.gaps {
 		points = append(points, plotter.XY{
 			X: seconds(g.at),
-			Y: seconds(g.span),
+			Y: seconds(g.duration),
 		})
 	}
 	marks, err := plotter.NewScatter(points)
@@ -84,7 +84,7 @@
 	for i := range counts {
 		counts[i].X = float64(i)
 	}
-	for _, a := range r.evidence.reports {
+	for _, a := range r.evidence.answers {
 		if i := int(seconds(a.ended)); a.err == nil && i < len(counts) {
 			counts[i].Y++
 		}
@@ -92,4 +92,4 @@
 	return counts
 }
 
-func seconds(span mgclock.Millis) float64 { return float64(span) / float64(mgclock.Second) }
+func seconds(duration mgclock.Millis) float64 { return float64(duration) / float64(mgclock.Second) }
--- a/internal/soak/mgsoak/run.go
+++ b/internal/soak/mgsoak/run.go
@@ -13,10 +13,10 @@
 
 const (
 	// settleWait bounds the wait for the last answers and for the last version.
-	settleWait = 40 * mgclock.Second
+	settleTimeout = 40 * mgclock.Second
 	// calmSpan is how long after a fault's end a failure is still put down to it: a
 	// caller tries for about as long.
-	calmSpan = 12 * mgclock.Second
+	recoveryWindow = 12 * mgclock.Second
 )
 
 // run is a run under way.
@@ -33,58 +33,58 @@
 	platform sync.Mutex
 	engines  map[string]*sync.Mutex
 
-	mu       sync.Mutex
-	lives    map[string]int
-	evidence evidence
-	spans    []span
-	gaps     []gap
-	cordons  []cordonLook
-	findings []Finding
+	mu             sync.Mutex
+	incarnations   map[string]int
+	evidence       evidence
+	faultIntervals []faultInterval
+	gaps           []tokenGap
+	cordonChecks   []cordonCheck
+	findings       []Finding
 }
 
 // cordonLook is what a zone's engines began while it was cordoned.
-type cordonLook struct {
-	zone      string
-	begun     int // generations
-	from, end mgclock.Millis
+type cordonCheck struct {
+	zone         string
+	startedCount int // generations
+	from, end    mgclock.Millis
 }
 
 // span is the time of a fault, from the run's start.
-type span struct {
-	fault     Fault
-	from, end mgclock.Millis
+type faultInterval struct {
+	fault      Fault
+	start, end mgclock.Millis
 }
 
 // gap is a long time between two tokens of an answer.
-type gap struct {
-	at, span mgclock.Millis
+type tokenGap struct {
+	at, duration mgclock.Millis
 }
 
 func (r *run) now() mgclock.Millis { return r.clock.Now() - r.started }
 
-func (r *run) life(name string) int {
+func (r *run) incarnation(name string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lives[name]
+	return r.incarnations[name]
 }
 
 // newLife counts a process's lives. It is called before and after a restart:
 // what is seen meanwhile may be of either.
-func (r *run) newLife(name string) {
+func (r *run) advanceIncarnation(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lives[name]++
+	r.incarnations[name]++
 }
 
-func (r *run) gap(at, long mgclock.Millis) {
-	if long < longGap {
+func (r *run) recordGap(at, duration mgclock.Millis) {
+	if duration < minRecordedGap {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.gaps = append(r.gaps, gap{
-		at:   at,
-		span: long,
+	r.gaps = append(r.gaps, tokenGap{
+		at:       at,
+		duration: duration,
 	})
 }
 
@@ -96,7 +96,7 @@
 	}
 	defer d.close()
 	r.d = d
-	r.lives = map[string]int{}
+	r.incarnations = map[string]int{}
 	r.engines = map[string]*sync.Mutex{}
 	for _, name := range d.names.engines {
 		r.engines[name] = &sync.Mutex{}
@@ -106,38 +106,38 @@
 	defer endLoad()
 	var load, harms sync.WaitGroup
 	for i := range r.size.Callers {
-		load.Go(func() { r.caller(loadCtx, i) })
+		load.Go(func() { r.runCaller(loadCtx, i) })
 	}
 	for i := range d.entries {
-		load.Go(func() { r.observer(loadCtx, i) })
+		load.Go(func() { r.runObserver(loadCtx, i) })
 	}
 	for _, f := range r.faults {
-		harms.Go(func() { r.schedule(ctx, f) })
+		harms.Go(func() { r.runFault(ctx, f) })
 	}
 	r.clock.Sleep(ctx, r.length)
 	harms.Wait()
 	r.settle(ctx)
 	endLoad()
 	load.Wait()
-	return r.judge()
+	return r.evaluate()
 }
 
 // schedule waits for a fault's time and does it.
-func (r *run) schedule(ctx context.Context, f Fault) {
+func (r *run) runFault(ctx context.Context, f Fault) {
 	if !r.clock.Sleep(ctx, f.At-r.now()) {
 		return
 	}
-	s := span{
+	s := faultInterval{
 		fault: f,
-		from:  r.now(),
+		start: r.now(),
 	}
-	err := r.harm(ctx, f)
+	err := r.injectFault(ctx, f)
 	s.end = r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spans = append(r.spans, s)
+	r.faultIntervals = append(r.faultIntervals, s)
 	if err != nil {
-		r.findings = append(r.findings, finding("the run itself", "%v: %v", f, err))
+		r.findings = append(r.findings, newFinding("the run itself", "%v: %v", f, err))
 	}
 }
 
@@ -146,15 +146,15 @@
 func (r *run) settle(ctx context.Context) {
 	for i, base := range r.d.entries {
 		last := 0
-		there := until(ctx, settleWait.Duration(), func() bool {
-			version, ok := markAt(ctx, fresh, base, firstKey)
+		converged := waitUntil(ctx, settleTimeout.Duration(), func() bool {
+			version, ok := versionAt(ctx, unpooledClient, base, firstKey)
 			if ok {
 				last = version
 			}
-			return ok && version == r.d.version
+			return ok && version == r.d.tableVersion
 		})
-		if !there {
-			r.find(inForce, "%s has version %d and not %d after %d ms: %s", r.d.names.entries[i], last, r.d.version, settleWait, r.d.processes[r.d.names.entries[i]].Log())
+		if !converged {
+			r.addFinding(versionPropagates, "%s has version %d and not %d after %d ms: %s", r.d.names.entries[i], last, r.d.tableVersion, settleTimeout, r.d.processes[r.d.names.entries[i]].Log())
 			continue
 		}
 		want := http.StatusOK
@@ -162,19 +162,19 @@
 			want = http.StatusUnauthorized
 		}
 		if code, _ := get(ctx, base+"/v1/models", secondKey); code != want {
-			r.find(revokedKey, "%s answers %d and not %d to the second key", r.d.names.entries[i], code, want)
+			r.addFinding(revokedKey, "%s answers %d and not %d to the second key", r.d.names.entries[i], code, want)
 		}
 	}
 }
 
-func (r *run) find(promise, format string, args ...any) {
+func (r *run) addFinding(promise, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.findings = append(r.findings, finding(promise, format, args...))
+	r.findings = append(r.findings, newFinding(promise, format, args...))
 }
 
 // judge compares what callers got with what the stand-ins remember.
-func (r *run) judge() error {
+func (r *run) evaluate() error {
 	for _, engine := range r.d.names.engines {
 		var counts mgstandin.EngineCounts
 		if err := r.d.counts(engine, &counts); err != nil {
@@ -188,21 +188,21 @@
 	}
 	r.evidence.runs = counts.Runs
 	r.findings = append(r.findings, r.evidence.check()...)
-	r.findings = append(r.findings, r.causeless()...)
-	r.findings = append(r.findings, r.breached()...)
-	r.findings = append(r.findings, r.endedByPrompt()...)
+	r.findings = append(r.findings, r.checkFailedAnswers()...)
+	r.findings = append(r.findings, r.checkCordons()...)
+	r.findings = append(r.findings, r.checkPromptCrashes()...)
 	return nil
 }
 
 // breached looks for work that a cordoned zone was given by processes that could know.
-func (r *run) breached() []Finding {
+func (r *run) checkCordons() []Finding {
 	var found []Finding
-	for _, c := range r.cordons {
-		excused := slices.ContainsFunc(r.spans, func(s span) bool {
-			return s.fault.hides() && s.from <= c.end && c.from <= s.end+cordonWait
+	for _, c := range r.cordonChecks {
+		excused := slices.ContainsFunc(r.faultIntervals, func(s faultInterval) bool {
+			return s.fault.delaysPlatformUpdates() && s.start <= c.end && c.from <= s.end+cordonDelay
 		})
-		if c.begun > 0 && !excused {
-			found = append(found, finding(cordonKept, "%d generations began in zone %s at %d to %d ms", c.begun, c.zone, c.from, c.end))
+		if c.startedCount > 0 && !excused {
+			found = append(found, newFinding(cordonRespected, "%d generations began in zone %s at %d to %d ms", c.startedCount, c.zone, c.from, c.end))
 		}
 	}
 	return found
@@ -210,28 +210,28 @@
 
 // causeless looks for answers that failed though nothing was harmed, or nothing
 // but what answers must outlast.
-func (r *run) causeless() []Finding {
+func (r *run) checkFailedAnswers() []Finding {
 	var found []Finding
-	for _, a := range r.evidence.reports {
+	for _, a := range r.evidence.answers {
 		if a.err == nil {
 			continue
 		}
-		near := r.near(a)
+		near := r.overlappingFaults(a)
 		switch {
 		case len(near) == 0:
-			found = append(found, finding(noCause, "%s at %d to %d ms: %v", a.prompt, a.began, a.ended, a.err))
-		case !slices.ContainsFunc(near, func(s span) bool { return !s.fault.planned() }):
-			found = append(found, finding(nothingCut, "%s at %d to %d ms, beside %v: %v", a.prompt, a.began, a.ended, near[0].fault, a.err))
+			found = append(found, newFinding(failureHasCause, "%s at %d to %d ms: %v", a.prompt, a.began, a.ended, a.err))
+		case !slices.ContainsFunc(near, func(s faultInterval) bool { return !s.fault.mustBeTolerated() }):
+			found = append(found, newFinding(plannedStopCutsNothing, "%s at %d to %d ms, beside %v: %v", a.prompt, a.began, a.ended, near[0].fault, a.err))
 		}
 	}
 	return found
 }
 
 // near returns the faults that may have harmed an answer.
-func (r *run) near(a report) []span {
-	var list []span
-	for _, s := range r.spans {
-		if s.from <= a.ended && a.began <= s.end+calmSpan {
+func (r *run) overlappingFaults(a callerAnswer) []faultInterval {
+	var list []faultInterval
+	for _, s := range r.faultIntervals {
+		if s.start <= a.ended && a.began <= s.end+recoveryWindow {
 			list = append(list, s)
 		}
 	}
@@ -240,12 +240,12 @@
 
 // summary returns the run in a few lines.
 func (r *run) summary() string {
-	whole, told := 0, 0
-	for _, a := range r.evidence.reports {
+	whole, failed := 0, 0
+	for _, a := range r.evidence.answers {
 		if a.err == nil {
 			whole++
 		} else {
-			told++
+			failed++
 		}
 	}
 	booked := 0
@@ -255,5 +255,5 @@
 		}
 	}
 	return fmt.Sprintf("seed %d: %d faults, %d answers whole and %d told otherwise, %d of %d tickets booked, %d looks at tables, %d engines ended by a prompt, %d findings",
-		r.seed, len(r.faults), whole, told, booked, len(r.evidence.tickets), len(r.evidence.looks), r.evidence.crashes, len(r.findings))
+		r.seed, len(r.faults), whole, failed, booked, len(r.evidence.tickets), len(r.evidence.observations), r.evidence.crashes, len(r.findings))
 }
--- a/internal/soak/mgsoak/schedule.go
+++ b/internal/soak/mgsoak/schedule.go
@@ -24,8 +24,8 @@
 	DieEngine    Kind = "die"     // all generations are lost; healed after the span
 	SlowEngine   Kind = "slow"    // for the span
 	LeaveEngine  Kind = "leave"   // notice of the span, then gone for as long
-	HarmService  Kind = "service" // the next calls lose their answers, or more
-	HarmPlatform Kind = "platform"
+	FailService  Kind = "service" // the next calls lose their answers, or more
+	FailPlatform Kind = "platform"
 	EditTable    Kind = "edit"   // a new version
 	RevokeKey    Kind = "revoke" // a version without the second account's key
 	CordonZone   Kind = "cordon" // no new work for a zone, for the span
@@ -34,24 +34,24 @@
 
 // A Fault is one step of a schedule.
 type Fault struct {
-	At     mgclock.Millis `json:"at"`
-	Kind   Kind           `json:"kind"`
-	Target string         `json:"target,omitempty"`
-	How    string         `json:"how,omitempty"` // the variant, of a stand-in
-	Span   mgclock.Millis `json:"span,omitempty"`
+	At       mgclock.Millis `json:"at"`
+	Kind     Kind           `json:"kind"`
+	Target   string         `json:"target,omitempty"`
+	Variant  string         `json:"how,omitempty"` // the variant, of a stand-in
+	Duration mgclock.Millis `json:"span,omitempty"`
 }
 
 // hides reports whether a fault may keep a process from knowing what the platform shows:
 // it stands still, or the way to the platform fails. Other links carry callers' requests
 // and agents' work alone.
-func (f Fault) hides() bool {
+func (f Fault) delaysPlatformUpdates() bool {
 	links := []Kind{CutLink, BarLink, MuteLink, DelayLink, LoseLink}
 	return f.Kind == PauseProcess || f.Target == platform && slices.Contains(links, f.Kind)
 }
 
 // String returns the fault in a line.
 func (f Fault) String() string {
-	return fmt.Sprintf("%6d ms %s %s %s %d ms", f.At, f.Kind, f.Target, f.How, f.Span)
+	return fmt.Sprintf("%6d ms %s %s %s %d ms", f.At, f.Kind, f.Target, f.Variant, f.Duration)
 }
 
 // Size says how large a deployment is.
@@ -64,20 +64,20 @@
 const (
 	// meanGap is the mean time between two faults in ms: spans are of 0.3 to 3 s,
 	// so that two or three overlap at most times.
-	meanGap = 900.0
+	meanFaultInterval = 900.0
 	// quietHead and quietTail are without faults: the load begins and all is well
 	// again at the end, which the checks of what must come by then need.
-	quietHead = mgclock.Second
-	quietTail = 6 * mgclock.Second
-	spanMin   = 300
-	spanMax   = 3000
+	faultFreeStart   = mgclock.Second
+	faultFreeEnd     = 6 * mgclock.Second
+	minFaultDuration = 300
+	maxFaultDuration = 3000
 	// reserve is how many processes of a kind are not ended at once, so that some
 	// answers come.
-	reserve = 1
+	spareProcesses = 1
 )
 
 // drawn is what a schedule draws from, by weight.
-var drawn = []struct {
+var faultWeights = []struct {
 	kind   Kind
 	weight int
 }{
@@ -92,8 +92,8 @@
 	{DieEngine, 2},
 	{SlowEngine, 1},
 	{LeaveEngine, 2},
-	{HarmService, 2},
-	{HarmPlatform, 2},
+	{FailService, 2},
+	{FailPlatform, 2},
 	{EditTable, 3},
 	{RevokeKey, 1},
 }
@@ -103,22 +103,22 @@
 	r := rand.New(rand.NewPCG(seed, 0x736f616b))
 	var faults []Fault
 	revoked := false
-	for at := quietHead; ; {
-		at += mgclock.Millis(r.ExpFloat64() * meanGap)
-		if at >= length-quietTail {
+	for at := faultFreeStart; ; {
+		at += mgclock.Millis(r.ExpFloat64() * meanFaultInterval)
+		if at >= length-faultFreeEnd {
 			return append(faults, drawCordon(seed, length), drawPrompt(seed, length))
 		}
 		f := Fault{
-			At:   at,
-			Kind: drawKind(r),
-			Span: mgclock.Millis(spanMin + r.IntN(spanMax-spanMin)),
+			At:       at,
+			Kind:     drawKind(r),
+			Duration: mgclock.Millis(minFaultDuration + r.IntN(maxFaultDuration-minFaultDuration)),
 		}
-		f.Span = min(f.Span, length-quietTail-at)
+		f.Duration = min(f.Duration, length-faultFreeEnd-at)
 		if f.Kind == RevokeKey && revoked {
 			f.Kind = EditTable
 		}
 		revoked = revoked || f.Kind == RevokeKey
-		f.aim(r, size)
+		f.pickTarget(r, size)
 		faults = append(faults, f)
 	}
 }
@@ -127,13 +127,13 @@
 // faults of a seed stay what they were.
 func drawCordon(seed uint64, length mgclock.Millis) Fault {
 	r := rand.New(rand.NewPCG(seed, 0x636f7264))
-	free := length - quietHead - quietTail - cordonWait
-	span := free / 4
+	available := length - faultFreeStart - faultFreeEnd - cordonDelay
+	duration := available / 4
 	return Fault{
-		At:     quietHead + mgclock.Millis(r.Int64N(max(int64(free-span), 1))),
-		Kind:   CordonZone,
-		Target: zone(r.IntN(zones)),
-		Span:   span,
+		At:       faultFreeStart + mgclock.Millis(r.Int64N(max(int64(available-duration), 1))),
+		Kind:     CordonZone,
+		Target:   zone(r.IntN(zones)),
+		Duration: duration,
 	}
 }
 
@@ -141,22 +141,22 @@
 // it, drawn by itself like the cordon.
 func drawPrompt(seed uint64, length mgclock.Millis) Fault {
 	r := rand.New(rand.NewPCG(seed, 0x63726173))
-	free := length - quietHead - quietTail
-	span := free / 3
+	available := length - faultFreeStart - faultFreeEnd
+	duration := available / 3
 	return Fault{
-		At:   quietHead + mgclock.Millis(r.Int64N(max(int64(free-span), 1))),
-		Kind: CrashPrompt,
-		Span: span,
+		At:       faultFreeStart + mgclock.Millis(r.Int64N(max(int64(available-duration), 1))),
+		Kind:     CrashPrompt,
+		Duration: duration,
 	}
 }
 
 func drawKind(r *rand.Rand) Kind {
 	total := 0
-	for _, d := range drawn {
+	for _, d := range faultWeights {
 		total += d.weight
 	}
 	n := r.IntN(total)
-	for _, d := range drawn {
+	for _, d := range faultWeights {
 		if n -= d.weight; n < 0 {
 			return d.kind
 		}
@@ -165,7 +165,7 @@
 }
 
 // aim draws the target and the variant.
-func (f *Fault) aim(r *rand.Rand, size Size) {
+func (f *Fault) pickTarget(r *rand.Rand, size Size) {
 	names := size.names()
 	pick := func(from []string) string { return from[r.IntN(len(from))] }
 	switch f.Kind {
@@ -175,12 +175,12 @@
 		f.Target = pick(slices.Concat(names.entries, names.agents, names.engines, []string{service, platform}))
 	case DieEngine, SlowEngine, LeaveEngine:
 		f.Target = pick(names.engines)
-	case HarmService:
+	case FailService:
 		f.Target = service
-		f.How = pick([]string{"lost", "early", "refuse", "hang"})
-	case HarmPlatform:
+		f.Variant = pick([]string{"lost", "early", "refuse", "hang"})
+	case FailPlatform:
 		f.Target = platform
-		f.How = pick([]string{"down", "stale", "silent"})
+		f.Variant = pick([]string{"down", "stale", "silent"})
 	}
 }
 
@@ -191,16 +191,16 @@
 )
 
 // cast holds the names of a deployment's processes.
-type cast struct {
+type processNames struct {
 	entries, agents, engines []string
 }
 
-func (s Size) names() cast {
-	var c cast
-	for i := range max(s.Entries, reserve+1) {
+func (s Size) names() processNames {
+	var c processNames
+	for i := range max(s.Entries, spareProcesses+1) {
 		c.entries = append(c.entries, fmt.Sprintf("entry-%d", i+1))
 	}
-	for i := range max(s.Engines, reserve+1) {
+	for i := range max(s.Engines, spareProcesses+1) {
 		c.engines = append(c.engines, fmt.Sprintf("engine-%d", i+1))
 		c.agents = append(c.agents, agentOf(c.engines[i]))
 	}
--- a/internal/soak/mgsoak/soak_test.go
+++ b/internal/soak/mgsoak/soak_test.go
@@ -42,11 +42,11 @@
 		t.Fatal(err)
 	}
 	t.Log(r.summary())
-	slow := []string{noCause, nothingCut}
+	slow := []string{failureHasCause, plannedStopCutsNothing}
 	found := slices.DeleteFunc(r.findings, func(f Finding) bool { return slices.Contains(slow, f.Promise) })
 	Convey("A short soak finds nothing", t, func() {
 		So(found, ShouldBeEmpty)
-		So(len(r.evidence.reports), ShouldBeGreaterThan, 0)
+		So(len(r.evidence.answers), ShouldBeGreaterThan, 0)
 		So(len(r.evidence.tickets), ShouldBeGreaterThan, 0)
 		So(r.plot(filepath.Join(t.TempDir(), "soak.png")), ShouldBeNil)
 	})
--- a/internal/soak/mgsoak/stop_test.go
+++ b/internal/soak/mgsoak/stop_test.go
@@ -8,11 +8,11 @@
 )
 
 // A report that fails beside nothing but a planned stop must be a finding, however it fails.
-func TestFailureBesidePlannedStop(t *testing.T) {
+func TestFailureBesidePlannedStopMissed(t *testing.T) {
 	Convey("A report that failed beside a planned stop", t, func() {
 		for _, err := range []error{errors.New("unconfirmed: EOF"), errors.New("connection reset by peer")} {
 			r := &run{
-				spans: []span{{
+				faultIntervals: []faultInterval{{
 					fault: Fault{
 						Kind:   StopProcess,
 						Target: "entry-1",
@@ -20,13 +20,13 @@
 					end: 100,
 				}},
 			}
-			r.evidence.reports = []report{{
+			r.evidence.answers = []callerAnswer{{
 				prompt: "report",
 				err:    err,
 			}}
-			found := r.causeless()
+			found := r.checkFailedAnswers()
 			So(len(found), ShouldEqual, 1)
-			So(found[0].Promise, ShouldEqual, nothingCut)
+			So(found[0].Promise, ShouldEqual, plannedStopCutsNothing)
 		}
 	})
 }
--- a/internal/soak/mgsoak/table.go
+++ b/internal/soak/mgsoak/table.go
@@ -51,7 +51,7 @@
 keys = ["be122e6c14afd1b20ab94a1a98ba052768381cb09e24a0d1cde7014300fb2ab0"]
 `
 
-const tableEngine = `
+const engineTable = `
 [[upstream]]
 name = %q
 models = ["tank"]
@@ -60,21 +60,21 @@
 orders = "ignored"
 `
 
-const tableSecond = `
+const secondAccount = `
 [[account]]
 name = "cooperativa"
 keys = ["bf06daad306a74c0998dc01b84ce9d6278f5a81ce01a395427145c09aa092709"]
 `
 
 // tableOf returns a version of the operators' table.
-func tableOf(names cast, version int, mark string, revoked bool) string {
+func tableText(names processNames, version int, mark string, revoked bool) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, tableHead, version, mark)
 	for _, engine := range names.engines {
-		fmt.Fprintf(&text, tableEngine, engine)
+		fmt.Fprintf(&text, engineTable, engine)
 	}
 	if !revoked {
-		text.WriteString(tableSecond)
+		text.WriteString(secondAccount)
 	}
 	return text.String()
 }
