--- a/internal/soak/mgproc/link.go
+++ b/internal/soak/mgproc/link.go
@@ -14,40 +14,40 @@
 // cut one way. Another process connects to its address, where it listens whether its target
 // lives or not; the process that made it uses Dial, which a target that is gone refuses.
 type Link struct {
-	listener net.Listener
-	target   string
-	wg       sync.WaitGroup
-	delay    atomic.Int64 // ms, of each piece that is passed on
-	lost     atomic.Bool  // what the target sends is dropped
+	listener     net.Listener
+	target       string
+	wg           sync.WaitGroup
+	delay        atomic.Int64 // ms, of each piece that is passed on
+	dropsReplies atomic.Bool  // what the target sends is dropped
 
-	mu      sync.Mutex
-	barred  bool
-	strands map[*strand]bool
+	mu          sync.Mutex
+	isBarred    bool
+	connections map[*connection]bool
 }
 
 // strand is one connection over a Link.
-type strand struct {
-	near, far net.Conn
-	mu        sync.Mutex
-	silent    chan struct{} // closed once nothing more is passed on
-	closed    chan struct{}
-	once      sync.Once
+type connection struct {
+	caller, target net.Conn
+	mu             sync.Mutex
+	silenced       chan struct{} // closed once nothing more is passed on
+	closed         chan struct{}
+	once           sync.Once
 }
 
 // NewLink returns a link to target, which listens on a port of its own.
 func NewLink(target string) (*Link, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Link{
-		listener: l,
-		target:   target,
-		strands:  make(map[*strand]bool),
+	link := &Link{
+		listener:    listener,
+		target:      target,
+		connections: make(map[*connection]bool),
 	}
-	r.wg.Add(1)
-	go r.accept()
-	return r, nil
+	link.wg.Add(1)
+	go link.accept()
+	return link, nil
 }
 
 // Addr returns the address to connect to in place of the target.
@@ -57,40 +57,40 @@
 // this one.
 func (l *Link) Dial(ctx context.Context) (net.Conn, error) {
 	var dialer net.Dialer
-	far, err := dialer.DialContext(ctx, "tcp", l.target)
+	target, err := dialer.DialContext(ctx, "tcp", l.target)
 	if err != nil {
 		return nil, err
 	}
-	caller, near := net.Pipe()
-	l.wg.Go(func() { l.carry(near, far) })
+	caller, relayEnd := net.Pipe()
+	l.wg.Go(func() { l.relay(relayEnd, target) })
 	return caller, nil
 }
 
 // Cut breaks the connections that stand and returns how many; new ones work.
 func (l *Link) Cut() int {
-	standing := l.standing()
-	for _, s := range standing {
+	open := l.openConnections()
+	for _, s := range open {
 		s.close()
 	}
-	return len(standing)
+	return len(open)
 }
 
 // Silence makes the connections that stand pass on nothing more, for good, as
 // when something between the ends has lost track of them, and returns how many;
 // new ones work.
 func (l *Link) Silence() int {
-	standing := l.standing()
-	for _, s := range standing {
-		s.mute()
+	open := l.openConnections()
+	for _, s := range open {
+		s.silence()
 	}
-	return len(standing)
+	return len(open)
 }
 
-// Bar breaks the connections that stand and refuses new ones until it is
+// Block breaks the connections that stand and refuses new ones until it is
 // called with false.
-func (l *Link) Bar(barred bool) {
+func (l *Link) Block(barred bool) {
 	l.mu.Lock()
-	l.barred = barred
+	l.isBarred = barred
 	l.mu.Unlock()
 	if barred {
 		l.Cut()
@@ -98,13 +98,13 @@
 }
 
 // Delay holds each piece that is passed on up for a while.
-func (l *Link) Delay(span mgclock.Millis) { l.delay.Store(int64(span)) }
+func (l *Link) Delay(delay mgclock.Millis) { l.delay.Store(int64(delay)) }
 
-// Lose drops what the target sends, until it is called with false: a link that is
+// DropReplies drops what the target sends, until it is called with false: a link that is
 // cut one way. What was dropped does not come, so that the connections that
 // stand are broken at the end.
-func (l *Link) Lose(lost bool) {
-	if l.lost.Swap(lost) && !lost {
+func (l *Link) DropReplies(lost bool) {
+	if l.dropsReplies.Swap(lost) && !lost {
 		l.Cut()
 	}
 }
@@ -112,84 +112,84 @@
 // Close ends the link.
 func (l *Link) Close() {
 	_ = l.listener.Close()
-	l.Bar(true)
+	l.Block(true)
 	l.wg.Wait()
 }
 
-func (l *Link) standing() []*strand {
+func (l *Link) openConnections() []*connection {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var standing []*strand
-	for s := range l.strands {
-		standing = append(standing, s)
+	var open []*connection
+	for s := range l.connections {
+		open = append(open, s)
 	}
-	return standing
+	return open
 }
 
 func (l *Link) accept() {
 	defer l.wg.Done()
 	for {
-		near, err := l.listener.Accept()
+		caller, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
 		l.wg.Add(1)
-		go l.connect(near)
+		go l.connect(caller)
 	}
 }
 
 // connect connects an accepted connection to the target.
-func (l *Link) connect(near net.Conn) {
+func (l *Link) connect(caller net.Conn) {
 	defer l.wg.Done()
-	far, err := net.Dial("tcp", l.target)
+	target, err := net.Dial("tcp", l.target)
 	if err != nil {
-		_ = near.Close()
+		_ = caller.Close()
 		return
 	}
-	l.carry(near, far)
+	l.relay(caller, target)
 }
 
 // carry passes one connection on until one end closes it.
-func (l *Link) carry(near, far net.Conn) {
-	s := &strand{
-		near:   near,
-		far:    far,
-		silent: make(chan struct{}),
-		closed: make(chan struct{}),
+func (l *Link) relay(caller, target net.Conn) {
+	s := &connection{
+		caller:   caller,
+		target:   target,
+		silenced: make(chan struct{}),
+		closed:   make(chan struct{}),
 	}
 	l.mu.Lock()
-	barred := l.barred
-	l.strands[s] = true
+	barred := l.isBarred
+	l.connections[s] = true
 	l.mu.Unlock()
 	if barred {
 		s.close()
 	}
-	var both sync.WaitGroup
-	both.Go(func() { s.pass(far, near, &l.delay, nil) })
-	both.Go(func() { s.pass(near, far, &l.delay, &l.lost) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { s.forward(target, caller, &l.delay, nil) })
+	directions.Go(func() { s.forward(caller, target, &l.delay, &l.dropsReplies) })
+	directions.Wait()
 	s.close()
 	l.mu.Lock()
-	delete(l.strands, s)
+	delete(l.connections, s)
 	l.mu.Unlock()
 }
 
 // pass copies one direction. A silent strand neither passes bytes nor tells
 // one end that the other has closed.
-func (s *strand) pass(to, from net.Conn, delay *atomic.Int64, lost *atomic.Bool) {
+func (s *connection) forward(to, from net.Conn, delay *atomic.Int64, drops *atomic.Bool) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
 		select {
-		case <-s.silent:
+		case <-s.silenced:
 			<-s.closed
 			return
 		default:
 		}
-		if span := mgclock.Millis(delay.Load()); span > 0 {
-			mgclock.Clock{}.Sleep(context.Background(), span)
+		if pause := mgclock.Millis(delay.Load()); pause > 0 {
+			mgclock.Clock{}.Sleep(context.Background(), pause)
 		}
-		if n > 0 && (lost == nil || !lost.Load()) {
+		if n > 0 && (drops == nil || !drops.Load()) {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				s.close()
 				return
@@ -217,21 +217,21 @@
 }
 
 // mute makes the strand silent.
-func (s *strand) mute() {
+func (s *connection) silence() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case <-s.silent:
+	case <-s.silenced:
 	default:
-		close(s.silent)
+		close(s.silenced)
 	}
 }
 
 // close breaks the connection towards both ends.
-func (s *strand) close() {
+func (s *connection) close() {
 	s.once.Do(func() {
 		close(s.closed)
-		_ = s.near.Close()
-		_ = s.far.Close()
+		_ = s.caller.Close()
+		_ = s.target.Close()
 	})
 }
--- a/internal/soak/mgproc/link_test.go
+++ b/internal/soak/mgproc/link_test.go
@@ -14,7 +14,7 @@
 )
 
 // A caller of a process that is gone must learn that nothing was sent.
-func TestLinkRefusesWithTarget(t *testing.T) {
+func TestLinkAcceptsWithoutTarget(t *testing.T) {
 	Convey("A link that the caller dials", t, func() {
 		target, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
@@ -53,7 +53,7 @@
 			So(errors.Is(err, syscall.ECONNREFUSED), ShouldBeTrue)
 		})
 		Convey("breaks connections while it is barred", func() {
-			link.Bar(true)
+			link.Block(true)
 			conn, err := link.Dial(context.Background())
 			So(err, ShouldBeNil)
 			_, err = conn.Read(make([]byte, 1))
--- a/internal/soak/mgproc/process.go
+++ b/internal/soak/mgproc/process.go
@@ -16,7 +16,7 @@
 	name   string
 	binary string
 	args   []string
-	log    tail
+	log    outputTail
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
@@ -32,11 +32,11 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p, p.begin()
+	return p, p.start()
 }
 
 // begin starts the process. It is called with mu held.
-func (p *Process) begin() error {
+func (p *Process) start() error {
 	cmd := exec.Command(p.binary, p.args...)
 	cmd.Stdout = &p.log
 	cmd.Stderr = &p.log
@@ -81,7 +81,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.kill()
-	return p.begin()
+	return p.start()
 }
 
 // Signal sends a signal, such as SIGSTOP for a pause.
@@ -95,26 +95,26 @@
 func (p *Process) Log() string { return p.log.text() }
 
 // tail keeps the last lines that a process wrote.
-type tail struct {
+type outputTail struct {
 	mu   sync.Mutex
 	data []byte
 }
 
 // tailBytes bounds what is kept of a process's output.
-const tailBytes = 64 << 10
+const maxOutputBytes = 64 << 10
 
 // Write keeps p.
-func (t *tail) Write(p []byte) (int, error) {
+func (t *outputTail) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.data = append(t.data, p...)
-	if over := len(t.data) - tailBytes; over > 0 {
+	if over := len(t.data) - maxOutputBytes; over > 0 {
 		t.data = bytes.Clone(t.data[over:])
 	}
 	return len(p), nil
 }
 
-func (t *tail) text() string {
+func (t *outputTail) text() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return string(t.data)
