--- a/internal/standin/mgstandin/bench_test.go
+++ b/internal/standin/mgstandin/bench_test.go
@@ -36,7 +36,7 @@
 	}()
 	client := mgengine.NewHTTP(s.URL(), nil)
 	b.ReportAllocs()
-	if err := begin(ctx, client, "g", 1<<29); err != nil {
+	if err := startGeneration(ctx, client, "g", 1<<29); err != nil {
 		b.Fatal(err)
 	}
 	stream, err := client.Stream(ctx, "g", 1)
--- a/internal/standin/mgstandin/engine.go
+++ b/internal/standin/mgstandin/engine.go
@@ -14,13 +14,13 @@
 
 // The defaults of an EngineSpec.
 const (
-	defaultKeep = mgclock.Minute
-	defaultBeat = mgclock.Second
+	defaultResumeTTL         = mgclock.Minute
+	defaultHeartbeatInterval = mgclock.Second
 )
 
 // behind bounds how far the steps may lag behind the clock. A process that
 // was paused doesn't make up for the time it lost.
-const behind = 100 * mgclock.Millis(1)
+const maxStepLag = 100 * mgclock.Millis(1)
 
 // An Engine is a model engine that steps mgmodel in real time. The zero Engine
 // is ready for use; it produces tokens while Run runs.
@@ -28,22 +28,22 @@
 	spec  EngineSpec
 	clock mgclock.Clock
 
-	mu          sync.Mutex
-	model       *mgmodel.Engine
-	generations map[string]*generation
-	finished    []*generation // in the order of their end
-	faults      Fault
-	gone        mgclock.Millis // end of the notice of a Leave
-	changed     chan struct{}  // closed and replaced when a switch turns or work arrives
-	life        int            // deaths so far
-	loaded      []string
-	role        string
-	fence       uint64
-	report      lagged
-	cache       cacheLog
-	copies      map[string]*incoming // by the generation's id
-	client      *http.Client         // by which other engines are reached
-	counts      EngineCounts
+	mu            sync.Mutex
+	model         *mgmodel.Engine
+	generations   map[string]*generation
+	finished      []*generation // in the order of their end
+	faults        Fault
+	leaveDeadline mgclock.Millis // end of the notice of a Leave
+	changed       chan struct{}  // closed and replaced when a switch turns or work arrives
+	incarnation   int            // deaths so far
+	loaded        []string
+	role          string
+	fence         uint64
+	laggedLoad    laggedLoad
+	cache         cacheLog
+	copies        map[string]*incomingCopy // by the generation's id
+	client        *http.Client             // by which other engines are reached
+	counts        EngineCounts
 }
 
 // NewEngine returns an engine without work.
@@ -55,44 +55,44 @@
 }
 
 // prepare fills in what the zero Engine lacks. It is called with mu held.
-func (e *Engine) prepare() {
+func (e *Engine) ensureInitialized() {
 	if e.model != nil {
 		return
 	}
 	e.model = mgmodel.New(e.spec.Model)
 	e.generations = make(map[string]*generation)
-	e.copies = make(map[string]*incoming)
+	e.copies = make(map[string]*incomingCopy)
 	e.loaded = slices.Clone(e.spec.Serves)
 	e.role = e.spec.Role
 	if e.counts.Generations == nil {
 		e.counts.Generations = make(map[string]Record)
 	}
 	if e.spec.Keep == 0 {
-		e.spec.Keep = defaultKeep
+		e.spec.Keep = defaultResumeTTL
 	}
 	if e.spec.Beat == 0 {
-		e.spec.Beat = defaultBeat
+		e.spec.Beat = defaultHeartbeatInterval
 	}
 }
 
 // Run steps the engine until ctx ends. A step's tokens are there at its end.
 func (e *Engine) Run(ctx context.Context) {
-	due := float64(e.clock.Now())
+	nextStep := float64(e.clock.Now())
 	for ctx.Err() == nil {
-		result, life, change := e.step()
+		result, incarnation, changed := e.step()
 		if result.Duration() == 0 {
 			select {
-			case <-change:
+			case <-changed:
 			case <-ctx.Done():
 			}
-			due = float64(e.clock.Now())
+			nextStep = float64(e.clock.Now())
 			continue
 		}
-		due += result.Duration()
+		nextStep += result.Duration()
 		now := e.clock.Now()
-		due = max(due, float64(now-behind))
-		e.clock.Sleep(ctx, mgclock.Millis(due)-now)
-		e.publish(result, life)
+		nextStep = max(nextStep, float64(now-maxStepLag))
+		e.clock.Sleep(ctx, mgclock.Millis(nextStep)-now)
+		e.publish(result, incarnation)
 	}
 }
 
@@ -101,18 +101,18 @@
 func (e *Engine) step() (mgmodel.Result, int, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.prepare()
+	e.ensureInitialized()
 	if e.faults.Kind == Die || e.faults.Kind == Silent {
-		return mgmodel.Result{}, e.life, e.change()
+		return mgmodel.Result{}, e.incarnation, e.changeChannel()
 	}
-	return e.model.Step(), e.life, e.change()
+	return e.model.Step(), e.incarnation, e.changeChannel()
 }
 
 // publish makes what a step did seen, unless the engine died meanwhile.
-func (e *Engine) publish(result mgmodel.Result, life int) {
+func (e *Engine) publish(result mgmodel.Result, incarnation int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if life != e.life {
+	if incarnation != e.incarnation {
 		return
 	}
 	now := e.clock.Now()
@@ -130,16 +130,16 @@
 		}
 	}
 	e.counts.Preempted += len(result.Preempted())
-	e.observe(now)
+	e.updateReports(now)
 }
 
 // observe takes what the lagging report and the late events will tell, and
 // forgets what was finished long ago.
-func (e *Engine) observe(now mgclock.Millis) {
-	e.report.take(e.load(), now, e.spec.Lag)
-	e.cache.take(e.model, now, e.spec.Late, e.spec.Gap)
+func (e *Engine) updateReports(now mgclock.Millis) {
+	e.laggedLoad.sample(e.load(), now, e.spec.Lag)
+	e.cache.sample(e.model, now, e.spec.Late, e.spec.Gap)
 	e.dropCopies(now)
-	for len(e.finished) > 0 && now-e.finished[0].doneAt > e.spec.Keep {
+	for len(e.finished) > 0 && now-e.finished[0].endedAt > e.spec.Keep {
 		delete(e.generations, e.finished[0].spec.ID)
 		e.finished = e.finished[1:]
 	}
@@ -156,12 +156,12 @@
 		Role:     e.role,
 		Fence:    e.fence,
 		Leaving:  e.faults.Kind == Leave,
-		Notice:   e.notice(),
+		Notice:   e.remainingNotice(),
 	}
 }
 
 // change returns the channel that the next wake closes.
-func (e *Engine) change() <-chan struct{} {
+func (e *Engine) changeChannel() <-chan struct{} {
 	if e.changed == nil {
 		e.changed = make(chan struct{})
 	}
@@ -169,7 +169,7 @@
 }
 
 // wake lets Run and the handlers look again.
-func (e *Engine) wake() {
+func (e *Engine) notifyChange() {
 	if e.changed != nil {
 		close(e.changed)
 	}
@@ -177,10 +177,10 @@
 }
 
 // look returns the present fault and the channel of its change.
-func (e *Engine) look() (string, <-chan struct{}) {
+func (e *Engine) currentFault() (string, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.faults.Kind, e.change()
+	return e.faults.Kind, e.changeChannel()
 }
 
 // Counts returns the counters.
@@ -196,16 +196,16 @@
 func (e *Engine) Load() mgengine.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.prepare()
-	e.observe(e.clock.Now())
-	return e.report.shown
+	e.ensureInitialized()
+	e.updateReports(e.clock.Now())
+	return e.laggedLoad.published
 }
 
 // Events returns the cache events after a number that are published by now.
 func (e *Engine) Events(after uint64) []mgengine.Event {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.prepare()
-	e.observe(e.clock.Now())
+	e.ensureInitialized()
+	e.updateReports(e.clock.Now())
 	return e.cache.since(after)
 }
--- a/internal/standin/mgstandin/engine_test.go
+++ b/internal/standin/mgstandin/engine_test.go
@@ -21,7 +21,7 @@
 var update = flag.Bool("update", false, "rewrite the golden files")
 
 // patience bounds a test that hangs; no verdict depends on it.
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -29,7 +29,7 @@
 // belief about it fails on the way. The agent must end up with every token
 // once, or with an error that says what is certain: an error that claims too
 // much would start a second generation beside the first.
-func TestEngineFaults(t *testing.T) {
+func TestEngineFaultLosesOrRepeatsTokens(t *testing.T) {
 	const length = 40
 	cases := []struct {
 		name  string
@@ -71,16 +71,16 @@
 	Convey("A generation arrives whole when", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				ctx := bounded()
+				ctx := testContext()
 				e, client := runEngine(ctx, mgstandin.EngineSpec{})
-				So(begin(ctx, client, "g", length), ShouldBeNil)
+				So(startGeneration(ctx, client, "g", length), ShouldBeNil)
 				e.Set(c.fault)
-				text, last, err := read(ctx, client, "g", 1)
+				text, last, err := readStream(ctx, client, "g", 1)
 				if c.kind != "" {
 					So(mgengine.KindOf(err), ShouldEqual, c.kind)
 					So(text, ShouldEqual, mgstandin.Whole("g", int(c.fault.After)))
 					var rest string
-					rest, last, err = read(ctx, client, "g", c.fault.After+1)
+					rest, last, err = readStream(ctx, client, "g", c.fault.After+1)
 					text += rest
 				}
 				So(err, ShouldBeNil)
@@ -101,15 +101,15 @@
 // A link falls silent in the middle of a report: the connection stays open and
 // nothing comes, while new connections work. A reader that waits is stuck for
 // good; one that gives up and opens a new stream loses nothing.
-func TestEngineStall(t *testing.T) {
+func TestStalledStreamLosesTokens(t *testing.T) {
 	Convey("A stalled stream ends with its reader's patience, and a new one resumes", t, func() {
-		ctx := bounded()
+		ctx := testContext()
 		e, client := runEngine(ctx, mgstandin.EngineSpec{})
 		e.Set(mgstandin.Fault{
 			Kind:  mgstandin.Stall,
 			After: 5,
 		})
-		So(begin(ctx, client, "g", 20), ShouldBeNil)
+		So(startGeneration(ctx, client, "g", 20), ShouldBeNil)
 		s, err := client.Stream(ctx, "g", 1)
 		So(err, ShouldBeNil)
 		for seq := 1; seq <= 5; seq++ {
@@ -122,7 +122,7 @@
 		_, err = s.Next(giveUp)
 		So(mgengine.KindOf(err), ShouldEqual, mgengine.Broken)
 		So(errors.Is(err, context.Canceled), ShouldBeTrue)
-		text, last, err := read(ctx, client, "g", 6)
+		text, last, err := readStream(ctx, client, "g", 6)
 		So(err, ShouldBeNil)
 		So(last.End, ShouldEqual, "stop")
 		So(mgstandin.Whole("g", 5)+text, ShouldEqual, mgstandin.Whole("g", 20))
@@ -131,11 +131,11 @@
 
 // An engine dies with a report half delivered. What it generated is gone: a
 // stream that ended as if complete would hand the shift lead half a report.
-func TestEngineDeath(t *testing.T) {
+func TestDeadEngineEndsStreamAsComplete(t *testing.T) {
 	Convey("A dead engine's generations are broken, then missing", t, func() {
-		ctx := bounded()
+		ctx := testContext()
 		e, client := runEngine(ctx, mgstandin.EngineSpec{})
-		So(begin(ctx, client, "g", 100000), ShouldBeNil)
+		So(startGeneration(ctx, client, "g", 100000), ShouldBeNil)
 		s, err := client.Stream(ctx, "g", 1)
 		So(err, ShouldBeNil)
 		defer s.Close()
@@ -148,11 +148,11 @@
 			_, err = s.Next(ctx)
 		}
 		So(mgengine.KindOf(err), ShouldEqual, mgengine.Broken)
-		So(mgengine.KindOf(begin(ctx, client, "h", 1)), ShouldEqual, mgengine.Unknown)
+		So(mgengine.KindOf(startGeneration(ctx, client, "h", 1)), ShouldEqual, mgengine.Unknown)
 		e.Set(mgstandin.Fault{
 			Kind: mgstandin.Heal,
 		})
-		_, _, err = read(ctx, client, "g", 2)
+		_, _, err = readStream(ctx, client, "g", 2)
 		So(mgengine.KindOf(err), ShouldEqual, mgengine.Missing)
 		list, err := client.List(ctx)
 		So(err, ShouldBeNil)
@@ -162,7 +162,7 @@
 
 // An engine is reclaimed and says how long it still has. An agent that is told
 // too much ends its streams too late, when their readers can't be told.
-func TestEngineNotice(t *testing.T) {
+func TestLeavingEngineReportsWrongNotice(t *testing.T) {
 	Convey("A leaving engine's report counts its notice down", t, func() {
 		var clock mgclock.Manual
 		e := mgstandin.NewEngine(mgstandin.EngineSpec{}, clock.Clock())
@@ -189,9 +189,9 @@
 
 // Memory fills while dossiers decode. The engine evicts one and computes it
 // again: its reader sees a pause and a count, never a token twice.
-func TestEnginePreemption(t *testing.T) {
+func TestPreemptionRepeatsTokens(t *testing.T) {
 	Convey("Preempted generations arrive whole", t, func() {
-		ctx := bounded()
+		ctx := testContext()
 		e := mgstandin.NewEngine(mgstandin.EngineSpec{
 			Model: mgmodel.Spec{
 				Memory: 200,
@@ -201,12 +201,12 @@
 		// All four are there before the first step: on a busy machine the first
 		// would else be done before the last begins, and nothing is evicted.
 		for i := range 4 {
-			So(e.Start(ofLength(fmt.Sprint("g", i), 90)), ShouldBeNil)
+			So(e.Start(startSpec(fmt.Sprint("g", i), 90)), ShouldBeNil)
 		}
-		client := step(ctx, e)
+		client := runInBackground(ctx, e)
 		for i := range 4 {
 			id := fmt.Sprint("g", i)
-			text, _, err := read(ctx, client, id, 1)
+			text, _, err := readStream(ctx, client, id, 1)
 			So(err, ShouldBeNil)
 			So(text, ShouldEqual, mgstandin.Whole(id, 90))
 		}
@@ -218,7 +218,7 @@
 // number. The old one wakes and orders a model out that the new one had
 // loaded. An engine that checks refuses; one that doesn't obeys, which is why
 // an agent may not rely on it.
-func TestEngineOrders(t *testing.T) {
+func TestOrderOfReplacedAgentIsNotFenced(t *testing.T) {
 	cases := []struct {
 		name   string
 		fenced bool
@@ -238,7 +238,7 @@
 	Convey("An order of a replaced agent is", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				ctx := bounded()
+				ctx := testContext()
 				e, client := runEngine(ctx, mgstandin.EngineSpec{
 					Fenced: c.fenced,
 				})
@@ -267,9 +267,9 @@
 }
 
 // TestEngineSession plays the whole interface once.
-func TestEngineSession(t *testing.T) {
+func TestEngineInterfaceChanges(t *testing.T) {
 	Convey("A session with an engine", t, func() {
-		ctx := bounded()
+		ctx := testContext()
 		e, client := runEngine(ctx, mgstandin.EngineSpec{
 			Serves: []string{"reports"},
 		})
@@ -286,11 +286,11 @@
 		say("start again", client.Start(ctx, spec))
 		spec.ID, spec.Model = "a.2", "notes"
 		say("start an unloaded model", client.Start(ctx, spec))
-		text, last, err := read(ctx, client, "a.1", 1)
+		text, last, err := readStream(ctx, client, "a.1", 1)
 		say("stream", text, last.End, err)
-		text, last, err = read(ctx, client, "a.1", 7)
+		text, last, err = readStream(ctx, client, "a.1", 7)
 		say("stream from 7", text, last.End, err)
-		_, _, err = read(ctx, client, "a.9", 1)
+		_, _, err = readStream(ctx, client, "a.9", 1)
 		say("stream a stranger's", err)
 		list, err := client.List(ctx)
 		say("list", fmt.Sprintf("%+v", list), err)
@@ -310,7 +310,7 @@
 }
 
 // A prompt that ends its engine must take with it what runs beside it.
-func TestCrashMark(t *testing.T) {
+func TestCrashPromptSparesOtherGenerations(t *testing.T) {
 	Convey("An engine that begins a prompt with the mark loses all that it held", t, func() {
 		e := mgstandin.NewEngine(mgstandin.EngineSpec{}, mgclock.Clock{})
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/standin/mgstandin/generation.go
+++ b/internal/standin/mgstandin/generation.go
@@ -9,22 +9,22 @@
 )
 
 // promptBytes bounds what is remembered of a prompt.
-const promptBytes = 256
+const maxRecordedPromptBytes = 256
 
 // bytesPerToken estimates the length of a prompt that doesn't say.
 const bytesPerToken = 4
 
 // generation is one that the engine holds.
 type generation struct {
-	spec      mgengine.StartSpec
-	end       string
-	produced  uint64
-	preempted int
-	doneAt    mgclock.Millis
-	struck    bool          // its stream has met a cut or stall
-	copied    int           // tokens that copiedTo has
-	copiedTo  string        // base URL of another engine
-	changed   chan struct{} // closed and replaced on progress
+	spec         mgengine.StartSpec
+	end          string
+	produced     uint64
+	preempted    int
+	endedAt      mgclock.Millis
+	faultApplied bool          // its stream has met a cut or stall
+	copiedTokens int           // tokens that copiedTo has
+	copiedTo     string        // base URL of another engine
+	changed      chan struct{} // closed and replaced on progress
 }
 
 // advance publishes a generation's tokens up to seq.
@@ -32,12 +32,12 @@
 	if g := e.running(id); g != nil {
 		if strings.Contains(g.spec.Prompt, CrashMark) {
 			e.counts.Crashes++
-			e.die()
+			e.loseState()
 			return
 		}
 		e.counts.Tokens++
 		g.produced = seq
-		g.wake()
+		g.notifyProgress()
 	}
 }
 
@@ -56,23 +56,23 @@
 	if Output(g.spec.Prompt, 0) > int(g.produced) {
 		end = "length"
 	}
-	e.close(g, end, now)
+	e.endGeneration(g, end, now)
 }
 
 // close ends a generation, which can still be resumed for a while.
-func (e *Engine) close(g *generation, end string, now mgclock.Millis) {
+func (e *Engine) endGeneration(g *generation, end string, now mgclock.Millis) {
 	g.end = end
-	g.doneAt = now
+	g.endedAt = now
 	record := e.counts.Generations[g.spec.ID]
 	record.Tokens = int(g.produced)
 	record.End = end
 	e.counts.Generations[g.spec.ID] = record
 	e.finished = append(e.finished, g)
-	g.wake()
+	g.notifyProgress()
 }
 
 // wake lets the streams of a generation look again.
-func (g *generation) wake() {
+func (g *generation) notifyProgress() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
@@ -82,7 +82,7 @@
 func (e *Engine) Start(spec mgengine.StartSpec) *mgengine.Refusal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.prepare()
+	e.ensureInitialized()
 	if e.generations[spec.ID] != nil {
 		return nil
 	}
@@ -93,7 +93,7 @@
 		return refusal("model", "the model isn't loaded; order it or start elsewhere")
 	}
 	if spec.Copy != "" {
-		return e.goOn(spec)
+		return e.resumeFromCopy(spec)
 	}
 	if spec.Tokens < 1 {
 		spec.Tokens = 1 + len(spec.Prompt)/bytesPerToken
@@ -105,17 +105,17 @@
 		spec:    spec,
 		changed: make(chan struct{}),
 	}
-	e.cache.expect(spec.Prefix)
-	e.record(spec)
-	e.wake()
+	e.cache.addCandidates(spec.Prefix)
+	e.recordStart(spec)
+	e.notifyChange()
 	return nil
 }
 
 // record notes a start.
-func (e *Engine) record(spec mgengine.StartSpec) {
+func (e *Engine) recordStart(spec mgengine.StartSpec) {
 	e.counts.Generations[spec.ID] = Record{
 		Starts: e.counts.Generations[spec.ID].Starts + 1,
-		Prompt: spec.Prompt[:min(len(spec.Prompt), promptBytes)],
+		Prompt: spec.Prompt[:min(len(spec.Prompt), maxRecordedPromptBytes)],
 	}
 }
 
@@ -123,14 +123,14 @@
 func (e *Engine) Cancel(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.prepare()
+	e.ensureInitialized()
 	g := e.generations[id]
 	if g == nil {
 		return false
 	}
 	if g.end == "" {
 		e.model.Cancel(id)
-		e.close(g, "cancelled", e.clock.Now())
+		e.endGeneration(g, "cancelled", e.clock.Now())
 	}
 	return true
 }
--- a/internal/standin/mgstandin/http.go
+++ b/internal/standin/mgstandin/http.go
@@ -12,7 +12,7 @@
 )
 
 // switchBytes bounds the body of a switch.
-const switchBytes = 64 << 10
+const maxSwitchBytes = 64 << 10
 
 // A Server serves a stand-in on loopback.
 type Server struct {
@@ -72,10 +72,10 @@
 }
 
 // takeFault returns the handler of a stand-in's switches.
-func takeFault(set func(Fault)) http.HandlerFunc {
+func faultHandler(set func(Fault)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var f Fault
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, switchBytes)).Decode(&f); err != nil {
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxSwitchBytes)).Decode(&f); err != nil {
 			writeRefusal(w, http.StatusBadRequest, "invalid", "not the JSON of a fault")
 			return
 		}
--- a/internal/standin/mgstandin/lag.go
+++ b/internal/standin/mgstandin/lag.go
@@ -7,80 +7,80 @@
 )
 
 // cacheEvents bounds the cache events that are kept.
-const cacheEvents = 4096
+const maxCacheEvents = 4096
 
 // lagged is a load report that is a lag old.
-type lagged struct {
-	shown mgengine.Load
-	next  mgengine.Load
-	taken mgclock.Millis
-	begun bool
+type laggedLoad struct {
+	published mgengine.Load
+	pending   mgengine.Load
+	sampledAt mgclock.Millis
+	hasSample bool
 }
 
 // take shows the last report once it is old enough, and takes the next.
-func (l *lagged) take(load mgengine.Load, now, lag mgclock.Millis) {
+func (l *laggedLoad) sample(load mgengine.Load, now, lag mgclock.Millis) {
 	switch {
-	case !l.begun || lag == 0:
-		l.begun = true
-		l.shown = load
-	case now-l.taken < lag:
+	case !l.hasSample || lag == 0:
+		l.hasSample = true
+		l.published = load
+	case now-l.sampledAt < lag:
 		return
 	default:
-		l.shown = l.next
+		l.published = l.pending
 	}
-	l.next = load
-	l.taken = now
+	l.pending = load
+	l.sampledAt = now
 }
 
 // cacheLog turns what the prefix cache holds into late events with gaps.
 type cacheLog struct {
-	blocks []uint64        // blocks that may be cached, in order of arrival
-	stored map[uint64]bool // blocks whose last event was Stored, by whether
-	events []mgengine.Event
-	seq    uint64
-	taken  mgclock.Millis
+	candidates []uint64        // blocks that may be cached, in order of arrival
+	stored     map[uint64]bool // blocks whose last event was Stored, by whether
+	events     []mgengine.Event
+	seq        uint64
+	sampledAt  mgclock.Millis
 }
 
 // expect notes blocks that a prompt brings into the cache.
-func (c *cacheLog) expect(prefix []uint64) {
+func (c *cacheLog) addCandidates(prefix []uint64) {
 	if c.stored == nil {
 		c.stored = make(map[uint64]bool)
 	}
 	for _, block := range prefix {
 		if _, known := c.stored[block]; !known {
 			c.stored[block] = false
-			c.blocks = append(c.blocks, block)
+			c.candidates = append(c.candidates, block)
 		}
 	}
 }
 
 // take logs the changes since it was last called, at most once in late ms, so
 // that each event is up to that late. Each gap-th event is lost.
-func (c *cacheLog) take(model *mgmodel.Engine, now, late mgclock.Millis, gap int) {
-	if now-c.taken < late {
+func (c *cacheLog) sample(model *mgmodel.Engine, now, interval mgclock.Millis, lossInterval int) {
+	if now-c.sampledAt < interval {
 		return
 	}
-	c.taken = now
-	kept := c.blocks[:0]
-	for _, block := range c.blocks {
+	c.sampledAt = now
+	kept := c.candidates[:0]
+	for _, block := range c.candidates {
 		cached := model.Cached([]uint64{block}) > 0
 		switch {
 		case cached && !c.stored[block]:
-			c.log(mgengine.Stored, block, gap)
+			c.appendEvent(mgengine.Stored, block, lossInterval)
 		case !cached && c.stored[block]:
-			c.log(mgengine.Evicted, block, gap)
+			c.appendEvent(mgengine.Evicted, block, lossInterval)
 			delete(c.stored, block)
 			continue
 		}
 		c.stored[block] = cached
 		kept = append(kept, block)
 	}
-	c.blocks = kept
+	c.candidates = kept
 }
 
-func (c *cacheLog) log(kind string, block uint64, gap int) {
+func (c *cacheLog) appendEvent(kind string, block uint64, lossInterval int) {
 	c.seq++
-	if gap > 0 && c.seq%uint64(gap) == 0 {
+	if lossInterval > 0 && c.seq%uint64(lossInterval) == 0 {
 		return
 	}
 	c.events = append(c.events, mgengine.Event{
@@ -88,7 +88,7 @@
 		Kind:  kind,
 		Block: block,
 	})
-	if len(c.events) > cacheEvents {
+	if len(c.events) > maxCacheEvents {
 		c.events = c.events[1:]
 	}
 }
--- a/internal/standin/mgstandin/move.go
+++ b/internal/standin/mgstandin/move.go
@@ -18,9 +18,9 @@
 const (
 	// defaultCopy is the time to copy a token's memory, in microseconds: that of
 	// 160 KB over a link of 24 Gbit/s.
-	defaultCopy = 55
+	defaultCopyMicros = 55
 	// copyKeep is how long an engine keeps a copy that nobody goes on from.
-	copyKeep = 5 * mgclock.Second
+	copyTTL = 5 * mgclock.Second
 )
 
 // The kinds of a move's refusals.
@@ -31,18 +31,18 @@
 )
 
 // incoming is a copy that this engine holds for a generation of another one.
-type incoming struct {
-	spec mgengine.StartSpec
-	made uint64
-	held int // tokens of memory
-	till mgclock.Millis
+type incomingCopy struct {
+	spec           mgengine.StartSpec
+	producedTokens uint64
+	heldTokens     int // tokens of memory
+	expiresAt      mgclock.Millis
 }
 
 // copySpec is what an engine sends to the one that gets a copy.
 type copySpec struct {
-	Spec mgengine.StartSpec `json:"spec"`
-	Made uint64             `json:"made"`
-	Hold int                `json:"hold"` // tokens of memory
+	Spec       mgengine.StartSpec `json:"spec"`
+	Produced   uint64             `json:"made"`
+	HeldTokens int                `json:"hold"` // tokens of memory
 }
 
 // Reach sets the client by which the engine reaches others.
@@ -54,17 +54,17 @@
 
 // Move copies a generation to another engine.
 func (e *Engine) Move(ctx context.Context, spec mgengine.MoveSpec) (mgengine.Copy, *mgengine.Refusal) {
-	order, tokens, refused := e.beginCopy(spec)
+	order, newTokens, refused := e.beginCopy(spec)
 	if refused != nil {
 		return mgengine.Copy{}, refused
 	}
-	e.clock.Sleep(ctx, mgclock.Millis(tokens*e.copyTime()/1000))
+	e.clock.Sleep(ctx, mgclock.Millis(newTokens*e.copyTime()/1000))
 	if err := e.sendCopy(ctx, spec.To, order); err != nil {
 		return mgengine.Copy{}, refusal(roomRefusal, err.Error())
 	}
 	return mgengine.Copy{
 		Name: order.Spec.ID,
-		Made: order.Made,
+		Made: order.Produced,
 	}, nil
 }
 
@@ -72,7 +72,7 @@
 	if e.spec.Copy > 0 {
 		return e.spec.Copy
 	}
-	return defaultCopy
+	return defaultCopyMicros
 }
 
 // beginCopy returns what is to be copied and how many tokens of it are new. The
@@ -80,30 +80,30 @@
 func (e *Engine) beginCopy(spec mgengine.MoveSpec) (copySpec, int, *mgengine.Refusal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.prepare()
+	e.ensureInitialized()
 	g := e.running(spec.ID)
 	if g == nil || g.produced == 0 {
 		return copySpec{}, 0, refusal(missingRefusal, "no such generation, or nothing of it yet; wait or start it elsewhere")
 	}
 	if g.copiedTo != spec.To {
-		g.copied = 0
+		g.copiedTokens = 0
 	}
-	all := g.spec.Tokens + int(g.produced)
-	fresh := all - g.copied
-	g.copied, g.copiedTo = all, spec.To
+	totalTokens := g.spec.Tokens + int(g.produced)
+	newTokens := totalTokens - g.copiedTokens
+	g.copiedTokens, g.copiedTo = totalTokens, spec.To
 	if spec.Last {
 		e.model.Cancel(spec.ID)
 		delete(e.generations, spec.ID)
-		g.wake() // its streams find nothing and break off
+		g.notifyProgress() // its streams find nothing and break off
 		record := e.counts.Generations[spec.ID]
 		record.End = "moved"
 		e.counts.Generations[spec.ID] = record
 	}
 	return copySpec{
-		Spec: g.spec,
-		Made: g.produced,
-		Hold: all,
-	}, fresh, nil
+		Spec:       g.spec,
+		Produced:   g.produced,
+		HeldTokens: totalTokens,
+	}, newTokens, nil
 }
 
 func (e *Engine) sendCopy(ctx context.Context, to string, order copySpec) error {
@@ -132,25 +132,25 @@
 	return nil
 }
 
-// Take holds a copy for another engine's generation.
-func (e *Engine) Take(order copySpec) *mgengine.Refusal {
+// ReceiveCopy holds a copy for another engine's generation.
+func (e *Engine) ReceiveCopy(order copySpec) *mgengine.Refusal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.prepare()
+	e.ensureInitialized()
 	now := e.clock.Now()
 	e.dropCopies(now)
 	c := e.copies[order.Spec.ID]
 	if c == nil {
-		c = &incoming{}
+		c = &incomingCopy{}
 	}
-	if e.faults.Kind == Leave || !e.model.Hold(order.Hold-c.held) {
+	if e.faults.Kind == Leave || !e.model.Hold(order.HeldTokens-c.heldTokens) {
 		return refusal(roomRefusal, "no room for a copy; send it to another engine")
 	}
-	*c = incoming{
-		spec: order.Spec,
-		made: order.Made,
-		held: order.Hold,
-		till: now + copyKeep,
+	*c = incomingCopy{
+		spec:           order.Spec,
+		producedTokens: order.Produced,
+		heldTokens:     order.HeldTokens,
+		expiresAt:      now + copyTTL,
 	}
 	e.copies[order.Spec.ID] = c
 	return nil
@@ -159,8 +159,8 @@
 // dropCopies frees the memory of copies that nobody went on from.
 func (e *Engine) dropCopies(now mgclock.Millis) {
 	for name, c := range e.copies {
-		if now >= c.till {
-			e.model.Release(c.held)
+		if now >= c.expiresAt {
+			e.model.Release(c.heldTokens)
 			delete(e.copies, name)
 		}
 	}
@@ -168,23 +168,23 @@
 
 // goOn goes on with a generation from the copy that the engine holds. It is
 // called with mu held.
-func (e *Engine) goOn(spec mgengine.StartSpec) *mgengine.Refusal {
+func (e *Engine) resumeFromCopy(spec mgengine.StartSpec) *mgengine.Refusal {
 	c := e.copies[spec.Copy]
 	if c == nil {
 		return refusal(copyRefusal, "no such copy; it was used or has run out")
 	}
 	delete(e.copies, spec.Copy)
-	e.model.Release(c.held)
-	if !e.model.Resume(sequenceOf(c.spec), int(c.made), 1) {
+	e.model.Release(c.heldTokens)
+	if !e.model.Resume(sequenceOf(c.spec), int(c.producedTokens), 1) {
 		return refusal(copyRefusal, "the generation doesn't fit")
 	}
 	e.generations[spec.ID] = &generation{
 		spec:     c.spec,
-		produced: c.made,
+		produced: c.producedTokens,
 		changed:  make(chan struct{}),
 	}
 	e.counts.Resumed++
-	e.wake()
+	e.notifyChange()
 	return nil
 }
 
@@ -201,7 +201,7 @@
 
 func (e *Engine) serveMove(w http.ResponseWriter, r *http.Request) {
 	var spec mgengine.MoveSpec
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, switchBytes)).Decode(&spec); err != nil || spec.To == "" {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxSwitchBytes)).Decode(&spec); err != nil || spec.To == "" {
 		writeRefusal(w, http.StatusBadRequest, "invalid", "not the JSON of a move")
 		return
 	}
@@ -219,11 +219,11 @@
 
 func (e *Engine) serveCopy(w http.ResponseWriter, r *http.Request) {
 	var order copySpec
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, startBytes)).Decode(&order); err != nil || order.Spec.ID == "" {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxStartBytes)).Decode(&order); err != nil || order.Spec.ID == "" {
 		writeRefusal(w, http.StatusBadRequest, "invalid", "not the JSON of a copy")
 		return
 	}
-	if refused := e.Take(order); refused != nil {
+	if refused := e.ReceiveCopy(order); refused != nil {
 		writeJSON(w, http.StatusConflict, refused)
 		return
 	}
--- a/internal/standin/mgstandin/order.go
+++ b/internal/standin/mgstandin/order.go
@@ -11,7 +11,7 @@
 func (e *Engine) Order(spec mgengine.OrderSpec) *mgengine.Refusal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.prepare()
+	e.ensureInitialized()
 	older := spec.Fence < e.fence
 	if e.spec.Fenced && older {
 		e.counts.Refused++
@@ -26,17 +26,17 @@
 	}
 	e.fence = max(e.fence, spec.Fence)
 	e.counts.Orders++
-	e.carryOut(spec)
+	e.applyOrder(spec)
 	return nil
 }
 
-func (e *Engine) carryOut(spec mgengine.OrderSpec) {
-	at := slices.Index(e.loaded, spec.Model)
+func (e *Engine) applyOrder(spec mgengine.OrderSpec) {
+	index := slices.Index(e.loaded, spec.Model)
 	switch {
-	case spec.Kind == mgengine.LoadModel && at < 0:
+	case spec.Kind == mgengine.LoadModel && index < 0:
 		e.loaded = append(e.loaded, spec.Model)
-	case spec.Kind == mgengine.UnloadModel && at >= 0:
-		e.loaded = slices.Delete(e.loaded, at, at+1)
+	case spec.Kind == mgengine.UnloadModel && index >= 0:
+		e.loaded = slices.Delete(e.loaded, index, index+1)
 	case spec.Kind == mgengine.SetRole:
 		e.role = spec.Model
 	}
--- a/internal/standin/mgstandin/platform.go
+++ b/internal/standin/mgstandin/platform.go
@@ -18,13 +18,13 @@
 )
 
 // valueBytes bounds a value.
-const valueBytes = 1 << 20
+const maxValueBytes = 1 << 20
 
 // tableBytes bounds a table, of which 35,000 accounts take about 7 MB.
-const tableBytes = 64 << 20
+const maxTableBytes = 64 << 20
 
 // keptSeconds bounds the reads counted by second.
-const keptSeconds = 600
+const maxCountedSeconds = 600
 
 // A Platform is the configuration service and the list of VMs. The zero
 // Platform is empty and ready for use.
@@ -32,19 +32,19 @@
 	spec  PlatformSpec
 	clock mgclock.Clock
 
-	mu      sync.Mutex
-	values  map[string][]value // versions of each key, the oldest first
-	frozen  map[string]value   // what is answered while stale
-	fault   Fault
-	changed chan struct{} // closed and replaced on each change
-	counts  PlatformCounts
+	mu          sync.Mutex
+	values      map[string][]value // versions of each key, the oldest first
+	staleValues map[string]value   // what is answered while stale
+	fault       Fault
+	changed     chan struct{} // closed and replaced on each change
+	counts      PlatformCounts
 }
 
 // value is one version of a value.
 type value struct {
-	version uint64
-	body    []byte
-	shows   mgclock.Millis // when readers see it
+	version   uint64
+	body      []byte
+	visibleAt mgclock.Millis // when readers see it
 }
 
 // NewPlatform returns an empty platform.
@@ -61,7 +61,7 @@
 	r.Get("/v1/values/*", p.read)
 	r.Post("/standin/put", p.put)
 	r.Post("/standin/table", p.putTable)
-	r.Post("/standin/fault", takeFault(p.Set))
+	r.Post("/standin/fault", faultHandler(p.Set))
 	r.Get("/standin/counts", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, p.Counts())
 	})
@@ -74,12 +74,12 @@
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	v := value{
-		version: 1,
-		body:    body,
-		shows:   now,
+		version:   1,
+		body:      body,
+		visibleAt: now,
 	}
 	if key == mgplatform.ListKey {
-		v.shows += p.spec.Lag
+		v.visibleAt += p.spec.Lag
 	}
 	old := p.values[key]
 	if len(old) > 0 {
@@ -88,8 +88,8 @@
 	if p.values == nil {
 		p.values = make(map[string][]value)
 	}
-	p.values[key] = append(shown(old, now), v)
-	p.wake()
+	p.values[key] = append(pruneVersions(old, now), v)
+	p.notifyChange()
 	return v.version
 }
 
@@ -114,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	manifest, pages, err := table.Pages(valueBytes)
+	manifest, pages, err := table.Pages(maxValueBytes)
 	if err != nil {
 		return err
 	}
@@ -142,21 +142,21 @@
 	defer p.mu.Unlock()
 	p.fault = Fault{}
 	if f.Kind == Stale {
-		p.frozen = p.snapshot()
+		p.staleValues = p.snapshot()
 	}
 	p.fault = f
-	p.wake()
+	p.notifyChange()
 }
 
 // snapshot returns what readers see now.
 func (p *Platform) snapshot() map[string]value {
-	seen := make(map[string]value)
+	values := make(map[string]value)
 	for key := range p.values {
 		if v, ok := p.visible(key); ok {
-			seen[key] = v
+			values[key] = v
 		}
 	}
-	return seen
+	return values
 }
 
 // Counts returns the counters.
@@ -169,8 +169,8 @@
 }
 
 // shown drops the versions that no reader sees any more.
-func shown(versions []value, now mgclock.Millis) []value {
-	for len(versions) > 1 && versions[1].shows <= now {
+func pruneVersions(versions []value, now mgclock.Millis) []value {
+	for len(versions) > 1 && versions[1].visibleAt <= now {
 		versions = versions[1:]
 	}
 	return versions
@@ -178,19 +178,19 @@
 
 // visible returns the version of a value that a reader sees now.
 func (p *Platform) visible(key string) (value, bool) {
-	if p.faultOf(key) == Stale {
-		v, ok := p.frozen[key]
+	if p.faultFor(key) == Stale {
+		v, ok := p.staleValues[key]
 		return v, ok
 	}
-	versions := shown(p.values[key], p.clock.Now())
-	if len(versions) == 0 || versions[0].shows > p.clock.Now() {
+	versions := pruneVersions(p.values[key], p.clock.Now())
+	if len(versions) == 0 || versions[0].visibleAt > p.clock.Now() {
 		return value{}, false
 	}
 	return versions[0], true
 }
 
 // wake lets the waiting readers look again.
-func (p *Platform) wake() {
+func (p *Platform) notifyChange() {
 	if p.changed != nil {
 		close(p.changed)
 	}
@@ -198,7 +198,7 @@
 }
 
 // change returns the channel that the next wake closes.
-func (p *Platform) change() <-chan struct{} {
+func (p *Platform) changeChannel() <-chan struct{} {
 	if p.changed == nil {
 		p.changed = make(chan struct{})
 	}
@@ -206,7 +206,7 @@
 }
 
 // count counts a read and reports whether the rate allows it.
-func (p *Platform) count() bool {
+func (p *Platform) countRead() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	second := int64(p.clock.Now() / mgclock.Second)
@@ -217,7 +217,7 @@
 	c.Reads++
 	c.Seconds[second]++
 	c.Peak = max(c.Peak, c.Seconds[second])
-	delete(c.Seconds, second-keptSeconds)
+	delete(c.Seconds, second-maxCountedSeconds)
 	if p.spec.Rate > 0 && c.Seconds[second] > p.spec.Rate {
 		c.Refused++
 		return false
@@ -226,14 +226,14 @@
 }
 
 func (p *Platform) read(w http.ResponseWriter, r *http.Request) {
-	if !p.count() {
+	if !p.countRead() {
 		w.Header().Set("Retry-After", "1")
 		writeRefusal(w, http.StatusTooManyRequests, "rate", "too many reads a second; read less often")
 		return
 	}
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	wait, _ := strconv.ParseInt(r.URL.Query().Get("wait"), 10, 64)
-	v, found := p.await(r.Context(), chi.URLParam(r, "*"), after, mgclock.Millis(wait))
+	v, found := p.waitForVersion(r.Context(), chi.URLParam(r, "*"), after, mgclock.Millis(wait))
 	switch {
 	case !found:
 		writeRefusal(w, http.StatusNotFound, "missing", "no value has this key")
@@ -247,22 +247,22 @@
 }
 
 // await returns the value once its version is above after or wait is over.
-func (p *Platform) await(ctx context.Context, key string, after uint64, wait mgclock.Millis) (value, bool) {
-	over := p.clock.After(wait)
+func (p *Platform) waitForVersion(ctx context.Context, key string, after uint64, wait mgclock.Millis) (value, bool) {
+	timeout := p.clock.After(wait)
 	for {
-		obey(ctx, func() (string, <-chan struct{}) { return p.look(key) })
+		applyConnectionFault(ctx, func() (string, <-chan struct{}) { return p.currentFault(key) })
 		p.mu.Lock()
 		v, found := p.visible(key)
-		change := p.change()
-		lag := p.lag(key)
+		change := p.changeChannel()
+		nextVisible := p.nextVisible(key)
 		p.mu.Unlock()
 		if found && v.version > after || wait <= 0 {
 			return v, found
 		}
 		select {
 		case <-change:
-		case <-lag:
-		case <-over:
+		case <-nextVisible:
+		case <-timeout:
 			return v, found
 		case <-ctx.Done():
 			return v, found
@@ -272,11 +272,11 @@
 
 // lag returns a channel that is closed when the next version of a value
 // shows, or nil.
-func (p *Platform) lag(key string) <-chan struct{} {
+func (p *Platform) nextVisible(key string) <-chan struct{} {
 	now := p.clock.Now()
 	for _, v := range p.values[key] {
-		if v.shows > now {
-			return p.clock.After(v.shows - now)
+		if v.visibleAt > now {
+			return p.clock.After(v.visibleAt - now)
 		}
 	}
 	return nil
@@ -284,7 +284,7 @@
 
 func (p *Platform) put(w http.ResponseWriter, r *http.Request) {
 	key := r.URL.Query().Get("key")
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, valueBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxValueBytes))
 	if err != nil || key == "" {
 		writeRefusal(w, http.StatusBadRequest, "invalid", "give a key and a value under 1 MB")
 		return
@@ -293,7 +293,7 @@
 }
 
 func (p *Platform) putTable(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tableBytes))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxTableBytes))
 	if err == nil {
 		err = p.PutTable(text)
 	}
@@ -305,15 +305,15 @@
 }
 
 // look returns the present fault of a key and the channel of its change.
-func (p *Platform) look(key string) (string, <-chan struct{}) {
+func (p *Platform) currentFault(key string) (string, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.faultOf(key), p.change()
+	return p.faultFor(key), p.changeChannel()
 }
 
 // faultOf returns the fault that strikes a key. The list of VMs may be well
 // while the configuration is not.
-func (p *Platform) faultOf(key string) string {
+func (p *Platform) faultFor(key string) string {
 	if p.fault.Spare == key {
 		return Heal
 	}
@@ -322,9 +322,9 @@
 
 // obey acts out the faults that strike any connection, and returns once there
 // is nothing to act out.
-func obey(ctx context.Context, look func() (string, <-chan struct{})) {
+func applyConnectionFault(ctx context.Context, currentFault func() (string, <-chan struct{})) {
 	for {
-		fault, changed := look()
+		fault, changed := currentFault()
 		switch fault {
 		case Down, Die:
 			panic(http.ErrAbortHandler)
--- a/internal/standin/mgstandin/platform_test.go
+++ b/internal/standin/mgstandin/platform_test.go
@@ -19,11 +19,11 @@
 )
 
 // get reads a value as a line: its version and bytes, or why not.
-func get(ctx context.Context, base, key string) string {
-	return line(mgplatform.NewHTTP(base, mgdial.NewClient()).Read(ctx, key))
+func readValue(ctx context.Context, base, key string) string {
+	return formatValue(mgplatform.NewHTTP(base, mgdial.NewClient()).Read(ctx, key))
 }
 
-func line(v mgplatform.Value, err error) string {
+func formatValue(v mgplatform.Value, err error) string {
 	for _, known := range []error{mgplatform.ErrMissing, mgplatform.ErrUnchanged, mgplatform.ErrRate, mgplatform.ErrDown} {
 		if errors.Is(err, known) {
 			return known.Error()
@@ -35,7 +35,7 @@
 // An operator publishes a new table while the platform fails. A process that
 // reads then gets the old table, the new one or an error, and never an older
 // one than it had; once the platform is well, it gets the new one.
-func TestPlatformFaults(t *testing.T) {
+func TestFaultyPlatformServesWrongVersion(t *testing.T) {
 	down := mgplatform.ErrDown.Error()
 	cases := []struct {
 		name  string
@@ -96,25 +96,25 @@
 					Rate: c.rate,
 				}, manual.Clock())
 				base := serve(p.Handler())
-				ctx := bounded()
+				ctx := testContext()
 				p.Put(c.key, []byte("old"))
 				manual.Advance(c.lag)
 				p.Set(mgstandin.Fault{
 					Kind:  c.fault,
 					Spare: c.spare,
 				})
-				reads := []string{get(ctx, base, c.key)}
+				reads := []string{readValue(ctx, base, c.key)}
 				p.Put(c.key, []byte("new"))
-				reads = append(reads, get(ctx, base, c.key))
+				reads = append(reads, readValue(ctx, base, c.key))
 				p.Set(mgstandin.Fault{
 					Kind: mgstandin.Heal,
 				})
-				reads = append(reads, get(ctx, base, c.key))
+				reads = append(reads, readValue(ctx, base, c.key))
 				So(reads, ShouldResemble, c.reads)
 				So(p.Counts().Reads, ShouldEqual, 3)
 				manual.Advance(c.lag)
 				if c.lag > 0 {
-					So(get(ctx, base, c.key), ShouldEqual, "2 new")
+					So(readValue(ctx, base, c.key), ShouldEqual, "2 new")
 				}
 			})
 		}
@@ -122,22 +122,22 @@
 }
 
 // TestPlatformSession plays the whole interface once.
-func TestPlatformSession(t *testing.T) {
+func TestPlatformInterfaceChanges(t *testing.T) {
 	Convey("A session with the platform", t, func() {
-		ctx := bounded()
+		ctx := testContext()
 		p := &mgstandin.Platform{}
 		base := serve(p.Handler())
 		client := mgplatform.NewHTTP(base, mgdial.NewClient())
 		var log strings.Builder
-		say := func(key string) { fmt.Fprintln(&log, key, "->", get(ctx, base, key)) }
+		say := func(key string) { fmt.Fprintln(&log, key, "->", readValue(ctx, base, key)) }
 		say("manifest")
 		p.Put("manifest", []byte("first"))
 		p.Put("page-0badc0de", []byte("a page"))
 		say("manifest")
 		say("page-0badc0de")
-		fmt.Fprintln(&log, "quiet watch ->", line(client.Watch(ctx, "manifest", 1, 5)))
+		fmt.Fprintln(&log, "quiet watch ->", formatValue(client.Watch(ctx, "manifest", 1, 5)))
 		seen := make(chan string, 1)
-		go func() { seen <- line(client.Watch(ctx, "manifest", 1, mgclock.Minute)) }()
+		go func() { seen <- formatValue(client.Watch(ctx, "manifest", 1, mgclock.Minute)) }()
 		response, err := http.Post(base+"/standin/put?key=manifest", "text/plain", strings.NewReader("second"))
 		So(err, ShouldBeNil)
 		So(response.Body.Close(), ShouldBeNil)
@@ -164,15 +164,15 @@
 
 // An operator publishes a table while processes read. A manifest that names a
 // page which isn't there yet would leave each reader without a configuration.
-func TestPlatformTable(t *testing.T) {
+func TestManifestIsPublishedWithoutItsPages(t *testing.T) {
 	Convey("A table is published pages first, and a faulty one not at all", t, func() {
-		ctx := bounded()
+		ctx := testContext()
 		p := &mgstandin.Platform{}
 		base := serve(p.Handler())
 		text, err := os.ReadFile("../../../examples/tankline/table.toml")
 		So(err, ShouldBeNil)
 		So(p.PutTable([]byte("version = x")), ShouldNotBeNil)
-		So(get(ctx, base, mgplatform.ManifestKey), ShouldEqual, mgplatform.ErrMissing.Error())
+		So(readValue(ctx, base, mgplatform.ManifestKey), ShouldEqual, mgplatform.ErrMissing.Error())
 		So(p.PutTable(text), ShouldBeNil)
 		client := mgplatform.NewHTTP(base, mgdial.NewClient())
 		value, err := client.Read(ctx, mgplatform.ManifestKey)
--- a/internal/standin/mgstandin/rig_test.go
+++ b/internal/standin/mgstandin/rig_test.go
@@ -41,8 +41,8 @@
 }
 
 // bounded returns a context for a whole case.
-func bounded() context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func testContext() context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	Reset(cancel)
 	return ctx
 }
@@ -51,11 +51,11 @@
 func runEngine(ctx context.Context, spec mgstandin.EngineSpec) (*mgstandin.Engine, mgengine.Client) {
 	spec.Model.Speed = 100
 	e := mgstandin.NewEngine(spec, mgclock.Clock{})
-	return e, step(ctx, e)
+	return e, runInBackground(ctx, e)
 }
 
 // step lets an engine run until the end of the test.
-func step(ctx context.Context, e *mgstandin.Engine) mgengine.Client {
+func runInBackground(ctx context.Context, e *mgstandin.Engine) mgengine.Client {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
@@ -70,12 +70,12 @@
 }
 
 // begin starts a generation of a length.
-func begin(ctx context.Context, c mgengine.Client, id string, length int) error {
-	return c.Start(ctx, ofLength(id, length))
+func startGeneration(ctx context.Context, c mgengine.Client, id string, length int) error {
+	return c.Start(ctx, startSpec(id, length))
 }
 
 // ofLength describes a generation of a length.
-func ofLength(id string, length int) mgengine.StartSpec {
+func startSpec(id string, length int) mgengine.StartSpec {
 	return mgengine.StartSpec{
 		ID:     id,
 		Prompt: fmt.Sprintf("shift report len=%d", length),
@@ -84,7 +84,7 @@
 }
 
 // read reads a stream's tokens from seq on, until it ends or breaks.
-func read(ctx context.Context, c mgengine.Client, id string, seq uint64) (string, mgengine.Token, error) {
+func readStream(ctx context.Context, c mgengine.Client, id string, seq uint64) (string, mgengine.Token, error) {
 	s, err := c.Stream(ctx, id, seq)
 	if err != nil {
 		return "", mgengine.Token{}, err
--- a/internal/standin/mgstandin/run_test.go
+++ b/internal/standin/mgstandin/run_test.go
@@ -12,9 +12,9 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/standin/mgstandin"
 )
 
-func TestRun(t *testing.T) {
+func TestStandinDoesNotRunFromSettings(t *testing.T) {
 	Convey("Stand-ins run from settings", t, func() {
-		ctx, cancel := context.WithCancel(bounded())
+		ctx, cancel := context.WithCancel(testContext())
 		defer cancel()
 
 		Convey("an engine", func() {
@@ -39,7 +39,7 @@
 				Values: []string{"table=" + file},
 			}
 			So(mgstandin.RunPlatform(ctx, spec, func(addr string) {
-				So(get(ctx, "http://"+addr, "table"), ShouldEqual, "1 a table")
+				So(readValue(ctx, "http://"+addr, "table"), ShouldEqual, "1 a table")
 				cancel()
 			}), ShouldBeNil)
 			spec.Values = []string{"table"}
--- a/internal/standin/mgstandin/service.go
+++ b/internal/standin/mgstandin/service.go
@@ -15,7 +15,7 @@
 )
 
 // callBytes bounds the body of a call.
-const callBytes = 1 << 20
+const maxCallBytes = 1 << 20
 
 // A Service is a plain service. It never recognizes a repeated operation, as
 // services of the old kind don't: a doubled call is a doubled run, and the
@@ -24,11 +24,11 @@
 	spec  ServiceSpec
 	clock mgclock.Clock
 
-	mu      sync.Mutex
-	fault   Fault
-	left    int // calls that a fault with Times still strikes
-	changed chan struct{}
-	counts  ServiceCounts
+	mu             sync.Mutex
+	fault          Fault
+	remainingCalls int // calls that a fault with Times still strikes
+	changed        chan struct{}
+	counts         ServiceCounts
 }
 
 // NewService returns a service that has run nothing.
@@ -49,7 +49,7 @@
 // switches.
 func (s *Service) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Post("/standin/fault", takeFault(s.Set))
+	r.Post("/standin/fault", faultHandler(s.Set))
 	r.Get("/standin/counts", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, s.Counts())
 	})
@@ -62,7 +62,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
-	s.left = f.Times
+	s.remainingCalls = f.Times
 	if s.changed != nil {
 		close(s.changed)
 	}
@@ -79,7 +79,7 @@
 }
 
 // look returns the present fault and the channel of its change.
-func (s *Service) look() (string, <-chan struct{}) {
+func (s *Service) currentFault() (string, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.changed == nil {
@@ -89,22 +89,22 @@
 }
 
 // strike returns the fault that this call meets.
-func (s *Service) strike(ctx context.Context) Fault {
-	obey(ctx, s.look)
+func (s *Service) nextFault(ctx context.Context) Fault {
+	applyConnectionFault(ctx, s.currentFault)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.fault
 	if f.Times > 0 {
-		if s.left == 0 {
+		if s.remainingCalls == 0 {
 			return Fault{}
 		}
-		s.left--
+		s.remainingCalls--
 	}
 	return f
 }
 
 // run counts a run and returns its number for the operation.
-func (s *Service) run(operation string) int {
+func (s *Service) countRun(operation string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.counts.Runs == nil {
@@ -116,7 +116,7 @@
 }
 
 func (s *Service) call(w http.ResponseWriter, r *http.Request) {
-	f := s.strike(r.Context())
+	f := s.nextFault(r.Context())
 	switch f.Kind {
 	case Early:
 		panic(http.ErrAbortHandler)
@@ -124,7 +124,7 @@
 		writeRefusal(w, http.StatusServiceUnavailable, "refused", "not now; come back later")
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, callBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCallBytes))
 	if err != nil {
 		writeRefusal(w, http.StatusBadRequest, "invalid", "the body broke off or is over 1 MB")
 		return
@@ -140,12 +140,12 @@
 	if operation == "" {
 		operation = r.Method + " " + r.URL.Path
 	}
-	reply.Run = s.run(operation)
-	s.answer(w, r, f, reply)
+	reply.Run = s.countRun(operation)
+	s.writeReply(w, r, f, reply)
 }
 
 // answer gives the reply to a call that ran, as far as the fault lets it.
-func (s *Service) answer(w http.ResponseWriter, r *http.Request, f Fault, reply ServiceReply) {
+func (s *Service) writeReply(w http.ResponseWriter, r *http.Request, f Fault, reply ServiceReply) {
 	delay := s.spec.Delay
 	switch f.Kind {
 	case Lost:
--- a/internal/standin/mgstandin/service_test.go
+++ b/internal/standin/mgstandin/service_test.go
@@ -29,7 +29,7 @@
 // A gauger books a transfer ticket and something fails around the service.
 // What the client says must agree with what the service counted: "not sent"
 // with a run behind it books two barrels once the caller tries again.
-func TestServiceFaults(t *testing.T) {
+func TestServiceFaultMiscountsRuns(t *testing.T) {
 	cases := []struct {
 		name   string
 		fault  string
@@ -89,7 +89,7 @@
 					Delay: 1,
 				})
 				client := mgservice.NewHTTP(serve(s.Handler()), nil)
-				ctx := bounded()
+				ctx := testContext()
 				if c.fault == mgstandin.Hang || c.fault == mgstandin.Silent {
 					var cancel context.CancelFunc
 					ctx, cancel = context.WithCancel(ctx)
@@ -122,9 +122,9 @@
 }
 
 // TestServiceSession plays the whole interface once.
-func TestServiceSession(t *testing.T) {
+func TestServiceInterfaceChanges(t *testing.T) {
 	Convey("A session with a plain service", t, func() {
-		ctx := bounded()
+		ctx := testContext()
 		s := mgstandin.NewService(mgstandin.ServiceSpec{
 			Name: "tickets",
 		}, mgclock.Clock{})
--- a/internal/standin/mgstandin/stream.go
+++ b/internal/standin/mgstandin/stream.go
@@ -11,17 +11,17 @@
 )
 
 // startBytes bounds the body of a start.
-const startBytes = 4 << 20
+const maxStartBytes = 4 << 20
 
 // Handler returns the engine's interface and switches.
 func (e *Engine) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Post("/standin/fault", takeFault(e.Set))
+	r.Post("/standin/fault", faultHandler(e.Set))
 	r.Get("/standin/counts", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, e.Counts())
 	})
 	r.Group(func(r chi.Router) {
-		r.Use(e.faulty)
+		r.Use(e.faultMiddleware)
 		r.Post("/v1/generations", e.serveStart)
 		r.Get("/v1/generations", func(w http.ResponseWriter, _ *http.Request) {
 			writeJSON(w, http.StatusOK, e.List())
@@ -43,16 +43,16 @@
 }
 
 // faulty acts out the faults that strike any connection.
-func (e *Engine) faulty(next http.Handler) http.Handler {
+func (e *Engine) faultMiddleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		obey(r.Context(), e.look)
+		applyConnectionFault(r.Context(), e.currentFault)
 		next.ServeHTTP(w, r)
 	})
 }
 
 func (e *Engine) serveStart(w http.ResponseWriter, r *http.Request) {
 	var spec mgengine.StartSpec
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, startBytes)).Decode(&spec)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxStartBytes)).Decode(&spec)
 	if err != nil || spec.ID == "" {
 		writeRefusal(w, http.StatusBadRequest, "invalid", "not the JSON of a generation with an id")
 		return
@@ -74,7 +74,7 @@
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var spec mgengine.OrderSpec
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, switchBytes)).Decode(&spec); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxSwitchBytes)).Decode(&spec); err != nil {
 		writeRefusal(w, http.StatusBadRequest, "invalid", "not the JSON of an order")
 		return
 	}
@@ -95,7 +95,7 @@
 		writeRefusal(w, http.StatusBadRequest, "invalid", "give from, which counts from 1")
 		return
 	}
-	if _, ok := e.peek(id); !ok {
+	if _, ok := e.streamStateOf(id); !ok {
 		writeRefusal(w, http.StatusNotFound, "missing", "no such generation")
 		return
 	}
@@ -104,32 +104,32 @@
 }
 
 // view is what a stream sees of its generation and of the switches.
-type view struct {
-	produced  uint64
-	preempted int
-	end       string
-	progress  <-chan struct{}
-	fault     Fault
-	struck    bool
-	turned    <-chan struct{}
+type streamState struct {
+	produced      uint64
+	preempted     int
+	end           string
+	progress      <-chan struct{}
+	fault         Fault
+	faultApplied  bool
+	switchChanged <-chan struct{}
 }
 
 // peek returns the view of a generation, and whether the engine holds it.
-func (e *Engine) peek(id string) (view, bool) {
+func (e *Engine) streamStateOf(id string) (streamState, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	g := e.generations[id]
 	if g == nil {
-		return view{}, false
+		return streamState{}, false
 	}
-	return view{
-		produced:  g.produced,
-		preempted: g.preempted,
-		end:       g.end,
-		progress:  g.changed,
-		fault:     e.faults,
-		struck:    g.struck,
-		turned:    e.change(),
+	return streamState{
+		produced:      g.produced,
+		preempted:     g.preempted,
+		end:           g.end,
+		progress:      g.changed,
+		fault:         e.faults,
+		faultApplied:  g.faultApplied,
+		switchChanged: e.changeChannel(),
 	}, true
 }
 
@@ -138,15 +138,15 @@
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, id string, seq uint64) {
 	out := json.NewEncoder(w)
 	control := http.NewResponseController(w)
-	beat := e.clock.After(e.spec.Beat)
+	heartbeat := e.clock.After(e.spec.Beat)
 	for {
-		obey(r.Context(), e.look)
-		v, ok := e.peek(id)
+		applyConnectionFault(r.Context(), e.currentFault)
+		v, ok := e.streamStateOf(id)
 		if !ok {
 			panic(http.ErrAbortHandler)
 		}
-		upTo, struck := v.strikes(v.produced)
-		seq = write(out, id, seq, upTo, v.preempted)
+		lastSeq, faultDue := v.streamLimit(v.produced)
+		seq = writeTokens(out, id, seq, lastSeq, v.preempted)
 		ended := v.end != "" && seq > v.produced
 		if ended {
 			_ = out.Encode(mgengine.Token{
@@ -157,15 +157,15 @@
 		if control.Flush() != nil || ended {
 			return
 		}
-		if struck {
-			e.strike(r, id, v.fault.Kind)
+		if faultDue {
+			e.applyStreamFault(r, id, v.fault.Kind)
 		}
 		select {
 		case <-v.progress:
-		case <-v.turned:
-		case <-beat:
+		case <-v.switchChanged:
+		case <-heartbeat:
 			_ = out.Encode(mgengine.Token{})
-			beat = e.clock.After(e.spec.Beat)
+			heartbeat = e.clock.After(e.spec.Beat)
 		case <-r.Context().Done():
 			return
 		}
@@ -174,7 +174,7 @@
 
 // write writes the tokens from seq up to the last, and returns the next
 // number.
-func write(out *json.Encoder, id string, seq, last uint64, preempted int) uint64 {
+func writeTokens(out *json.Encoder, id string, seq, last uint64, preempted int) uint64 {
 	for ; seq <= last; seq++ {
 		_ = out.Encode(mgengine.Token{
 			Seq:       seq,
@@ -187,8 +187,8 @@
 
 // strikes returns the last token that a stream may write, and whether it then
 // meets its cut or stall.
-func (v view) strikes(produced uint64) (uint64, bool) {
-	if v.struck || v.fault.Kind != Cut && v.fault.Kind != Stall || produced <= v.fault.After {
+func (v streamState) streamLimit(produced uint64) (uint64, bool) {
+	if v.faultApplied || v.fault.Kind != Cut && v.fault.Kind != Stall || produced <= v.fault.After {
 		return produced, false
 	}
 	return v.fault.After, true
@@ -197,12 +197,12 @@
 // strike breaks or silences a stream, the first of its generation. Streams
 // that open later work, as when a middlebox has dropped its entry for one
 // connection.
-func (e *Engine) strike(r *http.Request, id, kind string) {
+func (e *Engine) applyStreamFault(r *http.Request, id, kind string) {
 	e.mu.Lock()
 	g := e.generations[id]
-	first := g != nil && !g.struck
+	first := g != nil && !g.faultApplied
 	if first {
-		g.struck = true
+		g.faultApplied = true
 	}
 	e.mu.Unlock()
 	if !first {
--- a/internal/standin/mgstandin/switches.go
+++ b/internal/standin/mgstandin/switches.go
@@ -8,21 +8,21 @@
 func (e *Engine) Set(f Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.prepare()
+	e.ensureInitialized()
 	e.faults = f
-	e.gone = e.clock.Now() + f.Delay
-	e.model.SetSpeed(e.speed())
+	e.leaveDeadline = e.clock.Now() + f.Delay
+	e.model.SetSpeed(e.stepSpeed())
 	if f.Kind == Die {
-		e.die()
+		e.loseState()
 	}
 	for _, g := range e.generations {
-		g.struck = false
+		g.faultApplied = false
 	}
-	e.wake()
+	e.notifyChange()
 }
 
 // speed returns how fast the steps are under the present fault.
-func (e *Engine) speed() float64 {
+func (e *Engine) stepSpeed() float64 {
 	speed := e.spec.Model.Speed
 	if speed <= 0 {
 		speed = 1
@@ -34,23 +34,23 @@
 }
 
 // notice returns how long a leaving engine still has, 0 when it isn't told.
-func (e *Engine) notice() mgclock.Millis {
+func (e *Engine) remainingNotice() mgclock.Millis {
 	if e.faults.Kind != Leave || e.faults.Delay <= 0 {
 		return 0
 	}
-	return max(e.gone-e.clock.Now(), 1)
+	return max(e.leaveDeadline-e.clock.Now(), 1)
 }
 
 // die loses all state but the counters.
-func (e *Engine) die() {
+func (e *Engine) loseState() {
 	for _, g := range e.generations {
-		g.wake()
+		g.notifyProgress()
 	}
-	e.life++
+	e.incarnation++
 	e.model = nil
 	e.finished = nil
 	e.fence = 0
-	e.report = lagged{}
+	e.laggedLoad = laggedLoad{}
 	e.cache = cacheLog{}
-	e.prepare()
+	e.ensureInitialized()
 }
--- a/internal/standin/mgstandin/text.go
+++ b/internal/standin/mgstandin/text.go
@@ -22,7 +22,7 @@
 
 // lengths is the distribution of outputs whose prompt doesn't say: a median of
 // 90 tokens, and one in a hundred over 1,200.
-var lengths = distuv.LogNormal{
+var outputLengths = distuv.LogNormal{
 	Mu:    4.5,
 	Sigma: 1.1,
 }
@@ -59,10 +59,10 @@
 // for none. The engine knows it only when the generation ends. A prompt that
 // holds len=N generates N.
 func Output(prompt string, max int) int {
-	n := asked(prompt)
+	n := requestedLength(prompt)
 	if n == 0 {
 		uniform := (float64(xxhash.Sum64String(prompt)>>11) + 0.5) / (1 << 53)
-		n = 1 + int(math.Floor(lengths.Quantile(uniform)))
+		n = 1 + int(math.Floor(outputLengths.Quantile(uniform)))
 	}
 	if max > 0 && n > max {
 		return max
@@ -71,7 +71,7 @@
 }
 
 // asked returns the N of the prompt's len=N, or 0.
-func asked(prompt string) int {
+func requestedLength(prompt string) int {
 	_, rest, found := strings.Cut(prompt, "len=")
 	if !found {
 		return 0
