--- a/internal/soak/mgsoak/command.go
+++ b/internal/soak/mgsoak/command.go
@@ -11,7 +11,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Command is the soak's command line, for go-flags.
+// Command holds the command line of the soak, for go-flags.
 type Command struct {
 	Size
 	Seed    uint64  `long:"seed" default:"1" description:"first seed"`
@@ -20,12 +20,12 @@
 	Replay  string  `long:"replay" description:"file with a schedule, as a run writes it, in place of the seed's"`
 	Out     string  `long:"out" description:"directory for schedules, findings and plots; none is written without it"`
 
-	// Binary is the program that is run; empty stands for this one.
+	// Binary is the path of the program under test. Empty means this program.
 	Binary string `no-flag:"true"`
 }
 
-// record is what a run leaves behind: its schedule, to be replayed, and what was
-// found.
+// runRecord is the JSON file written for a run: the schedule, which can be replayed,
+// and the findings.
 type runRecord struct {
 	Seed     uint64         `json:"seed"`
 	Size     Size           `json:"size"`
@@ -34,8 +34,7 @@
 	Findings []Finding      `json:"findings"`
 }
 
-// Run plays the seeds one after another and returns an error where a promise was
-// broken.
+// Run runs the seeds one after another and returns an error if a promise was broken.
 func (c *Command) Run(ctx context.Context, out io.Writer) error {
 	if c.Binary == "" {
 		self, err := os.Executable()
@@ -63,7 +62,7 @@
 	return nil
 }
 
-// prepare draws a seed's run, or reads the one to replay.
+// prepare returns the run of a seed, or the recorded run to replay.
 func (c *Command) prepare(seed uint64) (*run, error) {
 	length := mgclock.Millis(c.Minutes * float64(mgclock.Minute))
 	if c.Replay == "" {
@@ -90,7 +89,7 @@
 	}, nil
 }
 
-// one plays a run and tells of it.
+// runOne executes a run and prints its summary and findings.
 func (c *Command) runOne(ctx context.Context, r *run, out io.Writer) error {
 	folder, err := os.MkdirTemp("", "mgsoak")
 	if err != nil {
@@ -110,7 +109,7 @@
 	return c.write(r)
 }
 
-// write leaves the run's record and plots in the directory.
+// write saves the run's record and plot in the output directory.
 func (c *Command) write(r *run) error {
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return fmt.Errorf("out: create the directory or name another: %w", err)
--- a/internal/soak/mgsoak/cordon_test.go
+++ b/internal/soak/mgsoak/cordon_test.go
@@ -8,8 +8,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Engines of a zone that operators empty begin generations, and a run that only looks at
-// answers finds nothing: each answer is whole.
+// Guards against engines of a cordoned zone starting generations unnoticed. The
+// answers are whole, so that a check of answers alone finds nothing.
 func TestCordonBreachMissedOrFalselyReported(t *testing.T) {
 	check := cordonCheck{
 		zone:         "a",
@@ -21,7 +21,7 @@
 		name  string
 		begun int
 		other Fault
-		from  mgclock.Millis // of the other fault, which lasts for a second
+		from  mgclock.Millis // start of the other fault, which lasts one second
 		found int
 	}{
 		{
@@ -34,7 +34,7 @@
 			found: 1,
 		},
 		{
-			name:  "work began beside a fault that keeps nobody from knowing",
+			name:  "work began during a fault that hides no platform update",
 			begun: 1,
 			other: Fault{
 				Kind:   BarLink,
@@ -44,7 +44,7 @@
 			found: 1,
 		},
 		{
-			name:  "work began while the way to the platform failed",
+			name:  "work began while the path to the platform failed",
 			begun: 1,
 			other: Fault{
 				Kind:   BarLink,
@@ -53,7 +53,7 @@
 			from: 9_000,
 		},
 		{
-			name:  "work began just after a process stood still",
+			name:  "work began just after a process was paused",
 			begun: 1,
 			other: Fault{
 				Kind:   PauseProcess,
@@ -62,7 +62,7 @@
 			from: 8_000,
 		},
 		{
-			name:  "work began long after a process stood still",
+			name:  "work began long after a process was paused",
 			begun: 1,
 			other: Fault{
 				Kind:   PauseProcess,
@@ -89,12 +89,14 @@
 	}
 }
 
-// A prompt that ends engines must be found, but where entries can't have known it.
+// Guards against a prompt that crashes more engines than allowed and isn't reported.
+// More crashes are allowed for each entry that failed and may not have received the
+// record of the prompt.
 func TestPromptCrashesMissedOrFalselyReported(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		crashes int
-		entries int // faults of entries
+		entries int // faults that hit entries
 		found   int
 	}{
 		{
--- a/internal/soak/mgsoak/deployment.go
+++ b/internal/soak/mgsoak/deployment.go
@@ -19,7 +19,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A deployment is the processes of a run and the links before them.
+// deployment holds the processes of a run and the links in front of them.
 type deployment struct {
 	binary       string
 	folder       string
@@ -36,14 +36,14 @@
 	versionMark  string
 }
 
-// Bounds of waits, and the interval of looks.
+// Timeouts, and the interval at which conditions are polled.
 const (
 	startTimeout   = 30 * time.Second
 	pollInterval   = 20 * time.Millisecond
 	requestTimeout = 2 * time.Second
 )
 
-// newDeployment starts a deployment and returns once its processes are ready.
+// newDeployment starts a deployment and returns when all its processes are ready.
 func newDeployment(ctx context.Context, binary, folder string, size Size) (*deployment, error) {
 	d := &deployment{
 		binary:    binary,
@@ -71,7 +71,7 @@
 	return d, nil
 }
 
-// close ends what was started.
+// close kills the processes and closes the links.
 func (d *deployment) close() {
 	for _, p := range d.processes {
 		p.Kill()
@@ -81,7 +81,7 @@
 	}
 }
 
-// start starts a process with a settings file.
+// start writes a settings file and starts a process with it.
 func (d *deployment) start(name, settings string, args ...string) error {
 	file := filepath.Join(d.folder, name+".toml")
 	if err := os.WriteFile(file, []byte(settings), 0o600); err != nil {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// link puts a link before an address and returns its own.
+// link creates a link in front of an address and returns the link's address.
 func (d *deployment) link(name, target string) (string, error) {
 	l, err := mgproc.NewLink(target)
 	if err != nil {
@@ -105,8 +105,8 @@
 	return l.Addr(), nil
 }
 
-// dial connects to the address of a link. A process that is gone refuses the connection, as
-// it would without the link.
+// dial connects to the address of a link. As without a link, the connection is refused
+// if the target process doesn't run.
 func (d *deployment) dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	for _, l := range d.links {
 		if l.Addr() == addr {
@@ -194,7 +194,7 @@
 
 func zone(i int) string { return string(rune('a' + i%zones)) }
 
-// publishList publishes the list of VMs with cordoned zones.
+// publishList publishes the list of VMs and the cordoned zones.
 func (d *deployment) publishList(cordoned ...string) error {
 	d.listVersion++
 	list := mgplatform.List{
@@ -236,8 +236,8 @@
 	return d.post(platform, "put?key=vms", data)
 }
 
-// post sends a body to a stand-in's switch. The switches are reached without a
-// link: they are the run's own.
+// post sends a body to a switch of a stand-in. Switches are called directly and not
+// over a link, as faults must not affect the run's own control calls.
 func (d *deployment) post(standin, path string, body []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
@@ -256,7 +256,7 @@
 	return nil
 }
 
-// set turns a stand-in's switch.
+// set sets the fault of a stand-in.
 func (d *deployment) set(standin string, fault mgstandin.Fault) error {
 	body, err := json.Marshal(fault)
 	if err != nil {
@@ -265,7 +265,7 @@
 	return d.post(standin, "fault", body)
 }
 
-// counts reads a stand-in's counters.
+// counts reads the counters of a stand-in.
 func (d *deployment) counts(standin string, counts any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
@@ -276,20 +276,20 @@
 	return nil
 }
 
-// edit publishes the next version of the table. Its mark is a service that no
-// other version has.
+// publishTable publishes the next version of the table. Each version contains a
+// service, the version mark, that no other version has.
 func (d *deployment) publishTable(context.Context) error {
 	d.tableVersion++
 	d.versionMark = fmt.Sprintf("mark%06d", d.tableVersion)
 	return d.post(platform, "table", []byte(tableText(d.names, d.tableVersion, d.versionMark, d.revoked)))
 }
 
-// get returns the status and body of a URL, or 0 when it can't be reached.
+// get returns the status and body of a URL, or status 0 if the request failed.
 func get(ctx context.Context, url, key string) (int, []byte) {
 	return call(ctx, http.MethodGet, url, key, "")
 }
 
-// call is get with a method and a body to send.
+// call is like get, with a method and a request body.
 func call(ctx context.Context, method, url, key, body string) (int, []byte) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -312,7 +312,7 @@
 	return response.StatusCode, text
 }
 
-// fresh uses a connection for each request.
+// unpooledClient opens a new connection for each request.
 var unpooledClient = &http.Client{
 	Transport: &http.Transport{
 		DisableKeepAlives: true,
@@ -324,7 +324,8 @@
 	return code
 }
 
-// until waits for a condition, and reports whether it came.
+// waitUntil polls a condition until it holds or the timeout ends, and reports whether
+// it held.
 func waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/soak/mgsoak/doc.go
+++ b/internal/soak/mgsoak/doc.go
@@ -1,22 +1,30 @@
-// Package mgsoak runs a whole deployment as separate processes on loopback, loads
-// it, harms it by a schedule drawn from a seed, and checks the system's promises
-// by what callers and upstreams see while it runs.
+// Package mgsoak runs a whole deployment as separate processes on loopback, puts load
+// on it, injects faults from a schedule drawn from a seed, and checks the system's
+// promises against what callers and upstreams observe.
 //
 // Terms:
 //
-//   - deployment: entries and agents of the built binary, stand-ins of engines, a
-//     plain service and the platform, and links before each of them.
-//   - fault: something that is done to a process, a link or a stand-in for a
-//     while. Faults come in series and overlap.
-//   - schedule: the faults of a run with their times. A seed always draws the
-//     same one.
-//   - finding: a promise that was broken, with what was seen.
+//   - deployment: entries and agents of the built binary, stand-ins for engines, a
+//     plain service and the platform, and a link in front of each of them.
+//   - fault: a disturbance of a process, a link or a stand-in for some time. Faults
+//     are drawn one after another and overlap.
+//   - schedule: the faults of a run with their times. A seed always draws the same
+//     schedule.
+//   - finding: a promise that was broken, with the observation that shows it.
+//   - cordon: an operator's request that a zone get no new work.
+//   - incarnation: one of the processes that run one after another under a name.
 //
-// Promises: an answer's text is the beginning of one generation of the caller's
-// own prompt, and all of it where it is said to be whole; no engine starts a
-// generation twice; a write runs at most once, and "not run" is true; a version of
-// the table that was in force at an entry does not go back in the same process,
-// and is in force everywhere some seconds after all is well; a key that was taken
-// away opens nothing then; a planned stop cuts no answer that its process took,
-// where nothing else is harmed.
+// The promises are:
+//
+//   - An answer's text is a prefix of one generation of the caller's own prompt, and
+//     the whole text if the answer is reported as whole.
+//   - No engine starts a generation twice.
+//   - A write runs at most once, and no request reported as "not run" has run.
+//   - A table version in force at an entry does not go back within a process, and is
+//     in force everywhere some seconds after the last fault.
+//   - A revoked key is rejected from then on.
+//   - A planned stop cuts no answer that its process has accepted, if no other fault
+//     is active.
+//   - A cordoned zone gets no new work.
+//   - A prompt that crashes engines is blocked.
 package mgsoak
--- a/internal/soak/mgsoak/evidence.go
+++ b/internal/soak/mgsoak/evidence.go
@@ -11,13 +11,13 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// A Finding is a promise that was broken.
+// Finding is a promise that was broken, with the observation that shows it.
 type Finding struct {
 	Promise string `json:"promise"`
 	Seen    string `json:"seen"`
 }
 
-// String returns the finding in a line.
+// String formats the finding as one line.
 func (f Finding) String() string { return f.Promise + ": " + f.Seen }
 
 func newFinding(promise, format string, args ...any) Finding {
@@ -27,7 +27,7 @@
 	}
 }
 
-// The promises, as findings name them.
+// Promises, as they appear in findings.
 const (
 	oneGeneration          = "one generation, each token once and in order"
 	generationStartsOnce   = "a generation starts once"
@@ -43,7 +43,7 @@
 	crashPromptBlocked     = "a prompt that ends engines is held back"
 )
 
-// report is one answer as its caller has it.
+// callerAnswer is an answer as its caller received it.
 type callerAnswer struct {
 	prompt string
 	length int
@@ -54,7 +54,7 @@
 	ended  mgclock.Millis
 }
 
-// ticket is one write as its caller has it.
+// ticket is a write as its caller saw it.
 type ticket struct {
 	operation string
 	body      []byte
@@ -63,24 +63,25 @@
 	err       error
 }
 
-// look is what one entry showed of the table in force.
+// tableObservation is the version of the table in force that was read from an entry.
 type tableObservation struct {
 	entry       string
 	incarnation int // which of its processes
 	version     int
 }
 
-// evidence is what callers and upstreams saw of a run.
+// evidence collects what callers and upstreams observed during a run.
 type evidence struct {
 	answers      []callerAnswer
 	tickets      []ticket
 	observations []tableObservation
 	generations  map[string]mgstandin.Record
-	runs         map[string]int // of writes, by operation
-	crashes      int            // engines that the prompt ended
+	runs         map[string]int // number of executions of each write, by operation
+	crashes      int            // engine crashes caused by the crash prompt
 }
 
-// merge adds what one engine remembers: a generation that moved is known to two.
+// merge adds the counters of one engine. Both engines of a migrated generation have a
+// record of it.
 func (e *evidence) merge(counts mgstandin.EngineCounts) {
 	if e.generations == nil {
 		e.generations = map[string]mgstandin.Record{}
@@ -99,7 +100,7 @@
 	}
 }
 
-// check returns the promises that the evidence shows broken.
+// check returns a finding for each promise that the evidence shows broken.
 func (e *evidence) check() []Finding {
 	var found []Finding
 	for id, record := range e.generations {
@@ -121,7 +122,7 @@
 	return append(found, e.checkVersionOrder()...)
 }
 
-// own returns the generations of a prompt.
+// generationsOf returns the ids of the generations started for a prompt.
 func (e *evidence) generationsOf(prompt string) []string {
 	var ids []string
 	for id, record := range e.generations {
@@ -184,18 +185,18 @@
 	return nil
 }
 
-// checkLooks looks for versions that went back in one process.
+// checkVersionOrder finds table versions that went back within one process.
 func (e *evidence) checkVersionOrder() []Finding {
 	type process struct {
-		entry string
-		life  int
+		entry       string
+		incarnation int
 	}
 	newest := map[process]int{}
 	var found []Finding
 	for _, l := range e.observations {
 		p := process{
-			entry: l.entry,
-			life:  l.incarnation,
+			entry:       l.entry,
+			incarnation: l.incarnation,
 		}
 		if l.version < newest[p] {
 			found = append(found, newFinding(versionMonotonic, "%s showed version %d after %d", l.entry, l.version, newest[p]))
--- a/internal/soak/mgsoak/evidence_test.go
+++ b/internal/soak/mgsoak/evidence_test.go
@@ -12,9 +12,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// sound is the evidence of a run in which every promise was kept: an answer that
-// is whole, one that was cut and said so, one that was refused, a generation that
-// moved, a write, and looks at two processes of an entry.
+// validEvidence returns the evidence of a run that kept every promise: a whole answer,
+// one that was cut and reported so, one that was refused, a migrated generation, a
+// write, and observations of two incarnations of an entry.
 func validEvidence() *evidence {
 	reply, err := json.Marshal(mgstandin.ServiceReply{
 		Operation: "op",
@@ -77,8 +77,8 @@
 	return e
 }
 
-// A check that can't fail lets each later fault pass unseen. Each case is a system
-// that breaks one promise: what its callers and upstreams would see.
+// Guards against checks that never fail and so miss later faults. Each case breaks one
+// promise in what callers and upstreams observe.
 func TestChecksMissABrokenPromise(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -120,10 +120,10 @@
 			})
 		}},
 	}
-	Convey("A sound system has no findings", t, func() {
+	Convey("Valid evidence has no findings", t, func() {
 		So(validEvidence().check(), ShouldBeEmpty)
 	})
-	Convey("A system is found out in which", t, func() {
+	Convey("A finding is reported when", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				e := validEvidence()
@@ -136,7 +136,8 @@
 	})
 }
 
-// A finding whose seed draws another schedule next time can't be looked into.
+// Guards against a seed that draws another schedule the next time, so that its
+// findings can't be reproduced.
 func TestSeedDrawsAnotherSchedule(t *testing.T) {
 	size := Size{
 		Entries: 2,
@@ -156,13 +157,13 @@
 		}
 		So(revokes, ShouldBeLessThanOrEqualTo, 1)
 	})
-	Convey("All kinds come", t, func() {
+	Convey("All kinds of faults are drawn", t, func() {
 		seen := map[Kind]bool{}
 		for seed := range uint64(20) {
 			for _, f := range Draw(seed, size, 60000) {
 				seen[f.Kind] = true
 			}
 		}
-		So(len(seen), ShouldEqual, len(faultWeights)+2) // the cordon and the prompt are drawn by themselves
+		So(len(seen), ShouldEqual, len(faultWeights)+2) // the cordon and the prompt are drawn separately
 	})
 }
--- a/internal/soak/mgsoak/inject.go
+++ b/internal/soak/mgsoak/inject.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	// serviceTimes is how many calls of the service one fault strikes.
+	// failedServiceCalls is the number of service calls that one fault affects.
 	failedServiceCalls = 6
-	// slowFactor is how many times as slow an engine turns.
+	// slowFactor is the factor by which a slow engine's steps take longer.
 	slowFactor = 8
-	// stopLongest bounds a planned stop; the settings' drain is shorter.
+	// stopTimeout bounds the wait for a planned stop. It is longer than the drain
+	// timeout in the settings.
 	stopTimeout = 25 * mgclock.Second
-	// linkDelay is how late a delayed link passes each piece on.
+	// linkDelay is the time for which a delayed link holds each chunk.
 	linkDelay = 150 * mgclock.Millis(1)
 )
 
-// harm does one fault and undoes it after its span.
+// injectFault applies a fault and removes it after its duration.
 func (r *run) injectFault(ctx context.Context, f Fault) error {
 	switch f.Kind {
 	case KillProcess:
@@ -59,10 +60,10 @@
 	return fmt.Errorf("schedule: %q is no kind of fault: use one that mgsoak names", f.Kind)
 }
 
-// wait waits for a span of the run.
+// sleep waits for a duration of the run's clock.
 func (r *run) sleep(ctx context.Context, duration mgclock.Millis) { r.clock.Sleep(ctx, duration) }
 
-// restart kills a process and starts it anew.
+// restart kills a process and starts a new one in its place.
 func (r *run) restart(name string) error {
 	r.advanceIncarnation(name)
 	if err := r.d.processes[name].Restart(); err != nil {
@@ -72,11 +73,11 @@
 	return nil
 }
 
-// stop asks a process to end and starts it anew once it has.
+// stop sends SIGTERM to a process and starts a new one once it has exited.
 func (r *run) stop(ctx context.Context, name string) error {
 	p := r.d.processes[name]
 	if err := p.Signal(syscall.SIGTERM); err != nil {
-		return nil // it has ended by another fault, which starts it anew
+		return nil // another fault has ended it and restarts it
 	}
 	select {
 	case <-p.Exited():
@@ -89,10 +90,10 @@
 func (r *run) pause(ctx context.Context, f Fault) error {
 	p := r.d.processes[f.Target]
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
-		return nil // it has ended by another fault
+		return nil // another fault has ended it
 	}
 	r.sleep(ctx, f.Duration)
-	_ = p.Signal(syscall.SIGCONT) // it may have been ended meanwhile
+	_ = p.Signal(syscall.SIGCONT) // another fault may have ended it
 	return nil
 }
 
@@ -117,8 +118,8 @@
 	}
 }
 
-// harmEngine turns a switch of an engine and heals it. Two faults of one engine
-// don't overlap: the second would end with the first.
+// injectEngineFault sets a fault of an engine and heals it afterwards. Faults of the
+// same engine are serialized, because healing the first would end the second.
 func (r *run) injectEngineFault(ctx context.Context, f Fault) error {
 	r.engines[f.Target].Lock()
 	defer r.engines[f.Target].Unlock()
@@ -154,12 +155,13 @@
 	return r.d.set(platform, mgstandin.Fault{Kind: mgstandin.Heal})
 }
 
-// cordonWait is the time in which every process must go by a cordon, the lag of the list
-// included.
+// cordonDelay is the time after which every process must observe a cordon. It includes
+// the lag of the list of VMs.
 const cordonDelay = 3 * mgclock.Second
 
-// cordon keeps new work from a zone, and looks whether its engines begin any once all
-// processes must know. The platform doesn't fail meanwhile: it is what tells them.
+// cordon cordons a zone and counts the generations that its engines start after
+// cordonDelay. Platform faults are held off meanwhile, because processes learn of the
+// cordon from the platform.
 func (r *run) cordon(ctx context.Context, f Fault) error {
 	r.platform.Lock()
 	defer r.platform.Unlock()
@@ -188,7 +190,7 @@
 	return r.d.publishList()
 }
 
-// starts returns how many generations the engines of a zone have begun.
+// starts returns the number of generations started by the engines of a zone.
 func (r *run) starts(of string) (int, error) {
 	total := 0
 	for i, engine := range r.d.names.engines {
@@ -206,22 +208,23 @@
 	return total, nil
 }
 
-// promptPause is the time between two requests with the prompt that ends engines.
+// promptInterval is the time between two requests with the crash prompt.
 const promptInterval = 150 * mgclock.Millis(1)
 
-// sendPrompt sends a prompt that ends the engines which begin it, through one entry after
-// another.
+// sendPrompt sends the crash prompt, which crashes every engine that begins to
+// generate for it, to the entries in turn.
 func (r *run) sendPrompt(ctx context.Context, f Fault) {
 	body := fmt.Sprintf(`{"model":"report","messages":[{"role":"user","content":"%s len=5"}]}`, mgstandin.CrashMark)
 	end := r.now() + f.Duration
 	for n := 0; r.now() < end && ctx.Err() == nil; n++ {
 		base := r.d.entries[n%len(r.d.entries)]
-		_, _ = call(ctx, http.MethodPost, base+"/v1/chat/completions", firstKey, body) // how it fails is no matter
+		_, _ = call(ctx, http.MethodPost, base+"/v1/chat/completions", firstKey, body) // any failure is acceptable
 		r.sleep(ctx, promptInterval)
 	}
 }
 
-// endedByPrompt looks for more engines that the prompt ended than entries can't have known.
+// checkPromptCrashes reports a finding if the prompt crashed more engines than the
+// entries' records of it can explain.
 func (r *run) checkPromptCrashes() []Finding {
 	var sent faultInterval
 	for _, s := range r.faultIntervals {
@@ -229,12 +232,12 @@
 			sent = s
 		}
 	}
-	// Another entry's word of an engine that started again under its name within a second
-	// is taken for a word of the same crash, once for each entry.
+	// An engine can restart under its name within a second. Another entry's record of
+	// the restarted engine then counts as the same crash, once for each entry.
 	allowed := maxPromptCrashes + max(r.size.Entries, spareProcesses+1) - 1
 	for _, s := range r.faultIntervals {
 		if strings.HasPrefix(s.fault.Target, "entry-") && s.start < sent.end && sent.start < s.end+promptReportDelay {
-			allowed += maxPromptCrashes // an entry that starts anew, stands still or is cut off
+			allowed += maxPromptCrashes // an entry that was restarted, paused or cut off may miss the records
 		}
 	}
 	if r.evidence.crashes <= allowed {
@@ -243,13 +246,15 @@
 	return []Finding{newFinding(crashPromptBlocked, "%d engines ended, of %d that may have", r.evidence.crashes, allowed)}
 }
 
-// promptCrashes is how many engines end under a prompt before one entry holds it back.
+// maxPromptCrashes is the number of engines that crash under a prompt before an entry
+// blocks it.
 const maxPromptCrashes = 3
 
-// promptWord is how long after a fault an entry may not have heard of the prompt.
+// promptReportDelay is the time after a fault within which an entry may lack the
+// record of the prompt.
 const promptReportDelay = 3 * mgclock.Second
 
-// planned reports whether a fault is one that answers must outlast by themselves.
+// mustBeTolerated reports whether the fault alone must not make an answer fail.
 func (f Fault) mustBeTolerated() bool {
 	return f.Kind == StopProcess && strings.HasPrefix(f.Target, "entry-") || slices.Contains([]Kind{EditTable, RevokeKey, CordonZone}, f.Kind)
 }
--- a/internal/soak/mgsoak/load.go
+++ b/internal/soak/mgsoak/load.go
@@ -15,20 +15,22 @@
 )
 
 const (
-	// lengthMin and lengthMax bound the tokens of a report, up to about two seconds
-	// of an idle engine.
+	// minReportTokens and maxReportTokens bound the length of a report. The maximum
+	// takes an idle engine about two seconds.
 	minReportTokens = 20
 	maxReportTokens = 400
-	// ticketPart is one in so many requests that is a write.
+	// requestsPerTicket is the average number of requests of which one is a write.
 	requestsPerTicket = 3
-	// watchEvery is how often an entry's table is looked at, in ms.
+	// observeInterval is the interval at which an entry's table version is read, in
+	// ms.
 	observeInterval = 100 * mgclock.Millis(1)
-	// longGap is the gap between two tokens that the report shows, ms.
+	// minRecordedGap is the shortest gap between two tokens that is recorded for the
+	// plot, in ms.
 	minRecordedGap = 200
 )
 
-// caller sends one request after another until ctx ends, and notes what it got.
-// What is under way then is read to its end.
+// runCaller sends requests one after another until ctx ends and records the results. A
+// request in progress at that time is completed.
 func (r *run) runCaller(ctx context.Context, number int) {
 	draw := rand.New(rand.NewPCG(r.seed, uint64(number)+1))
 	first := number % len(r.d.entries)
@@ -52,7 +54,7 @@
 	}
 }
 
-// ask asks for a report of a length.
+// requestReport requests a report of the given length and records the answer.
 func (r *run) requestReport(client *mgclient.Client, name string, length int) {
 	result := callerAnswer{
 		prompt: fmt.Sprintf("%s report len=%d.", name, length),
@@ -80,7 +82,7 @@
 	r.evidence.answers = append(r.evidence.answers, result)
 }
 
-// book books a ticket under an operation that is minted first.
+// bookTicket books a ticket under an operation id that it mints first.
 func (r *run) bookTicket(client *mgclient.Client, name string) {
 	ctx := context.Background()
 	result := ticket{
@@ -104,9 +106,9 @@
 	r.evidence.tickets = append(r.evidence.tickets, result)
 }
 
-// observer looks at the table in force at an entry over one connection, which it
-// holds until that breaks, as a caller does that uses a connection until its
-// process is gone.
+// runObserver reads the table version in force at an entry over one persistent
+// connection, which it replaces only when it breaks. It so covers callers that keep a
+// connection until the process exits.
 func (r *run) runObserver(ctx context.Context, i int) {
 	entry := r.d.names.entries[i]
 	client := &http.Client{
@@ -117,7 +119,7 @@
 		before := r.incarnation(entry)
 		version, ok := versionAt(ctx, client, r.d.entries[i], firstKey)
 		if !ok || r.incarnation(entry) != before {
-			continue // it may be the process before or after
+			continue // the answer may come from either incarnation
 		}
 		r.mu.Lock()
 		r.evidence.observations = append(r.evidence.observations, tableObservation{
@@ -129,7 +131,7 @@
 	}
 }
 
-// markAt returns the version of the table in force at an entry.
+// versionAt returns the version of the table in force at an entry.
 func versionAt(ctx context.Context, client *http.Client, base, key string) (int, bool) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
--- a/internal/soak/mgsoak/plot.go
+++ b/internal/soak/mgsoak/plot.go
@@ -11,21 +11,21 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Sizes of the plot.
+// Size of the plot.
 const (
 	plotWidth  = 26 * vg.Centimeter
 	plotHeight = 13 * vg.Centimeter
 )
 
-// Colours that can be told apart, also by the colour-blind (Okabe and Ito 2008).
+// Colours that colour-blind readers can distinguish (Okabe and Ito 2008).
 var (
 	gapColour    = color.RGBA{R: 0xd5, G: 0x5e, B: 0x00, A: 0xff}
 	answerColour = color.RGBA{R: 0x00, G: 0x72, B: 0xb2, A: 0xff}
 	faultColour  = color.RGBA{R: 0xb0, G: 0xb0, B: 0xb0, A: 0xff}
 )
 
-// plot draws, over the run's time, the long gaps between tokens, the answers that
-// ended whole in each second, which shows recoveries, and the faults.
+// plot draws the long gaps between tokens, the number of whole answers in each second,
+// which shows recoveries, and the faults over the time of the run.
 func (r *run) plot(path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("seed %d: gaps between tokens and whole answers", r.seed)
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// answers counts the answers that ended whole in each second.
+// answers returns the number of whole answers that ended in each second.
 func (r *run) answers() plotter.XYs {
 	counts := make(plotter.XYs, int(seconds(r.length))+1)
 	for i := range counts {
--- a/internal/soak/mgsoak/run.go
+++ b/internal/soak/mgsoak/run.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// settleWait bounds the wait for the last answers and for the last version.
+	// settleTimeout bounds the wait for the last answers and for the last table
+	// version.
 	settleTimeout = 40 * mgclock.Second
-	// calmSpan is how long after a fault's end a failure is still put down to it: a
-	// caller tries for about as long.
+	// recoveryWindow is the time after a fault's end in which failures are attributed
+	// to it. A caller retries for about as long.
 	recoveryWindow = 12 * mgclock.Second
 )
 
-// run is a run under way.
+// run is the state of one soak run.
 type run struct {
 	seed    uint64
 	size    Size
@@ -42,20 +43,21 @@
 	findings       []Finding
 }
 
-// cordonLook is what a zone's engines began while it was cordoned.
+// cordonCheck records the generations started in a zone while it was cordoned.
 type cordonCheck struct {
 	zone         string
 	startedCount int // generations
 	from, end    mgclock.Millis
 }
 
-// span is the time of a fault, from the run's start.
+// faultInterval is the time in which a fault was active, relative to the start of the
+// run.
 type faultInterval struct {
 	fault      Fault
 	start, end mgclock.Millis
 }
 
-// gap is a long time between two tokens of an answer.
+// tokenGap is a long pause between two tokens of an answer.
 type tokenGap struct {
 	at, duration mgclock.Millis
 }
@@ -68,8 +70,8 @@
 	return r.incarnations[name]
 }
 
-// newLife counts a process's lives. It is called before and after a restart:
-// what is seen meanwhile may be of either.
+// advanceIncarnation increments the incarnation of a process. It is called before and
+// after a restart, because observations in between may come from either process.
 func (r *run) advanceIncarnation(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,7 +90,7 @@
 	})
 }
 
-// play plays the schedule over the load and returns what was found.
+// play runs the schedule under load and evaluates the findings.
 func (r *run) play(ctx context.Context, binary, folder string) error {
 	d, err := newDeployment(ctx, binary, folder, r.size)
 	if err != nil {
@@ -122,7 +124,7 @@
 	return r.evaluate()
 }
 
-// schedule waits for a fault's time and does it.
+// runFault waits for the fault's start time, injects it and records its interval.
 func (r *run) runFault(ctx context.Context, f Fault) {
 	if !r.clock.Sleep(ctx, f.At-r.now()) {
 		return
@@ -141,8 +143,8 @@
 	}
 }
 
-// settle waits until the last version is in force at each entry, and checks the
-// key that was taken away.
+// settle waits until the last table version is in force at each entry, and checks that
+// the revoked key is rejected.
 func (r *run) settle(ctx context.Context) {
 	for i, base := range r.d.entries {
 		last := 0
@@ -173,7 +175,7 @@
 	r.findings = append(r.findings, newFinding(promise, format, args...))
 }
 
-// judge compares what callers got with what the stand-ins remember.
+// evaluate compares what callers received with the counters of the stand-ins.
 func (r *run) evaluate() error {
 	for _, engine := range r.d.names.engines {
 		var counts mgstandin.EngineCounts
@@ -194,7 +196,8 @@
 	return nil
 }
 
-// breached looks for work that a cordoned zone was given by processes that could know.
+// checkCordons finds work that started in a cordoned zone although all processes could
+// know of the cordon.
 func (r *run) checkCordons() []Finding {
 	var found []Finding
 	for _, c := range r.cordonChecks {
@@ -208,8 +211,8 @@
 	return found
 }
 
-// causeless looks for answers that failed though nothing was harmed, or nothing
-// but what answers must outlast.
+// checkFailedAnswers finds answers that failed without a fault nearby, or with only
+// faults that answers must tolerate.
 func (r *run) checkFailedAnswers() []Finding {
 	var found []Finding
 	for _, a := range r.evidence.answers {
@@ -227,7 +230,7 @@
 	return found
 }
 
-// near returns the faults that may have harmed an answer.
+// overlappingFaults returns the faults that may have affected an answer.
 func (r *run) overlappingFaults(a callerAnswer) []faultInterval {
 	var list []faultInterval
 	for _, s := range r.faultIntervals {
@@ -238,7 +241,7 @@
 	return list
 }
 
-// summary returns the run in a few lines.
+// summary returns a one-line summary of the run.
 func (r *run) summary() string {
 	whole, failed := 0, 0
 	for _, a := range r.evidence.answers {
--- a/internal/soak/mgsoak/schedule.go
+++ b/internal/soak/mgsoak/schedule.go
@@ -8,53 +8,53 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Kind is what is done.
+// Kind is the kind of a fault.
 type Kind string
 
 // The kinds of faults.
 const (
-	KillProcess  Kind = "kill"    // and start anew
-	StopProcess  Kind = "stop"    // planned, and start anew
-	PauseProcess Kind = "pause"   // for the span
-	CutLink      Kind = "cut"     // connections break, new ones work
-	BarLink      Kind = "bar"     // nothing passes for the span
-	MuteLink     Kind = "mute"    // connections that stand pass nothing more
-	DelayLink    Kind = "delay"   // each piece is late for the span
-	LoseLink     Kind = "lose"    // one way, for the span
-	DieEngine    Kind = "die"     // all generations are lost; healed after the span
-	SlowEngine   Kind = "slow"    // for the span
-	LeaveEngine  Kind = "leave"   // notice of the span, then gone for as long
-	FailService  Kind = "service" // the next calls lose their answers, or more
+	KillProcess  Kind = "kill"    // then restart
+	StopProcess  Kind = "stop"    // planned, then restart
+	PauseProcess Kind = "pause"   // SIGSTOP for the duration
+	CutLink      Kind = "cut"     // open connections break, new ones work
+	BarLink      Kind = "bar"     // no connections for the duration
+	MuteLink     Kind = "mute"    // open connections pass no more bytes
+	DelayLink    Kind = "delay"   // each chunk is delayed, for the duration
+	LoseLink     Kind = "lose"    // one direction is dropped, for the duration
+	DieEngine    Kind = "die"     // all generations are lost; healed after the duration
+	SlowEngine   Kind = "slow"    // for the duration
+	LeaveEngine  Kind = "leave"   // leaves with a notice of the duration, then is down for as long
+	FailService  Kind = "service" // the next calls fail as the variant says
 	FailPlatform Kind = "platform"
-	EditTable    Kind = "edit"   // a new version
-	RevokeKey    Kind = "revoke" // a version without the second account's key
-	CordonZone   Kind = "cordon" // no new work for a zone, for the span
-	CrashPrompt  Kind = "prompt" // a prompt that ends its engine, again and again for the span
+	EditTable    Kind = "edit"   // publishes a new table version
+	RevokeKey    Kind = "revoke" // publishes a table version without the second account's key
+	CordonZone   Kind = "cordon" // a zone gets no new work for the duration
+	CrashPrompt  Kind = "prompt" // a prompt that crashes its engine, sent repeatedly for the duration
 )
 
-// A Fault is one step of a schedule.
+// Fault is one step of a schedule.
 type Fault struct {
 	At       mgclock.Millis `json:"at"`
 	Kind     Kind           `json:"kind"`
 	Target   string         `json:"target,omitempty"`
-	Variant  string         `json:"how,omitempty"` // the variant, of a stand-in
+	Variant  string         `json:"how,omitempty"` // the fault kind of a stand-in
 	Duration mgclock.Millis `json:"span,omitempty"`
 }
 
-// hides reports whether a fault may keep a process from knowing what the platform shows:
-// it stands still, or the way to the platform fails. Other links carry callers' requests
-// and agents' work alone.
+// delaysPlatformUpdates reports whether the fault may delay updates from the platform
+// to a process: the process is paused, or its path to the platform fails. Other links
+// carry only callers' requests and agents' work.
 func (f Fault) delaysPlatformUpdates() bool {
 	links := []Kind{CutLink, BarLink, MuteLink, DelayLink, LoseLink}
 	return f.Kind == PauseProcess || f.Target == platform && slices.Contains(links, f.Kind)
 }
 
-// String returns the fault in a line.
+// String formats the fault as one line.
 func (f Fault) String() string {
 	return fmt.Sprintf("%6d ms %s %s %s %d ms", f.At, f.Kind, f.Target, f.Variant, f.Duration)
 }
 
-// Size says how large a deployment is.
+// Size is the number of processes and callers of a deployment.
 type Size struct {
 	Entries int `long:"entries" default:"2" description:"entries"`
 	Engines int `long:"engines" default:"3" description:"engines, with an agent each"`
@@ -62,21 +62,22 @@
 }
 
 const (
-	// meanGap is the mean time between two faults in ms: spans are of 0.3 to 3 s,
-	// so that two or three overlap at most times.
+	// meanFaultInterval is the mean time between two faults in ms. Faults last 0.3 to
+	// 3 s, so that two or three usually overlap.
 	meanFaultInterval = 900.0
-	// quietHead and quietTail are without faults: the load begins and all is well
-	// again at the end, which the checks of what must come by then need.
+	// faultFreeStart and faultFreeEnd are without faults. The load ramps up in the
+	// first, and the system recovers in the second, after which the final checks
+	// require the last table version.
 	faultFreeStart   = mgclock.Second
 	faultFreeEnd     = 6 * mgclock.Second
 	minFaultDuration = 300
 	maxFaultDuration = 3000
-	// reserve is how many processes of a kind are not ended at once, so that some
-	// answers come.
+	// spareProcesses is the minimum number of entries, and of engines, beyond the first
+	// one, so that some answers complete while one is down.
 	spareProcesses = 1
 )
 
-// drawn is what a schedule draws from, by weight.
+// faultWeights holds the kinds of faults that a schedule draws, with their weights.
 var faultWeights = []struct {
 	kind   Kind
 	weight int
@@ -98,7 +99,7 @@
 	{RevokeKey, 1},
 }
 
-// Draw returns the schedule of a seed for a run of a length.
+// Draw returns the schedule of a seed for a run of the given length.
 func Draw(seed uint64, size Size, length mgclock.Millis) []Fault {
 	r := rand.New(rand.NewPCG(seed, 0x736f616b))
 	var faults []Fault
@@ -123,8 +124,8 @@
 	}
 }
 
-// drawCordon returns the cordon of a schedule. It is drawn by itself, so that the other
-// faults of a seed stay what they were.
+// drawCordon returns the cordon of a schedule. It has its own random generator, so
+// that the other faults of a seed stay the same.
 func drawCordon(seed uint64, length mgclock.Millis) Fault {
 	r := rand.New(rand.NewPCG(seed, 0x636f7264))
 	available := length - faultFreeStart - faultFreeEnd - cordonDelay
@@ -137,8 +138,8 @@
 	}
 }
 
-// drawPrompt returns the span in which a prompt is sent that ends the engines which begin
-// it, drawn by itself like the cordon.
+// drawPrompt returns the interval in which the crash prompt is sent. Like drawCordon
+// it has its own random generator.
 func drawPrompt(seed uint64, length mgclock.Millis) Fault {
 	r := rand.New(rand.NewPCG(seed, 0x63726173))
 	available := length - faultFreeStart - faultFreeEnd
@@ -164,7 +165,7 @@
 	return EditTable
 }
 
-// aim draws the target and the variant.
+// pickTarget draws the target and the variant.
 func (f *Fault) pickTarget(r *rand.Rand, size Size) {
 	names := size.names()
 	pick := func(from []string) string { return from[r.IntN(len(from))] }
@@ -184,13 +185,13 @@
 	}
 }
 
-// The names of what stands once.
+// Names of the processes of which there is one.
 const (
 	service  = "books"
 	platform = "platform"
 )
 
-// cast holds the names of a deployment's processes.
+// processNames holds the names of a deployment's processes.
 type processNames struct {
 	entries, agents, engines []string
 }
--- a/internal/soak/mgsoak/soak_test.go
+++ b/internal/soak/mgsoak/soak_test.go
@@ -10,12 +10,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Entries and agents are killed, stopped and paused, links fail, engines die and
-// leave, while callers read reports and book tickets. One of them gets a token
-// twice, another's answer, a doubled booking or a "not run" that isn't true.
+// Guards against repeated tokens, swapped answers, double bookings and a false "not
+// run" while processes are killed, stopped and paused, links fail, and engines die and
+// leave.
 //
-// How long processes take to recover differs with the machine, so that a run here
-// judges what must hold however slow it is.
+// Recovery times differ between machines, so that this test ignores the findings that
+// depend on them.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts twelve processes")
--- a/internal/soak/mgsoak/stop_test.go
+++ b/internal/soak/mgsoak/stop_test.go
@@ -7,7 +7,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A report that fails beside nothing but a planned stop must be a finding, however it fails.
+// Guards against a failed answer that isn't reported although only a planned stop was
+// active, whatever its error is.
 func TestFailureBesidePlannedStopMissed(t *testing.T) {
 	Convey("A report that failed beside a planned stop", t, func() {
 		for _, err := range []error{errors.New("unconfirmed: EOF"), errors.New("connection reset by peer")} {
--- a/internal/soak/mgsoak/table.go
+++ b/internal/soak/mgsoak/table.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// The keys of the two accounts. The second one's can be taken away.
+// API keys of the two accounts. The second can be revoked.
 const (
 	firstKey  = "sample-tankline"
 	secondKey = "sample-cooperativa"
@@ -66,7 +66,7 @@
 keys = ["bf06daad306a74c0998dc01b84ce9d6278f5a81ce01a395427145c09aa092709"]
 `
 
-// tableOf returns a version of the operators' table.
+// tableText returns the given version of the operators' table as TOML.
 func tableText(names processNames, version int, mark string, revoked bool) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, tableHead, version, mark)
