--- a/internal/soak/mgproc/doc.go
+++ b/internal/soak/mgproc/doc.go
@@ -1,4 +1,4 @@
-// Package mgproc runs the built binary as processes on loopback, with links
-// between them that can be harmed from outside. It ends only what it started, by
+// Package mgproc runs the built binary as processes on loopback, connected by links
+// that tests can cut, delay or block. It kills only processes that it started, by
 // process id.
 package mgproc
--- a/internal/soak/mgproc/link.go
+++ b/internal/soak/mgproc/link.go
@@ -10,31 +10,32 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Link is a link between two processes that can be cut, silenced, delayed and
-// cut one way. Another process connects to its address, where it listens whether its target
-// lives or not; the process that made it uses Dial, which a target that is gone refuses.
+// Link is a proxy in front of a process, which can cut, silence, delay, block and drop
+// traffic. Other processes connect to its address, which accepts connections even if
+// the target doesn't run. The process that created the link uses Dial, which fails if
+// the target refuses the connection.
 type Link struct {
 	listener     net.Listener
 	target       string
 	wg           sync.WaitGroup
-	delay        atomic.Int64 // ms, of each piece that is passed on
-	dropsReplies atomic.Bool  // what the target sends is dropped
+	delay        atomic.Int64 // ms, for each forwarded chunk
+	dropsReplies atomic.Bool  // drops what the target sends
 
 	mu          sync.Mutex
 	isBarred    bool
 	connections map[*connection]bool
 }
 
-// strand is one connection over a Link.
+// connection is one proxied connection of a Link.
 type connection struct {
 	caller, target net.Conn
 	mu             sync.Mutex
-	silenced       chan struct{} // closed once nothing more is passed on
+	silenced       chan struct{} // closed when forwarding has ended for good
 	closed         chan struct{}
 	once           sync.Once
 }
 
-// NewLink returns a link to target, which listens on a port of its own.
+// NewLink returns a link to target that listens on a free loopback port.
 func NewLink(target string) (*Link, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,11 +51,11 @@
 	return link, nil
 }
 
-// Addr returns the address to connect to in place of the target.
+// Addr returns the address to use in place of the target's.
 func (l *Link) Addr() string { return l.listener.Addr().String() }
 
-// Dial connects to the target over the link. A target that refuses connections refuses
-// this one.
+// Dial connects to the target over the link. It fails if the target refuses the
+// connection.
 func (l *Link) Dial(ctx context.Context) (net.Conn, error) {
 	var dialer net.Dialer
 	target, err := dialer.DialContext(ctx, "tcp", l.target)
@@ -66,7 +67,7 @@
 	return caller, nil
 }
 
-// Cut breaks the connections that stand and returns how many; new ones work.
+// Cut closes the open connections and returns their number. New connections work.
 func (l *Link) Cut() int {
 	open := l.openConnections()
 	for _, s := range open {
@@ -75,9 +76,9 @@
 	return len(open)
 }
 
-// Silence makes the connections that stand pass on nothing more, for good, as
-// when something between the ends has lost track of them, and returns how many;
-// new ones work.
+// Silence stops forwarding on the open connections for good without closing them, as
+// when a middlebox has lost their state, and returns their number. New connections
+// work.
 func (l *Link) Silence() int {
 	open := l.openConnections()
 	for _, s := range open {
@@ -86,8 +87,8 @@
 	return len(open)
 }
 
-// Block breaks the connections that stand and refuses new ones until it is
-// called with false.
+// Block closes the open connections and closes new ones at once, until it is called
+// with false.
 func (l *Link) Block(barred bool) {
 	l.mu.Lock()
 	l.isBarred = barred
@@ -97,19 +98,19 @@
 	}
 }
 
-// Delay holds each piece that is passed on up for a while.
+// Delay holds each forwarded chunk for the given time.
 func (l *Link) Delay(delay mgclock.Millis) { l.delay.Store(int64(delay)) }
 
-// DropReplies drops what the target sends, until it is called with false: a link that is
-// cut one way. What was dropped does not come, so that the connections that
-// stand are broken at the end.
+// DropReplies drops what the target sends until it is called with false, as a link
+// that fails in one direction. The dropped bytes are lost, so that the open
+// connections are closed at the end.
 func (l *Link) DropReplies(lost bool) {
 	if l.dropsReplies.Swap(lost) && !lost {
 		l.Cut()
 	}
 }
 
-// Close ends the link.
+// Close closes the listener and all connections and waits for their goroutines.
 func (l *Link) Close() {
 	_ = l.listener.Close()
 	l.Block(true)
@@ -149,7 +150,7 @@
 	l.relay(caller, target)
 }
 
-// carry passes one connection on until one end closes it.
+// relay forwards one connection in both directions until one end closes it.
 func (l *Link) relay(caller, target net.Conn) {
 	s := &connection{
 		caller:   caller,
@@ -174,7 +175,7 @@
 	l.mu.Unlock()
 }
 
-// pass copies one direction. A silent strand neither passes bytes nor tells
+// forward copies one direction. After silence it neither forwards bytes nor reports to
 // one end that the other has closed.
 func (s *connection) forward(to, from net.Conn, delay *atomic.Int64, drops *atomic.Bool) {
 	buffer := make([]byte, 16<<10)
@@ -206,8 +207,8 @@
 	}
 }
 
-// closeWrite tells the other end that nothing more comes. A pipe has no half that could be
-// closed alone.
+// closeWrite signals the end of the data to the peer. A net.Pipe can't be closed in
+// one direction alone, so that it is closed whole.
 func closeWrite(c net.Conn) {
 	if tcp, is := c.(*net.TCPConn); is {
 		_ = tcp.CloseWrite()
@@ -216,7 +217,7 @@
 	_ = c.Close()
 }
 
-// mute makes the strand silent.
+// silence stops forwarding in both directions.
 func (s *connection) silence() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,7 +228,7 @@
 	}
 }
 
-// close breaks the connection towards both ends.
+// close closes the connection to both ends.
 func (s *connection) close() {
 	s.once.Do(func() {
 		close(s.closed)
--- a/internal/soak/mgproc/link_test.go
+++ b/internal/soak/mgproc/link_test.go
@@ -13,7 +13,8 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/soak/mgproc"
 )
 
-// A caller of a process that is gone must learn that nothing was sent.
+// Guards against a link that accepts a connection for a target that is gone: the
+// caller couldn't tell that nothing was sent.
 func TestLinkAcceptsWithoutTarget(t *testing.T) {
 	Convey("A link that the caller dials", t, func() {
 		target, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,7 +34,7 @@
 		link, err := mgproc.NewLink(target.Addr().String())
 		So(err, ShouldBeNil)
 		defer link.Close()
-		Convey("passes on what both ends send, and their end", func() {
+		Convey("forwards the data of both ends, and the end of the stream", func() {
 			conn, err := link.Dial(context.Background())
 			So(err, ShouldBeNil)
 			_, err = conn.Write([]byte("report"))
@@ -47,12 +48,12 @@
 			So(err, ShouldEqual, io.EOF)
 			So(target.Close(), ShouldBeNil)
 		})
-		Convey("is refused once its target is gone", func() {
+		Convey("refuses connections once its target is gone", func() {
 			So(target.Close(), ShouldBeNil)
 			_, err := link.Dial(context.Background())
 			So(errors.Is(err, syscall.ECONNREFUSED), ShouldBeTrue)
 		})
-		Convey("breaks connections while it is barred", func() {
+		Convey("closes connections while it is blocked", func() {
 			link.Block(true)
 			conn, err := link.Dial(context.Background())
 			So(err, ShouldBeNil)
--- a/internal/soak/mgproc/process.go
+++ b/internal/soak/mgproc/process.go
@@ -11,7 +11,8 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/standin/mgloopback"
 )
 
-// A Process is one process of a binary.
+// Process is a process of the binary under test. Restart replaces it under the same
+// name.
 type Process struct {
 	name   string
 	binary string
@@ -23,7 +24,7 @@
 	exited chan struct{}
 }
 
-// Start starts a process.
+// Start starts a process with the given arguments.
 func Start(binary, name string, args ...string) (*Process, error) {
 	p := &Process{
 		name:   name,
@@ -35,7 +36,7 @@
 	return p, p.start()
 }
 
-// begin starts the process. It is called with mu held.
+// start starts the process. The caller holds mu.
 func (p *Process) start() error {
 	cmd := exec.Command(p.binary, p.args...)
 	cmd.Stdout = &p.log
@@ -47,7 +48,7 @@
 	p.cmd, p.exited = cmd, exited
 	go func() {
 		defer close(exited)
-		_ = cmd.Wait() // how it ended is the caller's doing
+		_ = cmd.Wait() // the caller ended it, so that the exit status doesn't matter
 	}()
 	return nil
 }
@@ -55,15 +56,15 @@
 // Name returns the process's name.
 func (p *Process) Name() string { return p.name }
 
-// Exited returns a channel that is closed once the process of this moment has
-// ended.
+// Exited returns a channel that is closed when the current process has exited. Restart
+// replaces the channel.
 func (p *Process) Exited() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exited
 }
 
-// Kill ends the process at once, as when its VM is taken away.
+// Kill sends SIGKILL to the process and waits for its exit, as when its VM is removed.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,12 +72,12 @@
 }
 
 func (p *Process) kill() {
-	_ = p.cmd.Process.Signal(syscall.SIGKILL) // it may have ended
+	_ = p.cmd.Process.Signal(syscall.SIGKILL) // it may have exited
 	<-p.exited
 }
 
-// Restart ends the process, if it hasn't ended, and starts it anew: a new VM in
-// its place, which remembers nothing.
+// Restart kills the process, if it still runs, and starts a new one without any state,
+// as on a new VM.
 func (p *Process) Restart() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,26 +85,26 @@
 	return p.start()
 }
 
-// Signal sends a signal, such as SIGSTOP for a pause.
+// Signal sends a signal to the process, such as SIGSTOP for a pause.
 func (p *Process) Signal(s os.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Signal(s)
 }
 
-// Log returns the last that the process wrote.
+// Log returns the last output of the process.
 func (p *Process) Log() string { return p.log.text() }
 
-// tail keeps the last lines that a process wrote.
+// outputTail keeps the last bytes that a process wrote.
 type outputTail struct {
 	mu   sync.Mutex
 	data []byte
 }
 
-// tailBytes bounds what is kept of a process's output.
+// maxOutputBytes is the maximum size of the kept output.
 const maxOutputBytes = 64 << 10
 
-// Write keeps p.
+// Write appends p and drops the oldest bytes over maxOutputBytes.
 func (t *outputTail) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,7 +121,7 @@
 	return string(t.data)
 }
 
-// FreeAddrs returns addresses that nobody else is given.
+// FreeAddrs returns n loopback addresses that are free and not handed out twice.
 func FreeAddrs(n int) ([]string, error) {
 	addrs := make([]string, n)
 	for i := range addrs {
