--- a/internal/soak/mgsoak/command.go
+++ b/internal/soak/mgsoak/command.go
@@ -39,7 +39,7 @@
 	if c.Binary == "" {
 		self, err := os.Executable()
 		if err != nil {
-			return fmt.Errorf("soak: this program can't find itself: name it by its path: %w", err)
+			return fmt.Errorf("soak: the path of this program is unknown: run it by its path: %w", err)
 		}
 		c.Binary = self
 	}
--- a/internal/soak/mgsoak/deployment.go
+++ b/internal/soak/mgsoak/deployment.go
@@ -113,7 +113,7 @@
 			return l.Dial(ctx)
 		}
 	}
-	return nil, fmt.Errorf("deployment: no link has the address %s: use one of its entries", addr)
+	return nil, fmt.Errorf("deployment: no link has the address %s: use the address of an entry", addr)
 }
 
 func (d *deployment) startStandins() error {
@@ -141,7 +141,7 @@
 		if !waitUntil(context.Background(), startTimeout, func() bool {
 			return status(context.Background(), base+"/standin/counts") == http.StatusOK
 		}) {
-			return fmt.Errorf("%s serves nothing after %v: %s", name, startTimeout, d.processes[name].Log())
+			return fmt.Errorf("%s doesn't answer after %v: %s", name, startTimeout, d.processes[name].Log())
 		}
 	}
 	return nil
--- a/internal/soak/mgsoak/evidence.go
+++ b/internal/soak/mgsoak/evidence.go
@@ -147,13 +147,13 @@
 				promise = ownAnswerOnly
 			}
 		}
-		found = append(found, newFinding(promise, "%s: what came in %d tokens is the beginning of none of its generations %v", r.prompt, r.tokens, ids))
+		found = append(found, newFinding(promise, "%s: the received text of %d tokens is a prefix of none of its generations %v", r.prompt, r.tokens, ids))
 	}
 	if r.err == nil && r.tokens != r.length {
-		found = append(found, newFinding(oneGeneration, "%s: said to be whole with %d of %d tokens", r.prompt, r.tokens, r.length))
+		found = append(found, newFinding(oneGeneration, "%s: reported as whole with %d of %d tokens", r.prompt, r.tokens, r.length))
 	}
 	if r.err != nil && mgproblem.From(r.err).Outcome() == mgproblem.NotRun && len(ids) > 0 {
-		found = append(found, newFinding(notRunIsTrue, "%s: told so, and generation %v began: %v", r.prompt, ids, r.err))
+		found = append(found, newFinding(notRunIsTrue, "%s: reported as not run, but generation %v began: %v", r.prompt, ids, r.err))
 	}
 	return found
 }
@@ -174,10 +174,10 @@
 	}
 	var reply mgstandin.ServiceReply
 	if err := json.Unmarshal(t.reply, &reply); err != nil {
-		return []Finding{newFinding(ownAnswerOnly, "ticket %q: status %d with no reply of the service's: %v", t.body, t.status, err)}
+		return []Finding{newFinding(ownAnswerOnly, "ticket %q: status %d without a reply of the service: %v", t.body, t.status, err)}
 	}
 	if reply.Digest != mgstandin.Digest(t.body) || reply.Operation != t.operation {
-		return []Finding{newFinding(ownAnswerOnly, "ticket %q: the reply is another's", t.body)}
+		return []Finding{newFinding(ownAnswerOnly, "ticket %q: the reply belongs to another call", t.body)}
 	}
 	if runs == 0 {
 		return []Finding{newFinding(writeRunsOnce, "ticket %q was answered and did not run", t.body)}
--- a/internal/soak/mgsoak/inject.go
+++ b/internal/soak/mgsoak/inject.go
@@ -57,7 +57,7 @@
 		r.d.revoked = r.d.revoked || f.Kind == RevokeKey
 		return r.d.publishTable(ctx)
 	}
-	return fmt.Errorf("schedule: %q is no kind of fault: use one that mgsoak names", f.Kind)
+	return fmt.Errorf("schedule: unknown kind of fault %q: use a kind that mgsoak defines", f.Kind)
 }
 
 // sleep waits for a duration of the run's clock.
@@ -243,7 +243,7 @@
 	if r.evidence.crashes <= allowed {
 		return nil
 	}
-	return []Finding{newFinding(crashPromptBlocked, "%d engines ended, of %d that may have", r.evidence.crashes, allowed)}
+	return []Finding{newFinding(crashPromptBlocked, "%d engines crashed, at most %d are allowed", r.evidence.crashes, allowed)}
 }
 
 // maxPromptCrashes is the number of engines that crash under a prompt before an entry
