--- a/internal/standin/mgstandin/bench_test.go
+++ b/internal/standin/mgstandin/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// BenchmarkStream measures a token on its way from an engine to an agent, one
-// stream at a time, with steps that take no time.
+// BenchmarkStream measures the delivery of a token from an engine to an agent, with
+// one stream at a time and steps that take no time.
 func BenchmarkStream(b *testing.B) {
 	e := mgstandin.NewEngine(mgstandin.EngineSpec{
 		Model: mgmodel.Spec{
--- a/internal/standin/mgstandin/engine.go
+++ b/internal/standin/mgstandin/engine.go
@@ -12,18 +12,18 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// The defaults of an EngineSpec.
+// Defaults of an EngineSpec.
 const (
 	defaultResumeTTL         = mgclock.Minute
 	defaultHeartbeatInterval = mgclock.Second
 )
 
-// behind bounds how far the steps may lag behind the clock. A process that
-// was paused doesn't make up for the time it lost.
+// maxStepLag is the maximum time that the steps lag behind the clock. An engine whose
+// process was paused does not catch up on the lost time.
 const maxStepLag = 100 * mgclock.Millis(1)
 
-// An Engine is a model engine that steps mgmodel in real time. The zero Engine
-// is ready for use; it produces tokens while Run runs.
+// Engine is a model engine that steps an mgmodel.Engine in real time. The zero Engine
+// is ready for use. It produces tokens while Run runs.
 type Engine struct {
 	spec  EngineSpec
 	clock mgclock.Clock
@@ -31,22 +31,22 @@
 	mu            sync.Mutex
 	model         *mgmodel.Engine
 	generations   map[string]*generation
-	finished      []*generation // in the order of their end
+	finished      []*generation // in the order in which they ended
 	faults        Fault
-	leaveDeadline mgclock.Millis // end of the notice of a Leave
-	changed       chan struct{}  // closed and replaced when a switch turns or work arrives
-	incarnation   int            // deaths so far
+	leaveDeadline mgclock.Millis // end of the notice of a Leave fault
+	changed       chan struct{}  // closed and replaced when a fault is set or work arrives
+	incarnation   int            // number of state losses
 	loaded        []string
 	role          string
 	fence         uint64
 	laggedLoad    laggedLoad
 	cache         cacheLog
-	copies        map[string]*incomingCopy // by the generation's id
-	client        *http.Client             // by which other engines are reached
+	copies        map[string]*incomingCopy // by generation id
+	client        *http.Client             // for calls to other engines
 	counts        EngineCounts
 }
 
-// NewEngine returns an engine without work.
+// NewEngine returns an engine without generations.
 func NewEngine(spec EngineSpec, clock mgclock.Clock) *Engine {
 	return &Engine{
 		spec:  spec,
@@ -54,7 +54,8 @@
 	}
 }
 
-// prepare fills in what the zero Engine lacks. It is called with mu held.
+// ensureInitialized initializes the fields that a zero Engine lacks. The caller holds
+// mu.
 func (e *Engine) ensureInitialized() {
 	if e.model != nil {
 		return
@@ -75,7 +76,7 @@
 	}
 }
 
-// Run steps the engine until ctx ends. A step's tokens are there at its end.
+// Run steps the engine until ctx ends. The tokens of a step become visible at its end.
 func (e *Engine) Run(ctx context.Context) {
 	nextStep := float64(e.clock.Now())
 	for ctx.Err() == nil {
@@ -96,8 +97,8 @@
 	}
 }
 
-// step runs one step of the batch. Its duration is 0 when there is nothing to
-// run until the channel is closed.
+// step runs one step of the batch. A duration of 0 means that there is no work until
+// the returned channel is closed.
 func (e *Engine) step() (mgmodel.Result, int, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -108,7 +109,8 @@
 	return e.model.Step(), e.incarnation, e.changeChannel()
 }
 
-// publish makes what a step did seen, unless the engine died meanwhile.
+// publish makes the result of a step visible, unless the engine lost its state in the
+// meantime.
 func (e *Engine) publish(result mgmodel.Result, incarnation int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -133,8 +135,8 @@
 	e.updateReports(now)
 }
 
-// observe takes what the lagging report and the late events will tell, and
-// forgets what was finished long ago.
+// updateReports samples the load for the lagged report and the cache for the late
+// events, and drops expired copies and finished generations.
 func (e *Engine) updateReports(now mgclock.Millis) {
 	e.laggedLoad.sample(e.load(), now, e.spec.Lag)
 	e.cache.sample(e.model, now, e.spec.Late, e.spec.Gap)
@@ -145,7 +147,7 @@
 	}
 }
 
-// load returns what is true now.
+// load returns the current load.
 func (e *Engine) load() mgengine.Load {
 	return mgengine.Load{
 		Running:  e.model.Running(),
@@ -160,7 +162,7 @@
 	}
 }
 
-// change returns the channel that the next wake closes.
+// changeChannel returns the channel that the next notifyChange closes.
 func (e *Engine) changeChannel() <-chan struct{} {
 	if e.changed == nil {
 		e.changed = make(chan struct{})
@@ -168,7 +170,7 @@
 	return e.changed
 }
 
-// wake lets Run and the handlers look again.
+// notifyChange makes Run and the waiting handlers check the state again.
 func (e *Engine) notifyChange() {
 	if e.changed != nil {
 		close(e.changed)
@@ -176,7 +178,8 @@
 	e.changed = nil
 }
 
-// look returns the present fault and the channel of its change.
+// currentFault returns the current fault kind and a channel that is closed when the
+// state changes.
 func (e *Engine) currentFault() (string, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -192,7 +195,7 @@
 	return counts
 }
 
-// Load returns the lagging report.
+// Load returns the load report, which is Lag old.
 func (e *Engine) Load() mgengine.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -201,7 +204,7 @@
 	return e.laggedLoad.published
 }
 
-// Events returns the cache events after a number that are published by now.
+// Events returns the published cache events with a sequence number above after.
 func (e *Engine) Events(after uint64) []mgengine.Event {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/mgstandin/engine_test.go
+++ b/internal/standin/mgstandin/engine_test.go
@@ -20,15 +20,14 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// patience bounds a test that hangs; no verdict depends on it.
+// testTimeout bounds a test that hangs. No result depends on it.
 const testTimeout = 30 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A shift report streams to an agent and the engine, the link or the agent's
-// belief about it fails on the way. The agent must end up with every token
-// once, or with an error that says what is certain: an error that claims too
-// much would start a second generation beside the first.
+// Guards against lost or repeated tokens when the engine fails during a stream, and
+// against errors that claim more than is certain: after those a caller would start a
+// second generation beside the first.
 func TestEngineFaultLosesOrRepeatsTokens(t *testing.T) {
 	const length = 40
 	cases := []struct {
@@ -98,11 +97,10 @@
 	})
 }
 
-// A link falls silent in the middle of a report: the connection stays open and
-// nothing comes, while new connections work. A reader that waits is stuck for
-// good; one that gives up and opens a new stream loses nothing.
+// Guards against a reader that can't resume after its stream goes silent: the
+// connection stays open without data while new connections work.
 func TestStalledStreamLosesTokens(t *testing.T) {
-	Convey("A stalled stream ends with its reader's patience, and a new one resumes", t, func() {
+	Convey("A stalled stream ends when its reader gives up, and a new one resumes", t, func() {
 		ctx := testContext()
 		e, client := runEngine(ctx, mgstandin.EngineSpec{})
 		e.Set(mgstandin.Fault{
@@ -129,10 +127,10 @@
 	})
 }
 
-// An engine dies with a report half delivered. What it generated is gone: a
-// stream that ended as if complete would hand the shift lead half a report.
+// Guards against a stream that ends as if complete after its engine lost its state, so
+// that the reader takes half a report for a whole one.
 func TestDeadEngineEndsStreamAsComplete(t *testing.T) {
-	Convey("A dead engine's generations are broken, then missing", t, func() {
+	Convey("The generations of a dead engine are broken, then missing", t, func() {
 		ctx := testContext()
 		e, client := runEngine(ctx, mgstandin.EngineSpec{})
 		So(startGeneration(ctx, client, "g", 100000), ShouldBeNil)
@@ -160,8 +158,8 @@
 	})
 }
 
-// An engine is reclaimed and says how long it still has. An agent that is told
-// too much ends its streams too late, when their readers can't be told.
+// Guards against a leaving engine that reports too long a notice: its agent would end
+// the streams too late to tell their readers.
 func TestLeavingEngineReportsWrongNotice(t *testing.T) {
 	Convey("A leaving engine's report counts its notice down", t, func() {
 		var clock mgclock.Manual
@@ -187,8 +185,8 @@
 	})
 }
 
-// Memory fills while dossiers decode. The engine evicts one and computes it
-// again: its reader sees a pause and a count, never a token twice.
+// Guards against repeated tokens after a preemption: the engine evicts a generation
+// and computes it again, which the reader may see only as a pause and a count.
 func TestPreemptionRepeatsTokens(t *testing.T) {
 	Convey("Preempted generations arrive whole", t, func() {
 		ctx := testContext()
@@ -198,8 +196,8 @@
 				Speed:  100,
 			},
 		}, mgclock.Clock{})
-		// All four are there before the first step: on a busy machine the first
-		// would else be done before the last begins, and nothing is evicted.
+		// All four start before the first step. Otherwise a busy machine could finish
+		// the first before the last begins, and nothing would be evicted.
 		for i := range 4 {
 			So(e.Start(startSpec(fmt.Sprint("g", i), 90)), ShouldBeNil)
 		}
@@ -214,10 +212,9 @@
 	})
 }
 
-// An agent was paused; its successor has given orders with a higher fencing
-// number. The old one wakes and orders a model out that the new one had
-// loaded. An engine that checks refuses; one that doesn't obeys, which is why
-// an agent may not rely on it.
+// Guards against a fenced engine that carries out orders of a replaced agent. The old
+// agent was paused and wakes after its successor has given orders with a higher
+// fencing number. An engine without fencing obeys, so that agents can't rely on it.
 func TestOrderOfReplacedAgentIsNotFenced(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -266,7 +263,8 @@
 	})
 }
 
-// TestEngineSession plays the whole interface once.
+// Guards against unintended changes of the engine's interface: compares one session
+// with a golden file.
 func TestEngineInterfaceChanges(t *testing.T) {
 	Convey("A session with an engine", t, func() {
 		ctx := testContext()
@@ -309,9 +307,9 @@
 	// Output: 300 20
 }
 
-// A prompt that ends its engine must take with it what runs beside it.
+// Guards against a crash prompt that leaves the engine's other generations alive.
 func TestCrashPromptSparesOtherGenerations(t *testing.T) {
-	Convey("An engine that begins a prompt with the mark loses all that it held", t, func() {
+	Convey("An engine that generates for a prompt with CrashMark loses all its generations", t, func() {
 		e := mgstandin.NewEngine(mgstandin.EngineSpec{}, mgclock.Clock{})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
--- a/internal/standin/mgstandin/generation.go
+++ b/internal/standin/mgstandin/generation.go
@@ -8,26 +8,26 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// promptBytes bounds what is remembered of a prompt.
+// maxRecordedPromptBytes bounds the part of a prompt that a Record keeps.
 const maxRecordedPromptBytes = 256
 
-// bytesPerToken estimates the length of a prompt that doesn't say.
+// bytesPerToken estimates the tokens of a prompt that doesn't specify them.
 const bytesPerToken = 4
 
-// generation is one that the engine holds.
+// generation is a generation that the engine holds, running or finished.
 type generation struct {
 	spec         mgengine.StartSpec
 	end          string
 	produced     uint64
 	preempted    int
 	endedAt      mgclock.Millis
-	faultApplied bool          // its stream has met a cut or stall
-	copiedTokens int           // tokens that copiedTo has
+	faultApplied bool          // a cut or stall was applied to its stream
+	copiedTokens int           // tokens already copied to copiedTo
 	copiedTo     string        // base URL of another engine
 	changed      chan struct{} // closed and replaced on progress
 }
 
-// advance publishes a generation's tokens up to seq.
+// advance publishes the tokens of a generation up to seq.
 func (e *Engine) advance(id string, seq uint64) {
 	if g := e.running(id); g != nil {
 		if strings.Contains(g.spec.Prompt, CrashMark) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// running returns a generation, or nil when it was cancelled during the step.
+// running returns a running generation, or nil if it was cancelled during the step.
 func (e *Engine) running(id string) *generation {
 	g := e.generations[id]
 	if g == nil || g.end != "" {
@@ -50,7 +50,7 @@
 	return g
 }
 
-// finish records the end of a generation that produced its whole output.
+// finish ends a generation that produced its whole output.
 func (e *Engine) finish(g *generation, now mgclock.Millis) {
 	end := "stop"
 	if Output(g.spec.Prompt, 0) > int(g.produced) {
@@ -59,7 +59,7 @@
 	e.endGeneration(g, end, now)
 }
 
-// close ends a generation, which can still be resumed for a while.
+// endGeneration marks a generation as ended. Its stream can be resumed for some time.
 func (e *Engine) endGeneration(g *generation, end string, now mgclock.Millis) {
 	g.end = end
 	g.endedAt = now
@@ -71,14 +71,14 @@
 	g.notifyProgress()
 }
 
-// wake lets the streams of a generation look again.
+// notifyProgress makes the streams of the generation check its state again.
 func (g *generation) notifyProgress() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// Start starts a generation unless the engine holds it. A nil Refusal means
-// that it does now.
+// Start starts a generation unless the engine already holds it. A nil Refusal means
+// that the engine holds it.
 func (e *Engine) Start(spec mgengine.StartSpec) *mgengine.Refusal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// record notes a start.
+// recordStart counts a start and keeps the beginning of the prompt.
 func (e *Engine) recordStart(spec mgengine.StartSpec) {
 	e.counts.Generations[spec.ID] = Record{
 		Starts: e.counts.Generations[spec.ID].Starts + 1,
@@ -119,7 +119,7 @@
 	}
 }
 
-// Cancel ends a generation and reports whether the engine held it.
+// Cancel cancels a generation and reports whether the engine held it.
 func (e *Engine) Cancel(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -135,7 +135,7 @@
 	return true
 }
 
-// List returns the generations that the engine holds, by id.
+// List returns the generations that the engine holds, sorted by id.
 func (e *Engine) List() []mgengine.Generation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/mgstandin/http.go
+++ b/internal/standin/mgstandin/http.go
@@ -11,10 +11,10 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgengine"
 )
 
-// switchBytes bounds the body of a switch.
+// maxSwitchBytes bounds the body of a request to a switch.
 const maxSwitchBytes = 64 << 10
 
-// A Server serves a stand-in on loopback.
+// Server serves a stand-in on loopback.
 type Server struct {
 	listener net.Listener
 	server   *http.Server
@@ -22,7 +22,7 @@
 	done     chan struct{}
 }
 
-// Listen starts to serve h on a loopback address; port 0 chooses a free one.
+// Listen starts serving h on a loopback address. Port 0 selects a free port.
 func Listen(addr string, h http.Handler) (*Server, error) {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -35,8 +35,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("standin: can't listen; choose another port: %w", err)
 	}
-	// A handler that plays dead before it read the body isn't told when its
-	// connection goes; the context of all requests ends it.
+	// A handler that simulates a dead process before it has read the body isn't
+	// notified when its connection closes. Cancelling the base context ends it.
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{
 		listener: l,
@@ -60,7 +60,7 @@
 // URL returns the base URL.
 func (s *Server) URL() string { return "http://" + s.Addr() }
 
-// Close breaks all connections and stops serving.
+// Close closes all connections and stops serving.
 func (s *Server) Close() error {
 	s.cancel()
 	err := s.server.Close()
@@ -71,7 +71,7 @@
 	return err
 }
 
-// takeFault returns the handler of a stand-in's switches.
+// faultHandler returns a handler that decodes a Fault and passes it to set.
 func faultHandler(set func(Fault)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var f Fault
--- a/internal/standin/mgstandin/lag.go
+++ b/internal/standin/mgstandin/lag.go
@@ -6,10 +6,10 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// cacheEvents bounds the cache events that are kept.
+// maxCacheEvents bounds the number of cache events that are kept.
 const maxCacheEvents = 4096
 
-// lagged is a load report that is a lag old.
+// laggedLoad is a load report that is published with a lag.
 type laggedLoad struct {
 	published mgengine.Load
 	pending   mgengine.Load
@@ -17,7 +17,7 @@
 	hasSample bool
 }
 
-// take shows the last report once it is old enough, and takes the next.
+// sample publishes the pending report once it is a lag old, and samples the next.
 func (l *laggedLoad) sample(load mgengine.Load, now, lag mgclock.Millis) {
 	switch {
 	case !l.hasSample || lag == 0:
@@ -32,16 +32,16 @@
 	l.sampledAt = now
 }
 
-// cacheLog turns what the prefix cache holds into late events with gaps.
+// cacheLog turns changes of the prefix cache into events that come late and with gaps.
 type cacheLog struct {
-	candidates []uint64        // blocks that may be cached, in order of arrival
-	stored     map[uint64]bool // blocks whose last event was Stored, by whether
+	candidates []uint64        // blocks that may be cached, in the order of their first use
+	stored     map[uint64]bool // whether the last event of a block was Stored
 	events     []mgengine.Event
 	seq        uint64
 	sampledAt  mgclock.Millis
 }
 
-// expect notes blocks that a prompt brings into the cache.
+// addCandidates adds the blocks that a prompt may bring into the cache.
 func (c *cacheLog) addCandidates(prefix []uint64) {
 	if c.stored == nil {
 		c.stored = make(map[uint64]bool)
@@ -54,8 +54,8 @@
 	}
 }
 
-// take logs the changes since it was last called, at most once in late ms, so
-// that each event is up to that late. Each gap-th event is lost.
+// sample logs the changes since its last run, at most once per interval, so that each
+// event is delayed by up to the interval. Every lossInterval-th event is lost.
 func (c *cacheLog) sample(model *mgmodel.Engine, now, interval mgclock.Millis, lossInterval int) {
 	if now-c.sampledAt < interval {
 		return
@@ -93,7 +93,7 @@
 	}
 }
 
-// since returns the events after a number.
+// since returns the events with a sequence number above after.
 func (c *cacheLog) since(after uint64) []mgengine.Event {
 	events := make([]mgengine.Event, 0, len(c.events))
 	for _, event := range c.events {
--- a/internal/standin/mgstandin/move.go
+++ b/internal/standin/mgstandin/move.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// defaultCopy is the time to copy a token's memory, in microseconds: that of
-	// 160 KB over a link of 24 Gbit/s.
+	// defaultCopyMicros is the time to copy one token's memory, in microseconds: 160
+	// KB over a link of 24 Gbit/s.
 	defaultCopyMicros = 55
-	// copyKeep is how long an engine keeps a copy that nobody goes on from.
+	// copyTTL is how long an engine keeps a copy from which no generation is resumed.
 	copyTTL = 5 * mgclock.Second
 )
 
-// The kinds of a move's refusals.
+// Kinds of refusals of a move.
 const (
-	missingRefusal = "missing" // no such generation, or it has no token yet
-	roomRefusal    = "room"    // the other engine has no room, or can't be reached
-	copyRefusal    = "copy"    // no such copy: it was used, or has run out
+	missingRefusal = "missing" // no such generation, or it has no tokens yet
+	roomRefusal    = "room"    // the other engine lacks memory or can't be reached
+	copyRefusal    = "copy"    // no such copy: it was used or has expired
 )
 
-// incoming is a copy that this engine holds for a generation of another one.
+// incomingCopy is a copy that this engine holds of a generation of another engine.
 type incomingCopy struct {
 	spec           mgengine.StartSpec
 	producedTokens uint64
@@ -38,14 +38,14 @@
 	expiresAt      mgclock.Millis
 }
 
-// copySpec is what an engine sends to the one that gets a copy.
+// copySpec is the body of POST /v1/copies, which sends a copy to another engine.
 type copySpec struct {
 	Spec       mgengine.StartSpec `json:"spec"`
 	Produced   uint64             `json:"made"`
 	HeldTokens int                `json:"hold"` // tokens of memory
 }
 
-// Reach sets the client by which the engine reaches others.
+// Reach sets the HTTP client for calls to other engines.
 func (e *Engine) Reach(client *http.Client) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -75,8 +75,9 @@
 	return defaultCopyMicros
 }
 
-// beginCopy returns what is to be copied and how many tokens of it are new. The
-// last copy stops the generation first: what it makes afterwards would be lost.
+// beginCopy returns the copy to send and how many of its tokens are new since the
+// previous copy. The last copy stops the generation first, because tokens generated
+// afterwards would be lost.
 func (e *Engine) beginCopy(spec mgengine.MoveSpec) (copySpec, int, *mgengine.Refusal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -94,7 +95,7 @@
 	if spec.Last {
 		e.model.Cancel(spec.ID)
 		delete(e.generations, spec.ID)
-		g.notifyProgress() // its streams find nothing and break off
+		g.notifyProgress() // its streams no longer find the generation and break
 		record := e.counts.Generations[spec.ID]
 		record.End = "moved"
 		e.counts.Generations[spec.ID] = record
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// ReceiveCopy holds a copy for another engine's generation.
+// ReceiveCopy stores a copy of another engine's generation.
 func (e *Engine) ReceiveCopy(order copySpec) *mgengine.Refusal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// dropCopies frees the memory of copies that nobody went on from.
+// dropCopies frees the memory of expired copies.
 func (e *Engine) dropCopies(now mgclock.Millis) {
 	for name, c := range e.copies {
 		if now >= c.expiresAt {
@@ -166,8 +167,8 @@
 	}
 }
 
-// goOn goes on with a generation from the copy that the engine holds. It is
-// called with mu held.
+// resumeFromCopy resumes a generation from a copy that this engine holds. The caller
+// holds mu.
 func (e *Engine) resumeFromCopy(spec mgengine.StartSpec) *mgengine.Refusal {
 	c := e.copies[spec.Copy]
 	if c == nil {
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// sequenceOf describes a generation to the model.
+// sequenceOf returns the model's description of a generation.
 func sequenceOf(spec mgengine.StartSpec) mgmodel.Sequence {
 	return mgmodel.Sequence{
 		ID:       spec.ID,
--- a/internal/standin/mgstandin/order.go
+++ b/internal/standin/mgstandin/order.go
@@ -6,8 +6,8 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgengine"
 )
 
-// Order carries out an order. An engine without fencing carries out old ones
-// too, and counts them.
+// Order carries out an order. An engine without fencing also carries out orders with
+// an old fencing number, and counts them.
 func (e *Engine) Order(spec mgengine.OrderSpec) *mgengine.Refusal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/mgstandin/platform.go
+++ b/internal/standin/mgstandin/platform.go
@@ -17,24 +17,24 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// valueBytes bounds a value.
+// maxValueBytes bounds the size of a value.
 const maxValueBytes = 1 << 20
 
-// tableBytes bounds a table, of which 35,000 accounts take about 7 MB.
+// maxTableBytes bounds the size of a table. A table of 35,000 accounts has about 7 MB.
 const maxTableBytes = 64 << 20
 
-// keptSeconds bounds the reads counted by second.
+// maxCountedSeconds is the number of seconds for which reads are counted by second.
 const maxCountedSeconds = 600
 
-// A Platform is the configuration service and the list of VMs. The zero
+// Platform stands in for the configuration service and the list of VMs. The zero
 // Platform is empty and ready for use.
 type Platform struct {
 	spec  PlatformSpec
 	clock mgclock.Clock
 
 	mu          sync.Mutex
-	values      map[string][]value // versions of each key, the oldest first
-	staleValues map[string]value   // what is answered while stale
+	values      map[string][]value // versions of each key, oldest first
+	staleValues map[string]value   // answers during a Stale fault
 	fault       Fault
 	changed     chan struct{} // closed and replaced on each change
 	counts      PlatformCounts
@@ -44,7 +44,7 @@
 type value struct {
 	version   uint64
 	body      []byte
-	visibleAt mgclock.Millis // when readers see it
+	visibleAt mgclock.Millis // time from which readers see it
 }
 
 // NewPlatform returns an empty platform.
@@ -93,8 +93,8 @@
 	return v.version
 }
 
-// PutVMs publishes the list of VMs, which readers see after the lag. One
-// goroutine publishes it.
+// PutVMs publishes the list of VMs, which readers see after the lag. It must not be
+// called concurrently.
 func (p *Platform) PutVMs(vms []mgplatform.VM) (uint64, error) {
 	body, err := json.Marshal(mgplatform.List{
 		Version: p.version(mgplatform.ListKey) + 1,
@@ -106,9 +106,9 @@
 	return p.Put(mgplatform.ListKey, body), nil
 }
 
-// PutTable publishes a table, given as TOML: its pages first, then its
-// manifest, so that nobody reads a manifest whose pages are missing. A faulty
-// table is refused; a test that needs one published puts its parts itself.
+// PutTable publishes a table given as TOML. It publishes the pages before the
+// manifest, so that no reader gets a manifest whose pages are missing. It rejects a
+// faulty table; a test that needs one must Put its parts.
 func (p *Platform) PutTable(text []byte) error {
 	table, err := mgtable.Parse(text)
 	if err != nil {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// version returns the newest version of a value, seen or not.
+// version returns the newest version of a value, visible or not.
 func (p *Platform) version(key string) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,7 +136,7 @@
 	return versions[len(versions)-1].version
 }
 
-// Set turns a switch: Down, Silent, Stale or Heal.
+// Set sets the fault: Down, Silent, Stale or Heal.
 func (p *Platform) Set(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -148,7 +148,7 @@
 	p.notifyChange()
 }
 
-// snapshot returns what readers see now.
+// snapshot returns the values that readers see now.
 func (p *Platform) snapshot() map[string]value {
 	values := make(map[string]value)
 	for key := range p.values {
@@ -168,7 +168,7 @@
 	return counts
 }
 
-// shown drops the versions that no reader sees any more.
+// pruneVersions drops the versions that no reader sees any more.
 func pruneVersions(versions []value, now mgclock.Millis) []value {
 	for len(versions) > 1 && versions[1].visibleAt <= now {
 		versions = versions[1:]
@@ -176,7 +176,7 @@
 	return versions
 }
 
-// visible returns the version of a value that a reader sees now.
+// visible returns the version of a value that readers see now.
 func (p *Platform) visible(key string) (value, bool) {
 	if p.faultFor(key) == Stale {
 		v, ok := p.staleValues[key]
@@ -189,7 +189,7 @@
 	return versions[0], true
 }
 
-// wake lets the waiting readers look again.
+// notifyChange makes the waiting readers check the state again.
 func (p *Platform) notifyChange() {
 	if p.changed != nil {
 		close(p.changed)
@@ -197,7 +197,7 @@
 	p.changed = nil
 }
 
-// change returns the channel that the next wake closes.
+// changeChannel returns the channel that the next notifyChange closes.
 func (p *Platform) changeChannel() <-chan struct{} {
 	if p.changed == nil {
 		p.changed = make(chan struct{})
@@ -205,7 +205,7 @@
 	return p.changed
 }
 
-// count counts a read and reports whether the rate allows it.
+// countRead counts a read and reports whether the rate limit allows it.
 func (p *Platform) countRead() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -246,7 +246,8 @@
 	}
 }
 
-// await returns the value once its version is above after or wait is over.
+// waitForVersion returns a value once its version is above after, or when wait has
+// passed.
 func (p *Platform) waitForVersion(ctx context.Context, key string, after uint64, wait mgclock.Millis) (value, bool) {
 	timeout := p.clock.After(wait)
 	for {
@@ -270,8 +271,8 @@
 	}
 }
 
-// lag returns a channel that is closed when the next version of a value
-// shows, or nil.
+// nextVisible returns a channel that is closed when the next version of a value
+// becomes visible, or nil if there is none.
 func (p *Platform) nextVisible(key string) <-chan struct{} {
 	now := p.clock.Now()
 	for _, v := range p.values[key] {
@@ -304,15 +305,16 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// look returns the present fault of a key and the channel of its change.
+// currentFault returns the current fault kind of a key and a channel that is closed
+// when the state changes.
 func (p *Platform) currentFault(key string) (string, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faultFor(key), p.changeChannel()
 }
 
-// faultOf returns the fault that strikes a key. The list of VMs may be well
-// while the configuration is not.
+// faultFor returns the fault kind that applies to a key. A fault can spare one key, so
+// that the list of VMs works while the configuration fails, or the reverse.
 func (p *Platform) faultFor(key string) string {
 	if p.fault.Spare == key {
 		return Heal
@@ -320,8 +322,8 @@
 	return p.fault.Kind
 }
 
-// obey acts out the faults that strike any connection, and returns once there
-// is nothing to act out.
+// applyConnectionFault simulates the faults that affect whole connections, and returns
+// once none of them is active.
 func applyConnectionFault(ctx context.Context, currentFault func() (string, <-chan struct{})) {
 	for {
 		fault, changed := currentFault()
--- a/internal/standin/mgstandin/platform_test.go
+++ b/internal/standin/mgstandin/platform_test.go
@@ -18,7 +18,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// get reads a value as a line: its version and bytes, or why not.
+// readValue reads a value and formats its version and bytes, or the error, as a line.
 func readValue(ctx context.Context, base, key string) string {
 	return formatValue(mgplatform.NewHTTP(base, mgdial.NewClient()).Read(ctx, key))
 }
@@ -32,9 +32,8 @@
 	return fmt.Sprint(v.Version(), " ", string(v.Bytes()))
 }
 
-// An operator publishes a new table while the platform fails. A process that
-// reads then gets the old table, the new one or an error, and never an older
-// one than it had; once the platform is well, it gets the new one.
+// Guards against a reader that gets an older version than before while the platform
+// fails during an edit, or that doesn't get the new version after healing.
 func TestFaultyPlatformServesWrongVersion(t *testing.T) {
 	down := mgplatform.ErrDown.Error()
 	cases := []struct {
@@ -121,7 +120,8 @@
 	})
 }
 
-// TestPlatformSession plays the whole interface once.
+// Guards against unintended changes of the platform's interface: compares one session
+// with a golden file.
 func TestPlatformInterfaceChanges(t *testing.T) {
 	Convey("A session with the platform", t, func() {
 		ctx := testContext()
@@ -162,8 +162,8 @@
 	})
 }
 
-// An operator publishes a table while processes read. A manifest that names a
-// page which isn't there yet would leave each reader without a configuration.
+// Guards against a manifest that names pages which aren't published yet: its readers
+// would be left without a configuration.
 func TestManifestIsPublishedWithoutItsPages(t *testing.T) {
 	Convey("A table is published pages first, and a faulty one not at all", t, func() {
 		ctx := testContext()
--- a/internal/standin/mgstandin/rig_test.go
+++ b/internal/standin/mgstandin/rig_test.go
@@ -16,7 +16,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// golden compares a session with its file under testdata/.
+// golden compares the log of a session with a file under testdata.
 func golden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -32,7 +32,7 @@
 	So(got, ShouldEqual, string(want))
 }
 
-// serve serves h until the test's end.
+// serve serves h until the end of the test and returns the base URL.
 func serve(h http.Handler) string {
 	s, err := mgstandin.Listen("127.0.0.1:0", h)
 	So(err, ShouldBeNil)
@@ -40,21 +40,21 @@
 	return s.URL()
 }
 
-// bounded returns a context for a whole case.
+// testContext returns a context that bounds one test case.
 func testContext() context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	Reset(cancel)
 	return ctx
 }
 
-// runEngine runs an engine a hundred times as fast as the described one.
+// runEngine runs an engine at 100 times the speed of its model.
 func runEngine(ctx context.Context, spec mgstandin.EngineSpec) (*mgstandin.Engine, mgengine.Client) {
 	spec.Model.Speed = 100
 	e := mgstandin.NewEngine(spec, mgclock.Clock{})
 	return e, runInBackground(ctx, e)
 }
 
-// step lets an engine run until the end of the test.
+// runInBackground runs an engine until the end of the test.
 func runInBackground(ctx context.Context, e *mgstandin.Engine) mgengine.Client {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
@@ -69,12 +69,12 @@
 	return mgengine.NewHTTP(serve(e.Handler()), nil)
 }
 
-// begin starts a generation of a length.
+// startGeneration starts a generation of the given length.
 func startGeneration(ctx context.Context, c mgengine.Client, id string, length int) error {
 	return c.Start(ctx, startSpec(id, length))
 }
 
-// ofLength describes a generation of a length.
+// startSpec returns the spec of a generation of the given length.
 func startSpec(id string, length int) mgengine.StartSpec {
 	return mgengine.StartSpec{
 		ID:     id,
@@ -83,7 +83,7 @@
 	}
 }
 
-// read reads a stream's tokens from seq on, until it ends or breaks.
+// readStream reads the tokens of a stream from seq until it ends or breaks.
 func readStream(ctx context.Context, c mgengine.Client, id string, seq uint64) (string, mgengine.Token, error) {
 	s, err := c.Stream(ctx, id, seq)
 	if err != nil {
--- a/internal/standin/mgstandin/run.go
+++ b/internal/standin/mgstandin/run.go
@@ -10,7 +10,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// RunEngine serves an engine until ctx ends. Ready, unless it is nil, gets
+// RunEngine serves an engine until ctx ends. It calls ready, unless it is nil, with
 // the address once it listens.
 func RunEngine(ctx context.Context, spec EngineSpec, ready func(addr string)) error {
 	e := NewEngine(spec, mgclock.Clock{})
@@ -32,7 +32,7 @@
 	return runServer(ctx, spec.Listen, NewService(spec, mgclock.Clock{}).Handler(), ready)
 }
 
-// RunPlatform serves a platform with its first values until ctx ends.
+// RunPlatform serves a platform with its initial values until ctx ends.
 func RunPlatform(ctx context.Context, spec PlatformSpec, ready func(addr string)) error {
 	p := NewPlatform(spec, mgclock.Clock{})
 	if spec.Table != "" {
--- a/internal/standin/mgstandin/service.go
+++ b/internal/standin/mgstandin/service.go
@@ -14,24 +14,24 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// callBytes bounds the body of a call.
+// maxCallBytes bounds the body of a call.
 const maxCallBytes = 1 << 20
 
-// A Service is a plain service. It never recognizes a repeated operation, as
-// services of the old kind don't: a doubled call is a doubled run, and the
-// counters show it. The zero Service is ready for use.
+// Service is a plain service. Like a legacy service it never detects a repeated
+// operation: a repeated call is executed again, and the counters show it. The zero
+// Service is ready for use.
 type Service struct {
 	spec  ServiceSpec
 	clock mgclock.Clock
 
 	mu             sync.Mutex
 	fault          Fault
-	remainingCalls int // calls that a fault with Times still strikes
+	remainingCalls int // calls to which a fault with Times still applies
 	changed        chan struct{}
 	counts         ServiceCounts
 }
 
-// NewService returns a service that has run nothing.
+// NewService returns a service with zero counters.
 func NewService(spec ServiceSpec, clock mgclock.Clock) *Service {
 	return &Service{
 		spec:  spec,
@@ -39,14 +39,13 @@
 	}
 }
 
-// Digest returns the digest of a body that a reply carries, by which a caller
-// knows the reply to its own call.
+// Digest returns the digest of a call's body. A reply carries it, so that a caller can
+// verify that the reply belongs to its call.
 func Digest(body []byte) string {
 	return strconv.FormatUint(xxhash.Sum64(body), 16)
 }
 
-// Handler returns the service's calls, of any method and path, and its
-// switches.
+// Handler serves the calls, of any method and path, and the switches.
 func (s *Service) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Post("/standin/fault", faultHandler(s.Set))
@@ -57,7 +56,7 @@
 	return r
 }
 
-// Set turns a switch: Silent, Slow, Hang, Lost, Early, Refuse or Heal.
+// Set sets the fault: Silent, Slow, Hang, Lost, Early, Refuse or Heal.
 func (s *Service) Set(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +77,8 @@
 	return counts
 }
 
-// look returns the present fault and the channel of its change.
+// currentFault returns the current fault kind and a channel that is closed when it
+// changes.
 func (s *Service) currentFault() (string, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +88,8 @@
 	return s.fault.Kind, s.changed
 }
 
-// strike returns the fault that this call meets.
+// nextFault returns the fault that applies to this call, and counts the call if the
+// fault is limited to a number of calls.
 func (s *Service) nextFault(ctx context.Context) Fault {
 	applyConnectionFault(ctx, s.currentFault)
 	s.mu.Lock()
@@ -103,7 +104,7 @@
 	return f
 }
 
-// run counts a run and returns its number for the operation.
+// countRun counts an execution of the operation and returns how many there were.
 func (s *Service) countRun(operation string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +145,7 @@
 	s.writeReply(w, r, f, reply)
 }
 
-// answer gives the reply to a call that ran, as far as the fault lets it.
+// writeReply writes the reply to an executed call, as far as the fault permits.
 func (s *Service) writeReply(w http.ResponseWriter, r *http.Request, f Fault, reply ServiceReply) {
 	delay := s.spec.Delay
 	switch f.Kind {
--- a/internal/standin/mgstandin/service_test.go
+++ b/internal/standin/mgstandin/service_test.go
@@ -26,9 +26,8 @@
 	}
 }
 
-// A gauger books a transfer ticket and something fails around the service.
-// What the client says must agree with what the service counted: "not sent"
-// with a run behind it books two barrels once the caller tries again.
+// Guards against a client that reports a call as not sent although the service
+// executed it: the caller would try again and book twice.
 func TestServiceFaultMiscountsRuns(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -80,7 +79,7 @@
 			runs:  0,
 		},
 	}
-	Convey("A write's failure and the service's count agree when", t, func() {
+	Convey("The result of a write agrees with the service's counters when", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				s := mgstandin.NewService(mgstandin.ServiceSpec{}, mgclock.Clock{})
@@ -108,8 +107,8 @@
 	})
 }
 
-// giveUp is the patience of a caller, who has none left once the call ran, or
-// a while after it was sent.
+// giveUp cancels a call once it was executed, or at the first tick after it was sent
+// if no execution is expected.
 func giveUp(cancel context.CancelFunc, s *mgstandin.Service, runs int) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
@@ -121,7 +120,8 @@
 	}
 }
 
-// TestServiceSession plays the whole interface once.
+// Guards against unintended changes of the service's interface: compares one session
+// with a golden file.
 func TestServiceInterfaceChanges(t *testing.T) {
 	Convey("A session with a plain service", t, func() {
 		ctx := testContext()
--- a/internal/standin/mgstandin/spec.go
+++ b/internal/standin/mgstandin/spec.go
@@ -5,7 +5,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// EngineSpec describes an engine stand-in.
+// EngineSpec holds the settings of an engine stand-in.
 type EngineSpec struct {
 	Listen  string         `toml:"listen" need:"yes" help:"loopback IP and port"`
 	Model   mgmodel.Spec   `toml:"model" help:"steps and memory; its speed is the demo's"`
@@ -21,14 +21,14 @@
 	Loading mgclock.Millis `toml:"loading" min:"0" max:"600000" unit:"ms" help:"how long a load order takes"`
 }
 
-// ServiceSpec describes a plain service stand-in.
+// ServiceSpec holds the settings of a plain service stand-in.
 type ServiceSpec struct {
 	Listen string         `toml:"listen" need:"yes" help:"loopback IP and port"`
 	Name   string         `toml:"name" help:"goes into its replies"`
 	Delay  mgclock.Millis `toml:"delay" min:"0" max:"600000" unit:"ms" help:"time that a call takes"`
 }
 
-// PlatformSpec describes a platform stand-in.
+// PlatformSpec holds the settings of a platform stand-in.
 type PlatformSpec struct {
 	Listen string         `toml:"listen" need:"yes" help:"loopback IP and port"`
 	Rate   int            `toml:"rate" min:"0" max:"1000000" unit:"reads/s" help:"bound on reads; 0 for none"`
--- a/internal/standin/mgstandin/stream.go
+++ b/internal/standin/mgstandin/stream.go
@@ -10,10 +10,10 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgengine"
 )
 
-// startBytes bounds the body of a start.
+// maxStartBytes bounds the body of a start request.
 const maxStartBytes = 4 << 20
 
-// Handler returns the engine's interface and switches.
+// Handler serves the engine's interface and switches.
 func (e *Engine) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Post("/standin/fault", faultHandler(e.Set))
@@ -42,7 +42,7 @@
 	return r
 }
 
-// faulty acts out the faults that strike any connection.
+// faultMiddleware simulates the faults that affect whole connections.
 func (e *Engine) faultMiddleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		applyConnectionFault(r.Context(), e.currentFault)
@@ -103,7 +103,7 @@
 	e.stream(w, r, id, from)
 }
 
-// view is what a stream sees of its generation and of the switches.
+// streamState is a snapshot of what a stream depends on: its generation and the fault.
 type streamState struct {
 	produced      uint64
 	preempted     int
@@ -114,7 +114,8 @@
 	switchChanged <-chan struct{}
 }
 
-// peek returns the view of a generation, and whether the engine holds it.
+// streamStateOf returns the stream state of a generation, and whether the engine holds
+// it.
 func (e *Engine) streamStateOf(id string) (streamState, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -133,8 +134,9 @@
 	}, true
 }
 
-// stream writes the tokens from seq on until the generation ends. A generation
-// that is lost breaks the connection: no end is made up.
+// stream writes the tokens from seq on until the generation ends. If the generation is
+// lost it breaks the connection, because an end token would make the output look
+// complete.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, id string, seq uint64) {
 	out := json.NewEncoder(w)
 	control := http.NewResponseController(w)
@@ -172,8 +174,7 @@
 	}
 }
 
-// write writes the tokens from seq up to the last, and returns the next
-// number.
+// writeTokens writes the tokens from seq to last and returns the next sequence number.
 func writeTokens(out *json.Encoder, id string, seq, last uint64, preempted int) uint64 {
 	for ; seq <= last; seq++ {
 		_ = out.Encode(mgengine.Token{
@@ -185,8 +186,8 @@
 	return seq
 }
 
-// strikes returns the last token that a stream may write, and whether it then
-// meets its cut or stall.
+// streamLimit returns the last token that the stream may write, and whether a cut or
+// stall applies after it.
 func (v streamState) streamLimit(produced uint64) (uint64, bool) {
 	if v.faultApplied || v.fault.Kind != Cut && v.fault.Kind != Stall || produced <= v.fault.After {
 		return produced, false
@@ -194,9 +195,8 @@
 	return v.fault.After, true
 }
 
-// strike breaks or silences a stream, the first of its generation. Streams
-// that open later work, as when a middlebox has dropped its entry for one
-// connection.
+// applyStreamFault breaks or stalls the stream, once per generation. Streams opened
+// later work, as when a middlebox has dropped its state of one connection.
 func (e *Engine) applyStreamFault(r *http.Request, id, kind string) {
 	e.mu.Lock()
 	g := e.generations[id]
--- a/internal/standin/mgstandin/switches.go
+++ b/internal/standin/mgstandin/switches.go
@@ -2,9 +2,9 @@
 
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 
-// Set turns a switch: Die, Cut, Stall, Silent, Slow, Leave or Heal. An engine
-// that died and is healed has lost its generations, its fencing number and
-// the orders it carried out.
+// Set sets the fault: Die, Cut, Stall, Silent, Slow, Leave or Heal. An engine healed
+// after Die has lost its generations, its fencing number and the effects of the orders
+// it carried out.
 func (e *Engine) Set(f Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -21,7 +21,7 @@
 	e.notifyChange()
 }
 
-// speed returns how fast the steps are under the present fault.
+// stepSpeed returns the speed of the steps under the current fault.
 func (e *Engine) stepSpeed() float64 {
 	speed := e.spec.Model.Speed
 	if speed <= 0 {
@@ -33,7 +33,8 @@
 	return speed
 }
 
-// notice returns how long a leaving engine still has, 0 when it isn't told.
+// remainingNotice returns how long a leaving engine will still run, or 0 if it doesn't
+// leave or the time is not known.
 func (e *Engine) remainingNotice() mgclock.Millis {
 	if e.faults.Kind != Leave || e.faults.Delay <= 0 {
 		return 0
@@ -41,7 +42,7 @@
 	return max(e.leaveDeadline-e.clock.Now(), 1)
 }
 
-// die loses all state but the counters.
+// loseState drops all state except the counters.
 func (e *Engine) loseState() {
 	for _, g := range e.generations {
 		g.notifyProgress()
--- a/internal/standin/mgstandin/text.go
+++ b/internal/standin/mgstandin/text.go
@@ -10,31 +10,31 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// words make up the text of generations.
+// words are the vocabulary of generated text.
 var words = [...]string{
 	"tank", "level", "gauge", "barrel", "berth", "tide", "seal", "pump",
 	"valve", "draft", "crew", "harbour", "ticket", "shift", "sounding", "ullage",
 }
 
-// CrashMark in a prompt ends the engine that begins to generate for it: all that it held
-// is lost, and it starts again at once.
+// CrashMark in a prompt crashes the engine that begins to generate for it: the engine
+// loses all its generations and restarts at once.
 const CrashMark = "crash=1"
 
-// lengths is the distribution of outputs whose prompt doesn't say: a median of
-// 90 tokens, and one in a hundred over 1,200.
+// outputLengths is the distribution of output lengths for prompts that don't specify
+// one: a median of 90 tokens, and one in a hundred over 1,200.
 var outputLengths = distuv.LogNormal{
 	Mu:    4.5,
 	Sigma: 1.1,
 }
 
-// Text returns a token of a generation, so that a check can tell each token's
-// generation and place.
+// Text returns the token seq of a generation. The text identifies the generation and
+// the position of the token, which checks rely on.
 func Text(generation string, seq uint64) string {
 	hash := xxhash.Sum64String(generation + "." + strconv.FormatUint(seq, 10))
 	return fmt.Sprintf("%s-%04x ", words[hash%uint64(len(words))], hash>>48)
 }
 
-// Whole returns the first tokens of a generation in one piece.
+// Whole returns the first tokens of a generation, joined.
 func Whole(generation string, tokens int) string {
 	var b strings.Builder
 	for seq := 1; seq <= tokens; seq++ {
@@ -43,9 +43,9 @@
 	return b.String()
 }
 
-// Find returns the generation whose whole text is text, and whether there is
-// one: an answer that was cut, doubled, spliced or never generated is found
-// nowhere. Generations that still run aren't found.
+// Find returns the ended generation whose whole text equals text, and whether there is
+// one. A text that was cut, doubled, spliced or never generated isn't found, nor is
+// that of a running generation.
 func (c EngineCounts) Find(text string) (string, Record, bool) {
 	for id, record := range c.Generations {
 		if record.End != "" && strings.HasPrefix(text, Text(id, 1)) && Whole(id, record.Tokens) == text {
@@ -55,9 +55,9 @@
 	return "", Record{}, false
 }
 
-// Output returns how many tokens a prompt generates under a bound of max, 0
-// for none. The engine knows it only when the generation ends. A prompt that
-// holds len=N generates N.
+// Output returns the number of tokens generated for a prompt, at most max, or without
+// a bound if max is 0. A prompt that contains len=N generates N tokens. The engine
+// learns the number only at the end of the generation.
 func Output(prompt string, max int) int {
 	n := requestedLength(prompt)
 	if n == 0 {
@@ -70,7 +70,7 @@
 	return n
 }
 
-// asked returns the N of the prompt's len=N, or 0.
+// requestedLength returns the N of len=N in the prompt, or 0.
 func requestedLength(prompt string) int {
 	_, rest, found := strings.Cut(prompt, "len=")
 	if !found {
--- a/internal/standin/mgstandin/wire.go
+++ b/internal/standin/mgstandin/wire.go
@@ -2,68 +2,68 @@
 
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 
-// The kinds of faults. Heal ends the others.
+// Kinds of faults. Heal ends the others.
 const (
 	Heal   = "heal"
-	Die    = "die"    // engine: every generation is lost, connections break
-	Cut    = "cut"    // engine: a stream breaks after some tokens, once a generation
-	Stall  = "stall"  // engine: a stream goes silent after some tokens, once a generation
-	Silent = "silent" // any: connections open, and nothing is answered
+	Die    = "die"    // engine: all generations are lost, connections break
+	Cut    = "cut"    // engine: a stream breaks after some tokens, once per generation
+	Stall  = "stall"  // engine: a stream stalls after some tokens, once per generation
+	Silent = "silent" // any: connections are accepted but not answered
 	Slow   = "slow"   // engine: steps take longer; service: calls take longer
-	Leave  = "leave"  // engine: it takes no new generations
-	Hang   = "hang"   // service: a call runs and is never answered
-	Lost   = "lost"   // service: a call runs and its connection breaks
+	Leave  = "leave"  // engine: new generations are refused
+	Hang   = "hang"   // service: a call is executed but never answered
+	Lost   = "lost"   // service: a call is executed and its connection breaks
 	Early  = "early"  // service: the connection breaks before the body is read
-	Refuse = "refuse" // service: status 503, the call doesn't run
+	Refuse = "refuse" // service: status 503, the call isn't executed
 	Down   = "down"   // platform: connections break
-	Stale  = "stale"  // platform: it answers what was true when this was set
+	Stale  = "stale"  // platform: answers are those from when the fault was set
 )
 
-// Fault turns a switch.
+// Fault is the setting of a switch.
 type Fault struct {
 	Kind   string         `json:"kind"`
 	After  uint64         `json:"after,omitempty"`  // tokens before a cut or stall
-	Times  int            `json:"times,omitempty"`  // calls of a service it strikes, 0 for all
-	Factor float64        `json:"factor,omitempty"` // how many times as slow an engine
-	Delay  mgclock.Millis `json:"delay,omitempty"`  // how much slower a service; how long a leaving engine still has, 0 untold
-	Spare  string         `json:"spare,omitempty"`  // a key of the platform's that is well
+	Times  int            `json:"times,omitempty"`  // number of service calls affected, 0 for all
+	Factor float64        `json:"factor,omitempty"` // factor by which an engine's steps take longer
+	Delay  mgclock.Millis `json:"delay,omitempty"`  // service: added delay; engine: notice of a Leave, 0 for none
+	Spare  string         `json:"spare,omitempty"`  // platform: a key that is not affected
 }
 
-// EngineCounts are the counters of an engine. They outlive its death.
+// EngineCounts holds the counters of an engine. They survive Die.
 type EngineCounts struct {
 	Generations map[string]Record `json:"generations"` // by id
 	Tokens      int               `json:"tokens"`
 	Preempted   int               `json:"preempted"`
-	Resumed     int               `json:"resumed"` // generations that went on from a copy
+	Resumed     int               `json:"resumed"` // generations resumed from a copy
 	Orders      int               `json:"orders"`  // orders carried out
-	Older       int               `json:"older"`   // of those, orders older than one before
+	Older       int               `json:"older"`   // carried out orders with an outdated fencing number
 	Refused     int               `json:"refused"` // orders refused
-	Crashes     int               `json:"crashes"` // by prompts with CrashMark
+	Crashes     int               `json:"crashes"` // caused by prompts with CrashMark
 }
 
-// Record is what an engine remembers of a generation.
+// Record is the record of a generation, which the engine keeps after its end.
 type Record struct {
-	Starts int    `json:"starts"` // how often it began: more than 1 is a double start
-	Tokens int    `json:"tokens"` // produced by its end
-	End    string `json:"end"`    // "stop", "length", "cancelled" or "moved"; nothing while it runs or when it was lost
-	Prompt string `json:"prompt"` // the beginning of its prompt
+	Starts int    `json:"starts"` // number of starts; more than 1 is a double start
+	Tokens int    `json:"tokens"` // number of tokens produced at its end
+	End    string `json:"end"`    // "stop", "length", "cancelled" or "moved"; empty while it runs or if it was lost
+	Prompt string `json:"prompt"` // beginning of the prompt
 }
 
-// ServiceCounts are the counters of a service.
+// ServiceCounts holds the counters of a service.
 type ServiceCounts struct {
-	Runs  map[string]int `json:"runs"`  // runs by operation; without one by method and path
-	Total int            `json:"total"` // runs in all
+	Runs  map[string]int `json:"runs"`  // executions by operation, or by method and path if there is none
+	Total int            `json:"total"` // all executions
 }
 
-// PlatformCounts are the counters of a platform.
+// PlatformCounts holds the counters of a platform.
 type PlatformCounts struct {
 	Reads   int           `json:"reads"`
-	Refused int           `json:"refused"` // reads over the rate
-	Peak    int           `json:"peak"`    // most reads in one second
+	Refused int           `json:"refused"` // reads over the rate limit
+	Peak    int           `json:"peak"`    // maximum reads in one second
 	Seconds map[int64]int `json:"seconds"` // reads by second since the start, the last 600
 }
 
-// VersionHeader carries a value's version.
+// VersionHeader is the name of the response header with a value's version.
 const VersionHeader = "Version"
 
 // ServiceReply is the body of a service's reply.
