--- a/internal/standin/mgstandin/http.go
+++ b/internal/standin/mgstandin/http.go
@@ -29,7 +29,7 @@
 		return nil, fmt.Errorf("standin: address %q: give an address and a port: %w", addr, err)
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return nil, fmt.Errorf("standin: address %q: a stand-in obeys anybody; give a loopback address", addr)
+		return nil, fmt.Errorf("standin: address %q: a stand-in has no access control; give a loopback address", addr)
 	}
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/standin/mgstandin/platform.go
+++ b/internal/standin/mgstandin/platform.go
@@ -101,7 +101,7 @@
 		VMs:     vms,
 	})
 	if err != nil {
-		return 0, fmt.Errorf("standin: the list of VMs can't be written: %w", err)
+		return 0, fmt.Errorf("standin: encode the list of VMs: %w", err)
 	}
 	return p.Put(mgplatform.ListKey, body), nil
 }
--- a/internal/standin/mgstandin/rig_test.go
+++ b/internal/standin/mgstandin/rig_test.go
@@ -100,7 +100,7 @@
 			continue
 		}
 		if t.Seq != seq {
-			return text.String(), t, fmt.Errorf("token %d came in place of %d", t.Seq, seq)
+			return text.String(), t, fmt.Errorf("got token %d, want token %d", t.Seq, seq)
 		}
 		seq++
 		text.WriteString(t.Text)
