--- a/internal/standin/mgdemo/bench_test.go
+++ b/internal/standin/mgdemo/bench_test.go
@@ -21,10 +21,10 @@
 
 // streams is the number of concurrent answers; each of their tokens travels
 // alone, as at an engine's own pace.
-const streams = 32
+const concurrentStreams = 32
 
 // cpu returns the processor time of this process in ns.
-func cpu(b *testing.B) float64 {
+func cpuTime(b *testing.B) float64 {
 	var use syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &use); err != nil {
 		b.Fatal(err)
@@ -33,9 +33,9 @@
 }
 
 // unseen is for reads that measure no latency.
-func unseen() {}
+func ignoreToken() {}
 
-func deployment(b *testing.B) *mgdemo.Deployment {
+func startBenchDeployment(b *testing.B) *mgdemo.Deployment {
 	d, err := mgdemo.Start(context.Background(), mgdemo.Spec{
 		Entries: 1,
 		Engines: 1,
@@ -52,25 +52,25 @@
 // caller run in this one, so each figure holds every hop's both ends. The
 // ratio is path over direct.
 func BenchmarkToken(b *testing.B) {
-	d := deployment(b)
+	d := startBenchDeployment(b)
 	var direct, path float64
 	b.Run("direct", func(b *testing.B) {
-		direct = perToken(b, func(i, tokens int) error { return readDirect(b, d, i, tokens, unseen) })
+		direct = cpuPerToken(b, func(i, tokens int) error { return readDirect(b, d, i, tokens, ignoreToken) })
 	})
 	b.Run("path", func(b *testing.B) {
-		path = perToken(b, func(_, tokens int) error { return readPath(d, tokens, unseen) })
+		path = cpuPerToken(b, func(_, tokens int) error { return readPath(d, tokens, ignoreToken) })
 		b.ReportMetric(path/direct, "ratio")
 	})
 }
 
 // perToken reads b.N tokens in streams answers at once and returns the
 // processor time of one.
-func perToken(b *testing.B, read func(i, tokens int) error) float64 {
-	tokens := max(b.N/streams, 1)
-	before := cpu(b)
+func cpuPerToken(b *testing.B, read func(i, tokens int) error) float64 {
+	tokens := max(b.N/concurrentStreams, 1)
+	before := cpuTime(b)
 	b.ReportAllocs()
 	var readers sync.WaitGroup
-	for i := range streams {
+	for i := range concurrentStreams {
 		readers.Go(func() {
 			if err := read(i, tokens); err != nil {
 				b.Error(err)
@@ -78,7 +78,7 @@
 		})
 	}
 	readers.Wait()
-	spent := (cpu(b) - before) / float64(tokens*streams)
+	spent := (cpuTime(b) - before) / float64(tokens*concurrentStreams)
 	b.ReportMetric(spent, "cpu-ns/token")
 	return spent
 }
@@ -145,32 +145,32 @@
 // BenchmarkRequest compares a request for one token through entry and agent
 // with the same engine called directly, one after another.
 func BenchmarkRequest(b *testing.B) {
-	d := deployment(b)
+	d := startBenchDeployment(b)
 	var direct, path float64
 	b.Run("direct", func(b *testing.B) {
-		before := cpu(b)
+		before := cpuTime(b)
 		b.ReportAllocs()
 		n := 0
 		for b.Loop() {
 			n++
-			if err := readDirect(b, d, 1000+n, 1, unseen); err != nil {
+			if err := readDirect(b, d, 1000+n, 1, ignoreToken); err != nil {
 				b.Fatal(err)
 			}
 		}
-		direct = (cpu(b) - before) / float64(n)
+		direct = (cpuTime(b) - before) / float64(n)
 		b.ReportMetric(direct, "cpu-ns/request")
 	})
 	b.Run("path", func(b *testing.B) {
-		before := cpu(b)
+		before := cpuTime(b)
 		b.ReportAllocs()
 		n := 0
 		for b.Loop() {
 			n++
-			if err := readPath(d, 1, unseen); err != nil {
+			if err := readPath(d, 1, ignoreToken); err != nil {
 				b.Fatal(err)
 			}
 		}
-		path = (cpu(b) - before) / float64(n)
+		path = (cpuTime(b) - before) / float64(n)
 		b.ReportMetric(path, "cpu-ns/request")
 		b.ReportMetric(path/direct, "ratio")
 	})
@@ -181,7 +181,7 @@
 // An iteration is eight answers of 200 tokens.
 func BenchmarkLatency(b *testing.B) {
 	const answers, tokens = 8, 200
-	d := deployment(b)
+	d := startBenchDeployment(b)
 	run := func(b *testing.B, read func(i, tokens int, seen func()) error) {
 		var mu sync.Mutex
 		first := hdrhistogram.New(1, 60_000_000, 3)
--- a/internal/standin/mgdemo/caps_test.go
+++ b/internal/standin/mgdemo/caps_test.go
@@ -18,7 +18,7 @@
 // engines from all others. Its table row allows three streams in the region:
 // whatever the entries know of each other, no more than three may run, and who
 // is turned away is told "not run" and when to come back.
-func TestCaps(t *testing.T) {
+func TestMoreStreamsRunThanTheAccountAllows(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d, err := mgdemo.Start(context.Background(), mgdemo.Spec{})
 	if err != nil {
--- a/internal/standin/mgdemo/deployment.go
+++ b/internal/standin/mgdemo/deployment.go
@@ -31,7 +31,7 @@
 	// listLag is how late the demo's list of VMs is.
 	listLag = 500 * mgclock.Millis(1)
 	// drainLongest bounds the demo's own stop.
-	drainLongest = 2 * mgclock.Second
+	drainTimeout = 2 * mgclock.Second
 )
 
 // Spec describes a deployment.
@@ -44,16 +44,16 @@
 
 // A Deployment is a whole system in one process. Make one with Start.
 type Deployment struct {
-	spec     Spec
-	platform *mgstandin.Platform
-	engines  map[string]*mgstandin.Engine
-	clients  map[string]mgengine.Client
-	services map[string]*mgstandin.Service
-	entries  []string
-	nodes    map[string]*process
-	vms      []mgplatform.VM
-	closers  []func()
-	base     string
+	spec        Spec
+	platform    *mgstandin.Platform
+	engines     map[string]*mgstandin.Engine
+	clients     map[string]mgengine.Client
+	services    map[string]*mgstandin.Service
+	entries     []string
+	processes   map[string]*process
+	vms         []mgplatform.VM
+	closers     []func()
+	platformURL string
 }
 
 // process is an entry or an agent of the deployment.
@@ -67,20 +67,20 @@
 func Start(ctx context.Context, spec Spec) (*Deployment, error) {
 	spec = spec.withDefaults()
 	d := &Deployment{
-		spec:     spec,
-		engines:  map[string]*mgstandin.Engine{},
-		clients:  map[string]mgengine.Client{},
-		services: map[string]*mgstandin.Service{},
-		nodes:    map[string]*process{},
+		spec:      spec,
+		engines:   map[string]*mgstandin.Engine{},
+		clients:   map[string]mgengine.Client{},
+		services:  map[string]*mgstandin.Service{},
+		processes: map[string]*process{},
 	}
-	steps := []func() error{d.startPlatform, d.startEngines, d.startServices, d.startEntries, d.publish}
+	steps := []func() error{d.startPlatform, d.startEngines, d.startServices, d.startEntries, d.publishVMs}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			d.Close()
 			return nil, err
 		}
 	}
-	if err := d.awaitReady(ctx); err != nil {
+	if err := d.waitReady(ctx); err != nil {
 		d.Close()
 		return nil, err
 	}
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	d.base = server.URL()
+	d.platformURL = server.URL()
 	d.closers = append(d.closers, func() { _ = server.Close() })
 	return d.platform.PutTable(sampleTable)
 }
@@ -180,7 +180,7 @@
 }
 
 // common returns the settings that every process of the demo has.
-func (d *Deployment) common(name string, i int) (mgsettings.Process, error) {
+func (d *Deployment) commonSettings(name string, i int) (mgsettings.Process, error) {
 	peer, err := mgloopback.Addr()
 	if err != nil {
 		return mgsettings.Process{}, err
@@ -195,17 +195,17 @@
 		Region:   region,
 		Peer:     peer,
 		Admin:    admin,
-		Platform: d.base,
+		Platform: d.platformURL,
 		Secret:   secret,
 		Log:      d.spec.Level,
-		Drain:    int64(drainLongest),
+		Drain:    int64(drainTimeout),
 		Beat:     250,
 	}, nil
 }
 
 func (d *Deployment) startAgent(upstream string, i int, address string, models, services []string) error {
 	name := "agent-" + upstream
-	common, err := d.common(name, i)
+	common, err := d.commonSettings(name, i)
 	if err != nil {
 		return err
 	}
@@ -237,7 +237,7 @@
 func (d *Deployment) startEntries() error {
 	for i := range d.spec.Entries {
 		name := fmt.Sprintf("entry-%d", i+1)
-		common, err := d.common(name, i)
+		common, err := d.commonSettings(name, i)
 		if err != nil {
 			return err
 		}
@@ -286,20 +286,20 @@
 		stop: cancel,
 		done: make(chan error, 1),
 	}
-	d.nodes[name] = p
+	d.processes[name] = p
 	go func() { p.done <- run(stop, stop, node) }()
 	return nil
 }
 
-func (d *Deployment) publish() error {
+func (d *Deployment) publishVMs() error {
 	_, err := d.platform.PutVMs(d.vms)
 	return err
 }
 
 // awaitReady waits until every process takes work.
-func (d *Deployment) awaitReady(ctx context.Context) error {
+func (d *Deployment) waitReady(ctx context.Context) error {
 	clock := mgclock.Clock{}
-	for name, p := range d.nodes {
+	for name, p := range d.processes {
 		for {
 			ok, why := p.node.Ready()
 			if ok {
@@ -323,7 +323,7 @@
 
 // Node returns an entry's or agent's process, or nil.
 func (d *Deployment) Node(name string) *mgnode.Node {
-	if p := d.nodes[name]; p != nil {
+	if p := d.processes[name]; p != nil {
 		return p.node
 	}
 	return nil
@@ -344,10 +344,10 @@
 
 // Close stops everything; nothing is left running.
 func (d *Deployment) Close() {
-	for _, p := range d.nodes {
+	for _, p := range d.processes {
 		p.stop()
 	}
-	for _, p := range d.nodes {
+	for _, p := range d.processes {
 		<-p.done
 	}
 	for _, closer := range d.closers {
--- a/internal/standin/mgdemo/report.go
+++ b/internal/standin/mgdemo/report.go
@@ -19,104 +19,104 @@
 
 const (
 	// longestGap bounds a recorded gap in ms.
-	longestGap = 60_000
+	maxRecordedGap = 60_000
 	// gapDigits is the histograms' precision in decimal digits.
 	gapDigits = 3
 	// stallFrom is the gap between tokens from which a caller sees a stall, ten
 	// times the gap of a full engine.
-	stallFrom = 500 * mgclock.Millis(1)
+	minStall = 500 * mgclock.Millis(1)
 )
 
 // tally counts what callers of one kind of request got.
-type tally struct {
-	name    string
-	sent    atomic.Int64
-	done    atomic.Int64
-	notRun  atomic.Int64
-	unknown atomic.Int64
-	again   atomic.Int64
-	resumed atomic.Int64
-	evicted atomic.Int64
-
-	mu       sync.Mutex
-	gaps     *hdrhistogram.Histogram
-	stall    mgclock.Millis
-	answers  []given
-	writes   map[string]mgclient.Reply
-	problems []string
+type results struct {
+	name      string
+	sent      atomic.Int64
+	done      atomic.Int64
+	notRun    atomic.Int64
+	unknown   atomic.Int64
+	retried   atomic.Int64
+	resumed   atomic.Int64
+	preempted atomic.Int64
+
+	mu        sync.Mutex
+	gaps      *hdrhistogram.Histogram
+	stallTime mgclock.Millis
+	answers   []receivedAnswer
+	writes    map[string]mgclient.Reply
+	problems  []string
 }
 
 // given is an answer as a caller has it.
-type given struct {
-	account string
-	answer  mgclient.Answer
-	wanted  int
+type receivedAnswer struct {
+	account      string
+	answer       mgclient.Answer
+	wantedTokens int
 }
 
-func newTally(name string) *tally {
-	return &tally{
+func newResults(name string) *results {
+	return &results{
 		name:   name,
-		gaps:   hdrhistogram.New(1, longestGap, gapDigits),
+		gaps:   hdrhistogram.New(1, maxRecordedGap, gapDigits),
 		writes: map[string]mgclient.Reply{},
 	}
 }
 
 // watch measures the gaps between an answer's tokens.
-type watch struct {
-	tally *tally
+type gapTimer struct {
+	tally *results
 	clock mgclock.Clock
 	last  mgclock.Millis
 }
 
-func (t *tally) watch(clock mgclock.Clock) *watch {
-	return &watch{
+func (t *results) newGapTimer(clock mgclock.Clock) *gapTimer {
+	return &gapTimer{
 		tally: t,
 		clock: clock,
 	}
 }
 
-func (w *watch) token(token mgclient.Token) error {
+func (w *gapTimer) token(token mgclient.Token) error {
 	now := w.clock.Now()
 	if token.Seq() > 1 {
-		w.tally.gap(now - w.last)
+		w.tally.recordGap(now - w.last)
 	}
 	w.last = now
 	return nil
 }
 
-func (t *tally) gap(gap mgclock.Millis) {
+func (t *results) recordGap(gap mgclock.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_ = t.gaps.RecordValue(min(int64(gap), longestGap))
-	if gap >= stallFrom {
-		t.stall += gap
+	_ = t.gaps.RecordValue(min(int64(gap), maxRecordedGap))
+	if gap >= minStall {
+		t.stallTime += gap
 	}
 }
 
-func (t *tally) answer(account string, answer mgclient.Answer, wanted int) {
+func (t *results) recordAnswer(account string, answer mgclient.Answer, wanted int) {
 	t.done.Add(1)
 	t.resumed.Add(int64(answer.Resumes()))
-	t.evicted.Add(int64(answer.Preempted()))
+	t.preempted.Add(int64(answer.Preempted()))
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.answers = append(t.answers, given{
-		account: account,
-		answer:  answer,
-		wanted:  wanted,
+	t.answers = append(t.answers, receivedAnswer{
+		account:      account,
+		answer:       answer,
+		wantedTokens: wanted,
 	})
 }
 
-func (t *tally) call(took mgclock.Millis, operation string, reply mgclient.Reply) {
+func (t *results) recordCall(took mgclock.Millis, operation string, reply mgclient.Reply) {
 	t.done.Add(1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_ = t.gaps.RecordValue(min(int64(took), longestGap))
+	_ = t.gaps.RecordValue(min(int64(took), maxRecordedGap))
 	if operation != "" {
 		t.writes[operation] = reply
 	}
 }
 
-func (t *tally) failed(err error) {
+func (t *results) recordFailure(err error) {
 	problem := mgproblem.From(err)
 	if problem.Outcome() == mgproblem.NotRun {
 		t.notRun.Add(1)
@@ -130,7 +130,7 @@
 
 // A Report is what came of a play.
 type Report struct {
-	rows   []*tally
+	rows   []*results
 	faults []string
 }
 
@@ -143,8 +143,8 @@
 	fmt.Fprintln(table, "kind\tsent\tdone\tnot run\tunknown\tasked again\tresumed\tp50 ms\tp99 ms\tstall ms\tpreempted\t")
 	for _, t := range r.rows {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", t.name, t.sent.Load(), t.done.Load(),
-			t.notRun.Load(), t.unknown.Load(), t.again.Load(), t.resumed.Load(),
-			t.gaps.ValueAtQuantile(50), t.gaps.ValueAtQuantile(99), t.stall, t.evicted.Load())
+			t.notRun.Load(), t.unknown.Load(), t.retried.Load(), t.resumed.Load(),
+			t.gaps.ValueAtQuantile(50), t.gaps.ValueAtQuantile(99), t.stallTime, t.preempted.Load())
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -156,10 +156,10 @@
 }
 
 // report checks every answer and write against the stand-ins.
-func (p *play) report() *Report {
+func (p *playRun) report() *Report {
 	r := &Report{}
-	ran := p.runs()
-	for _, k := range load {
+	executed := p.executions()
+	for _, k := range requestKinds {
 		t := p.tallies[k.name]
 		r.rows = append(r.rows, t)
 		for _, g := range t.answers {
@@ -168,7 +168,7 @@
 			}
 		}
 		for operation, reply := range t.writes {
-			if fault := checkWrite(operation, reply, ran); fault != "" {
+			if fault := checkWrite(operation, reply, executed); fault != "" {
 				r.faults = append(r.faults, k.name+": "+fault)
 			}
 		}
@@ -176,7 +176,7 @@
 			r.faults = append(r.faults, k.name+": lost: "+problem)
 		}
 	}
-	for operation, count := range ran {
+	for operation, count := range executed {
 		if count > 1 {
 			r.faults = append(r.faults, fmt.Sprintf("operation %s ran %d times", operation, count))
 		}
@@ -185,16 +185,16 @@
 }
 
 // runs returns how often each write ran, by operation.
-func (p *play) runs() map[string]int {
-	ran := map[string]int{}
+func (p *playRun) executions() map[string]int {
+	executed := map[string]int{}
 	for _, name := range []string{"books", "portal"} {
 		for operation, count := range p.deployment.Service(name).Counts().Runs {
 			if isOperation(operation) {
-				ran[operation] += count
+				executed[operation] += count
 			}
 		}
 	}
-	return ran
+	return executed
 }
 
 // isOperation tells an operation's id from a method and path, under which the
@@ -208,7 +208,7 @@
 	return true
 }
 
-func checkWrite(operation string, reply mgclient.Reply, ran map[string]int) string {
+func checkWrite(operation string, reply mgclient.Reply, executed map[string]int) string {
 	var body mgstandin.ServiceReply
 	if err := json.Unmarshal(reply.Body, &body); err != nil {
 		return "a write's reply can't be read: " + err.Error()
@@ -216,24 +216,24 @@
 	if body.Operation != operation {
 		return fmt.Sprintf("crossed: operation %s got the reply of %s", operation, body.Operation)
 	}
-	if ran[operation] != 1 {
-		return fmt.Sprintf("operation %s was answered done and ran %d times", operation, ran[operation])
+	if executed[operation] != 1 {
+		return fmt.Sprintf("operation %s was answered done and ran %d times", operation, executed[operation])
 	}
 	return ""
 }
 
 // check compares an answer with its generation's tokens as the engine made
 // them: each once, in order, all of them, and no other's.
-func (p *play) check(g given) string {
+func (p *playRun) check(g receivedAnswer) string {
 	seal := p.deployment.Node("entry-2").Seal()
 	name, err := mganswer.NewSigner(seal).Open(g.account, g.answer.Name())
 	if err != nil {
 		return "an answer's name can't be opened: " + err.Error()
 	}
-	if g.answer.Tokens() != uint64(g.wanted) {
-		return fmt.Sprintf("answer has %d tokens, asked for %d", g.answer.Tokens(), g.wanted)
+	if g.answer.Tokens() != uint64(g.wantedTokens) {
+		return fmt.Sprintf("answer has %d tokens, asked for %d", g.answer.Tokens(), g.wantedTokens)
 	}
-	if g.answer.Text() != mgstandin.Whole(name.Generation(), g.wanted) {
+	if g.answer.Text() != mgstandin.Whole(name.Generation(), g.wantedTokens) {
 		return fmt.Sprintf("generation %s: the text is not what the engine made", name.Generation())
 	}
 	return ""
--- a/internal/standin/mgdemo/stall_test.go
+++ b/internal/standin/mgdemo/stall_test.go
@@ -18,34 +18,34 @@
 
 const (
 	// readers is the number of answers that a fault strikes at once.
-	readers = 16
+	concurrentReaders = 16
 	// length of each in tokens, and the token of the first reader at which the
 	// fault strikes.
-	length  = 600
-	strikes = 60
+	answerTokens = 600
+	faultToken   = 60
 	// demoBeat is the heartbeat interval of the demo's processes.
-	demoBeat mgclock.Millis = 250
+	heartbeatInterval mgclock.Millis = 250
 )
 
 // relay carries bytes to an address, until it is told to go silent: what is open
 // then stays open and carries nothing, and new connections work.
-type relay struct {
+type proxy struct {
 	listener net.Listener
-	to       string
+	target   string
 
 	mu     sync.Mutex
 	silent chan struct{}
 	conns  []net.Conn
 }
 
-func newRelay(b *testing.B, to string) *relay {
+func newProxy(b *testing.B, to string) *proxy {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := &relay{
+	r := &proxy{
 		listener: listener,
-		to:       to,
+		target:   to,
 		silent:   make(chan struct{}),
 	}
 	go r.run()
@@ -53,13 +53,13 @@
 	return r
 }
 
-func (r *relay) run() {
+func (r *proxy) run() {
 	for {
 		near, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", r.to)
+		far, err := net.Dial("tcp", r.target)
 		if err != nil {
 			_ = near.Close()
 			continue
@@ -97,14 +97,14 @@
 	}
 }
 
-func (r *relay) silence() {
+func (r *proxy) silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	close(r.silent)
 	r.silent = make(chan struct{})
 }
 
-func (r *relay) close() {
+func (r *proxy) close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,37 +115,37 @@
 
 // through puts a relay between the entries and an agent, and waits until the
 // lagging list has told them.
-func through(b *testing.B, d *Deployment, name string) *relay {
+func insertProxy(b *testing.B, d *Deployment, name string) *proxy {
 	vms := slices.Clone(d.vms)
 	at := slices.IndexFunc(vms, func(vm mgplatform.VM) bool { return vm.Name == name })
-	r := newRelay(b, vms[at].Addr)
+	r := newProxy(b, vms[at].Addr)
 	vms[at].Addr = r.listener.Addr().String()
 	if _, err := d.platform.PutVMs(vms); err != nil {
 		b.Fatal(err)
 	}
 	for r.count() == 0 {
-		if _, err := client(d.entries).Complete(context.Background(), ask(3), nil); err != nil {
+		if _, err := newClient(d.entries).Complete(context.Background(), reportRequest(3), nil); err != nil {
 			b.Fatal(err)
 		}
 	}
 	return r
 }
 
-func (r *relay) count() int {
+func (r *proxy) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.conns)
 }
 
-func client(bases []string) *mgclient.Client {
+func newClient(bases []string) *mgclient.Client {
 	return mgclient.New(mgclient.Spec{
 		Bases:   bases,
 		Key:     "sample-tankline",
-		Silence: callerSilence,
+		Silence: callerSilenceTimeout,
 	})
 }
 
-func ask(tokens int) mgclient.Request {
+func reportRequest(tokens int) mgclient.Request {
 	return mgclient.Request{
 		Model: "report",
 		Messages: []mgclient.Message{{
@@ -157,26 +157,26 @@
 
 // strike reads answers at once, lets a fault strike, and records the longest
 // time that each reader waited for a token. A lost or short answer is an error.
-func strike(b *testing.B, bases []string, into *hdrhistogram.Histogram, fault func()) {
+func readDuringFault(b *testing.B, bases []string, into *hdrhistogram.Histogram, fault func()) {
 	var all sync.WaitGroup
 	var once sync.Once
 	var mu sync.Mutex
-	for i := range readers {
+	for i := range concurrentReaders {
 		all.Go(func() {
 			var clock mgclock.Clock
 			var last, stall mgclock.Millis
-			answer, err := client(bases).Complete(context.Background(), ask(length), func(token mgclient.Token) error {
+			answer, err := newClient(bases).Complete(context.Background(), reportRequest(answerTokens), func(token mgclient.Token) error {
 				now := clock.Now()
 				if last > 0 {
 					stall = max(stall, now-last)
 				}
 				last = now
-				if i == 0 && token.Seq() == strikes {
+				if i == 0 && token.Seq() == faultToken {
 					once.Do(fault)
 				}
 				return nil
 			})
-			if err != nil || answer.Tokens() != length {
+			if err != nil || answer.Tokens() != answerTokens {
 				b.Errorf("%d tokens: %v", answer.Tokens(), err)
 			}
 			mu.Lock()
@@ -187,13 +187,13 @@
 	all.Wait()
 }
 
-func report(b *testing.B, stalls *hdrhistogram.Histogram) {
+func reportMetrics(b *testing.B, stalls *hdrhistogram.Histogram) {
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(float64(stalls.TotalCount()), "answers")
 	b.ReportMetric(float64(stalls.ValueAtQuantile(50)), "p50-ms")
 	b.ReportMetric(float64(stalls.ValueAtQuantile(99)), "p99-ms")
 	b.ReportMetric(float64(stalls.Max()), "max-ms")
-	b.ReportMetric(float64(stalls.ValueAtQuantile(99))/float64(demoBeat), "p99-beats")
+	b.ReportMetric(float64(stalls.ValueAtQuantile(99))/float64(heartbeatInterval), "p99-beats")
 }
 
 // BenchmarkStall measures how long a caller waits for its next token when the
@@ -202,48 +202,48 @@
 // is killed, and when nothing fails.
 func BenchmarkStall(b *testing.B) {
 	b.Run("none", func(b *testing.B) {
-		stalls := hdrhistogram.New(1, longestGap, gapDigits)
-		d := started(b)
+		stalls := hdrhistogram.New(1, maxRecordedGap, gapDigits)
+		d := startDeployment(b)
 		defer d.Close()
 		for b.Loop() {
-			strike(b, d.entries, stalls, func() {})
+			readDuringFault(b, d.entries, stalls, func() {})
 		}
-		report(b, stalls)
+		reportMetrics(b, stalls)
 	})
 	b.Run("silent", func(b *testing.B) {
-		stalls := hdrhistogram.New(1, longestGap, gapDigits)
-		d := started(b)
+		stalls := hdrhistogram.New(1, maxRecordedGap, gapDigits)
+		d := startDeployment(b)
 		defer d.Close()
-		r := through(b, d, "agent-engine-1")
+		r := insertProxy(b, d, "agent-engine-1")
 		for b.Loop() {
-			strike(b, d.entries, stalls, r.silence)
+			readDuringFault(b, d.entries, stalls, r.silence)
 		}
-		report(b, stalls)
+		reportMetrics(b, stalls)
 	})
 	b.Run("caller", func(b *testing.B) {
-		stalls := hdrhistogram.New(1, longestGap, gapDigits)
-		d := started(b)
+		stalls := hdrhistogram.New(1, maxRecordedGap, gapDigits)
+		d := startDeployment(b)
 		defer d.Close()
-		r := newRelay(b, strings.TrimPrefix(d.entries[0], "http://"))
+		r := newProxy(b, strings.TrimPrefix(d.entries[0], "http://"))
 		bases := []string{"http://" + r.listener.Addr().String(), d.entries[1]}
 		for b.Loop() {
-			strike(b, bases, stalls, r.silence)
+			readDuringFault(b, bases, stalls, r.silence)
 		}
-		report(b, stalls)
+		reportMetrics(b, stalls)
 	})
 	b.Run("entry", func(b *testing.B) {
-		stalls := hdrhistogram.New(1, longestGap, gapDigits)
+		stalls := hdrhistogram.New(1, maxRecordedGap, gapDigits)
 		for b.Loop() {
-			d := started(b)
-			strike(b, d.entries, stalls, d.Node("entry-1").Kill)
+			d := startDeployment(b)
+			readDuringFault(b, d.entries, stalls, d.Node("entry-1").Kill)
 			d.Close()
 		}
-		report(b, stalls)
+		reportMetrics(b, stalls)
 	})
 }
 
 // started starts a deployment, which its caller closes.
-func started(b *testing.B) *Deployment {
+func startDeployment(b *testing.B) *Deployment {
 	d, err := Start(context.Background(), Spec{
 		Entries: 2,
 		Engines: 1,
