--- a/internal/standin/mgexplore/explore.go
+++ b/internal/standin/mgexplore/explore.go
@@ -7,53 +7,53 @@
 
 // A Chooser answers a model's questions within one schedule.
 type Chooser struct {
-	trail  []choice
-	next   int
-	replay int
-	seen   map[string]int
-	random *rand.Rand
+	choices      []choice
+	position     int
+	replayLength int
+	seen         map[string]int
+	rng          *rand.Rand
 }
 
 type choice struct {
-	pick, of int
+	picked, optionCount int
 }
 
 // Choose returns a number from 0 to n-1.
 func (c *Chooser) Choose(n int) int {
-	if c.next == len(c.trail) {
+	if c.position == len(c.choices) {
 		pick := 0
-		if c.random != nil {
-			pick = c.random.IntN(n)
+		if c.rng != nil {
+			pick = c.rng.IntN(n)
 		}
-		c.trail = append(c.trail, choice{
-			pick: pick,
-			of:   n,
+		c.choices = append(c.choices, choice{
+			picked:      pick,
+			optionCount: n,
 		})
 	}
-	c.next++
-	return c.trail[c.next-1].pick
+	c.position++
+	return c.choices[c.position-1].picked
 }
 
 // Seen notes the model's state by its name and reports whether the schedule can end here,
 // because all that follows was tried from an earlier step.
-func (c *Chooser) Seen(step int, name func() string) bool {
-	if c.random == nil && c.next < c.replay {
+func (c *Chooser) Seen(step int, stateName func() string) bool {
+	if c.rng == nil && c.position < c.replayLength {
 		return false
 	}
-	state := name()
+	state := stateName()
 	first, found := c.seen[state]
 	if !found || step < first {
 		c.seen[state] = step
 	}
-	return c.random == nil && found && first <= step
+	return c.rng == nil && found && first <= step
 }
 
 // A Report tells what was tried.
 type Report struct {
-	schedules int
-	states    int
-	whole     bool
-	violation error
+	schedules  int
+	states     int
+	isComplete bool
+	violation  error
 }
 
 // Schedules returns how many schedules were run.
@@ -63,35 +63,35 @@
 func (r Report) States() int { return r.states }
 
 // Whole reports whether every schedule of the model was tried.
-func (r Report) Whole() bool { return r.whole }
+func (r Report) Whole() bool { return r.isComplete }
 
 // Violation returns what the model found, with the schedule, or nil.
 func (r Report) Violation() error { return r.violation }
 
 // String returns the counts.
 func (r Report) String() string {
-	return fmt.Sprintf("%d schedules, %d states, all tried: %t, violation: %v", r.schedules, r.states, r.whole, r.violation)
+	return fmt.Sprintf("%d schedules, %d states, all tried: %t, violation: %v", r.schedules, r.states, r.isComplete, r.violation)
 }
 
 // Exhaust runs the model through every schedule, or until bound schedules were
 // run or one violates.
-func Exhaust(bound int, model func(*Chooser) error) Report {
+func Exhaust(maxSchedules int, model func(*Chooser) error) Report {
 	report := Report{}
 	seen := make(map[string]int)
-	var trail []choice
-	for report.schedules < bound {
+	var choices []choice
+	for report.schedules < maxSchedules {
 		c := &Chooser{
-			trail:  trail,
-			replay: len(trail),
-			seen:   seen,
+			choices:      choices,
+			replayLength: len(choices),
+			seen:         seen,
 		}
 		report.run(c, model)
 		if report.violation != nil {
 			break
 		}
-		trail = advance(c.trail)
-		if len(trail) == 0 {
-			report.whole = true
+		choices = nextSchedule(c.choices)
+		if len(choices) == 0 {
+			report.isComplete = true
 			break
 		}
 	}
@@ -105,8 +105,8 @@
 	seen := make(map[string]int)
 	for i := range n {
 		report.run(&Chooser{
-			seen:   seen,
-			random: rand.New(rand.NewPCG(seed, uint64(i))),
+			seen: seen,
+			rng:  rand.New(rand.NewPCG(seed, uint64(i))),
 		}, model)
 		if report.violation != nil {
 			break
@@ -124,22 +124,22 @@
 }
 
 func (c *Chooser) picks() []int {
-	picks := make([]int, 0, len(c.trail))
-	for _, each := range c.trail {
-		picks = append(picks, each.pick)
+	picks := make([]int, 0, len(c.choices))
+	for _, each := range c.choices {
+		picks = append(picks, each.picked)
 	}
 	return picks
 }
 
 // advance returns the trail of the next schedule, or none after the last.
-func advance(trail []choice) []choice {
-	for len(trail) > 0 {
-		last := &trail[len(trail)-1]
-		if last.pick+1 < last.of {
-			last.pick++
-			return trail
+func nextSchedule(choices []choice) []choice {
+	for len(choices) > 0 {
+		last := &choices[len(choices)-1]
+		if last.picked+1 < last.optionCount {
+			last.picked++
+			return choices
 		}
-		trail = trail[:len(trail)-1]
+		choices = choices[:len(choices)-1]
 	}
 	return nil
 }
--- a/internal/standin/mgexplore/explore_test.go
+++ b/internal/standin/mgexplore/explore_test.go
@@ -10,7 +10,7 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/standin/mgexplore"
 )
 
-func TestExplore(t *testing.T) {
+func TestExplorerSkipsSchedules(t *testing.T) {
 	Convey("An explorer", t, func() {
 		Convey("tries every schedule", func() {
 			tried := map[string]bool{}
--- a/internal/standin/mgloopback/loopback.go
+++ b/internal/standin/mgloopback/loopback.go
@@ -14,16 +14,16 @@
 	guardPort = 11999
 	// The ports that Addr hands out are below those that the kernel gives to listeners
 	// on port 0.
-	firstPort = 12000
-	lastPort  = 30000
+	minPort = 12000
+	maxPort = 30000
 	// hosts is the number of IPs in a /24 that are used, and ips in all.
-	hosts = 250
-	ips   = 250 * hosts
+	ipsPerSubnet = 250
+	ipCount      = 250 * ipsPerSubnet
 )
 
 var (
-	errIPs   = errors.New("loopback: no IP of 127.80.0.0/16 can be reserved: use a system that routes 127.0.0.0/8 to itself, and end programs that listen on port 11999")
-	errPorts = errors.New("loopback: all ports of the reserved IP are in use: end what listens there")
+	errNoFreeIP   = errors.New("loopback: no IP of 127.80.0.0/16 can be reserved: use a system that routes 127.0.0.0/8 to itself, and end programs that listen on port 11999")
+	errNoFreePort = errors.New("loopback: all ports of the reserved IP are in use: end what listens there")
 )
 
 // reserved is what this process holds.
@@ -40,18 +40,18 @@
 func Reserve() (string, error) {
 	reserved.Lock()
 	defer reserved.Unlock()
-	return reserve()
+	return reserveLocked()
 }
 
 // reserve is Reserve for holders of the lock.
-func reserve() (string, error) {
+func reserveLocked() (string, error) {
 	if reserved.next == 0 {
-		reserved.next = os.Getpid() * hosts
+		reserved.next = os.Getpid() * ipsPerSubnet
 	}
-	for range ips {
-		n := reserved.next % ips
+	for range ipCount {
+		n := reserved.next % ipCount
 		reserved.next++
-		ip := fmt.Sprintf("127.80.%d.%d", n/hosts, 1+n%hosts)
+		ip := fmt.Sprintf("127.80.%d.%d", n/ipsPerSubnet, 1+n%ipsPerSubnet)
 		guard, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(guardPort)))
 		if err != nil {
 			continue
@@ -59,7 +59,7 @@
 		reserved.guards = append(reserved.guards, guard)
 		return ip, nil
 	}
-	return "", errIPs
+	return "", errNoFreeIP
 }
 
 // Addr returns an address on an IP of this process that nobody else is given.
@@ -67,13 +67,13 @@
 	reserved.Lock()
 	defer reserved.Unlock()
 	if reserved.ip == "" {
-		ip, err := reserve()
+		ip, err := reserveLocked()
 		if err != nil {
 			return "", err
 		}
-		reserved.ip, reserved.port = ip, firstPort-1
+		reserved.ip, reserved.port = ip, minPort-1
 	}
-	for reserved.port < lastPort {
+	for reserved.port < maxPort {
 		reserved.port++
 		addr := net.JoinHostPort(reserved.ip, strconv.Itoa(reserved.port))
 		// A program that listens on all addresses may have the port.
@@ -83,5 +83,5 @@
 		}
 		return addr, listener.Close()
 	}
-	return "", errPorts
+	return "", errNoFreePort
 }
--- a/internal/standin/mgloopback/loopback_test.go
+++ b/internal/standin/mgloopback/loopback_test.go
@@ -13,11 +13,11 @@
 )
 
 // printIPs has the test binary print the IPs that it reserves, and wait.
-const printIPs = "MGLOOPBACK_PRINT"
+const printIPsEnv = "MGLOOPBACK_PRINT"
 
 // TestMain is the other process of TestReserveAcrossProcesses where it is asked to.
 func TestMain(m *testing.M) {
-	if os.Getenv(printIPs) == "" {
+	if os.Getenv(printIPsEnv) == "" {
 		os.Exit(m.Run())
 	}
 	for range 40 {
@@ -32,12 +32,12 @@
 }
 
 // An address that was handed out must not be given again, nor taken by another process.
-func TestReserveAcrossProcesses(t *testing.T) {
+func TestAddressIsHandedOutTwice(t *testing.T) {
 	Convey("Processes that reserve IPs at once", t, func() {
 		seen := map[string]bool{}
 		for range 5 {
 			other := exec.Command(os.Args[0])
-			other.Env = append(os.Environ(), printIPs+"=yes")
+			other.Env = append(os.Environ(), printIPsEnv+"=yes")
 			stdin, err := other.StdinPipe()
 			So(err, ShouldBeNil)
 			stdout, err := other.StdoutPipe()
--- a/internal/standin/mgnetwork/network.go
+++ b/internal/standin/mgnetwork/network.go
@@ -13,10 +13,10 @@
 
 // A Network connects hosts. The zero Network has none.
 type Network struct {
-	mu    sync.Mutex
-	hosts map[string]*host
-	conns []*conn
-	cuts  map[path]chan struct{} // closed when the cut heals
+	mu          sync.Mutex
+	hosts       map[string]*host
+	connections []*connection
+	cuts        map[path]chan struct{} // closed when the cut heals
 }
 
 // path is from one host to another.
@@ -30,7 +30,7 @@
 	// A handler that hasn't read its request's body isn't told when the
 	// connection goes; the context of all requests ends it.
 	ctx, cancel := context.WithCancel(context.Background())
-	made := &host{
+	served := &host{
 		accept: make(chan net.Conn),
 		closed: make(chan struct{}),
 		cancel: cancel,
@@ -43,9 +43,9 @@
 	if n.hosts == nil {
 		n.hosts = make(map[string]*host)
 	}
-	n.hosts[name] = made
+	n.hosts[name] = served
 	n.mu.Unlock()
-	go func() { _ = made.server.Serve(made) }()
+	go func() { _ = served.server.Serve(served) }()
 }
 
 // Kill breaks a host's connections and makes it refuse new ones.
@@ -62,12 +62,12 @@
 // Silence makes the connections that were made to a host so far carry nothing
 // any more.
 func (n *Network) Silence(to string) {
-	n.silence(func(c *conn) bool { return c.path.to == to })
+	n.silenceWhere(func(c *connection) bool { return c.path.to == to })
 }
 
 // Cut makes the path between two hosts carry nothing, in both directions.
 func (n *Network) Cut(from, to string) {
-	along := path{
+	cutPath := path{
 		from: from,
 		to:   to,
 	}
@@ -75,34 +75,34 @@
 	if n.cuts == nil {
 		n.cuts = make(map[path]chan struct{})
 	}
-	if n.cuts[along] == nil {
-		n.cuts[along] = make(chan struct{})
+	if n.cuts[cutPath] == nil {
+		n.cuts[cutPath] = make(chan struct{})
 	}
 	n.mu.Unlock()
-	n.silence(func(c *conn) bool { return c.path == along })
+	n.silenceWhere(func(c *connection) bool { return c.path == cutPath })
 }
 
 // Heal ends the cut between two hosts. Connections that were tried meanwhile
 // are made now, as TCP tries again by itself.
 func (n *Network) Heal(from, to string) {
-	along := path{
+	cutPath := path{
 		from: from,
 		to:   to,
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if healed := n.cuts[along]; healed != nil {
+	if healed := n.cuts[cutPath]; healed != nil {
 		close(healed)
-		delete(n.cuts, along)
+		delete(n.cuts, cutPath)
 	}
 }
 
 // Close breaks everything.
 func (n *Network) Close() {
 	n.mu.Lock()
-	hosts, conns, cuts := n.hosts, n.conns, n.cuts
+	hosts, connections, cuts := n.hosts, n.connections, n.cuts
 	n.hosts = nil
-	n.conns = nil
+	n.connections = nil
 	n.cuts = nil
 	n.mu.Unlock()
 	for _, healed := range cuts {
@@ -111,7 +111,7 @@
 	for _, h := range hosts {
 		h.kill()
 	}
-	for _, c := range conns {
+	for _, c := range connections {
 		_ = c.Close()
 	}
 }
@@ -121,7 +121,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := 0
-	for _, c := range n.conns {
+	for _, c := range n.connections {
 		if c.path.to == to {
 			count++
 		}
@@ -153,9 +153,9 @@
 	}
 }
 
-func (n *Network) dial(ctx context.Context, along path) (net.Conn, error) {
+func (n *Network) dial(ctx context.Context, dialPath path) (net.Conn, error) {
 	n.mu.Lock()
-	cut := n.cuts[along]
+	cut := n.cuts[dialPath]
 	n.mu.Unlock()
 	if cut != nil {
 		select {
@@ -165,48 +165,48 @@
 		}
 	}
 	n.mu.Lock()
-	to := n.hosts[along.to]
+	target := n.hosts[dialPath.to]
 	n.mu.Unlock()
-	if to == nil {
+	if target == nil {
 		return nil, ErrRefused
 	}
-	near, far := net.Pipe()
-	c := &conn{
-		Conn:   near,
-		path:   along,
-		dead:   make(chan struct{}),
-		closed: make(chan struct{}),
+	client, server := net.Pipe()
+	c := &connection{
+		Conn:     client,
+		path:     dialPath,
+		silenced: make(chan struct{}),
+		closed:   make(chan struct{}),
 	}
 	select {
-	case to.accept <- far:
-	case <-to.closed:
+	case target.accept <- server:
+	case <-target.closed:
 		return nil, ErrRefused
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	n.mu.Lock()
-	n.conns = append(n.conns, c)
+	n.connections = append(n.connections, c)
 	n.mu.Unlock()
 	return c, nil
 }
 
-func (n *Network) silence(which func(*conn) bool) {
+func (n *Network) silenceWhere(match func(*connection) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, c := range n.conns {
-		if which(c) {
-			c.silence.Do(func() { close(c.dead) })
+	for _, c := range n.connections {
+		if match(c) {
+			c.silenceOnce.Do(func() { close(c.silenced) })
 		}
 	}
 }
 
 // host is a listener and its server.
 type host struct {
-	accept chan net.Conn
-	once   sync.Once
-	closed chan struct{}
-	cancel context.CancelFunc
-	server *http.Server
+	accept    chan net.Conn
+	closeOnce sync.Once
+	closed    chan struct{}
+	cancel    context.CancelFunc
+	server    *http.Server
 }
 
 // kill breaks the host's connections, and then tells its handlers: a process
@@ -228,7 +228,7 @@
 
 // Close implements net.Listener.
 func (h *host) Close() error {
-	h.once.Do(func() { close(h.closed) })
+	h.closeOnce.Do(func() { close(h.closed) })
 	return nil
 }
 
@@ -236,27 +236,27 @@
 func (h *host) Addr() net.Addr { return &net.TCPAddr{} }
 
 // conn takes what is written and brings nothing once it is dead.
-type conn struct {
+type connection struct {
 	net.Conn
-	path    path
-	silence sync.Once
-	dead    chan struct{}
-	closing sync.Once
-	closed  chan struct{}
+	path        path
+	silenceOnce sync.Once
+	silenced    chan struct{}
+	closeOnce   sync.Once
+	closed      chan struct{}
 }
 
 // Close implements net.Conn.
-func (c *conn) Close() error {
-	c.closing.Do(func() { close(c.closed) })
+func (c *connection) Close() error {
+	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
 // Read implements net.Conn. On a dead connection it returns once this end
 // closes it; what the far end does isn't seen any more.
-func (c *conn) Read(b []byte) (int, error) {
+func (c *connection) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	select {
-	case <-c.dead:
+	case <-c.silenced:
 	default:
 		return n, err
 	}
@@ -269,9 +269,9 @@
 }
 
 // Write implements net.Conn.
-func (c *conn) Write(b []byte) (int, error) {
+func (c *connection) Write(b []byte) (int, error) {
 	select {
-	case <-c.dead:
+	case <-c.silenced:
 		return len(b), nil
 	default:
 		return c.Conn.Write(b)
