--- a/internal/standin/mgdemo/bench_test.go
+++ b/internal/standin/mgdemo/bench_test.go
@@ -19,11 +19,11 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/standin/mgdemo"
 )
 
-// streams is the number of concurrent answers; each of their tokens travels
-// alone, as at an engine's own pace.
+// concurrentStreams is the number of concurrent answers. With 32, tokens are sent one
+// by one, as at the usual speed of an engine.
 const concurrentStreams = 32
 
-// cpu returns the processor time of this process in ns.
+// cpuTime returns the processor time of this process in ns.
 func cpuTime(b *testing.B) float64 {
 	var use syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &use); err != nil {
@@ -32,7 +32,7 @@
 	return float64(use.Utime.Nano() + use.Stime.Nano())
 }
 
-// unseen is for reads that measure no latency.
+// ignoreToken is the token callback of reads that measure no latency.
 func ignoreToken() {}
 
 func startBenchDeployment(b *testing.B) *mgdemo.Deployment {
@@ -47,10 +47,10 @@
 	return d
 }
 
-// BenchmarkToken compares the processor time of a token through entry and
-// agent with that of the same engine called directly. All processes and the
-// caller run in this one, so each figure holds every hop's both ends. The
-// ratio is path over direct.
+// BenchmarkToken compares the processor time per token through entry and agent with
+// that of calling the same engine directly. All processes and the caller run in this
+// process, so that each figure includes both ends of every hop. The ratio is path over
+// direct.
 func BenchmarkToken(b *testing.B) {
 	d := startBenchDeployment(b)
 	var direct, path float64
@@ -63,8 +63,8 @@
 	})
 }
 
-// perToken reads b.N tokens in streams answers at once and returns the
-// processor time of one.
+// cpuPerToken reads b.N tokens in concurrentStreams answers and returns the processor
+// time per token.
 func cpuPerToken(b *testing.B, read func(i, tokens int) error) float64 {
 	tokens := max(b.N/concurrentStreams, 1)
 	before := cpuTime(b)
@@ -83,7 +83,7 @@
 	return spent
 }
 
-// readDirect reads an answer from the engine; seen is called for each token.
+// readDirect reads an answer from the engine and calls seen for each token.
 func readDirect(b *testing.B, d *mgdemo.Deployment, i, tokens int, seen func()) error {
 	ctx := context.Background()
 	client := d.EngineClient("engine-1")
@@ -112,7 +112,7 @@
 	}
 }
 
-// readPath reads an answer through an entry; seen is called for each token.
+// readPath reads an answer through an entry and calls seen for each token.
 func readPath(d *mgdemo.Deployment, tokens int, seen func()) error {
 	body := fmt.Sprintf(`{"model":"report","stream":true,"messages":[{"role":"user","content":"len=%d"}]}`, min(tokens, 4096))
 	request, err := http.NewRequest(http.MethodPost, d.Entries()[0]+"/v1/chat/completions", strings.NewReader(body))
@@ -142,8 +142,8 @@
 	return fmt.Errorf("the stream ended early: %w", io.ErrUnexpectedEOF)
 }
 
-// BenchmarkRequest compares a request for one token through entry and agent
-// with the same engine called directly, one after another.
+// BenchmarkRequest compares the processor time of one-token requests through entry and
+// agent with that of calling the same engine directly, one request at a time.
 func BenchmarkRequest(b *testing.B) {
 	d := startBenchDeployment(b)
 	var direct, path float64
@@ -176,9 +176,9 @@
 	})
 }
 
-// BenchmarkLatency compares the first token and the gaps between tokens of
-// eight answers at once, through entry and agent and from the engine directly.
-// An iteration is eight answers of 200 tokens.
+// BenchmarkLatency compares the time to the first token and the gaps between tokens
+// through entry and agent with those of calling the engine directly. Each iteration
+// reads eight answers of 200 tokens at once.
 func BenchmarkLatency(b *testing.B) {
 	const answers, tokens = 8, 200
 	d := startBenchDeployment(b)
--- a/internal/standin/mgdemo/caps_test.go
+++ b/internal/standin/mgdemo/caps_test.go
@@ -14,10 +14,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// One account sends twenty lookups at once through two entries and takes the
-// engines from all others. Its table row allows three streams in the region:
-// whatever the entries know of each other, no more than three may run, and who
-// is turned away is told "not run" and when to come back.
+// Guards against more streams than the account's limit of three in the region. Twenty
+// lookups arrive at two entries at once, which may know little of each other. Rejected
+// callers must get "not run" and a time to retry.
 func TestMoreStreamsRunThanTheAccountAllows(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	d, err := mgdemo.Start(context.Background(), mgdemo.Spec{})
--- a/internal/standin/mgdemo/deployment.go
+++ b/internal/standin/mgdemo/deployment.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	_ "embed" // the sample table
+	_ "embed" // for sampleTable
 	"fmt"
 	"io"
 	"sync"
@@ -20,29 +20,29 @@
 //go:embed table.toml
 var sampleTable []byte
 
-// secret is shared by the demo's processes, all within this one.
+// secret is the shared secret of the demo's entries and agents.
 const secret = "sample-secret-of-the-demo"
 
 const (
 	region = "south"
-	// engineSpeed makes the demo's engines this many times as fast as their
-	// model's usual figures, so that long reports end within seconds.
+	// engineSpeed is the factor by which the demo's engines are faster than their
+	// model's default, so that long reports end within seconds.
 	engineSpeed = 4
-	// listLag is how late the demo's list of VMs is.
+	// listLag is the delay of the demo's list of VMs.
 	listLag = 500 * mgclock.Millis(1)
-	// drainLongest bounds the demo's own stop.
+	// drainTimeout is the drain timeout of the demo's processes.
 	drainTimeout = 2 * mgclock.Second
 )
 
-// Spec describes a deployment.
+// Spec describes a deployment. Defaults are in brackets.
 type Spec struct {
 	Entries int       // [2]
-	Engines int       // engine-1 and on, at most 3 [3]
+	Engines int       // at most 3, named engine-1 and so on [3]
 	Log     io.Writer // the processes' logs [discarded]
-	Level   string    // their level [error]
+	Level   string    // log level [error]
 }
 
-// A Deployment is a whole system in one process. Make one with Start.
+// Deployment is a whole system in one process, made by Start.
 type Deployment struct {
 	spec        Spec
 	platform    *mgstandin.Platform
@@ -56,14 +56,14 @@
 	platformURL string
 }
 
-// process is an entry or an agent of the deployment.
+// process is a running entry or agent of the deployment.
 type process struct {
 	node *mgnode.Node
 	stop context.CancelFunc
 	done chan error
 }
 
-// Start starts a deployment and returns once its entries are ready.
+// Start starts a deployment and returns when its entries and agents are ready.
 func Start(ctx context.Context, spec Spec) (*Deployment, error) {
 	spec = spec.withDefaults()
 	d := &Deployment{
@@ -103,7 +103,7 @@
 	return s
 }
 
-// zone spreads the VMs over three availability zones.
+// zone assigns the VMs to three availability zones in turn.
 func zone(i int) string { return string(rune('a' + i%3)) }
 
 func (d *Deployment) startPlatform() error {
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// common returns the settings that every process of the demo has.
+// commonSettings returns the settings that entries and agents share.
 func (d *Deployment) commonSettings(name string, i int) (mgsettings.Process, error) {
 	peer, err := mgloopback.Addr()
 	if err != nil {
@@ -296,7 +296,7 @@
 	return err
 }
 
-// awaitReady waits until every process takes work.
+// waitReady waits until every entry and agent reports that it is ready.
 func (d *Deployment) waitReady(ctx context.Context) error {
 	clock := mgclock.Clock{}
 	for name, p := range d.processes {
@@ -321,7 +321,7 @@
 // Entries returns the base URLs of the entries.
 func (d *Deployment) Entries() []string { return d.entries }
 
-// Node returns an entry's or agent's process, or nil.
+// Node returns the node of an entry or agent, or nil.
 func (d *Deployment) Node(name string) *mgnode.Node {
 	if p := d.processes[name]; p != nil {
 		return p.node
@@ -329,20 +329,20 @@
 	return nil
 }
 
-// Engine returns an engine's stand-in, or nil.
+// Engine returns the stand-in of an engine, or nil.
 func (d *Deployment) Engine(name string) *mgstandin.Engine { return d.engines[name] }
 
-// EngineClient returns a client of an engine's stand-in, which passes the
-// system by.
+// EngineClient returns a client that calls an engine directly, without entry and
+// agent.
 func (d *Deployment) EngineClient(name string) mgengine.Client { return d.clients[name] }
 
-// Service returns a plain service's stand-in, or nil.
+// Service returns the stand-in of a plain service, or nil.
 func (d *Deployment) Service(name string) *mgstandin.Service { return d.services[name] }
 
-// Platform returns the platform's stand-in.
+// Platform returns the stand-in of the platform.
 func (d *Deployment) Platform() *mgstandin.Platform { return d.platform }
 
-// Close stops everything; nothing is left running.
+// Close stops all processes and stand-ins and waits for their end.
 func (d *Deployment) Close() {
 	for _, p := range d.processes {
 		p.stop()
--- a/internal/standin/mgdemo/play.go
+++ b/internal/standin/mgdemo/play.go
@@ -13,19 +13,19 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// kind is one kind of request in the played load.
+// requestKind is one kind of request in the load.
 type requestKind struct {
 	name     string
 	account  string
-	isWrite  bool            // a plain service's call that may not be repeated
-	isPlain  bool            // a plain service's call
-	count    int             // requests
-	interval mgclock.Millis  // interval of the arrivals
-	tokens   func(i int) int // the length of the i-th answer
+	isWrite  bool            // call of a plain service that must not be repeated
+	isPlain  bool            // call of a plain service
+	count    int             // number of requests
+	interval mgclock.Millis  // time between two arrivals
+	tokens   func(i int) int // length of the i-th answer
 }
 
-// load is what Play sends: long reports and dossiers that hold the engines for
-// seconds, short answers among them, lookups and writes.
+// requestKinds is the load that Play sends: long reports and dossiers that occupy the
+// engines for seconds, short answers among them, lookups and writes.
 var requestKinds = []requestKind{
 	{
 		name:     "report",
@@ -88,25 +88,28 @@
 }
 
 const (
-	// killEngine and killEntry are when Play ends an engine and an entry.
+	// engineKillTime and entryKillTime are the times at which Play kills an engine and
+	// an entry.
 	engineKillTime = 2 * mgclock.Second
 	entryKillTime  = 4 * mgclock.Second
-	// askAgain bounds a caller's requests for one answer: a generation that its
-	// engine lost ends with a typed problem, and the caller asks anew.
+	// maxAttempts bounds a caller's requests for one answer. A generation that its
+	// engine lost ends with an Interrupted problem, after which the caller requests it
+	// again.
 	maxAttempts = 4
-	// callerSilence is when the played callers give up a connection.
+	// callerSilenceTimeout is the time without data after which a caller gives up a
+	// connection.
 	callerSilenceTimeout = 2500 * mgclock.Millis(1)
 )
 
-// play is one run of the load.
+// playRun is the state of one run of the load.
 type playRun struct {
 	deployment *Deployment
 	clock      mgclock.Clock
 	tallies    map[string]*results
 }
 
-// Play sends the load, with an engine's and an entry's end in its middle, and
-// returns the report once every caller has its answer.
+// Play sends the load, kills an engine and an entry meanwhile, and returns the report
+// when every request has ended.
 func (d *Deployment) Play(ctx context.Context) *Report {
 	p := &playRun{
 		deployment: d,
@@ -129,8 +132,8 @@
 	return p.report()
 }
 
-// client returns the caller of the i-th request. The callers prefer different
-// entries, so that some are connected to the one that is ended.
+// client returns the caller of the i-th request. Callers prefer different entries, so
+// that some are connected to the entry that is killed.
 func (p *playRun) client(account string, i int) *mgclient.Client {
 	entries := p.deployment.entries
 	first := i % len(entries)
@@ -141,7 +144,7 @@
 	})
 }
 
-// fail ends an engine and an entry without notice.
+// injectFaults kills an engine and an entry without notice.
 func (p *playRun) injectFaults(ctx context.Context) {
 	p.clock.Sleep(ctx, engineKillTime)
 	p.deployment.Engine("engine-1").Set(mgstandin.Fault{Kind: mgstandin.Die})
@@ -158,7 +161,7 @@
 	p.generate(ctx, k, i, t)
 }
 
-// generate asks for an answer until it has a whole one.
+// generate requests an answer until it gets a whole one, at most maxAttempts times.
 func (p *playRun) generate(ctx context.Context, k requestKind, i int, t *results) {
 	request := mgclient.Request{
 		Model: k.name,
@@ -184,7 +187,7 @@
 	t.recordFailure(err)
 }
 
-// call calls a plain service; a write goes under a minted operation.
+// call calls a plain service. A write carries an operation id that is minted first.
 func (p *playRun) call(ctx context.Context, k requestKind, i int, t *results) {
 	client := p.client(k.account, i)
 	spec := mgclient.CallSpec{
--- a/internal/standin/mgdemo/report.go
+++ b/internal/standin/mgdemo/report.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// longestGap bounds a recorded gap in ms.
+	// maxRecordedGap is the maximum recorded gap in ms.
 	maxRecordedGap = 60_000
-	// gapDigits is the histograms' precision in decimal digits.
+	// gapDigits is the precision of the histograms in decimal digits.
 	gapDigits = 3
-	// stallFrom is the gap between tokens from which a caller sees a stall, ten
-	// times the gap of a full engine.
+	// minStall is the shortest gap between tokens that counts as a stall, ten times
+	// the gap of a full engine.
 	minStall = 500 * mgclock.Millis(1)
 )
 
-// tally counts what callers of one kind of request got.
+// results collects what the callers of one kind of request got.
 type results struct {
 	name      string
 	sent      atomic.Int64
@@ -46,7 +46,7 @@
 	problems  []string
 }
 
-// given is an answer as a caller has it.
+// receivedAnswer is an answer as its caller received it.
 type receivedAnswer struct {
 	account      string
 	answer       mgclient.Answer
@@ -61,7 +61,7 @@
 	}
 }
 
-// watch measures the gaps between an answer's tokens.
+// gapTimer measures the gaps between the tokens of an answer.
 type gapTimer struct {
 	tally *results
 	clock mgclock.Clock
@@ -128,16 +128,16 @@
 	t.problems = append(t.problems, problem.Error())
 }
 
-// A Report is what came of a play.
+// Report is the result of Play.
 type Report struct {
 	rows   []*results
 	faults []string
 }
 
-// Faults returns what was lost, doubled or crossed.
+// Faults describes the answers and writes that were lost, doubled or crossed.
 func (r *Report) Faults() []string { return r.faults }
 
-// Write prints one line per kind of request.
+// Write prints one line per kind of request, and the faults.
 func (r *Report) Write(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "kind\tsent\tdone\tnot run\tunknown\tasked again\tresumed\tp50 ms\tp99 ms\tstall ms\tpreempted\t")
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// report checks every answer and write against the stand-ins.
+// report checks every answer and write against the stand-ins' counters.
 func (p *playRun) report() *Report {
 	r := &Report{}
 	executed := p.executions()
@@ -184,7 +184,7 @@
 	return r
 }
 
-// runs returns how often each write ran, by operation.
+// executions returns the number of executions of each write, by operation.
 func (p *playRun) executions() map[string]int {
 	executed := map[string]int{}
 	for _, name := range []string{"books", "portal"} {
@@ -197,8 +197,8 @@
 	return executed
 }
 
-// isOperation tells an operation's id from a method and path, under which the
-// stand-in counts calls without one.
+// isOperation reports whether name is an operation id. The stand-in counts calls
+// without an operation by method and path, which contain a space and a slash.
 func isOperation(name string) bool {
 	for _, r := range name {
 		if r == ' ' || r == '/' {
@@ -222,8 +222,8 @@
 	return ""
 }
 
-// check compares an answer with its generation's tokens as the engine made
-// them: each once, in order, all of them, and no other's.
+// check compares an answer with the tokens that the engine generated. All of them must
+// be there once and in order, with none of another generation.
 func (p *playRun) check(g receivedAnswer) string {
 	seal := p.deployment.Node("entry-2").Seal()
 	name, err := mganswer.NewSigner(seal).Open(g.account, g.answer.Name())
--- a/internal/standin/mgdemo/stall_test.go
+++ b/internal/standin/mgdemo/stall_test.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// readers is the number of answers that a fault strikes at once.
+	// concurrentReaders is the number of answers that are read during a fault.
 	concurrentReaders = 16
-	// length of each in tokens, and the token of the first reader at which the
-	// fault strikes.
+	// answerTokens is the length of each answer. The fault is injected when the first
+	// reader receives token number faultToken.
 	answerTokens = 600
 	faultToken   = 60
-	// demoBeat is the heartbeat interval of the demo's processes.
+	// heartbeatInterval is the heartbeat interval of the demo's processes.
 	heartbeatInterval mgclock.Millis = 250
 )
 
-// relay carries bytes to an address, until it is told to go silent: what is open
-// then stays open and carries nothing, and new connections work.
+// proxy forwards connections to a target. After silence the open connections stay open
+// and carry nothing, and new connections work.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -73,8 +73,8 @@
 	}
 }
 
-// pipe copies until an end closes. Once silent it reads on and drops, and tells
-// the other end nothing.
+// pipe copies until one end closes. Once silent it discards what it reads and does not
+// close the other end.
 func pipe(from, to net.Conn, silent <-chan struct{}) {
 	chunk := make([]byte, 4096)
 	for {
@@ -113,8 +113,8 @@
 	}
 }
 
-// through puts a relay between the entries and an agent, and waits until the
-// lagging list has told them.
+// insertProxy puts a proxy between the entries and an agent, and waits until the
+// entries have received the lagging list of VMs.
 func insertProxy(b *testing.B, d *Deployment, name string) *proxy {
 	vms := slices.Clone(d.vms)
 	at := slices.IndexFunc(vms, func(vm mgplatform.VM) bool { return vm.Name == name })
@@ -155,7 +155,7 @@
 	}
 }
 
-// strike reads answers at once, lets a fault strike, and records the longest
+// readDuringFault reads answers concurrently, injects a fault, and records the longest
 // time that each reader waited for a token. A lost or short answer is an error.
 func readDuringFault(b *testing.B, bases []string, into *hdrhistogram.Histogram, fault func()) {
 	var all sync.WaitGroup
@@ -196,10 +196,10 @@
 	b.ReportMetric(float64(stalls.ValueAtQuantile(99))/float64(heartbeatInterval), "p99-beats")
 }
 
-// BenchmarkStall measures how long a caller waits for its next token when the
-// connection between entry and agent goes silent for good (limit: three
-// heartbeats), when its own connection does (limit: its Silence), when its entry
-// is killed, and when nothing fails.
+// BenchmarkStall measures how long a caller waits for its next token when nothing
+// fails, when the connection between entry and agent goes silent for good (limit:
+// three heartbeats), when the caller's own connection does (limit: its Silence
+// timeout), and when its entry is killed.
 func BenchmarkStall(b *testing.B) {
 	b.Run("none", func(b *testing.B) {
 		stalls := hdrhistogram.New(1, maxRecordedGap, gapDigits)
@@ -242,7 +242,7 @@
 	})
 }
 
-// started starts a deployment, which its caller closes.
+// startDeployment starts a deployment, which the caller must close.
 func startDeployment(b *testing.B) *Deployment {
 	d, err := Start(context.Background(), Spec{
 		Entries: 2,
