--- a/internal/standin/mgexplore/explore.go
+++ b/internal/standin/mgexplore/explore.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 )
 
-// A Chooser answers a model's questions within one schedule.
+// Chooser makes the choices of one schedule.
 type Chooser struct {
 	choices      []choice
 	position     int
@@ -18,7 +18,8 @@
 	picked, optionCount int
 }
 
-// Choose returns a number from 0 to n-1.
+// Choose returns a number from 0 to n-1. While a schedule is replayed it returns the
+// recorded choice.
 func (c *Chooser) Choose(n int) int {
 	if c.position == len(c.choices) {
 		pick := 0
@@ -34,8 +35,9 @@
 	return c.choices[c.position-1].picked
 }
 
-// Seen notes the model's state by its name and reports whether the schedule can end here,
-// because all that follows was tried from an earlier step.
+// Seen records the model's state under its name and reports whether the schedule can
+// end here, because everything that follows was already explored from the same state
+// at an earlier or equal step.
 func (c *Chooser) Seen(step int, stateName func() string) bool {
 	if c.rng == nil && c.position < c.replayLength {
 		return false
@@ -48,7 +50,7 @@
 	return c.rng == nil && found && first <= step
 }
 
-// A Report tells what was tried.
+// Report summarizes an exploration.
 type Report struct {
 	schedules  int
 	states     int
@@ -56,25 +58,25 @@
 	violation  error
 }
 
-// Schedules returns how many schedules were run.
+// Schedules returns the number of schedules run.
 func (r Report) Schedules() int { return r.schedules }
 
-// States returns how many different states they passed.
+// States returns the number of distinct states reached.
 func (r Report) States() int { return r.states }
 
-// Whole reports whether every schedule of the model was tried.
+// Whole reports whether every schedule of the model was explored.
 func (r Report) Whole() bool { return r.isComplete }
 
-// Violation returns what the model found, with the schedule, or nil.
+// Violation returns the error of the model with the schedule that led to it, or nil.
 func (r Report) Violation() error { return r.violation }
 
-// String returns the counts.
+// String formats the counts and the violation.
 func (r Report) String() string {
 	return fmt.Sprintf("%d schedules, %d states, all tried: %t, violation: %v", r.schedules, r.states, r.isComplete, r.violation)
 }
 
-// Exhaust runs the model through every schedule, or until bound schedules were
-// run or one violates.
+// Exhaust runs the model through every schedule, until maxSchedules were run or one
+// returns an error.
 func Exhaust(maxSchedules int, model func(*Chooser) error) Report {
 	report := Report{}
 	seen := make(map[string]int)
@@ -99,7 +101,7 @@
 	return report
 }
 
-// Seeds runs the model through n random schedules, until one violates.
+// Seeds runs the model through n random schedules, until one returns an error.
 func Seeds(seed uint64, n int, model func(*Chooser) error) Report {
 	report := Report{}
 	seen := make(map[string]int)
@@ -131,7 +133,8 @@
 	return picks
 }
 
-// advance returns the trail of the next schedule, or none after the last.
+// nextSchedule returns the choices to replay for the next schedule in depth-first
+// order, or nil after the last.
 func nextSchedule(choices []choice) []choice {
 	for len(choices) > 0 {
 		last := &choices[len(choices)-1]
--- a/internal/standin/mgexplore/explore_test.go
+++ b/internal/standin/mgexplore/explore_test.go
@@ -22,7 +22,7 @@
 			So(report.Schedules(), ShouldEqual, 6)
 			So(report.Whole(), ShouldBeTrue)
 		})
-		Convey("leaves out what follows a known state, and still meets each", func() {
+		Convey("prunes schedules after a known state, and still reaches every state", func() {
 			ends := map[int]bool{}
 			report := mgexplore.Exhaust(1000, func(c *mgexplore.Chooser) error {
 				sum := 0
@@ -39,7 +39,7 @@
 			So(report.Schedules(), ShouldBeLessThan, 1<<6)
 			So(report.Whole(), ShouldBeTrue)
 		})
-		Convey("names the schedule that violates", func() {
+		Convey("reports the schedule that violates", func() {
 			bad := errors.New("bad")
 			report := mgexplore.Exhaust(100, func(c *mgexplore.Chooser) error {
 				if c.Choose(2) == 1 && c.Choose(3) == 2 {
--- a/internal/standin/mgloopback/loopback.go
+++ b/internal/standin/mgloopback/loopback.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// guardPort is the port on which a reserved IP is held.
+	// guardPort is the port that a process listens on to reserve an IP.
 	guardPort = 11999
-	// The ports that Addr hands out are below those that the kernel gives to listeners
-	// on port 0.
+	// Addr hands out ports below the range from which the kernel assigns ports to
+	// listeners on port 0.
 	minPort = 12000
 	maxPort = 30000
-	// hosts is the number of IPs in a /24 that are used, and ips in all.
+	// ipsPerSubnet is the number of IPs used in each /24, and ipCount that of all IPs.
 	ipsPerSubnet = 250
 	ipCount      = 250 * ipsPerSubnet
 )
@@ -26,24 +26,24 @@
 	errNoFreePort = errors.New("loopback: all ports of the reserved IP are in use: end what listens there")
 )
 
-// reserved is what this process holds.
+// reserved holds the IPs reserved by this process.
 var reserved struct {
 	sync.Mutex
 	guards []net.Listener
-	next   int    // number of the IP to try next
-	ip     string // that of Addr
-	port   int    // the last one that Addr gave
+	next   int    // index of the next IP to try
+	ip     string // IP of the addresses that Addr returns
+	port   int    // last port that Addr returned
 }
 
-// Reserve returns a loopback IP that no other caller of Reserve gets, in this process or
-// another, until this process ends.
+// Reserve returns a loopback IP that no other call of Reserve returns, in this process
+// or another, until this process ends.
 func Reserve() (string, error) {
 	reserved.Lock()
 	defer reserved.Unlock()
 	return reserveLocked()
 }
 
-// reserve is Reserve for holders of the lock.
+// reserveLocked is Reserve for callers that hold the lock.
 func reserveLocked() (string, error) {
 	if reserved.next == 0 {
 		reserved.next = os.Getpid() * ipsPerSubnet
@@ -62,7 +62,8 @@
 	return "", errNoFreeIP
 }
 
-// Addr returns an address on an IP of this process that nobody else is given.
+// Addr returns an address, on an IP reserved by this process, that isn't handed out
+// again.
 func Addr() (string, error) {
 	reserved.Lock()
 	defer reserved.Unlock()
@@ -76,7 +77,7 @@
 	for reserved.port < maxPort {
 		reserved.port++
 		addr := net.JoinHostPort(reserved.ip, strconv.Itoa(reserved.port))
-		// A program that listens on all addresses may have the port.
+		// A program that listens on all addresses may occupy the port.
 		listener, err := net.Listen("tcp", addr)
 		if err != nil {
 			continue
--- a/internal/standin/mgloopback/loopback_test.go
+++ b/internal/standin/mgloopback/loopback_test.go
@@ -12,10 +12,11 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/standin/mgloopback"
 )
 
-// printIPs has the test binary print the IPs that it reserves, and wait.
+// printIPsEnv makes the test binary print the IPs that it reserves, and wait.
 const printIPsEnv = "MGLOOPBACK_PRINT"
 
-// TestMain is the other process of TestReserveAcrossProcesses where it is asked to.
+// TestMain runs as the other process of TestAddressIsHandedOutTwice if printIPsEnv is
+// set.
 func TestMain(m *testing.M) {
 	if os.Getenv(printIPsEnv) == "" {
 		os.Exit(m.Run())
@@ -31,7 +32,8 @@
 	_, _ = os.Stdin.Read(make([]byte, 1))
 }
 
-// An address that was handed out must not be given again, nor taken by another process.
+// Guards against an address that is handed out twice, by one process or by several at
+// once.
 func TestAddressIsHandedOutTwice(t *testing.T) {
 	Convey("Processes that reserve IPs at once", t, func() {
 		seen := map[string]bool{}
--- a/internal/standin/mgnetwork/doc.go
+++ b/internal/standin/mgnetwork/doc.go
@@ -1,11 +1,13 @@
-// Package mgnetwork is a network in memory for tests of failures.
+// Package mgnetwork is an in-memory network for tests of failures.
 //
-// It carries HTTP between named hosts over pipes. Within a bubble of
-// testing/synctest time is virtual, so that a play of minutes with heartbeats,
-// silence and timeouts ends at once and each run gives the same verdict.
+// It carries HTTP between named hosts over pipes. In a testing/synctest bubble time is
+// virtual, so that a test of minutes with heartbeats, silence and timeouts takes no
+// real time and is reproducible.
 //
-// Terms: a silent connection is open at both ends and carries nothing any more,
-// as when a device between them has forgotten it; new ones work. A cut path
-// carries nothing, old or new, as in a partition. A killed host breaks its
-// connections and refuses new ones.
+// Terms:
+//
+//   - silent connection: open at both ends but carrying no data, as when a device
+//     between them has lost its state. New connections work.
+//   - cut path: carries no data on old or new connections, as in a partition.
+//   - killed host: its connections are closed and new ones refused.
 package mgnetwork
--- a/internal/standin/mgnetwork/network.go
+++ b/internal/standin/mgnetwork/network.go
@@ -8,27 +8,27 @@
 	"sync"
 )
 
-// ErrRefused is returned for a host that doesn't listen.
+// ErrRefused is returned when dialing a host that isn't served.
 var ErrRefused = errors.New("network: connection refused: serve the host first")
 
-// A Network connects hosts. The zero Network has none.
+// Network connects hosts. The zero Network has no hosts.
 type Network struct {
 	mu          sync.Mutex
 	hosts       map[string]*host
 	connections []*connection
-	cuts        map[path]chan struct{} // closed when the cut heals
+	cuts        map[path]chan struct{} // closed when the path is healed
 }
 
-// path is from one host to another.
+// path is the direction from a dialing host to a serving host.
 type path struct {
 	from, to string
 }
 
-// Serve makes a host answer with h, in place of what it served before.
+// Serve starts serving a host with h and replaces its previous server.
 func (n *Network) Serve(name string, h http.Handler) {
 	n.Kill(name)
-	// A handler that hasn't read its request's body isn't told when the
-	// connection goes; the context of all requests ends it.
+	// A handler that hasn't read its request's body isn't notified when its connection
+	// closes. Cancelling the base context ends it.
 	ctx, cancel := context.WithCancel(context.Background())
 	served := &host{
 		accept: make(chan net.Conn),
@@ -48,7 +48,7 @@
 	go func() { _ = served.server.Serve(served) }()
 }
 
-// Kill breaks a host's connections and makes it refuse new ones.
+// Kill closes a host's connections and makes it refuse new ones.
 func (n *Network) Kill(name string) {
 	n.mu.Lock()
 	killed := n.hosts[name]
@@ -59,13 +59,14 @@
 	}
 }
 
-// Silence makes the connections that were made to a host so far carry nothing
-// any more.
+// Silence stops the traffic on the connections made to a host so far. New connections
+// work.
 func (n *Network) Silence(to string) {
 	n.silenceWhere(func(c *connection) bool { return c.path.to == to })
 }
 
-// Cut makes the path between two hosts carry nothing, in both directions.
+// Cut stops the traffic, in both directions, on the connections that host from dials
+// to host to, existing and new.
 func (n *Network) Cut(from, to string) {
 	cutPath := path{
 		from: from,
@@ -82,8 +83,9 @@
 	n.silenceWhere(func(c *connection) bool { return c.path == cutPath })
 }
 
-// Heal ends the cut between two hosts. Connections that were tried meanwhile
-// are made now, as TCP tries again by itself.
+// Heal ends the cut between two hosts. Dials that were blocked by the cut complete
+// now, as TCP retries by itself. Connections that were open when the path was cut stay
+// silent.
 func (n *Network) Heal(from, to string) {
 	cutPath := path{
 		from: from,
@@ -97,7 +99,7 @@
 	}
 }
 
-// Close breaks everything.
+// Close heals all cuts, kills all hosts and closes all connections.
 func (n *Network) Close() {
 	n.mu.Lock()
 	hosts, connections, cuts := n.hosts, n.connections, n.cuts
@@ -116,7 +118,7 @@
 	}
 }
 
-// Dials returns how many connections were made to a host.
+// Dials returns the number of connections made to a host.
 func (n *Network) Dials(to string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -129,8 +131,8 @@
 	return count
 }
 
-// Transport returns a host's transport. With fresh set no connection is used
-// twice.
+// Transport returns an HTTP transport that dials from a host. If fresh is set, it
+// opens a new connection for each request.
 func (n *Network) Transport(from string, fresh bool) *http.Transport {
 	return &http.Transport{
 		DialContext:       n.Dial(from),
@@ -138,8 +140,8 @@
 	}
 }
 
-// Dial returns a host's dial function. It takes the name from the address and
-// leaves out the port.
+// Dial returns the dial function of a host. The host part of the address is the name
+// of the target, and the port is ignored.
 func (n *Network) Dial(from string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		name, _, err := net.SplitHostPort(address)
@@ -160,7 +162,7 @@
 	if cut != nil {
 		select {
 		case <-cut:
-		case <-ctx.Done(): // nothing came back, not even a refusal
+		case <-ctx.Done(): // a cut path doesn't even return a refusal
 			return nil, ctx.Err()
 		}
 	}
@@ -200,7 +202,7 @@
 	}
 }
 
-// host is a listener and its server.
+// host is the listener and the server of a host.
 type host struct {
 	accept    chan net.Conn
 	closeOnce sync.Once
@@ -209,8 +211,8 @@
 	server    *http.Server
 }
 
-// kill breaks the host's connections, and then tells its handlers: a process
-// that is killed has no time for a last word.
+// kill closes the host's connections before it cancels its handlers, as a killed
+// process can't send anything more.
 func (h *host) kill() {
 	_ = h.server.Close()
 	h.cancel()
@@ -235,7 +237,8 @@
 // Addr implements net.Listener.
 func (h *host) Addr() net.Addr { return &net.TCPAddr{} }
 
-// conn takes what is written and brings nothing once it is dead.
+// connection is the dialing end of a connection. Once silenced it discards what is
+// written and reads nothing.
 type connection struct {
 	net.Conn
 	path        path
@@ -251,8 +254,8 @@
 	return c.Conn.Close()
 }
 
-// Read implements net.Conn. On a dead connection it returns once this end
-// closes it; what the far end does isn't seen any more.
+// Read implements net.Conn. On a silenced connection it blocks until this end is
+// closed, whatever the other end does.
 func (c *connection) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	select {
