--- a/internal/soak/mgproc/link.go
+++ b/internal/soak/mgproc/link.go
@@ -22,7 +22,7 @@
 	dropsReplies atomic.Bool  // drops what the target sends
 
 	mu          sync.Mutex
-	isBarred    bool
+	isBlocked   bool
 	connections map[*connection]bool
 }
 
@@ -70,8 +70,8 @@
 // Cut closes the open connections and returns their number. New connections work.
 func (l *Link) Cut() int {
 	open := l.openConnections()
-	for _, s := range open {
-		s.close()
+	for _, c := range open {
+		c.close()
 	}
 	return len(open)
 }
@@ -81,19 +81,19 @@
 // work.
 func (l *Link) Silence() int {
 	open := l.openConnections()
-	for _, s := range open {
-		s.silence()
+	for _, c := range open {
+		c.silence()
 	}
 	return len(open)
 }
 
 // Block closes the open connections and closes new ones at once, until it is called
 // with false.
-func (l *Link) Block(barred bool) {
+func (l *Link) Block(blocked bool) {
 	l.mu.Lock()
-	l.isBarred = barred
+	l.isBlocked = blocked
 	l.mu.Unlock()
-	if barred {
+	if blocked {
 		l.Cut()
 	}
 }
@@ -104,8 +104,8 @@
 // DropReplies drops what the target sends until it is called with false, as a link
 // that fails in one direction. The dropped bytes are lost, so that the open
 // connections are closed at the end.
-func (l *Link) DropReplies(lost bool) {
-	if l.dropsReplies.Swap(lost) && !lost {
+func (l *Link) DropReplies(drop bool) {
+	if l.dropsReplies.Swap(drop) && !drop {
 		l.Cut()
 	}
 }
@@ -121,8 +121,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var open []*connection
-	for s := range l.connections {
-		open = append(open, s)
+	for c := range l.connections {
+		open = append(open, c)
 	}
 	return open
 }
@@ -152,26 +152,26 @@
 
 // relay forwards one connection in both directions until one end closes it.
 func (l *Link) relay(caller, target net.Conn) {
-	s := &connection{
+	c := &connection{
 		caller:   caller,
 		target:   target,
 		silenced: make(chan struct{}),
 		closed:   make(chan struct{}),
 	}
 	l.mu.Lock()
-	barred := l.isBarred
-	l.connections[s] = true
+	blocked := l.isBlocked
+	l.connections[c] = true
 	l.mu.Unlock()
-	if barred {
-		s.close()
+	if blocked {
+		c.close()
 	}
 	var directions sync.WaitGroup
-	directions.Go(func() { s.forward(target, caller, &l.delay, nil) })
-	directions.Go(func() { s.forward(caller, target, &l.delay, &l.dropsReplies) })
+	directions.Go(func() { c.forward(target, caller, &l.delay, nil) })
+	directions.Go(func() { c.forward(caller, target, &l.delay, &l.dropsReplies) })
 	directions.Wait()
-	s.close()
+	c.close()
 	l.mu.Lock()
-	delete(l.connections, s)
+	delete(l.connections, c)
 	l.mu.Unlock()
 }
 
--- a/internal/soak/mgsoak/cordon_test.go
+++ b/internal/soak/mgsoak/cordon_test.go
@@ -14,7 +14,7 @@
 	check := cordonCheck{
 		zone:         "a",
 		startedCount: 1,
-		from:         10_000,
+		start:        10_000,
 		end:          14_000,
 	}
 	for _, c := range []struct {
@@ -37,7 +37,7 @@
 			name:  "work began during a fault that hides no platform update",
 			begun: 1,
 			other: Fault{
-				Kind:   BarLink,
+				Kind:   BlockLink,
 				Target: "engine-1",
 			},
 			from:  11_000,
@@ -47,7 +47,7 @@
 			name:  "work began while the path to the platform failed",
 			begun: 1,
 			other: Fault{
-				Kind:   BarLink,
+				Kind:   BlockLink,
 				Target: platform,
 			},
 			from: 9_000,
--- a/internal/soak/mgsoak/deployment.go
+++ b/internal/soak/mgsoak/deployment.go
@@ -257,7 +257,7 @@
 }
 
 // set sets the fault of a stand-in.
-func (d *deployment) set(standin string, fault mgstandin.Fault) error {
+func (d *deployment) setFault(standin string, fault mgstandin.Fault) error {
 	body, err := json.Marshal(fault)
 	if err != nil {
 		return err
--- a/internal/soak/mgsoak/evidence.go
+++ b/internal/soak/mgsoak/evidence.go
@@ -66,7 +66,7 @@
 // tableObservation is the version of the table in force that was read from an entry.
 type tableObservation struct {
 	entry       string
-	incarnation int // which of its processes
+	incarnation int // of the entry's process
 	version     int
 }
 
--- a/internal/soak/mgsoak/inject.go
+++ b/internal/soak/mgsoak/inject.go
@@ -34,13 +34,13 @@
 		return r.stop(ctx, f.Target)
 	case PauseProcess:
 		return r.pause(ctx, f)
-	case CutLink, MuteLink, BarLink, DelayLink, LoseLink:
-		r.injectLinkFault(ctx, f, r.d.links[f.Target])
+	case CutLink, SilenceLink, BlockLink, DelayLink, DropLinkReplies:
+		r.injectLinkFault(ctx, f, r.deployment.links[f.Target])
 		return nil
 	case DieEngine, SlowEngine, LeaveEngine:
 		return r.injectEngineFault(ctx, f)
 	case FailService:
-		return r.d.set(service, mgstandin.Fault{
+		return r.deployment.setFault(service, mgstandin.Fault{
 			Kind:  f.Variant,
 			Times: failedServiceCalls,
 		})
@@ -52,10 +52,10 @@
 		r.sendPrompt(ctx, f)
 		return nil
 	case EditTable, RevokeKey:
-		r.editing.Lock()
-		defer r.editing.Unlock()
-		r.d.revoked = r.d.revoked || f.Kind == RevokeKey
-		return r.d.publishTable(ctx)
+		r.tableMu.Lock()
+		defer r.tableMu.Unlock()
+		r.deployment.revoked = r.deployment.revoked || f.Kind == RevokeKey
+		return r.deployment.publishTable(ctx)
 	}
 	return fmt.Errorf("schedule: unknown kind of fault %q: use a kind that mgsoak defines", f.Kind)
 }
@@ -66,16 +66,17 @@
 // restart kills a process and starts a new one in its place.
 func (r *run) restart(name string) error {
 	r.advanceIncarnation(name)
-	if err := r.d.processes[name].Restart(); err != nil {
+	if err := r.deployment.processes[name].Restart(); err != nil {
 		return err
 	}
 	r.advanceIncarnation(name)
 	return nil
 }
 
-// stop sends SIGTERM to a process and starts a new one once it has exited.
+// stop sends SIGTERM to a process and starts a new one once it has exited or stopTimeout
+// has passed.
 func (r *run) stop(ctx context.Context, name string) error {
-	p := r.d.processes[name]
+	p := r.deployment.processes[name]
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return nil // another fault has ended it and restarts it
 	}
@@ -88,7 +89,7 @@
 }
 
 func (r *run) pause(ctx context.Context, f Fault) error {
-	p := r.d.processes[f.Target]
+	p := r.deployment.processes[f.Target]
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return nil // another fault has ended it
 	}
@@ -101,9 +102,9 @@
 	switch f.Kind {
 	case CutLink:
 		l.Cut()
-	case MuteLink:
+	case SilenceLink:
 		l.Silence()
-	case BarLink:
+	case BlockLink:
 		l.Block(true)
 		r.sleep(ctx, f.Duration)
 		l.Block(false)
@@ -111,7 +112,7 @@
 		l.Delay(linkDelay)
 		r.sleep(ctx, f.Duration)
 		l.Delay(0)
-	case LoseLink:
+	case DropLinkReplies:
 		l.DropReplies(true)
 		r.sleep(ctx, f.Duration)
 		l.DropReplies(false)
@@ -121,8 +122,8 @@
 // injectEngineFault sets a fault of an engine and heals it afterwards. Faults of the
 // same engine are serialized, because healing the first would end the second.
 func (r *run) injectEngineFault(ctx context.Context, f Fault) error {
-	r.engines[f.Target].Lock()
-	defer r.engines[f.Target].Unlock()
+	r.engineMus[f.Target].Lock()
+	defer r.engineMus[f.Target].Unlock()
 	fault := mgstandin.Fault{
 		Kind: mgstandin.Die,
 	}
@@ -132,27 +133,27 @@
 	case LeaveEngine:
 		fault.Kind, fault.Delay = mgstandin.Leave, f.Duration
 	}
-	if err := r.d.set(f.Target, fault); err != nil {
+	if err := r.deployment.setFault(f.Target, fault); err != nil {
 		return err
 	}
 	r.sleep(ctx, f.Duration)
 	if f.Kind == LeaveEngine {
-		if err := r.d.set(f.Target, mgstandin.Fault{Kind: mgstandin.Die}); err != nil {
+		if err := r.deployment.setFault(f.Target, mgstandin.Fault{Kind: mgstandin.Die}); err != nil {
 			return err
 		}
 		r.sleep(ctx, f.Duration)
 	}
-	return r.d.set(f.Target, mgstandin.Fault{Kind: mgstandin.Heal})
+	return r.deployment.setFault(f.Target, mgstandin.Fault{Kind: mgstandin.Heal})
 }
 
 func (r *run) injectPlatformFault(ctx context.Context, f Fault) error {
-	r.platform.Lock()
-	defer r.platform.Unlock()
-	if err := r.d.set(platform, mgstandin.Fault{Kind: f.Variant}); err != nil {
+	r.platformMu.Lock()
+	defer r.platformMu.Unlock()
+	if err := r.deployment.setFault(platform, mgstandin.Fault{Kind: f.Variant}); err != nil {
 		return err
 	}
 	r.sleep(ctx, f.Duration)
-	return r.d.set(platform, mgstandin.Fault{Kind: mgstandin.Heal})
+	return r.deployment.setFault(platform, mgstandin.Fault{Kind: mgstandin.Heal})
 }
 
 // cordonDelay is the time after which every process must observe a cordon. It includes
@@ -163,19 +164,19 @@
 // cordonDelay. Platform faults are held off meanwhile, because processes learn of the
 // cordon from the platform.
 func (r *run) cordon(ctx context.Context, f Fault) error {
-	r.platform.Lock()
-	defer r.platform.Unlock()
-	if err := r.d.publishList(f.Target); err != nil {
+	r.platformMu.Lock()
+	defer r.platformMu.Unlock()
+	if err := r.deployment.publishList(f.Target); err != nil {
 		return err
 	}
 	r.sleep(ctx, cordonDelay)
 	from := r.now()
-	before, err := r.starts(f.Target)
+	before, err := r.startedGenerations(f.Target)
 	if err != nil {
 		return err
 	}
 	r.sleep(ctx, f.Duration)
-	after, err := r.starts(f.Target)
+	after, err := r.startedGenerations(f.Target)
 	if err != nil {
 		return err
 	}
@@ -183,22 +184,22 @@
 	r.cordonChecks = append(r.cordonChecks, cordonCheck{
 		zone:         f.Target,
 		startedCount: after - before,
-		from:         from,
+		start:        from,
 		end:          r.now(),
 	})
 	r.mu.Unlock()
-	return r.d.publishList()
+	return r.deployment.publishList()
 }
 
-// starts returns the number of generations started by the engines of a zone.
-func (r *run) starts(of string) (int, error) {
+// startedGenerations returns the number of generations started by the engines of a zone.
+func (r *run) startedGenerations(zoneName string) (int, error) {
 	total := 0
-	for i, engine := range r.d.names.engines {
-		if zone(i) != of {
+	for i, engine := range r.deployment.names.engines {
+		if zone(i) != zoneName {
 			continue
 		}
 		var counts mgstandin.EngineCounts
-		if err := r.d.counts(engine, &counts); err != nil {
+		if err := r.deployment.counts(engine, &counts); err != nil {
 			return 0, err
 		}
 		for _, record := range counts.Generations {
@@ -217,7 +218,7 @@
 	body := fmt.Sprintf(`{"model":"report","messages":[{"role":"user","content":"%s len=5"}]}`, mgstandin.CrashMark)
 	end := r.now() + f.Duration
 	for n := 0; r.now() < end && ctx.Err() == nil; n++ {
-		base := r.d.entries[n%len(r.d.entries)]
+		base := r.deployment.entries[n%len(r.deployment.entries)]
 		_, _ = call(ctx, http.MethodPost, base+"/v1/chat/completions", firstKey, body) // any failure is acceptable
 		r.sleep(ctx, promptInterval)
 	}
--- a/internal/soak/mgsoak/load.go
+++ b/internal/soak/mgsoak/load.go
@@ -32,25 +32,25 @@
 // runCaller sends requests one after another until ctx ends and records the results. A
 // request in progress at that time is completed.
 func (r *run) runCaller(ctx context.Context, number int) {
-	draw := rand.New(rand.NewPCG(r.seed, uint64(number)+1))
-	first := number % len(r.d.entries)
+	rng := rand.New(rand.NewPCG(r.seed, uint64(number)+1))
+	first := number % len(r.deployment.entries)
 	client := mgclient.New(mgclient.Spec{
-		Bases:   append(slices.Clone(r.d.entries[first:]), r.d.entries[:first]...),
+		Bases:   append(slices.Clone(r.deployment.entries[first:]), r.deployment.entries[:first]...),
 		Key:     firstKey,
 		Silence: 2500,
 		Begin:   20000,
 		Tries:   12,
-		Jitter:  draw.Float64,
-		Dial:    r.d.dial,
+		Jitter:  rng.Float64,
+		Dial:    r.deployment.dial,
 	})
 	for n := 0; ctx.Err() == nil; n++ {
 		name := fmt.Sprintf("caller %d, request %d,", number, n)
-		if draw.IntN(requestsPerTicket) == 0 {
+		if rng.IntN(requestsPerTicket) == 0 {
 			r.bookTicket(client, name)
 		} else {
-			r.requestReport(client, name, minReportTokens+draw.IntN(maxReportTokens-minReportTokens))
+			r.requestReport(client, name, minReportTokens+rng.IntN(maxReportTokens-minReportTokens))
 		}
-		r.clock.Sleep(ctx, mgclock.Millis(draw.IntN(100)))
+		r.clock.Sleep(ctx, mgclock.Millis(rng.IntN(100)))
 	}
 }
 
@@ -110,14 +110,14 @@
 // connection, which it replaces only when it breaks. It so covers callers that keep a
 // connection until the process exits.
 func (r *run) runObserver(ctx context.Context, i int) {
-	entry := r.d.names.entries[i]
+	entry := r.deployment.names.entries[i]
 	client := &http.Client{
 		Transport: &http.Transport{},
 	}
 	defer client.CloseIdleConnections()
 	for r.clock.Sleep(ctx, observeInterval) {
 		before := r.incarnation(entry)
-		version, ok := versionAt(ctx, client, r.d.entries[i], firstKey)
+		version, ok := versionAt(ctx, client, r.deployment.entries[i], firstKey)
 		if !ok || r.incarnation(entry) != before {
 			continue // the answer may come from either incarnation
 		}
--- a/internal/soak/mgsoak/run.go
+++ b/internal/soak/mgsoak/run.go
@@ -22,17 +22,17 @@
 
 // run is the state of one soak run.
 type run struct {
-	seed    uint64
-	size    Size
-	faults  []Fault
-	length  mgclock.Millis
-	clock   mgclock.Clock
-	started mgclock.Millis
-	d       *deployment
+	seed       uint64
+	size       Size
+	faults     []Fault
+	length     mgclock.Millis
+	clock      mgclock.Clock
+	started    mgclock.Millis
+	deployment *deployment
 
-	editing  sync.Mutex
-	platform sync.Mutex
-	engines  map[string]*sync.Mutex
+	tableMu    sync.Mutex
+	platformMu sync.Mutex
+	engineMus  map[string]*sync.Mutex
 
 	mu             sync.Mutex
 	incarnations   map[string]int
@@ -47,7 +47,7 @@
 type cordonCheck struct {
 	zone         string
 	startedCount int // generations
-	from, end    mgclock.Millis
+	start, end   mgclock.Millis
 }
 
 // faultInterval is the time in which a fault was active, relative to the start of the
@@ -97,16 +97,16 @@
 		return err
 	}
 	defer d.close()
-	r.d = d
+	r.deployment = d
 	r.incarnations = map[string]int{}
-	r.engines = map[string]*sync.Mutex{}
+	r.engineMus = map[string]*sync.Mutex{}
 	for _, name := range d.names.engines {
-		r.engines[name] = &sync.Mutex{}
+		r.engineMus[name] = &sync.Mutex{}
 	}
 	r.started = r.clock.Now()
 	loadCtx, endLoad := context.WithCancel(ctx)
 	defer endLoad()
-	var load, harms sync.WaitGroup
+	var load, injections sync.WaitGroup
 	for i := range r.size.Callers {
 		load.Go(func() { r.runCaller(loadCtx, i) })
 	}
@@ -114,10 +114,10 @@
 		load.Go(func() { r.runObserver(loadCtx, i) })
 	}
 	for _, f := range r.faults {
-		harms.Go(func() { r.runFault(ctx, f) })
+		injections.Go(func() { r.runFault(ctx, f) })
 	}
 	r.clock.Sleep(ctx, r.length)
-	harms.Wait()
+	injections.Wait()
 	r.settle(ctx)
 	endLoad()
 	load.Wait()
@@ -146,25 +146,25 @@
 // settle waits until the last table version is in force at each entry, and checks that
 // the revoked key is rejected.
 func (r *run) settle(ctx context.Context) {
-	for i, base := range r.d.entries {
+	for i, base := range r.deployment.entries {
 		last := 0
 		converged := waitUntil(ctx, settleTimeout.Duration(), func() bool {
 			version, ok := versionAt(ctx, unpooledClient, base, firstKey)
 			if ok {
 				last = version
 			}
-			return ok && version == r.d.tableVersion
+			return ok && version == r.deployment.tableVersion
 		})
 		if !converged {
-			r.addFinding(versionPropagates, "%s has version %d and not %d after %d ms: %s", r.d.names.entries[i], last, r.d.tableVersion, settleTimeout, r.d.processes[r.d.names.entries[i]].Log())
+			r.addFinding(versionPropagates, "%s has version %d and not %d after %d ms: %s", r.deployment.names.entries[i], last, r.deployment.tableVersion, settleTimeout, r.deployment.processes[r.deployment.names.entries[i]].Log())
 			continue
 		}
 		want := http.StatusOK
-		if r.d.revoked {
+		if r.deployment.revoked {
 			want = http.StatusUnauthorized
 		}
 		if code, _ := get(ctx, base+"/v1/models", secondKey); code != want {
-			r.addFinding(revokedKey, "%s answers %d and not %d to the second key", r.d.names.entries[i], code, want)
+			r.addFinding(revokedKey, "%s answers %d and not %d to the second key", r.deployment.names.entries[i], code, want)
 		}
 	}
 }
@@ -177,15 +177,15 @@
 
 // evaluate compares what callers received with the counters of the stand-ins.
 func (r *run) evaluate() error {
-	for _, engine := range r.d.names.engines {
+	for _, engine := range r.deployment.names.engines {
 		var counts mgstandin.EngineCounts
-		if err := r.d.counts(engine, &counts); err != nil {
+		if err := r.deployment.counts(engine, &counts); err != nil {
 			return err
 		}
 		r.evidence.merge(counts)
 	}
 	var counts mgstandin.ServiceCounts
-	if err := r.d.counts(service, &counts); err != nil {
+	if err := r.deployment.counts(service, &counts); err != nil {
 		return err
 	}
 	r.evidence.runs = counts.Runs
@@ -202,10 +202,10 @@
 	var found []Finding
 	for _, c := range r.cordonChecks {
 		excused := slices.ContainsFunc(r.faultIntervals, func(s faultInterval) bool {
-			return s.fault.delaysPlatformUpdates() && s.start <= c.end && c.from <= s.end+cordonDelay
+			return s.fault.delaysPlatformUpdates() && s.start <= c.end && c.start <= s.end+cordonDelay
 		})
 		if c.startedCount > 0 && !excused {
-			found = append(found, newFinding(cordonRespected, "%d generations began in zone %s at %d to %d ms", c.startedCount, c.zone, c.from, c.end))
+			found = append(found, newFinding(cordonRespected, "%d generations began in zone %s at %d to %d ms", c.startedCount, c.zone, c.start, c.end))
 		}
 	}
 	return found
@@ -219,12 +219,12 @@
 		if a.err == nil {
 			continue
 		}
-		near := r.overlappingFaults(a)
+		overlapping := r.overlappingFaults(a)
 		switch {
-		case len(near) == 0:
+		case len(overlapping) == 0:
 			found = append(found, newFinding(failureHasCause, "%s at %d to %d ms: %v", a.prompt, a.began, a.ended, a.err))
-		case !slices.ContainsFunc(near, func(s faultInterval) bool { return !s.fault.mustBeTolerated() }):
-			found = append(found, newFinding(plannedStopCutsNothing, "%s at %d to %d ms, beside %v: %v", a.prompt, a.began, a.ended, near[0].fault, a.err))
+		case !slices.ContainsFunc(overlapping, func(s faultInterval) bool { return !s.fault.mustBeTolerated() }):
+			found = append(found, newFinding(plannedStopCutsNothing, "%s at %d to %d ms, beside %v: %v", a.prompt, a.began, a.ended, overlapping[0].fault, a.err))
 		}
 	}
 	return found
--- a/internal/soak/mgsoak/schedule.go
+++ b/internal/soak/mgsoak/schedule.go
@@ -13,23 +13,23 @@
 
 // The kinds of faults.
 const (
-	KillProcess  Kind = "kill"    // then restart
-	StopProcess  Kind = "stop"    // planned, then restart
-	PauseProcess Kind = "pause"   // SIGSTOP for the duration
-	CutLink      Kind = "cut"     // open connections break, new ones work
-	BarLink      Kind = "bar"     // no connections for the duration
-	MuteLink     Kind = "mute"    // open connections pass no more bytes
-	DelayLink    Kind = "delay"   // each chunk is delayed, for the duration
-	LoseLink     Kind = "lose"    // one direction is dropped, for the duration
-	DieEngine    Kind = "die"     // all generations are lost; healed after the duration
-	SlowEngine   Kind = "slow"    // for the duration
-	LeaveEngine  Kind = "leave"   // leaves with a notice of the duration, then is down for as long
-	FailService  Kind = "service" // the next calls fail as the variant says
-	FailPlatform Kind = "platform"
-	EditTable    Kind = "edit"   // publishes a new table version
-	RevokeKey    Kind = "revoke" // publishes a table version without the second account's key
-	CordonZone   Kind = "cordon" // a zone gets no new work for the duration
-	CrashPrompt  Kind = "prompt" // a prompt that crashes its engine, sent repeatedly for the duration
+	KillProcess     Kind = "kill"    // then restart
+	StopProcess     Kind = "stop"    // planned, then restart
+	PauseProcess    Kind = "pause"   // SIGSTOP for the duration
+	CutLink         Kind = "cut"     // open connections break, new ones work
+	BlockLink       Kind = "bar"     // no connections for the duration
+	SilenceLink     Kind = "mute"    // open connections pass no more bytes
+	DelayLink       Kind = "delay"   // each chunk is delayed, for the duration
+	DropLinkReplies Kind = "lose"    // one direction is dropped, for the duration
+	DieEngine       Kind = "die"     // all generations are lost; healed after the duration
+	SlowEngine      Kind = "slow"    // for the duration
+	LeaveEngine     Kind = "leave"   // leaves with a notice of the duration, then is down for as long
+	FailService     Kind = "service" // the next calls fail as the variant says
+	FailPlatform    Kind = "platform"
+	EditTable       Kind = "edit"   // publishes a new table version
+	RevokeKey       Kind = "revoke" // publishes a table version without the second account's key
+	CordonZone      Kind = "cordon" // a zone gets no new work for the duration
+	CrashPrompt     Kind = "prompt" // a prompt that crashes its engine, sent repeatedly for the duration
 )
 
 // Fault is one step of a schedule.
@@ -45,7 +45,7 @@
 // to a process: the process is paused, or its path to the platform fails. Other links
 // carry only callers' requests and agents' work.
 func (f Fault) delaysPlatformUpdates() bool {
-	links := []Kind{CutLink, BarLink, MuteLink, DelayLink, LoseLink}
+	links := []Kind{CutLink, BlockLink, SilenceLink, DelayLink, DropLinkReplies}
 	return f.Kind == PauseProcess || f.Target == platform && slices.Contains(links, f.Kind)
 }
 
@@ -86,10 +86,10 @@
 	{StopProcess, 3},
 	{PauseProcess, 3},
 	{CutLink, 3},
-	{BarLink, 2},
-	{MuteLink, 2},
+	{BlockLink, 2},
+	{SilenceLink, 2},
 	{DelayLink, 2},
-	{LoseLink, 2},
+	{DropLinkReplies, 2},
 	{DieEngine, 2},
 	{SlowEngine, 1},
 	{LeaveEngine, 2},
@@ -172,7 +172,7 @@
 	switch f.Kind {
 	case KillProcess, StopProcess, PauseProcess:
 		f.Target = pick(slices.Concat(names.entries, names.agents))
-	case CutLink, BarLink, MuteLink, DelayLink, LoseLink:
+	case CutLink, BlockLink, SilenceLink, DelayLink, DropLinkReplies:
 		f.Target = pick(slices.Concat(names.entries, names.agents, names.engines, []string{service, platform}))
 	case DieEngine, SlowEngine, LeaveEngine:
 		f.Target = pick(names.engines)
--- a/internal/soak/mgsoak/soak_test.go
+++ b/internal/soak/mgsoak/soak_test.go
@@ -10,12 +10,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against repeated tokens, swapped answers, double bookings and a false "not
-// run" while processes are killed, stopped and paused, links fail, and engines die and
-// leave.
-//
-// Recovery times differ between machines, so that this test ignores the findings that
-// depend on them.
+// Guards against repeated tokens, swapped answers, double bookings and a false "not run"
+// under drawn faults of processes, links and engines. Recovery times differ between
+// machines, so that findings which depend on them are ignored.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts twelve processes")
