--- a/internal/standin/mgdemo/deployment.go
+++ b/internal/standin/mgdemo/deployment.go
@@ -307,7 +307,7 @@
 			}
 			select {
 			case err := <-p.done:
-				return fmt.Errorf("demo: %s ended at its start: %w", name, err)
+				return fmt.Errorf("demo: %s exited during startup: %w", name, err)
 			default:
 			}
 			if !clock.Sleep(ctx, 20) {
--- a/internal/standin/mgdemo/play.go
+++ b/internal/standin/mgdemo/play.go
@@ -218,4 +218,4 @@
 	}
 }
 
-var errStatus = errors.New("demo: a plain service refused: look at its reply")
+var errStatus = errors.New("demo: a plain service refused the call: read its reply")
--- a/internal/standin/mgloopback/loopback.go
+++ b/internal/standin/mgloopback/loopback.go
@@ -13,7 +13,7 @@
 	// guardPort is the port that a process listens on to reserve an IP.
 	guardPort = 11999
 	// Addr hands out ports below the range from which the kernel assigns ports to
-	// listeners on port 0.
+	// listeners on port 0, so that such listeners don't take them.
 	minPort = 12000
 	maxPort = 30000
 	// ipsPerSubnet is the number of IPs used in each /24, and ipCount that of all IPs.
@@ -23,7 +23,7 @@
 
 var (
 	errNoFreeIP   = errors.New("loopback: no IP of 127.80.0.0/16 can be reserved: use a system that routes 127.0.0.0/8 to itself, and end programs that listen on port 11999")
-	errNoFreePort = errors.New("loopback: all ports of the reserved IP are in use: end what listens there")
+	errNoFreePort = errors.New("loopback: all ports of the reserved IP are in use: stop the programs that listen there")
 )
 
 // reserved holds the IPs reserved by this process.
--- a/internal/standin/mgstandin/engine.go
+++ b/internal/standin/mgstandin/engine.go
@@ -32,7 +32,7 @@
 	model         *mgmodel.Engine
 	generations   map[string]*generation
 	finished      []*generation // in the order in which they ended
-	faults        Fault
+	fault         Fault
 	leaveDeadline mgclock.Millis // end of the notice of a Leave fault
 	changed       chan struct{}  // closed and replaced when a fault is set or work arrives
 	incarnation   int            // number of state losses
@@ -103,7 +103,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ensureInitialized()
-	if e.faults.Kind == Die || e.faults.Kind == Silent {
+	if e.fault.Kind == Die || e.fault.Kind == Silent {
 		return mgmodel.Result{}, e.incarnation, e.changeChannel()
 	}
 	return e.model.Step(), e.incarnation, e.changeChannel()
@@ -157,7 +157,7 @@
 		Models:   slices.Clone(e.loaded),
 		Role:     e.role,
 		Fence:    e.fence,
-		Leaving:  e.faults.Kind == Leave,
+		Leaving:  e.fault.Kind == Leave,
 		Notice:   e.remainingNotice(),
 	}
 }
@@ -183,7 +183,7 @@
 func (e *Engine) currentFault() (string, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.faults.Kind, e.changeChannel()
+	return e.fault.Kind, e.changeChannel()
 }
 
 // Counts returns the counters.
--- a/internal/standin/mgstandin/engine_test.go
+++ b/internal/standin/mgstandin/engine_test.go
@@ -272,7 +272,7 @@
 			Serves: []string{"reports"},
 		})
 		var log strings.Builder
-		say := func(call string, args ...any) { fmt.Fprintln(&log, append([]any{call}, args...)...) }
+		logCall := func(call string, args ...any) { fmt.Fprintln(&log, append([]any{call}, args...)...) }
 		spec := mgengine.StartSpec{
 			ID:     "a.1",
 			Model:  "reports",
@@ -280,24 +280,24 @@
 			Prefix: []uint64{1, 2},
 			Max:    8,
 		}
-		say("start", client.Start(ctx, spec))
-		say("start again", client.Start(ctx, spec))
+		logCall("start", client.Start(ctx, spec))
+		logCall("start again", client.Start(ctx, spec))
 		spec.ID, spec.Model = "a.2", "notes"
-		say("start an unloaded model", client.Start(ctx, spec))
+		logCall("start an unloaded model", client.Start(ctx, spec))
 		text, last, err := readStream(ctx, client, "a.1", 1)
-		say("stream", text, last.End, err)
+		logCall("stream", text, last.End, err)
 		text, last, err = readStream(ctx, client, "a.1", 7)
-		say("stream from 7", text, last.End, err)
+		logCall("stream from 7", text, last.End, err)
 		_, _, err = readStream(ctx, client, "a.9", 1)
-		say("stream a stranger's", err)
+		logCall("stream a stranger's", err)
 		list, err := client.List(ctx)
-		say("list", fmt.Sprintf("%+v", list), err)
-		say("cancel", client.Cancel(ctx, "a.1"), client.Cancel(ctx, "a.9"))
+		logCall("list", fmt.Sprintf("%+v", list), err)
+		logCall("cancel", client.Cancel(ctx, "a.1"), client.Cancel(ctx, "a.9"))
 		events, err := client.Events(ctx, 1)
-		say("events after 1", fmt.Sprintf("%+v", events), err)
+		logCall("events after 1", fmt.Sprintf("%+v", events), err)
 		load, err := client.Load(ctx)
-		say("load", fmt.Sprintf("%+v", load), err)
-		say("counts", fmt.Sprintf("%+v", e.Counts()))
+		logCall("load", fmt.Sprintf("%+v", load), err)
+		logCall("counts", fmt.Sprintf("%+v", e.Counts()))
 		golden(t, "engine.golden", log.String())
 	})
 }
--- a/internal/standin/mgstandin/generation.go
+++ b/internal/standin/mgstandin/generation.go
@@ -86,7 +86,7 @@
 	if e.generations[spec.ID] != nil {
 		return nil
 	}
-	if e.faults.Kind == Leave {
+	if e.fault.Kind == Leave {
 		return refusal("leaving", "the engine is leaving; start it elsewhere")
 	}
 	if len(e.loaded) > 0 && !slices.Contains(e.loaded, spec.Model) {
--- a/internal/standin/mgstandin/move.go
+++ b/internal/standin/mgstandin/move.go
@@ -144,7 +144,7 @@
 	if c == nil {
 		c = &incomingCopy{}
 	}
-	if e.faults.Kind == Leave || !e.model.Hold(order.HeldTokens-c.heldTokens) {
+	if e.fault.Kind == Leave || !e.model.Hold(order.HeldTokens-c.heldTokens) {
 		return refusal(roomRefusal, "no room for a copy; send it to another engine")
 	}
 	*c = incomingCopy{
--- a/internal/standin/mgstandin/platform_test.go
+++ b/internal/standin/mgstandin/platform_test.go
@@ -129,12 +129,12 @@
 		base := serve(p.Handler())
 		client := mgplatform.NewHTTP(base, mgdial.NewClient())
 		var log strings.Builder
-		say := func(key string) { fmt.Fprintln(&log, key, "->", readValue(ctx, base, key)) }
-		say("manifest")
+		logCall := func(key string) { fmt.Fprintln(&log, key, "->", readValue(ctx, base, key)) }
+		logCall("manifest")
 		p.Put("manifest", []byte("first"))
 		p.Put("page-0badc0de", []byte("a page"))
-		say("manifest")
-		say("page-0badc0de")
+		logCall("manifest")
+		logCall("page-0badc0de")
 		fmt.Fprintln(&log, "quiet watch ->", formatValue(client.Watch(ctx, "manifest", 1, 5)))
 		seen := make(chan string, 1)
 		go func() { seen <- formatValue(client.Watch(ctx, "manifest", 1, mgclock.Minute)) }()
@@ -155,7 +155,7 @@
 			},
 		})
 		So(err, ShouldBeNil)
-		say("vms")
+		logCall("vms")
 		counts := p.Counts()
 		fmt.Fprintln(&log, "reads", counts.Reads, "refused", counts.Refused)
 		golden(t, "platform.golden", log.String())
--- a/internal/standin/mgstandin/stream.go
+++ b/internal/standin/mgstandin/stream.go
@@ -128,7 +128,7 @@
 		preempted:     g.preempted,
 		end:           g.end,
 		progress:      g.changed,
-		fault:         e.faults,
+		fault:         e.fault,
 		faultApplied:  g.faultApplied,
 		switchChanged: e.changeChannel(),
 	}, true
--- a/internal/standin/mgstandin/switches.go
+++ b/internal/standin/mgstandin/switches.go
@@ -9,7 +9,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ensureInitialized()
-	e.faults = f
+	e.fault = f
 	e.leaveDeadline = e.clock.Now() + f.Delay
 	e.model.SetSpeed(e.stepSpeed())
 	if f.Kind == Die {
@@ -27,8 +27,8 @@
 	if speed <= 0 {
 		speed = 1
 	}
-	if e.faults.Kind == Slow && e.faults.Factor > 0 {
-		speed /= e.faults.Factor
+	if e.fault.Kind == Slow && e.fault.Factor > 0 {
+		speed /= e.fault.Factor
 	}
 	return speed
 }
@@ -36,7 +36,7 @@
 // remainingNotice returns how long a leaving engine will still run, or 0 if it doesn't
 // leave or the time is not known.
 func (e *Engine) remainingNotice() mgclock.Millis {
-	if e.faults.Kind != Leave || e.faults.Delay <= 0 {
+	if e.fault.Kind != Leave || e.fault.Delay <= 0 {
 		return 0
 	}
 	return max(e.leaveDeadline-e.clock.Now(), 1)
