--- a/internal/soak/mgsoak/deployment.go
+++ b/internal/soak/mgsoak/deployment.go
@@ -256,7 +256,7 @@
 	return nil
 }
 
-// set sets the fault of a stand-in.
+// setFault sets the fault of a stand-in.
 func (d *deployment) setFault(standin string, fault mgstandin.Fault) error {
 	body, err := json.Marshal(fault)
 	if err != nil {
