--- a/internal/soak/mgsoak/cordon_test.go
+++ b/internal/soak/mgsoak/cordon_test.go
@@ -8,20 +8,20 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Engines of a zone that operators empty begin generations, and a run that only looks at
-// answers finds nothing: each answer is whole.
-func TestBreached(t *testing.T) {
-	look := cordonLook{
-		zone:  "a",
-		begun: 1,
-		from:  10_000,
-		end:   14_000,
+// Guards against engines of a cordoned zone starting generations unnoticed. The
+// answers are whole, so that a check of answers alone finds nothing.
+func TestCordonBreachMissedOrFalselyReported(t *testing.T) {
+	check := cordonCheck{
+		zone:         "a",
+		startedCount: 1,
+		start:        10_000,
+		end:          14_000,
 	}
 	for _, c := range []struct {
 		name  string
 		begun int
 		other Fault
-		from  mgclock.Millis // of the other fault, which lasts for a second
+		from  mgclock.Millis // start of the other fault, which lasts one second
 		found int
 	}{
 		{
@@ -34,26 +34,26 @@
 			found: 1,
 		},
 		{
-			name:  "work began beside a fault that keeps nobody from knowing",
+			name:  "work began during a fault that hides no platform update",
 			begun: 1,
 			other: Fault{
-				Kind:   BarLink,
+				Kind:   BlockLink,
 				Target: "engine-1",
 			},
 			from:  11_000,
 			found: 1,
 		},
 		{
-			name:  "work began while the way to the platform failed",
+			name:  "work began while the path to the platform failed",
 			begun: 1,
 			other: Fault{
-				Kind:   BarLink,
+				Kind:   BlockLink,
 				Target: platform,
 			},
 			from: 9_000,
 		},
 		{
-			name:  "work began just after a process stood still",
+			name:  "work began just after a process was paused",
 			begun: 1,
 			other: Fault{
 				Kind:   PauseProcess,
@@ -62,7 +62,7 @@
 			from: 8_000,
 		},
 		{
-			name:  "work began long after a process stood still",
+			name:  "work began long after a process was paused",
 			begun: 1,
 			other: Fault{
 				Kind:   PauseProcess,
@@ -73,28 +73,30 @@
 		},
 	} {
 		Convey("A cordon where "+c.name, t, func() {
-			look.begun = c.begun
+			check.startedCount = c.begun
 			r := run{
-				cordons: []cordonLook{look},
+				cordonChecks: []cordonCheck{check},
 			}
 			if c.other != (Fault{}) {
-				r.spans = append(r.spans, span{
+				r.faultIntervals = append(r.faultIntervals, faultInterval{
 					fault: c.other,
-					from:  c.from,
+					start: c.from,
 					end:   c.from + mgclock.Second,
 				})
 			}
-			So(len(r.breached()), ShouldEqual, c.found)
+			So(len(r.checkCordons()), ShouldEqual, c.found)
 		})
 	}
 }
 
-// A prompt that ends engines must be found, but where entries can't have known it.
-func TestEndedByPrompt(t *testing.T) {
+// Guards against a prompt that crashes more engines than allowed and isn't reported.
+// More crashes are allowed for each entry that failed and may not have received the
+// record of the prompt.
+func TestPromptCrashesMissedOrFalselyReported(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		crashes int
-		entries int // faults of entries
+		entries int // faults that hit entries
 		found   int
 	}{
 		{
@@ -120,36 +122,36 @@
 	} {
 		Convey(c.name, t, func() {
 			r := &run{
-				spans: []span{
+				faultIntervals: []faultInterval{
 					{
 						fault: Fault{
 							Kind: CrashPrompt,
 						},
-						from: 4_000,
-						end:  8_000,
+						start: 4_000,
+						end:   8_000,
 					},
 					{
 						fault: Fault{
 							Kind:   KillProcess,
 							Target: "entry-2",
 						},
-						from: 100,
-						end:  200,
+						start: 100,
+						end:   200,
 					},
 				},
 			}
 			r.evidence.crashes = c.crashes
 			for range c.entries {
-				r.spans = append(r.spans, span{
+				r.faultIntervals = append(r.faultIntervals, faultInterval{
 					fault: Fault{
 						Kind:   KillProcess,
 						Target: "entry-1",
 					},
-					from: 2_000,
-					end:  2_100,
+					start: 2_000,
+					end:   2_100,
 				})
 			}
-			So(len(r.endedByPrompt()), ShouldEqual, c.found)
+			So(len(r.checkPromptCrashes()), ShouldEqual, c.found)
 		})
 	}
 }
--- a/internal/soak/mgsoak/deployment.go
+++ b/internal/soak/mgsoak/deployment.go
@@ -19,31 +19,31 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A deployment is the processes of a run and the links before them.
+// deployment holds the processes of a run and the links in front of them.
 type deployment struct {
-	binary    string
-	folder    string
-	names     cast
-	processes map[string]*mgproc.Process
-	links     map[string]*mgproc.Link
-	standins  map[string]string // base URLs
-	admins    map[string]string // addresses
-	entries   []string          // base URLs for callers, over links
-	peers     map[string]string
-	version   int
-	list      uint64 // version of the list of VMs
-	revoked   bool
-	mark      string
+	binary       string
+	folder       string
+	names        processNames
+	processes    map[string]*mgproc.Process
+	links        map[string]*mgproc.Link
+	standins     map[string]string // base URLs
+	admins       map[string]string // addresses
+	entries      []string          // base URLs for callers, over links
+	peers        map[string]string
+	tableVersion int
+	listVersion  uint64 // version of the list of VMs
+	revoked      bool
+	versionMark  string
 }
 
-// Bounds of waits, and the interval of looks.
+// Timeouts, and the interval at which conditions are polled.
 const (
-	startWait = 30 * time.Second
-	lookEvery = 20 * time.Millisecond
-	askWait   = 2 * time.Second
+	startTimeout   = 30 * time.Second
+	pollInterval   = 20 * time.Millisecond
+	requestTimeout = 2 * time.Second
 )
 
-// newDeployment starts a deployment and returns once its processes are ready.
+// newDeployment starts a deployment and returns when all its processes are ready.
 func newDeployment(ctx context.Context, binary, folder string, size Size) (*deployment, error) {
 	d := &deployment{
 		binary:    binary,
@@ -55,23 +55,23 @@
 		admins:    map[string]string{},
 		peers:     map[string]string{},
 	}
-	for _, step := range []func() error{d.startStandins, d.startSystem, func() error { return d.publishList() }, func() error { return d.edit(ctx) }} {
+	for _, step := range []func() error{d.startStandins, d.startSystem, func() error { return d.publishList() }, func() error { return d.publishTable(ctx) }} {
 		if err := step(); err != nil {
 			d.close()
 			return nil, fmt.Errorf("deployment: %w", err)
 		}
 	}
 	for name, admin := range d.admins {
-		if !until(ctx, startWait, func() bool { return status(ctx, "http://"+admin+"/ready") == http.StatusOK }) {
+		if !waitUntil(ctx, startTimeout, func() bool { return status(ctx, "http://"+admin+"/ready") == http.StatusOK }) {
 			text := d.processes[name].Log()
 			d.close()
-			return nil, fmt.Errorf("deployment: %s isn't ready after %v: %s", name, startWait, text)
+			return nil, fmt.Errorf("deployment: %s isn't ready after %v: %s", name, startTimeout, text)
 		}
 	}
 	return d, nil
 }
 
-// close ends what was started.
+// close kills the processes and closes the links.
 func (d *deployment) close() {
 	for _, p := range d.processes {
 		p.Kill()
@@ -81,7 +81,7 @@
 	}
 }
 
-// start starts a process with a settings file.
+// start writes a settings file and starts a process with it.
 func (d *deployment) start(name, settings string, args ...string) error {
 	file := filepath.Join(d.folder, name+".toml")
 	if err := os.WriteFile(file, []byte(settings), 0o600); err != nil {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// link puts a link before an address and returns its own.
+// link creates a link in front of an address and returns the link's address.
 func (d *deployment) link(name, target string) (string, error) {
 	l, err := mgproc.NewLink(target)
 	if err != nil {
@@ -105,15 +105,15 @@
 	return l.Addr(), nil
 }
 
-// dial connects to the address of a link. A process that is gone refuses the connection, as
-// it would without the link.
+// dial connects to the address of a link. As without a link, the connection is refused
+// if the target process doesn't run.
 func (d *deployment) dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	for _, l := range d.links {
 		if l.Addr() == addr {
 			return l.Dial(ctx)
 		}
 	}
-	return nil, fmt.Errorf("deployment: no link has the address %s: use one of its entries", addr)
+	return nil, fmt.Errorf("deployment: no link has the address %s: use the address of an entry", addr)
 }
 
 func (d *deployment) startStandins() error {
@@ -138,10 +138,10 @@
 		}
 	}
 	for name, base := range d.standins {
-		if !until(context.Background(), startWait, func() bool {
+		if !waitUntil(context.Background(), startTimeout, func() bool {
 			return status(context.Background(), base+"/standin/counts") == http.StatusOK
 		}) {
-			return fmt.Errorf("%s serves nothing after %v: %s", name, startWait, d.processes[name].Log())
+			return fmt.Errorf("%s doesn't answer after %v: %s", name, startTimeout, d.processes[name].Log())
 		}
 	}
 	return nil
@@ -194,11 +194,11 @@
 
 func zone(i int) string { return string(rune('a' + i%zones)) }
 
-// publishList publishes the list of VMs with cordoned zones.
+// publishList publishes the list of VMs and the cordoned zones.
 func (d *deployment) publishList(cordoned ...string) error {
-	d.list++
+	d.listVersion++
 	list := mgplatform.List{
-		Version:  d.list,
+		Version:  d.listVersion,
 		Cordoned: cordoned,
 	}
 	for i, agent := range d.names.agents {
@@ -236,10 +236,10 @@
 	return d.post(platform, "put?key=vms", data)
 }
 
-// post sends a body to a stand-in's switch. The switches are reached without a
-// link: they are the run's own.
+// post sends a body to a switch of a stand-in. Switches are called directly and not
+// over a link, as faults must not affect the run's own control calls.
 func (d *deployment) post(standin, path string, body []byte) error {
-	ctx, cancel := context.WithTimeout(context.Background(), startWait)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, d.standins[standin]+"/standin/"+path, bytes.NewReader(body))
 	if err != nil {
@@ -256,8 +256,8 @@
 	return nil
 }
 
-// set turns a stand-in's switch.
-func (d *deployment) set(standin string, fault mgstandin.Fault) error {
+// setFault sets the fault of a stand-in.
+func (d *deployment) setFault(standin string, fault mgstandin.Fault) error {
 	body, err := json.Marshal(fault)
 	if err != nil {
 		return err
@@ -265,9 +265,9 @@
 	return d.post(standin, "fault", body)
 }
 
-// counts reads a stand-in's counters.
+// counts reads the counters of a stand-in.
 func (d *deployment) counts(standin string, counts any) error {
-	ctx, cancel := context.WithTimeout(context.Background(), startWait)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	_, body := get(ctx, d.standins[standin]+"/standin/counts", "")
 	if err := json.Unmarshal(body, counts); err != nil {
@@ -276,22 +276,22 @@
 	return nil
 }
 
-// edit publishes the next version of the table. Its mark is a service that no
-// other version has.
-func (d *deployment) edit(context.Context) error {
-	d.version++
-	d.mark = fmt.Sprintf("mark%06d", d.version)
-	return d.post(platform, "table", []byte(tableOf(d.names, d.version, d.mark, d.revoked)))
+// publishTable publishes the next version of the table. Each version contains a
+// service, the version mark, that no other version has.
+func (d *deployment) publishTable(context.Context) error {
+	d.tableVersion++
+	d.versionMark = fmt.Sprintf("mark%06d", d.tableVersion)
+	return d.post(platform, "table", []byte(tableText(d.names, d.tableVersion, d.versionMark, d.revoked)))
 }
 
-// get returns the status and body of a URL, or 0 when it can't be reached.
+// get returns the status and body of a URL, or status 0 if the request failed.
 func get(ctx context.Context, url, key string) (int, []byte) {
 	return call(ctx, http.MethodGet, url, key, "")
 }
 
-// call is get with a method and a body to send.
+// call is like get, with a method and a request body.
 func call(ctx context.Context, method, url, key, body string) (int, []byte) {
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
@@ -300,7 +300,7 @@
 	if key != "" {
 		request.Header.Set("Authorization", "Bearer "+key)
 	}
-	response, err := fresh.Do(request)
+	response, err := unpooledClient.Do(request)
 	if err != nil {
 		return 0, nil
 	}
@@ -312,8 +312,8 @@
 	return response.StatusCode, text
 }
 
-// fresh uses a connection for each request.
-var fresh = &http.Client{
+// unpooledClient opens a new connection for each request.
+var unpooledClient = &http.Client{
 	Transport: &http.Transport{
 		DisableKeepAlives: true,
 	},
@@ -324,13 +324,14 @@
 	return code
 }
 
-// until waits for a condition, and reports whether it came.
-func until(ctx context.Context, span time.Duration, is func() bool) bool {
-	ctx, cancel := context.WithTimeout(ctx, span)
+// waitUntil polls a condition until it holds or the timeout ends, and reports whether
+// it held.
+func waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	for !is() {
-		if !(mgclock.Clock{}).Sleep(ctx, mgclock.Millis(lookEvery/time.Millisecond)) {
-			return is()
+	for !condition() {
+		if !(mgclock.Clock{}).Sleep(ctx, mgclock.Millis(pollInterval/time.Millisecond)) {
+			return condition()
 		}
 	}
 	return true
--- a/internal/soak/mgsoak/evidence.go
+++ b/internal/soak/mgsoak/evidence.go
@@ -11,40 +11,40 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// A Finding is a promise that was broken.
+// Finding is a promise that was broken, with the observation that shows it.
 type Finding struct {
 	Promise string `json:"promise"`
 	Seen    string `json:"seen"`
 }
 
-// String returns the finding in a line.
+// String formats the finding as one line.
 func (f Finding) String() string { return f.Promise + ": " + f.Seen }
 
-func finding(promise, format string, args ...any) Finding {
+func newFinding(promise, format string, args ...any) Finding {
 	return Finding{
 		Promise: promise,
 		Seen:    fmt.Sprintf(format, args...),
 	}
 }
 
-// The promises, as findings name them.
+// Promises, as they appear in findings.
 const (
-	oneGeneration = "one generation, each token once and in order"
-	startedOnce   = "a generation starts once"
-	ownAnswer     = "each caller has the answer to its own request"
-	trueRefusal   = "not run is true"
-	runOnce       = "a write runs at most once"
-	neverBack     = "a version in force does not go back"
-	inForce       = "a version is in force everywhere in time"
-	revokedKey    = "a key that was taken away opens nothing"
-	nothingCut    = "a planned stop cuts nothing"
-	noCause       = "nothing fails without a fault"
-	cordonKept    = "a cordoned zone gets no new work"
-	promptHeld    = "a prompt that ends engines is held back"
+	oneGeneration          = "one generation, each token once and in order"
+	generationStartsOnce   = "a generation starts once"
+	ownAnswerOnly          = "each caller has the answer to its own request"
+	notRunIsTrue           = "not run is true"
+	writeRunsOnce          = "a write runs at most once"
+	versionMonotonic       = "a version in force does not go back"
+	versionPropagates      = "a version is in force everywhere in time"
+	revokedKey             = "a key that was taken away opens nothing"
+	plannedStopCutsNothing = "a planned stop cuts nothing"
+	failureHasCause        = "nothing fails without a fault"
+	cordonRespected        = "a cordoned zone gets no new work"
+	crashPromptBlocked     = "a prompt that ends engines is held back"
 )
 
-// report is one answer as its caller has it.
-type report struct {
+// callerAnswer is an answer as its caller received it.
+type callerAnswer struct {
 	prompt string
 	length int
 	text   string
@@ -54,7 +54,7 @@
 	ended  mgclock.Millis
 }
 
-// ticket is one write as its caller has it.
+// ticket is a write as its caller saw it.
 type ticket struct {
 	operation string
 	body      []byte
@@ -63,24 +63,25 @@
 	err       error
 }
 
-// look is what one entry showed of the table in force.
-type look struct {
-	entry   string
-	life    int // which of its processes
-	version int
+// tableObservation is the version of the table in force that was read from an entry.
+type tableObservation struct {
+	entry       string
+	incarnation int // of the entry's process
+	version     int
 }
 
-// evidence is what callers and upstreams saw of a run.
+// evidence collects what callers and upstreams observed during a run.
 type evidence struct {
-	reports     []report
-	tickets     []ticket
-	looks       []look
-	generations map[string]mgstandin.Record
-	runs        map[string]int // of writes, by operation
-	crashes     int            // engines that the prompt ended
+	answers      []callerAnswer
+	tickets      []ticket
+	observations []tableObservation
+	generations  map[string]mgstandin.Record
+	runs         map[string]int // number of executions of each write, by operation
+	crashes      int            // engine crashes caused by the crash prompt
 }
 
-// merge adds what one engine remembers: a generation that moved is known to two.
+// merge adds the counters of one engine. Both engines of a migrated generation have a
+// record of it.
 func (e *evidence) merge(counts mgstandin.EngineCounts) {
 	if e.generations == nil {
 		e.generations = map[string]mgstandin.Record{}
@@ -99,30 +100,30 @@
 	}
 }
 
-// check returns the promises that the evidence shows broken.
+// check returns a finding for each promise that the evidence shows broken.
 func (e *evidence) check() []Finding {
 	var found []Finding
 	for id, record := range e.generations {
 		if record.Starts > 1 {
-			found = append(found, finding(startedOnce, "generation %s was started %d times", id, record.Starts))
+			found = append(found, newFinding(generationStartsOnce, "generation %s was started %d times", id, record.Starts))
 		}
 	}
-	for _, r := range e.reports {
-		found = append(found, e.checkReport(r)...)
+	for _, r := range e.answers {
+		found = append(found, e.checkAnswer(r)...)
 	}
 	for operation, runs := range e.runs {
 		if runs > 1 {
-			found = append(found, finding(runOnce, "operation %s ran %d times", operation, runs))
+			found = append(found, newFinding(writeRunsOnce, "operation %s ran %d times", operation, runs))
 		}
 	}
 	for _, t := range e.tickets {
 		found = append(found, e.checkTicket(t)...)
 	}
-	return append(found, e.checkLooks()...)
+	return append(found, e.checkVersionOrder()...)
 }
 
-// own returns the generations of a prompt.
-func (e *evidence) own(prompt string) []string {
+// generationsOf returns the ids of the generations started for a prompt.
+func (e *evidence) generationsOf(prompt string) []string {
 	var ids []string
 	for id, record := range e.generations {
 		if strings.Contains(record.Prompt, prompt) {
@@ -132,27 +133,27 @@
 	return ids
 }
 
-func (e *evidence) checkReport(r report) []Finding {
-	own := e.own(r.prompt)
-	mine := r.tokens == 0 && r.text == ""
-	for _, id := range own {
-		mine = mine || mgstandin.Whole(id, r.tokens) == r.text
+func (e *evidence) checkAnswer(r callerAnswer) []Finding {
+	ids := e.generationsOf(r.prompt)
+	matches := r.tokens == 0 && r.text == ""
+	for _, id := range ids {
+		matches = matches || mgstandin.Whole(id, r.tokens) == r.text
 	}
 	var found []Finding
-	if !mine {
+	if !matches {
 		promise := oneGeneration
 		for id := range e.generations {
 			if mgstandin.Whole(id, r.tokens) == r.text {
-				promise = ownAnswer
+				promise = ownAnswerOnly
 			}
 		}
-		found = append(found, finding(promise, "%s: what came in %d tokens is the beginning of none of its generations %v", r.prompt, r.tokens, own))
+		found = append(found, newFinding(promise, "%s: the received text of %d tokens is a prefix of none of its generations %v", r.prompt, r.tokens, ids))
 	}
 	if r.err == nil && r.tokens != r.length {
-		found = append(found, finding(oneGeneration, "%s: said to be whole with %d of %d tokens", r.prompt, r.tokens, r.length))
+		found = append(found, newFinding(oneGeneration, "%s: reported as whole with %d of %d tokens", r.prompt, r.tokens, r.length))
 	}
-	if r.err != nil && mgproblem.From(r.err).Outcome() == mgproblem.NotRun && len(own) > 0 {
-		found = append(found, finding(trueRefusal, "%s: told so, and generation %v began: %v", r.prompt, own, r.err))
+	if r.err != nil && mgproblem.From(r.err).Outcome() == mgproblem.NotRun && len(ids) > 0 {
+		found = append(found, newFinding(notRunIsTrue, "%s: reported as not run, but generation %v began: %v", r.prompt, ids, r.err))
 	}
 	return found
 }
@@ -161,44 +162,44 @@
 	runs := e.runs[t.operation]
 	if t.err != nil {
 		if t.operation != "" && runs > 0 && mgproblem.From(t.err).Outcome() == mgproblem.NotRun {
-			return []Finding{finding(trueRefusal, "ticket %q ran: %v", t.body, t.err)}
+			return []Finding{newFinding(notRunIsTrue, "ticket %q ran: %v", t.body, t.err)}
 		}
 		return nil
 	}
 	if t.status == http.StatusServiceUnavailable {
 		if runs > 0 {
-			return []Finding{finding(trueRefusal, "ticket %q was refused by the service and ran", t.body)}
+			return []Finding{newFinding(notRunIsTrue, "ticket %q was refused by the service and ran", t.body)}
 		}
 		return nil
 	}
 	var reply mgstandin.ServiceReply
 	if err := json.Unmarshal(t.reply, &reply); err != nil {
-		return []Finding{finding(ownAnswer, "ticket %q: status %d with no reply of the service's: %v", t.body, t.status, err)}
+		return []Finding{newFinding(ownAnswerOnly, "ticket %q: status %d without a reply of the service: %v", t.body, t.status, err)}
 	}
 	if reply.Digest != mgstandin.Digest(t.body) || reply.Operation != t.operation {
-		return []Finding{finding(ownAnswer, "ticket %q: the reply is another's", t.body)}
+		return []Finding{newFinding(ownAnswerOnly, "ticket %q: the reply belongs to another call", t.body)}
 	}
 	if runs == 0 {
-		return []Finding{finding(runOnce, "ticket %q was answered and did not run", t.body)}
+		return []Finding{newFinding(writeRunsOnce, "ticket %q was answered and did not run", t.body)}
 	}
 	return nil
 }
 
-// checkLooks looks for versions that went back in one process.
-func (e *evidence) checkLooks() []Finding {
+// checkVersionOrder finds table versions that went back within one process.
+func (e *evidence) checkVersionOrder() []Finding {
 	type process struct {
-		entry string
-		life  int
+		entry       string
+		incarnation int
 	}
 	newest := map[process]int{}
 	var found []Finding
-	for _, l := range e.looks {
+	for _, l := range e.observations {
 		p := process{
-			entry: l.entry,
-			life:  l.life,
+			entry:       l.entry,
+			incarnation: l.incarnation,
 		}
 		if l.version < newest[p] {
-			found = append(found, finding(neverBack, "%s showed version %d after %d", l.entry, l.version, newest[p]))
+			found = append(found, newFinding(versionMonotonic, "%s showed version %d after %d", l.entry, l.version, newest[p]))
 		}
 		newest[p] = max(newest[p], l.version)
 	}
--- a/internal/soak/mgsoak/soak_test.go
+++ b/internal/soak/mgsoak/soak_test.go
@@ -10,12 +10,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Entries and agents are killed, stopped and paused, links fail, engines die and
-// leave, while callers read reports and book tickets. One of them gets a token
-// twice, another's answer, a doubled booking or a "not run" that isn't true.
-//
-// How long processes take to recover differs with the machine, so that a run here
-// judges what must hold however slow it is.
+// Guards against repeated tokens, swapped answers, double bookings and a false "not run"
+// under drawn faults of processes, links and engines. Recovery times differ between
+// machines, so that findings which depend on them are ignored.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts twelve processes")
@@ -42,11 +39,11 @@
 		t.Fatal(err)
 	}
 	t.Log(r.summary())
-	slow := []string{noCause, nothingCut}
+	slow := []string{failureHasCause, plannedStopCutsNothing}
 	found := slices.DeleteFunc(r.findings, func(f Finding) bool { return slices.Contains(slow, f.Promise) })
 	Convey("A short soak finds nothing", t, func() {
 		So(found, ShouldBeEmpty)
-		So(len(r.evidence.reports), ShouldBeGreaterThan, 0)
+		So(len(r.evidence.answers), ShouldBeGreaterThan, 0)
 		So(len(r.evidence.tickets), ShouldBeGreaterThan, 0)
 		So(r.plot(filepath.Join(t.TempDir(), "soak.png")), ShouldBeNil)
 	})
--- a/internal/standin/mgdemo/deployment.go
+++ b/internal/standin/mgdemo/deployment.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	_ "embed" // the sample table
+	_ "embed" // for sampleTable
 	"fmt"
 	"io"
 	"sync"
@@ -20,67 +20,67 @@
 //go:embed table.toml
 var sampleTable []byte
 
-// secret is shared by the demo's processes, all within this one.
+// secret is the shared secret of the demo's entries and agents.
 const secret = "sample-secret-of-the-demo"
 
 const (
 	region = "south"
-	// engineSpeed makes the demo's engines this many times as fast as their
-	// model's usual figures, so that long reports end within seconds.
+	// engineSpeed is the factor by which the demo's engines are faster than their
+	// model's default, so that long reports end within seconds.
 	engineSpeed = 4
-	// listLag is how late the demo's list of VMs is.
+	// listLag is the delay of the demo's list of VMs.
 	listLag = 500 * mgclock.Millis(1)
-	// drainLongest bounds the demo's own stop.
-	drainLongest = 2 * mgclock.Second
+	// drainTimeout is the drain timeout of the demo's processes.
+	drainTimeout = 2 * mgclock.Second
 )
 
-// Spec describes a deployment.
+// Spec describes a deployment. Defaults are in brackets.
 type Spec struct {
 	Entries int       // [2]
-	Engines int       // engine-1 and on, at most 3 [3]
+	Engines int       // at most 3, named engine-1 and so on [3]
 	Log     io.Writer // the processes' logs [discarded]
-	Level   string    // their level [error]
+	Level   string    // log level [error]
 }
 
-// A Deployment is a whole system in one process. Make one with Start.
+// Deployment is a whole system in one process, made by Start.
 type Deployment struct {
-	spec     Spec
-	platform *mgstandin.Platform
-	engines  map[string]*mgstandin.Engine
-	clients  map[string]mgengine.Client
-	services map[string]*mgstandin.Service
-	entries  []string
-	nodes    map[string]*process
-	vms      []mgplatform.VM
-	closers  []func()
-	base     string
+	spec        Spec
+	platform    *mgstandin.Platform
+	engines     map[string]*mgstandin.Engine
+	clients     map[string]mgengine.Client
+	services    map[string]*mgstandin.Service
+	entries     []string
+	processes   map[string]*process
+	vms         []mgplatform.VM
+	closers     []func()
+	platformURL string
 }
 
-// process is an entry or an agent of the deployment.
+// process is a running entry or agent of the deployment.
 type process struct {
 	node *mgnode.Node
 	stop context.CancelFunc
 	done chan error
 }
 
-// Start starts a deployment and returns once its entries are ready.
+// Start starts a deployment and returns when its entries and agents are ready.
 func Start(ctx context.Context, spec Spec) (*Deployment, error) {
 	spec = spec.withDefaults()
 	d := &Deployment{
-		spec:     spec,
-		engines:  map[string]*mgstandin.Engine{},
-		clients:  map[string]mgengine.Client{},
-		services: map[string]*mgstandin.Service{},
-		nodes:    map[string]*process{},
+		spec:      spec,
+		engines:   map[string]*mgstandin.Engine{},
+		clients:   map[string]mgengine.Client{},
+		services:  map[string]*mgstandin.Service{},
+		processes: map[string]*process{},
 	}
-	steps := []func() error{d.startPlatform, d.startEngines, d.startServices, d.startEntries, d.publish}
+	steps := []func() error{d.startPlatform, d.startEngines, d.startServices, d.startEntries, d.publishVMs}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			d.Close()
 			return nil, err
 		}
 	}
-	if err := d.awaitReady(ctx); err != nil {
+	if err := d.waitReady(ctx); err != nil {
 		d.Close()
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 	return s
 }
 
-// zone spreads the VMs over three availability zones.
+// zone assigns the VMs to three availability zones in turn.
 func zone(i int) string { return string(rune('a' + i%3)) }
 
 func (d *Deployment) startPlatform() error {
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	d.base = server.URL()
+	d.platformURL = server.URL()
 	d.closers = append(d.closers, func() { _ = server.Close() })
 	return d.platform.PutTable(sampleTable)
 }
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// common returns the settings that every process of the demo has.
-func (d *Deployment) common(name string, i int) (mgsettings.Process, error) {
+// commonSettings returns the settings that entries and agents share.
+func (d *Deployment) commonSettings(name string, i int) (mgsettings.Process, error) {
 	peer, err := mgloopback.Addr()
 	if err != nil {
 		return mgsettings.Process{}, err
@@ -195,17 +195,17 @@
 		Region:   region,
 		Peer:     peer,
 		Admin:    admin,
-		Platform: d.base,
+		Platform: d.platformURL,
 		Secret:   secret,
 		Log:      d.spec.Level,
-		Drain:    int64(drainLongest),
+		Drain:    int64(drainTimeout),
 		Beat:     250,
 	}, nil
 }
 
 func (d *Deployment) startAgent(upstream string, i int, address string, models, services []string) error {
 	name := "agent-" + upstream
-	common, err := d.common(name, i)
+	common, err := d.commonSettings(name, i)
 	if err != nil {
 		return err
 	}
@@ -237,7 +237,7 @@
 func (d *Deployment) startEntries() error {
 	for i := range d.spec.Entries {
 		name := fmt.Sprintf("entry-%d", i+1)
-		common, err := d.common(name, i)
+		common, err := d.commonSettings(name, i)
 		if err != nil {
 			return err
 		}
@@ -286,20 +286,20 @@
 		stop: cancel,
 		done: make(chan error, 1),
 	}
-	d.nodes[name] = p
+	d.processes[name] = p
 	go func() { p.done <- run(stop, stop, node) }()
 	return nil
 }
 
-func (d *Deployment) publish() error {
+func (d *Deployment) publishVMs() error {
 	_, err := d.platform.PutVMs(d.vms)
 	return err
 }
 
-// awaitReady waits until every process takes work.
-func (d *Deployment) awaitReady(ctx context.Context) error {
+// waitReady waits until every entry and agent reports that it is ready.
+func (d *Deployment) waitReady(ctx context.Context) error {
 	clock := mgclock.Clock{}
-	for name, p := range d.nodes {
+	for name, p := range d.processes {
 		for {
 			ok, why := p.node.Ready()
 			if ok {
@@ -307,7 +307,7 @@
 			}
 			select {
 			case err := <-p.done:
-				return fmt.Errorf("demo: %s ended at its start: %w", name, err)
+				return fmt.Errorf("demo: %s exited during startup: %w", name, err)
 			default:
 			}
 			if !clock.Sleep(ctx, 20) {
@@ -321,33 +321,33 @@
 // Entries returns the base URLs of the entries.
 func (d *Deployment) Entries() []string { return d.entries }
 
-// Node returns an entry's or agent's process, or nil.
+// Node returns the node of an entry or agent, or nil.
 func (d *Deployment) Node(name string) *mgnode.Node {
-	if p := d.nodes[name]; p != nil {
+	if p := d.processes[name]; p != nil {
 		return p.node
 	}
 	return nil
 }
 
-// Engine returns an engine's stand-in, or nil.
+// Engine returns the stand-in of an engine, or nil.
 func (d *Deployment) Engine(name string) *mgstandin.Engine { return d.engines[name] }
 
-// EngineClient returns a client of an engine's stand-in, which passes the
-// system by.
+// EngineClient returns a client that calls an engine directly, without entry and
+// agent.
 func (d *Deployment) EngineClient(name string) mgengine.Client { return d.clients[name] }
 
-// Service returns a plain service's stand-in, or nil.
+// Service returns the stand-in of a plain service, or nil.
 func (d *Deployment) Service(name string) *mgstandin.Service { return d.services[name] }
 
-// Platform returns the platform's stand-in.
+// Platform returns the stand-in of the platform.
 func (d *Deployment) Platform() *mgstandin.Platform { return d.platform }
 
-// Close stops everything; nothing is left running.
+// Close stops all processes and stand-ins and waits for their end.
 func (d *Deployment) Close() {
-	for _, p := range d.nodes {
+	for _, p := range d.processes {
 		p.stop()
 	}
-	for _, p := range d.nodes {
+	for _, p := range d.processes {
 		<-p.done
 	}
 	for _, closer := range d.closers {
--- a/internal/standin/mgloopback/loopback_test.go
+++ b/internal/standin/mgloopback/loopback_test.go
@@ -12,12 +12,13 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/standin/mgloopback"
 )
 
-// printIPs has the test binary print the IPs that it reserves, and wait.
-const printIPs = "MGLOOPBACK_PRINT"
+// printIPsEnv makes the test binary print the IPs that it reserves, and wait.
+const printIPsEnv = "MGLOOPBACK_PRINT"
 
-// TestMain is the other process of TestReserveAcrossProcesses where it is asked to.
+// TestMain runs as the other process of TestAddressIsHandedOutTwice if printIPsEnv is
+// set.
 func TestMain(m *testing.M) {
-	if os.Getenv(printIPs) == "" {
+	if os.Getenv(printIPsEnv) == "" {
 		os.Exit(m.Run())
 	}
 	for range 40 {
@@ -31,13 +32,14 @@
 	_, _ = os.Stdin.Read(make([]byte, 1))
 }
 
-// An address that was handed out must not be given again, nor taken by another process.
-func TestReserveAcrossProcesses(t *testing.T) {
+// Guards against an address that is handed out twice, by one process or by several at
+// once.
+func TestAddressIsHandedOutTwice(t *testing.T) {
 	Convey("Processes that reserve IPs at once", t, func() {
 		seen := map[string]bool{}
 		for range 5 {
 			other := exec.Command(os.Args[0])
-			other.Env = append(os.Environ(), printIPs+"=yes")
+			other.Env = append(os.Environ(), printIPsEnv+"=yes")
 			stdin, err := other.StdinPipe()
 			So(err, ShouldBeNil)
 			stdout, err := other.StdoutPipe()
--- a/internal/standin/mgnetwork/network.go
+++ b/internal/standin/mgnetwork/network.go
@@ -8,29 +8,29 @@
 	"sync"
 )
 
-// ErrRefused is returned for a host that doesn't listen.
+// ErrRefused is returned when dialing a host that isn't served.
 var ErrRefused = errors.New("network: connection refused: serve the host first")
 
-// A Network connects hosts. The zero Network has none.
+// Network connects hosts. The zero Network has no hosts.
 type Network struct {
-	mu    sync.Mutex
-	hosts map[string]*host
-	conns []*conn
-	cuts  map[path]chan struct{} // closed when the cut heals
+	mu          sync.Mutex
+	hosts       map[string]*host
+	connections []*connection
+	cuts        map[path]chan struct{} // closed when the path is healed
 }
 
-// path is from one host to another.
+// path is the direction from a dialing host to a serving host.
 type path struct {
 	from, to string
 }
 
-// Serve makes a host answer with h, in place of what it served before.
+// Serve starts serving a host with h and replaces its previous server.
 func (n *Network) Serve(name string, h http.Handler) {
 	n.Kill(name)
-	// A handler that hasn't read its request's body isn't told when the
-	// connection goes; the context of all requests ends it.
+	// A handler that hasn't read its request's body isn't notified when its connection
+	// closes. Cancelling the base context ends it.
 	ctx, cancel := context.WithCancel(context.Background())
-	made := &host{
+	served := &host{
 		accept: make(chan net.Conn),
 		closed: make(chan struct{}),
 		cancel: cancel,
@@ -43,12 +43,12 @@
 	if n.hosts == nil {
 		n.hosts = make(map[string]*host)
 	}
-	n.hosts[name] = made
+	n.hosts[name] = served
 	n.mu.Unlock()
-	go func() { _ = made.server.Serve(made) }()
+	go func() { _ = served.server.Serve(served) }()
 }
 
-// Kill breaks a host's connections and makes it refuse new ones.
+// Kill closes a host's connections and makes it refuse new ones.
 func (n *Network) Kill(name string) {
 	n.mu.Lock()
 	killed := n.hosts[name]
@@ -59,15 +59,16 @@
 	}
 }
 
-// Silence makes the connections that were made to a host so far carry nothing
-// any more.
+// Silence stops the traffic on the connections made to a host so far. New connections
+// work.
 func (n *Network) Silence(to string) {
-	n.silence(func(c *conn) bool { return c.path.to == to })
+	n.silenceWhere(func(c *connection) bool { return c.path.to == to })
 }
 
-// Cut makes the path between two hosts carry nothing, in both directions.
+// Cut stops the traffic, in both directions, on the connections that host from dials
+// to host to, existing and new.
 func (n *Network) Cut(from, to string) {
-	along := path{
+	cutPath := path{
 		from: from,
 		to:   to,
 	}
@@ -75,34 +76,35 @@
 	if n.cuts == nil {
 		n.cuts = make(map[path]chan struct{})
 	}
-	if n.cuts[along] == nil {
-		n.cuts[along] = make(chan struct{})
+	if n.cuts[cutPath] == nil {
+		n.cuts[cutPath] = make(chan struct{})
 	}
 	n.mu.Unlock()
-	n.silence(func(c *conn) bool { return c.path == along })
+	n.silenceWhere(func(c *connection) bool { return c.path == cutPath })
 }
 
-// Heal ends the cut between two hosts. Connections that were tried meanwhile
-// are made now, as TCP tries again by itself.
+// Heal ends the cut between two hosts. Dials that were blocked by the cut complete
+// now, as TCP retries by itself. Connections that were open when the path was cut stay
+// silent.
 func (n *Network) Heal(from, to string) {
-	along := path{
+	cutPath := path{
 		from: from,
 		to:   to,
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if healed := n.cuts[along]; healed != nil {
+	if healed := n.cuts[cutPath]; healed != nil {
 		close(healed)
-		delete(n.cuts, along)
+		delete(n.cuts, cutPath)
 	}
 }
 
-// Close breaks everything.
+// Close heals all cuts, kills all hosts and closes all connections.
 func (n *Network) Close() {
 	n.mu.Lock()
-	hosts, conns, cuts := n.hosts, n.conns, n.cuts
+	hosts, connections, cuts := n.hosts, n.connections, n.cuts
 	n.hosts = nil
-	n.conns = nil
+	n.connections = nil
 	n.cuts = nil
 	n.mu.Unlock()
 	for _, healed := range cuts {
@@ -111,17 +113,17 @@
 	for _, h := range hosts {
 		h.kill()
 	}
-	for _, c := range conns {
+	for _, c := range connections {
 		_ = c.Close()
 	}
 }
 
-// Dials returns how many connections were made to a host.
+// Dials returns the number of connections made to a host.
 func (n *Network) Dials(to string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := 0
-	for _, c := range n.conns {
+	for _, c := range n.connections {
 		if c.path.to == to {
 			count++
 		}
@@ -129,8 +131,8 @@
 	return count
 }
 
-// Transport returns a host's transport. With fresh set no connection is used
-// twice.
+// Transport returns an HTTP transport that dials from a host. If fresh is set, it
+// opens a new connection for each request.
 func (n *Network) Transport(from string, fresh bool) *http.Transport {
 	return &http.Transport{
 		DialContext:       n.Dial(from),
@@ -138,8 +140,8 @@
 	}
 }
 
-// Dial returns a host's dial function. It takes the name from the address and
-// leaves out the port.
+// Dial returns the dial function of a host. The host part of the address is the name
+// of the target, and the port is ignored.
 func (n *Network) Dial(from string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		name, _, err := net.SplitHostPort(address)
@@ -153,64 +155,64 @@
 	}
 }
 
-func (n *Network) dial(ctx context.Context, along path) (net.Conn, error) {
+func (n *Network) dial(ctx context.Context, dialPath path) (net.Conn, error) {
 	n.mu.Lock()
-	cut := n.cuts[along]
+	cut := n.cuts[dialPath]
 	n.mu.Unlock()
 	if cut != nil {
 		select {
 		case <-cut:
-		case <-ctx.Done(): // nothing came back, not even a refusal
+		case <-ctx.Done(): // a cut path doesn't even return a refusal
 			return nil, ctx.Err()
 		}
 	}
 	n.mu.Lock()
-	to := n.hosts[along.to]
+	target := n.hosts[dialPath.to]
 	n.mu.Unlock()
-	if to == nil {
+	if target == nil {
 		return nil, ErrRefused
 	}
-	near, far := net.Pipe()
-	c := &conn{
-		Conn:   near,
-		path:   along,
-		dead:   make(chan struct{}),
-		closed: make(chan struct{}),
+	client, server := net.Pipe()
+	c := &connection{
+		Conn:     client,
+		path:     dialPath,
+		silenced: make(chan struct{}),
+		closed:   make(chan struct{}),
 	}
 	select {
-	case to.accept <- far:
-	case <-to.closed:
+	case target.accept <- server:
+	case <-target.closed:
 		return nil, ErrRefused
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	n.mu.Lock()
-	n.conns = append(n.conns, c)
+	n.connections = append(n.connections, c)
 	n.mu.Unlock()
 	return c, nil
 }
 
-func (n *Network) silence(which func(*conn) bool) {
+func (n *Network) silenceWhere(match func(*connection) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, c := range n.conns {
-		if which(c) {
-			c.silence.Do(func() { close(c.dead) })
+	for _, c := range n.connections {
+		if match(c) {
+			c.silenceOnce.Do(func() { close(c.silenced) })
 		}
 	}
 }
 
-// host is a listener and its server.
+// host is the listener and the server of a host.
 type host struct {
-	accept chan net.Conn
-	once   sync.Once
-	closed chan struct{}
-	cancel context.CancelFunc
-	server *http.Server
+	accept    chan net.Conn
+	closeOnce sync.Once
+	closed    chan struct{}
+	cancel    context.CancelFunc
+	server    *http.Server
 }
 
-// kill breaks the host's connections, and then tells its handlers: a process
-// that is killed has no time for a last word.
+// kill closes the host's connections before it cancels its handlers, as a killed
+// process can't send anything more.
 func (h *host) kill() {
 	_ = h.server.Close()
 	h.cancel()
@@ -228,35 +230,36 @@
 
 // Close implements net.Listener.
 func (h *host) Close() error {
-	h.once.Do(func() { close(h.closed) })
+	h.closeOnce.Do(func() { close(h.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
 func (h *host) Addr() net.Addr { return &net.TCPAddr{} }
 
-// conn takes what is written and brings nothing once it is dead.
-type conn struct {
+// connection is the dialing end of a connection. Once silenced it discards what is
+// written and reads nothing.
+type connection struct {
 	net.Conn
-	path    path
-	silence sync.Once
-	dead    chan struct{}
-	closing sync.Once
-	closed  chan struct{}
+	path        path
+	silenceOnce sync.Once
+	silenced    chan struct{}
+	closeOnce   sync.Once
+	closed      chan struct{}
 }
 
 // Close implements net.Conn.
-func (c *conn) Close() error {
-	c.closing.Do(func() { close(c.closed) })
+func (c *connection) Close() error {
+	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-// Read implements net.Conn. On a dead connection it returns once this end
-// closes it; what the far end does isn't seen any more.
-func (c *conn) Read(b []byte) (int, error) {
+// Read implements net.Conn. On a silenced connection it blocks until this end is
+// closed, whatever the other end does.
+func (c *connection) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	select {
-	case <-c.dead:
+	case <-c.silenced:
 	default:
 		return n, err
 	}
@@ -269,9 +272,9 @@
 }
 
 // Write implements net.Conn.
-func (c *conn) Write(b []byte) (int, error) {
+func (c *connection) Write(b []byte) (int, error) {
 	select {
-	case <-c.dead:
+	case <-c.silenced:
 		return len(b), nil
 	default:
 		return c.Conn.Write(b)
--- a/internal/standin/mgstandin/generation.go
+++ b/internal/standin/mgstandin/generation.go
@@ -8,40 +8,40 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// promptBytes bounds what is remembered of a prompt.
-const promptBytes = 256
+// maxRecordedPromptBytes bounds the part of a prompt that a Record keeps.
+const maxRecordedPromptBytes = 256
 
-// bytesPerToken estimates the length of a prompt that doesn't say.
+// bytesPerToken estimates the tokens of a prompt that doesn't specify them.
 const bytesPerToken = 4
 
-// generation is one that the engine holds.
+// generation is a generation that the engine holds, running or finished.
 type generation struct {
-	spec      mgengine.StartSpec
-	end       string
-	produced  uint64
-	preempted int
-	doneAt    mgclock.Millis
-	struck    bool          // its stream has met a cut or stall
-	copied    int           // tokens that copiedTo has
-	copiedTo  string        // base URL of another engine
-	changed   chan struct{} // closed and replaced on progress
+	spec         mgengine.StartSpec
+	end          string
+	produced     uint64
+	preempted    int
+	endedAt      mgclock.Millis
+	faultApplied bool          // a cut or stall was applied to its stream
+	copiedTokens int           // tokens already copied to copiedTo
+	copiedTo     string        // base URL of another engine
+	changed      chan struct{} // closed and replaced on progress
 }
 
-// advance publishes a generation's tokens up to seq.
+// advance publishes the tokens of a generation up to seq.
 func (e *Engine) advance(id string, seq uint64) {
 	if g := e.running(id); g != nil {
 		if strings.Contains(g.spec.Prompt, CrashMark) {
 			e.counts.Crashes++
-			e.die()
+			e.loseState()
 			return
 		}
 		e.counts.Tokens++
 		g.produced = seq
-		g.wake()
+		g.notifyProgress()
 	}
 }
 
-// running returns a generation, or nil when it was cancelled during the step.
+// running returns a running generation, or nil if it was cancelled during the step.
 func (e *Engine) running(id string) *generation {
 	g := e.generations[id]
 	if g == nil || g.end != "" {
@@ -50,50 +50,50 @@
 	return g
 }
 
-// finish records the end of a generation that produced its whole output.
+// finish ends a generation that produced its whole output.
 func (e *Engine) finish(g *generation, now mgclock.Millis) {
 	end := "stop"
 	if Output(g.spec.Prompt, 0) > int(g.produced) {
 		end = "length"
 	}
-	e.close(g, end, now)
+	e.endGeneration(g, end, now)
 }
 
-// close ends a generation, which can still be resumed for a while.
-func (e *Engine) close(g *generation, end string, now mgclock.Millis) {
+// endGeneration marks a generation as ended. Its stream can be resumed for some time.
+func (e *Engine) endGeneration(g *generation, end string, now mgclock.Millis) {
 	g.end = end
-	g.doneAt = now
+	g.endedAt = now
 	record := e.counts.Generations[g.spec.ID]
 	record.Tokens = int(g.produced)
 	record.End = end
 	e.counts.Generations[g.spec.ID] = record
 	e.finished = append(e.finished, g)
-	g.wake()
+	g.notifyProgress()
 }
 
-// wake lets the streams of a generation look again.
-func (g *generation) wake() {
+// notifyProgress makes the streams of the generation check its state again.
+func (g *generation) notifyProgress() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// Start starts a generation unless the engine holds it. A nil Refusal means
-// that it does now.
+// Start starts a generation unless the engine already holds it. A nil Refusal means
+// that the engine holds it.
 func (e *Engine) Start(spec mgengine.StartSpec) *mgengine.Refusal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.prepare()
+	e.ensureInitialized()
 	if e.generations[spec.ID] != nil {
 		return nil
 	}
-	if e.faults.Kind == Leave {
+	if e.fault.Kind == Leave {
 		return refusal("leaving", "the engine is leaving; start it elsewhere")
 	}
 	if len(e.loaded) > 0 && !slices.Contains(e.loaded, spec.Model) {
 		return refusal("model", "the model isn't loaded; order it or start elsewhere")
 	}
 	if spec.Copy != "" {
-		return e.goOn(spec)
+		return e.resumeFromCopy(spec)
 	}
 	if spec.Tokens < 1 {
 		spec.Tokens = 1 + len(spec.Prompt)/bytesPerToken
@@ -105,37 +105,37 @@
 		spec:    spec,
 		changed: make(chan struct{}),
 	}
-	e.cache.expect(spec.Prefix)
-	e.record(spec)
-	e.wake()
+	e.cache.addCandidates(spec.Prefix)
+	e.recordStart(spec)
+	e.notifyChange()
 	return nil
 }
 
-// record notes a start.
-func (e *Engine) record(spec mgengine.StartSpec) {
+// recordStart counts a start and keeps the beginning of the prompt.
+func (e *Engine) recordStart(spec mgengine.StartSpec) {
 	e.counts.Generations[spec.ID] = Record{
 		Starts: e.counts.Generations[spec.ID].Starts + 1,
-		Prompt: spec.Prompt[:min(len(spec.Prompt), promptBytes)],
+		Prompt: spec.Prompt[:min(len(spec.Prompt), maxRecordedPromptBytes)],
 	}
 }
 
-// Cancel ends a generation and reports whether the engine held it.
+// Cancel cancels a generation and reports whether the engine held it.
 func (e *Engine) Cancel(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.prepare()
+	e.ensureInitialized()
 	g := e.generations[id]
 	if g == nil {
 		return false
 	}
 	if g.end == "" {
 		e.model.Cancel(id)
-		e.close(g, "cancelled", e.clock.Now())
+		e.endGeneration(g, "cancelled", e.clock.Now())
 	}
 	return true
 }
 
-// List returns the generations that the engine holds, by id.
+// List returns the generations that the engine holds, sorted by id.
 func (e *Engine) List() []mgengine.Generation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/mgstandin/service.go
+++ b/internal/standin/mgstandin/service.go
@@ -14,24 +14,24 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// callBytes bounds the body of a call.
-const callBytes = 1 << 20
+// maxCallBytes bounds the body of a call.
+const maxCallBytes = 1 << 20
 
-// A Service is a plain service. It never recognizes a repeated operation, as
-// services of the old kind don't: a doubled call is a doubled run, and the
-// counters show it. The zero Service is ready for use.
+// Service is a plain service. Like a legacy service it never detects a repeated
+// operation: a repeated call is executed again, and the counters show it. The zero
+// Service is ready for use.
 type Service struct {
 	spec  ServiceSpec
 	clock mgclock.Clock
 
-	mu      sync.Mutex
-	fault   Fault
-	left    int // calls that a fault with Times still strikes
-	changed chan struct{}
-	counts  ServiceCounts
+	mu             sync.Mutex
+	fault          Fault
+	remainingCalls int // calls to which a fault with Times still applies
+	changed        chan struct{}
+	counts         ServiceCounts
 }
 
-// NewService returns a service that has run nothing.
+// NewService returns a service with zero counters.
 func NewService(spec ServiceSpec, clock mgclock.Clock) *Service {
 	return &Service{
 		spec:  spec,
@@ -39,17 +39,16 @@
 	}
 }
 
-// Digest returns the digest of a body that a reply carries, by which a caller
-// knows the reply to its own call.
+// Digest returns the digest of a call's body. A reply carries it, so that a caller can
+// verify that the reply belongs to its call.
 func Digest(body []byte) string {
 	return strconv.FormatUint(xxhash.Sum64(body), 16)
 }
 
-// Handler returns the service's calls, of any method and path, and its
-// switches.
+// Handler serves the calls, of any method and path, and the switches.
 func (s *Service) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Post("/standin/fault", takeFault(s.Set))
+	r.Post("/standin/fault", faultHandler(s.Set))
 	r.Get("/standin/counts", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, s.Counts())
 	})
@@ -57,12 +56,12 @@
 	return r
 }
 
-// Set turns a switch: Silent, Slow, Hang, Lost, Early, Refuse or Heal.
+// Set sets the fault: Silent, Slow, Hang, Lost, Early, Refuse or Heal.
 func (s *Service) Set(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
-	s.left = f.Times
+	s.remainingCalls = f.Times
 	if s.changed != nil {
 		close(s.changed)
 	}
@@ -78,8 +77,9 @@
 	return counts
 }
 
-// look returns the present fault and the channel of its change.
-func (s *Service) look() (string, <-chan struct{}) {
+// currentFault returns the current fault kind and a channel that is closed when it
+// changes.
+func (s *Service) currentFault() (string, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.changed == nil {
@@ -88,23 +88,24 @@
 	return s.fault.Kind, s.changed
 }
 
-// strike returns the fault that this call meets.
-func (s *Service) strike(ctx context.Context) Fault {
-	obey(ctx, s.look)
+// nextFault returns the fault that applies to this call, and counts the call if the
+// fault is limited to a number of calls.
+func (s *Service) nextFault(ctx context.Context) Fault {
+	applyConnectionFault(ctx, s.currentFault)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.fault
 	if f.Times > 0 {
-		if s.left == 0 {
+		if s.remainingCalls == 0 {
 			return Fault{}
 		}
-		s.left--
+		s.remainingCalls--
 	}
 	return f
 }
 
-// run counts a run and returns its number for the operation.
-func (s *Service) run(operation string) int {
+// countRun counts an execution of the operation and returns how many there were.
+func (s *Service) countRun(operation string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.counts.Runs == nil {
@@ -116,7 +117,7 @@
 }
 
 func (s *Service) call(w http.ResponseWriter, r *http.Request) {
-	f := s.strike(r.Context())
+	f := s.nextFault(r.Context())
 	switch f.Kind {
 	case Early:
 		panic(http.ErrAbortHandler)
@@ -124,7 +125,7 @@
 		writeRefusal(w, http.StatusServiceUnavailable, "refused", "not now; come back later")
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, callBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCallBytes))
 	if err != nil {
 		writeRefusal(w, http.StatusBadRequest, "invalid", "the body broke off or is over 1 MB")
 		return
@@ -140,12 +141,12 @@
 	if operation == "" {
 		operation = r.Method + " " + r.URL.Path
 	}
-	reply.Run = s.run(operation)
-	s.answer(w, r, f, reply)
+	reply.Run = s.countRun(operation)
+	s.writeReply(w, r, f, reply)
 }
 
-// answer gives the reply to a call that ran, as far as the fault lets it.
-func (s *Service) answer(w http.ResponseWriter, r *http.Request, f Fault, reply ServiceReply) {
+// writeReply writes the reply to an executed call, as far as the fault permits.
+func (s *Service) writeReply(w http.ResponseWriter, r *http.Request, f Fault, reply ServiceReply) {
 	delay := s.spec.Delay
 	switch f.Kind {
 	case Lost:
--- a/internal/standin/mgstandin/switches.go
+++ b/internal/standin/mgstandin/switches.go
@@ -2,55 +2,56 @@
 
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 
-// Set turns a switch: Die, Cut, Stall, Silent, Slow, Leave or Heal. An engine
-// that died and is healed has lost its generations, its fencing number and
-// the orders it carried out.
+// Set sets the fault: Die, Cut, Stall, Silent, Slow, Leave or Heal. An engine healed
+// after Die has lost its generations, its fencing number and the effects of the orders
+// it carried out.
 func (e *Engine) Set(f Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.prepare()
-	e.faults = f
-	e.gone = e.clock.Now() + f.Delay
-	e.model.SetSpeed(e.speed())
+	e.ensureInitialized()
+	e.fault = f
+	e.leaveDeadline = e.clock.Now() + f.Delay
+	e.model.SetSpeed(e.stepSpeed())
 	if f.Kind == Die {
-		e.die()
+		e.loseState()
 	}
 	for _, g := range e.generations {
-		g.struck = false
+		g.faultApplied = false
 	}
-	e.wake()
+	e.notifyChange()
 }
 
-// speed returns how fast the steps are under the present fault.
-func (e *Engine) speed() float64 {
+// stepSpeed returns the speed of the steps under the current fault.
+func (e *Engine) stepSpeed() float64 {
 	speed := e.spec.Model.Speed
 	if speed <= 0 {
 		speed = 1
 	}
-	if e.faults.Kind == Slow && e.faults.Factor > 0 {
-		speed /= e.faults.Factor
+	if e.fault.Kind == Slow && e.fault.Factor > 0 {
+		speed /= e.fault.Factor
 	}
 	return speed
 }
 
-// notice returns how long a leaving engine still has, 0 when it isn't told.
-func (e *Engine) notice() mgclock.Millis {
-	if e.faults.Kind != Leave || e.faults.Delay <= 0 {
+// remainingNotice returns how long a leaving engine will still run, or 0 if it doesn't
+// leave or the time is not known.
+func (e *Engine) remainingNotice() mgclock.Millis {
+	if e.fault.Kind != Leave || e.fault.Delay <= 0 {
 		return 0
 	}
-	return max(e.gone-e.clock.Now(), 1)
+	return max(e.leaveDeadline-e.clock.Now(), 1)
 }
 
-// die loses all state but the counters.
-func (e *Engine) die() {
+// loseState drops all state except the counters.
+func (e *Engine) loseState() {
 	for _, g := range e.generations {
-		g.wake()
+		g.notifyProgress()
 	}
-	e.life++
+	e.incarnation++
 	e.model = nil
 	e.finished = nil
 	e.fence = 0
-	e.report = lagged{}
+	e.laggedLoad = laggedLoad{}
 	e.cache = cacheLog{}
-	e.prepare()
+	e.ensureInitialized()
 }
