--- a/cmd/marjoramgauge/call.go
+++ b/cmd/marjoramgauge/call.go
@@ -40,8 +40,8 @@
 		Key:   key,
 	})
 	answer, err := client.Complete(ctx, mgclient.Request{
-		Model: c.Service,
-		Max:   c.Max,
+		Model:     c.Service,
+		MaxTokens: c.Max,
 		Messages: []mgclient.Message{{
 			Role:    "user",
 			Content: strings.Join(c.Args.Prompt, " "),
@@ -54,6 +54,6 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(c.output.errOut, "%d tokens, end %s, resumed %d times, answer %s\n", answer.Tokens(), answer.End(), answer.Resumes(), answer.Name())
+	fmt.Fprintf(c.output.errOut, "%d tokens, end %s, resumed %d times, answer %s\n", answer.Tokens(), answer.EndReason(), answer.ResumeCount(), answer.Name())
 	return nil
 }
--- a/internal/bench/mgbench/driver.go
+++ b/internal/bench/mgbench/driver.go
@@ -157,9 +157,9 @@
 // retry would come after its deadline.
 func (d *driver) refuseCall(now float64, c *call, problem *mgproblem.Problem) {
 	c.state = atClient
-	retryWait := min(max(float64(problem.Retry()), minRetryWait), maxRetryWait)
+	retryWait := min(max(float64(problem.RetryAfter()), minRetryWait), maxRetryWait)
 	retryWait *= 1 + retryJitter*c.jitter
-	retries := problem.Retry() > 0 && c.attempts < maxAttempts && now+retryWait < c.deadline
+	retries := problem.RetryAfter() > 0 && c.attempts < maxAttempts && now+retryWait < c.deadline
 	d.meter.refuse(now, c, retries)
 	if !retries {
 		c.state = ended
--- a/internal/bench/mgbench/driver_test.go
+++ b/internal/bench/mgbench/driver_test.go
@@ -89,12 +89,12 @@
 
 // refusingPolicy returns a policy that refuses each request with a retry time.
 func refusingPolicy(retryAfter mgclock.Millis) policy {
-	problem := mgproblem.New(mgproblem.Crowded, mgproblem.NotRun, "full", "come back")
+	problem := mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun, "full", "come back")
 	return policy{
 		build: func(_ ScenarioSpec, us []*upstream, _ uint64) router {
 			for _, u := range us {
 				u.gate = gate{
-					submit: func(mgclock.Millis, *call) *mgproblem.Problem { return problem.WithRetry(retryAfter) },
+					submit: func(mgclock.Millis, *call) *mgproblem.Problem { return problem.WithRetryAfter(retryAfter) },
 					poll:   func(_ mgclock.Millis, dst []verdict) []verdict { return dst },
 				}
 			}
--- a/internal/bench/mgbench/fifo.go
+++ b/internal/bench/mgbench/fifo.go
@@ -39,7 +39,7 @@
 	if f.upstream.engine.Waiting() > 0 {
 		return dst
 	}
-	freeBatch := f.upstream.engine.Spec().Batch - f.upstream.engine.Running()
+	freeBatch := f.upstream.engine.Spec().MaxBatch - f.upstream.engine.Running()
 	pending := 0
 	for len(f.queue) > 0 && freeBatch > 0 && f.mayStart(pending) {
 		c := f.queue[0]
--- a/internal/bench/mgbench/move.go
+++ b/internal/bench/mgbench/move.go
@@ -46,7 +46,7 @@
 	if !v.reserveMemory(c.heldTokens()) {
 		return
 	}
-	v.Take(mgmigration.Reply{
+	v.HandleReply(mgmigration.Reply{
 		Outcome: mgmigration.Copied,
 		Handle:  c.sequence.ID,
 	})
@@ -83,7 +83,7 @@
 }
 
 func (m *migrator) retryLater(now float64, retry func(at float64)) {
-	m.driver.events.schedule(now+float64(mgmigration.RetrySpan), retry)
+	m.driver.events.schedule(now+float64(mgmigration.RetryDelay), retry)
 }
 
 // mostValuable returns the generation of an entry that is most worth moving
@@ -103,11 +103,11 @@
 
 func moveWorth(now float64, c *call) float64 {
 	return mgmigration.Run{
-		Prompt:  c.sequence.Prompt,
-		Output:  c.expectedOutput(),
-		Made:    c.produced,
-		Running: toClock(now - c.firstTokenAt),
-	}.Worth()
+		Prompt:         c.sequence.Prompt,
+		ExpectedOutput: c.expectedOutput(),
+		Generated:      c.produced,
+		Elapsed:        toClock(now - c.firstTokenAt),
+	}.Benefit()
 }
 
 // destination returns the upstream to which a generation moves, or nil if
@@ -120,23 +120,23 @@
 			entry: m.entryOf(c),
 		})
 	}
-	request := mgmigration.Ask{
-		Source: upstreamName(c.upstream),
-		Run:    c.sequence.ID,
-		Worth:  moveWorth(now, c),
+	request := mgmigration.SlotRequest{
+		Source:  upstreamName(c.upstream),
+		Run:     c.sequence.ID,
+		Benefit: moveWorth(now, c),
 	}
 	query := m.copyQuery(c)
 	for _, u := range m.driver.upstreams {
 		if u.isLeaving {
 			continue
 		}
-		request.Places = append(request.Places, mgmigration.Spot{
-			Name: upstreamName(u),
-			Cost: m.cost(u, m.entryOf(c), query),
-			Span: m.copyDuration(c.upstream, u, c.heldTokens()),
+		request.Destinations = append(request.Destinations, mgmigration.Destination{
+			Name:     upstreamName(u),
+			Cost:     m.cost(u, m.entryOf(c), query),
+			CopyTime: m.copyDuration(c.upstream, u, c.heldTokens()),
 		})
 	}
-	placement, ok := m.slots.Ask(toClock(now), request)
+	placement, ok := m.slots.Acquire(toClock(now), request)
 	if !ok {
 		return nil
 	}
@@ -231,7 +231,7 @@
 
 // reserveMemory reserves memory at the destination.
 func (v *move) reserveMemory(tokens int) bool {
-	if !v.to.engine.Hold(tokens) {
+	if !v.to.engine.Reserve(tokens) {
 		return false
 	}
 	v.engine, v.heldMemory = v.to.engine, tokens
@@ -248,7 +248,7 @@
 		v.engine.Release(v.heldMemory)
 		v.heldMemory = 0
 	}
-	m.slots.End(upstreamName(v.from), v.call.sequence.ID)
+	m.slots.Release(upstreamName(v.from), v.call.sequence.ID)
 }
 
 // endMove ends a move and starts the entry's next one.
--- a/internal/bench/mgbench/oracle.go
+++ b/internal/bench/mgbench/oracle.go
@@ -185,7 +185,7 @@
 }
 
 // tooLate is the oracle's refusal.
-var tooLate = mgproblem.New(mgproblem.Late, mgproblem.NotRun, "no time is left", "ask with a later deadline")
+var tooLate = mgproblem.New(mgproblem.DeadlineExceeded, mgproblem.NotRun, "no time is left", "ask with a later deadline")
 
 // startFitting starts the calls of a queue that fit. If the order is free, it
 // gives up calls that can no longer meet their deadline and skips calls that
@@ -194,7 +194,7 @@
 	queue := from.queue
 	from.queue = queue[:0:0]
 	for i, c := range queue {
-		full := len(o.batch) >= o.upstream.engine.Spec().Batch
+		full := len(o.batch) >= o.upstream.engine.Spec().MaxBatch
 		if full || i >= maxOracleScan {
 			from.queue = append(from.queue, queue[i:]...)
 			return dst
--- a/internal/bench/mgbench/ours.go
+++ b/internal/bench/mgbench/ours.go
@@ -89,7 +89,7 @@
 		oursPolicy("ours/steady", "ours, all services prefer steady", settingsByName("ours"), Steady),
 		oursPolicy("ours/whole", "ours, all services prefer whole", settingsByName("ours"), Whole),
 	}
-	for _, name := range mgscheduler.Names() {
+	for _, name := range mgscheduler.PolicyNames() {
 		if name != "ours" {
 			front = append(front, oursWithSettings(name))
 		}
@@ -103,7 +103,7 @@
 }
 
 func settingsByName(name string) mgscheduler.Policy {
-	settings, err := mgscheduler.Named(name)
+	settings, err := mgscheduler.PolicyByName(name)
 	if err != nil {
 		panic("mgbench: " + err.Error())
 	}
@@ -115,7 +115,7 @@
 func (e *entry) route(now mgclock.Millis, c *call) (*upstream, *mgproblem.Problem) {
 	for i, u := range e.upstreams {
 		if u.isLeaving {
-			e.fleet.Leave(i)
+			e.fleet.MarkLeaving(i)
 		}
 	}
 	query := mgrouting.Query{
@@ -130,9 +130,9 @@
 	problem := noUpstream
 	for _, i := range e.candidates {
 		offer, refused := e.agents[i].offer(now, c)
-		offer.Flights = e.fleet.Flights(i)
+		offer.InFlight = e.fleet.InFlight(i)
 		e.offers = append(e.offers, offer)
-		if refused != nil && (problem == noUpstream || refused.Retry() < problem.Retry()) {
+		if refused != nil && (problem == noUpstream || refused.RetryAfter() < problem.RetryAfter()) {
 			problem = refused
 		}
 	}
@@ -159,7 +159,7 @@
 		upstream: u,
 		scheduler: mgscheduler.New(mgscheduler.Spec{
 			Memory: int64(spec.Memory),
-			Batch:  spec.Batch,
+			Batch:  spec.MaxBatch,
 			Policy: settings,
 		}),
 		accounts: s.Accounts,
@@ -176,7 +176,7 @@
 			a.scheduler.Progress(now, c.sequence.ID, c.produced)
 		},
 		preempted: func(now mgclock.Millis, c *call) {
-			a.scheduler.Preempted(now, c.sequence.ID)
+			a.scheduler.RecordPreemption(now, c.sequence.ID)
 		},
 		finish: func(now mgclock.Millis, c *call) {
 			a.scheduler.Finish(now, c.sequence.ID)
@@ -193,13 +193,13 @@
 	r := a.request(c)
 	o := a.scheduler.Offer(now, r)
 	return mgrouting.Offer{
-		Upstream: a.upstream.index,
-		Wait:     o.Wait,
-		Rest:     o.Rest,
-		Uncached: r.Prompt - r.Cached,
-		Headroom: o.Headroom,
-		Running:  o.Running,
-		Refused:  o.Refused != nil,
+		Upstream:       a.upstream.index,
+		Wait:           o.Wait,
+		GenerationTime: o.GenerationTime,
+		Uncached:       r.Prompt - r.Cached,
+		Headroom:       o.Headroom,
+		Running:        o.Running,
+		Refused:        o.Refused != nil,
 	}, o.Refused
 }
 
--- a/internal/bench/mgbench/policy.go
+++ b/internal/bench/mgbench/policy.go
@@ -88,7 +88,7 @@
 type router func(now mgclock.Millis, c *call) (*upstream, *mgproblem.Problem)
 
 // noUpstream is the refusal when no upstream accepts work.
-var noUpstream = mgproblem.New(mgproblem.Crowded, mgproblem.NotRun, "no upstream takes work", "ask again later").WithRetry(mgclock.Second)
+var noUpstream = mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun, "no upstream takes work", "ask again later").WithRetryAfter(mgclock.Second)
 
 // policies returns all policies in the order of the tables.
 func policies() []policy {
--- a/internal/bench/mgbench/reclaim.go
+++ b/internal/bench/mgbench/reclaim.go
@@ -31,14 +31,14 @@
 	driver               *driver
 	spec                 ReclaimSpec
 	strategy             moveStrategy
-	slots                mgmigration.Turns
+	slots                mgmigration.Slots
 	hub                  mgload.Hub
-	counts               []mgload.Count // by entry
+	counts               []mgload.Tracker // by entry
 	otherReports         []mgload.Report
 	linkFreeAt           []float64 // by upstream, time at which its link is free
 	random               *rand.Rand
-	waitingList          *mgroom.Room // nil if requests wait at engines
-	isPlacementScheduled bool         // the next placement round is scheduled
+	waitingList          *mgroom.WaitingList // nil if requests wait at engines
+	isPlacementScheduled bool                // the next placement round is scheduled
 }
 
 func newMigrator(d *driver, strategy moveStrategy, seed uint64) *migrator {
@@ -48,13 +48,13 @@
 		driver:       d,
 		spec:         spec,
 		strategy:     strategy,
-		counts:       make([]mgload.Count, entries),
+		counts:       make([]mgload.Tracker, entries),
 		otherReports: make([]mgload.Report, entries),
 		linkFreeAt:   make([]float64, len(d.upstreams)),
 		random:       rand.New(rand.NewPCG(seed, randomStream+1)),
 	}
 	if strategy == strategyWaitingList {
-		m.waitingList = &mgroom.Room{}
+		m.waitingList = &mgroom.WaitingList{}
 	}
 	return m
 }
@@ -76,7 +76,7 @@
 // exchangeReports exchanges the loads that the entries sent.
 func (m *migrator) exchangeReports(now float64) {
 	for i := range m.counts {
-		m.otherReports[i] = m.hub.Tell(toClock(now), strconv.Itoa(i), mgload.Report{
+		m.otherReports[i] = m.hub.Exchange(toClock(now), strconv.Itoa(i), mgload.Report{
 			Rows: m.counts[i].Rows(),
 		})
 	}
@@ -105,7 +105,7 @@
 func (m *migrator) removeEngine(now float64, u *upstream) {
 	for _, c := range slices.Clone(u.calls) {
 		m.driver.meter.countLostForGood(now, c)
-		m.slots.End(upstreamName(u), c.sequence.ID)
+		m.slots.Release(upstreamName(u), c.sequence.ID)
 		m.driver.removeFromUpstream(now, c)
 		c.state = ended
 	}
@@ -138,14 +138,14 @@
 		return false
 	}
 	promptTime := float64(c.sequence.Prompt)/promptReadRate + firstTokenSlack
-	m.waitingList.Add(mgroom.Wait{
-		Name:    c.sequence.ID,
-		Account: m.driver.workload.scenario.Accounts[c.account].Name,
-		Need:    c.countedMemory(),
-		Span:    toClock(promptTime + tokenInterval*float64(c.expectedOutput())),
-		Due:     toClock(c.arrival + c.spec.FirstTokenLimit*1000 - promptTime),
-		Came:    toClock(c.arrival),
-		End:     toClock(c.deadline),
+	m.waitingList.Add(mgroom.Request{
+		Name:     c.sequence.ID,
+		Account:  m.driver.workload.scenario.Accounts[c.account].Name,
+		Need:     c.countedMemory(),
+		Duration: toClock(promptTime + tokenInterval*float64(c.expectedOutput())),
+		Due:      toClock(c.arrival + c.spec.FirstTokenLimit*1000 - promptTime),
+		Arrived:  toClock(c.arrival),
+		End:      toClock(c.deadline),
 	})
 	m.placeWaiting(now)
 	return true
@@ -176,7 +176,7 @@
 			Pending: row.Pending,
 		})
 	}
-	for _, grant := range m.waitingList.Look(toClock(now), placements) {
+	for _, grant := range m.waitingList.Assign(toClock(now), placements) {
 		if grant.Place == "" {
 			continue // given up at its deadline, when its client hangs up anyway
 		}
@@ -204,7 +204,7 @@
 // removeWaiting removes a call from the waiting list.
 func (m *migrator) removeWaiting(c *call) {
 	if m != nil && m.waitingList != nil {
-		m.waitingList.Drop(c.sequence.ID)
+		m.waitingList.Remove(c.sequence.ID)
 	}
 }
 
@@ -218,7 +218,7 @@
 	if c.produced == 0 {
 		pending = c.sequence.Prompt
 	}
-	m.counts[m.entryOf(c)].Add(upstreamName(c.upstream), mgload.Row{
+	m.counts[m.entryOf(c)].Add(upstreamName(c.upstream), mgload.Load{
 		Runs:    sign,
 		Pending: sign * pending,
 		Memory:  sign * c.countedMemory(),
@@ -229,7 +229,7 @@
 // upstream, once its first token is produced.
 func (m *migrator) countPromptRead(c *call) {
 	if m != nil && c.produced == 0 {
-		m.counts[m.entryOf(c)].Add(upstreamName(c.upstream), mgload.Row{
+		m.counts[m.entryOf(c)].Add(upstreamName(c.upstream), mgload.Load{
 			Pending: -c.sequence.Prompt,
 		})
 	}
@@ -283,7 +283,7 @@
 		case !v.isDestinationValid():
 			m.abandonMove(at, v)
 		default:
-			v.Take(mgmigration.Reply{
+			v.HandleReply(mgmigration.Reply{
 				Outcome: mgmigration.Copied,
 				Handle:  v.call.sequence.ID,
 			})
--- a/internal/bench/mgbench/scenario.go
+++ b/internal/bench/mgbench/scenario.go
@@ -246,12 +246,12 @@
 	s.Engines = 12
 	s.SaturationRate = 1.85
 	s.Model = mgmodel.Spec{
-		Memory:  34000,
-		Batch:   32,
-		Base:    7,
-		Each:    0.12,
-		Context: 0.001, // practically zero; 0 itself would select the default
-		Prefill: 71,
+		Memory:       34000,
+		MaxBatch:     32,
+		StepCost:     7,
+		SequenceCost: 0.12,
+		ContextCost:  0.001, // practically zero; 0 itself would select the default
+		PrefillCost:  71,
 	}
 	s.Services = []ServiceSpec{
 		{
@@ -296,7 +296,7 @@
 	s.Engines = 44
 	s.SaturationRate = 2.5
 	s.Model.Memory = 21850
-	s.Model.Batch = 24
+	s.Model.MaxBatch = 24
 	s.Services[0].Share = 0.47
 	s.Services[0].Output = lognormal(560, 0.84, 2200)
 	s.Services[1].Share = 0.53
--- a/internal/bench/mgbench/workload.go
+++ b/internal/bench/mgbench/workload.go
@@ -66,7 +66,7 @@
 			Max: 1,
 			Src: source,
 		},
-		block: mgmodel.New(s.Model).Spec().Block,
+		block: mgmodel.New(s.Model).Spec().BlockTokens,
 	}
 	weights := make([]float64, len(s.Services))
 	for i, service := range s.Services {
--- a/internal/bench/mgmodel/engine.go
+++ b/internal/bench/mgmodel/engine.go
@@ -33,7 +33,7 @@
 	spec = spec.withDefaults()
 	return &Engine{
 		spec:  spec,
-		cache: newCache(spec.Cache / spec.Block),
+		cache: newCache(spec.CacheTokens / spec.BlockTokens),
 		byID:  make(map[string]*sequence),
 	}
 }
@@ -60,7 +60,7 @@
 // Cached returns the number of tokens of a prompt with this prefix that the
 // cache saves from being computed.
 func (e *Engine) Cached(prefix []uint64) int {
-	return e.cache.match(prefix) * e.spec.Block
+	return e.cache.match(prefix) * e.spec.BlockTokens
 }
 
 // Add enqueues a sequence. It returns false, and changes nothing, if the ID is
@@ -140,7 +140,7 @@
 // the context of the next one and one more token fit into free memory.
 func (e *Engine) admit() {
 	admitted := 0
-	for admitted < len(e.waiting) && len(e.running) < e.spec.Batch {
+	for admitted < len(e.waiting) && len(e.running) < e.spec.MaxBatch {
 		q := e.waiting[admitted]
 		if q.context()+1 > e.Free() {
 			break
@@ -180,7 +180,7 @@
 // one for each decoding sequence and each one whose prefill ends within the
 // chunk.
 func (e *Engine) maxDecodeCount() int {
-	count, chunk := 0, e.spec.Chunk
+	count, chunk := 0, e.spec.MaxChunk
 	for _, q := range e.running {
 		if q.uncomputed <= chunk {
 			chunk -= q.uncomputed
@@ -214,7 +214,7 @@
 // prefill computes up to a chunk of prompt tokens, oldest sequence first, and
 // returns the number computed.
 func (e *Engine) prefill() int {
-	chunk := e.spec.Chunk
+	chunk := e.spec.MaxChunk
 	for _, q := range e.running {
 		if chunk == 0 {
 			break
@@ -223,7 +223,7 @@
 		q.uncomputed -= n
 		chunk -= n
 	}
-	return e.spec.Chunk - chunk
+	return e.spec.MaxChunk - chunk
 }
 
 // decode produces one token for each sequence whose context is computed, and
@@ -264,8 +264,8 @@
 // stepDuration returns the duration of a step in ms.
 func (e *Engine) stepDuration(decoded, attended, computed int) float64 {
 	s := e.spec
-	work := s.Base + s.Each*float64(decoded)
-	work += s.Context * float64(attended) / 1000
-	work += s.Prefill * float64(computed) / 1000
+	work := s.StepCost + s.SequenceCost*float64(decoded)
+	work += s.ContextCost * float64(attended) / 1000
+	work += s.PrefillCost * float64(computed) / 1000
 	return work / s.Speed
 }
--- a/internal/bench/mgmodel/engine_test.go
+++ b/internal/bench/mgmodel/engine_test.go
@@ -16,11 +16,11 @@
 func TestTokenRepeatedOrMemoryLeaked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := mgmodel.Spec{
-			Memory: rapid.IntRange(20, 200).Draw(t, "memory"),
-			Batch:  rapid.IntRange(1, 8).Draw(t, "batch"),
-			Chunk:  rapid.IntRange(1, 64).Draw(t, "chunk"),
-			Block:  4,
-			Cache:  32,
+			Memory:      rapid.IntRange(20, 200).Draw(t, "memory"),
+			MaxBatch:    rapid.IntRange(1, 8).Draw(t, "batch"),
+			MaxChunk:    rapid.IntRange(1, 64).Draw(t, "chunk"),
+			BlockTokens: 4,
+			CacheTokens: 32,
 		}
 		e := mgmodel.New(spec)
 		seen := make(map[string]int)
@@ -88,7 +88,7 @@
 	Convey("An engine", t, func() {
 		Convey("admits by priority, then in order of arrival", func() {
 			e := mgmodel.New(mgmodel.Spec{
-				Batch: 1,
+				MaxBatch: 1,
 			})
 			for i, priority := range []int{0, 1, 0, 1} {
 				e.Add(mgmodel.Sequence{
@@ -121,7 +121,7 @@
 
 		Convey("computes only the part of a prompt that isn't cached", func() {
 			e := mgmodel.New(mgmodel.Spec{
-				Block: 100,
+				BlockTokens: 100,
 			})
 			s := mgmodel.Sequence{
 				ID:     "a",
--- a/internal/bench/mgmodel/move.go
+++ b/internal/bench/mgmodel/move.go
@@ -2,7 +2,7 @@
 
 // Hold reserves memory for a copy from another engine. It returns false, and
 // reserves nothing, if there is not enough free memory.
-func (e *Engine) Hold(tokens int) bool {
+func (e *Engine) Reserve(tokens int) bool {
 	if tokens > e.Free() {
 		return false
 	}
--- a/internal/bench/mgmodel/move_test.go
+++ b/internal/bench/mgmodel/move_test.go
@@ -43,8 +43,8 @@
 		e := mgmodel.New(mgmodel.Spec{
 			Memory: 1000,
 		})
-		So(e.Hold(600), ShouldBeTrue)
-		So(e.Hold(600), ShouldBeFalse)
+		So(e.Reserve(600), ShouldBeTrue)
+		So(e.Reserve(600), ShouldBeFalse)
 		So(e.Free(), ShouldEqual, 400)
 		e.Release(600)
 		So(e.Used(), ShouldEqual, 0)
--- a/internal/bench/mgnet/net.go
+++ b/internal/bench/mgnet/net.go
@@ -46,7 +46,7 @@
 
 // Cut drops the messages for which isCut returns true, and a random fraction
 // loss of all others.
-func (n *Net) Cut(loss float64, isCut func(from, to string) bool) {
+func (n *Net) SetLoss(loss float64, isCut func(from, to string) bool) {
 	n.loss = loss
 	n.isCut = isCut
 }
@@ -68,7 +68,7 @@
 	if n.delay != nil {
 		delay = n.delay(from, to)
 	}
-	n.At(n.now+delay, to, func() {
+	n.Schedule(n.now+delay, to, func() {
 		n.countTraffic(to, size)
 		run()
 	})
@@ -86,7 +86,7 @@
 func (n *Net) Traffic(name string) (messages, bytes int) { return n.messages[name], n.bytes[name] }
 
 // At schedules a function of a member at a time.
-func (n *Net) At(at mgclock.Millis, owner string, run func()) {
+func (n *Net) Schedule(at mgclock.Millis, owner string, run func()) {
 	n.lastSeq++
 	heap.Push(&n.queue, event{
 		due:   at,
@@ -102,7 +102,7 @@
 		e := heap.Pop(&n.queue).(event)
 		n.now = max(n.now, e.due)
 		if resumeAt := n.paused[e.owner]; resumeAt > n.now {
-			n.At(resumeAt, e.owner, e.run)
+			n.Schedule(resumeAt, e.owner, e.run)
 			continue
 		}
 		e.run()
--- a/internal/connection/mgengine/client.go
+++ b/internal/connection/mgengine/client.go
@@ -16,7 +16,7 @@
 }
 
 // NewClient returns a client that makes its calls through s.
-func NewClient(s Seams) Client {
+func NewClient(s Calls) Client {
 	return Client{
 		start:  s.Start,
 		stream: s.Stream,
--- a/internal/connection/mgengine/errors.go
+++ b/internal/connection/mgengine/errors.go
@@ -96,7 +96,7 @@
 // Refused reports whether err is an engine's own refusal. Such an engine is
 // reachable and other requests may succeed; NotStarted alone may mean that it
 // can't be reached.
-func Refused(err error) bool {
+func IsRefusal(err error) bool {
 	var failure *Failure
 	return errors.As(err, &failure) && failure.isRefusal
 }
--- a/internal/connection/mgengine/http.go
+++ b/internal/connection/mgengine/http.go
@@ -27,7 +27,7 @@
 		base:   base,
 		client: client,
 	}
-	return NewClient(Seams{
+	return NewClient(Calls{
 		Start:  p.start,
 		Stream: p.stream,
 		Cancel: p.cancel,
--- a/internal/connection/mgengine/refused_test.go
+++ b/internal/connection/mgengine/refused_test.go
@@ -20,10 +20,10 @@
 	Convey("A start", t, func() {
 		refused := mgengine.NewHTTP(server.URL, nil).Start(context.Background(), mgengine.StartSpec{ID: "a"})
 		So(mgengine.KindOf(refused), ShouldEqual, mgengine.NotStarted)
-		So(mgengine.Refused(refused), ShouldBeTrue)
+		So(mgengine.IsRefusal(refused), ShouldBeTrue)
 		server.Close()
 		gone := mgengine.NewHTTP(server.URL, nil).Start(context.Background(), mgengine.StartSpec{ID: "a"})
 		So(mgengine.KindOf(gone), ShouldEqual, mgengine.NotStarted)
-		So(mgengine.Refused(gone), ShouldBeFalse)
+		So(mgengine.IsRefusal(gone), ShouldBeFalse)
 	})
 }
--- a/internal/connection/mgengine/seams.go
+++ b/internal/connection/mgengine/seams.go
@@ -4,7 +4,7 @@
 
 // Seams are the functions that implement the calls of an engine's protocol. A
 // call whose function is nil fails as NotStarted.
-type Seams struct {
+type Calls struct {
 	Start  func(ctx context.Context, spec StartSpec) error
 	Stream func(ctx context.Context, id string, from uint64) (*TokenStream, error)
 	Cancel func(ctx context.Context, id string) error
--- a/internal/connection/mgengine/wire.go
+++ b/internal/connection/mgengine/wire.go
@@ -4,14 +4,14 @@
 
 // StartSpec describes a generation to start.
 type StartSpec struct {
-	ID       string   `json:"id"`
-	Model    string   `json:"model"`
-	Prompt   string   `json:"prompt"`
-	Tokens   int      `json:"tokens"`           // length of the prompt in tokens
-	Prefix   []uint64 `json:"prefix,omitempty"` // hashes of the prompt's blocks, outermost first
-	Max      int      `json:"max"`              // bound on the output in tokens
-	Priority int      `json:"priority"`         // higher priorities are served first
-	Copy     string   `json:"copy,omitempty"`   // name of a copy of the generation to continue
+	ID           string   `json:"id"`
+	Model        string   `json:"model"`
+	Prompt       string   `json:"prompt"`
+	PromptTokens int      `json:"tokens"`           // length of the prompt in tokens
+	Prefix       []uint64 `json:"prefix,omitempty"` // hashes of the prompt's blocks, outermost first
+	MaxTokens    int      `json:"max"`              // bound on the output in tokens
+	Priority     int      `json:"priority"`         // higher priorities are served first
+	CopyName     string   `json:"copy,omitempty"`   // name of a copy of the generation to continue
 }
 
 // MoveSpec describes a copy of a generation to another engine.
@@ -23,8 +23,8 @@
 
 // Copy is a copy of a generation on another engine.
 type Copy struct {
-	Name string `json:"name"` // for one start from the copy (StartSpec.Copy)
-	Made uint64 `json:"made"` // number of tokens in the copy
+	Name       string `json:"name"` // for one start from the copy (StartSpec.Copy)
+	TokenCount uint64 `json:"made"` // number of tokens in the copy
 }
 
 // Token is one item of a stream. Seq counts from 1; a Token with Seq 0 and
@@ -39,7 +39,7 @@
 }
 
 // Heartbeat reports whether t is a heartbeat, without content.
-func (t Token) Heartbeat() bool {
+func (t Token) IsHeartbeat() bool {
 	return t.Seq == 0 && t.End == "" && t.Fault == ""
 }
 
@@ -56,7 +56,7 @@
 
 	// Notice is the announced time until the engine is shut down, 0 when none is
 	// announced.
-	Notice mgclock.Millis `json:"notice,omitempty"`
+	ShutdownNotice mgclock.Millis `json:"notice,omitempty"`
 }
 
 // Event is a change of the prefix cache. Seq increases by one; a gap means that
--- a/internal/connection/mglink/call.go
+++ b/internal/connection/mglink/call.go
@@ -21,7 +21,7 @@
 // Alive returns a handler that sends an informational response (102) at once and
 // at each interval until next writes its response, so that the client can detect
 // a dead connection during a long call. It is for calls, not for streams.
-func Alive(next http.Handler, clock mgclock.Clock, interval mgclock.Millis) http.Handler {
+func WithHeartbeats(next http.Handler, clock mgclock.Clock, interval mgclock.Millis) http.Handler {
 	if interval <= 0 {
 		interval = DefaultInterval
 	}
@@ -99,19 +99,19 @@
 //
 // The first call may have arrived as well. So all calls through a Guard must be
 // idempotent, by an id of their own or by nature.
-type Guard struct {
+type RetryTransport struct {
 	// Pooled makes the first attempt. If it has a CloseIdleConnections method, as
 	// *http.Transport has, its idle connections are closed after a silent call.
 	Pooled http.RoundTripper
 	// Again makes the second attempt, by default that of NewUnpooledClient.
-	Again http.RoundTripper
+	Second http.RoundTripper
 	// Clock measures the silence.
 	Clock mgclock.Clock
 	// Interval is the heartbeat interval, by default DefaultInterval.
 	Interval mgclock.Millis
 }
 
-func (g *Guard) silenceTimeout() mgclock.Millis {
+func (g *RetryTransport) silenceTimeout() mgclock.Millis {
 	if g.Interval <= 0 {
 		return silentIntervals * DefaultInterval
 	}
@@ -119,7 +119,7 @@
 }
 
 // RoundTrip implements http.RoundTripper.
-func (g *Guard) RoundTrip(r *http.Request) (*http.Response, error) {
+func (g *RetryTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	response, err := g.attempt(r, g.Pooled)
 	if err == nil || r.Context().Err() != nil || !errors.Is(err, errSilent) {
 		return response, err
@@ -132,7 +132,7 @@
 	if err != nil {
 		return nil, err
 	}
-	transport := g.Again
+	transport := g.Second
 	if transport == nil {
 		transport = NewUnpooledClient(g.silenceTimeout()).Transport
 	}
@@ -141,7 +141,7 @@
 
 // attempt makes a call and reads its whole reply. It fails with errSilent when
 // nothing is received within the silence timeout.
-func (g *Guard) attempt(r *http.Request, transport http.RoundTripper) (*http.Response, error) {
+func (g *RetryTransport) attempt(r *http.Request, transport http.RoundTripper) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
 	var lastReceived atomic.Int64
@@ -166,7 +166,7 @@
 
 // cancelWhenSilent cancels an attempt when nothing was received within the
 // silence timeout.
-func (g *Guard) cancelWhenSilent(ctx context.Context, cancel context.CancelCauseFunc, lastReceived *atomic.Int64) {
+func (g *RetryTransport) cancelWhenSilent(ctx context.Context, cancel context.CancelCauseFunc, lastReceived *atomic.Int64) {
 	for {
 		remaining := mgclock.Millis(lastReceived.Load()) + g.silenceTimeout() - g.Clock.Now()
 		if remaining <= 0 {
--- a/internal/connection/mglink/codec.go
+++ b/internal/connection/mglink/codec.go
@@ -46,10 +46,10 @@
 
 // IsHeartbeat reports whether f is a heartbeat, a frame without content.
 func IsHeartbeat(f *mgrpc.Frame) bool {
-	return len(f.GetText()) == 0 && !Final(f)
+	return len(f.GetText()) == 0 && !IsFinal(f)
 }
 
 // Final reports whether f is the last frame of its stream.
-func Final(f *mgrpc.Frame) bool {
+func IsFinal(f *mgrpc.Frame) bool {
 	return f.GetEnd() != "" || f.GetFault() != "" || f.GetMoved() != ""
 }
--- a/internal/connection/mglink/stream.go
+++ b/internal/connection/mglink/stream.go
@@ -95,7 +95,7 @@
 
 // Silence returns the silence timeout: the maximum time without a frame after
 // which a connection is still used.
-func (s *Stream) Silence() mgclock.Millis { return silentIntervals * s.spec.Interval }
+func (s *Stream) SilenceTimeout() mgclock.Millis { return silentIntervals * s.spec.Interval }
 
 // ReopenCount returns how often the stream was reopened after a failure.
 func (s *Stream) ReopenCount() int { return s.reopenCount }
@@ -224,7 +224,7 @@
 	}
 }
 
-func (s *Stream) silenceDeadline() mgclock.Millis { return s.current.lastReceived + s.Silence() }
+func (s *Stream) silenceDeadline() mgclock.Millis { return s.current.lastReceived + s.SilenceTimeout() }
 
 // recordProgress records the last token of a frame and whether it is final.
 func (s *Stream) recordProgress(f *mgrpc.Frame) {
@@ -232,7 +232,7 @@
 		s.lastToken = max(s.lastToken, f.GetSeq()+n-1)
 		s.failedAttempts = 0
 	}
-	if Final(f) {
+	if IsFinal(f) {
 		s.finalRead = true
 		s.closeConnection()
 	}
@@ -241,7 +241,7 @@
 // handleFailure closes the connection and waits before the next attempt, or
 // returns an error when there is to be none.
 func (s *Stream) handleFailure(ctx context.Context, cause error) error {
-	if s.current.lastReceived-s.current.opened > s.Silence() {
+	if s.current.lastReceived-s.current.opened > s.SilenceTimeout() {
 		s.failedAttempts = 0 // it worked for a while, even without tokens
 	}
 	s.closeConnection()
@@ -288,7 +288,7 @@
 		return false
 	}
 	switch problem.Kind() {
-	case mgproblem.Leaving, mgproblem.Unready, mgproblem.Behind, mgproblem.Crowded, mgproblem.Internal:
+	case mgproblem.Leaving, mgproblem.NotReady, mgproblem.OutdatedVersion, mgproblem.Overloaded, mgproblem.Internal:
 		return false
 	default:
 		return true
--- a/internal/connection/mglink/stream_test.go
+++ b/internal/connection/mglink/stream_test.go
@@ -46,7 +46,7 @@
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	go a.generate(ctx, from, frames)
-	err := mglink.Response(w, "g", a.clock, interval).Copy(ctx, frames)
+	err := mglink.NewResponseWriter(w, "g", a.clock, interval).Copy(ctx, frames)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.writeErrors = append(a.writeErrors, err)
@@ -239,7 +239,7 @@
 // for which attempts are limited, or when the agent has no such generation, which
 // is final at once.
 func TestFailedStreamAttemptedTooOften(t *testing.T) {
-	missing := mgproblem.New(mgproblem.Missing, mgproblem.Unknown, "no such generation", "start another")
+	missing := mgproblem.New(mgproblem.NotFound, mgproblem.Unknown, "no such generation", "start another")
 	leaving := mgproblem.New(mgproblem.Leaving, mgproblem.Unknown, "leaving", "come back")
 	cases := []struct {
 		name     string
@@ -304,13 +304,13 @@
 		calls, status := 0, 0
 		var took mgclock.Millis
 		handler := func(work mgclock.Millis) http.Handler {
-			return mglink.Alive(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			return mglink.WithHeartbeats(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				calls++
 				clock.Sleep(r.Context(), work)
 				w.WriteHeader(http.StatusAccepted)
 			}), clock, interval)
 		}
-		call := func(g *mglink.Guard) {
+		call := func(g *mglink.RetryTransport) {
 			r, _ := http.NewRequest(http.MethodPost, "http://agent/", strings.NewReader("body"))
 			startTime := clock.Now()
 			response, err := g.RoundTrip(r)
@@ -319,10 +319,10 @@
 				status = response.StatusCode
 			}
 		}
-		guard := func(n *mgnetwork.Network) *mglink.Guard {
-			return &mglink.Guard{
+		guard := func(n *mgnetwork.Network) *mglink.RetryTransport {
+			return &mglink.RetryTransport{
 				Pooled:   n.Transport("entry", false),
-				Again:    n.Transport("entry", false),
+				Second:   n.Transport("entry", false),
 				Interval: interval,
 			}
 		}
--- a/internal/connection/mglink/writer.go
+++ b/internal/connection/mglink/writer.go
@@ -56,7 +56,7 @@
 }
 
 // Response returns a Writer that writes to an HTTP response.
-func Response(w http.ResponseWriter, generation string, clock mgclock.Clock, interval mgclock.Millis) *Writer {
+func NewResponseWriter(w http.ResponseWriter, generation string, clock mgclock.Clock, interval mgclock.Millis) *Writer {
 	control := http.NewResponseController(w)
 	return NewWriter(WriterSpec{
 		Generation: generation,
@@ -95,7 +95,7 @@
 }
 
 // Beat writes a heartbeat.
-func (w *Writer) Beat() error {
+func (w *Writer) WriteHeartbeat() error {
 	return w.Write(&mgrpc.Frame{
 		Generation: w.spec.Generation,
 	})
@@ -105,7 +105,7 @@
 // final frame, the end of the channel or the end of ctx. It begins with a
 // heartbeat, so that the reader knows at once that the connection works.
 func (w *Writer) Copy(ctx context.Context, frames <-chan *mgrpc.Frame) error {
-	if err := w.Beat(); err != nil {
+	if err := w.WriteHeartbeat(); err != nil {
 		return err
 	}
 	for {
@@ -116,11 +116,11 @@
 			if !ok {
 				return nil
 			}
-			if err := w.Write(f); err != nil || Final(f) {
+			if err := w.Write(f); err != nil || IsFinal(f) {
 				return err
 			}
 		case <-w.Idle():
-			if err := w.Tend(); err != nil {
+			if err := w.WriteHeartbeatIfIdle(); err != nil {
 				return err
 			}
 		}
@@ -138,10 +138,10 @@
 }
 
 // Tend writes a heartbeat if nothing was written for an interval.
-func (w *Writer) Tend() error {
+func (w *Writer) WriteHeartbeatIfIdle() error {
 	w.timer = nil
 	if w.spec.Clock.Now()-w.lastWrite < w.spec.Interval {
 		return nil
 	}
-	return w.Beat()
+	return w.WriteHeartbeat()
 }
--- a/internal/connection/mglistener/listener.go
+++ b/internal/connection/mglistener/listener.go
@@ -56,7 +56,7 @@
 // progress, and then lets Accept empty the queue and close the socket. It returns an
 // error when connection requests can't be dropped; a connection established between the
 // last Accept and the close is then reset.
-func (l *Listener) Finish(settleTime mgclock.Millis) error {
+func (l *Listener) Shutdown(settleTime mgclock.Millis) error {
 	l.isFinishing.Store(true)
 	err := dropRequests(l.tcp)
 	if err != nil {
--- a/internal/connection/mglistener/listener_test.go
+++ b/internal/connection/mglistener/listener_test.go
@@ -31,7 +31,7 @@
 			_, err = conn.Write([]byte("request"))
 			So(err, ShouldBeNil)
 		}
-		So(listener.Finish(0), ShouldBeNil)
+		So(listener.Shutdown(0), ShouldBeNil)
 		mgclock.Clock{}.Sleep(t.Context(), 20) // settle is over before the first Accept
 		accepted := 0
 		for {
@@ -63,7 +63,7 @@
 		acceptEnded := make(chan error, 1)
 		go func() { acceptEnded <- echoUntilClosed(listener) }()
 		mgclock.Clock{}.Sleep(t.Context(), 100)
-		So(listener.Finish(settleTime), ShouldBeNil)
+		So(listener.Shutdown(settleTime), ShouldBeNil)
 		So(errors.Is(<-acceptEnded, net.ErrClosed), ShouldBeTrue)
 		callers.Wait()
 		close(failures)
--- a/internal/connection/mgpeer/peer.go
+++ b/internal/connection/mgpeer/peer.go
@@ -33,7 +33,7 @@
 
 // Public returns the TLS configuration of the listener for callers, or nil when
 // no certificate is configured and the platform's load balancer terminates TLS.
-func Public(files Files) (*tls.Config, error) {
+func LoadPublicTLS(files Files) (*tls.Config, error) {
 	if files.Cert == "" && files.Key == "" {
 		return nil, nil
 	}
@@ -92,7 +92,7 @@
 
 // Unkeyed returns a guard that requires no key, for networks on which only the
 // system's own processes can reach the peer listener.
-func Unkeyed() *Guard {
+func NewWithoutKey() *Guard {
 	return &Guard{isOpen: true}
 }
 
@@ -124,10 +124,10 @@
 
 // Require returns a handler that forwards requests with an accepted key to next
 // and refuses others.
-func (g *Guard) Require(next http.Handler) http.Handler {
+func (g *Guard) RequireKey(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !g.isOpen && !g.hasAcceptedKey(r.Header.Get("Authorization")) {
-			mgproblem.Write(w, mgproblem.New(mgproblem.Stranger, mgproblem.NotRun,
+			mgproblem.Write(w, mgproblem.New(mgproblem.Unauthenticated, mgproblem.NotRun,
 				"this listener is for the system's own processes", "give all processes the same secret in their settings"))
 			return
 		}
@@ -156,7 +156,7 @@
 }
 
 // Base returns the base URL of a process at an IP and port.
-func (g *Guard) Base(address string) string {
+func (g *Guard) BaseURL(address string) string {
 	if g.tlsConfig != nil {
 		return "https://" + address
 	}
--- a/internal/connection/mgpeer/peer_test.go
+++ b/internal/connection/mgpeer/peer_test.go
@@ -59,7 +59,7 @@
 		},
 	}
 	Convey("A listener for peers", t, func() {
-		server := httptest.NewServer(newGuard(present, before).Require(respondNoContent))
+		server := httptest.NewServer(newGuard(present, before).RequireKey(respondNoContent))
 		defer server.Close()
 		for _, c := range cases {
 			Convey("answers "+c.name, func() {
@@ -91,10 +91,10 @@
 		ours, strangers := writeCertificate(t), writeCertificate(t)
 		listener, err := newTLSGuard(ours).Listen("127.0.0.1:0")
 		So(err, ShouldBeNil)
-		server := &http.Server{Handler: newTLSGuard(ours).Require(respondNoContent)}
+		server := &http.Server{Handler: newTLSGuard(ours).RequireKey(respondNoContent)}
 		go func() { _ = server.Serve(listener) }()
 		defer server.Close()
-		url := newTLSGuard(ours).Base(listener.Addr().String())
+		url := newTLSGuard(ours).BaseURL(listener.Addr().String())
 
 		Convey("a process of the same authority is answered", func() {
 			response, err := (&http.Client{Transport: newTLSGuard(ours).Transport(true)}).Get(url)
--- a/internal/connection/mgplatform/bench_test.go
+++ b/internal/connection/mgplatform/bench_test.go
@@ -10,7 +10,7 @@
 // newer than its own.
 func BenchmarkReadList(b *testing.B) {
 	for _, count := range []int{60, 150, 3000} {
-		list := List{
+		list := VMList{
 			Version: 1,
 		}
 		for i := range count {
--- a/internal/connection/mgplatform/client.go
+++ b/internal/connection/mgplatform/client.go
@@ -24,12 +24,12 @@
 	ErrUnchanged = errors.New("platform: the value has not changed: watch again")
 	// ErrLong ends a process's first read of a list of VMs that would take many calls:
 	// a peer may already have the list.
-	ErrLong = errors.New("platform: the list of VMs takes many calls: ask a peer for it, then read it again")
+	ErrManyCalls = errors.New("platform: the list of VMs takes many calls: ask a peer for it, then read it again")
 	// ErrCordons ends a watch of the manifest when the cordons of zones have changed,
 	// on platforms that publish them next to it: the list of VMs contains them.
-	ErrCordons = errors.New("platform: cordons of availability zones have changed: read the list of VMs")
-	ErrRate    = errors.New("platform: too many reads a second: read less often")
-	ErrDown    = errors.New("platform: no response: keep the current configuration and try again later")
+	ErrCordonsChanged = errors.New("platform: cordons of availability zones have changed: read the list of VMs")
+	ErrRateLimited    = errors.New("platform: too many reads a second: read less often")
+	ErrUnavailable    = errors.New("platform: no response: keep the current configuration and try again later")
 )
 
 // A Value is the content of a key and its version.
@@ -97,7 +97,7 @@
 // Read returns the value of a key.
 func (c Client) Read(ctx context.Context, key string) (Value, error) {
 	if c.read == nil {
-		return Value{}, ErrDown
+		return Value{}, ErrUnavailable
 	}
 	return c.read(ctx, key)
 }
@@ -106,7 +106,7 @@
 // after, or ErrUnchanged when that doesn't happen within wait.
 func (c Client) Watch(ctx context.Context, key string, after uint64, wait mgclock.Millis) (Value, error) {
 	if c.watch == nil {
-		return Value{}, ErrDown
+		return Value{}, ErrUnavailable
 	}
 	return c.watch(ctx, key, after, wait)
 }
@@ -128,7 +128,7 @@
 	}
 	response, err := h.client.Do(request)
 	if err != nil {
-		return Value{}, fmt.Errorf("%w: %w", ErrDown, err)
+		return Value{}, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	defer response.Body.Close()
 	return readResponse(key, response)
@@ -142,20 +142,20 @@
 	case http.StatusNotFound:
 		return Value{}, fmt.Errorf("key %s: %w", key, ErrMissing)
 	case http.StatusTooManyRequests:
-		return Value{}, ErrRate
+		return Value{}, ErrRateLimited
 	default:
-		return Value{}, fmt.Errorf("%w: status %d", ErrDown, response.StatusCode)
+		return Value{}, fmt.Errorf("%w: status %d", ErrUnavailable, response.StatusCode)
 	}
 	version, err := strconv.ParseUint(response.Header.Get(versionHeader), 10, 64)
 	if err != nil {
-		return Value{}, fmt.Errorf("%w: the response has no version", ErrDown)
+		return Value{}, fmt.Errorf("%w: the response has no version", ErrUnavailable)
 	}
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxValueBytes+1))
 	if err != nil {
-		return Value{}, fmt.Errorf("%w: the response was truncated: %w", ErrDown, err)
+		return Value{}, fmt.Errorf("%w: the response was truncated: %w", ErrUnavailable, err)
 	}
 	if len(data) > maxValueBytes {
-		return Value{}, fmt.Errorf("%w: the value of %s exceeds %d bytes", ErrDown, key, maxValueBytes)
+		return Value{}, fmt.Errorf("%w: the value of %s exceeds %d bytes", ErrUnavailable, key, maxValueBytes)
 	}
 	return NewValue(version, data), nil
 }
--- a/internal/connection/mgplatform/client_test.go
+++ b/internal/connection/mgplatform/client_test.go
@@ -40,25 +40,25 @@
 			{
 				name:   "too many reads have an error of their own",
 				status: http.StatusTooManyRequests,
-				err:    mgplatform.ErrRate,
+				err:    mgplatform.ErrRateLimited,
 			},
 			{
 				name:   "an error status means that the platform is down",
 				status: http.StatusBadGateway,
-				err:    mgplatform.ErrDown,
+				err:    mgplatform.ErrUnavailable,
 			},
 			{
 				name:   "a value without a version means that the platform is down",
 				status: http.StatusOK,
 				body:   "x",
-				err:    mgplatform.ErrDown,
+				err:    mgplatform.ErrUnavailable,
 			},
 			{
 				name:    "a value over a megabyte means that the platform is down",
 				status:  http.StatusOK,
 				version: "7",
 				body:    strings.Repeat("x", 1<<20+1),
-				err:     mgplatform.ErrDown,
+				err:     mgplatform.ErrUnavailable,
 			},
 		} {
 			Convey(c.name, func() {
@@ -88,9 +88,9 @@
 			server := httptest.NewServer(http.NotFoundHandler())
 			server.Close()
 			_, err := mgplatform.NewHTTP(server.URL, nil).Read(context.Background(), "vms")
-			So(err, ShouldWrap, mgplatform.ErrDown)
+			So(err, ShouldWrap, mgplatform.ErrUnavailable)
 			_, err = mgplatform.Client{}.Read(context.Background(), "vms")
-			So(err, ShouldWrap, mgplatform.ErrDown)
+			So(err, ShouldWrap, mgplatform.ErrUnavailable)
 		})
 	})
 	Convey("A list omits VMs that have no name", t, func() {
--- a/internal/connection/mgplatform/list.go
+++ b/internal/connection/mgplatform/list.go
@@ -32,19 +32,19 @@
 
 // VM is a row of the list of VMs.
 type VM struct {
-	Name     string   `json:"name"`
-	Kind     string   `json:"kind"`
-	Addr     string   `json:"addr"`           // address for callers (of an entry) or for entries (of an agent)
-	Peer     string   `json:"peer,omitempty"` // address for other processes, Addr when empty
-	Zone     string   `json:"zone"`
-	Region   string   `json:"region"`
-	Upstream string   `json:"upstream,omitempty"`
-	Models   []string `json:"models,omitempty"`
-	Services []string `json:"services,omitempty"`
-	State    string   `json:"state"`
-	Power    int      `json:"power,omitempty"` // capacity of its processor and network relative to others; 0 if unknown
-	Cold     int64    `json:"cold,omitempty"`  // ms for which its request rate is still limited after its start
-	Born     int64    `json:"born,omitempty"`  // start time, if the platform provides it; increases with each start under the same name
+	Name             string   `json:"name"`
+	Kind             string   `json:"kind"`
+	Addr             string   `json:"addr"`           // address for callers (of an entry) or for entries (of an agent)
+	Peer             string   `json:"peer,omitempty"` // address for other processes, Addr when empty
+	Zone             string   `json:"zone"`
+	Region           string   `json:"region"`
+	Upstream         string   `json:"upstream,omitempty"`
+	Models           []string `json:"models,omitempty"`
+	Services         []string `json:"services,omitempty"`
+	State            string   `json:"state"`
+	Power            int      `json:"power,omitempty"` // capacity of its processor and network relative to others; 0 if unknown
+	ColdMillis       int64    `json:"cold,omitempty"`  // ms for which its request rate is still limited after its start
+	IncarnationStart int64    `json:"born,omitempty"`  // start time, if the platform provides it; increases with each start under the same name
 }
 
 // PeerAddr returns the address at which other processes reach the VM.
@@ -56,7 +56,7 @@
 }
 
 // List is the value of ListKey. It lags behind the real state of the VMs.
-type List struct {
+type VMList struct {
 	Version uint64 `json:"version"`
 	// Era increases each time the platform is restored from an older copy of its
 	// values, which may be outdated by seconds. Versions increase with it.
@@ -69,10 +69,10 @@
 
 // ReadList parses a list. It omits VMs without a name, because processes are
 // identified by the names of their VMs.
-func ReadList(data []byte) (List, error) {
-	var list List
+func ReadList(data []byte) (VMList, error) {
+	var list VMList
 	if err := json.Unmarshal(data, &list); err != nil {
-		return List{}, fmt.Errorf("platform: the list of VMs is not JSON: publish it again: %w", err)
+		return VMList{}, fmt.Errorf("platform: the list of VMs is not JSON: publish it again: %w", err)
 	}
 	named := list.VMs[:0]
 	for _, vm := range list.VMs {
--- a/internal/process/mgadmin/admin.go
+++ b/internal/process/mgadmin/admin.go
@@ -24,7 +24,7 @@
 
 // Source adds a named section to the dump. The function is called for each dump
 // and returns a value that encoding/json can encode.
-func (a *Admin) Source(name string, read func() any) {
+func (a *Admin) AddSection(name string, read func() any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.sources == nil {
@@ -35,10 +35,10 @@
 
 // Ready sets the function that reports whether the process accepts new work, and
 // the reason if it doesn't.
-func (a *Admin) Ready(check func() (bool, string)) { a.ready.Store(&check) }
+func (a *Admin) SetReadiness(check func() (bool, string)) { a.ready.Store(&check) }
 
 // Routes returns the HTTP handler.
-func (a *Admin) Routes(set *mgmetric.Set) http.Handler {
+func (a *Admin) Handler(set *mgmetric.Set) http.Handler {
 	router := chi.NewRouter()
 	router.Get("/health", func(w http.ResponseWriter, _ *http.Request) { writeText(w, http.StatusOK, "alive") })
 	router.Get("/ready", a.serveReady)
--- a/internal/process/mgagent/adopt.go
+++ b/internal/process/mgagent/adopt.go
@@ -132,7 +132,7 @@
 	}
 	a.orders.reportedModels.Store(&load.Models)
 	a.mu.Lock()
-	a.scheduler.Used(a.spec.Clock.Now(), load.Capacity-load.Free)
+	a.scheduler.ReportUsed(a.spec.Clock.Now(), load.Capacity-load.Free)
 	a.mu.Unlock()
 	a.updateReclaimTime(load)
 	if load.Leaving {
@@ -165,8 +165,8 @@
 		return
 	}
 	batch := mgadmission.DefaultBatch
-	if upstream := upstreamRow(a.spec); upstream != nil && upstream.Batch() > 0 {
-		batch = upstream.Batch()
+	if upstream := upstreamRow(a.spec); upstream != nil && upstream.MaxConcurrent() > 0 {
+		batch = upstream.MaxConcurrent()
 	}
 	a.isWarming = a.ramp.Share(now) < 1
 	a.scheduler.Limit(now, a.ramp.Limit(now, batch))
@@ -199,11 +199,11 @@
 	var abandoned []string
 	a.mu.Lock()
 	for id, g := range a.generations {
-		if g.isExpired(now - mgclock.Millis(a.spec.Settings.Keep)) {
+		if g.isExpired(now - mgclock.Millis(a.spec.Settings.ResultTTL)) {
 			delete(a.generations, id)
 			continue
 		}
-		if g.isAbandoned(now - mgclock.Millis(a.spec.Settings.Grace)) {
+		if g.isAbandoned(now - mgclock.Millis(a.spec.Settings.ReaderGrace)) {
 			abandoned = append(abandoned, id)
 		}
 	}
--- a/internal/process/mgagent/adopt_test.go
+++ b/internal/process/mgagent/adopt_test.go
@@ -23,7 +23,7 @@
 	starts atomic.Int64
 }
 
-func (e *idleEngine) seams() mgengine.Seams {
+func (e *idleEngine) seams() mgengine.Calls {
 	engine := idleSeams()
 	engine.Start = func(context.Context, mgengine.StartSpec) error {
 		e.starts.Add(1)
--- a/internal/process/mgagent/agent.go
+++ b/internal/process/mgagent/agent.go
@@ -31,28 +31,28 @@
 	Clock       mgclock.Clock
 	Log         logr.Logger
 	Metrics     *mgmetric.Set
-	Seal        *mgseal.Signer
+	Signer      *mgseal.Signer
 	Engine      mgengine.Client
 	Service     mgservice.Client
 	// Table returns the table in force, or nil before the first one.
 	Table func() *mgtable.Table
 	// Seen reports that another process uses a version of the table.
-	Seen func(version uint64, from string)
+	ObserveVersion func(version uint64, from string)
 	// Await returns once a version is in force in this process, or an error if
 	// ctx ends first. If it is nil, the agent decides by the version that it
 	// has.
-	Await func(ctx context.Context, version uint64) error
+	AwaitVersion func(ctx context.Context, version uint64) error
 	// Plan returns the assignment of models to engines. If it is nil, the agent
 	// sends no orders and assumes that its engine has every model.
 	Plan func() *mgplacement.Plan
 	// Ours reports whether this agent is the engine's current agent, according
 	// to the list of VMs and the peers, and when they were last asked.
-	Ours func() (mgclock.Millis, bool)
+	IsCurrent func() (mgclock.Millis, bool)
 	// Others returns the agents of other engines that hold a model. If it is
 	// nil, no generation is moved.
-	Others func(model string) []Other
+	OtherAgents func(model string) []OtherAgent
 	// Started is when the process started, in Unix ms.
-	Started int64
+	StartedUnix int64
 }
 
 // An Agent admits and schedules the work of one upstream. Create it with New,
@@ -97,13 +97,13 @@
 // the upstream's row sets the batch size and the memory budget.
 func New(spec Spec) (*Agent, error) {
 	upstream := upstreamRow(spec)
-	policy, err := mgscheduler.Named(spec.Settings.Policy)
+	policy, err := mgscheduler.PolicyByName(spec.Settings.Policy)
 	if err != nil {
 		return nil, fmt.Errorf("key policy: %w", err)
 	}
 	slots := defaultCallSlots
-	if upstream != nil && upstream.Batch() > 0 {
-		slots = upstream.Batch()
+	if upstream != nil && upstream.MaxConcurrent() > 0 {
+		slots = upstream.MaxConcurrent()
 	}
 	lifetime, endLifetime := context.WithCancel(context.Background())
 	return &Agent{
@@ -112,7 +112,7 @@
 		endLifetime: endLifetime,
 		attempts:    mgoperation.New(mgoperation.Spec{Window: mgoperation.AttemptWindow}),
 		operations:  mgoperation.New(mgoperation.Spec{Window: mgoperation.OperationWindow}),
-		minter:      mgoperation.NewMinter(spec.Seal, spec.Settings.Upstream, spec.Incarnation),
+		minter:      mgoperation.NewMinter(spec.Signer, spec.Settings.Upstream, spec.Incarnation),
 		wake:        make(chan struct{}, 1),
 		slots:       make(chan struct{}, slots),
 		orders:      newOrderState(spec, upstream),
@@ -123,12 +123,12 @@
 
 func schedulerSpec(spec Spec, policy mgscheduler.Policy, upstream *mgtable.Upstream) mgscheduler.Spec {
 	schedulerSpec := mgscheduler.Spec{
-		Queue:  int(spec.Settings.Queue),
+		Queue:  int(spec.Settings.MaxWaiting),
 		Policy: policy,
 	}
 	if upstream != nil {
 		schedulerSpec.Memory = int64(upstream.Memory())
-		schedulerSpec.Batch = upstream.Batch()
+		schedulerSpec.Batch = upstream.MaxConcurrent()
 	}
 	return schedulerSpec
 }
@@ -161,7 +161,7 @@
 		return
 	}
 	a.mu.Lock()
-	a.scheduler.Leaving(a.spec.Clock.Now())
+	a.scheduler.Leave(a.spec.Clock.Now())
 	a.mu.Unlock()
 	a.wakePump()
 	a.spec.Log.Info("leaving: new work is refused")
@@ -205,7 +205,7 @@
 		Detail:  p.Detail(),
 		Remedy:  p.Remedy(),
 		Outcome: string(p.Outcome()),
-		Retry:   int64(p.Retry()),
+		Retry:   int64(p.RetryAfter()),
 	}
 }
 
--- a/internal/process/mgagent/drain.go
+++ b/internal/process/mgagent/drain.go
@@ -12,13 +12,13 @@
 // so the earliest end is the most accurate. An engine that is not leaving after
 // all has no end.
 func (a *Agent) updateReclaimTime(load mgengine.Load) {
-	end := a.spec.Clock.Now() + load.Notice
+	end := a.spec.Clock.Now() + load.ShutdownNotice
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case !load.Leaving:
 		a.hasNotice = false
-	case load.Notice > 0 && (!a.hasNotice || end < a.goneAt):
+	case load.ShutdownNotice > 0 && (!a.hasNotice || end < a.goneAt):
 		a.hasNotice = true
 		a.goneAt = end
 	}
@@ -50,7 +50,7 @@
 	actions := map[*generation]mgpace.Action{}
 	for id, g := range a.generations {
 		action := mgpace.ActionFor(now, a.goneAt, mgpace.Stream{
-			Remaining: a.scheduler.Rest(id),
+			Remaining: a.scheduler.Remaining(id),
 			Delivered: g.deliveredTokens(),
 			Whole:     g.wholeOnly,
 		})
--- a/internal/process/mgagent/drain_test.go
+++ b/internal/process/mgagent/drain_test.go
@@ -38,7 +38,7 @@
 		Leaving: e.leaving.Load(),
 	}
 	if gone := e.goneAt.Load(); gone != 0 {
-		load.Notice = mgclock.Millis(gone) - mgclock.Clock{}.Now()
+		load.ShutdownNotice = mgclock.Millis(gone) - mgclock.Clock{}.Now()
 	}
 	return load, nil
 }
@@ -73,7 +73,7 @@
 func readToEnd(agent *mgagent.Agent, id string) readResult {
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodGet, mgrpc.FramesPath+id+"?from=1", nil)
-	agent.Routes().ServeHTTP(recorder, request)
+	agent.Handler().ServeHTTP(recorder, request)
 	seen := readResult{
 		at: mgclock.Clock{}.Now(),
 	}
@@ -184,17 +184,17 @@
 	}
 	return mgagent.New(mgagent.Spec{
 		Settings: mgsettings.Agent{
-			Upstream: "engine-1",
-			Policy:   "ours",
-			Grace:    60000,
-			Keep:     60000,
-			Queue:    8,
+			Upstream:    "engine-1",
+			Policy:      "ours",
+			ReaderGrace: 60000,
+			ResultTTL:   60000,
+			MaxWaiting:  8,
 		},
 		Incarnation: "i1",
 		Log:         logr.Discard(),
 		Metrics:     mgmetric.New(),
-		Seal:        &mgseal.Signer{},
-		Engine: mgengine.NewClient(mgengine.Seams{
+		Signer:      &mgseal.Signer{},
+		Engine: mgengine.NewClient(mgengine.Calls{
 			Start:  func(context.Context, mgengine.StartSpec) error { return nil },
 			Stream: e.stream,
 			Load:   e.load,
@@ -202,7 +202,7 @@
 			Cancel: func(context.Context, string) error { return nil },
 			List:   func(context.Context) ([]mgengine.Generation, error) { return nil, nil },
 		}),
-		Table: func() *mgtable.Table { return parsed },
-		Seen:  func(uint64, string) {},
+		Table:          func() *mgtable.Table { return parsed },
+		ObserveVersion: func(uint64, string) {},
 	})
 }
--- a/internal/process/mgagent/frames.go
+++ b/internal/process/mgagent/frames.go
@@ -14,9 +14,9 @@
 
 // Routes returns the handler of the RPC calls and frame streams that entries
 // use.
-func (a *Agent) Routes() http.Handler {
+func (a *Agent) Handler() http.Handler {
 	router := chi.NewRouter()
-	router.Mount(mgrpc.AgentPathPrefix, mglink.Alive(mgrpc.NewAgentServer(a), a.spec.Clock, mgclock.Millis(a.spec.Settings.Beat)))
+	router.Mount(mgrpc.AgentPathPrefix, mglink.WithHeartbeats(mgrpc.NewAgentServer(a), a.spec.Clock, mgclock.Millis(a.spec.Settings.HeartbeatInterval)))
 	router.Get(mgrpc.FramesPath+"{generation}", a.serveFrames)
 	return router
 }
@@ -31,7 +31,7 @@
 	}
 	g := a.find(r.Context(), id)
 	if g == nil {
-		mgproblem.Write(w, mgproblem.New(mgproblem.Missing, mgproblem.Unknown,
+		mgproblem.Write(w, mgproblem.New(mgproblem.NotFound, mgproblem.Unknown,
 			"no such generation", "send the request again for a new answer"))
 		return
 	}
@@ -43,8 +43,8 @@
 // streamFrames writes the generation's frames, starting with token number from,
 // until the generation ends.
 func (a *Agent) streamFrames(w http.ResponseWriter, r *http.Request, g *generation, from uint64) {
-	writer := mglink.Response(w, g.id, a.spec.Clock, mgclock.Millis(a.spec.Settings.Beat))
-	if writer.Beat() != nil {
+	writer := mglink.NewResponseWriter(w, g.id, a.spec.Clock, mgclock.Millis(a.spec.Settings.HeartbeatInterval))
+	if writer.WriteHeartbeat() != nil {
 		return
 	}
 	sent := from - 1
@@ -72,7 +72,7 @@
 		case <-r.Context().Done():
 			return false
 		case <-writer.Idle():
-			if writer.Tend() != nil {
+			if writer.WriteHeartbeatIfIdle() != nil {
 				return false
 			}
 		}
@@ -98,7 +98,7 @@
 		f.Fault = string(current.problem.Kind())
 		f.Outcome = string(current.problem.Outcome())
 		f.Remedy = current.problem.Remedy()
-		f.Retry = int64(current.problem.Retry())
+		f.Retry = int64(current.problem.RetryAfter())
 	}
 	return f
 }
--- a/internal/process/mgagent/frames_test.go
+++ b/internal/process/mgagent/frames_test.go
@@ -27,7 +27,7 @@
 	Convey("A long answer is read again from its first token", t, func() {
 		var produced atomic.Bool
 		agent, err := newAgent(table, longEngine(tokens, &produced), func(spec *mgagent.Spec) {
-			spec.Settings.Beat = 250
+			spec.Settings.HeartbeatInterval = 250
 		})
 		So(err, ShouldBeNil)
 		_, cancel, done := runAgent(agent)
@@ -35,7 +35,7 @@
 			cancel()
 			<-done
 		}()
-		server := httptest.NewServer(agent.Routes())
+		server := httptest.NewServer(agent.Handler())
 		defer server.Close()
 		So(readAll(server.URL), ShouldEqual, tokens) // read while it is produced
 		So(produced.Load(), ShouldBeTrue)
@@ -44,7 +44,7 @@
 }
 
 // longEngine has one generation, "long", with 16 bytes per token.
-func longEngine(tokens int, produced *atomic.Bool) mgengine.Seams {
+func longEngine(tokens int, produced *atomic.Bool) mgengine.Calls {
 	engine := idleSeams()
 	engine.List = func(context.Context) ([]mgengine.Generation, error) {
 		return []mgengine.Generation{{
--- a/internal/process/mgagent/handover.go
+++ b/internal/process/mgagent/handover.go
@@ -14,7 +14,7 @@
 
 // moveTarget is an agent that may continue a generation, with its offer.
 type moveTarget struct {
-	other Other
+	other OtherAgent
 	offer *mgrpc.Offer
 }
 
@@ -32,7 +32,7 @@
 				Service: g.service,
 				Model:   g.spec.Model,
 				Prefix:  g.spec.Prefix,
-				Prompt:  uint32(g.spec.Tokens + g.tokenCount()),
+				Prompt:  uint32(g.spec.PromptTokens + g.tokenCount()),
 				Budget:  int64(handOverBudget),
 			})
 			if err != nil {
@@ -58,17 +58,17 @@
 // random order with those of this availability zone first. An agent that held
 // the generation before is excluded: it has a record of it as finished and would
 // redirect the readers back here.
-func (a *Agent) moveCandidates(g *generation) []Other {
-	others := a.spec.Others(g.spec.Model)
-	others = slices.DeleteFunc(others, func(o Other) bool { return slices.Contains(g.previousAgents, o.Name) })
+func (a *Agent) moveCandidates(g *generation) []OtherAgent {
+	others := a.spec.OtherAgents(g.spec.Model)
+	others = slices.DeleteFunc(others, func(o OtherAgent) bool { return slices.Contains(g.previousAgents, o.Name) })
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	slices.SortStableFunc(others, func(x, y Other) int { return a.zoneDistance(x) - a.zoneDistance(y) })
+	slices.SortStableFunc(others, func(x, y OtherAgent) int { return a.zoneDistance(x) - a.zoneDistance(y) })
 	return others[:min(len(others), maxMoveCandidates)]
 }
 
 // zoneDistance returns 0 for an agent of this availability zone and 1 for
 // others.
-func (a *Agent) zoneDistance(o Other) int {
+func (a *Agent) zoneDistance(o OtherAgent) int {
 	if o.Zone == a.spec.Settings.Zone {
 		return 0
 	}
@@ -94,7 +94,7 @@
 		Service:     g.service,
 		Model:       g.spec.Model,
 		Prompt:      g.spec.Prompt,
-		Max:         uint32(g.spec.Max),
+		Max:         uint32(g.spec.MaxTokens),
 		Budget:      int64(handOverBudget),
 		Prefix:      g.spec.Prefix,
 		Whole:       g.wholeOnly,
--- a/internal/process/mgagent/harness_test.go
+++ b/internal/process/mgagent/harness_test.go
@@ -56,25 +56,25 @@
 
 // newAgent returns the agent i1 of engine-1, with a table and an engine; change
 // modifies its spec.
-func newAgent(text string, engine mgengine.Seams, change func(spec *mgagent.Spec)) (*mgagent.Agent, error) {
+func newAgent(text string, engine mgengine.Calls, change func(spec *mgagent.Spec)) (*mgagent.Agent, error) {
 	parsed, err := mgtable.Parse([]byte(text))
 	if err != nil {
 		return nil, err
 	}
 	spec := mgagent.Spec{
 		Settings: mgsettings.Agent{
-			Upstream: "engine-1",
-			Policy:   "ours",
-			Grace:    60000,
-			Keep:     60000,
+			Upstream:    "engine-1",
+			Policy:      "ours",
+			ReaderGrace: 60000,
+			ResultTTL:   60000,
 		},
-		Incarnation: "i1",
-		Log:         logr.Discard(),
-		Metrics:     mgmetric.New(),
-		Seal:        &mgseal.Signer{},
-		Engine:      mgengine.NewClient(engine),
-		Table:       func() *mgtable.Table { return parsed },
-		Seen:        func(uint64, string) {},
+		Incarnation:    "i1",
+		Log:            logr.Discard(),
+		Metrics:        mgmetric.New(),
+		Signer:         &mgseal.Signer{},
+		Engine:         mgengine.NewClient(engine),
+		Table:          func() *mgtable.Table { return parsed },
+		ObserveVersion: func(uint64, string) {},
 	}
 	change(&spec)
 	return mgagent.New(spec)
@@ -85,8 +85,8 @@
 
 // idleSeams returns the calls of an engine that runs nothing and reports
 // nothing.
-func idleSeams() mgengine.Seams {
-	return mgengine.Seams{
+func idleSeams() mgengine.Calls {
+	return mgengine.Calls{
 		Load:   func(context.Context) (mgengine.Load, error) { return mgengine.Load{}, nil },
 		Events: func(context.Context, uint64) ([]mgengine.Event, error) { return nil, nil },
 		Cancel: func(context.Context, string) error { return nil },
@@ -138,9 +138,9 @@
 	engine.Load = r.load
 	engine.List = r.list
 	agent, err := newAgent(table, engine, func(spec *mgagent.Spec) {
-		spec.Settings.Grace = 5000
-		spec.Settings.Keep = 5000
-		spec.Settings.Queue = 8
+		spec.Settings.ReaderGrace = 5000
+		spec.Settings.ResultTTL = 5000
+		spec.Settings.MaxWaiting = 8
 		spec.Service = mgservice.NewClient(r.call)
 	})
 	r.agent = agent
--- a/internal/process/mgagent/invoke.go
+++ b/internal/process/mgagent/invoke.go
@@ -14,7 +14,7 @@
 
 // Mint issues the id of an operation that only this incarnation may run.
 func (a *Agent) Mint(_ context.Context, in *mgrpc.MintRequest) (*mgrpc.MintReply, error) {
-	a.spec.Seen(in.GetVersion(), in.GetEntry())
+	a.spec.ObserveVersion(in.GetVersion(), in.GetEntry())
 	reply := &mgrpc.MintReply{
 		Incarnation: a.spec.Incarnation,
 	}
@@ -33,7 +33,7 @@
 // Invoke makes one call to a plain service. A call with an operation id is made
 // once, however often it is requested.
 func (a *Agent) Invoke(ctx context.Context, in *mgrpc.InvokeRequest) (*mgrpc.InvokeReply, error) {
-	a.spec.Seen(in.GetVersion(), in.GetEntry())
+	a.spec.ObserveVersion(in.GetVersion(), in.GetEntry())
 	a.calls.Add(1)
 	defer a.calls.Add(-1)
 	var result mgoperation.Result
@@ -59,7 +59,7 @@
 
 // runOperation runs an operation at most once and answers every request for it.
 func (a *Agent) runOperation(ctx context.Context, in *mgrpc.InvokeRequest) (mgoperation.Result, *mgproblem.Problem) {
-	operation, err := mgoperation.Open(a.spec.Seal, in.GetAccount(), in.GetService(), in.GetOperation())
+	operation, err := mgoperation.Open(a.spec.Signer, in.GetAccount(), in.GetService(), in.GetOperation())
 	if err != nil {
 		return mgoperation.Result{}, mgproblem.From(err)
 	}
@@ -136,8 +136,8 @@
 	case state == mgoperation.Tombstone:
 		return result, busyProblem()
 	case result.Outcome == mgproblem.NotRun:
-		return result, mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-			"the service could not be reached", "mint a new operation and send it again").WithRetry(mgclock.Second)
+		return result, mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
+			"the service could not be reached", "mint a new operation and send it again").WithRetryAfter(mgclock.Second)
 	case result.Outcome != mgproblem.Done:
 		return result, unconfirmedProblem("the service did not answer")
 	}
@@ -150,8 +150,8 @@
 }
 
 func busyProblem() *mgproblem.Problem {
-	return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-		"the service's calls are all in use", "come back later").WithRetry(mgclock.Second)
+	return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
+		"the service's calls are all in use", "come back later").WithRetryAfter(mgclock.Second)
 }
 
 // callService makes a call that may be repeated.
@@ -197,8 +197,8 @@
 		}, nil
 	}
 	if mgservice.KindOf(err) == mgservice.NotSent {
-		return mgoperation.Result{}, mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-			"the service could not be reached", "try another upstream").WithRetry(mgclock.Second).WithCause(err)
+		return mgoperation.Result{}, mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
+			"the service could not be reached", "try another upstream").WithRetryAfter(mgclock.Second).WithCause(err)
 	}
 	return mgoperation.Result{}, unconfirmedProblem("the service did not answer").WithCause(err)
 }
--- a/internal/process/mgagent/move.go
+++ b/internal/process/mgagent/move.go
@@ -12,7 +12,7 @@
 )
 
 // Other is an agent that may take over a generation.
-type Other struct {
+type OtherAgent struct {
 	Name  string
 	Zone  string
 	Agent mgrpc.Agent
@@ -48,7 +48,7 @@
 	a.mu.Lock()
 	noticed := a.hasNotice
 	a.mu.Unlock()
-	if !noticed || a.spec.Others == nil || a.isMoving.Swap(true) {
+	if !noticed || a.spec.OtherAgents == nil || a.isMoving.Swap(true) {
 		return
 	}
 	a.tasks.Go(func() {
@@ -58,7 +58,7 @@
 			g := a.nextMove(now)
 			if g == nil {
 				a.drainGenerations(now)
-				if !a.hasRemaining() || !a.spec.Clock.Sleep(a.lifetime, mgmigration.RetrySpan) {
+				if !a.hasRemaining() || !a.spec.Clock.Sleep(a.lifetime, mgmigration.RetryDelay) {
 					return
 				}
 				continue
@@ -103,7 +103,7 @@
 	}
 	var unfinishable []*generation
 	for id, g := range a.generations {
-		if g.isMovable() && a.scheduler.Rest(id) > a.goneAt-moveMargin-now {
+		if g.isMovable() && a.scheduler.Remaining(id) > a.goneAt-moveMargin-now {
 			unfinishable = append(unfinishable, g)
 		}
 	}
@@ -120,15 +120,15 @@
 // movePriority returns the generation's priority among those to move.
 func (g *generation) movePriority() float64 {
 	return mgmigration.Run{
-		Prompt: g.spec.Tokens,
-		Output: g.spec.Max,
-		Made:   g.tokenCount(),
-	}.Worth()
+		Prompt:         g.spec.PromptTokens,
+		ExpectedOutput: g.spec.MaxTokens,
+		Generated:      g.tokenCount(),
+	}.Benefit()
 }
 
 // canMove reports whether there is still time to move a generation.
 func (a *Agent) canMove(g *generation) bool {
-	return a.hasTimeToMove() && a.spec.Others != nil && g.isMovable()
+	return a.hasTimeToMove() && a.spec.OtherAgents != nil && g.isMovable()
 }
 
 // moveGeneration moves one generation. It is copied while it runs, then stopped,
@@ -141,16 +141,16 @@
 	var m mgmigration.Move
 	for len(targets) > 0 && !g.isEnded() && m.Step() != mgmigration.Done && (m.Step() == mgmigration.Stop || a.hasTimeToMove()) {
 		if m.Step() == mgmigration.Wait {
-			a.spec.Clock.Sleep(ctx, mgmigration.RetrySpan)
-			m.Waited()
+			a.spec.Clock.Sleep(ctx, mgmigration.RetryDelay)
+			m.EndWait()
 			if noRoom {
 				targets, noRoom = a.moveTargets(ctx, g), false
 			}
 			continue
 		}
 		reply := a.copyTo(ctx, g, targets[0], m.Step() == mgmigration.Stop)
-		m.Take(reply)
-		if reply.Outcome == mgmigration.NoRoom {
+		m.HandleReply(reply)
+		if reply.Outcome == mgmigration.NoCapacity {
 			noRoom = true
 			if len(targets) > 1 {
 				targets = targets[1:]
@@ -219,9 +219,9 @@
 		return mgmigration.Reply{
 			Outcome: mgmigration.Absent,
 		}
-	case mgengine.Refused(err):
+	case mgengine.IsRefusal(err):
 		return mgmigration.Reply{
-			Outcome: mgmigration.NoRoom,
+			Outcome: mgmigration.NoCapacity,
 		}
 	default:
 		return mgmigration.Reply{
--- a/internal/process/mgagent/move_test.go
+++ b/internal/process/mgagent/move_test.go
@@ -109,9 +109,9 @@
 		engine.Cancel = m.cancel
 		agent, err := newAgent(strings.Replace(table, "batch = 1\n", "batch = 16\n", 1), engine, func(spec *mgagent.Spec) {
 			spec.Settings.Name = "agent-1"
-			spec.Settings.Queue = 8
-			spec.Others = func(string) []mgagent.Other {
-				return []mgagent.Other{{
+			spec.Settings.MaxWaiting = 8
+			spec.OtherAgents = func(string) []mgagent.OtherAgent {
+				return []mgagent.OtherAgent{{
 					Name:  "agent-2",
 					Agent: targetAgent{engine: m},
 				}}
--- a/internal/process/mgagent/notrun_test.go
+++ b/internal/process/mgagent/notrun_test.go
@@ -161,7 +161,7 @@
 			}}
 			r.mu.Unlock()
 			readerCtx, disconnect := context.WithCancel(r.ctx)
-			go r.agent.Routes().ServeHTTP(httptest.NewRecorder(), httptest.NewRequestWithContext(readerCtx, "GET", "/frames/x?from=1", nil))
+			go r.agent.Handler().ServeHTTP(httptest.NewRecorder(), httptest.NewRequestWithContext(readerCtx, "GET", "/frames/x?from=1", nil))
 			r.sleep(mgclock.Second)
 			disconnect()
 			r.stop()
--- a/internal/process/mgagent/orders.go
+++ b/internal/process/mgagent/orders.go
@@ -43,14 +43,14 @@
 }
 
 func newOrderState(spec Spec, upstream *mgtable.Upstream) *orderState {
-	checksFence := upstream != nil && upstream.Orders() == mgtable.Checked
+	checksFence := upstream != nil && upstream.FencingMode() == mgtable.OrdersChecked
 	return &orderState{
 		guard: mgfence.New(mgfence.Spec{
-			StartedUnix:  spec.Started,
+			StartedUnix:  spec.StartedUnix,
 			StartedAt:    spec.Clock.Now(),
 			EngineChecks: checksFence,
 		}),
-		pacer: mgplacement.NewPacer(spec.Settings.Upstream, 0, uint64(spec.Started)),
+		pacer: mgplacement.NewPacer(spec.Settings.Upstream, 0, uint64(spec.StartedUnix)),
 	}
 }
 
@@ -81,11 +81,11 @@
 		return
 	}
 	plan := a.spec.Plan()
-	a.orders.pacer.Plan(now, plan)
+	a.orders.pacer.SetPlan(now, plan)
 	if a.orders.wasRefused.Swap(false) {
-		a.orders.pacer.Refused(now)
+		a.orders.pacer.RecordRefusal(now)
 	}
-	a.orders.pacer.Loaded(now, a.orders.heldModel(now, *held, plan.Model(a.spec.Settings.Upstream)))
+	a.orders.pacer.RecordLoaded(now, a.orders.heldModel(now, *held, plan.Model(a.spec.Settings.Upstream)))
 	if model := a.orders.pacer.Due(now); model != "" {
 		a.loadModel(ctx, table.Version(), model)
 	}
@@ -95,7 +95,7 @@
 // to be the engine's current agent, and revokes it otherwise.
 func (a *Agent) renewLease(now mgclock.Millis) {
 	a.orders.guard.ObserveClock(now)
-	if asked, ours := a.spec.Ours(); ours && !a.isLeaving.Load() {
+	if asked, ours := a.spec.IsCurrent(); ours && !a.isLeaving.Load() {
 		a.orders.guard.Renew(asked, now)
 		return
 	}
--- a/internal/process/mgagent/orders_test.go
+++ b/internal/process/mgagent/orders_test.go
@@ -75,32 +75,32 @@
 	}{
 		{
 			name:   "the engine lacks its model and gets it by one order",
-			checks: mgtable.Checked,
+			checks: mgtable.OrdersChecked,
 			held:   []string{"old"},
 			ours:   true,
 			orders: 1,
 		},
 		{
 			name:   "the engine has its model",
-			checks: mgtable.Checked,
+			checks: mgtable.OrdersChecked,
 			held:   []string{"tank-70b"},
 			ours:   true,
 		},
 		{
 			name:   "another agent has replaced this one",
-			checks: mgtable.Checked,
+			checks: mgtable.OrdersChecked,
 			held:   []string{"old"},
 		},
 		{
 			name:   "this agent is leaving",
-			checks: mgtable.Checked,
+			checks: mgtable.OrdersChecked,
 			held:   []string{"old"},
 			ours:   true,
 			leaves: true,
 		},
 		{
 			name:   "the engine ignores fencing numbers: the agent waits until its predecessor's orders have expired",
-			checks: mgtable.Ignored,
+			checks: mgtable.OrdersIgnored,
 			held:   []string{"old"},
 			ours:   true,
 			orders: 1,
@@ -108,7 +108,7 @@
 		},
 		{
 			name:   "the engine has seen a higher number: the next order is higher still",
-			checks: mgtable.Checked,
+			checks: mgtable.OrdersChecked,
 			held:   []string{"old"},
 			newest: others,
 			ours:   true,
@@ -116,7 +116,7 @@
 		},
 		{
 			name:   "the engine restarts without its model and gets it again",
-			checks: mgtable.Checked,
+			checks: mgtable.OrdersChecked,
 			held:   []string{"tank-70b"},
 			ours:   true,
 			ends:   mgclock.Minute,
@@ -125,7 +125,7 @@
 		},
 		{
 			name:   "the process is paused before it sends, and is replaced meanwhile",
-			checks: mgtable.Ignored,
+			checks: mgtable.OrdersIgnored,
 			held:   []string{"old"},
 			ours:   true,
 			paused: true,
@@ -196,7 +196,7 @@
 func orderAgent(engine *orderedEngine, log logr.Logger, checks string, ours bool) (*mgagent.Agent, error) {
 	text := strings.Replace(table, `orders = "checked"`, `orders = "`+checks+`"`, 1)
 	members := mgmember.New("agent-1")
-	members.List(0, mgplatform.List{
+	members.AdoptList(0, mgplatform.VMList{
 		Version: 1,
 		VMs: []mgplatform.VM{{
 			Name:     "agent-1",
@@ -212,8 +212,8 @@
 	seams.Order = engine.order
 	return newAgent(text, seams, func(spec *mgagent.Spec) {
 		spec.Plan = func() *mgplacement.Plan { return mgplacement.Assign(spec.Table(), members.View()) }
-		spec.Ours = func() (mgclock.Millis, bool) { return engine.clock.Now(), ours && !engine.isReplaced.Load() }
+		spec.IsCurrent = func() (mgclock.Millis, bool) { return engine.clock.Now(), ours && !engine.isReplaced.Load() }
 		spec.Log = log
-		spec.Started = mgclock.UnixMillis()
+		spec.StartedUnix = mgclock.UnixMillis()
 	})
 }
--- a/internal/process/mgagent/outdated_test.go
+++ b/internal/process/mgagent/outdated_test.go
@@ -46,8 +46,8 @@
 						var now atomic.Pointer[mgtable.Table]
 						now.Store(spec.Table())
 						spec.Table = now.Load
-						spec.Seen = func(_ uint64, from string) { reportedBy = from }
-						spec.Await = func(ctx context.Context, _ uint64) error {
+						spec.ObserveVersion = func(_ uint64, from string) { reportedBy = from }
+						spec.AwaitVersion = func(ctx context.Context, _ uint64) error {
 							if !spec.Clock.Sleep(ctx, c.appearsAfter) {
 								return ctx.Err()
 							}
--- a/internal/process/mgagent/pump.go
+++ b/internal/process/mgagent/pump.go
@@ -116,13 +116,13 @@
 			// The engine counts as down until its next load report, unless it
 			// refused the request itself: otherwise one account's invalid
 			// requests would take the engines away from all others.
-			a.engineDown.Store(!mgengine.Refused(err) || a.engineDown.Load())
+			a.engineDown.Store(!mgengine.IsRefusal(err) || a.engineDown.Load())
 			if mayHaveStarted {
 				// A refusal covers this try alone. An earlier one was sent and
 				// not answered, so the engine may have run it until it crashed.
 				break
 			}
-			return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
+			return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
 				"the engine refused the generation", "try another upstream").WithCause(err)
 		}
 		mayHaveStarted = true
@@ -246,7 +246,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if preempted {
-		a.scheduler.Preempted(now, g.id)
+		a.scheduler.RecordPreemption(now, g.id)
 		a.ramp.Halve(now)
 	}
 	a.scheduler.Progress(now, g.id, int(token.Seq))
--- a/internal/process/mgagent/start.go
+++ b/internal/process/mgagent/start.go
@@ -16,7 +16,7 @@
 // Probe returns an offer: what the upstream could do for a request now. It
 // reserves nothing; only Start's answer is binding.
 func (a *Agent) Probe(_ context.Context, in *mgrpc.ProbeRequest) (*mgrpc.Offer, error) {
-	a.spec.Seen(in.GetVersion(), in.GetEntry())
+	a.spec.ObserveVersion(in.GetVersion(), in.GetEntry())
 	now := a.spec.Clock.Now()
 	offer := &mgrpc.Offer{
 		Agent:       a.spec.Settings.Name,
@@ -25,16 +25,16 @@
 		Leaving:     a.isLeaving.Load(),
 		Cached:      uint32(a.prefix.Cached(in.GetPrefix())),
 		Stamp:       int64(now),
-		Engine:      a.spec.Settings.Address,
+		Engine:      a.spec.Settings.UpstreamURL,
 	}
 	table := a.spec.Table()
 	if table == nil {
-		offer.Refused = string(mgproblem.Unready)
+		offer.Refused = string(mgproblem.NotReady)
 		return offer, nil
 	}
 	offer.Version = table.Version()
 	if a.engineDown.Load() || a.orders.lacksModel(in.GetModel()) {
-		offer.Refused = string(mgproblem.Crowded)
+		offer.Refused = string(mgproblem.Overloaded)
 		offer.Retry = int64(pollInterval)
 		return offer, nil
 	}
@@ -46,13 +46,13 @@
 	estimate := a.scheduler.Offer(now, request)
 	a.mu.Unlock()
 	offer.Wait = int64(estimate.Wait)
-	offer.Rest = int64(estimate.Rest)
+	offer.Rest = int64(estimate.GenerationTime)
 	offer.Headroom = estimate.Headroom
 	offer.Running = uint32(estimate.Running)
 	offer.Queued = uint32(estimate.Queued)
 	if problem := estimate.Refused; problem != nil {
 		offer.Refused = string(problem.Kind())
-		offer.Retry = int64(problem.Retry())
+		offer.Retry = int64(problem.RetryAfter())
 	}
 	return offer, nil
 }
@@ -72,8 +72,8 @@
 	}
 	if row := table.Service(service); row != nil {
 		request.Priority = row.Priority()
-		request.Max = row.Max()
-		if row.Prefer() == mgtable.Whole {
+		request.Max = row.MaxOutput()
+		if row.Preference() == mgtable.PreferWhole {
 			request.Prefer = mgscheduler.Whole
 		}
 	}
@@ -83,7 +83,7 @@
 // Start enqueues an attempt, or joins it if it was started before under the same
 // id.
 func (a *Agent) Start(ctx context.Context, in *mgrpc.StartRequest) (*mgrpc.StartReply, error) {
-	a.spec.Seen(in.GetVersion(), in.GetEntry())
+	a.spec.ObserveVersion(in.GetVersion(), in.GetEntry())
 	reply := &mgrpc.StartReply{
 		Incarnation: a.spec.Incarnation,
 	}
@@ -132,15 +132,15 @@
 	}
 	table := a.spec.Table()
 	if table == nil {
-		return mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
+		return mgproblem.New(mgproblem.NotReady, mgproblem.NotRun,
 			"the agent has no configuration yet", "try another upstream")
 	}
 	if a.engineDown.Load() {
 		return unreachableProblem()
 	}
 	if a.orders.lacksModel(in.GetModel()) {
-		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-			"the engine has not loaded the model", "try another upstream").WithRetry(mgclock.Second)
+		return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
+			"the engine has not loaded the model", "try another upstream").WithRetryAfter(mgclock.Second)
 	}
 	if in.GetCopy() != "" {
 		return a.takeOver(table, in, a.spec.Clock.Now())
@@ -157,14 +157,14 @@
 // already in force at the entry.
 func (a *Agent) catchUp(ctx context.Context, version uint64) *mgproblem.Problem {
 	table := a.spec.Table()
-	if a.spec.Await == nil || table != nil && table.Version() >= version {
+	if a.spec.AwaitVersion == nil || table != nil && table.Version() >= version {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout.Duration())
 	defer cancel()
-	if err := a.spec.Await(ctx, version); err != nil {
-		return mgproblem.New(mgproblem.Behind, mgproblem.NotRun,
-			"the agent has an older configuration", "try another upstream").WithRetry(catchUpTimeout).WithCause(err)
+	if err := a.spec.AwaitVersion(ctx, version); err != nil {
+		return mgproblem.New(mgproblem.OutdatedVersion, mgproblem.NotRun,
+			"the agent has an older configuration", "try another upstream").WithRetryAfter(catchUpTimeout).WithCause(err)
 	}
 	return nil
 }
@@ -173,8 +173,8 @@
 // whose engine is down has an empty waiting list and would make the best offer:
 // without this refusal it would attract all requests and fail each.
 func unreachableProblem() *mgproblem.Problem {
-	return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-		"the engine can't be reached", "try another upstream").WithRetry(pollInterval)
+	return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
+		"the engine can't be reached", "try another upstream").WithRetryAfter(pollInterval)
 }
 
 // enqueue submits the attempt to the scheduler.
@@ -202,14 +202,14 @@
 		request.Max = max
 	}
 	spec := mgengine.StartSpec{
-		ID:       in.GetAttempt(),
-		Model:    in.GetModel(),
-		Prompt:   in.GetPrompt(),
-		Tokens:   request.Prompt,
-		Prefix:   in.GetPrefix(),
-		Max:      request.Max,
-		Priority: request.Priority,
-		Copy:     in.GetCopy(),
+		ID:           in.GetAttempt(),
+		Model:        in.GetModel(),
+		Prompt:       in.GetPrompt(),
+		PromptTokens: request.Prompt,
+		Prefix:       in.GetPrefix(),
+		MaxTokens:    request.Max,
+		Priority:     request.Priority,
+		CopyName:     in.GetCopy(),
 	}
 	g := newGeneration(in.GetAttempt(), in.GetAccount(), in.GetService(), spec, now)
 	g.wholeOnly = in.GetWhole()
--- a/internal/process/mgagent/start_test.go
+++ b/internal/process/mgagent/start_test.go
@@ -53,13 +53,13 @@
 // cancelOutcome runs an attempt whose starts at the engine get answers, in
 // order, and returns the outcome of its cancel.
 func cancelOutcome(answers []error) string {
-	agent, err := newAgent(table, mgengine.Seams{
+	agent, err := newAgent(table, mgengine.Calls{
 		Start: func(context.Context, mgengine.StartSpec) error {
 			answer := answers[0]
 			answers = answers[1:]
 			return answer
 		},
-	}, func(spec *mgagent.Spec) { spec.Settings.Queue = 8 })
+	}, func(spec *mgagent.Spec) { spec.Settings.MaxWaiting = 8 })
 	So(err, ShouldBeNil)
 	ctx, cancel, done := runAgent(agent)
 	reply, err := agent.Start(ctx, &mgrpc.StartRequest{
--- a/internal/process/mgagent/stream_test.go
+++ b/internal/process/mgagent/stream_test.go
@@ -46,7 +46,7 @@
 // frames returns a generation's frames as text, up to their end.
 func (r *harness) frames(id string) string {
 	response := httptest.NewRecorder()
-	r.agent.Routes().ServeHTTP(response, httptest.NewRequest("GET", "/frames/"+id+"?from=1", nil))
+	r.agent.Handler().ServeHTTP(response, httptest.NewRequest("GET", "/frames/"+id+"?from=1", nil))
 	in := bufio.NewReader(response.Body)
 	var b strings.Builder
 	for {
@@ -55,7 +55,7 @@
 			return b.String()
 		}
 		b.WriteString(strings.Join(f.GetText(), " "))
-		if mglink.Final(f) {
+		if mglink.IsFinal(f) {
 			fmt.Fprintf(&b, " %s%s of %d", f.GetEnd(), f.GetFault(), f.GetTotal())
 		}
 	}
--- a/internal/process/mgentry/agents.go
+++ b/internal/process/mgentry/agents.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		built.members = append(built.members, member)
-		if !member.Peer() && !member.Leaving() && !member.Cordoned() && member.Listed() {
+		if !member.IsPeer() && !member.Leaving() && !member.Cordoned() && member.Listed() {
 			for _, service := range member.Services() {
 				built.directHosts[service] = append(built.directHosts[service], member)
 			}
@@ -77,7 +77,7 @@
 
 // client returns the RPC client of an agent.
 func (e *Entry) client(agent *mgmember.Member) mgrpc.Agent {
-	base := e.spec.Base(agent.PeerAddr())
+	base := e.spec.BaseURL(agent.PeerAddr())
 	if found, ok := e.clients.Load(base); ok {
 		return found.(mgrpc.Agent)
 	}
@@ -91,7 +91,7 @@
 // callers that hang up would make one healthy agent after another suspect.
 func (e *Entry) reportFailed(request context.Context, agent *mgmember.Member) {
 	if request.Err() == nil {
-		e.spec.Failed(agent.Name())
+		e.spec.ReportFailed(agent.Name())
 	}
 }
 
--- a/internal/process/mgentry/answers.go
+++ b/internal/process/mgentry/answers.go
@@ -45,7 +45,7 @@
 		entry:         e,
 		account:       c.account.Name(),
 		chat:          r.URL.Query().Get("form") != "text",
-		created:       mgclock.Unix(),
+		created:       mgclock.UnixSeconds(),
 		answer:        "",
 		lastDelivered: last,
 	}
@@ -84,8 +84,8 @@
 	}
 	agent, ok := e.agentByUpstream(name.Agent())
 	if !ok {
-		return attempt{}, mgproblem.New(mgproblem.Crowded, mgproblem.Unknown,
-			"the answer's upstream can't be reached now", "come back after the time in Retry-After").WithRetry(mgclock.Second)
+		return attempt{}, mgproblem.New(mgproblem.Overloaded, mgproblem.Unknown,
+			"the answer's upstream can't be reached now", "come back after the time in Retry-After").WithRetryAfter(mgclock.Second)
 	}
 	return attempt{
 		id:         name.Generation(),
--- a/internal/process/mgentry/caps.go
+++ b/internal/process/mgentry/caps.go
@@ -61,12 +61,12 @@
 		e.spec.Metrics.Counter("capped").Inc(1)
 		return nil, problem
 	}
-	e.spec.Running(account, running)
+	e.spec.ReportRunning(account, running)
 	var once sync.Once
 	return func(tokens int) {
 		once.Do(func() {
 			remainingStreams := e.caps.end(e.spec.Clock.Now(), account, charged, float64(tokens))
-			e.spec.Running(account, remainingStreams)
+			e.spec.ReportRunning(account, remainingStreams)
 		})
 	}, nil
 }
@@ -99,7 +99,7 @@
 	a.cap.Renew(now, mgcap.Lease{
 		Rate:    slice.Rate,
 		Streams: slice.Streams,
-		End:     slice.End,
+		Expires: slice.End,
 	})
 	charged = expected
 	if a.cap.Streams() == 0 {
--- a/internal/process/mgentry/crash.go
+++ b/internal/process/mgentry/crash.go
@@ -13,7 +13,7 @@
 
 // checkQuarantine returns the refusal of a quarantined request, or nil.
 func (e *Entry) checkQuarantine(j *job) *mgproblem.Problem {
-	if !e.spec.Quarantine.Watching() {
+	if !e.spec.Quarantine.HasSuspects() {
 		return nil
 	}
 	remaining, ok := e.spec.Quarantine.Admit(e.spec.Clock.Now(), j.digest())
@@ -29,7 +29,7 @@
 func (r *answerReader) recordCrash() {
 	digest := r.job.digest()
 	now := r.entry.spec.Clock.Now()
-	r.entry.spec.Quarantine.Crashed(now, mgquarantine.Crash{
+	r.entry.spec.Quarantine.RecordCrash(now, mgquarantine.Crash{
 		Digest:   digest,
 		Request:  r.attempt.id,
 		Upstream: r.attempt.agent.Upstream(),
@@ -46,7 +46,7 @@
 // restartProblem returns why the request must not start at another engine, or
 // nil.
 func (r *answerReader) restartProblem() *mgproblem.Problem {
-	if !r.entry.spec.Quarantine.Watching() {
+	if !r.entry.spec.Quarantine.HasSuspects() {
 		return nil
 	}
 	if remaining, held := r.entry.spec.Quarantine.Held(r.entry.spec.Clock.Now(), r.job.digest()); held {
@@ -61,7 +61,7 @@
 
 // recordSuccess records that an engine answered the request.
 func (r *answerReader) recordSuccess() {
-	if r.job != nil && r.entry.spec.Quarantine.Watching() {
-		r.entry.spec.Quarantine.Answered(r.entry.spec.Clock.Now(), r.job.digest())
+	if r.job != nil && r.entry.spec.Quarantine.HasSuspects() {
+		r.entry.spec.Quarantine.RecordAnswer(r.entry.spec.Clock.Now(), r.job.digest())
 	}
 }
--- a/internal/process/mgentry/crash_test.go
+++ b/internal/process/mgentry/crash_test.go
@@ -62,7 +62,7 @@
 			entry := httptest.NewServer(newEntry(hostTransport{
 				"agent-1": agent("agent-1", crashed()),
 				"agent-2": agent("agent-2", crashed()),
-			}).Routes())
+			}).Handler())
 			defer entry.Close()
 			status, _ := ask(entry, "len=5")
 			So(status, ShouldEqual, http.StatusBadGateway)
@@ -87,7 +87,7 @@
 					End:   "stop",
 					Total: 1,
 				}),
-			}).Routes())
+			}).Handler())
 			defer entry.Close()
 			for range 8 {
 				status, _ := ask(entry, "len=1")
--- a/internal/process/mgentry/deliver.go
+++ b/internal/process/mgentry/deliver.go
@@ -40,7 +40,7 @@
 	}
 	// Without a deadline, a caller that stops reading would hold its generation's
 	// frames forever.
-	_ = s.control.SetWriteDeadline(mgclock.Deadline(s.writeTimeout))
+	_ = s.control.SetWriteDeadline(mgclock.DeadlineAfter(s.writeTimeout))
 	if _, err := s.w.Write(data); err != nil {
 		return errors.Join(errCallerSlow, err)
 	}
@@ -54,7 +54,7 @@
 	out := &eventStream{
 		w:            w,
 		control:      http.NewResponseController(w),
-		writeTimeout: mgclock.Millis(e.spec.Settings.Slow),
+		writeTimeout: mgclock.Millis(e.spec.Settings.CallerTimeout),
 	}
 	deliveries := readAhead(ctx, reader)
 	beat := e.spec.Clock.After(heartbeatInterval)
--- a/internal/process/mgentry/entry.go
+++ b/internal/process/mgentry/entry.go
@@ -32,25 +32,25 @@
 	Clock    mgclock.Clock
 	Log      logr.Logger
 	Metrics  *mgmetric.Set
-	Seal     *mgseal.Signer
+	Signer   *mgseal.Signer
 	// Table returns the table in force, or nil before the first one.
 	Table func() *mgtable.Table
 	// Certain reports whether the table in force was recently confirmed to be the
 	// newest, so that a name it lacks does not exist. Nil means always.
-	Certain func() bool
+	TableConfirmed func() bool
 	// Seen reports the table version that another process uses.
-	Seen func(version uint64, from string)
+	ObserveVersion func(version uint64, from string)
 	// View returns the current view of the other processes.
 	View func() *mgmember.View
 	// Failed reports a process that could not be reached. Heard reports what a
 	// process has announced about itself.
-	Failed func(name string)
-	Heard  func(name, incarnation string, leaving bool)
+	ReportFailed       func(name string)
+	ReportAnnouncement func(name, incarnation string, leaving bool)
 	// Acquire returns this entry's share of an account's caps, and false for an
 	// account without caps. Running reports how many of the account's streams run
 	// on this entry. If Acquire is nil, no account has caps.
-	Acquire func(ctx context.Context, account string, tokens float64) (mgshare.Slice, bool)
-	Running func(account string, count int)
+	Acquire       func(ctx context.Context, account string, tokens float64) (mgshare.Slice, bool)
+	ReportRunning func(account string, count int)
 	// Calls carries calls to agents. Frames opens each stream on a connection of
 	// its own.
 	Calls  http.RoundTripper
@@ -62,20 +62,20 @@
 	// routes have no effect.
 	Relay *mgrelay.Spec
 	// Answered reports that a relayed request reached an upstream.
-	Answered func(name string)
+	ReportAnswered func(name string)
 	// Elsewhere reports whether a caller that this entry refuses while it stops
 	// will probably reach an entry that is not stopping. Nil means always.
-	Elsewhere func() bool
+	OthersStay func() bool
 	// Others returns the load that the other entries have sent to upstreams.
-	Others func() mgload.Report
+	OtherLoads func() mgload.Report
 	// Stale reports whether the list of VMs may be out of date. Left reports an
 	// upstream that has announced that it is leaving.
-	Stale func() bool
-	Left  func(name string)
+	IsListStale    func() bool
+	ReportDeparted func(name string)
 	// Changed returns a channel that is closed when the view is next replaced.
 	Changed func() <-chan struct{}
 	// Base returns the base URL for an agent's address.
-	Base func(address string) string
+	BaseURL func(address string) string
 }
 
 // Entry serves callers. Create one with New.
@@ -87,7 +87,7 @@
 	currentFleet atomic.Pointer[fleet]
 	budgets      mgretry.Budgets
 	relay        *mgrelay.Relay // nil without Spec.Relay
-	load         mgload.Count   // of relayed requests
+	load         mgload.Tracker // of relayed requests
 	hedges       hedges
 	caps         accountCaps
 	busy         atomic.Int64
@@ -106,7 +106,7 @@
 	}
 	e := &Entry{
 		spec:   spec,
-		signer: mganswer.NewSigner(spec.Seal),
+		signer: mganswer.NewSigner(spec.Signer),
 		frames: &http.Client{Transport: spec.Frames},
 		epoch:  epoch,
 	}
@@ -118,13 +118,13 @@
 // end by then are refused from now on. Each response asks its caller to open a
 // new connection, which reaches another entry: otherwise all callers that keep
 // their connections would be refused at once when Leave is called.
-func (e *Entry) Stopping(end mgclock.Millis) { e.stopTime.Store(int64(end)) }
+func (e *Entry) AnnounceStop(end mgclock.Millis) { e.stopTime.Store(int64(end)) }
 
 // remaining returns the time until the process stops. It returns false if the
 // process is not stopping or a caller would fare no better at another entry.
 func (e *Entry) remaining() (mgclock.Millis, bool) {
 	end := mgclock.Millis(e.stopTime.Load())
-	if end == 0 || e.spec.Elsewhere != nil && !e.spec.Elsewhere() {
+	if end == 0 || e.spec.OthersStay != nil && !e.spec.OthersStay() {
 		return 0, false
 	}
 	return end - e.spec.Clock.Now(), true
@@ -137,7 +137,7 @@
 func (e *Entry) Busy() int { return int(e.busy.Load()) }
 
 // Routes returns the HTTP handler for callers.
-func (e *Entry) Routes() http.Handler {
+func (e *Entry) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Use(e.countRequests)
 	router.Use(e.limitBody)
@@ -176,7 +176,7 @@
 // leavingProblem returns the refusal of a request to an entry that is leaving.
 func leavingProblem() *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Leaving, mgproblem.NotRun,
-		"this entry is leaving", "send the request again on a new connection").WithRetry(leaveRetryDelay)
+		"this entry is leaving", "send the request again on a new connection").WithRetryAfter(leaveRetryDelay)
 }
 
 // leaveRetryDelay is the delay before a caller retries at another entry. It only
@@ -187,7 +187,7 @@
 // problem+json otherwise.
 func (e *Entry) refuse(w http.ResponseWriter, problem *mgproblem.Problem) {
 	if e.relay != nil {
-		e.relay.Write(w, problem)
+		e.relay.WriteProblem(w, problem)
 		return
 	}
 	w.Header().Set("Connection", "close")
@@ -197,7 +197,7 @@
 // limitBody limits the size of a request's body.
 func (e *Entry) limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		r.Body = http.MaxBytesReader(w, r.Body, e.spec.Settings.Body)
+		r.Body = http.MaxBytesReader(w, r.Body, e.spec.Settings.MaxBody)
 		next.ServeHTTP(w, r)
 	})
 }
@@ -216,8 +216,8 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		table := e.spec.Table()
 		if table == nil {
-			mgproblem.Write(w, mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
-				"no configuration is in force yet", "try another entry").WithRetry(mgclock.Second))
+			mgproblem.Write(w, mgproblem.New(mgproblem.NotReady, mgproblem.NotRun,
+				"no configuration is in force yet", "try another entry").WithRetryAfter(mgclock.Second))
 			return
 		}
 		account := accountByKey(table, r)
@@ -235,13 +235,13 @@
 // accountByKey returns the account whose key the request carries, or nil.
 func accountByKey(table *mgtable.Table, r *http.Request) *mgtable.Account {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-	return table.ByKey(key)
+	return table.AccountByKey(key)
 }
 
 // refuseUnknownKey refuses a caller whose key is not in the table.
 func (e *Entry) refuseUnknownKey(w http.ResponseWriter) {
 	e.spec.Metrics.Counter("strangers").Inc(1)
-	mgproblem.Write(w, mgproblem.New(mgproblem.Stranger, mgproblem.NotRun,
+	mgproblem.Write(w, mgproblem.New(mgproblem.Unauthenticated, mgproblem.NotRun,
 		"no client account has this key", "send Authorization: Bearer and a key of the table"))
 }
 
--- a/internal/process/mgentry/format.go
+++ b/internal/process/mgentry/format.go
@@ -35,7 +35,7 @@
 		chat:             j.chat,
 		includeUsage:     j.includeUsage,
 		promptTokens:     j.promptTokens,
-		created:          mgclock.Unix(),
+		created:          mgclock.UnixSeconds(),
 		receivedAt:       j.receivedAt,
 		awaitsFirstToken: true,
 	}
--- a/internal/process/mgentry/fuzz_test.go
+++ b/internal/process/mgentry/fuzz_test.go
@@ -20,10 +20,10 @@
 	}
 	var members mgmember.Members
 	spec := entrySpec(parsed, &members)
-	spec.Settings.Body = 1 << 16
-	spec.Settings.Probe = 1
+	spec.Settings.MaxBody = 1 << 16
+	spec.Settings.ProbeTimeout = 1
 	e := mgentry.New(spec, "life")
-	routes := e.Routes()
+	routes := e.Handler()
 	f.Add("/v1/chat/completions", `{"model":"report","messages":[{"role":"user","content":"len=3"}]}`)
 	f.Fuzz(func(t *testing.T, path, body string) {
 		r := httptest.NewRequest(http.MethodPost, "/", strings.NewReader(body))
--- a/internal/process/mgentry/hangup_test.go
+++ b/internal/process/mgentry/hangup_test.go
@@ -36,17 +36,17 @@
 		parsed, err := mgtable.Parse([]byte(table))
 		So(err, ShouldBeNil)
 		members := mgmember.New("entry")
-		members.List(0, mgplatform.List{
+		members.AdoptList(0, mgplatform.VMList{
 			Version: 1,
 			VMs:     []mgplatform.VM{agentVM("agent-1", "engine-1"), agentVM("agent-2", "engine-2")},
 		})
 		var failed atomic.Int64
 		ctx, hangUp := context.WithCancel(context.Background())
 		spec := entrySpec(parsed, members)
-		spec.Failed = func(string) { failed.Add(1) }
+		spec.ReportFailed = func(string) { failed.Add(1) }
 		spec.Calls = hangingTransport{called: hangUp}
 		request := tanklineRequest(http.MethodPost, "/v1/chat/completions", `{"model":"report","messages":[{"role":"user","content":"len=1"}]}`)
-		mgentry.New(spec, "epoch").Routes().ServeHTTP(httptest.NewRecorder(), request.WithContext(ctx))
+		mgentry.New(spec, "epoch").Handler().ServeHTTP(httptest.NewRecorder(), request.WithContext(ctx))
 		So(failed.Load(), ShouldEqual, 0)
 	})
 }
--- a/internal/process/mgentry/hedge.go
+++ b/internal/process/mgentry/hedge.go
@@ -45,7 +45,7 @@
 	e.sendCopy(ctx, call, first, results)
 	pending := 1
 	hedgeTimer := make(<-chan struct{})
-	if after, known := hedge.After(); known && call.service.Hedge() > 0 && len(second) > 0 {
+	if after, known := hedge.Delay(); known && call.service.HedgeFraction() > 0 && len(second) > 0 {
 		hedgeTimer = e.spec.Clock.After(after)
 	}
 	for {
@@ -53,7 +53,7 @@
 		case result := <-results:
 			pending--
 			if result.isGood() {
-				hedge.Answered(e.spec.Clock.Now()-startedAt, call.service.Hedge())
+				hedge.Observe(e.spec.Clock.Now()-startedAt, call.service.HedgeFraction())
 				return result
 			}
 			if pending == 0 {
--- a/internal/process/mgentry/hedge_test.go
+++ b/internal/process/mgentry/hedge_test.go
@@ -77,16 +77,16 @@
 				"agent-2": delayedHandler(&delays[1], &calls[1]),
 			})
 			for range 200 {
-				lookup(entry.Routes())
+				lookup(entry.Handler())
 			}
 			delays[0].Store(2000)
 			for range 40 {
-				slowest = max(slowest, lookup(entry.Routes()))
+				slowest = max(slowest, lookup(entry.Handler()))
 			}
 			delays[1].Store(2000)
 			before := calls[0].Load() + calls[1].Load()
 			for range 100 {
-				lookup(entry.Routes())
+				lookup(entry.Handler())
 			}
 			synctest.Wait()
 			extra = calls[0].Load() + calls[1].Load() - before - 100
--- a/internal/process/mgentry/leave_test.go
+++ b/internal/process/mgentry/leave_test.go
@@ -169,7 +169,7 @@
 			r.clock.Sleep(r.ctx, mgclock.Second)
 			c.resume("entry-2")
 			resumed = r.engines["engine-1"].Counts().Resumed + r.engines["engine-2"].Counts().Resumed
-			first, second = mgstandin.Whole(c.generation(), answerTokens), c.text.String()
+			first, second = mgstandin.FirstTokens(c.generation(), answerTokens), c.text.String()
 		})
 		So(second, ShouldEqual, first)
 		So(resumed, ShouldEqual, 1)
@@ -194,7 +194,7 @@
 func countWhole(callers []*caller) int {
 	count := 0
 	for _, c := range callers {
-		if c.tokens == answerTokens && c.text.String() == mgstandin.Whole(c.generation(), c.tokens) {
+		if c.tokens == answerTokens && c.text.String() == mgstandin.FirstTokens(c.generation(), c.tokens) {
 			count++
 		}
 	}
--- a/internal/process/mgentry/models.go
+++ b/internal/process/mgentry/models.go
@@ -31,7 +31,7 @@
 		})
 	}
 	for service := range c.table.Services() {
-		if service.Kind() == mgtable.Generation && c.account.Allows(service.Name()) {
+		if service.Kind() == mgtable.Generation && c.account.AllowsService(service.Name()) {
 			add(service.Name())
 			add(service.Model())
 		}
--- a/internal/process/mgentry/parse.go
+++ b/internal/process/mgentry/parse.go
@@ -88,14 +88,14 @@
 		prompt:       prompt,
 		promptTokens: mgprefix.Tokens(prompt),
 		prefixHashes: mgprefix.Blocks(nil, prompt),
-		maxTokens:    minPositive(model.Max(), service.Max(), in.MaxTokens, in.MaxCompletionTokens),
+		maxTokens:    minPositive(model.MaxOutput(), service.MaxOutput(), in.MaxTokens, in.MaxCompletionTokens),
 		stream:       in.Stream,
 		includeUsage: in.StreamOptions.IncludeUsage,
 		chat:         chat,
 		canResume:    r.Header.Get(resumeHeader) != "",
 	}
-	if j.promptTokens > model.Context() && model.Context() > 0 {
-		return nil, mgproblem.New(mgproblem.Large, mgproblem.NotRun,
+	if j.promptTokens > model.MaxContext() && model.MaxContext() > 0 {
+		return nil, mgproblem.New(mgproblem.TooLarge, mgproblem.NotRun,
 			"the prompt is longer than the model's context", "send a shorter prompt")
 	}
 	timeout := service.Deadline()
@@ -110,7 +110,7 @@
 func bodyProblem(err error) *mgproblem.Problem {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return mgproblem.New(mgproblem.Large, mgproblem.NotRun,
+		return mgproblem.New(mgproblem.TooLarge, mgproblem.NotRun,
 			"the body is larger than this entry takes", "send a shorter prompt")
 	}
 	return invalid("the body is not the JSON of a request", "send an object with model and messages").WithCause(err)
@@ -121,20 +121,20 @@
 // account may use.
 func resolve(c caller, name string) (*mgtable.Service, *mgtable.Model, *mgproblem.Problem) {
 	if service := c.table.Service(name); service != nil && service.Kind() == mgtable.Generation {
-		if !c.account.Allows(name) {
+		if !c.account.AllowsService(name) {
 			return nil, nil, forbidden(name)
 		}
 		return service, c.table.Model(service.Model()), nil
 	}
 	if model := c.table.Model(name); model != nil {
 		for service := range c.table.Services() {
-			if service.Model() == name && c.account.Allows(service.Name()) {
+			if service.Model() == name && c.account.AllowsService(service.Name()) {
 				return service, model, nil
 			}
 		}
 		return nil, nil, forbidden(name)
 	}
-	return nil, nil, mgproblem.New(mgproblem.Missing, mgproblem.NotRun,
+	return nil, nil, mgproblem.New(mgproblem.NotFound, mgproblem.NotRun,
 		"no service or model has the name in model", "give a name that GET /v1/models lists")
 }
 
--- a/internal/process/mgentry/read.go
+++ b/internal/process/mgentry/read.go
@@ -60,7 +60,7 @@
 			return body, err
 		},
 		Clock:    r.entry.spec.Clock,
-		Interval: mgclock.Millis(r.entry.spec.Settings.Beat),
+		Interval: mgclock.Millis(r.entry.spec.Settings.HeartbeatInterval),
 		From:     r.receiver.Last(),
 	})
 }
@@ -80,7 +80,7 @@
 	if now, ok := e.agentByUpstream(agent.Upstream()); ok {
 		agent = now
 	}
-	url := e.spec.Base(agent.PeerAddr()) + mgrpc.FramesPath + attempt.generation + "?from=" + strconv.FormatUint(from, 10)
+	url := e.spec.BaseURL(agent.PeerAddr()) + mgrpc.FramesPath + attempt.generation + "?from=" + strconv.FormatUint(from, 10)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
@@ -133,14 +133,14 @@
 		switch decision.Action() {
 		case mgdelivery.Reopen:
 			r.stream.Reopen(r.receiver.Last())
-		case mgdelivery.Elsewhere:
+		case mgdelivery.StartOver:
 			problem = r.restart(ctx)
 		case mgdelivery.Fail:
 			problem = decision.Problem()
 		case mgdelivery.Finish:
 			r.recordSuccess()
 		}
-		restarted := decision.Action() == mgdelivery.Elsewhere
+		restarted := decision.Action() == mgdelivery.StartOver
 		deliver := decision.Action() == mgdelivery.Deliver || decision.Action() == mgdelivery.Finish
 		if deliver || restarted || problem != nil {
 			return delivery{
@@ -161,8 +161,8 @@
 	switch {
 	case err == nil:
 		r.recordFrame(frame)
-		decision := r.receiver.Frame(r.attemptNumber, decodeFrame(frame))
-		if frame.GetMoved() != "" && !r.receiver.Over() {
+		decision := r.receiver.HandleFrame(r.attemptNumber, decodeFrame(frame))
+		if frame.GetMoved() != "" && !r.receiver.Finished() {
 			r.followMove(ctx, frame)
 		}
 		return decision, nil
@@ -171,7 +171,7 @@
 	case waitCtx.Err() != nil:
 		return mgdelivery.Decision{}, r.firstTokenLate(ctx)
 	default:
-		return r.receiver.Lost(r.attemptNumber), nil
+		return r.receiver.HandleLoss(r.attemptNumber), nil
 	}
 }
 
@@ -246,7 +246,7 @@
 	}
 	return mgproblem.New(mgproblem.Interrupted, mgproblem.Unknown,
 		"a generation of this answer was lost, and no upstream takes the request now",
-		"send the request again for a new answer").WithRetry(problem.Retry())
+		"send the request again for a new answer").WithRetryAfter(problem.RetryAfter())
 }
 
 // restart starts another generation at another agent. The caller has received no
--- a/internal/process/mgentry/relay.go
+++ b/internal/process/mgentry/relay.go
@@ -29,21 +29,21 @@
 	spec.Budgets = &e.budgets
 	spec.Quarantine = e.spec.Quarantine
 	spec.Load = &e.load
-	spec.Others = e.spec.Others
-	spec.Left = e.remaining
-	spec.Departed = e.spec.Left
+	spec.OtherLoads = e.spec.OtherLoads
+	spec.TimeLeft = e.remaining
+	spec.ReportDeparted = e.spec.ReportDeparted
 	spec.Zone = e.spec.Settings.Zone
 	spec.Name = e.spec.Settings.Name
 	spec.Processes = func() int { return 1 + len(e.spec.View().Peers()) }
-	spec.Failed = e.spec.Failed
-	spec.Answered = e.spec.Answered
-	spec.Leaving = e.isLeavingUpstream
-	spec.Missing = e.isMissingUpstream
-	spec.Cordoned = e.cordonAge
-	spec.Closed = e.isClosedService
-	spec.Changed = e.spec.Changed
-	spec.Every = e.directHosts
-	spec.Stale = e.spec.Stale
+	spec.ReportFailed = e.spec.ReportFailed
+	spec.ReportAnswered = e.spec.ReportAnswered
+	spec.IsLeaving = e.isLeavingUpstream
+	spec.IsMissing = e.isMissingUpstream
+	spec.CordonAge = e.cordonAge
+	spec.AllCordoned = e.isClosedService
+	spec.LeavingChanged = e.spec.Changed
+	spec.Upstreams = e.directHosts
+	spec.IsListStale = e.spec.IsListStale
 	e.relay = mgrelay.New(spec)
 }
 
@@ -96,21 +96,21 @@
 }
 
 // Load returns the count of requests relayed to each upstream.
-func (e *Entry) Load() *mgload.Count { return &e.load }
+func (e *Entry) Load() *mgload.Tracker { return &e.load }
 
 // Places returns the directly reached upstreams of a service, with the load that
 // this entry and the others have sent there.
-func (e *Entry) Places(service string, others mgload.Report) []mgroom.Place {
+func (e *Entry) PlacementCandidates(service string, others mgload.Report) []mgroom.Place {
 	table := e.spec.Table()
 	if e.relay == nil || table == nil {
 		return nil
 	}
-	return e.relay.Places(table, service, others)
+	return e.relay.PlacementCandidates(table, service, others)
 }
 
 // BoundRetries sets the maximum number of retries that this entry's budget holds
 // for each service. The entries share what a service allows.
-func (e *Entry) BoundRetries(limit int) { e.budgets.Bound(limit) }
+func (e *Entry) SetMaxRetries(limit int) { e.budgets.SetLimit(limit) }
 
 // directHosts returns the upstreams that run a service, that this entry reaches
 // without an agent and that accept new work.
@@ -121,14 +121,14 @@
 	list := make([]mgrelay.Host, 0, len(hosts))
 	for _, member := range hosts {
 		list = append(list, mgrelay.Host{
-			Name:    member.Upstream(),
-			Addr:    member.Addr(),
-			Zone:    member.Zone(),
-			Region:  member.Region(),
-			Suspect: member.Suspect(),
-			Cold:    member.Cold(now, coldWindow),
-			Born:    member.Born(),
-			Givers:  fleet.assignerCount[service],
+			Name:             member.Upstream(),
+			Addr:             member.Addr(),
+			Zone:             member.Zone(),
+			Region:           member.Region(),
+			Suspect:          member.Suspect(),
+			Cold:             member.Cold(now, coldWindow),
+			IncarnationStart: member.IncarnationStart(),
+			Granters:         fleet.assignerCount[service],
 		})
 	}
 	return list
@@ -141,7 +141,7 @@
 		return 0
 	}
 	if found := table.Service(service); found != nil {
-		return found.Cold()
+		return found.ColdPeriod()
 	}
 	return 0
 }
@@ -155,9 +155,9 @@
 // cell, so that the load known in the cell is all the load that they get.
 func (f *fleet) restrictToCell(cell mgmember.Cell) {
 	for service, all := range f.directHosts {
-		f.assignerCount[service] = cell.Of
-		if cell.Of > 1 && len(all) >= minCellHosts*cell.Of {
-			f.directHosts[service] = mgmember.Part(all, cell.Number, cell.Of)
+		f.assignerCount[service] = cell.Count
+		if cell.Count > 1 && len(all) >= minCellHosts*cell.Count {
+			f.directHosts[service] = mgmember.CellPart(all, cell.Index, cell.Count)
 			f.assignerCount[service] = 1
 		}
 	}
@@ -171,10 +171,10 @@
 // newer table, the caller is asked to retry, since callers treat a denial as
 // final.
 func (e *Entry) deny(w http.ResponseWriter, r *http.Request, table *mgtable.Table, refusal func(w http.ResponseWriter)) {
-	certain := e.spec.Certain == nil || e.spec.Certain()
+	certain := e.spec.TableConfirmed == nil || e.spec.TableConfirmed()
 	if e.relay != nil {
 		e.spec.Log.Info("request not allowed: the table in force has no such route or key",
-			mglog.Request, r.Header.Get(e.spec.Relay.Form.ID), "host", r.Host, "path", r.URL.Path,
+			mglog.Request, r.Header.Get(e.spec.Relay.Headers.ID), "host", r.Host, "path", r.URL.Path,
 			mglog.Version, table.Version(), "certain", certain)
 	}
 	if certain {
@@ -183,9 +183,9 @@
 		return
 	}
 	e.spec.Metrics.Counter("doubted").Inc(1)
-	e.refuse(w, mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
+	e.refuse(w, mgproblem.New(mgproblem.NotReady, mgproblem.NotRun,
 		"the table in force here may not be the newest, and has no such route or key",
-		"send it again after the time given").WithRetry(staleTableRetryDelay))
+		"send it again after the time given").WithRetryAfter(staleTableRetryDelay))
 }
 
 // staleTableRetryDelay is the delay before a caller retries a request whose route
@@ -196,7 +196,7 @@
 // entry's own interface.
 func (e *Entry) notFound(w http.ResponseWriter, r *http.Request) {
 	missing := func(w http.ResponseWriter) {
-		mgproblem.Write(w, mgproblem.New(mgproblem.Missing, mgproblem.NotRun,
+		mgproblem.Write(w, mgproblem.New(mgproblem.NotFound, mgproblem.NotRun,
 			"no such path", "see the list of paths in docs/OPERATIONS.md"))
 	}
 	table := e.spec.Table()
@@ -216,8 +216,8 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		table := e.spec.Table()
 		if table == nil {
-			e.refuse(w, mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
-				"no configuration is in force yet", "try another entry").WithRetry(unreadyRetryDelay))
+			e.refuse(w, mgproblem.New(mgproblem.NotReady, mgproblem.NotRun,
+				"no configuration is in force yet", "try another entry").WithRetryAfter(unreadyRetryDelay))
 			return
 		}
 		path, _, _ := strings.Cut(r.RequestURI, "?")
--- a/internal/process/mgentry/restart_test.go
+++ b/internal/process/mgentry/restart_test.go
@@ -38,7 +38,7 @@
 				Total: 1,
 			}),
 		})
-		server := httptest.NewServer(entry.Routes())
+		server := httptest.NewServer(entry.Handler())
 		defer server.Close()
 		var names []string
 		ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{
--- a/internal/process/mgentry/rig_test.go
+++ b/internal/process/mgentry/rig_test.go
@@ -105,7 +105,7 @@
 	entries      map[string]*mgentry.Entry
 	books        *mgstandin.Service
 	isolated     atomic.Bool // agents know of no other agents
-	list         mgplatform.List
+	list         mgplatform.VMList
 	mu           sync.Mutex // guards the fields below
 	stops        map[string]func()
 	incarnations int
@@ -143,11 +143,11 @@
 			name := fmt.Sprint("engine-", i+1)
 			e := mgstandin.NewEngine(mgstandin.EngineSpec{
 				Model: mgmodel.Spec{
-					Memory: memory,
-					Batch:  32,
+					Memory:   memory,
+					MaxBatch: 32,
 				},
 			}, mgclock.Clock{})
-			e.Reach(mgdial.NewClientWith(r.Dial(name)))
+			e.SetClient(mgdial.NewClientWith(r.Dial(name)))
 			r.engines[name] = e
 			running.Go(func() { e.Run(ctx) })
 			r.Serve(name, e.Handler())
@@ -186,26 +186,26 @@
 	a, err := mgagent.New(mgagent.Spec{
 		Settings: mgsettings.Agent{
 			Process: mgsettings.Process{
-				Name: name,
-				Zone: "a",
-				Beat: int64(beat),
+				Name:              name,
+				Zone:              "a",
+				HeartbeatInterval: int64(beat),
 			},
-			Upstream: upstream,
-			Address:  "http://" + upstream,
-			Grace:    15000,
-			Keep:     60000,
-			Queue:    512,
-			Policy:   "ours",
+			Upstream:    upstream,
+			UpstreamURL: "http://" + upstream,
+			ReaderGrace: 15000,
+			ResultTTL:   60000,
+			MaxWaiting:  512,
+			Policy:      "ours",
 		},
-		Incarnation: r.newIncarnation(),
-		Log:         logr.Discard(),
-		Metrics:     mgmetric.New(),
-		Seal:        &r.seal,
-		Engine:      mgengine.NewHTTP("http://"+upstream, client),
-		Service:     mgservice.NewHTTP("http://"+upstream, client),
-		Table:       func() *mgtable.Table { return r.table },
-		Seen:        func(uint64, string) {},
-		Others:      func(string) []mgagent.Other { return r.others(name) },
+		Incarnation:    r.newIncarnation(),
+		Log:            logr.Discard(),
+		Metrics:        mgmetric.New(),
+		Signer:         &r.seal,
+		Engine:         mgengine.NewHTTP("http://"+upstream, client),
+		Service:        mgservice.NewHTTP("http://"+upstream, client),
+		Table:          func() *mgtable.Table { return r.table },
+		ObserveVersion: func(uint64, string) {},
+		OtherAgents:    func(string) []mgagent.OtherAgent { return r.others(name) },
 	})
 	if err != nil {
 		panic(err)
@@ -219,7 +219,7 @@
 		defer close(done)
 		a.Run(ctx)
 	}()
-	routes := a.Routes()
+	routes := a.Handler()
 	if r.wrapFrames != nil {
 		routes = r.wrapFrames(routes)
 	}
@@ -232,13 +232,13 @@
 }
 
 // others returns the agents of engines except the named one.
-func (r *rig) others(name string) []mgagent.Other {
-	var others []mgagent.Other
+func (r *rig) others(name string) []mgagent.OtherAgent {
+	var others []mgagent.OtherAgent
 	for _, vm := range r.list.VMs {
 		if r.isolated.Load() || vm.Name == name || len(vm.Models) == 0 {
 			continue
 		}
-		others = append(others, mgagent.Other{
+		others = append(others, mgagent.OtherAgent{
 			Name:  vm.Name,
 			Zone:  "a",
 			Agent: mgrpc.NewAgentProtobufClient("http://"+vm.Name, &http.Client{Transport: r.Transport(name, false)}),
@@ -251,20 +251,20 @@
 func (r *rig) entry(name string) {
 	r.kill(name)
 	members := mgmember.New(name)
-	members.List(r.clock.Now(), r.list)
+	members.AdoptList(r.clock.Now(), r.list)
 	spec := entrySpec(r.table, members)
 	spec.Settings.Name = name
-	spec.Settings.Slow = 10000
-	spec.Settings.Probe = 200
-	spec.Settings.Call = int64(callTimeout)
-	spec.Seal = &r.seal
-	spec.Failed = func(agent string) { members.Failed(r.clock.Now(), agent) }
-	spec.Heard = func(agent, incarnation string, leaving bool) {
-		members.Heard(r.clock.Now(), agent, incarnation, leaving)
+	spec.Settings.CallerTimeout = 10000
+	spec.Settings.ProbeTimeout = 200
+	spec.Settings.CallTimeout = int64(callTimeout)
+	spec.Signer = &r.seal
+	spec.ReportFailed = func(agent string) { members.RecordFailure(r.clock.Now(), agent) }
+	spec.ReportAnnouncement = func(agent, incarnation string, leaving bool) {
+		members.RecordMessage(r.clock.Now(), agent, incarnation, leaving)
 	}
-	spec.Calls = &mglink.Guard{
+	spec.Calls = &mglink.RetryTransport{
 		Pooled:   r.Transport(name, false),
-		Again:    r.Transport(name, true),
+		Second:   r.Transport(name, true),
 		Interval: beat,
 	}
 	spec.Frames = r.Transport(name, true)
@@ -278,7 +278,7 @@
 			members.Tick(r.clock.Now())
 		}
 	}()
-	r.Serve(name, e.Routes())
+	r.Serve(name, e.Handler())
 	r.registerStop(name, func() {
 		r.Kill(name)
 		cancel()
--- a/internal/process/mgentry/route.go
+++ b/internal/process/mgentry/route.go
@@ -71,7 +71,7 @@
 	switch {
 	case a == nil || a.Outcome() == mgproblem.NotRun && b.Outcome() != mgproblem.NotRun:
 		return b
-	case b.Outcome() == a.Outcome() && b.Retry() > 0 && (a.Retry() == 0 || b.Retry() < a.Retry()):
+	case b.Outcome() == a.Outcome() && b.RetryAfter() > 0 && (a.RetryAfter() == 0 || b.RetryAfter() < a.RetryAfter()):
 		return b
 	default:
 		return a
@@ -79,8 +79,8 @@
 }
 
 func crowdedProblem() *mgproblem.Problem {
-	return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-		"no upstream can answer in time", "come back after the time in Retry-After").WithRetry(mgclock.Second)
+	return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
+		"no upstream can answer in time", "come back after the time in Retry-After").WithRetryAfter(mgclock.Second)
 }
 
 // query returns the job's requirements for routing.
@@ -112,7 +112,7 @@
 			found = append(found, probeResult{
 				agent:    member,
 				index:    index,
-				inFlight: fleet.routes.Flights(index),
+				inFlight: fleet.routes.InFlight(index),
 			})
 		}
 	}
@@ -120,7 +120,7 @@
 		return found
 	}
 	for _, member := range fleet.view.Upstreams(j.model) {
-		if !avoid[member.Name()] && len(found) < mgrouting.DefaultCount {
+		if !avoid[member.Name()] && len(found) < mgrouting.DefaultCandidates {
 			found = append(found, probeResult{
 				agent: member,
 				index: noIndex,
@@ -138,13 +138,13 @@
 			return 0
 		}
 		list = append(list, mgrouting.Offer{
-			Upstream: offered.index,
-			Wait:     mgclock.Millis(offered.offer.GetWait()),
-			Rest:     mgclock.Millis(offered.offer.GetRest()),
-			Uncached: query.Prompt - int(offered.offer.GetCached()),
-			Headroom: offered.offer.GetHeadroom(),
-			Running:  int(offered.offer.GetRunning()),
-			Flights:  offered.inFlight,
+			Upstream:       offered.index,
+			Wait:           mgclock.Millis(offered.offer.GetWait()),
+			GenerationTime: mgclock.Millis(offered.offer.GetRest()),
+			Uncached:       query.Prompt - int(offered.offer.GetCached()),
+			Headroom:       offered.offer.GetHeadroom(),
+			Running:        int(offered.offer.GetRunning()),
+			InFlight:       offered.inFlight,
 		})
 	}
 	return max(f.routes.Choose(list, query, random), 0)
@@ -153,7 +153,7 @@
 // probe asks the candidates for offers in parallel. It returns the good offers,
 // and the problem to report if there are none.
 func (e *Entry) probe(request context.Context, j *job, fleet *fleet, candidates []probeResult) ([]probeResult, *mgproblem.Problem) {
-	ctx, cancel := context.WithTimeout(request, mgclock.Millis(e.spec.Settings.Probe).Duration())
+	ctx, cancel := context.WithTimeout(request, mgclock.Millis(e.spec.Settings.ProbeTimeout).Duration())
 	defer cancel()
 	replies := make(chan probeResult, len(candidates))
 	probeRequest := &mgrpc.ProbeRequest{
@@ -189,16 +189,16 @@
 			continue
 		}
 		offer := reply.offer
-		e.spec.Heard(reply.agent.Name(), offer.GetIncarnation(), offer.GetLeaving())
-		e.spec.Seen(offer.GetVersion(), reply.agent.Name())
+		e.spec.ReportAnnouncement(reply.agent.Name(), offer.GetIncarnation(), offer.GetLeaving())
+		e.spec.ObserveVersion(offer.GetVersion(), reply.agent.Name())
 		switch {
 		case offer.GetLeaving() && reply.index != noIndex:
-			fleet.routes.Leave(reply.index)
+			fleet.routes.MarkLeaving(reply.index)
 		case offer.GetLeaving():
 		case offer.GetRefused() != "":
 			problem = mergeRefusals(problem, mgproblem.New(mgproblem.Kind(offer.GetRefused()), mgproblem.NotRun,
 				"no upstream can answer in time", "come back after the time in Retry-After").
-				WithRetry(mgclock.Millis(offer.GetRetry())))
+				WithRetryAfter(mgclock.Millis(offer.GetRetry())))
 		default:
 			good = append(good, reply)
 		}
@@ -248,7 +248,7 @@
 		return attempt, mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown,
 			"the agent did not answer", "send the request again").WithCause(err)
 	}
-	e.spec.Heard(chosen.agent.Name(), reply.GetIncarnation(), false)
+	e.spec.ReportAnnouncement(chosen.agent.Name(), reply.GetIncarnation(), false)
 	if fault := reply.GetFault(); fault != nil {
 		attempt.release()
 		return attempt, problemFromFault(fault)
@@ -289,11 +289,11 @@
 }
 
 func lateProblem(outcome mgproblem.Outcome) *mgproblem.Problem {
-	return mgproblem.New(mgproblem.Late, outcome,
-		"the first token was not there in time", "come back after the time in Retry-After").WithRetry(mgclock.Second)
+	return mgproblem.New(mgproblem.DeadlineExceeded, outcome,
+		"the first token was not there in time", "come back after the time in Retry-After").WithRetryAfter(mgclock.Second)
 }
 
 func problemFromFault(f *mgrpc.Fault) *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Kind(f.GetKind()), mgproblem.Outcome(f.GetOutcome()),
-		f.GetDetail(), f.GetRemedy()).WithRetry(mgclock.Millis(f.GetRetry()))
+		f.GetDetail(), f.GetRemedy()).WithRetryAfter(mgclock.Millis(f.GetRetry()))
 }
--- a/internal/process/mgentry/services.go
+++ b/internal/process/mgentry/services.go
@@ -44,10 +44,10 @@
 	name := chi.URLParam(r, "service")
 	service := c.table.Service(name)
 	if service == nil || service.Kind() != mgtable.Plain {
-		return nil, mgproblem.New(mgproblem.Missing, mgproblem.NotRun,
+		return nil, mgproblem.New(mgproblem.NotFound, mgproblem.NotRun,
 			"no plain service has the name "+name, "give the name of a plain service of the table")
 	}
-	if !c.account.Allows(name) {
+	if !c.account.AllowsService(name) {
 		return nil, forbidden(name)
 	}
 	return service, nil
@@ -116,7 +116,7 @@
 		Region: e.spec.Settings.Region,
 	}
 	indexes := fleet.routes.Candidates(nil, query, e.newRandom())
-	slices.SortStableFunc(indexes, func(a, b int) int { return fleet.routes.Flights(a) - fleet.routes.Flights(b) })
+	slices.SortStableFunc(indexes, func(a, b int) int { return fleet.routes.InFlight(a) - fleet.routes.InFlight(b) })
 	var found []host
 	for _, index := range indexes {
 		found = append(found, host{
@@ -150,7 +150,7 @@
 		mgproblem.Write(w, bodyProblem(err))
 		return
 	}
-	promise, operation, err := mgoperation.Weigh(e.spec.Seal, mgoperation.KeySpec{
+	promise, operation, err := mgoperation.PromiseFor(e.spec.Signer, mgoperation.KeySpec{
 		Account:    c.account.Name(),
 		Service:    service.Name(),
 		Key:        r.Header.Get(idempotencyKeyHeader),
@@ -160,7 +160,7 @@
 		mgproblem.Write(w, mgproblem.From(err))
 		return
 	}
-	timeout := mgclock.Millis(e.spec.Settings.Call)
+	timeout := mgclock.Millis(e.spec.Settings.CallTimeout)
 	call := &call{
 		caller:   c,
 		service:  service,
@@ -221,7 +221,7 @@
 		return problem
 	}
 	return mgproblem.New(problem.Kind(), mgproblem.Unknown, problem.Detail(),
-		"look in the service whether it ran; mint an operation first to be able to ask again").WithRetry(problem.Retry())
+		"look in the service whether it ran; mint an operation first to be able to ask again").WithRetryAfter(problem.RetryAfter())
 }
 
 // invokePinned makes an operation's call at the only agent that may run it.
@@ -277,7 +277,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e.spec.Heard(agent.Name(), reply.GetIncarnation(), false)
+	e.spec.ReportAnnouncement(agent.Name(), reply.GetIncarnation(), false)
 	return reply, nil
 }
 
--- a/internal/process/mgentry/session_test.go
+++ b/internal/process/mgentry/session_test.go
@@ -89,7 +89,7 @@
 	}
 	fmt.Fprintf(&b, "tokens: %d\n", c.tokens)
 	if c.tokens > 0 {
-		fmt.Fprintf(&b, "as generated: %t\n", c.text.String() == mgstandin.Whole(c.generation(), c.tokens))
+		fmt.Fprintf(&b, "as generated: %t\n", c.text.String() == mgstandin.FirstTokens(c.generation(), c.tokens))
 	}
 	return b.String()
 }
@@ -109,7 +109,7 @@
 	if len(c.observed) < 2 || json.Unmarshal([]byte(c.observed[1]), &in) != nil || len(in.Choices) == 0 {
 		return "no answer"
 	}
-	want := mgstandin.Whole(in.Generation, in.Usage.Completion)
+	want := mgstandin.FirstTokens(in.Generation, in.Usage.Completion)
 	return fmt.Sprintf("as generated: %t", in.Choices[0].Message.Content == want)
 }
 
--- a/internal/process/mgentry/stub_test.go
+++ b/internal/process/mgentry/stub_test.go
@@ -27,24 +27,24 @@
 	return mgentry.Spec{
 		Settings: mgsettings.Entry{
 			Process: mgsettings.Process{
-				Zone:   "a",
-				Region: "south",
-				Beat:   int64(beat),
+				Zone:              "a",
+				Region:            "south",
+				HeartbeatInterval: int64(beat),
 			},
-			Body:  1 << 20,
-			Probe: 5000,
-			Slow:  5000,
-			Call:  10000,
+			MaxBody:       1 << 20,
+			ProbeTimeout:  5000,
+			CallerTimeout: 5000,
+			CallTimeout:   10000,
 		},
-		Log:     logr.Discard(),
-		Metrics: mgmetric.New(),
-		Seal:    &mgseal.Signer{},
-		Table:   func() *mgtable.Table { return parsed },
-		Seen:    func(uint64, string) {},
-		View:    members.View,
-		Failed:  func(string) {},
-		Heard:   func(string, string, bool) {},
-		Base:    func(address string) string { return "http://" + address },
+		Log:                logr.Discard(),
+		Metrics:            mgmetric.New(),
+		Signer:             &mgseal.Signer{},
+		Table:              func() *mgtable.Table { return parsed },
+		ObserveVersion:     func(uint64, string) {},
+		View:               members.View,
+		ReportFailed:       func(string) {},
+		ReportAnnouncement: func(string, string, bool) {},
+		BaseURL:            func(address string) string { return "http://" + address },
 	}
 }
 
@@ -137,7 +137,7 @@
 		}
 	}
 	members := mgmember.New("entry")
-	members.List(0, mgplatform.List{
+	members.AdoptList(0, mgplatform.VMList{
 		Version: 1,
 		VMs:     vms,
 	})
--- a/internal/process/mgentry/unanswered_test.go
+++ b/internal/process/mgentry/unanswered_test.go
@@ -54,7 +54,7 @@
 		})
 		request := tanklineRequest(http.MethodPost, "/v1/chat/completions", `{"model":"report","messages":[{"role":"user","content":"len=5"}]}`)
 		recorder := httptest.NewRecorder()
-		entry.Routes().ServeHTTP(recorder, request)
+		entry.Handler().ServeHTTP(recorder, request)
 		body, err := io.ReadAll(recorder.Body)
 		So(err, ShouldBeNil)
 		So(string(body), ShouldContainSubstring, `"outcome":"unknown"`)
--- a/internal/process/mgevent/bus.go
+++ b/internal/process/mgevent/bus.go
@@ -51,7 +51,7 @@
 
 // On registers a handler for a kind of event. Handlers of a kind run in the
 // order of their registration.
-func (b *Bus) On(kind Kind, handle func(Event)) {
+func (b *Bus) Handle(kind Kind, handle func(Event)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.handlers[kind] = append(b.handlers[kind], handle)
--- a/internal/process/mgevent/bus_test.go
+++ b/internal/process/mgevent/bus_test.go
@@ -26,13 +26,13 @@
 				close(done)
 			}
 		}
-		bus.On(Adopted, handle)
-		bus.On(Leaving, handle)
+		bus.Handle(TableAdopted, handle)
+		bus.Handle(Leaving, handle)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error)
 		go func() { ended <- bus.Run(ctx) }()
 		var publishers sync.WaitGroup
-		for _, kind := range []Kind{Adopted, Leaving} {
+		for _, kind := range []Kind{TableAdopted, Leaving} {
 			publishers.Add(1)
 			go func() {
 				defer publishers.Done()
@@ -99,7 +99,7 @@
 		bus, stop := runBus(func(e Event) { s.update(e.Seq) })
 		defer stop()
 		for i := uint64(1); b.Loop(); i++ {
-			_ = bus.Publish(Adopted, "", "")
+			_ = bus.Publish(TableAdopted, "", "")
 			for s.current.Load() < i {
 			}
 		}
@@ -108,7 +108,7 @@
 
 func runBus(handle func(Event)) (*Bus, func()) {
 	bus := NewBus(mgclock.Clock{})
-	bus.On(Adopted, handle)
+	bus.Handle(TableAdopted, handle)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- bus.Run(ctx) }()
@@ -167,7 +167,7 @@
 					return
 				case <-pace.C:
 				}
-				_ = bus.Publish(Adopted, "", "")
+				_ = bus.Publish(TableAdopted, "", "")
 			}
 		}()
 		measureReads(b, func() { _ = s.current.Load() })
@@ -224,7 +224,7 @@
 		})
 		b.RunParallel(func(pb *testing.PB) {
 			for pb.Next() {
-				_ = bus.Publish(Adopted, "", "")
+				_ = bus.Publish(TableAdopted, "", "")
 				<-handled
 			}
 		})
--- a/internal/process/mgevent/event.go
+++ b/internal/process/mgevent/event.go
@@ -7,12 +7,12 @@
 
 // The kinds of events.
 const (
-	Adopted   Kind = "adopted"   // a version of the table came into force
-	Refused   Kind = "refused"   // a version of the table was rejected
-	Listed    Kind = "listed"    // the list of VMs changed
-	Leaving   Kind = "leaving"   // an upstream or a process is leaving
-	Paused    Kind = "paused"    // this process was paused
-	Placement Kind = "placement" // the assignment of models to engines changed
+	TableAdopted  Kind = "adopted"   // a version of the table came into force
+	TableRejected Kind = "refused"   // a version of the table was rejected
+	ListChanged   Kind = "listed"    // the list of VMs changed
+	Leaving       Kind = "leaving"   // an upstream or a process is leaving
+	Paused        Kind = "paused"    // this process was paused
+	PlanChanged   Kind = "placement" // the assignment of models to engines changed
 )
 
 // Event is a control event, the JSON payload of a message.
--- a/internal/process/mgfence/fence.go
+++ b/internal/process/mgfence/fence.go
@@ -202,9 +202,9 @@
 }
 
 func earlyProblem(wait mgclock.Millis) error {
-	return mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
+	return mgproblem.New(mgproblem.NotReady, mgproblem.NotRun,
 		"an order of the agent before may still arrive",
-		"wait; the engine ignores fencing numbers").WithRetry(wait)
+		"wait; the engine ignores fencing numbers").WithRetryAfter(wait)
 }
 
 func noLeaseProblem() error {
--- a/internal/process/mgfleet/edit_test.go
+++ b/internal/process/mgfleet/edit_test.go
@@ -149,7 +149,7 @@
 	{
 		name: "in force is also in force in a process that starts while the configuration service is down",
 		run: func(f *fleet) []string {
-			f.setFault("platform", mgstandin.Fault{Kind: mgstandin.Down, Spare: mgplatform.ListKey})
+			f.setFault("platform", mgstandin.Fault{Kind: mgstandin.Down, ExemptKey: mgplatform.ListKey})
 			defer f.setFault("platform", mgstandin.Fault{Kind: mgstandin.Heal})
 			f.processes["entry-a"].restart(f.t)
 			waitFor(f.t, "the new entry is ready", func() bool { return f.ready("entry-a") })
@@ -159,7 +159,7 @@
 	{
 		name: "in force is also in force in a process that starts while it is stale",
 		run: func(f *fleet) []string {
-			f.setFault("platform", mgstandin.Fault{Kind: mgstandin.Stale, Spare: mgplatform.ListKey})
+			f.setFault("platform", mgstandin.Fault{Kind: mgstandin.Stale, ExemptKey: mgplatform.ListKey})
 			f.edit(12, "crew")
 			f.processes["entry-a"].restart(f.t)
 			waitFor(f.t, "the new entry is ready", func() bool { return f.ready("entry-a") })
@@ -171,7 +171,7 @@
 	{
 		name: "made after the links to the platform fell silent is in force nevertheless",
 		run: func(f *fleet) []string {
-			if f.relays["platform"].Silence() == 0 {
+			if f.relays["platform"].DropSilently() == 0 {
 				return []string{"no link to the platform was silenced"}
 			}
 			f.edit(13, "tide")
--- a/internal/process/mgfleet/fleet_test.go
+++ b/internal/process/mgfleet/fleet_test.go
@@ -63,7 +63,7 @@
 	for i, name := range []string{"entry-a", "entry-b"} {
 		vms = append(vms, f.startEntry(name, string(rune('a'+i))))
 	}
-	list, err := json.Marshal(mgplatform.List{
+	list, err := json.Marshal(mgplatform.VMList{
 		Version: 1,
 		VMs:     vms,
 	})
--- a/internal/process/mgfleet/link_test.go
+++ b/internal/process/mgfleet/link_test.go
@@ -27,7 +27,7 @@
 		},
 		{
 			name:   "silent for good",
-			inject: func(r *mgproc.Link) int { return r.Silence() },
+			inject: func(r *mgproc.Link) int { return r.DropSilently() },
 		},
 	}
 	Convey("A report is complete although its link is", t, func() {
@@ -70,7 +70,7 @@
 				for _, token := range append(text, rest...) {
 					whole += token
 				}
-				So(whole, ShouldEqual, mgstandin.Whole("g", 30))
+				So(whole, ShouldEqual, mgstandin.FirstTokens("g", 30))
 			})
 		}
 	})
@@ -95,7 +95,7 @@
 		if err != nil || token.End != "" {
 			return text, err
 		}
-		if token.Heartbeat() {
+		if token.IsHeartbeat() {
 			continue
 		}
 		text = append(text, token.Text)
--- a/internal/process/mgfleet/load_test.go
+++ b/internal/process/mgfleet/load_test.go
@@ -47,12 +47,12 @@
 func (f *fleet) newClient(i int) *mgclient.Client {
 	first := i % len(f.entries)
 	return mgclient.New(mgclient.Spec{
-		Bases:   append(slices.Clone(f.entries[first:]), f.entries[:first]...),
-		Key:     "sample-tankline",
-		Silence: 2500,
-		Begin:   20000,
-		Tries:   12,
-		Jitter:  func() float64 { return 0.5 },
+		Bases:          append(slices.Clone(f.entries[first:]), f.entries[:first]...),
+		Key:            "sample-tankline",
+		SilenceTimeout: 2500,
+		BeginTimeout:   20000,
+		MaxTries:       12,
+		Jitter:         func() float64 { return 0.5 },
 	})
 }
 
@@ -131,7 +131,7 @@
 
 func (f *fleet) bookTicket(ctx context.Context, scenarioName string, i int) ticketResult {
 	client := f.newClient(i)
-	operation, err := client.Mint(ctx, "ticket")
+	operation, err := client.NewOperationID(ctx, "ticket")
 	if err != nil {
 		return ticketResult{
 			err: err,
@@ -217,7 +217,7 @@
 	isPrefix := r.answer.Tokens() == 0
 	for id, record := range engines.Generations {
 		sameRequest := strings.Contains(record.Prompt, r.prompt)
-		isPrefix = isPrefix || sameRequest && mgstandin.Whole(id, int(r.answer.Tokens())) == r.answer.Text()
+		isPrefix = isPrefix || sameRequest && mgstandin.FirstTokens(id, int(r.answer.Tokens())) == r.answer.Text()
 	}
 	switch {
 	case mgproblem.From(r.err).Outcome() == mgproblem.NotRun && wasStarted(engines, r.prompt):
--- a/internal/process/mgfleet/notrun_test.go
+++ b/internal/process/mgfleet/notrun_test.go
@@ -31,9 +31,9 @@
 		ctx, cancel := context.WithTimeout(context.Background(), sessionTimeout)
 		defer cancel()
 		client := mgclient.New(mgclient.Spec{
-			Bases: f.entries,
-			Key:   "sample-tankline",
-			Tries: 1,
+			Bases:    f.entries,
+			Key:      "sample-tankline",
+			MaxTries: 1,
 		})
 		ended := make(chan error, 1)
 		go func() {
--- a/internal/process/mgfleet/session_test.go
+++ b/internal/process/mgfleet/session_test.go
@@ -41,7 +41,7 @@
 	return func(f *fleet) bool {
 		silenced := 0
 		for _, link := range links {
-			silenced += f.relays[link].Silence()
+			silenced += f.relays[link].DropSilently()
 		}
 		return silenced > 0
 	}
--- a/internal/process/mgfleet/writes_test.go
+++ b/internal/process/mgfleet/writes_test.go
@@ -32,7 +32,7 @@
 	serviceFault(mgstandin.Refuse),
 	func(f *fleet) { f.relays["books"].Cut() },
 	func(f *fleet) { f.relays["agent-c"].Cut() },
-	func(f *fleet) { f.relays["agent-c"].Silence() },
+	func(f *fleet) { f.relays["agent-c"].DropSilently() },
 	func(f *fleet) { f.processes["agent-c"].restart(f.t) },
 	func(f *fleet) { f.relays["entry-a"].Cut() },
 	func(f *fleet) { f.processes["entry-a"].restart(f.t) },
--- a/internal/process/mgnode/agent.go
+++ b/internal/process/mgnode/agent.go
@@ -25,27 +25,27 @@
 // stops it.
 func (n *Node) startAgent(ctx context.Context, settings mgsettings.Agent) (Drain, error) {
 	agent, err := mgagent.New(mgagent.Spec{
-		Settings:    settings,
-		Incarnation: n.incarnation,
-		Clock:       n.clock,
-		Log:         n.log,
-		Metrics:     n.metrics,
-		Seal:        n.seal,
-		Engine:      mgengine.NewHTTP(settings.Address, nil),
-		Service:     mgservice.NewHTTP(settings.Address, nil),
-		Table:       n.Table,
-		Seen:        n.ObserveVersion,
-		Await:       n.loop.Await,
-		Plan:        (&planner{node: n}).plan,
-		Ours:        func() (mgclock.Millis, bool) { return n.isOwnAgentOf(settings.Upstream) },
-		Others:      n.otherAgents,
-		Started:     mgclock.UnixMillis(),
+		Settings:       settings,
+		Incarnation:    n.incarnation,
+		Clock:          n.clock,
+		Log:            n.log,
+		Metrics:        n.metrics,
+		Signer:         n.seal,
+		Engine:         mgengine.NewHTTP(settings.UpstreamURL, nil),
+		Service:        mgservice.NewHTTP(settings.UpstreamURL, nil),
+		Table:          n.Table,
+		ObserveVersion: n.ObserveVersion,
+		AwaitVersion:   n.loop.Await,
+		Plan:           (&planner{node: n}).plan,
+		IsCurrent:      func() (mgclock.Millis, bool) { return n.isOwnAgentOf(settings.Upstream) },
+		OtherAgents:    n.otherAgents,
+		StartedUnix:    mgclock.UnixMillis(),
 	})
 	if err != nil {
 		return Drain{}, err
 	}
-	n.admin.Source("agent", func() any { return agent.State() })
-	n.SetRoleHandler(agent.Routes())
+	n.admin.AddSection("agent", func() any { return agent.State() })
+	n.SetRoleHandler(agent.Handler())
 	n.background.Go(func() { agent.Run(ctx) })
 	// No notice delay is needed: an entry learns from an agent's first refusal that
 	// the agent is leaving, and chooses another one.
@@ -56,16 +56,16 @@
 
 // otherAgents returns the region's other agents whose engines hold a model and that
 // are not leaving.
-func (n *Node) otherAgents(model string) []mgagent.Other {
-	var others []mgagent.Other
+func (n *Node) otherAgents(model string) []mgagent.OtherAgent {
+	var others []mgagent.OtherAgent
 	for _, member := range n.members.View().Upstreams(model) {
 		if member.Name() == n.settings.Name || member.Region() != n.settings.Region || member.Leaving() {
 			continue
 		}
-		others = append(others, mgagent.Other{
+		others = append(others, mgagent.OtherAgent{
 			Name:  member.Name(),
 			Zone:  member.Zone(),
-			Agent: mgrpc.NewAgentProtobufClient(n.guard.Base(member.PeerAddr()), &http.Client{Transport: n.calls}),
+			Agent: mgrpc.NewAgentProtobufClient(n.guard.BaseURL(member.PeerAddr()), &http.Client{Transport: n.calls}),
 		})
 	}
 	return others
@@ -111,7 +111,7 @@
 		if member.Name() == n.settings.Name {
 			continue
 		}
-		if n.members.Recent(now, member.Name(), peerEvidenceMaxAge) {
+		if n.members.SeenWithin(now, member.Name(), peerEvidenceMaxAge) {
 			return now, true
 		}
 		noPeerListed = noPeerListed && !member.Listed()
--- a/internal/process/mgnode/entry.go
+++ b/internal/process/mgnode/entry.go
@@ -31,13 +31,13 @@
 	}
 	shares := mgshare.NewLoop(n.sharesSpec(settings.Fresh))
 	n.shares.Store(shares)
-	n.pause.On(func(mgclock.Millis) { shares.Drop() })
+	n.pause.OnPause(func(mgclock.Millis) { shares.Drop() })
 	n.background.Go(func() { shares.Run(ctx) })
 	entry := mgentry.New(n.entrySpec(settings, shares), n.incarnation)
-	readUpstreams := entry.Places
+	readUpstreams := entry.PlacementCandidates
 	n.readUpstreams.Store(&readUpstreams)
-	n.admin.Source("entry", func() any { return entry.State() })
-	n.admin.Source("shares", func() any { return shares.Status() })
+	n.admin.AddSection("entry", func() any { return entry.State() })
+	n.admin.AddSection("shares", func() any { return shares.Status() })
 	n.background.Go(func() { entry.Run(ctx) })
 	n.background.Go(func() { n.exchanger.runBroadcast(ctx) })
 	n.background.Go(func() { n.exchanger.runAntiEntropy(ctx) })
@@ -45,21 +45,21 @@
 	if n.relayForm != nil {
 		n.background.Go(func() { n.reportLoads(ctx, entry.Load()) })
 	}
-	if settings.Retry > 0 {
-		n.background.Go(func() { n.limitRetries(ctx, int(settings.Retry), entry.BoundRetries) })
+	if settings.MaxRetries > 0 {
+		n.background.Go(func() { n.limitRetries(ctx, int(settings.MaxRetries), entry.SetMaxRetries) })
 	}
 	n.Serve(ctx, ServerSpec{
 		Name:           "callers",
 		Listener:       public,
-		Handler:        entry.Routes(),
+		Handler:        entry.Handler(),
 		Linger:         n.linger,
-		MaxHeaderBytes: int(settings.Head),
-		HeaderTimeout:  mgclock.Millis(settings.Slow),
+		MaxHeaderBytes: int(settings.MaxHeader),
+		HeaderTimeout:  mgclock.Millis(settings.CallerTimeout),
 	})
 	drain := n.NewDrain(entry.Leave, entry.Busy)
 	withdrawReadiness := drain.WithdrawReadiness
 	drain.WithdrawReadiness = func() {
-		entry.Stopping(n.clock.Now() + drain.MaxDuration)
+		entry.AnnounceStop(n.clock.Now() + drain.MaxDuration)
 		withdrawReadiness()
 	}
 	return drain, nil
@@ -67,35 +67,35 @@
 
 func (n *Node) entrySpec(settings mgsettings.Entry, shares *mgshare.Loop) mgentry.Spec {
 	return mgentry.Spec{
-		Settings:   settings,
-		Clock:      n.clock,
-		Log:        n.log,
-		Metrics:    n.metrics,
-		Seal:       n.seal,
-		Quarantine: n.quarantine,
-		Table:      n.Table,
-		Certain:    n.loop.Certain,
-		Seen:       n.ObserveVersion,
-		View:       n.members.View,
-		Failed:     n.peerFailed,
-		Heard:      n.peerSeen,
-		Acquire:    shares.Acquire,
-		Running:    shares.Running,
-		Calls: &mglink.Guard{
+		Settings:           settings,
+		Clock:              n.clock,
+		Log:                n.log,
+		Metrics:            n.metrics,
+		Signer:             n.seal,
+		Quarantine:         n.quarantine,
+		Table:              n.Table,
+		TableConfirmed:     n.loop.TableConfirmed,
+		ObserveVersion:     n.ObserveVersion,
+		View:               n.members.View,
+		ReportFailed:       n.peerFailed,
+		ReportAnnouncement: n.peerSeen,
+		Acquire:            shares.Acquire,
+		ReportRunning:      shares.SetRunning,
+		Calls: &mglink.RetryTransport{
 			Pooled:   n.calls,
-			Again:    n.guard.Transport(true),
+			Second:   n.guard.Transport(true),
 			Clock:    n.clock,
-			Interval: mgclock.Millis(settings.Beat),
+			Interval: mgclock.Millis(settings.HeartbeatInterval),
 		},
-		Frames:    n.guard.Transport(true),
-		Base:      n.guard.Base,
-		Relay:     n.relaySpec(),
-		Answered:  n.peerAnswered,
-		Changed:   n.members.Changed,
-		Others:    n.OtherLoads,
-		Elsewhere: n.mostOthersStay,
-		Stale:     n.loop.Stale,
-		Left:      n.upstreamDeparted,
+		Frames:         n.guard.Transport(true),
+		BaseURL:        n.guard.BaseURL,
+		Relay:          n.relaySpec(),
+		ReportAnswered: n.peerAnswered,
+		Changed:        n.members.Changed,
+		OtherLoads:     n.OtherLoads,
+		OthersStay:     n.mostOthersStay,
+		IsListStale:    n.loop.IsListStale,
+		ReportDeparted: n.upstreamDeparted,
 	}
 }
 
@@ -134,29 +134,29 @@
 		return nil
 	}
 	return &mgrelay.Spec{
-		Form:    *n.relayForm,
-		Basis:   n.loadBasis,
-		Move:    n.move,
-		Probe:   n.probe,
-		Place:   n.acquirePlacement,
-		Turn:    n.acquireMigrationSlot,
-		EndTurn: n.releaseMigrationSlot,
-		Refuses: mgdial.Refuses,
-		Limits:  &n.limits,
-		Permit:  n.acquirePermit,
-		Client:  mgdial.NewClientWith(mgdial.Near(upstreamSilenceTimeout)),
+		Headers:            *n.relayForm,
+		ListVersion:        n.loadBasis,
+		Move:               n.move,
+		AskLeaving:         n.probe,
+		AwaitPlacement:     n.acquirePlacement,
+		AcquireSlot:        n.acquireMigrationSlot,
+		ReleaseSlot:        n.releaseMigrationSlot,
+		RefusesConnections: mgdial.RefusesConnections,
+		Limits:             &n.limits,
+		TakePermit:         n.acquirePermit,
+		Client:             mgdial.NewClientWith(mgdial.DialInRegion(upstreamSilenceTimeout)),
 	}
 }
 
 // listenPublic opens the callers' listener, with TLS if it is configured.
 func listenPublic(settings mgsettings.Entry) (*mglistener.Listener, error) {
-	identity, err := mgpeer.Public(certFiles(settings.Public))
+	identity, err := mgpeer.LoadPublicTLS(certFiles(settings.Public))
 	if err != nil {
 		return nil, err
 	}
-	public, err := mglistener.Listen(settings.Listen, identity)
+	public, err := mglistener.Listen(settings.ListenAddr, identity)
 	if err != nil {
-		return nil, fmt.Errorf("key listen: can't listen on %s: give a free IP and port of this VM: %w", settings.Listen, err)
+		return nil, fmt.Errorf("key listen: can't listen on %s: give a free IP and port of this VM: %w", settings.ListenAddr, err)
 	}
 	return public, nil
 }
--- a/internal/process/mgnode/events.go
+++ b/internal/process/mgnode/events.go
@@ -14,11 +14,11 @@
 // proceeds, such as to drop leases after a pause, is done where the event arises
 // and not here.
 func (n *Node) handleEvents() {
-	n.bus.On(mgevent.Adopted, func(e mgevent.Event) {
+	n.bus.Handle(mgevent.TableAdopted, func(e mgevent.Event) {
 		version, _ := strconv.ParseInt(e.Subject, 10, 64)
 		n.metrics.Gauge("version").Update(version)
 	})
-	n.bus.On(mgevent.Paused, func(e mgevent.Event) {
+	n.bus.Handle(mgevent.Paused, func(e mgevent.Event) {
 		// Any pooled connection may have died while the process was paused.
 		if pool, ok := n.calls.(interface{ CloseIdleConnections() }); ok {
 			pool.CloseIdleConnections()
@@ -26,18 +26,18 @@
 		n.metrics.Counter("pauses").Inc(1)
 		n.log.Info("the process was paused; leases and pooled connections are dropped", "ms", e.Detail)
 	})
-	n.bus.On(mgevent.Leaving, func(e mgevent.Event) {
+	n.bus.Handle(mgevent.Leaving, func(e mgevent.Event) {
 		n.loop.Leave()
 	})
-	n.pause.On(func(gap mgclock.Millis) {
+	n.pause.OnPause(func(gap mgclock.Millis) {
 		n.publish(mgevent.Paused, n.settings.Name, strconv.FormatInt(int64(gap), 10))
 	})
-	n.admin.Source("events", func() any { return n.bus.Trace() })
+	n.admin.AddSection("events", func() any { return n.bus.Trace() })
 }
 
 // publishAdopted publishes the event that a new table has been adopted.
 func (n *Node) publishAdopted(snapshot *mgconfig.Snapshot) {
-	n.publish(mgevent.Adopted, strconv.FormatUint(snapshot.Version(), 10), snapshot.Digest())
+	n.publish(mgevent.TableAdopted, strconv.FormatUint(snapshot.Version(), 10), snapshot.Digest())
 }
 
 func (n *Node) publish(kind mgevent.Kind, subject, detail string) {
--- a/internal/process/mgnode/exchange.go
+++ b/internal/process/mgnode/exchange.go
@@ -46,12 +46,12 @@
 
 // updateMessage is the message of an exchange, in both directions.
 type updateMessage struct {
-	Records []mgquarantine.Note `json:"notes,omitempty"`
+	Records []mgquarantine.Record `json:"notes,omitempty"`
 	// Sums are checksums of all records of the sender, in an anti-entropy round.
-	Sums    mgquarantine.Sums `json:"sums,omitempty"`
-	Compare bool              `json:"compare,omitempty"`
+	Sums    mgquarantine.Checksums `json:"sums,omitempty"`
+	Compare bool                   `json:"compare,omitempty"`
 	// Limits are those that changed recently, or all known ones in an anti-entropy round.
-	Limits []mglimit.Word `json:"limits,omitempty"`
+	Limits []mglimit.Record `json:"limits,omitempty"`
 }
 
 // exchanger exchanges records of crashes and reports of limits with other processes.
@@ -62,7 +62,7 @@
 	onRejected   func(count int) // called with the number of received records that can't be used
 	quarantine   *mgquarantine.Quarantine
 	limits       *mglimit.Limits
-	mergeLimits  func(limits []mglimit.Word) // merges the limits that others report
+	mergeLimits  func(limits []mglimit.Record) // merges the limits that others report
 	peers        func() []*mgmember.Member
 	call         func(ctx context.Context, to *mgmember.Member, message updateMessage) (updateMessage, error)
 }
@@ -71,12 +71,12 @@
 func (e *exchanger) handle(message updateMessage) updateMessage {
 	e.merge(message)
 	reply := updateMessage{
-		Records: e.quarantine.Refine(e.clock.Now(), message.Records),
+		Records: e.quarantine.OlderRecords(e.clock.Now(), message.Records),
 	}
 	if message.Compare {
-		reply.Records = e.quarantine.Lacking(e.clock.Now(), message.Sums)
-		reply.Sums = e.quarantine.Sums()
-		reply.Limits = e.limits.Words(e.clock.Now())
+		reply.Records = e.quarantine.MissingRecords(e.clock.Now(), message.Sums)
+		reply.Sums = e.quarantine.Checksums()
+		reply.Limits = e.limits.Records(e.clock.Now())
 	}
 	return reply
 }
@@ -88,7 +88,7 @@
 	if len(message.Records) == 0 {
 		return
 	}
-	if rejected := e.quarantine.Take(e.clock.Now(), message.Records); len(rejected) > 0 {
+	if rejected := e.quarantine.Merge(e.clock.Now(), message.Records); len(rejected) > 0 {
 		e.onRejected(len(rejected))
 		e.log.Info("records of crashes were rejected", "count", len(rejected), "first", rejected[0].Error())
 	}
@@ -116,8 +116,8 @@
 }
 
 // sendMissing sends a peer the records that it lacks according to its checksums.
-func (e *exchanger) sendMissing(ctx context.Context, to *mgmember.Member, peerSums mgquarantine.Sums) {
-	records := e.quarantine.Lacking(e.clock.Now(), peerSums)
+func (e *exchanger) sendMissing(ctx context.Context, to *mgmember.Member, peerSums mgquarantine.Checksums) {
+	records := e.quarantine.MissingRecords(e.clock.Now(), peerSums)
 	if len(records) == 0 {
 		return
 	}
@@ -134,8 +134,8 @@
 		recordsChanged, limitsChanged := e.quarantine.Changed(), e.limits.Changed()
 		var nextRound <-chan struct{} // nil if there are no updates
 		updates := updateMessage{
-			Records: e.quarantine.News(e.clock.Now()),
-			Limits:  e.limits.News(e.clock.Now()),
+			Records: e.quarantine.RecentRecords(e.clock.Now()),
+			Limits:  e.limits.RecentRecords(e.clock.Now()),
 		}
 		if len(updates.Records)+len(updates.Limits) > 0 {
 			fanout := broadcastFanout
@@ -158,7 +158,7 @@
 }
 
 // hasRepeatedCrash reports whether one request crashed several upstreams.
-func hasRepeatedCrash(records []mgquarantine.Note) bool {
+func hasRepeatedCrash(records []mgquarantine.Record) bool {
 	upstreams := map[string]string{} // by digest
 	for _, record := range records {
 		if record.Upstream == "" {
@@ -185,9 +185,9 @@
 	for ctx.Err() == nil {
 		e.quarantine.Tick(e.clock.Now())
 		e.broadcast(ctx, 1, updateMessage{
-			Sums:    e.quarantine.Sums(),
+			Sums:    e.quarantine.Checksums(),
 			Compare: true,
-			Limits:  e.limits.Words(e.clock.Now()),
+			Limits:  e.limits.Records(e.clock.Now()),
 		})
 		e.clock.Sleep(ctx, meanCompareInterval/2+mgclock.Millis(rand.Int64N(int64(meanCompareInterval))))
 	}
@@ -231,7 +231,7 @@
 	if err != nil {
 		return reply, err
 	}
-	url := n.guard.Base(to.PeerAddr()) + quarantinePath
+	url := n.guard.BaseURL(to.PeerAddr()) + quarantinePath
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return reply, fmt.Errorf("peer %s: invalid address: %w", to.PeerAddr(), err)
--- a/internal/process/mgnode/exchange_test.go
+++ b/internal/process/mgnode/exchange_test.go
@@ -58,7 +58,7 @@
 			onRejected:   func(int) {},
 			quarantine:   mgquarantine.New("life "+strconv.Itoa(i), nil),
 			limits:       &mglimit.Limits{},
-			mergeLimits:  func([]mglimit.Word) {},
+			mergeLimits:  func([]mglimit.Record) {},
 			peers:        func() []*mgmember.Member { return slices.Delete(slices.Clone(members), i, i+1) },
 			call: func(ctx context.Context, to *mgmember.Member, message updateMessage) (updateMessage, error) {
 				return m.call(ctx, i, to, message)
@@ -120,7 +120,7 @@
 // crash has a process observe that an upstream crashes while it runs the poisonous request.
 func (m *mesh) crash(node int, upstream string) {
 	now := m.clock.Now()
-	m.nodes[node].quarantine.Crashed(now, mgquarantine.Crash{
+	m.nodes[node].quarantine.RecordCrash(now, mgquarantine.Crash{
 		Digest:   poisonDigest,
 		Request:  "request",
 		Upstream: upstream,
@@ -318,7 +318,7 @@
 			time.Sleep(10 * time.Second)
 			quiet = float64(m.bytes.Swap(0)) / 10 / 60
 			for i := range 100 {
-				m.nodes[i%60].quarantine.Crashed(m.clock.Now(), mgquarantine.Crash{
+				m.nodes[i%60].quarantine.RecordCrash(m.clock.Now(), mgquarantine.Crash{
 					Digest:   mgquarantine.DigestOf("account", "host", "/path", []byte(strconv.Itoa(i))),
 					Request:  "request",
 					Upstream: "engine-" + strconv.Itoa(i),
--- a/internal/process/mgnode/gossip.go
+++ b/internal/process/mgnode/gossip.go
@@ -24,7 +24,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	body, err := compressJSON(n.loop.Gossiped(rows))
+	body, err := compressJSON(n.loop.HandleGossip(rows))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, n.guard.Base(addr)+gossipPath, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, n.guard.BaseURL(addr)+gossipPath, bytes.NewReader(body))
 	if err != nil {
 		return nil, fmt.Errorf("peer %s: invalid address: %w", addr, err)
 	}
--- a/internal/process/mgnode/list.go
+++ b/internal/process/mgnode/list.go
@@ -50,75 +50,75 @@
 		http.Error(w, "wait is no time: give whole ms", http.StatusBadRequest)
 		return
 	}
-	listing := n.loop.Listing(r.Context(), after, min(mgclock.Millis(wait), maxLongPoll))
+	listing := n.loop.HandleLongPoll(r.Context(), after, min(mgclock.Millis(wait), maxLongPoll))
 	header := w.Header()
-	header.Set(listVersionHeader, strconv.FormatUint(listing.Word.List, 10))
-	header.Set(listAgeHeader, strconv.FormatInt(int64(listing.Word.Age), 10))
-	header.Set(tableVersionHeader, strconv.FormatUint(listing.Word.Table, 10))
-	header.Set(tableAgeHeader, strconv.FormatInt(int64(listing.Word.TableAge), 10))
-	if listing.Packed == nil {
+	header.Set(listVersionHeader, strconv.FormatUint(listing.Report.List, 10))
+	header.Set(listAgeHeader, strconv.FormatInt(int64(listing.Report.Age), 10))
+	header.Set(tableVersionHeader, strconv.FormatUint(listing.Report.Table, 10))
+	header.Set(tableAgeHeader, strconv.FormatInt(int64(listing.Report.TableAge), 10))
+	if listing.Compressed == nil {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
 	header.Set("Content-Type", "application/octet-stream")
-	_, _ = w.Write(listing.Packed) // a peer that closed the connection asks again
+	_, _ = w.Write(listing.Compressed) // a peer that closed the connection asks again
 }
 
 // longPollList asks the process at an address for a list newer than a version, and waits
 // up to wait for one.
-func (n *Node) longPollList(ctx context.Context, addr string, after uint64, wait mgclock.Millis) (mgconfig.Listing, error) {
+func (n *Node) longPollList(ctx context.Context, addr string, after uint64, wait mgclock.Millis) (mgconfig.ListReply, error) {
 	query := url.Values{
 		afterParam: {strconv.FormatUint(after, 10)},
 		waitParam:  {strconv.FormatInt(int64(wait), 10)},
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, n.guard.Base(addr)+listPath+"?"+query.Encode(), nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, n.guard.BaseURL(addr)+listPath+"?"+query.Encode(), nil)
 	if err != nil {
-		return mgconfig.Listing{}, fmt.Errorf("peer %s: invalid address: %w", addr, err)
+		return mgconfig.ListReply{}, fmt.Errorf("peer %s: invalid address: %w", addr, err)
 	}
 	response, err := n.calls.RoundTrip(request)
 	if err != nil {
-		return mgconfig.Listing{}, fmt.Errorf("peer %s: requesting the list of VMs: %w", addr, err)
+		return mgconfig.ListReply{}, fmt.Errorf("peer %s: requesting the list of VMs: %w", addr, err)
 	}
 	defer response.Body.Close()
 	listing, err := decodeListing(response)
 	if err != nil {
-		return mgconfig.Listing{}, fmt.Errorf("peer %s: reading the list of VMs: %w", addr, err)
+		return mgconfig.ListReply{}, fmt.Errorf("peer %s: reading the list of VMs: %w", addr, err)
 	}
 	return listing, nil
 }
 
 // decodeListing reads the response to a long poll for the list.
-func decodeListing(response *http.Response) (mgconfig.Listing, error) {
+func decodeListing(response *http.Response) (mgconfig.ListReply, error) {
 	header := response.Header
-	var listing mgconfig.Listing
+	var listing mgconfig.ListReply
 	var age int64
 	for _, read := range []func() error{
 		func() (err error) {
-			listing.Word.List, err = strconv.ParseUint(header.Get(listVersionHeader), 10, 64)
+			listing.Report.List, err = strconv.ParseUint(header.Get(listVersionHeader), 10, 64)
 			return
 		},
 		func() (err error) {
-			listing.Word.Table, err = strconv.ParseUint(header.Get(tableVersionHeader), 10, 64)
+			listing.Report.Table, err = strconv.ParseUint(header.Get(tableVersionHeader), 10, 64)
 			return
 		},
 		func() (err error) { age, err = strconv.ParseInt(header.Get(listAgeHeader), 10, 64); return },
 	} {
 		if err := read(); err != nil {
-			return mgconfig.Listing{}, fmt.Errorf("status %d, and a header is missing or not a number: %w", response.StatusCode, err)
+			return mgconfig.ListReply{}, fmt.Errorf("status %d, and a header is missing or not a number: %w", response.StatusCode, err)
 		}
 	}
-	listing.Word.Age = mgclock.Millis(age)
-	listing.Word.TableAge = -1
+	listing.Report.Age = mgclock.Millis(age)
+	listing.Report.TableAge = -1
 	if tableAge, err := strconv.ParseInt(header.Get(tableAgeHeader), 10, 64); err == nil {
-		listing.Word.TableAge = mgclock.Millis(tableAge)
+		listing.Report.TableAge = mgclock.Millis(tableAge)
 	}
 	if response.StatusCode == http.StatusNotModified {
 		return listing, nil
 	}
 	packed, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
 	if err != nil {
-		return mgconfig.Listing{}, fmt.Errorf("the response broke off: %w", err)
+		return mgconfig.ListReply{}, fmt.Errorf("the response broke off: %w", err)
 	}
-	listing.Packed = packed
+	listing.Compressed = packed
 	return listing, nil
 }
--- a/internal/process/mgnode/list_test.go
+++ b/internal/process/mgnode/list_test.go
@@ -34,8 +34,8 @@
 	})
 	n, err := New(Spec{
 		Settings: mgsettings.Process{
-			Name:  "entry-1",
-			Quick: 10,
+			Name:             "entry-1",
+			MinWatchInterval: 10,
 		},
 		Log:      io.Discard,
 		Platform: &platform,
@@ -65,21 +65,21 @@
 		defer cancel()
 		first, err := n.longPollList(ctx, addr, 0, maxLongPoll)
 		So(err, ShouldBeNil)
-		So(first.Word.List, ShouldEqual, 5)
-		So(first.Packed, ShouldNotBeEmpty)
+		So(first.Report.List, ShouldEqual, 5)
+		So(first.Compressed, ShouldNotBeEmpty)
 		Convey("receives only the versions if it has the newest list", func() {
 			same, err := n.longPollList(ctx, addr, 5, 1)
 			So(err, ShouldBeNil)
-			So(same.Packed, ShouldBeNil)
-			So(same.Word.List, ShouldEqual, 5)
-			So(same.Word.Age, ShouldBeGreaterThanOrEqualTo, 0)
+			So(same.Compressed, ShouldBeNil)
+			So(same.Report.List, ShouldEqual, 5)
+			So(same.Report.Age, ShouldBeGreaterThanOrEqualTo, 0)
 		})
 		Convey("receives a newer list as soon as there is one", func() {
 			version.Store(6)
 			newer, err := n.longPollList(ctx, addr, 5, maxLongPoll)
 			So(err, ShouldBeNil)
-			So(newer.Word.List, ShouldEqual, 6)
-			So(newer.Packed, ShouldNotBeEmpty)
+			So(newer.Report.List, ShouldEqual, 6)
+			So(newer.Compressed, ShouldNotBeEmpty)
 		})
 		Convey("gets an error from a server that is no such process, or is gone", func() {
 			server := httptest.NewServer(nil)
--- a/internal/process/mgnode/load.go
+++ b/internal/process/mgnode/load.go
@@ -48,7 +48,7 @@
 
 // reportLoads reports this entry's load to the hub until ctx ends, and stores what
 // the hub returns of the others.
-func (n *Node) reportLoads(ctx context.Context, count *mgload.Count) {
+func (n *Node) reportLoads(ctx context.Context, count *mgload.Tracker) {
 	for n.clock.Sleep(ctx, loadReportInterval) {
 		hub := n.hubPeer()
 		now := n.clock.Now()
@@ -59,7 +59,7 @@
 		}
 		if hub == nil {
 			n.otherLoads.Store(&otherLoads{
-				report:     n.hub.Tell(now, n.settings.Name, local),
+				report:     n.hub.Exchange(now, n.settings.Name, local),
 				receivedAt: now,
 			})
 			continue
@@ -76,8 +76,8 @@
 			continue
 		}
 		n.peerAnswered(hub.Name())
-		n.loop.Seen(reply.GetTable(), hub.Name())
-		n.loop.Take(announcementOf(reply), hub.Name())
+		n.loop.ObserveVersion(reply.GetTable(), hub.Name())
+		n.loop.ApplyReport(announcementOf(reply), hub.Name())
 		n.otherLoads.Store(&otherLoads{
 			report:     decodeLoads(reply),
 			receivedAt: now,
@@ -122,17 +122,17 @@
 
 func decodeLoads(message *mgrpc.LoadRows) mgload.Report {
 	report := mgload.Report{
-		Rows:   make(map[string]mgload.Row, len(message.GetRows())),
+		Rows:   make(map[string]mgload.Load, len(message.GetRows())),
 		Paces:  make(map[string]float64, len(message.GetRows())),
 		Faults: map[string]float64{},
 	}
 	for _, row := range message.GetRows() {
-		load := mgload.Row{
+		load := mgload.Load{
 			Runs:    int(row.GetRuns()),
 			Pending: int(row.GetPending()),
 			Memory:  int(row.GetMemory()),
 		}
-		if load != (mgload.Row{}) {
+		if load != (mgload.Load{}) {
 			report.Rows[row.GetUpstream()] = load
 		}
 		if row.GetFaults() > 0 {
@@ -146,8 +146,8 @@
 }
 
 // announcementOf returns the versions that the hub has read from the platform.
-func announcementOf(reply *mgrpc.LoadRows) mgconfig.Word {
-	return mgconfig.Word{
+func announcementOf(reply *mgrpc.LoadRows) mgconfig.VersionReport {
+	return mgconfig.VersionReport{
 		List:  reply.GetList(),
 		Age:   mgclock.Millis(reply.GetAge()),
 		Table: reply.GetTable(),
@@ -159,9 +159,9 @@
 // Loads records the load of an entry that regards this process as the hub, and returns
 // the load of the others.
 func (p peerServer) Loads(_ context.Context, r *mgrpc.LoadRows) (*mgrpc.LoadRows, error) {
-	others := p.node.hub.Tell(p.node.clock.Now(), r.GetEntry(), decodeLoads(r))
+	others := p.node.hub.Exchange(p.node.clock.Now(), r.GetEntry(), decodeLoads(r))
 	reply := encodeLoads(p.node.settings.Name, others)
-	announcement := p.node.loop.Word()
+	announcement := p.node.loop.Report()
 	reply.List = announcement.List
 	reply.Age = int64(announcement.Age)
 	reply.Table = announcement.Table
--- a/internal/process/mgnode/migration_slot.go
+++ b/internal/process/mgnode/migration_slot.go
@@ -25,7 +25,7 @@
 // acquireMigrationSlot asks the coordinator of a service until it grants a slot, and
 // returns the destination of the copy. It returns false if the coordinator doesn't
 // respond or ctx has ended.
-func (n *Node) acquireMigrationSlot(ctx context.Context, service string, request mgmigration.Ask) (string, bool) {
+func (n *Node) acquireMigrationSlot(ctx context.Context, service string, request mgmigration.SlotRequest) (string, bool) {
 	for ctx.Err() == nil {
 		coordinator := n.migrationCoordinator(service)
 		if coordinator == nil {
@@ -50,20 +50,20 @@
 	return "", false
 }
 
-func (n *Node) requestMigrationSlot(ctx context.Context, coordinator *mgmember.Member, request mgmigration.Ask) (string, error) {
+func (n *Node) requestMigrationSlot(ctx context.Context, coordinator *mgmember.Member, request mgmigration.SlotRequest) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, slotTimeout.Duration())
 	defer cancel()
 	var names []string
 	var costs, spans []float64
-	for _, candidate := range request.Places {
+	for _, candidate := range request.Destinations {
 		names = append(names, candidate.Name)
 		costs = append(costs, candidate.Cost)
-		spans = append(spans, candidate.Span)
+		spans = append(spans, candidate.CopyTime)
 	}
 	reply, err := n.peerClient(coordinator.PeerAddr()).Turn(ctx, &mgrpc.TurnRequest{
 		Source: request.Source,
 		Run:    request.Run,
-		Worth:  request.Worth,
+		Worth:  request.Benefit,
 		Places: names,
 		Costs:  costs,
 		Spans:  spans,
@@ -79,7 +79,7 @@
 func (n *Node) releaseMigrationSlot(service, source, run string) {
 	coordinator := n.migrationCoordinator(service)
 	if coordinator == nil {
-		n.migrationSlots.End(source, run)
+		n.migrationSlots.Release(source, run)
 		return
 	}
 	ctx, cancel := context.WithTimeout(n.killed, slotTimeout.Duration())
@@ -139,11 +139,11 @@
 
 // awaitMigrationSlot waits for a slot that this process grants, for slotHoldTimeout at
 // most. It returns the destination, or "" without a slot.
-func (n *Node) awaitMigrationSlot(ctx context.Context, request mgmigration.Ask) string {
+func (n *Node) awaitMigrationSlot(ctx context.Context, request mgmigration.SlotRequest) string {
 	deadline := n.clock.Now() + slotHoldTimeout
 	for {
 		now := n.clock.Now()
-		if destination, ok := n.migrationSlots.Ask(now, request); ok {
+		if destination, ok := n.migrationSlots.Acquire(now, request); ok {
 			return destination
 		}
 		if now >= deadline || !n.clock.Sleep(ctx, slotPollInterval) {
@@ -155,25 +155,25 @@
 // Turn grants an entry a migration slot, or releases it.
 func (p peerServer) Turn(ctx context.Context, r *mgrpc.TurnRequest) (*mgrpc.TurnReply, error) {
 	if r.GetEnd() {
-		p.node.migrationSlots.End(r.GetSource(), r.GetRun())
+		p.node.migrationSlots.Release(r.GetSource(), r.GetRun())
 		return &mgrpc.TurnReply{}, nil
 	}
-	var candidates []mgmigration.Spot
+	var candidates []mgmigration.Destination
 	for i, name := range r.GetPlaces() {
-		candidate := mgmigration.Spot{Name: name}
+		candidate := mgmigration.Destination{Name: name}
 		if i < len(r.GetCosts()) {
 			candidate.Cost = r.GetCosts()[i]
 		}
 		if i < len(r.GetSpans()) {
-			candidate.Span = r.GetSpans()[i]
+			candidate.CopyTime = r.GetSpans()[i]
 		}
 		candidates = append(candidates, candidate)
 	}
-	destination := p.node.awaitMigrationSlot(ctx, mgmigration.Ask{
-		Source: r.GetSource(),
-		Run:    r.GetRun(),
-		Worth:  r.GetWorth(),
-		Places: candidates,
+	destination := p.node.awaitMigrationSlot(ctx, mgmigration.SlotRequest{
+		Source:       r.GetSource(),
+		Run:          r.GetRun(),
+		Benefit:      r.GetWorth(),
+		Destinations: candidates,
 	})
 	return &mgrpc.TurnReply{
 		Place: destination,
--- a/internal/process/mgnode/node.go
+++ b/internal/process/mgnode/node.go
@@ -48,11 +48,11 @@
 	seal            *mgseal.Signer
 	members         *mgmember.Members
 	platform        mgplatform.Client
-	relayForm       *mgrelay.Form // nil if no requests are passed through
+	relayForm       *mgrelay.HeaderNames // nil if no requests are passed through
 	probe           func(context.Context, mgrelay.Host) (bool, error)
 	cachedPage      func(digest string) *mgtable.Page
 	listCoversTable bool
-	migrationSlots  mgmigration.Turns
+	migrationSlots  mgmigration.Slots
 	placementQueues placementQueues
 	readUpstreams   atomic.Pointer[func(service string, others mgload.Report) []mgroom.Place]
 	hub             mgload.Hub
@@ -62,9 +62,9 @@
 	permits         mglimit.Permits
 	permitRetryAt   atomic.Int64 // no permit is requested before, since the hub didn't respond
 	exchanger       *exchanger
-	move            func(context.Context, mgrelay.Host, mgrelay.Order) mgmigration.Reply
+	move            func(context.Context, mgrelay.Host, mgrelay.MoveOrder) mgmigration.Reply
 	loop            *mgconfig.Loop
-	pause           *mgmember.Pause
+	pause           *mgmember.PauseDetector
 	bus             *mgevent.Bus
 	peerClients     sync.Map                     // base URL to mgrpc.Peer
 	roleHandler     atomic.Pointer[http.Handler] // of the role, on the peers' listener
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	incarnation := incarnation()
-	log := mglog.New(spec.Log, settings.Log).WithValues(mglog.Process, settings.Name, mglog.Zone, settings.Zone)
+	log := mglog.New(spec.Log, settings.LogLevel).WithValues(mglog.Process, settings.Name, mglog.Zone, settings.Zone)
 	n := &Node{
 		settings:        settings,
 		incarnation:     incarnation,
@@ -108,25 +108,25 @@
 		platform:        spec.platform(),
 		relayForm:       spec.Relay,
 		move:            spec.Move,
-		cachedPage:      spec.Known,
-		listCoversTable: spec.Joint,
+		cachedPage:      spec.ParsedPage,
+		listCoversTable: spec.ListConfirmsTable,
 		probe:           spec.Probe,
 	}
 	n.quarantine = mgquarantine.New(incarnation, n.isFirstToRetry)
 	n.exchanger = n.newExchanger()
 	n.killed, n.kill = context.WithCancel(context.Background())
 	n.calls = guard.Transport(false)
-	n.pause = mgmember.NewPause(n.clock, nil)
-	n.pause.On(func(mgclock.Millis) { n.quarantine.Paused(n.clock.Now()) })
-	n.quarantine.Watch(func() { n.pause.Check() })
+	n.pause = mgmember.NewPauseDetector(n.clock, nil)
+	n.pause.OnPause(func(mgclock.Millis) { n.quarantine.RecordPause(n.clock.Now()) })
+	n.quarantine.SetPauseCheck(func() { n.pause.Check() })
 	n.bus = mgevent.NewBus(n.clock)
 	n.handleEvents()
 	n.loop = mgconfig.NewLoop(n.loopSpec())
-	n.admin.Source("table", func() any { return n.loop.Status() })
-	n.admin.Source("members", n.memberState)
-	n.admin.Source("quarantine", n.quarantineState)
-	n.admin.Source("limits", func() any { return n.limits.Words(n.clock.Now()) })
-	n.admin.Ready(n.Ready)
+	n.admin.AddSection("table", func() any { return n.loop.Status() })
+	n.admin.AddSection("members", n.memberState)
+	n.admin.AddSection("quarantine", n.quarantineState)
+	n.admin.AddSection("limits", func() any { return n.limits.Records(n.clock.Now()) })
+	n.admin.SetReadiness(n.Ready)
 	return n, nil
 }
 
@@ -134,7 +134,7 @@
 // one VM sort by age because they begin with the time; the random part
 // distinguishes two incarnations that start within one second.
 func incarnation() string {
-	return strconv.FormatInt(mgclock.Unix(), 36) + "-" + uuid.NewString()[:8]
+	return strconv.FormatInt(mgclock.UnixSeconds(), 36) + "-" + uuid.NewString()[:8]
 }
 
 // jitterSeed returns the seed of an incarnation's jitter, which it derives from its name.
@@ -149,7 +149,7 @@
 		return false, "no configuration is in force"
 	case n.members.View().Version() == 0:
 		return false, "no list of VMs"
-	case n.relayForm != nil && !n.members.View().Served():
+	case n.relayForm != nil && !n.members.View().HasUpstream():
 		return false, "no upstream is known"
 	case !n.loop.Ready():
 		return false, "asking the peers and the platform for the newest configuration"
@@ -190,26 +190,26 @@
 func (n *Node) Seal() *mgseal.Signer { return n.seal }
 
 // ObserveVersion records that another process uses a version of the table.
-func (n *Node) ObserveVersion(version uint64, from string) { n.loop.Seen(version, from) }
+func (n *Node) ObserveVersion(version uint64, from string) { n.loop.ObserveVersion(version, from) }
 
 // LookForTable reads the table from the platform at once.
-func (n *Node) LookForTable() { n.loop.LookForTable() }
+func (n *Node) ReadTableNow() { n.loop.ReadTableNow() }
 
 // Reseed replaces the addresses of the peers to ask while no other process is known.
-func (n *Node) Reseed(seeds []string) { n.loop.Reseed(seeds) }
+func (n *Node) SetSeeds(seeds []string) { n.loop.SetSeeds(seeds) }
 
 // peerFailed records that a call to another process brought no response.
-func (n *Node) peerFailed(name string) { n.members.Failed(n.clock.Now(), name) }
+func (n *Node) peerFailed(name string) { n.members.RecordFailure(n.clock.Now(), name) }
 
 // peerAnswered records that a call to another process brought a response.
-func (n *Node) peerAnswered(name string) { n.members.Answered(n.clock.Now(), name) }
+func (n *Node) peerAnswered(name string) { n.members.RecordAnswer(n.clock.Now(), name) }
 
 // upstreamDeparted records an upstream's own announcement that it leaves.
-func (n *Node) upstreamDeparted(name string) { n.loop.Departed(name) }
+func (n *Node) upstreamDeparted(name string) { n.loop.HandleDeparture(name) }
 
 // peerSeen records what another process reports of itself.
 func (n *Node) peerSeen(name, incarnation string, leaving bool) {
-	n.members.Heard(n.clock.Now(), name, incarnation, leaving)
+	n.members.RecordMessage(n.clock.Now(), name, incarnation, leaving)
 }
 
 // run starts the node and its role, and waits for stop or Kill. After stop it runs
@@ -238,9 +238,9 @@
 // Start opens the listeners for operators and peers, looks for the newest table, and
 // waits until it is in force or stop ends.
 func (n *Node) Start(ctx, stop context.Context) error {
-	operators, err := mglistener.Listen(n.settings.Admin, nil)
+	operators, err := mglistener.Listen(n.settings.AdminAddr, nil)
 	if err != nil {
-		return fmt.Errorf("key admin: can't listen on %s: give a free IP and port of this VM: %w", n.settings.Admin, err)
+		return fmt.Errorf("key admin: can't listen on %s: give a free IP and port of this VM: %w", n.settings.AdminAddr, err)
 	}
 	for _, spec := range n.extraServers {
 		n.Serve(ctx, spec)
@@ -248,16 +248,16 @@
 	n.Serve(ctx, ServerSpec{
 		Name:     "admin",
 		Listener: operators,
-		Handler:  n.admin.Routes(n.metrics),
+		Handler:  n.admin.Handler(n.metrics),
 	})
-	peers, err := n.guard.Listen(n.settings.Peer)
+	peers, err := n.guard.Listen(n.settings.PeerAddr)
 	if err != nil {
 		return err
 	}
 	n.Serve(ctx, ServerSpec{
 		Name:     "peers",
 		Listener: peers,
-		Handler:  n.guard.Require(n.peerRoutes()),
+		Handler:  n.guard.RequireKey(n.peerRoutes()),
 	})
 	n.background.Go(func() { n.runEvents(ctx) })
 	n.background.Go(func() { n.loop.Run(ctx) })
@@ -288,7 +288,7 @@
 
 // Also adds a listener that Start serves in addition to the node's own. Call it before
 // Start.
-func (n *Node) Also(spec ServerSpec) { n.extraServers = append(n.extraServers, spec) }
+func (n *Node) AddServer(spec ServerSpec) { n.extraServers = append(n.extraServers, spec) }
 
 // MarkServing records that the listeners for work are open. Were the process ready
 // before that, it would be sent requests that nothing accepts.
@@ -306,8 +306,8 @@
 	return Drain{
 		Clock:       n.clock,
 		Log:         n.log,
-		NoticeDelay: mgclock.Millis(n.settings.Notice),
-		MaxDuration: mgclock.Millis(n.settings.Drain),
+		NoticeDelay: mgclock.Millis(n.settings.UnreadyDelay),
+		MaxDuration: mgclock.Millis(n.settings.DrainTimeout),
 		WithdrawReadiness: func() {
 			n.leaving.Store(true)
 			n.publish(mgevent.Leaving, n.settings.Name, "")
--- a/internal/process/mgnode/peer.go
+++ b/internal/process/mgnode/peer.go
@@ -20,42 +20,42 @@
 func (n *Node) loopSpec() mgconfig.LoopSpec {
 	return mgconfig.LoopSpec{
 		Machine: mgconfig.MachineSpec{
-			Name:        n.settings.Name,
-			Zone:        n.settings.Zone,
-			Region:      n.settings.Region,
-			Incarnation: n.incarnation,
-			Addr:        n.settings.Peer,
-			Power:       int(n.settings.Power),
-			Seed:        jitterSeed(n.incarnation),
-			Seeds:       n.settings.Seeds,
-			Spread:      mgclock.Millis(n.settings.Spread),
-			Known:       n.cachedPage,
-			Joint:       n.listCoversTable,
-			Quick:       mgclock.Millis(n.settings.Quick),
-			Watch:       mgclock.Millis(n.settings.Watch),
-			Answer:      mgclock.Millis(n.settings.Answer),
-			Fetch:       mgclock.Millis(n.settings.Fetch),
-			Backoff:     mgclock.Millis(n.settings.Backoff),
+			Name:              n.settings.Name,
+			Zone:              n.settings.Zone,
+			Region:            n.settings.Region,
+			Incarnation:       n.incarnation,
+			Addr:              n.settings.PeerAddr,
+			Power:             int(n.settings.Power),
+			Seed:              jitterSeed(n.incarnation),
+			Seeds:             n.settings.Seeds,
+			StartWindow:       mgclock.Millis(n.settings.StartupSpread),
+			ParsedPage:        n.cachedPage,
+			ListConfirmsTable: n.listCoversTable,
+			QuickInterval:     mgclock.Millis(n.settings.MinWatchInterval),
+			WatchWait:         mgclock.Millis(n.settings.WatchTimeout),
+			AnswerTimeout:     mgclock.Millis(n.settings.AnswerTimeout),
+			FetchTimeout:      mgclock.Millis(n.settings.FetchTimeout),
+			MaxBackoff:        mgclock.Millis(n.settings.MaxBackoff),
 		},
 		Clock:    n.clock,
 		Members:  n.members,
 		Platform: n.platform,
 		Log:      n.log,
-		Adopted:  n.publishAdopted,
+		OnAdopt:  n.publishAdopted,
 		Exchange: func(ctx context.Context, addr string, s *mgrpc.Summary) (*mgrpc.Summary, error) {
 			return n.peerClient(addr).Exchange(ctx, s)
 		},
 		Fetch: func(ctx context.Context, addr string, r *mgrpc.FetchRequest) (*mgrpc.FetchReply, error) {
 			return n.peerClient(addr).Fetch(ctx, r)
 		},
-		Listen: n.longPollList,
-		Gossip: n.exchangeGossip,
+		LongPoll: n.longPollList,
+		Gossip:   n.exchangeGossip,
 	}
 }
 
 // peerClient returns the client of the process at an address.
 func (n *Node) peerClient(addr string) mgrpc.Peer {
-	base := n.guard.Base(addr)
+	base := n.guard.BaseURL(addr)
 	if found, ok := n.peerClients.Load(base); ok {
 		return found.(mgrpc.Peer)
 	}
@@ -77,7 +77,7 @@
 	router.NotFound(func(w http.ResponseWriter, r *http.Request) {
 		role := n.roleHandler.Load()
 		if role == nil {
-			mgproblem.Write(w, mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
+			mgproblem.Write(w, mgproblem.New(mgproblem.NotReady, mgproblem.NotRun,
 				"this process is starting", "try another one"))
 			return
 		}
@@ -134,13 +134,13 @@
 			Region:      n.settings.Region,
 			Members:     n.members,
 			Account:     n.accountCaps,
-			Fresh:       fresh,
+			IsFresh:     fresh,
 		},
 		Clock: n.clock,
 		Lease: func(ctx context.Context, addr string, r *mgrpc.LeaseRequest) (*mgrpc.LeaseReply, error) {
 			return n.peerClient(addr).Lease(ctx, r)
 		},
-		Support: func(ctx context.Context, addr string, r *mgrpc.SupportRequest) (*mgrpc.SupportReply, error) {
+		RequestVotes: func(ctx context.Context, addr string, r *mgrpc.SupportRequest) (*mgrpc.SupportReply, error) {
 			return n.peerClient(addr).Support(ctx, r)
 		},
 	}
--- a/internal/process/mgnode/permit.go
+++ b/internal/process/mgnode/permit.go
@@ -33,23 +33,23 @@
 
 // permitRequest requests a permit, and reports what the sender knows of the upstream's limit.
 type permitRequest struct {
-	Entry        string       `json:"entry"`
-	Limit        mglimit.Word `json:"word"`
-	Request      string       `json:"request"`
-	Forced       bool         `json:"forced,omitempty"`
-	GranterCount int          `json:"givers"`
+	Entry        string         `json:"entry"`
+	Limit        mglimit.Record `json:"word"`
+	Request      string         `json:"request"`
+	Forced       bool           `json:"forced,omitempty"`
+	GranterCount int            `json:"givers"`
 }
 
 // permitReply grants the permit, or returns the time in ms until there may be one.
 type permitReply struct {
-	Granted    bool           `json:"given"`
-	RetryAfter mgclock.Millis `json:"wait,omitempty"`
-	Limit      *mglimit.Word  `json:"word,omitempty"` // what the granter knows of the limit
+	Granted    bool            `json:"given"`
+	RetryAfter mgclock.Millis  `json:"wait,omitempty"`
+	Limit      *mglimit.Record `json:"word,omitempty"` // what the granter knows of the limit
 }
 
 // acquirePermit acquires the permit to send a request to a rate-limited upstream. If it is
 // not granted, it returns the time after which to try again.
-func (n *Node) acquirePermit(ctx context.Context, permit mgrelay.Permit) (mgclock.Millis, bool) {
+func (n *Node) acquirePermit(ctx context.Context, permit mgrelay.PermitRequest) (mgclock.Millis, bool) {
 	hub := n.hubPeer()
 	if hub == nil {
 		return n.grantPermit(n.settings.Name, permit)
@@ -57,13 +57,13 @@
 	if n.clock.Now() < mgclock.Millis(n.permitRetryAt.Load()) {
 		return permitRetryDelay, false
 	}
-	limit, _ := n.limits.Word(n.clock.Now(), permit.Ask.Upstream)
+	limit, _ := n.limits.Record(n.clock.Now(), permit.Ask.Upstream)
 	reply, err := n.requestPermit(ctx, hub, permitRequest{
 		Entry:        n.settings.Name,
 		Limit:        limit,
 		Request:      permit.Ask.Request,
 		Forced:       permit.Ask.Forced,
-		GranterCount: permit.Givers,
+		GranterCount: permit.Granters,
 	})
 	if err != nil {
 		if ctx.Err() == nil {
@@ -78,7 +78,7 @@
 		return permitRetryDelay, false
 	}
 	if reply.Limit != nil {
-		n.mergeLimits([]mglimit.Word{*reply.Limit})
+		n.mergeLimits([]mglimit.Record{*reply.Limit})
 	}
 	return reply.RetryAfter, reply.Granted
 }
@@ -94,7 +94,7 @@
 	if err != nil {
 		return reply, fmt.Errorf("peer %s: encoding a request for a permit: %w", hub.PeerAddr(), err)
 	}
-	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, n.guard.Base(hub.PeerAddr())+permitPath, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, n.guard.BaseURL(hub.PeerAddr())+permitPath, bytes.NewReader(body))
 	if err != nil {
 		return reply, fmt.Errorf("peer %s: invalid address: %w", hub.PeerAddr(), err)
 	}
@@ -119,21 +119,21 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	n.mergeLimits([]mglimit.Word{request.Limit})
-	wait, granted := n.grantPermit(request.Entry, mgrelay.Permit{
-		Ask: mglimit.Ask{
+	n.mergeLimits([]mglimit.Record{request.Limit})
+	wait, granted := n.grantPermit(request.Entry, mgrelay.PermitRequest{
+		Ask: mglimit.PermitRequest{
 			Upstream: request.Limit.Upstream,
 			Request:  request.Request,
 			Forced:   request.Forced,
 		},
-		Born:   request.Limit.Born,
-		Givers: request.GranterCount,
+		IncarnationStart: request.Limit.IncarnationStart,
+		Granters:         request.GranterCount,
 	})
 	reply := permitReply{
 		Granted:    granted,
 		RetryAfter: wait,
 	}
-	if limit, known := n.limits.Word(n.clock.Now(), request.Limit.Upstream); known {
+	if limit, known := n.limits.Record(n.clock.Now(), request.Limit.Upstream); known {
 		reply.Limit = &limit
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -142,14 +142,14 @@
 
 // grantPermit grants a permit out of this process's share of the upstream's limit, if one is
 // left.
-func (n *Node) grantPermit(entry string, permit mgrelay.Permit) (mgclock.Millis, bool) {
-	rate, limited := n.limits.Rate(permit.Ask.Upstream, permit.Born)
+func (n *Node) grantPermit(entry string, permit mgrelay.PermitRequest) (mgclock.Millis, bool) {
+	rate, limited := n.limits.Rate(permit.Ask.Upstream, permit.IncarnationStart)
 	if !limited {
 		return 0, true
 	}
 	now := n.clock.Now()
-	n.hub.Heard(now, entry)
-	wait, granted := n.permits.Take(now, permit.Ask, n.limitShare(now, rate, permit.Givers))
+	n.hub.MarkSeen(now, entry)
+	wait, granted := n.permits.Take(now, permit.Ask, n.limitShare(now, rate, permit.Granters))
 	if granted {
 		n.metrics.Counter("permits.given").Inc(1)
 	} else {
@@ -160,38 +160,38 @@
 
 // limitShare returns this process's share of an upstream's limit: the number of entries that
 // request permits here, out of all entries that may send to the upstream.
-func (n *Node) limitShare(now mgclock.Millis, rate float64, granterCount int) mglimit.Part {
+func (n *Node) limitShare(now mgclock.Millis, rate float64, granterCount int) mglimit.Share {
 	view := n.members.View()
-	entryCount := 1 + view.Others()
-	if cells := view.Cell(n.settings.Name, n.settings.Region).Of; granterCount == 1 && cells > 1 {
+	entryCount := 1 + view.OtherEntryCount()
+	if cells := view.Cell(n.settings.Name, n.settings.Region).Count; granterCount == 1 && cells > 1 {
 		entryCount = (entryCount + cells - 1) / cells // only the entries of one cell send to the upstream
 	}
-	return mglimit.PartOf(rate, n.hub.Entries(now), entryCount)
+	return mglimit.ShareOf(rate, n.hub.Entries(now), entryCount)
 }
 
 // applyLimits sets how many requests each rate-limited upstream accepts now, and returns this
 // process's shares of their limits.
-func (n *Node) applyLimits(now mgclock.Millis, upstreams []mgroom.Place) map[string]mglimit.Part {
-	var shares map[string]mglimit.Part
+func (n *Node) applyLimits(now mgclock.Millis, upstreams []mgroom.Place) map[string]mglimit.Share {
+	var shares map[string]mglimit.Share
 	for i := range upstreams {
 		p := &upstreams[i]
 		if !p.Limited {
 			continue
 		}
 		if shares == nil {
-			shares = map[string]mglimit.Part{}
+			shares = map[string]mglimit.Share{}
 		}
-		share := n.limitShare(now, p.Rate, p.Givers)
+		share := n.limitShare(now, p.Rate, p.Granters)
 		shares[p.Name] = share
 		p.Rate = share.Rate()
-		p.Permits = n.permits.Left(now, p.Name, share)
+		p.Permits = n.permits.Available(now, p.Name, share)
 	}
 	return shares
 }
 
 // reservePermits reserves permits for the requests that have been granted placements at
 // rate-limited upstreams, since they will request one.
-func (n *Node) reservePermits(now mgclock.Millis, grants []mgroom.Grant, shares map[string]mglimit.Part) {
+func (n *Node) reservePermits(now mgclock.Millis, grants []mgroom.Grant, shares map[string]mglimit.Share) {
 	for _, grant := range grants {
 		if share, limited := shares[grant.Place]; limited {
 			n.permits.Reserve(now, grant.Place, grant.Name, share)
@@ -200,8 +200,8 @@
 }
 
 // mergeLimits merges the upstreams' limits that another process reports.
-func (n *Node) mergeLimits(limits []mglimit.Word) {
-	updates, unusable := n.limits.Take(n.clock.Now(), limits)
+func (n *Node) mergeLimits(limits []mglimit.Record) {
+	updates, unusable := n.limits.Merge(n.clock.Now(), limits)
 	for _, limit := range updates {
 		n.log.Info("another process reported an upstream's limit", mglog.Upstream, limit.Upstream, "rate", limit.Rate,
 			"ended", limit.Ended, "age", int64(limit.Named))
@@ -219,6 +219,6 @@
 		_, ok := view.Agent(upstream)
 		return ok
 	}
-	n.limits.Forget(n.clock.Now(), listed)
+	n.limits.Prune(n.clock.Now(), listed)
 	n.permits.Forget(listed)
 }
--- a/internal/process/mgnode/permit_test.go
+++ b/internal/process/mgnode/permit_test.go
@@ -51,10 +51,10 @@
 	for i := range count {
 		n, err := New(Spec{
 			Settings: mgsettings.Process{
-				Name:   fmt.Sprint("entry-", i),
-				Zone:   "z",
-				Region: "r",
-				Log:    "error",
+				Name:     fmt.Sprint("entry-", i),
+				Zone:     "z",
+				Region:   "r",
+				LogLevel: "error",
 			},
 			Log:     io.Discard,
 			Unkeyed: true,
@@ -81,7 +81,7 @@
 		})
 	}
 	for _, n := range c.nodes {
-		n.members.TakeGossip(c.clock.Now(), rows)
+		n.members.MergeGossip(c.clock.Now(), rows)
 	}
 }
 
@@ -120,7 +120,7 @@
 func (c *permitCluster) run(t *testing.T, demand float64, duration mgclock.Millis, scenario func(c *permitCluster, sleep func(mgclock.Millis))) {
 	ctx, cancel := context.WithCancel(context.Background())
 	for i, n := range c.nodes {
-		go n.reportLoads(ctx, &mgload.Count{})
+		go n.reportLoads(ctx, &mgload.Tracker{})
 		go n.exchanger.runBroadcast(ctx)
 		if len(c.nodes) < 10 { // with more, compression takes most of the test's time
 			go n.exchanger.runAntiEntropy(ctx)
@@ -143,7 +143,7 @@
 // runSender sends one entry's requests, which arrive at random times.
 func (c *permitCluster) runSender(ctx context.Context, i int, demand float64) {
 	n := c.nodes[i]
-	var backoffs mglimit.Waits
+	var backoffs mglimit.Backoffs
 	for seq := 0; ; seq++ {
 		c.mu.Lock()
 		pause := mgclock.Millis(c.rng.ExpFloat64() / demand * 1000)
@@ -156,15 +156,15 @@
 			continue
 		}
 		if limited {
-			wait, ok := n.acquirePermit(ctx, mgrelay.Permit{
-				Ask: mglimit.Ask{
+			wait, ok := n.acquirePermit(ctx, mgrelay.PermitRequest{
+				Ask: mglimit.PermitRequest{
 					Upstream: limitedUpstream,
 					Request:  fmt.Sprint(i, " ", seq),
 				},
-				Givers: mgmember.Cells(len(c.nodes)),
+				Granters: mgmember.CellCount(len(c.nodes)),
 			})
 			if !ok {
-				backoffs.Put(c.clock.Now(), limitedUpstream, wait)
+				backoffs.Set(c.clock.Now(), limitedUpstream, wait)
 				continue
 			}
 		}
@@ -179,10 +179,10 @@
 	now := c.clock.Now()
 	c.sentAt = append(c.sentAt, now)
 	if c.rate < 0 {
-		c.nodes[i].limits.Unnamed(now, now, limitedUpstream, 0)
+		c.nodes[i].limits.RecordNoRate(now, now, limitedUpstream, 0)
 		return
 	}
-	c.nodes[i].limits.Named(now, limitedUpstream, 0, c.rate)
+	c.nodes[i].limits.RecordRate(now, limitedUpstream, 0, c.rate)
 }
 
 func (c *permitCluster) setRate(rate float64) {
--- a/internal/process/mgnode/placement.go
+++ b/internal/process/mgnode/placement.go
@@ -34,7 +34,7 @@
 // acquirePlacement waits until an upstream of a service has memory for a request,
 // or the request is given up. It returns false if the hub didn't respond or ctx has
 // ended.
-func (n *Node) acquirePlacement(ctx context.Context, service string, request mgroom.Wait) (mgroom.Grant, bool) {
+func (n *Node) acquirePlacement(ctx context.Context, service string, request mgroom.Request) (mgroom.Grant, bool) {
 	for ctx.Err() == nil {
 		hub := n.hubPeer()
 		var grant mgroom.Grant
@@ -59,7 +59,7 @@
 	return mgroom.Grant{}, false
 }
 
-func (n *Node) requestPlacement(ctx context.Context, hub, service string, request mgroom.Wait) (mgroom.Grant, error) {
+func (n *Node) requestPlacement(ctx context.Context, hub, service string, request mgroom.Request) (mgroom.Grant, error) {
 	ctx, cancel := context.WithTimeout(ctx, placementTimeout.Duration())
 	defer cancel()
 	now := n.clock.Now()
@@ -68,10 +68,10 @@
 		Request: request.Name,
 		Account: request.Account,
 		Need:    int64(request.Need),
-		Made:    int64(request.Made),
-		Span:    int64(request.Span),
+		Made:    int64(request.Output),
+		Span:    int64(request.Duration),
 		Left:    int64(request.Due - now),
-		Waited:  int64(now - request.Came),
+		Waited:  int64(now - request.Arrived),
 		Rest:    int64(request.End - now),
 	})
 	if err != nil {
@@ -86,15 +86,15 @@
 // Place enqueues a request of an entry until it has a placement.
 func (p peerServer) Place(ctx context.Context, r *mgrpc.PlaceRequest) (*mgrpc.PlaceReply, error) {
 	now := p.node.clock.Now()
-	grant := p.node.awaitPlacement(ctx, r.GetService(), mgroom.Wait{
-		Name:    r.GetRequest(),
-		Account: r.GetAccount(),
-		Need:    int(r.GetNeed()),
-		Made:    int(r.GetMade()),
-		Span:    mgclock.Millis(r.GetSpan()),
-		Due:     now + mgclock.Millis(r.GetLeft()),
-		Came:    now - mgclock.Millis(r.GetWaited()),
-		End:     now + mgclock.Millis(r.GetRest()),
+	grant := p.node.awaitPlacement(ctx, r.GetService(), mgroom.Request{
+		Name:     r.GetRequest(),
+		Account:  r.GetAccount(),
+		Need:     int(r.GetNeed()),
+		Output:   int(r.GetMade()),
+		Duration: mgclock.Millis(r.GetSpan()),
+		Due:      now + mgclock.Millis(r.GetLeft()),
+		Arrived:  now - mgclock.Millis(r.GetWaited()),
+		End:      now + mgclock.Millis(r.GetRest()),
 	})
 	return &mgrpc.PlaceReply{
 		Place: grant.Place,
@@ -111,7 +111,7 @@
 
 // placementQueue holds the requests that wait for an upstream of one service.
 type placementQueue struct {
-	waiting         mgroom.Room
+	waiting         mgroom.WaitingList
 	pending         map[string]*pendingRequest
 	assignedAt      mgclock.Millis
 	upstreams       []mgroom.Place // with their free capacity at upstreamsReadAt
@@ -128,7 +128,7 @@
 
 // awaitPlacement enqueues a request at this entry and waits for its grant, for
 // placementHoldTimeout at most. It returns the zero Grant if there is none by then.
-func (n *Node) awaitPlacement(ctx context.Context, service string, request mgroom.Wait) mgroom.Grant {
+func (n *Node) awaitPlacement(ctx context.Context, service string, request mgroom.Request) mgroom.Grant {
 	pending := n.placementQueues.enqueue(n.clock.Now(), service, request)
 	holdEnd := n.clock.After(placementHoldTimeout)
 	for {
@@ -147,7 +147,7 @@
 }
 
 // enqueue adds a request to the queue of its service, or extends its wait if it is queued.
-func (l *placementQueues) enqueue(now mgclock.Millis, service string, request mgroom.Wait) *pendingRequest {
+func (l *placementQueues) enqueue(now mgclock.Millis, service string, request mgroom.Request) *pendingRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.byService == nil {
@@ -182,7 +182,7 @@
 		return mgroom.Grant{}
 	}
 	delete(l.byService[service].pending, name)
-	l.byService[service].waiting.Drop(name)
+	l.byService[service].waiting.Remove(name)
 	pending.grant.Name = "" // the caller knows it
 	return pending.grant
 }
@@ -201,7 +201,7 @@
 	for name, pending := range queue.pending {
 		if now >= pending.expiresAt {
 			delete(queue.pending, name)
-			queue.waiting.Drop(name)
+			queue.waiting.Remove(name)
 		}
 	}
 	if queue.waiting.Len() == 0 {
@@ -228,7 +228,7 @@
 // it gives all waiting requests up.
 func (l *placementQueue) assign(now mgclock.Millis, upstreams []mgroom.Place) []mgroom.Grant {
 	if upstreams == nil {
-		return l.waiting.Close()
+		return l.waiting.GiveUpAll()
 	}
-	return l.waiting.Look(now, upstreams)
+	return l.waiting.Assign(now, upstreams)
 }
--- a/internal/process/mgnode/placement_test.go
+++ b/internal/process/mgnode/placement_test.go
@@ -32,8 +32,8 @@
 	return n
 }
 
-func reportRequest(name string) mgroom.Wait {
-	return mgroom.Wait{
+func reportRequest(name string) mgroom.Request {
+	return mgroom.Request{
 		Name: name,
 		Need: 3000,
 		End:  mgclock.Clock{}.Now() + mgclock.Minute,
--- a/internal/process/mgnode/platform_reads.go
+++ b/internal/process/mgnode/platform_reads.go
@@ -21,18 +21,18 @@
 func (n *Node) reportReads(status mgconfig.Status) {
 	counts := status.Counts
 	for name, value := range map[string]int{
-		"rejected":        int(status.Refused),
-		"reads.first":     counts.First,
-		"reads.plain":     counts.Plain,
-		"reads.quick":     counts.Quick,
-		"reads.slow":      counts.Slow,
-		"reads.table":     counts.Table,
-		"reads.pages":     counts.Pages,
-		"reads.failed":    counts.Failed,
+		"rejected":        int(status.RejectedVersion),
+		"reads.first":     counts.FirstReads,
+		"reads.plain":     counts.PlainReads,
+		"reads.quick":     counts.QuickWatches,
+		"reads.slow":      counts.SlowWatches,
+		"reads.table":     counts.TableWatches,
+		"reads.pages":     counts.PageReads,
+		"reads.failed":    counts.FailedReads,
 		"peers.exchanges": counts.Exchanges,
 		"peers.fetches":   counts.Fetches,
-		"peers.listens":   counts.Listens,
-		"lists":           counts.Lists,
+		"peers.listens":   counts.LongPolls,
+		"lists":           counts.ListAdoptions,
 		"zones.cordoned":  len(n.members.View().Cordoned()),
 	} {
 		n.metrics.Gauge(name).Update(int64(value))
@@ -43,8 +43,8 @@
 	}
 	n.loggedReads.count = counts.Reads
 	n.loggedReads.loggedAt = now
-	n.log.Info("reads of the platform so far", "reads", counts.Reads, "first", counts.First, "plain", counts.Plain,
-		"quick", counts.Quick, "slow", counts.Slow, "table", counts.Table, "pages", counts.Pages,
-		"failed", counts.Failed, "lists", counts.Lists, "exchanges", counts.Exchanges, "fetches", counts.Fetches,
-		"listens", counts.Listens)
+	n.log.Info("reads of the platform so far", "reads", counts.Reads, "first", counts.FirstReads, "plain", counts.PlainReads,
+		"quick", counts.QuickWatches, "slow", counts.SlowWatches, "table", counts.TableWatches, "pages", counts.PageReads,
+		"failed", counts.FailedReads, "lists", counts.ListAdoptions, "exchanges", counts.Exchanges, "fetches", counts.Fetches,
+		"listens", counts.LongPolls)
 }
--- a/internal/process/mgnode/quarantine.go
+++ b/internal/process/mgnode/quarantine.go
@@ -47,14 +47,14 @@
 func (n *Node) reportHeld(previous map[mgquarantine.Digest]bool) map[mgquarantine.Digest]bool {
 	held := map[mgquarantine.Digest]bool{}
 	for _, verdict := range n.quarantine.Verdicts(n.clock.Now()) {
-		if verdict.Left() == 0 {
+		if verdict.Remaining() == 0 {
 			continue
 		}
 		held[verdict.Digest()] = true
 		if previous[verdict.Digest()] {
 			continue
 		}
-		keys := []any{"digest", verdict.Digest().String(), "occurrences", verdict.Occurrences(), "ms", int64(verdict.Left())}
+		keys := []any{"digest", verdict.Digest().String(), "occurrences", verdict.Occurrences(), "ms", int64(verdict.Remaining())}
 		n.log.Info("a request crashes upstreams and is held back", append(keys, evidenceLogValues(verdict.Evidence())...)...)
 	}
 	for digest := range previous {
@@ -67,7 +67,7 @@
 }
 
 // evidenceLogValues returns the keys and values of evidence for a log line.
-func evidenceLogValues(records []mgquarantine.Note) []any {
+func evidenceLogValues(records []mgquarantine.Record) []any {
 	requests := make([]string, 0, len(records))
 	upstreams := make([]string, 0, len(records))
 	ages := make([]int64, 0, len(records))
@@ -81,10 +81,10 @@
 
 // quarantineRow describes one request in the dump.
 type quarantineRow struct {
-	Digest      string              `json:"digest"`
-	Occurrences int                 `json:"occurrences"`
-	Held        mgclock.Millis      `json:"held"` // remaining ms
-	Evidence    []mgquarantine.Note `json:"evidence"`
+	Digest      string                `json:"digest"`
+	Occurrences int                   `json:"occurrences"`
+	Held        mgclock.Millis        `json:"held"` // remaining ms
+	Evidence    []mgquarantine.Record `json:"evidence"`
 }
 
 // quarantineState returns the dump of the requests that crash upstreams.
@@ -95,7 +95,7 @@
 		rows = append(rows, quarantineRow{
 			Digest:      verdict.Digest().String(),
 			Occurrences: verdict.Occurrences(),
-			Held:        verdict.Left(),
+			Held:        verdict.Remaining(),
 			Evidence:    verdict.Evidence(),
 		})
 	}
--- a/internal/process/mgnode/serve.go
+++ b/internal/process/mgnode/serve.go
@@ -74,7 +74,7 @@
 	cancelFinish := context.AfterFunc(ctx, func() {
 		defer close(listenerFinished)
 		conns.beginClose()
-		if err := spec.Listener.Finish(handshakeTimeout); err != nil {
+		if err := spec.Listener.Shutdown(handshakeTimeout); err != nil {
 			log.Error(err, "a listener may reset connections as it closes")
 		}
 	})
--- a/internal/process/mgnode/spec.go
+++ b/internal/process/mgnode/spec.go
@@ -24,21 +24,21 @@
 	Platform *mgplatform.Client
 	// Joint is true if the platform's response about the list of VMs also shows that
 	// there is no newer table; see mgconfig.MachineSpec.
-	Joint bool
+	ListConfirmsTable bool
 	// Known returns the page of the table with a digest if the process has already
 	// read it, else nil; see mgconfig.MachineSpec.
-	Known func(digest string) *mgtable.Page
+	ParsedPage func(digest string) *mgtable.Page
 	// Unkeyed is true if the network lets only the system's own processes reach
 	// Settings.Peer, so that they need no shared key. Names of answers are then
 	// sealed with a key that only this process has.
 	Unkeyed bool
 	// Relay is the form of the requests that the table's routes pass through to
 	// upstreams. Nil passes none.
-	Relay *mgrelay.Form
+	Relay *mgrelay.HeaderNames
 	// Probe asks an upstream whether it is leaving. Nil asks none.
 	Probe func(ctx context.Context, upstream mgrelay.Host) (leaving bool, err error)
 	// Move calls the source of a migration. Nil migrates nothing.
-	Move func(ctx context.Context, source mgrelay.Host, order mgrelay.Order) mgmigration.Reply
+	Move func(ctx context.Context, source mgrelay.Host, order mgrelay.MoveOrder) mgmigration.Reply
 }
 
 // newKeys returns the guard that secures calls between processes and the signer that seals
@@ -49,11 +49,11 @@
 		key := make([]byte, ownKeyBytes)
 		_, _ = rand.Read(key) // never fails, by its documentation
 		seal, err := mgseal.New(mgseal.Spec{Current: key})
-		return mgpeer.Unkeyed(), seal, err
+		return mgpeer.NewWithoutKey(), seal, err
 	}
 	guard, err := mgpeer.New(mgpeer.Spec{
 		Secret:   settings.Secret,
-		Previous: settings.Previous,
+		Previous: settings.PreviousSecret,
 		TLS:      certFiles(settings.TLS),
 	})
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 	seal, err := mgseal.New(mgseal.Spec{
 		Current:  []byte(settings.Secret),
-		Previous: []byte(settings.Previous),
+		Previous: []byte(settings.PreviousSecret),
 	})
 	return guard, seal, err
 }
@@ -82,5 +82,5 @@
 	if s.Platform != nil {
 		return *s.Platform
 	}
-	return mgplatform.NewHTTP(s.Settings.Platform, mgdial.NewClient())
+	return mgplatform.NewHTTP(s.Settings.PlatformURL, mgdial.NewClient())
 }
