--- a/internal/process/mgrelay/attempt.go
+++ b/internal/process/mgrelay/attempt.go
@@ -51,7 +51,7 @@
 		return y.classifyFailure(ctx, x, host, err)
 	}
 	defer response.Body.Close()
-	y.spec.Answered(host.Name)
+	y.spec.ReportAnswered(host.Name)
 	y.recordLeaving(x, host, response)
 	y.recordRetryAfter(x, host, response)
 	y.recordLimit(x, host, response)
@@ -64,7 +64,7 @@
 	if problem := y.checkAnswer(x, response); problem != nil {
 		x.problem = problem
 		y.spec.Metrics.Counter("relay.garbled").Inc(1)
-		y.spec.Load.Fault(y.spec.Clock.Now(), host.Name)
+		y.spec.Load.RecordFault(y.spec.Clock.Now(), host.Name)
 		return failed
 	}
 	if impliesNotRun(response.StatusCode) {
@@ -94,7 +94,7 @@
 // countLoad adds a request to the load of an upstream, and returns the function that
 // subtracts it again.
 func (y *Relay) countLoad(x *exchange, host Host) (release func()) {
-	load := mgload.Row{
+	load := mgload.Load{
 		Runs:   1,
 		Memory: x.size.memory(),
 	}
@@ -105,7 +105,7 @@
 	load.Pending = x.pendingTokens
 	y.spec.Load.Add(host.Name, load)
 	return func() {
-		y.spec.Load.Add(host.Name, mgload.Row{
+		y.spec.Load.Add(host.Name, mgload.Load{
 			Runs:    -1,
 			Pending: -x.pendingTokens,
 			Memory:  -load.Memory,
@@ -115,14 +115,14 @@
 
 // countPromptRead counts a request's prompt as read when the answer begins.
 func (y *Relay) countPromptRead(x *exchange, host Host) {
-	y.spec.Load.Add(host.Name, mgload.Row{Pending: -x.pendingTokens})
+	y.spec.Load.Add(host.Name, mgload.Load{Pending: -x.pendingTokens})
 	x.pendingTokens = 0
 }
 
 // newRequest returns the request to send to an upstream.
 func (y *Relay) newRequest(ctx context.Context, x *exchange, host Host) *http.Request {
 	header := x.header.Clone()
-	form := &y.spec.Form
+	form := &y.spec.Headers
 	if form.Upstream != "" {
 		header.Set(form.Upstream, host.Name)
 	}
@@ -152,10 +152,10 @@
 	var failure *mgdial.Failure
 	unsent := errors.As(err, &failure) && !failure.Sent()
 	if ctx.Err() == nil {
-		y.spec.Failed(host.Name)
+		y.spec.ReportFailed(host.Name)
 	}
 	if !errors.Is(ctx.Err(), context.Canceled) {
-		y.spec.Load.Fault(y.spec.Clock.Now(), host.Name)
+		y.spec.Load.RecordFault(y.spec.Clock.Now(), host.Name)
 	}
 	x.problem = mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown,
 		"the upstream gave no answer", "send the request again if it may run twice").WithCause(err)
@@ -176,19 +176,19 @@
 	if response.StatusCode == http.StatusMisdirectedRequest {
 		return true
 	}
-	return response.StatusCode >= http.StatusBadRequest && response.Header.Get(y.spec.Form.Refused) != ""
+	return response.StatusCode >= http.StatusBadRequest && response.Header.Get(y.spec.Headers.Refused) != ""
 }
 
 // recordLeaving reports an upstream as leaving if its answer says so.
 func (y *Relay) recordLeaving(x *exchange, host Host, response *http.Response) {
-	name := y.spec.Form.Leaving
-	if name == "" || response.Header.Get(name) == "" || y.spec.Leaving == nil || y.spec.Leaving(host.Name) {
+	name := y.spec.Headers.Leaving
+	if name == "" || response.Header.Get(name) == "" || y.spec.IsLeaving == nil || y.spec.IsLeaving(host.Name) {
 		return
 	}
 	y.spec.Metrics.Counter("relay.leaving").Inc(1)
 	y.spec.Log.Info("an upstream reports in an answer that it is leaving, which the list doesn't show",
 		mglog.Request, x.id, mglog.Upstream, host.Name)
-	y.spec.Departed(host.Name)
+	y.spec.ReportDeparted(host.Name)
 }
 
 // recordMisdirected reports a host as gone if another upstream answers at its
@@ -196,13 +196,13 @@
 // of our requests, would appear least loaded and attract every further request. An
 // upstream that refuses under its own name isn't reported.
 func (y *Relay) recordMisdirected(host Host, response *http.Response) {
-	instance := response.Header.Get(y.spec.Form.Instance)
+	instance := response.Header.Get(y.spec.Headers.Instance)
 	if response.StatusCode != http.StatusMisdirectedRequest || instance == "" || instance == host.Name {
 		return
 	}
 	y.spec.Log.Info("another upstream answers at the address", mglog.Upstream, host.Name, "answered", instance, "address", host.Addr)
-	if y.spec.Departed != nil {
-		y.spec.Departed(host.Name)
+	if y.spec.ReportDeparted != nil {
+		y.spec.ReportDeparted(host.Name)
 	}
 }
 
@@ -230,7 +230,7 @@
 // this request: it may be the late answer to an earlier request, or come from
 // another program at the address.
 func (y *Relay) checkAnswer(x *exchange, response *http.Response) *mgproblem.Problem {
-	form := &y.spec.Form
+	form := &y.spec.Headers
 	why := ""
 	echo := response.Header.Get(form.ID)
 	success := response.StatusCode < http.StatusMultipleChoices
@@ -263,8 +263,8 @@
 	if y.spec.Clock.Now() > x.startedAt+x.timeout+writeSlack {
 		y.spec.Metrics.Counter("relay.late").Inc(1)
 	}
-	y.spec.Load.Paced(y.spec.Clock.Now(), x.lastUpstream, float64(y.spec.Clock.Now()-x.sentAt))
-	y.spec.Load.Well(y.spec.Clock.Now(), x.lastUpstream)
+	y.spec.Load.RecordPace(y.spec.Clock.Now(), x.lastUpstream, float64(y.spec.Clock.Now()-x.sentAt))
+	y.spec.Load.RecordAnswer(y.spec.Clock.Now(), x.lastUpstream)
 	y.recordAnswered(x)
 	header := w.Header()
 	copyHeader(header, response.Header)
--- a/internal/process/mgrelay/backoff.go
+++ b/internal/process/mgrelay/backoff.go
@@ -17,7 +17,7 @@
 	y.spec.Metrics.Counter("relay.rests").Inc(1)
 	y.spec.Log.Info("an upstream sent Retry-After", mglog.Request, x.id, mglog.Upstream, host.Name,
 		"ms", int64(delay))
-	y.backoffs.Ask(y.spec.Clock.Now(), host.Name, delay)
+	y.backoffs.Begin(y.spec.Clock.Now(), host.Name, delay)
 }
 
 // retryAfter returns the time after which an unavailable upstream may be sent
@@ -40,7 +40,7 @@
 // beginAttempt reports whether an upstream may be sent a request now, and if so
 // registers the attempt.
 func (y *Relay) beginAttempt(x *exchange, host Host) bool {
-	ended, ok := y.backoffs.Take(y.spec.Clock.Now(), host.Name)
+	ended, ok := y.backoffs.Acquire(y.spec.Clock.Now(), host.Name)
 	if ok {
 		x.releaseAttempt = ended
 	}
@@ -58,14 +58,14 @@
 // backoffLeft returns the time until the first of the upstreams at which a request
 // may run ends its backoff, or false if one is in no backoff.
 func (y *Relay) backoffLeft(x *exchange) (shortest mgclock.Millis, all bool) {
-	return y.shortestDelay(x, func(now mgclock.Millis, host Host) mgclock.Millis { return y.backoffs.Left(now, host.Name) })
+	return y.shortestDelay(x, func(now mgclock.Millis, host Host) mgclock.Millis { return y.backoffs.Remaining(now, host.Name) })
 }
 
 // unavailableFor is backoffLeft for upstreams that are in a backoff or have no
 // permit left.
 func (y *Relay) unavailableFor(x *exchange) (shortest mgclock.Millis, all bool) {
 	return y.shortestDelay(x, func(now mgclock.Millis, host Host) mgclock.Millis {
-		return max(y.backoffs.Left(now, host.Name), y.permitDelay(now, host))
+		return max(y.backoffs.Remaining(now, host.Name), y.permitDelay(now, host))
 	})
 }
 
@@ -73,7 +73,7 @@
 // run, or false if one has no delay.
 func (y *Relay) shortestDelay(x *exchange, delayAt func(now mgclock.Millis, host Host) mgclock.Millis) (shortest mgclock.Millis, all bool) {
 	now := y.spec.Clock.Now()
-	for _, host := range y.spec.Every(x.service) {
+	for _, host := range y.spec.Upstreams(x.service) {
 		if !x.homes.allows(host.Region) {
 			continue
 		}
--- a/internal/process/mgrelay/backoff_test.go
+++ b/internal/process/mgrelay/backoff_test.go
@@ -42,7 +42,7 @@
 		Convey("so do those with a placement there", func() {
 			g.useMemory(tableText)
 			g.restart(func(spec *mgrelay.Spec) {
-				spec.Place = func(context.Context, string, mgroom.Wait) (mgroom.Grant, bool) {
+				spec.AwaitPlacement = func(context.Context, string, mgroom.Request) (mgroom.Grant, bool) {
 					return mgroom.Grant{Place: "a"}, true
 				}
 			})
@@ -70,7 +70,7 @@
 			g.useMemory(tableText)
 			asked := 0
 			g.restart(func(spec *mgrelay.Spec) {
-				spec.Place = func(context.Context, string, mgroom.Wait) (mgroom.Grant, bool) {
+				spec.AwaitPlacement = func(context.Context, string, mgroom.Request) (mgroom.Grant, bool) {
 					asked++
 					return mgroom.Grant{}, false
 				}
--- a/internal/process/mgrelay/cordon_test.go
+++ b/internal/process/mgrelay/cordon_test.go
@@ -19,8 +19,8 @@
 	Convey("If all upstreams of a service are cordoned a request is refused at once", t, func() {
 		g := newHarness(t, answerWith("x"))
 		g.restart(func(spec *mgrelay.Spec) {
-			spec.Every = func(string) []mgrelay.Host { return nil }
-			spec.Closed = func(string) bool { return true }
+			spec.Upstreams = func(string) []mgrelay.Host { return nil }
+			spec.AllCordoned = func(string) bool { return true }
 		})
 		got := g.send(context.Background(), http.MethodPost, "/book/1", "x", nil)
 		So(got.status, ShouldEqual, http.StatusServiceUnavailable)
@@ -38,22 +38,22 @@
 		var cordoned atomic.Value // name of the cordoned upstream
 		cordoned.Store("")
 		var age atomic.Int64
-		moveWithCordon := func(move func(s *moveScenario, order mgrelay.Order) mgmigration.Reply, handlers ...upstreamHandler) (*moveScenario, callerReply) {
+		moveWithCordon := func(move func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply, handlers ...upstreamHandler) (*moveScenario, callerReply) {
 			s := newMoveScenario(t, move, handlers...)
 			s.harness.restart(func(spec *mgrelay.Spec) {
 				s.configure(spec)
-				spec.Cordoned = func(upstream string) (mgclock.Millis, bool) {
+				spec.CordonAge = func(upstream string) (mgclock.Millis, bool) {
 					return mgclock.Millis(age.Load()), upstream == cordoned.Load()
 				}
 			})
 			return s, s.harness.send(context.Background(), http.MethodPost, "/write/1", "x", nil)
 		}
 		Convey("goes elsewhere if its destination is cordoned before it is stopped", func() {
-			s, got := moveWithCordon(func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
+			s, got := moveWithCordon(func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
 				if order.To == s.harness.hosts[1].Addr {
 					cordoned.Store("b")
 				}
-				if order.Last {
+				if order.Stop {
 					close(s.breakOff)
 				}
 				return mgmigration.Reply{
@@ -68,8 +68,8 @@
 		Convey("does not continue at a source that was cordoned long before", func() {
 			cordoned.Store("a")
 			age.Store(60_000)
-			s, got := moveWithCordon(func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
-				if !order.Last {
+			s, got := moveWithCordon(func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
+				if !order.Stop {
 					return mgmigration.Reply{
 						Outcome: mgmigration.Copied,
 						Handle:  "h",
@@ -77,7 +77,7 @@
 				}
 				close(s.breakOff)
 				return mgmigration.Reply{
-					Outcome: mgmigration.NoRoom,
+					Outcome: mgmigration.NoCapacity,
 					Handle:  "h",
 				}
 			}, refuseWith(http.StatusServiceUnavailable))
--- a/internal/process/mgrelay/crash.go
+++ b/internal/process/mgrelay/crash.go
@@ -58,7 +58,7 @@
 	y.spec.Metrics.Counter("relay.broken").Inc(1)
 	x.attemptBroken = true
 	now := y.spec.Clock.Now()
-	leaving := y.spec.Leaving != nil && y.spec.Leaving(host.Name)
+	leaving := y.spec.IsLeaving != nil && y.spec.IsLeaving(host.Name)
 	keys := append(y.logBasis(),
 		mglog.Request, x.id, mglog.Route, x.call.Route.Name(), mglog.Service, x.service,
 		mglog.Upstream, host.Name, "digest", x.digest().String(), "attempts", x.attempts,
@@ -88,7 +88,7 @@
 			// The report of the end may have been delayed on the network for as
 			// long as the refused connection took.
 			crash.Delay = y.spec.Clock.Now() - now
-			y.spec.Quarantine.Crashed(now, crash)
+			y.spec.Quarantine.RecordCrash(now, crash)
 		}
 	}()
 	select {
@@ -104,15 +104,15 @@
 // hasEnded reports whether an upstream has ended. An error means that this is
 // unknown.
 func (y *Relay) hasEnded(host Host) (bool, error) {
-	if y.spec.Refuses == nil {
+	if y.spec.RefusesConnections == nil {
 		return false, errNoCrashCheck
 	}
-	return y.spec.Refuses(context.Background(), host.Addr)
+	return y.spec.RefusesConnections(context.Background(), host.Addr)
 }
 
 // heldProblem returns the problem to answer with if a request is held, or nil.
 func (y *Relay) heldProblem(x *exchange) *mgproblem.Problem {
-	if !y.spec.Quarantine.Watching() {
+	if !y.spec.Quarantine.HasSuspects() {
 		x.admitted = true
 		return nil
 	}
@@ -134,13 +134,13 @@
 // mayCrashAnother reports whether a request under which an upstream has just ended
 // should not be tried on another one.
 func (y *Relay) mayCrashAnother(x *exchange) bool {
-	return y.spec.Quarantine.Watching() && !y.spec.Quarantine.Retryable(x.digest())
+	return y.spec.Quarantine.HasSuspects() && !y.spec.Quarantine.Retryable(x.digest())
 }
 
 // recordAnswered reports to the quarantine that an upstream answered a request.
 func (y *Relay) recordAnswered(x *exchange) {
-	if y.spec.Quarantine.Watching() {
-		y.spec.Quarantine.Answered(y.spec.Clock.Now(), x.digest())
+	if y.spec.Quarantine.HasSuspects() {
+		y.spec.Quarantine.RecordAnswer(y.spec.Clock.Now(), x.digest())
 	}
 }
 
@@ -168,7 +168,7 @@
 // cancelHeld cancels the requests that wait, here or at an upstream, and have become
 // held.
 func (y *Relay) cancelHeld() {
-	if !y.spec.Quarantine.Watching() {
+	if !y.spec.Quarantine.HasSuspects() {
 		return
 	}
 	now := y.spec.Clock.Now()
--- a/internal/process/mgrelay/crash_test.go
+++ b/internal/process/mgrelay/crash_test.go
@@ -41,7 +41,7 @@
 // target and body.
 func holdRequest(q *mgquarantine.Quarantine, target, body string) {
 	for _, upstream := range []string{"x", "y", "z"} {
-		q.Crashed(0, mgquarantine.Crash{
+		q.RecordCrash(0, mgquarantine.Crash{
 			Digest:   mgquarantine.DigestOf("tankline", "tanks.example", target, []byte(body)),
 			Upstream: upstream + target,
 			Begun:    true,
@@ -118,9 +118,9 @@
 				g := newHarness(t, c.handler)
 				q := mgquarantine.New("life", nil)
 				g.restart(func(spec *mgrelay.Spec) {
-					spec.Refuses = c.refuses
+					spec.RefusesConnections = c.refuses
 					spec.Quarantine = q
-					spec.Leaving = func(string) bool { return c.leaving }
+					spec.IsLeaving = func(string) bool { return c.leaving }
 				})
 				g.send(context.Background(), http.MethodPost, c.path, "x", nil)
 				So(q.Occurrences(mgquarantine.DigestOf("tankline", "tanks.example", c.path, []byte("x"))), ShouldEqual, c.counts)
@@ -136,7 +136,7 @@
 			})
 			q := mgquarantine.New("life", nil)
 			g.restart(func(spec *mgrelay.Spec) {
-				spec.Refuses = connectionsRefused
+				spec.RefusesConnections = connectionsRefused
 				spec.Quarantine = q
 			})
 			ctx, leave := context.WithCancel(context.Background())
@@ -146,7 +146,7 @@
 			}()
 			g.send(ctx, http.MethodPost, "/write/1", "x", nil)
 			<-release
-			So(q.Watching(), ShouldBeFalse)
+			So(q.HasSuspects(), ShouldBeFalse)
 		})
 	})
 }
@@ -162,7 +162,7 @@
 		g := newHarness(t, headerThenHangUp, headerThenHangUp, answerWith("id: 1\n\n"))
 		q := mgquarantine.New("life", nil)
 		g.restart(func(spec *mgrelay.Spec) {
-			spec.Refuses = connectionsRefused
+			spec.RefusesConnections = connectionsRefused
 			spec.Quarantine = q
 		})
 		digest := mgquarantine.DigestOf("tankline", "tanks.example", "/note/1", []byte("x"))
@@ -173,7 +173,7 @@
 			So(q.Occurrences(digest), ShouldEqual, 2)
 		})
 		Convey("is not retried if another upstream had ended under it before", func() {
-			q.Crashed(0, mgquarantine.Crash{
+			q.RecordCrash(0, mgquarantine.Crash{
 				Digest:   digest,
 				Upstream: "x",
 				Begun:    true,
@@ -215,7 +215,7 @@
 			waiting := make(chan struct{})
 			g.restart(func(spec *mgrelay.Spec) {
 				spec.Quarantine = q
-				spec.Place = func(ctx context.Context, _ string, _ mgroom.Wait) (mgroom.Grant, bool) {
+				spec.AwaitPlacement = func(ctx context.Context, _ string, _ mgroom.Request) (mgroom.Grant, bool) {
 					close(waiting)
 					<-ctx.Done()
 					return mgroom.Grant{}, false
@@ -272,7 +272,7 @@
 				}, answerWith("id: 2\n\n"))
 				g.restart(func(spec *mgrelay.Spec) {
 					spec.Quarantine = q
-					spec.Refuses = connectionsRefused
+					spec.RefusesConnections = connectionsRefused
 				})
 				_, err := g.readStream("/note/1", "x", firstByte)
 				So(err, ShouldNotBeNil)
--- a/internal/process/mgrelay/duration.go
+++ b/internal/process/mgrelay/duration.go
@@ -27,7 +27,7 @@
 	if x.call.Route.Kind() == mgtable.Stream {
 		return min(firstEventTime+msPerToken*mgclock.Millis(x.size.output), x.timeout)
 	}
-	goal := x.call.Route.Goal()
+	goal := x.call.Route.LatencyGoal()
 	if goal == 0 {
 		goal = defaultPlainGoal
 	}
--- a/internal/process/mgrelay/exchange.go
+++ b/internal/process/mgrelay/exchange.go
@@ -81,7 +81,7 @@
 func (y *Relay) newExchange(w http.ResponseWriter, r *http.Request, call Call, startedAt mgclock.Millis) (*exchange, *mgproblem.Problem) {
 	x := &exchange{
 		call:      call,
-		id:        r.Header.Get(y.spec.Form.ID),
+		id:        r.Header.Get(y.spec.Headers.ID),
 		method:    r.Method,
 		target:    requestTarget(r),
 		host:      r.Host,
@@ -92,8 +92,8 @@
 	}
 	x.service = serviceOf(call.Route, x.id)
 	x.homes = homesOf(call)
-	x.size = y.spec.Form.sizeOf(r.Header)
-	if text := r.Header.Get(y.spec.Form.Deadline); text != "" {
+	x.size = y.spec.Headers.sizeOf(r.Header)
+	if text := r.Header.Get(y.spec.Headers.Deadline); text != "" {
 		deadline, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || deadline < 0 {
 			return x, mgproblem.New(mgproblem.Invalid, mgproblem.NotRun,
@@ -101,16 +101,16 @@
 		}
 		x.timeout = min(x.timeout, mgclock.Millis(deadline))
 	}
-	_ = x.control.SetReadDeadline(mgclock.Deadline(x.timeout)) // a recorder has no deadlines
+	_ = x.control.SetReadDeadline(mgclock.DeadlineAfter(x.timeout)) // a recorder has no deadlines
 	body, err := io.ReadAll(r.Body)
 	_ = x.control.SetReadDeadline(time.Time{})
 	if err != nil {
 		return x, bodyReadProblem(err)
 	}
 	x.body = body
-	x.header = y.spec.Form.forwardedHeaders(r.Header)
+	x.header = y.spec.Headers.forwardedHeaders(r.Header)
 	if call.Account != nil {
-		x.header.Set(y.spec.Form.Account, call.Account.Name())
+		x.header.Set(y.spec.Headers.Account, call.Account.Name())
 	}
 	return x, nil
 }
@@ -119,7 +119,7 @@
 func bodyReadProblem(err error) *mgproblem.Problem {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return mgproblem.New(mgproblem.Large, mgproblem.NotRun, "the body is too large", "send less").WithCause(err)
+		return mgproblem.New(mgproblem.TooLarge, mgproblem.NotRun, "the body is too large", "send less").WithCause(err)
 	}
 	return mgproblem.New(mgproblem.Invalid, mgproblem.NotRun,
 		"the body ended early", "send it whole, in the time of the deadline").WithCause(err)
@@ -140,7 +140,7 @@
 // that stops reading would otherwise keep the memory of its answer allocated
 // forever.
 func (x *exchange) setWriteDeadline() {
-	_ = x.control.SetWriteDeadline(mgclock.Deadline(x.timeout + writeSlack))
+	_ = x.control.SetWriteDeadline(mgclock.DeadlineAfter(x.timeout + writeSlack))
 }
 
 // clearWriteDeadline removes the bound, for the next request on the connection.
--- a/internal/process/mgrelay/form.go
+++ b/internal/process/mgrelay/form.go
@@ -7,41 +7,41 @@
 )
 
 // Form names the headers of a deployment. An empty name isn't used.
-type Form struct {
-	ID        string   // the request's id, which upstreams echo
-	Deadline  string   // how long the caller still waits, ms
-	Account   string   // the account, as sent to upstreams
-	Upstream  string   // the intended upstream; another one refuses the request
-	Instance  string   // in answers: the upstream that answered
-	Refused   string   // in answers: the upstream did not run the request
-	Leaving   string   // in answers: the upstream is leaving
-	Limit     string   // in answers: the rate limit of the upstream for all entries, in requests a second
-	Signature string   // in answers: proves that the upstream produced the answer
-	Tokens    string   // "prompt,max": number of tokens of the prompt, and maximum for the output
-	Hint      string   // the caller's estimate of the number of output tokens
-	Event     string   // id of the last event that a caller, or the relay, has received
-	Copy      string   // the copy from which a generation continues, address/name
-	Private   []string // further headers that are never forwarded to upstreams
+type HeaderNames struct {
+	ID           string   // the request's id, which upstreams echo
+	Deadline     string   // how long the caller still waits, ms
+	Account      string   // the account, as sent to upstreams
+	Upstream     string   // the intended upstream; another one refuses the request
+	Instance     string   // in answers: the upstream that answered
+	Refused      string   // in answers: the upstream did not run the request
+	Leaving      string   // in answers: the upstream is leaving
+	RateLimit    string   // in answers: the rate limit of the upstream for all entries, in requests a second
+	Signature    string   // in answers: proves that the upstream produced the answer
+	Tokens       string   // "prompt,max": number of tokens of the prompt, and maximum for the output
+	OutputHint   string   // the caller's estimate of the number of output tokens
+	LastEventID  string   // id of the last event that a caller, or the relay, has received
+	Copy         string   // the copy from which a generation continues, address/name
+	NotForwarded []string // further headers that are never forwarded to upstreams
 	// Fractions reports whether callers accept fractions of a second in Retry-After.
-	Fractions bool
+	RetryAfterFractions bool
 }
 
 // DefaultForm returns the headers of the project's own interface.
-func DefaultForm() Form {
-	return Form{
-		ID:        "Request-Id",
-		Deadline:  "Deadline",
-		Account:   "Account",
-		Upstream:  "Upstream",
-		Instance:  "Instance",
-		Refused:   "Refused",
-		Leaving:   "Leaving",
-		Limit:     "Limit",
-		Signature: "Signature",
-		Tokens:    "Tokens",
-		Hint:      "Hint",
-		Event:     "Last-Event-Id",
-		Copy:      "Copy",
+func DefaultHeaderNames() HeaderNames {
+	return HeaderNames{
+		ID:          "Request-Id",
+		Deadline:    "Deadline",
+		Account:     "Account",
+		Upstream:    "Upstream",
+		Instance:    "Instance",
+		Refused:     "Refused",
+		Leaving:     "Leaving",
+		RateLimit:   "Limit",
+		Signature:   "Signature",
+		Tokens:      "Tokens",
+		OutputHint:  "Hint",
+		LastEventID: "Last-Event-Id",
+		Copy:        "Copy",
 	}
 }
 
@@ -64,12 +64,12 @@
 
 // sizeOf reads a generation's size. A value that can't be parsed counts as unknown:
 // the size affects only the order and the choice of the upstream.
-func (f *Form) sizeOf(header http.Header) generationSize {
+func (f *HeaderNames) sizeOf(header http.Header) generationSize {
 	prompt, maxText, _ := strings.Cut(header.Get(f.Tokens), ",")
 	var s generationSize
 	s.prompt, _ = strconv.Atoi(prompt)
 	maxOutput, _ := strconv.Atoi(maxText)
-	hint, err := strconv.ParseFloat(header.Get(f.Hint), 64)
+	hint, err := strconv.ParseFloat(header.Get(f.OutputHint), 64)
 	if err != nil {
 		hint = defaultOutputFraction * float64(maxOutput)
 	}
@@ -97,14 +97,14 @@
 // forwardedHeaders returns the headers of a caller's request that are forwarded. The
 // key never is, and headers that the relay sets are dropped: otherwise a caller
 // could act as another account or use memory that the system reserved.
-func (f *Form) forwardedHeaders(from http.Header) http.Header {
+func (f *HeaderNames) forwardedHeaders(from http.Header) http.Header {
 	to := endToEndHeaders(from)
 	to.Del("Authorization")
 	to.Del("Content-Length")
 	for _, name := range []string{f.Account, f.Upstream, f.Deadline, f.Copy} {
 		to.Del(name)
 	}
-	for _, name := range f.Private {
+	for _, name := range f.NotForwarded {
 		to.Del(name)
 	}
 	if _, ok := to["User-Agent"]; !ok {
--- a/internal/process/mgrelay/generation.go
+++ b/internal/process/mgrelay/generation.go
@@ -120,7 +120,7 @@
 		if r.claimed {
 			continue
 		}
-		if worth := r.state(now).Worth(); best == nil || worth > maxWorth {
+		if worth := r.state(now).Benefit(); best == nil || worth > maxWorth {
 			best, maxWorth = r, worth
 		}
 	}
@@ -154,7 +154,7 @@
 // tokensPerEvent returns the number of tokens in an event.
 func (r *generation) tokensPerEvent() int {
 	if service := r.exchange.call.Table.Service(r.exchange.service); service != nil {
-		return service.Stride()
+		return service.TokensPerEvent()
 	}
 	return 1
 }
@@ -163,13 +163,13 @@
 // computed.
 func (r *generation) state(now mgclock.Millis) mgmigration.Run {
 	state := mgmigration.Run{
-		Prompt:  r.exchange.size.prompt,
-		Output:  r.exchange.size.output,
-		Made:    r.tokensPerEvent() * int(r.eventCount.Load()),
-		Resumes: r.exchange.call.Route.Resumes(),
+		Prompt:         r.exchange.size.prompt,
+		ExpectedOutput: r.exchange.size.output,
+		Generated:      r.tokensPerEvent() * int(r.eventCount.Load()),
+		CanResume:      r.exchange.call.Route.Resumes(),
 	}
 	if first := r.firstEventAt.Load(); first > 0 {
-		state.Running = now - mgclock.Millis(first)
+		state.Elapsed = now - mgclock.Millis(first)
 	}
 	return state
 }
--- a/internal/process/mgrelay/harness_test.go
+++ b/internal/process/mgrelay/harness_test.go
@@ -120,9 +120,9 @@
 
 // increasingLoad reports each upstream as more loaded than the one before it.
 func (g *harness) increasingLoad() mgload.Report {
-	rows := map[string]mgload.Row{}
+	rows := map[string]mgload.Load{}
 	for i, host := range g.hosts {
-		rows[host.Name] = mgload.Row{Runs: i}
+		rows[host.Name] = mgload.Load{Runs: i}
 	}
 	return mgload.Report{Rows: rows}
 }
@@ -142,16 +142,16 @@
 // restart opens the relay again with some of its spec changed.
 func (g *harness) restart(change func(*mgrelay.Spec)) {
 	spec := mgrelay.Spec{
-		Form:     mgrelay.DefaultForm(),
-		Log:      logr.Discard(),
-		Metrics:  mgmetric.New(),
-		Budgets:  &mgretry.Budgets{},
-		Client:   mgdial.NewClientWith(mgdial.Near(time.Minute)),
-		Every:    func(string) []mgrelay.Host { return g.hosts },
-		Load:     &mgload.Count{},
-		Others:   g.increasingLoad,
-		Failed:   func(string) {},
-		Answered: func(string) {},
+		Headers:        mgrelay.DefaultHeaderNames(),
+		Log:            logr.Discard(),
+		Metrics:        mgmetric.New(),
+		Budgets:        &mgretry.Budgets{},
+		Client:         mgdial.NewClientWith(mgdial.DialInRegion(time.Minute)),
+		Upstreams:      func(string) []mgrelay.Host { return g.hosts },
+		Load:           &mgload.Tracker{},
+		OtherLoads:     g.increasingLoad,
+		ReportFailed:   func(string) {},
+		ReportAnswered: func(string) {},
 	}
 	change(&spec)
 	relay := mgrelay.New(spec)
--- a/internal/process/mgrelay/home.go
+++ b/internal/process/mgrelay/home.go
@@ -11,10 +11,10 @@
 
 func homesOf(call Call) homes {
 	h := homes{
-		route: call.Route.Homes(),
+		route: call.Route.HomeRegions(),
 	}
 	if call.Account != nil {
-		h.account = call.Account.Homes()
+		h.account = call.Account.HomeRegions()
 	}
 	return h
 }
--- a/internal/process/mgrelay/home_test.go
+++ b/internal/process/mgrelay/home_test.go
@@ -87,7 +87,7 @@
 				g.hosts[1].Region = "south"
 				asked := 0
 				g.restart(func(spec *mgrelay.Spec) {
-					spec.Place = func(context.Context, string, mgroom.Wait) (mgroom.Grant, bool) {
+					spec.AwaitPlacement = func(context.Context, string, mgroom.Request) (mgroom.Grant, bool) {
 						asked++
 						return mgroom.Grant{Place: "a"}, true
 					}
--- a/internal/process/mgrelay/host.go
+++ b/internal/process/mgrelay/host.go
@@ -12,14 +12,14 @@
 
 // Host is an upstream to which a request may be sent.
 type Host struct {
-	Name    string // the upstream's name, which it checks in requests
-	Addr    string // IP and port
-	Zone    string
-	Region  string
-	Suspect bool  // it failed recently
-	Cold    bool  // it may have started a short time ago
-	Born    int64 // start of its current incarnation by the list, 0 if the list gives none
-	Givers  int   // processes that assign placements at it, at least 1
+	Name             string // the upstream's name, which it checks in requests
+	Addr             string // IP and port
+	Zone             string
+	Region           string
+	Suspect          bool  // it failed recently
+	Cold             bool  // it may have started a short time ago
+	IncarnationStart int64 // start of its current incarnation by the list, 0 if the list gives none
+	Granters         int   // processes that assign placements at it, at least 1
 }
 
 // candidate is an upstream and the cost of a request there.
@@ -45,13 +45,13 @@
 	query.Tokens = max(x.size.output, 1)
 	now := y.spec.Clock.Now()
 	list := slices.DeleteFunc(y.allCandidates(x.service, query, y.otherEntriesLoad()), func(s candidate) bool {
-		return !x.homes.allows(s.host.Region) || !y.backoffs.Takes(now, s.host.Name) || y.permitDelay(now, s.host) > 0
+		return !x.homes.allows(s.host.Region) || !y.backoffs.CanSend(now, s.host.Name) || y.permitDelay(now, s.host) > 0
 	})
 	if query.Copy {
 		// A moved generation reads and uses memory at its destination like any other
 		// request.
 		for i := range list {
-			if _, limited := y.spec.Limits.Rate(list[i].host.Name, list[i].host.Born); limited {
+			if _, limited := y.spec.Limits.Rate(list[i].host.Name, list[i].host.IncarnationStart); limited {
 				list[i].cost += avoidPenalty
 			}
 		}
@@ -71,10 +71,10 @@
 
 // otherEntriesLoad returns what the other entries have sent, as far as it is known.
 func (y *Relay) otherEntriesLoad() mgload.Report {
-	if y.spec.Others == nil {
+	if y.spec.OtherLoads == nil {
 		return mgload.Report{}
 	}
-	return y.spec.Others()
+	return y.spec.OtherLoads()
 }
 
 // upstreamCapacity returns the memory of each upstream of a service in tokens, or 0
@@ -88,13 +88,13 @@
 	if model == nil {
 		return 0
 	}
-	return model.Context()
+	return model.MaxContext()
 }
 
 // allCandidates returns all upstreams of a service with the cost of a request at
 // each.
 func (y *Relay) allCandidates(service string, query mgload.Query, others mgload.Report) []candidate {
-	hosts := y.spec.Every(service)
+	hosts := y.spec.Upstreams(service)
 	paces := y.spec.Load.Paces(y.spec.Clock.Now())
 	faults := y.spec.Load.Faults(y.spec.Clock.Now())
 	var knownPaces []float64
@@ -103,7 +103,7 @@
 			knownPaces = append(knownPaces, pace)
 		}
 	}
-	slowdown := mgload.Slow(knownPaces)
+	slowdown := mgload.SlowPenalty(knownPaces)
 	faultWeights := make([]float64, len(hosts))
 	for i, host := range hosts {
 		faultWeights[i] = faults[host.Name] + others.Faults[host.Name]
@@ -113,15 +113,15 @@
 	for i, host := range hosts {
 		pace, _ := mgload.Pace(paces, others.Paces, host.Name)
 		state := mgload.State{
-			Row:    y.spec.Load.Row(host.Name).Add(others.Rows[host.Name]),
-			Zone:   host.Zone,
-			Slow:   slowdown(pace),
-			Faults: faultWeights[i],
+			Row:       y.spec.Load.Row(host.Name).Add(others.Rows[host.Name]),
+			Zone:      host.Zone,
+			TokenCost: slowdown(pace),
+			Faults:    faultWeights[i],
 		}
 		c := candidate{
 			host:          host,
 			cost:          mgload.Cost(state, query),
-			tokenDelay:    state.Slow,
+			tokenDelay:    state.TokenCost,
 			freeTokens:    query.Capacity - state.Row.Memory,
 			pendingTokens: state.Row.Pending,
 			avoid:         host.Suspect || isFaulty(faultWeights[i]),
@@ -140,7 +140,7 @@
 // Places returns the upstreams of a service, given what the other entries have sent,
 // for the assignment of placements. It returns nil if the service has no upstreams
 // that accept new work.
-func (y *Relay) Places(table *mgtable.Table, service string, others mgload.Report) []mgroom.Place {
+func (y *Relay) PlacementCandidates(table *mgtable.Table, service string, others mgload.Report) []mgroom.Place {
 	query := mgload.Query{
 		Zone:     y.spec.Zone,
 		Capacity: upstreamCapacity(table, service),
@@ -151,7 +151,7 @@
 	}
 	ramp := 0.0
 	if found := table.Service(service); found != nil {
-		ramp = found.Ramp()
+		ramp = found.MaxColdRate()
 	}
 	places := make([]mgroom.Place, 0, len(list))
 	for _, c := range list {
@@ -159,17 +159,17 @@
 			continue
 		}
 		place := mgroom.Place{
-			Name:    c.host.Name,
-			Cost:    c.cost,
-			Slow:    c.tokenDelay,
-			Free:    c.freeTokens,
-			Pending: c.pendingTokens,
+			Name:      c.host.Name,
+			Cost:      c.cost,
+			TokenCost: c.tokenDelay,
+			Free:      c.freeTokens,
+			Pending:   c.pendingTokens,
 		}
 		if c.cold && ramp > 0 {
-			place.Ramp = mgwarm.Placed(ramp, c.host.Givers)
+			place.Ramp = mgwarm.PlacementLimit(ramp, c.host.Granters)
 		}
-		place.Rate, place.Limited = y.spec.Limits.Rate(c.host.Name, c.host.Born)
-		place.Givers = c.host.Givers
+		place.Rate, place.Limited = y.spec.Limits.Rate(c.host.Name, c.host.IncarnationStart)
+		place.Granters = c.host.Granters
 		places = append(places, place)
 	}
 	return places
--- a/internal/process/mgrelay/limit.go
+++ b/internal/process/mgrelay/limit.go
@@ -14,13 +14,13 @@
 // recordLimit records the rate limit that an upstream announces in an answer, or
 // that it announces none.
 func (y *Relay) recordLimit(x *exchange, host Host, response *http.Response) {
-	if y.spec.Form.Limit == "" || response.StatusCode == http.StatusMisdirectedRequest {
+	if y.spec.Headers.RateLimit == "" || response.StatusCode == http.StatusMisdirectedRequest {
 		return // another upstream may have the address
 	}
-	text := response.Header.Get(y.spec.Form.Limit)
+	text := response.Header.Get(y.spec.Headers.RateLimit)
 	if text == "" {
 		// A late answer belongs to an earlier request.
-		if response.Header.Get(y.spec.Form.ID) == x.id && y.spec.Limits.Unnamed(y.spec.Clock.Now(), x.sentAt, host.Name, host.Born) {
+		if response.Header.Get(y.spec.Headers.ID) == x.id && y.spec.Limits.RecordNoRate(y.spec.Clock.Now(), x.sentAt, host.Name, host.IncarnationStart) {
 			y.spec.Log.Info("an upstream no longer announces a limit", mglog.Request, x.id, mglog.Upstream, host.Name)
 		}
 		return
@@ -33,7 +33,7 @@
 		return
 	}
 	y.spec.Metrics.Counter("relay.limit.named").Inc(1)
-	if y.spec.Limits.Named(y.spec.Clock.Now(), host.Name, host.Born, rate) {
+	if y.spec.Limits.RecordRate(y.spec.Clock.Now(), host.Name, host.IncarnationStart, rate) {
 		y.spec.Log.Info("an upstream announces a limit", mglog.Request, x.id, mglog.Upstream, host.Name, "rate", rate)
 	}
 }
@@ -41,13 +41,13 @@
 // takePermit takes a permit to send a request to an upstream, and reports whether it
 // got one.
 func (y *Relay) takePermit(ctx context.Context, x *exchange, host Host) bool {
-	if _, limited := y.spec.Limits.Rate(host.Name, host.Born); !limited {
+	if _, limited := y.spec.Limits.Rate(host.Name, host.IncarnationStart); !limited {
 		return true
 	}
-	wait, ok := y.spec.Permit(ctx, x.permitRequest(host, false))
+	wait, ok := y.spec.TakePermit(ctx, x.permitRequest(host, false))
 	if !ok {
 		y.spec.Metrics.Counter("relay.limit.denied").Inc(1)
-		y.permitWaits.Put(y.spec.Clock.Now(), host.Name, wait)
+		y.permitWaits.Set(y.spec.Clock.Now(), host.Name, wait)
 	}
 	return ok
 }
@@ -55,40 +55,40 @@
 // takeForcedPermit counts a request that is sent to a rate-limited upstream with or
 // without a permit.
 func (y *Relay) takeForcedPermit(ctx context.Context, x *exchange, host Host) {
-	if _, limited := y.spec.Limits.Rate(host.Name, host.Born); !limited {
+	if _, limited := y.spec.Limits.Rate(host.Name, host.IncarnationStart); !limited {
 		return
 	}
 	y.spec.Metrics.Counter("relay.limit.forced").Inc(1)
-	go y.spec.Permit(context.WithoutCancel(ctx), x.permitRequest(host, true))
+	go y.spec.TakePermit(context.WithoutCancel(ctx), x.permitRequest(host, true))
 }
 
-func (x *exchange) permitRequest(host Host, forced bool) Permit {
-	return Permit{
-		Ask: mglimit.Ask{
+func (x *exchange) permitRequest(host Host, forced bool) PermitRequest {
+	return PermitRequest{
+		Ask: mglimit.PermitRequest{
 			Upstream: host.Name,
 			Request:  x.id,
 			Forced:   forced,
 		},
-		Born:   host.Born,
-		Givers: host.Givers,
+		IncarnationStart: host.IncarnationStart,
+		Granters:         host.Granters,
 	}
 }
 
 // Permit asks for permission to send one request to an upstream that has announced a
 // rate limit.
-type Permit struct {
-	Ask    mglimit.Ask
-	Born   int64 // the upstream's incarnation
-	Givers int   // see Host
+type PermitRequest struct {
+	Ask              mglimit.PermitRequest
+	IncarnationStart int64 // the upstream's incarnation
+	Granters         int   // see Host
 }
 
 // takeLocalPermit gives permits if no other process gives any.
-func (y *Relay) takeLocalPermit(_ context.Context, permit Permit) (mgclock.Millis, bool) {
-	rate, limited := y.spec.Limits.Rate(permit.Ask.Upstream, permit.Born)
+func (y *Relay) takeLocalPermit(_ context.Context, permit PermitRequest) (mgclock.Millis, bool) {
+	rate, limited := y.spec.Limits.Rate(permit.Ask.Upstream, permit.IncarnationStart)
 	if !limited {
 		return 0, true
 	}
-	return y.localPermits.Take(y.spec.Clock.Now(), permit.Ask, mglimit.PartOf(rate, 1, 1))
+	return y.localPermits.Take(y.spec.Clock.Now(), permit.Ask, mglimit.ShareOf(rate, 1, 1))
 }
 
 // permitDelay returns the time until there may be a permit for an upstream, 0 if it
@@ -98,7 +98,7 @@
 	if left == 0 {
 		return 0
 	}
-	if _, limited := y.spec.Limits.Rate(host.Name, host.Born); !limited {
+	if _, limited := y.spec.Limits.Rate(host.Name, host.IncarnationStart); !limited {
 		return 0
 	}
 	return left
@@ -112,9 +112,9 @@
 // rate that the limits allow.
 func (y *Relay) spreadRetryDelay(x *exchange, shortest mgclock.Millis) mgclock.Millis {
 	totalRate := 0.0
-	for _, host := range y.spec.Every(x.service) {
-		if rate, limited := y.spec.Limits.Rate(host.Name, host.Born); limited {
-			totalRate += mglimit.PartOf(rate, 1, 1).Rate()
+	for _, host := range y.spec.Upstreams(x.service) {
+		if rate, limited := y.spec.Limits.Rate(host.Name, host.IncarnationStart); limited {
+			totalRate += mglimit.ShareOf(rate, 1, 1).Rate()
 		}
 	}
 	if totalRate == 0 {
--- a/internal/process/mgrelay/limit_test.go
+++ b/internal/process/mgrelay/limit_test.go
@@ -68,7 +68,7 @@
 		Convey("so do those with a placement there", func() {
 			g.useMemory(tableText)
 			g.restart(func(spec *mgrelay.Spec) {
-				spec.Place = func(context.Context, string, mgroom.Wait) (mgroom.Grant, bool) {
+				spec.AwaitPlacement = func(context.Context, string, mgroom.Request) (mgroom.Grant, bool) {
 					return mgroom.Grant{Place: "a"}, true
 				}
 			})
@@ -96,7 +96,7 @@
 		}
 		Convey("requests are refused at once, with different Retry-After", func() {
 			times := map[string]bool{}
-			g.restart(func(spec *mgrelay.Spec) { spec.Form.Fractions = true })
+			g.restart(func(spec *mgrelay.Spec) { spec.Headers.RetryAfterFractions = true })
 			for n := range 2 {
 				ask(g, "/once/again"+strconv.Itoa(n))
 			}
@@ -124,8 +124,8 @@
 		for limitedHost, forcedSends := range map[string]int64{"b": 0, "both": 1} {
 			var forced atomic.Int64
 			limits := &mglimit.Limits{}
-			s := newMoveScenario(t, func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
-				if order.Last {
+			s := newMoveScenario(t, func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
+				if order.Stop {
 					close(s.breakOff)
 				}
 				return mgmigration.Reply{
@@ -133,14 +133,14 @@
 					Handle:  "h",
 				}
 			}, resumeFromCopy, resumeFromCopy)
-			limits.Named(0, "b", 0, 1)
+			limits.RecordRate(0, "b", 0, 1)
 			if limitedHost == "both" {
-				limits.Named(0, "c", 0, 1)
+				limits.RecordRate(0, "c", 0, 1)
 			}
 			s.harness.restart(func(spec *mgrelay.Spec) {
 				s.configure(spec)
 				spec.Limits = limits
-				spec.Permit = func(_ context.Context, permit mgrelay.Permit) (mgclock.Millis, bool) {
+				spec.TakePermit = func(_ context.Context, permit mgrelay.PermitRequest) (mgclock.Millis, bool) {
 					if permit.Ask.Forced {
 						forced.Add(1)
 					}
--- a/internal/process/mgrelay/move.go
+++ b/internal/process/mgrelay/move.go
@@ -18,14 +18,14 @@
 	}
 	go y.probeWhileStale(ctx)
 	for ctx.Err() == nil {
-		changed := y.spec.Changed()
+		changed := y.spec.LeavingChanged()
 		added := y.generations.nextAdded()
-		stays := func(upstream string) bool { return !y.spec.Leaving(upstream) }
+		stays := func(upstream string) bool { return !y.spec.IsLeaving(upstream) }
 		y.backoffs.Forget(stays)
 		y.permitWaits.Forget(stays)
 		y.localPermits.Forget(stays)
 		for _, host := range y.generations.hostsNotEvacuating() {
-			if y.spec.Leaving(host.Name) {
+			if y.spec.IsLeaving(host.Name) {
 				y.generations.setEvacuating(host.Name, true)
 				go y.evacuate(ctx, host)
 			}
@@ -57,16 +57,16 @@
 			y.moveGeneration(r)
 			continue
 		}
-		if !y.generations.hasAny(name) && !y.spec.Leaving(name) {
+		if !y.generations.hasAny(name) && !y.spec.IsLeaving(name) {
 			return
 		}
-		y.spec.Clock.Sleep(ctx, mgmigration.RetrySpan)
+		y.spec.Clock.Sleep(ctx, mgmigration.RetryDelay)
 	}
 }
 
 // moveGeneration moves one generation.
 func (y *Relay) moveGeneration(r *generation) {
-	if service := r.exchange.call.Table.Service(r.exchange.service); service == nil || !service.Move() {
+	if service := r.exchange.call.Table.Service(r.exchange.service); service == nil || !service.CanMigrate() {
 		close(r.moveDone)
 		return
 	}
@@ -110,26 +110,26 @@
 			continue
 		}
 		if m.move.Step() == mgmigration.Wait {
-			y.spec.Clock.Sleep(r.ctx, mgmigration.RetrySpan)
-			m.move.Waited()
+			y.spec.Clock.Sleep(r.ctx, mgmigration.RetryDelay)
+			m.move.EndWait()
 			y.retryDestinations(r, m)
 			continue
 		}
-		m.lastReply = y.spec.Move(r.ctx, r.host, Order{
-			Run:  r.exchange.id,
-			To:   m.destination.Addr,
-			Last: m.move.Step() == mgmigration.Stop,
+		m.lastReply = y.spec.Move(r.ctx, r.host, MoveOrder{
+			Request: r.exchange.id,
+			To:      m.destination.Addr,
+			Stop:    m.move.Step() == mgmigration.Stop,
 		})
-		m.move.Take(m.lastReply)
-		if m.move.Step() != mgmigration.Stop && m.lastReply.Outcome == mgmigration.NoRoom {
+		m.move.HandleReply(m.lastReply)
+		if m.move.Step() != mgmigration.Stop && m.lastReply.Outcome == mgmigration.NoCapacity {
 			m.refusedCount++
 			m.tried[m.destination.Name] = true
 		}
-		if m.move.Step() == mgmigration.Copy && m.lastReply.Outcome == mgmigration.NoRoom {
+		if m.move.Step() == mgmigration.Copy && m.lastReply.Outcome == mgmigration.NoCapacity {
 			m.destination, m.hasDestination = y.findDestination(r, m.tried)
 		}
 		if !m.hasDestination {
-			y.spec.Clock.Sleep(r.ctx, mgmigration.RetrySpan)
+			y.spec.Clock.Sleep(r.ctx, mgmigration.RetryDelay)
 			y.retryDestinations(r, m)
 		}
 	}
@@ -138,10 +138,10 @@
 // isDestinationCordoned reports whether a move's destination was cordoned before the
 // generation was stopped.
 func (y *Relay) isDestinationCordoned(m *migration) bool {
-	if y.spec.Cordoned == nil || m.move.Stopped() {
+	if y.spec.CordonAge == nil || m.move.Stopped() {
 		return false
 	}
-	_, cordoned := y.spec.Cordoned(m.destination.Name)
+	_, cordoned := y.spec.CordonAge(m.destination.Name)
 	return cordoned
 }
 
@@ -205,10 +205,10 @@
 // chooseDestination waits for a migration slot and returns the best destination by
 // the list.
 func (y *Relay) chooseDestination(r *generation, tried map[string]bool) (Host, bool) {
-	ask := mgmigration.Ask{
-		Source: r.host.Name,
-		Run:    r.exchange.id,
-		Worth:  r.state(y.spec.Clock.Now()).Worth(),
+	ask := mgmigration.SlotRequest{
+		Source:  r.host.Name,
+		Run:     r.exchange.id,
+		Benefit: r.state(y.spec.Clock.Now()).Benefit(),
 	}
 	hosts := map[string]Host{}
 	copyTime := r.copyTime()
@@ -217,22 +217,22 @@
 			continue
 		}
 		hosts[c.host.Name] = c.host
-		ask.Places = append(ask.Places, mgmigration.Spot{
-			Name: c.host.Name,
-			Cost: c.cost,
-			Span: copyTime * crossZoneFactor(c.host.Zone != r.host.Zone),
+		ask.Destinations = append(ask.Destinations, mgmigration.Destination{
+			Name:     c.host.Name,
+			Cost:     c.cost,
+			CopyTime: copyTime * crossZoneFactor(c.host.Zone != r.host.Zone),
 		})
 	}
-	if len(ask.Places) == 0 {
+	if len(ask.Destinations) == 0 {
 		return Host{}, false
 	}
-	if y.spec.Turn != nil {
-		if name, ok := y.spec.Turn(r.ctx, r.exchange.service, ask); ok {
+	if y.spec.AcquireSlot != nil {
+		if name, ok := y.spec.AcquireSlot(r.ctx, r.exchange.service, ask); ok {
 			host, known := hosts[name]
 			return host, known
 		}
 	}
-	return hosts[ask.Places[0].Name], true
+	return hosts[ask.Destinations[0].Name], true
 }
 
 // copyTime returns the time in ms to copy the generation's memory within an
@@ -243,7 +243,7 @@
 		return 0
 	}
 	tokens := r.exchange.size.prompt + r.tokensPerEvent()*int(r.eventCount.Load())
-	return float64(tokens) * float64(service.Copy()) / 1000
+	return float64(tokens) * float64(service.CopyMicros()) / 1000
 }
 
 // crossZoneFactor is how many times as long a copy to another availability zone
@@ -256,7 +256,7 @@
 }
 
 func (y *Relay) releaseSlot(r *generation) {
-	if y.spec.EndTurn != nil {
-		y.spec.EndTurn(r.exchange.service, r.host.Name, r.exchange.id)
+	if y.spec.ReleaseSlot != nil {
+		y.spec.ReleaseSlot(r.exchange.service, r.host.Name, r.exchange.id)
 	}
 }
--- a/internal/process/mgrelay/move_test.go
+++ b/internal/process/mgrelay/move_test.go
@@ -21,8 +21,8 @@
 	leaving  bool
 	changed  chan struct{}
 	breakOff chan struct{} // closed when the source must break off its stream
-	orders   []mgrelay.Order
-	reply    func(order mgrelay.Order) mgmigration.Reply
+	orders   []mgrelay.MoveOrder
+	reply    func(order mgrelay.MoveOrder) mgmigration.Reply
 }
 
 func eventText(n int) string { return fmt.Sprintf("id: %d\ndata: e%d\n\n", n, n) }
@@ -65,13 +65,13 @@
 }
 
 // newMoveScenario starts a relay in front of a source a and destinations b and c.
-func newMoveScenario(t *testing.T, reply func(s *moveScenario, order mgrelay.Order) mgmigration.Reply, others ...upstreamHandler) *moveScenario {
+func newMoveScenario(t *testing.T, reply func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply, others ...upstreamHandler) *moveScenario {
 	s := &moveScenario{
 		changed:  make(chan struct{}),
 		breakOff: make(chan struct{}),
 	}
 	s.harness = newHarness(t, append([]upstreamHandler{s.source}, others...)...)
-	s.reply = func(order mgrelay.Order) mgmigration.Reply { return reply(s, order) }
+	s.reply = func(order mgrelay.MoveOrder) mgmigration.Reply { return reply(s, order) }
 	return s
 }
 
@@ -107,23 +107,23 @@
 }
 
 func (s *moveScenario) configure(spec *mgrelay.Spec) {
-	spec.Leaving = func(name string) bool {
+	spec.IsLeaving = func(name string) bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.leaving && name == "a"
 	}
-	spec.Changed = func() <-chan struct{} {
+	spec.LeavingChanged = func() <-chan struct{} {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.changed
 	}
-	spec.Every = func(string) []mgrelay.Host {
-		if spec.Leaving("a") {
+	spec.Upstreams = func(string) []mgrelay.Host {
+		if spec.IsLeaving("a") {
 			return s.harness.hosts[1:]
 		}
 		return s.harness.hosts
 	}
-	spec.Move = func(_ context.Context, _ mgrelay.Host, order mgrelay.Order) mgmigration.Reply {
+	spec.Move = func(_ context.Context, _ mgrelay.Host, order mgrelay.MoveOrder) mgmigration.Reply {
 		s.mu.Lock()
 		s.orders = append(s.orders, order)
 		s.mu.Unlock()
@@ -144,8 +144,8 @@
 // sent to it, and the relay mistook this for a request that had never run.
 func TestGenerationRestartsAfterCopyLost(t *testing.T) {
 	Convey("A generation whose copy can't be reached breaks off visibly", t, func() {
-		s := newMoveScenario(t, func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
-			if order.Last {
+		s := newMoveScenario(t, func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
+			if order.Stop {
 				close(s.breakOff)
 				return mgmigration.Reply{Outcome: mgmigration.Lost}
 			}
@@ -185,14 +185,14 @@
 	}
 	cases := []struct {
 		name   string
-		reply  func(s *moveScenario, order mgrelay.Order) mgmigration.Reply
+		reply  func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply
 		others []upstreamHandler
 		whole  bool
 	}{
 		{
 			name: "every step succeeds",
-			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
-				if !order.Last {
+			reply: func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
+				if !order.Stop {
 					return copied("h1")
 				}
 				return stopped(s, copied("h2"))
@@ -202,11 +202,11 @@
 		},
 		{
 			name: "the first destination has no memory",
-			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
+			reply: func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
 				if order.To == s.harness.hosts[1].Addr {
-					return mgmigration.Reply{Outcome: mgmigration.NoRoom}
+					return mgmigration.Reply{Outcome: mgmigration.NoCapacity}
 				}
-				if !order.Last {
+				if !order.Stop {
 					return copied("h1")
 				}
 				return stopped(s, copied("h2"))
@@ -219,14 +219,14 @@
 			// ms, and one of them has memory a moment later. A relay that gives up
 			// after three refusals lets the answer be cut a second later.
 			name: "no destination has memory at first",
-			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
+			reply: func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
 				s.mu.Lock()
 				asked := len(s.orders)
 				s.mu.Unlock()
 				if asked < 8 {
-					return mgmigration.Reply{Outcome: mgmigration.NoRoom}
+					return mgmigration.Reply{Outcome: mgmigration.NoCapacity}
 				}
-				if !order.Last {
+				if !order.Stop {
 					return copied("h1")
 				}
 				return stopped(s, copied("h2"))
@@ -236,8 +236,8 @@
 		},
 		{
 			name: "the answer to the stop is lost",
-			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
-				if !order.Last {
+			reply: func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
+				if !order.Stop {
 					return copied("h1")
 				}
 				return stopped(s, mgmigration.Reply{Outcome: mgmigration.Lost})
@@ -247,8 +247,8 @@
 		},
 		{
 			name: "the engine crashes before the stop",
-			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
-				if !order.Last {
+			reply: func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
+				if !order.Stop {
 					defer close(s.breakOff)
 					return copied("h1")
 				}
@@ -259,20 +259,20 @@
 		},
 		{
 			name: "no destination has memory: the stream breaks off visibly with its engine",
-			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
+			reply: func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				if len(s.orders) == 1 {
 					close(s.breakOff)
 				}
-				return mgmigration.Reply{Outcome: mgmigration.NoRoom}
+				return mgmigration.Reply{Outcome: mgmigration.NoCapacity}
 			},
 			others: []upstreamHandler{resumeFromCopy},
 		},
 		{
 			name: "the destination refuses the copy",
-			reply: func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
-				if !order.Last {
+			reply: func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
+				if !order.Stop {
 					return copied("h1")
 				}
 				return stopped(s, copied("h2"))
--- a/internal/process/mgrelay/placement.go
+++ b/internal/process/mgrelay/placement.go
@@ -25,10 +25,10 @@
 // until an upstream has memory for it or the request is given up. It returns false
 // for other requests, and if no process could be asked.
 func (y *Relay) awaitPlacement(ctx context.Context, x *exchange) (host Host, decided bool) {
-	if y.spec.Place == nil || x.attempts+x.failedDials > 0 || x.call.Route.Kind() != mgtable.Stream || x.size.prompt == 0 {
+	if y.spec.AwaitPlacement == nil || x.attempts+x.failedDials > 0 || x.call.Route.Kind() != mgtable.Stream || x.size.prompt == 0 {
 		return Host{}, false
 	}
-	hosts := y.spec.Every(x.service)
+	hosts := y.spec.Upstreams(x.service)
 	if upstreamCapacity(x.call.Table, x.service) == 0 || len(hosts) == 0 || x.homes.excludesAny(hosts) {
 		// The process that assigns placements doesn't know about homes and might
 		// choose an upstream that the request may not use.
@@ -39,12 +39,12 @@
 		return Host{}, true
 	}
 	startedAt := y.spec.Clock.Now()
-	grant, ok := y.spec.Place(ctx, x.service, x.waitingRequest(y.spec.Clock.Now()))
+	grant, ok := y.spec.AwaitPlacement(ctx, x.service, x.waitingRequest(y.spec.Clock.Now()))
 	y.spec.Metrics.Histogram("relay.wait.ms").Update(int64(y.spec.Clock.Now() - startedAt))
 	if !ok {
 		return Host{}, false
 	}
-	for _, host := range y.spec.Every(x.service) { // may have changed during the wait
+	for _, host := range y.spec.Upstreams(x.service) { // may have changed during the wait
 		if host.Name == grant.Place {
 			// The process that assigns placements doesn't know about backoffs that
 			// upstreams requested from other processes.
@@ -59,32 +59,32 @@
 		}
 	}
 	if grant.Place == "" {
-		x.problem = mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-			"no upstream had memory for the generation in time", "send it again after the time given").WithRetry(grant.Retry)
+		x.problem = mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
+			"no upstream had memory for the generation in time", "send it again after the time given").WithRetryAfter(grant.Retry)
 		return Host{}, true
 	}
 	return Host{}, false
 }
 
 // waitingRequest describes the request for the waiting list.
-func (x *exchange) waitingRequest(now mgclock.Millis) mgroom.Wait {
+func (x *exchange) waitingRequest(now mgclock.Millis) mgroom.Request {
 	promptTime := mgclock.Millis(float64(x.size.prompt)/mgload.ReadRate) + firstEventSlack
-	end := x.startedAt + maxWaitGoals*x.call.Route.Goal()
-	if x.call.Route.Goal() == 0 {
+	end := x.startedAt + maxWaitGoals*x.call.Route.LatencyGoal()
+	if x.call.Route.LatencyGoal() == 0 {
 		end = x.startedAt + x.timeout
 	}
 	account := ""
 	if x.call.Account != nil {
 		account = x.call.Account.Name()
 	}
-	return mgroom.Wait{
-		Name:    x.id,
-		Account: account,
-		Need:    x.size.memory(),
-		Made:    x.size.output,
-		Span:    promptTime + msPerToken*mgclock.Millis(x.size.output),
-		Due:     x.startedAt + x.call.Route.Goal() - promptTime,
-		Came:    x.startedAt,
-		End:     end,
+	return mgroom.Request{
+		Name:     x.id,
+		Account:  account,
+		Need:     x.size.memory(),
+		Output:   x.size.output,
+		Duration: promptTime + msPerToken*mgclock.Millis(x.size.output),
+		Due:      x.startedAt + x.call.Route.LatencyGoal() - promptTime,
+		Arrived:  x.startedAt,
+		End:      end,
 	}
 }
--- a/internal/process/mgrelay/probe.go
+++ b/internal/process/mgrelay/probe.go
@@ -35,12 +35,12 @@
 // the platform is down, and its generations are cut if the relay doesn't learn of it
 // from the engine itself.
 func (y *Relay) probeWhileStale(ctx context.Context) {
-	if y.spec.Probe == nil {
+	if y.spec.AskLeaving == nil {
 		return
 	}
 	staleChecks := 0 // consecutive checks that found the list stale
 	for y.spec.Clock.Sleep(ctx, probeInterval) {
-		if !y.spec.Stale() {
+		if !y.spec.IsListStale() {
 			staleChecks = 0
 			continue
 		}
@@ -70,15 +70,15 @@
 // while one copy waits for another. An upstream that answers that it is leaving, or
 // doesn't answer, isn't waited for.
 func (y *Relay) awaitReturn(ctx context.Context, host Host) bool {
-	if y.spec.Missing == nil || y.spec.Probe == nil || y.lastOutageAt.Load() == 0 {
+	if y.spec.IsMissing == nil || y.spec.AskLeaving == nil || y.lastOutageAt.Load() == 0 {
 		return false
 	}
-	for y.spec.Clock.Now() < mgclock.Millis(y.lastOutageAt.Load())+lapseWindow && y.spec.Missing(host.Name) {
+	for y.spec.Clock.Now() < mgclock.Millis(y.lastOutageAt.Load())+lapseWindow && y.spec.IsMissing(host.Name) {
 		if !y.confirmsStaying(ctx, host) || !y.spec.Clock.Sleep(ctx, probeInterval) {
 			return false
 		}
 	}
-	return !y.spec.Leaving(host.Name)
+	return !y.spec.IsLeaving(host.Name)
 }
 
 // confirmsStaying reports whether an upstream answers that it isn't leaving.
@@ -92,7 +92,7 @@
 // the source tries to reach it for 1.2 s, which is most of a notice, before the
 // other generations that wait for the source's link.
 func (y *Relay) canTakeOver(ctx context.Context, host Host) bool {
-	if y.spec.Probe == nil || !y.spec.Stale() {
+	if y.spec.AskLeaving == nil || !y.spec.IsListStale() {
 		return true
 	}
 	leaving, err := y.askLeaving(ctx, host, destinationProbeTimeout)
@@ -102,8 +102,8 @@
 	case err != nil:
 		y.spec.Log.Info("a listed upstream doesn't answer a probe, no generation is moved there",
 			mglog.Upstream, host.Name, "why", err.Error())
-		y.spec.Failed(host.Name)
-		y.spec.Load.Fault(y.spec.Clock.Now(), host.Name)
+		y.spec.ReportFailed(host.Name)
+		y.spec.Load.RecordFault(y.spec.Clock.Now(), host.Name)
 		return false
 	case leaving:
 		y.recordDeparted(host)
@@ -117,11 +117,11 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	y.spec.Metrics.Counter("relay.probes").Inc(1)
-	return y.spec.Probe(ctx, host)
+	return y.spec.AskLeaving(ctx, host)
 }
 
 // recordDeparted logs and reports an upstream that says that it is leaving.
 func (y *Relay) recordDeparted(host Host) {
 	y.spec.Log.Info("an upstream reports that it is leaving, which the list doesn't show", mglog.Upstream, host.Name)
-	y.spec.Departed(host.Name)
+	y.spec.ReportDeparted(host.Name)
 }
--- a/internal/process/mgrelay/relay.go
+++ b/internal/process/mgrelay/relay.go
@@ -24,7 +24,7 @@
 
 // Spec configures a relay.
 type Spec struct {
-	Form    Form
+	Headers HeaderNames
 	Clock   mgclock.Clock
 	Log     logr.Logger
 	Metrics *mgmetric.Set
@@ -33,12 +33,12 @@
 	Client *http.Client
 	// Every returns all upstreams that run a service and aren't leaving, in any
 	// order.
-	Every func(service string) []Host
+	Upstreams func(service string) []Host
 	// Load counts what this process sends to each upstream. Others returns what
 	// other entries have sent. Zone is this entry's availability zone.
-	Load   *mgload.Count
-	Others func() mgload.Report
-	Zone   string
+	Load       *mgload.Tracker
+	OtherLoads func() mgload.Report
+	Zone       string
 	// Name is the name of this process. Processes returns how many processes it
 	// knows of, itself included; see mgwarm. If Processes is nil, cold upstreams are
 	// not protected.
@@ -46,64 +46,64 @@
 	Processes func() int
 	// Failed reports an upstream that could not be reached, Answered one that
 	// answered.
-	Failed   func(upstream string)
-	Answered func(upstream string)
+	ReportFailed   func(upstream string)
+	ReportAnswered func(upstream string)
 	// Leaving reports whether an upstream is leaving or gone. Changed returns a
 	// channel that is closed when that may have changed.
-	Leaving func(upstream string) bool
-	Changed func() <-chan struct{}
+	IsLeaving      func(upstream string) bool
+	LeavingChanged func() <-chan struct{}
 	// Missing reports whether an upstream is absent from the list, though it hasn't
 	// been reported as leaving. Nil reports none.
-	Missing func(upstream string) bool
+	IsMissing func(upstream string) bool
 	// Cordoned reports whether an upstream's availability zone is cordoned, and how
 	// long this has been known. Every leaves such upstreams out. Nil reports none.
-	Cordoned func(upstream string) (age mgclock.Millis, cordoned bool)
+	CordonAge func(upstream string) (age mgclock.Millis, cordoned bool)
 	// Closed reports whether a service has upstreams that aren't leaving and all of
 	// them are cordoned. Nil reports none.
-	Closed func(service string) bool
+	AllCordoned func(service string) bool
 	// Turn acquires a migration slot for a generation of a service, and EndTurn
 	// releases it; see mgmigration.Turns. It returns false if no process could be
 	// asked. If Turn is nil, moves need no slot.
-	Turn    func(ctx context.Context, service string, ask mgmigration.Ask) (place string, ok bool)
-	EndTurn func(service, source, run string)
+	AcquireSlot func(ctx context.Context, service string, ask mgmigration.SlotRequest) (place string, ok bool)
+	ReleaseSlot func(service, source, run string)
 	// Place asks the process that assigns placements for an upstream. It returns as
 	// soon as one has memory for the generation, or when the request is given up,
 	// and returns false if no process could be asked. If Place is nil, each entry
 	// chooses by what it knows.
-	Place func(ctx context.Context, service string, wait mgroom.Wait) (grant mgroom.Grant, ok bool)
+	AwaitPlacement func(ctx context.Context, service string, wait mgroom.Request) (grant mgroom.Grant, ok bool)
 	// Stale reports whether the list of upstreams may be out of date. While it is,
 	// Probe asks the upstreams that run generations whether they are leaving, and
 	// Departed reports those that are. If Probe is nil, none are asked.
-	Stale    func() bool
-	Probe    func(ctx context.Context, upstream Host) (leaving bool, err error)
-	Departed func(upstream string)
+	IsListStale    func() bool
+	AskLeaving     func(ctx context.Context, upstream Host) (leaving bool, err error)
+	ReportDeparted func(upstream string)
 	// Basis returns the version of the list of upstreams and the age of the result
 	// of Others, for logs. If it is nil, neither is logged.
-	Basis func() (list uint64, age mgclock.Millis)
+	ListVersion func() (list uint64, age mgclock.Millis)
 	// Left returns how long this process continues to run, or false if it isn't
 	// stopping.
-	Left func() (mgclock.Millis, bool)
+	TimeLeft func() (mgclock.Millis, bool)
 	// Quarantine holds requests under which upstreams crash. New creates one if it
 	// is nil.
 	Quarantine *mgquarantine.Quarantine
 	// Limits are the rate limits that upstreams announce in their answers. Permit
 	// takes a permit to send to one of them, or returns the time until there may be
 	// one. New creates both for this process alone if they are nil.
-	Limits *mglimit.Limits
-	Permit func(ctx context.Context, permit Permit) (wait mgclock.Millis, ok bool)
+	Limits     *mglimit.Limits
+	TakePermit func(ctx context.Context, permit PermitRequest) (wait mgclock.Millis, ok bool)
 	// Refuses reports whether an upstream's address refuses connections, as it does
 	// after its process has ended. An error means that this is unknown. If Refuses
 	// is nil, it is always unknown.
-	Refuses func(ctx context.Context, addr string) (bool, error)
+	RefusesConnections func(ctx context.Context, addr string) (bool, error)
 	// Move sends an order to the source of a move. If it is nil, nothing is moved.
-	Move func(ctx context.Context, source Host, order Order) mgmigration.Reply
+	Move func(ctx context.Context, source Host, order MoveOrder) mgmigration.Reply
 }
 
 // Order is a step of a move, sent to the source.
-type Order struct {
-	Run  string // the request's id
-	To   string // the destination's address
-	Last bool   // stop the generation first
+type MoveOrder struct {
+	Request string // the request's id
+	To      string // the destination's address
+	Stop    bool   // stop the generation first
 }
 
 // Relay forwards requests to upstreams. Create one with New.
@@ -113,7 +113,7 @@
 	generations  generations
 	coldTurns    mgwarm.Turns
 	backoffs     mgrest.Rests
-	permitWaits  mglimit.Waits
+	permitWaits  mglimit.Backoffs
 	localPermits mglimit.Permits // if Spec.Permit is nil
 	rejections   rejections
 	answerCount  atomic.Uint64 // successful answers to the first attempt
@@ -133,8 +133,8 @@
 	y := &Relay{
 		spec: spec,
 	}
-	if spec.Permit == nil {
-		y.spec.Permit = y.takeLocalPermit
+	if spec.TakePermit == nil {
+		y.spec.TakePermit = y.takeLocalPermit
 	}
 	return y
 }
@@ -164,10 +164,10 @@
 		y.refuse(w, x, problem)
 		return
 	}
-	if y.spec.Left != nil {
-		if left, stopping := y.spec.Left(); stopping && x.expectedDuration() > left {
+	if y.spec.TimeLeft != nil {
+		if left, stopping := y.spec.TimeLeft(); stopping && x.expectedDuration() > left {
 			y.refuse(w, x, mgproblem.New(mgproblem.Leaving, mgproblem.NotRun,
-				"this entry ends before the answer would", "send the request again on a new connection").WithRetry(retryDelay))
+				"this entry ends before the answer would", "send the request again on a new connection").WithRetryAfter(retryDelay))
 			return
 		}
 	}
@@ -247,10 +247,10 @@
 // upstream now.
 func (y *Relay) takeColdTurn(x *exchange, host Host) bool {
 	service := x.call.Table.Service(x.service)
-	if service == nil || service.Ramp() == 0 || y.spec.Processes == nil {
+	if service == nil || service.MaxColdRate() == 0 || y.spec.Processes == nil {
 		return true
 	}
-	return y.coldTurns.Take(y.spec.Clock.Now(), y.spec.Name, host.Name, service.Ramp(), y.spec.Processes())
+	return y.coldTurns.Take(y.spec.Clock.Now(), y.spec.Name, host.Name, service.MaxColdRate(), y.spec.Processes())
 }
 
 // mayRetry reports whether a request may be sent to another upstream after an
@@ -266,7 +266,7 @@
 	if outcome == notConnected {
 		return x.failedDials < maxDials && y.elapsed(x) < x.timeout/dialTimeDivisor
 	}
-	if x.attempts >= x.call.Route.Attempts() {
+	if x.attempts >= x.call.Route.MaxAttempts() {
 		return false
 	}
 	if !y.spec.Budgets.Of(x.service).Spend() {
@@ -279,47 +279,47 @@
 // serviceOf picks the service by a hash of the request's id. The shares of a split
 // route are then as configured, and the choice can be recomputed from a log line.
 func serviceOf(route *mgtable.Route, id string) string {
-	return route.Pick(xxhash.Sum64String(id))
+	return route.PickService(xxhash.Sum64String(id))
 }
 
 // noCapacityProblem returns the problem to answer with when no upstream can take a
 // request now.
 func (y *Relay) noCapacityProblem(x *exchange) *mgproblem.Problem {
-	if y.spec.Closed != nil && y.spec.Closed(x.service) {
-		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
+	if y.spec.AllCordoned != nil && y.spec.AllCordoned(x.service) {
+		return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
 			"all availability zones with upstreams of the service are cordoned",
-			"send it again after the time given").WithRetry(retryDelayCordoned)
+			"send it again after the time given").WithRetryAfter(retryDelayCordoned)
 	}
 	if left, all := y.backoffLeft(x); all {
-		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-			"all upstreams of the service asked for a rest", "send it again after the time given").WithRetry(left)
+		return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
+			"all upstreams of the service asked for a rest", "send it again after the time given").WithRetryAfter(left)
 	}
 	if left, all := y.unavailableFor(x); all {
-		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
+		return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
 			"all upstreams of the service have as many requests as they take", "send it again after the time given").
-			WithRetry(y.spreadRetryDelay(x, left))
+			WithRetryAfter(y.spreadRetryDelay(x, left))
 	}
-	hosts := y.spec.Every(x.service)
+	hosts := y.spec.Upstreams(x.service)
 	if len(hosts) > 0 && x.homes.excludesAll(hosts) {
-		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
+		return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
 			"no upstream of the service is in a region where the request may run",
-			"send it again after the time given").WithRetry(retryDelayCordoned)
+			"send it again after the time given").WithRetryAfter(retryDelayCordoned)
 	}
 	if x.skippedCold {
 		delay := retryDelay
 		if service := x.call.Table.Service(x.service); service != nil {
-			delay = max(delay, service.Cold())
+			delay = max(delay, service.ColdPeriod())
 		}
-		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
+		return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
 			"the upstreams of the service have just started and bear no more requests now",
-			"send it again after the time given").WithRetry(delay)
+			"send it again after the time given").WithRetryAfter(delay)
 	}
 	if len(hosts) == 0 {
-		return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-			"no upstream of the service is known now", "send it again after the time given").WithRetry(retryDelayNoUpstream)
+		return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
+			"no upstream of the service is known now", "send it again after the time given").WithRetryAfter(retryDelayNoUpstream)
 	}
-	return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-		"no upstream can take the request now", "send it again after the time given").WithRetry(retryDelay)
+	return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
+		"no upstream can take the request now", "send it again after the time given").WithRetryAfter(retryDelay)
 }
 
 // retryDelayNoUpstream is the Retry-After while no upstream is known. Most callers
--- a/internal/process/mgrelay/relay_test.go
+++ b/internal/process/mgrelay/relay_test.go
@@ -163,7 +163,7 @@
 			Convey(c.name, func() {
 				g := newHarness(t, answerWith("id: 1\n\n"))
 				g.restart(func(spec *mgrelay.Spec) {
-					spec.Left = func() (mgclock.Millis, bool) { return c.left, true }
+					spec.TimeLeft = func() (mgclock.Millis, bool) { return c.left, true }
 				})
 				got := g.send(context.Background(), http.MethodPost, c.path, "x", http.Header{
 					"Tokens": {c.tokens},
--- a/internal/process/mgrelay/resend_test.go
+++ b/internal/process/mgrelay/resend_test.go
@@ -131,7 +131,7 @@
 		// With a Retry-After of a tenth of a second callers retry once, too early:
 		// expired list entries are listed again within two seconds.
 		g := newHarness(t)
-		g.restart(func(spec *mgrelay.Spec) { spec.Form.Fractions = true })
+		g.restart(func(spec *mgrelay.Spec) { spec.Headers.RetryAfterFractions = true })
 		got := g.send(context.Background(), http.MethodPost, "/once/1", "x", nil)
 		So(got.status, ShouldEqual, http.StatusServiceUnavailable)
 		So(got.header.Get("Retry-After"), ShouldEqual, "1.000")
@@ -257,7 +257,7 @@
 				}, answerWith("b"))
 				var departed []string
 				g.restart(func(spec *mgrelay.Spec) {
-					spec.Departed = func(name string) { departed = append(departed, name) }
+					spec.ReportDeparted = func(name string) { departed = append(departed, name) }
 				})
 				got := g.send(context.Background(), http.MethodPost, "/book/1", "x", nil)
 				So(got.status, ShouldEqual, http.StatusOK)
--- a/internal/process/mgrelay/respond.go
+++ b/internal/process/mgrelay/respond.go
@@ -26,7 +26,7 @@
 			"no upstream brought an answer", "send the request again if it may run twice").WithCause(x.cause()))
 	case x.refusal != nil:
 		y.passOn(w, x, x.refusal)
-	case x.problem != nil && x.problem.Retry() > 0:
+	case x.problem != nil && x.problem.RetryAfter() > 0:
 		y.refuse(w, x, x.problem)
 	default:
 		y.refuse(w, x, y.noCapacityProblem(x).WithCause(x.cause()))
@@ -46,7 +46,7 @@
 	case x.headerSent:
 		y.abort(x, x.cause())
 	case x.mayHaveRun:
-		y.refuse(w, x, mgproblem.New(mgproblem.Late, mgproblem.Unknown,
+		y.refuse(w, x, mgproblem.New(mgproblem.DeadlineExceeded, mgproblem.Unknown,
 			"the time for the request is over", "ask for more time").WithCause(x.cause()))
 	default:
 		y.refuse(w, x, y.noCapacityProblem(x).WithCause(x.cause()))
@@ -60,7 +60,7 @@
 	if upstreamAnswer.status == http.StatusServiceUnavailable || impliesNotRun(upstreamAnswer.status) && w.Header().Get("Retry-After") == "" {
 		// The upstream's own Retry-After applies to this process and that upstream
 		// only.
-		y.setRetryAfter(w, y.noCapacityProblem(x).Retry())
+		y.setRetryAfter(w, y.noCapacityProblem(x).RetryAfter())
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(upstreamAnswer.body)))
 	w.WriteHeader(upstreamAnswer.status)
@@ -82,7 +82,7 @@
 
 // refuse answers with a problem of the relay's own.
 func (y *Relay) refuse(w http.ResponseWriter, x *exchange, problem *mgproblem.Problem) {
-	y.Write(w, problem)
+	y.WriteProblem(w, problem)
 	x.clearWriteDeadline()
 	y.spec.Metrics.Counter("relay.failed." + string(problem.Kind())).Inc(1)
 	keys := y.logBasis()
@@ -97,10 +97,10 @@
 }
 
 // Write answers with a problem, with Retry-After in the deployment's format.
-func (y *Relay) Write(w http.ResponseWriter, problem *mgproblem.Problem) {
-	if problem.Retry() > 0 {
-		y.setRetryAfter(w, problem.Retry())
-		problem = problem.WithRetry(0)
+func (y *Relay) WriteProblem(w http.ResponseWriter, problem *mgproblem.Problem) {
+	if problem.RetryAfter() > 0 {
+		y.setRetryAfter(w, problem.RetryAfter())
+		problem = problem.WithRetryAfter(0)
 	}
 	mgproblem.Write(w, problem)
 }
@@ -108,7 +108,7 @@
 // setRetryAfter sets Retry-After, rounded up to whole seconds unless the form allows
 // fractions.
 func (y *Relay) setRetryAfter(w http.ResponseWriter, delay mgclock.Millis) {
-	if y.spec.Form.Fractions {
+	if y.spec.Headers.RetryAfterFractions {
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(delay)/float64(mgclock.Second), 'f', 3, 64))
 		return
 	}
@@ -152,10 +152,10 @@
 // logBasis returns log keys for the data on which current decisions are based: the
 // version of the list of upstreams and the age of the other entries' load reports.
 func (y *Relay) logBasis() []any {
-	if y.spec.Basis == nil {
+	if y.spec.ListVersion == nil {
 		return nil
 	}
-	list, age := y.spec.Basis()
+	list, age := y.spec.ListVersion()
 	return []any{"list", list, "loads", int64(age)}
 }
 
--- a/internal/process/mgrelay/resume.go
+++ b/internal/process/mgrelay/resume.go
@@ -15,23 +15,23 @@
 // isBarred reports whether generations must not continue at an upstream because its
 // availability zone has been cordoned for at least cordonGrace.
 func (y *Relay) isBarred(upstream string) bool {
-	if y.spec.Cordoned == nil {
+	if y.spec.CordonAge == nil {
 		return false
 	}
-	age, cordoned := y.spec.Cordoned(upstream)
+	age, cordoned := y.spec.CordonAge(upstream)
 	return cordoned && age >= cordonGrace
 }
 
 // addResumeHeaders sets the headers with which an upstream continues a generation
 // from a copy, after the last event that the caller has.
 func (y *Relay) addResumeHeaders(x *exchange, request *http.Request) {
-	form := &y.spec.Form
+	form := &y.spec.Headers
 	if x.resumeFrom.copyRef != "" {
 		request.Header.Set(form.Copy, x.resumeFrom.copyRef)
 		x.resumeFrom = resumePoint{}
 	}
 	if x.sequence.lastID != "" {
-		request.Header.Set(form.Event, x.sequence.lastID)
+		request.Header.Set(form.LastEventID, x.sequence.lastID)
 		x.resumed = true
 	}
 }
--- a/internal/process/mgrelay/stale_test.go
+++ b/internal/process/mgrelay/stale_test.go
@@ -19,12 +19,12 @@
 // that is gone, and the report is cut with its engine.
 func TestMoveToGoneDestination(t *testing.T) {
 	moveWithProbe := func(probe func(host mgrelay.Host) (bool, error)) (*moveScenario, callerReply) {
-		s := newMoveScenario(t, func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
+		s := newMoveScenario(t, func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
 			if order.To == s.harness.hosts[1].Addr {
 				close(s.breakOff) // the notice ends before the source gives up
-				return mgmigration.Reply{Outcome: mgmigration.NoRoom}
+				return mgmigration.Reply{Outcome: mgmigration.NoCapacity}
 			}
-			if order.Last {
+			if order.Stop {
 				close(s.breakOff)
 			}
 			return mgmigration.Reply{
@@ -34,9 +34,9 @@
 		}, hangUp, resumeFromCopy)
 		s.harness.restart(func(spec *mgrelay.Spec) {
 			s.configure(spec)
-			spec.Stale = func() bool { return true }
-			spec.Departed = func(string) {}
-			spec.Probe = func(_ context.Context, host mgrelay.Host) (bool, error) { return probe(host) }
+			spec.IsListStale = func() bool { return true }
+			spec.ReportDeparted = func(string) {}
+			spec.AskLeaving = func(_ context.Context, host mgrelay.Host) (bool, error) { return probe(host) }
 		})
 		return s, s.harness.send(context.Background(), http.MethodPost, "/write/1", "x", nil)
 	}
@@ -88,8 +88,8 @@
 		} {
 			Convey(name, func() {
 				var staleChecks atomic.Int64 // number of checks so far
-				copied := func(s *moveScenario, order mgrelay.Order) mgmigration.Reply {
-					if order.Last {
+				copied := func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
+					if order.Stop {
 						close(s.breakOff)
 					}
 					return mgmigration.Reply{
@@ -120,17 +120,17 @@
 				s.harness = newHarness(t, source, resumeFromCopy)
 				s.harness.restart(func(spec *mgrelay.Spec) {
 					s.configure(spec)
-					spec.Missing = spec.Leaving
-					spec.Departed = func(string) {}
-					spec.Stale = func() bool {
+					spec.IsMissing = spec.IsLeaving
+					spec.ReportDeparted = func(string) {}
+					spec.IsListStale = func() bool {
 						check := staleChecks.Add(1)
 						if check == c.staleChecks+1 {
 							close(back)
 						}
 						return check <= c.staleChecks
 					}
-					spec.Probe = func(context.Context, mgrelay.Host) (bool, error) {
-						if spec.Leaving("a") && asked.Add(1) == 2 {
+					spec.AskLeaving = func(context.Context, mgrelay.Host) (bool, error) {
+						if spec.IsLeaving("a") && asked.Add(1) == 2 {
 							close(enough)
 						}
 						return c.leaves, nil
--- a/internal/process/mgrelay/stream.go
+++ b/internal/process/mgrelay/stream.go
@@ -33,7 +33,7 @@
 		return y.streamInterrupted(ctx, x, gen, err)
 	}
 	y.countPromptRead(x, host)
-	y.spec.Load.Well(y.spec.Clock.Now(), host.Name)
+	y.spec.Load.RecordAnswer(y.spec.Clock.Now(), host.Name)
 	x.firstAfterResume = x.resumed
 	// The resume points of an earlier move are void: their copies were used or are
 	// gone.
@@ -49,7 +49,7 @@
 		}
 		x.lastEventAt = now
 		if perToken, ok := gen.recordEvents(now, int64(bytes.Count(events, eventSeparator))); ok {
-			y.spec.Load.Paced(now, host.Name, perToken)
+			y.spec.Load.RecordPace(now, host.Name, perToken)
 		}
 		events, err = reader.next()
 	}
@@ -99,7 +99,7 @@
 	moved := x.firstAfterResume
 	x.lastEventAt = now
 	x.firstAfterResume = false
-	gap := x.call.Route.Gap()
+	gap := x.call.Route.MaxEventInterval()
 	if gap == 0 || pause <= gap {
 		return
 	}
--- a/internal/process/mgsettings/settings_test.go
+++ b/internal/process/mgsettings/settings_test.go
@@ -24,8 +24,8 @@
 		var entry mgsettings.Entry
 		So(mgsettings.Parse("entry.toml", []byte(sample), &entry), ShouldBeNil)
 		So(entry.Name, ShouldEqual, "entry-a")
-		So(entry.Body, ShouldEqual, 1048576)
-		So(entry.Log, ShouldEqual, "info")
+		So(entry.MaxBody, ShouldEqual, 1048576)
+		So(entry.LogLevel, ShouldEqual, "info")
 	})
 
 	Convey("All faults are found in one reading", t, func() {
--- a/internal/request/mganswer/answer.go
+++ b/internal/request/mganswer/answer.go
@@ -93,7 +93,7 @@
 }
 
 func missingProblem() error {
-	return mgproblem.New(mgproblem.Missing, mgproblem.Unknown,
+	return mgproblem.New(mgproblem.NotFound, mgproblem.Unknown,
 		"no such answer for this account",
 		"use the name as it came, with the key of the account that asked")
 }
--- a/internal/request/mganswer/answer_test.go
+++ b/internal/request/mganswer/answer_test.go
@@ -56,7 +56,7 @@
 			Convey(c[0], func() {
 				opened, err := s.Open(c[1], c[2])
 				So(opened, ShouldResemble, mganswer.Name{})
-				So(mgproblem.From(err).Kind(), ShouldEqual, mgproblem.Missing)
+				So(mgproblem.From(err).Kind(), ShouldEqual, mgproblem.NotFound)
 				So(err.Error(), ShouldEqual, never.Error())
 			})
 		}
@@ -75,7 +75,7 @@
 	})
 	Convey("One made two changes ago doesn't", t, func() {
 		_, err := signer(t, newKey, "").Open("tankline", text)
-		So(mgproblem.From(err).Kind(), ShouldEqual, mgproblem.Missing)
+		So(mgproblem.From(err).Kind(), ShouldEqual, mgproblem.NotFound)
 	})
 	Convey("A key that can be guessed is refused", t, func() {
 		_, err := mgseal.New(mgseal.Spec{
--- a/internal/request/mgcap/cap.go
+++ b/internal/request/mgcap/cap.go
@@ -20,7 +20,7 @@
 type Lease struct {
 	Rate    float64        // tokens per second
 	Streams int            // concurrent streams
-	End     mgclock.Millis // expiry by this process's clock
+	Expires mgclock.Millis // expiry by this process's clock
 }
 
 // A Cap limits one account to its leased slice. The zero Cap has no lease and
@@ -36,7 +36,7 @@
 // capacity of the new one.
 func (c *Cap) Renew(now mgclock.Millis, lease Lease) {
 	c.fill(now)
-	if now < c.lease.End {
+	if now < c.lease.Expires {
 		c.tokens = min(c.tokens, c.capacity(lease))
 	}
 	c.lease = lease
@@ -50,7 +50,7 @@
 func (c *Cap) Start(now mgclock.Millis, cost float64) *mgproblem.Problem {
 	c.fill(now)
 	switch {
-	case now >= c.lease.End || c.lease.Rate <= 0:
+	case now >= c.lease.Expires || c.lease.Rate <= 0:
 		return problem("the account has no share of its cap here at present", busyRetryDelay)
 	case c.streams >= c.lease.Streams:
 		return problem("the account's streams are all in use", busyRetryDelay)
@@ -85,13 +85,13 @@
 // fill adds the tokens that the lease has earned up to now, and drops those
 // left when it has expired.
 func (c *Cap) fill(now mgclock.Millis) {
-	end := min(now, c.lease.End)
+	end := min(now, c.lease.Expires)
 	if elapsed := end - c.filledAt; elapsed > 0 {
 		c.tokens += c.lease.Rate * float64(elapsed) / float64(mgclock.Second)
 	}
 	c.filledAt = max(c.filledAt, now)
 	c.tokens = min(c.tokens, c.capacity(c.lease))
-	if now >= c.lease.End {
+	if now >= c.lease.Expires {
 		c.tokens = min(c.tokens, 0)
 	}
 }
@@ -101,6 +101,6 @@
 }
 
 func problem(detail string, retry mgclock.Millis) *mgproblem.Problem {
-	return mgproblem.New(mgproblem.Capped, mgproblem.NotRun, detail,
-		"come back after the time given, or ask the operators for a higher cap").WithRetry(max(retry, 1))
+	return mgproblem.New(mgproblem.LimitReached, mgproblem.NotRun, detail,
+		"come back after the time given, or ask the operators for a higher cap").WithRetryAfter(max(retry, 1))
 }
--- a/internal/request/mgcap/cap_test.go
+++ b/internal/request/mgcap/cap_test.go
@@ -15,7 +15,7 @@
 	return mgcap.Lease{
 		Rate:    100,
 		Streams: 4,
-		End:     now + 2*mgclock.Second,
+		Expires: now + 2*mgclock.Second,
 	}
 }
 
@@ -42,10 +42,10 @@
 		var c mgcap.Cap
 		c.Renew(0, lease(0))
 		p := c.Start(0, 50)
-		So(p.Kind(), ShouldEqual, mgproblem.Capped)
+		So(p.Kind(), ShouldEqual, mgproblem.LimitReached)
 		So(p.Outcome(), ShouldEqual, mgproblem.NotRun)
-		So(c.Start(p.Retry()-1, 50), ShouldNotBeNil)
-		So(c.Start(p.Retry(), 50), ShouldBeNil)
+		So(c.Start(p.RetryAfter()-1, 50), ShouldNotBeNil)
+		So(c.Start(p.RetryAfter(), 50), ShouldBeNil)
 	})
 	Convey("and has no more streams than its lease", t, func() {
 		var c mgcap.Cap
@@ -88,7 +88,7 @@
 		var running []float64
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			next = now + mgclock.Millis(rapid.IntRange(0, 3000).Draw(t, "span"))
-			if end := min(next, l.End); end > now {
+			if end := min(next, l.Expires); end > now {
 				earned += l.Rate * float64(end-now) / 1000
 			}
 			now = next
@@ -97,7 +97,7 @@
 				l = mgcap.Lease{
 					Rate:    rapid.Float64Range(0, 1000).Draw(t, "rate"),
 					Streams: rapid.IntRange(0, 8).Draw(t, "streams"),
-					End:     now + mgclock.Millis(rapid.IntRange(0, 4000).Draw(t, "lease")),
+					Expires: now + mgclock.Millis(rapid.IntRange(0, 4000).Draw(t, "lease")),
 				}
 				c.Renew(now, l)
 			case 1:
@@ -107,8 +107,8 @@
 				}
 				running = append(running, cost)
 				used += cost
-				if now >= l.End || len(running) > l.Streams {
-					t.Fatalf("%d streams of %d, lease ended %v", len(running), l.Streams, now >= l.End)
+				if now >= l.Expires || len(running) > l.Streams {
+					t.Fatalf("%d streams of %d, lease ended %v", len(running), l.Streams, now >= l.Expires)
 				}
 				// One answer may cost more than a full bucket.
 				if used > earned+100+1e-6 {
@@ -136,7 +136,7 @@
 	c.Renew(0, mgcap.Lease{
 		Rate:    1e9,
 		Streams: 1,
-		End:     1 << 60,
+		Expires: 1 << 60,
 	})
 	now := mgclock.Millis(0)
 	b.ReportAllocs()
--- a/internal/request/mgdelivery/decision.go
+++ b/internal/request/mgdelivery/decision.go
@@ -18,7 +18,7 @@
 	// connection.
 	Reopen
 	// Elsewhere: start a new generation; the caller has received nothing.
-	Elsewhere
+	StartOver
 	// Fail: report the decision's problem to the caller. Nothing follows it.
 	Fail
 )
--- a/internal/request/mgdelivery/model_test.go
+++ b/internal/request/mgdelivery/model_test.go
@@ -161,7 +161,7 @@
 		})
 	case 7: // agent gone for good
 		if w.broken != hidesLoss {
-			w.apply(w.receiver.Lost(w.attempt))
+			w.apply(w.receiver.HandleLoss(w.attempt))
 		} else if !w.receiver.finished {
 			w.apply(w.receiver.deliver(Finish, nil))
 		}
@@ -246,7 +246,7 @@
 			in.Total = r.last
 		}
 	}
-	w.apply(r.Frame(f.attempt, in))
+	w.apply(r.HandleFrame(f.attempt, in))
 }
 
 func (w *world) apply(d Decision) {
@@ -256,7 +256,7 @@
 		w.outcome = "whole"
 	case Reopen:
 		w.emitted = w.receiver.Last()
-	case Elsewhere:
+	case StartOver:
 		w.start()
 	case Fail:
 		if w.broken == splicesGenerations && w.engine == 0 {
@@ -308,7 +308,7 @@
 		return fmt.Errorf("%s: caller was told %v is whole", w.broken, w.delivered)
 	case w.outcome != "" && w.outcome != "whole" && w.outcome != string(mgproblem.Interrupted):
 		return fmt.Errorf("%s: caller got the outcome %s", w.broken, w.outcome)
-	case w.outcome == "" && w.receiver.Over():
+	case w.outcome == "" && w.receiver.Finished():
 		return fmt.Errorf("%s: caller got no outcome", w.broken)
 	}
 	return nil
--- a/internal/request/mgdelivery/receiver.go
+++ b/internal/request/mgdelivery/receiver.go
@@ -89,10 +89,10 @@
 func (r *Receiver) Last() uint64 { return r.last }
 
 // Over reports whether the caller was sent the end or a problem.
-func (r *Receiver) Over() bool { return r.finished }
+func (r *Receiver) Finished() bool { return r.finished }
 
 // Frame handles a frame received on an attempt's stream.
-func (r *Receiver) Frame(attempt int, f *Frame) Decision {
+func (r *Receiver) HandleFrame(attempt int, f *Frame) Decision {
 	if r.finished || attempt == 0 || attempt != r.currentAttempt {
 		// A frame of an earlier attempt was in flight when the answer started over
 		// elsewhere. Its tokens are of another run of the model; mixed in, they would
@@ -152,7 +152,7 @@
 
 // Lost handles the loss of an attempt's generation: its agent or engine is
 // gone, or its link gave up.
-func (r *Receiver) Lost(attempt int) Decision {
+func (r *Receiver) HandleLoss(attempt int) Decision {
 	if r.finished || attempt == 0 || attempt != r.currentAttempt {
 		return Decision{}
 	}
@@ -201,7 +201,7 @@
 	if r.delivered() == 0 && !r.spec.Pinned && r.generationCount < r.maxGenerations() {
 		r.currentAttempt = 0
 		return Decision{
-			action: Elsewhere,
+			action: StartOver,
 			cancel: r.generation,
 		}
 	}
--- a/internal/request/mgdelivery/receiver_test.go
+++ b/internal/request/mgdelivery/receiver_test.go
@@ -31,7 +31,7 @@
 	mgdelivery.Deliver:   "deliver",
 	mgdelivery.Finish:    "finish",
 	mgdelivery.Reopen:    "reopen",
-	mgdelivery.Elsewhere: "elsewhere",
+	mgdelivery.StartOver: "elsewhere",
 	mgdelivery.Fail:      "fail",
 }
 
@@ -94,7 +94,7 @@
 				attempt := r.Begin("g")
 				var d mgdelivery.Decision
 				for _, word := range strings.Fields(c[2]) {
-					d = r.Frame(attempt, parseFrame(word))
+					d = r.HandleFrame(attempt, parseFrame(word))
 				}
 				So(actionNames[d.Action()]+" "+strings.Join(d.Tokens(), ""), ShouldEqual, c[3])
 			})
@@ -108,14 +108,14 @@
 	Convey("An interruption after the first token is reported as such", t, func() {
 		var r mgdelivery.Receiver
 		attempt := r.Begin("g")
-		r.Frame(attempt, parseFrame("g1ab"))
-		d := r.Lost(attempt)
+		r.HandleFrame(attempt, parseFrame("g1ab"))
+		d := r.HandleLoss(attempt)
 		So(d.Problem().Kind(), ShouldEqual, mgproblem.Interrupted)
 		So(d.Problem().Detail(), ShouldContainSubstring, "2 tokens of generation g")
 		So(d.Cancel(), ShouldEqual, "g")
 		Convey("and no other generation can follow it", func() {
 			So(r.Begin("h"), ShouldEqual, 0)
-			So(r.Frame(0, parseFrame("h3c")).Action(), ShouldEqual, mgdelivery.Wait)
+			So(r.HandleFrame(0, parseFrame("h3c")).Action(), ShouldEqual, mgdelivery.Wait)
 		})
 	})
 }
@@ -127,11 +127,11 @@
 	Convey("Frames and losses of an older attempt do nothing", t, func() {
 		var r mgdelivery.Receiver
 		old := r.Begin("g")
-		So(r.Lost(old).Action(), ShouldEqual, mgdelivery.Elsewhere)
-		So(r.Frame(old, parseFrame("g1x")).Action(), ShouldEqual, mgdelivery.Wait)
+		So(r.HandleLoss(old).Action(), ShouldEqual, mgdelivery.StartOver)
+		So(r.HandleFrame(old, parseFrame("g1x")).Action(), ShouldEqual, mgdelivery.Wait)
 		attempt := r.Begin("h")
-		So(r.Frame(old, parseFrame("g1x")).Action(), ShouldEqual, mgdelivery.Wait)
-		So(r.Lost(old).Action(), ShouldEqual, mgdelivery.Wait)
-		So(r.Frame(attempt, parseFrame("h1y")).Tokens(), ShouldResemble, []string{"y"})
+		So(r.HandleFrame(old, parseFrame("g1x")).Action(), ShouldEqual, mgdelivery.Wait)
+		So(r.HandleLoss(old).Action(), ShouldEqual, mgdelivery.Wait)
+		So(r.HandleFrame(attempt, parseFrame("h1y")).Tokens(), ShouldResemble, []string{"y"})
 	})
 }
--- a/internal/request/mglength/estimator.go
+++ b/internal/request/mglength/estimator.go
@@ -99,7 +99,7 @@
 // Skip records how many tokens the answer had produced when it was first seen.
 // Reaching that length is no evidence, because answers that ended before were
 // never seen (left truncation).
-func (a *Answer) Skip(produced int) { a.passedBuckets = bucket(produced) }
+func (a *Answer) SkipTo(produced int) { a.passedBuckets = bucket(produced) }
 
 // Stop stops following an answer that was cut off.
 func (a *Answer) Stop() {
--- a/internal/request/mglimit/limits.go
+++ b/internal/request/mglimit/limits.go
@@ -26,18 +26,18 @@
 
 // A Word is the record of what a process knows of an upstream's limit, as processes
 // exchange it. Its ages are relative to the time at which it is sent, in ms, 0 or more.
-type Word struct {
-	Upstream string         `json:"upstream"`
-	Born     int64          `json:"born,omitempty"` // start of the upstream's incarnation, from the list
-	Rate     float64        `json:"rate"`           // requests a second
-	Named    mgclock.Millis `json:"named"`          // age of the last answer that named the rate
-	Ended    bool           `json:"ended,omitempty"`
+type Record struct {
+	Upstream         string         `json:"upstream"`
+	IncarnationStart int64          `json:"born,omitempty"` // start of the upstream's incarnation, from the list
+	Rate             float64        `json:"rate"`           // requests a second
+	Named            mgclock.Millis `json:"named"`          // age of the last answer that named the rate
+	Ended            bool           `json:"ended,omitempty"`
 	// Unnamed is the age of the last request whose answer named no rate, where Ended.
 	Unnamed mgclock.Millis `json:"unnamed,omitempty"`
 }
 
 // isValid reports whether another process's record can be used.
-func (w Word) isValid() bool {
+func (w Record) isValid() bool {
 	return w.Upstream != "" && w.Rate >= 0 && !math.IsNaN(w.Rate) && !math.IsInf(w.Rate, 0) && w.Named >= 0 && w.Unnamed >= 0
 }
 
@@ -65,7 +65,7 @@
 
 // Named records that an answer of an incarnation of an upstream named a rate, and reports
 // whether that changed the limit.
-func (s *Limits) Named(now mgclock.Millis, upstream string, born int64, rate float64) bool {
+func (s *Limits) RecordRate(now mgclock.Millis, upstream string, born int64, rate float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.update(now, upstream, born, func(l *limit) { l.setNamed(now, rate) })
@@ -73,7 +73,7 @@
 
 // Unnamed records that the answer to a request, sent at a time, named no rate, and reports
 // whether that changed the limit.
-func (s *Limits) Unnamed(now, sent mgclock.Millis, upstream string, born int64) bool {
+func (s *Limits) RecordNoRate(now, sent mgclock.Millis, upstream string, born int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := s.limits[upstream]
@@ -89,7 +89,7 @@
 
 // Take merges records of other processes. It returns those that changed a limit, and the
 // number of unusable ones.
-func (s *Limits) Take(now mgclock.Millis, records []Word) (updates []Word, unusable int) {
+func (s *Limits) Merge(now mgclock.Millis, records []Record) (updates []Record, unusable int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range records {
@@ -100,7 +100,7 @@
 		if s.limits[w.Upstream] == nil && w.Named >= unlistedTTL {
 			continue // dropped here, or about to be
 		}
-		isUpdate := s.update(now, w.Upstream, w.Born, func(l *limit) {
+		isUpdate := s.update(now, w.Upstream, w.IncarnationStart, func(l *limit) {
 			l.setNamed(now-w.Named, w.Rate)
 			if w.Ended {
 				l.setEnded(now - w.Unnamed - maxRecordDelay)
@@ -179,45 +179,45 @@
 }
 
 // Word returns the record of an upstream, or false where there is none.
-func (s *Limits) Word(now mgclock.Millis, upstream string) (Word, bool) {
+func (s *Limits) Record(now mgclock.Millis, upstream string) (Record, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.limits[upstream]
 	if l == nil {
-		return Word{}, false
+		return Record{}, false
 	}
 	return l.record(now, upstream), true
 }
 
 // Words returns all records, sorted by upstream.
-func (s *Limits) Words(now mgclock.Millis) []Word {
+func (s *Limits) Records(now mgclock.Millis) []Record {
 	return s.collect(now, func(*limit) bool { return true })
 }
 
 // News returns the records to be broadcast.
-func (s *Limits) News(now mgclock.Millis) []Word {
+func (s *Limits) RecentRecords(now mgclock.Millis) []Record {
 	return s.collect(now, func(l *limit) bool { return now < l.broadcastUntil })
 }
 
-func (s *Limits) collect(now mgclock.Millis, wanted func(l *limit) bool) []Word {
+func (s *Limits) collect(now mgclock.Millis, wanted func(l *limit) bool) []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var records []Word
+	var records []Record
 	for upstream, l := range s.limits {
 		if wanted(l) {
 			records = append(records, l.record(now, upstream))
 		}
 	}
-	slices.SortFunc(records, func(a, b Word) int { return strings.Compare(a.Upstream, b.Upstream) })
+	slices.SortFunc(records, func(a, b Record) int { return strings.Compare(a.Upstream, b.Upstream) })
 	return records
 }
 
-func (l *limit) record(now mgclock.Millis, upstream string) Word {
-	w := Word{
-		Upstream: upstream,
-		Born:     l.incarnationStart,
-		Rate:     l.rate,
-		Ended:    l.ended,
+func (l *limit) record(now mgclock.Millis, upstream string) Record {
+	w := Record{
+		Upstream:         upstream,
+		IncarnationStart: l.incarnationStart,
+		Rate:             l.rate,
+		Ended:            l.ended,
 		// The time may be ahead of now by the time for which a goroutine waited.
 		Named: max(now-l.lastNamed, 0),
 	}
@@ -238,7 +238,7 @@
 }
 
 // Forget drops the limits of upstreams that were last named long ago and aren't listed.
-func (s *Limits) Forget(now mgclock.Millis, listed func(upstream string) bool) {
+func (s *Limits) Prune(now mgclock.Millis, listed func(upstream string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	maps.DeleteFunc(s.limits, func(upstream string, l *limit) bool { return now >= l.lastNamed+unlistedTTL && !listed(upstream) })
--- a/internal/request/mglimit/permits.go
+++ b/internal/request/mglimit/permits.go
@@ -25,27 +25,27 @@
 )
 
 // A Part is the part of an upstream's limit that one granter grants.
-type Part struct {
+type Share struct {
 	rate     float64 // requests a second
 	granters float64 // approximate number of processes that grant parts
 }
 
 // PartOf returns the part of a limit that a granter grants, by the numbers of processes
 // that use it (own) and of all that may send to the upstream.
-func PartOf(rate float64, own, all int) Part {
+func ShareOf(rate float64, own, all int) Share {
 	all = max(all, 1)
 	own = min(max(own, 1), all)
-	return Part{
+	return Share{
 		rate:     max(rate, minRate) * float64(own) / float64(all),
 		granters: float64(all) / float64(own),
 	}
 }
 
 // Rate returns the part in requests a second.
-func (p Part) Rate() float64 { return p.rate }
+func (p Share) Rate() float64 { return p.rate }
 
 // An Ask is a request for a permit.
-type Ask struct {
+type PermitRequest struct {
 	Upstream string
 	Request  string
 	// Forced marks a request that is sent in any case, such as to the upstream that has its
@@ -68,7 +68,7 @@
 }
 
 // Take grants a permit, or returns the time until there may be one.
-func (p *Permits) Take(now mgclock.Millis, ask Ask, part Part) (wait mgclock.Millis, ok bool) {
+func (p *Permits) Take(now mgclock.Millis, ask PermitRequest, part Share) (wait mgclock.Millis, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.bucket(now, ask.Upstream, part)
@@ -84,14 +84,14 @@
 }
 
 // Left returns how many permits can be granted now.
-func (p *Permits) Left(now mgclock.Millis, upstream string, part Part) int {
+func (p *Permits) Available(now mgclock.Millis, upstream string, part Share) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(int(p.bucket(now, upstream, part).permits+1-wholePermit), 0)
 }
 
 // Reserve takes a permit for a request that was given a place and will ask for the permit.
-func (p *Permits) Reserve(now mgclock.Millis, upstream, request string, part Part) {
+func (p *Permits) Reserve(now mgclock.Millis, upstream, request string, part Share) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.bucket(now, upstream, part)
@@ -108,7 +108,7 @@
 }
 
 // bucket returns an upstream's bucket, refilled until now. It is called with mu held.
-func (p *Permits) bucket(now mgclock.Millis, upstream string, part Part) *bucket {
+func (p *Permits) bucket(now mgclock.Millis, upstream string, part Share) *bucket {
 	b := p.buckets[upstream]
 	if b == nil {
 		// A random level, so that granters that begin together have their first permits at
@@ -127,7 +127,7 @@
 }
 
 // refill adds the permits since the last call.
-func (b *bucket) refill(now mgclock.Millis, part Part) {
+func (b *bucket) refill(now mgclock.Millis, part Share) {
 	if now <= b.filledAt {
 		return
 	}
--- a/internal/request/mglimit/waits.go
+++ b/internal/request/mglimit/waits.go
@@ -13,13 +13,13 @@
 
 // Waits holds the upstreams for which no permit is available for a while. The zero Waits is
 // empty and ready for use by several goroutines.
-type Waits struct {
+type Backoffs struct {
 	mu    sync.Mutex
 	until map[string]mgclock.Millis
 }
 
 // Put records that there is no permit for an upstream until after a delay.
-func (w *Waits) Put(now mgclock.Millis, upstream string, delay mgclock.Millis) {
+func (w *Backoffs) Set(now mgclock.Millis, upstream string, delay mgclock.Millis) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.until == nil {
@@ -30,7 +30,7 @@
 
 // Left returns the time until a permit for an upstream may be asked for, 0 where that is
 // now.
-func (w *Waits) Left(now mgclock.Millis, upstream string) mgclock.Millis {
+func (w *Backoffs) Left(now mgclock.Millis, upstream string) mgclock.Millis {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	until, hasWait := w.until[upstream]
@@ -41,7 +41,7 @@
 }
 
 // Forget drops all upstreams except those for which keep is true.
-func (w *Waits) Forget(keep func(upstream string) bool) {
+func (w *Backoffs) Forget(keep func(upstream string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	maps.DeleteFunc(w.until, func(upstream string, _ mgclock.Millis) bool { return !keep(upstream) })
--- a/internal/request/mgload/fault.go
+++ b/internal/request/mgload/fault.go
@@ -38,7 +38,7 @@
 
 // Fault records that a request ended at an upstream without an answer of its own: no
 // connection, a reset, silence until the end, or bytes that aren't an answer.
-func (c *Count) Fault(now mgclock.Millis, upstream string) {
+func (c *Tracker) RecordFault(now mgclock.Millis, upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.faults == nil {
@@ -51,7 +51,7 @@
 }
 
 // Well records that an upstream answered.
-func (c *Count) Well(now mgclock.Millis, upstream string) {
+func (c *Tracker) RecordAnswer(now mgclock.Millis, upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f, known := c.faults[upstream]
@@ -70,7 +70,7 @@
 }
 
 // Faults returns the weights of the upstreams' faults, by upstream.
-func (c *Count) Faults(now mgclock.Millis) map[string]float64 {
+func (c *Tracker) Faults(now mgclock.Millis) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	weights := make(map[string]float64, len(c.faults))
--- a/internal/request/mgload/fault_test.go
+++ b/internal/request/mgload/fault_test.go
@@ -14,23 +14,23 @@
 func TestFailingEngineAttractsRequests(t *testing.T) {
 	Convey("Of two entries' requests to an engine", t, func() {
 		var hub Hub
-		var one, two Count
+		var one, two Tracker
 		exchange := func(now mgclock.Millis) float64 {
-			hub.Tell(now, "one", Report{Faults: one.Faults(now)})
-			hub.Tell(now, "two", Report{Faults: two.Faults(now)})
+			hub.Exchange(now, "one", Report{Faults: one.Faults(now)})
+			hub.Exchange(now, "two", Report{Faults: two.Faults(now)})
 			return hub.Others(now, "hub").Faults["engine"]
 		}
 		others := []float64{0, 0, 0, 0}
 		isExcluded := func(weight float64) bool { return Faulty(append(others, weight))(weight) }
 		Convey("one fault raises its cost", func() {
-			one.Fault(0, "engine")
+			one.RecordFault(0, "engine")
 			weight := exchange(0)
 			So(isExcluded(weight), ShouldBeFalse)
 			So(Cost(State{Faults: weight}, Query{}), ShouldBeGreaterThanOrEqualTo, Cost(State{}, Query{})+faultCost)
 		})
 		Convey("a fault of each excludes it for both", func() {
-			one.Fault(0, "engine")
-			two.Fault(100, "engine")
+			one.RecordFault(0, "engine")
+			two.RecordFault(100, "engine")
 			So(isExcluded(exchange(100)), ShouldBeTrue)
 			Convey("for some seconds", func() {
 				So(isExcluded(exchange(mgclock.Second)), ShouldBeTrue)
@@ -38,22 +38,22 @@
 				So(exchange(faultDecay*4), ShouldEqual, 0)
 			})
 			Convey("until it answers", func() {
-				one.Well(200, "engine")
+				one.RecordAnswer(200, "engine")
 				So(isExcluded(exchange(200)), ShouldBeFalse)
 			})
 		})
 		Convey("faults of a single caller's connection among many answers don't exclude it", func() {
 			for range 5 {
-				one.Fault(0, "engine")
-				one.Well(0, "engine")
+				one.RecordFault(0, "engine")
+				one.RecordAnswer(0, "engine")
 			}
 			So(isExcluded(exchange(0)), ShouldBeFalse)
 		})
 	})
 	Convey("An entry that is cut off doesn't exclude engines for all others", t, func() {
 		var hub Hub
-		hub.Tell(0, "cut", Report{
-			Rows:   map[string]Row{"a": {Runs: 1}},
+		hub.Exchange(0, "cut", Report{
+			Rows:   map[string]Load{"a": {Runs: 1}},
 			Faults: map[string]float64{"a": 2, "b": 2, "c": 2},
 		})
 		So(hub.Others(0, "hub").Faults, ShouldBeEmpty)
--- a/internal/request/mgload/load.go
+++ b/internal/request/mgload/load.go
@@ -7,15 +7,15 @@
 )
 
 // A Row is what was sent to an upstream and has not ended.
-type Row struct {
+type Load struct {
 	Runs    int // requests
 	Pending int // prompt tokens without a first event
 	Memory  int // tokens of prompts and expected outputs
 }
 
 // Add returns the sum of two rows.
-func (r Row) Add(o Row) Row {
-	return Row{
+func (r Load) Add(o Load) Load {
+	return Load{
 		Runs:    r.Runs + o.Runs,
 		Pending: r.Pending + o.Pending,
 		Memory:  r.Memory + o.Memory,
@@ -54,16 +54,16 @@
 
 // A State is what an entry knows of an upstream.
 type State struct {
-	Row    Row
-	Zone   string
-	Slow   float64 // additional time compared with others, ms for each token; see the function Slow
-	Faults float64 // weight of its faults; see Count.Faults
+	Row       Load
+	Zone      string
+	TokenCost float64 // additional time compared with others, ms for each token; see the function Slow
+	Faults    float64 // weight of its faults; see Count.Faults
 }
 
 // Cost returns the cost in ms of a request at an upstream.
 func Cost(s State, q Query) float64 {
 	r := s.Row
-	cost := float64(r.Pending)/ReadRate + RunCost*float64(r.Runs) + s.Slow*float64(q.Tokens) + faultCost*s.Faults
+	cost := float64(r.Pending)/ReadRate + RunCost*float64(r.Runs) + s.TokenCost*float64(q.Tokens) + faultCost*s.Faults
 	if lack := r.Memory + q.Memory - q.Capacity; q.Capacity > 0 && lack > 0 {
 		cost += missingTokenCost * float64(lack)
 		if q.Copy {
@@ -82,22 +82,22 @@
 
 // A Count is what one entry has sent. The zero Count is empty and ready for use by several
 // goroutines.
-type Count struct {
+type Tracker struct {
 	mu     sync.Mutex
-	rows   map[string]Row
+	rows   map[string]Load
 	paces  map[string]pace
 	faults map[string]fault
 }
 
 // Add adds delta, whose counts may be negative, to an upstream's row.
-func (c *Count) Add(upstream string, delta Row) {
+func (c *Tracker) Add(upstream string, delta Load) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.rows == nil {
-		c.rows = map[string]Row{}
+		c.rows = map[string]Load{}
 	}
 	row := c.rows[upstream].Add(delta)
-	if row == (Row{}) {
+	if row == (Load{}) {
 		delete(c.rows, upstream)
 		return
 	}
@@ -105,17 +105,17 @@
 }
 
 // Row returns an upstream's row.
-func (c *Count) Row(upstream string) Row {
+func (c *Tracker) Row(upstream string) Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rows[upstream]
 }
 
 // Rows returns a copy of all rows.
-func (c *Count) Rows() map[string]Row {
+func (c *Tracker) Rows() map[string]Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	rows := make(map[string]Row, len(c.rows))
+	rows := make(map[string]Load, len(c.rows))
 	for upstream, row := range c.rows {
 		rows[upstream] = row
 	}
@@ -125,7 +125,7 @@
 // A Report is what one entry, or several together, have sent to upstreams and measured of
 // them.
 type Report struct {
-	Rows   map[string]Row
+	Rows   map[string]Load
 	Paces  map[string]float64 // ms; see Count.Paces
 	Faults map[string]float64 // weights; see Count.Faults
 }
@@ -149,7 +149,7 @@
 
 // Tell stores an entry's report and returns the merged report of the others: the sum of
 // what they sent, and the mean of the paces that they measured.
-func (h *Hub) Tell(now mgclock.Millis, entry string, report Report) Report {
+func (h *Hub) Exchange(now mgclock.Millis, entry string, report Report) Report {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.markSeen(now, entry)
@@ -164,7 +164,7 @@
 }
 
 // Heard records that an entry uses this process as its hub.
-func (h *Hub) Heard(now mgclock.Millis, entry string) {
+func (h *Hub) MarkSeen(now mgclock.Millis, entry string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.markSeen(now, entry)
@@ -199,7 +199,7 @@
 // sumOthers merges the reports of all entries but one. It is called with mu held.
 func (h *Hub) sumOthers(now mgclock.Millis, entry string) Report {
 	others := Report{
-		Rows:   map[string]Row{},
+		Rows:   map[string]Load{},
 		Paces:  map[string]float64{},
 		Faults: map[string]float64{},
 	}
--- a/internal/request/mgload/load_test.go
+++ b/internal/request/mgload/load_test.go
@@ -20,23 +20,23 @@
 	}
 	cases := []struct {
 		name          string
-		better, worse Row
+		better, worse Load
 		zone, farther string
 	}{
 		{
 			name:   "fewer runs",
-			better: Row{Runs: 2, Memory: 8000},
-			worse:  Row{Runs: 3, Memory: 12000},
+			better: Load{Runs: 2, Memory: 8000},
+			worse:  Load{Runs: 3, Memory: 12000},
 		},
 		{
 			name:   "no prompt before it",
-			better: Row{Runs: 2, Memory: 8000},
-			worse:  Row{Runs: 1, Pending: 3000, Memory: 4000},
+			better: Load{Runs: 2, Memory: 8000},
+			worse:  Load{Runs: 1, Pending: 3000, Memory: 4000},
 		},
 		{
 			name:   "memory for it",
-			better: Row{Runs: 8, Memory: 28000},
-			worse:  Row{Runs: 5, Memory: 36000},
+			better: Load{Runs: 8, Memory: 28000},
+			worse:  Load{Runs: 5, Memory: 36000},
 		},
 		{
 			name:    "its own zone, all else alike",
@@ -51,7 +51,7 @@
 			})
 		}
 		Convey("A copy counts the transfer time between zones", func() {
-			near := Row{Runs: 1}
+			near := Load{Runs: 1}
 			moved := query
 			So(Cost(State{Row: near, Zone: "a"}, moved), ShouldBeGreaterThan, Cost(State{Zone: "b"}, moved))
 			moved.Copy = true
@@ -66,18 +66,18 @@
 		var h Hub
 		rows := func(n int) Report {
 			return Report{
-				Rows:  map[string]Row{"engine": {Runs: n}},
+				Rows:  map[string]Load{"engine": {Runs: n}},
 				Paces: map[string]float64{"engine": float64(n)},
 			}
 		}
-		So(h.Tell(0, "one", rows(1)).Rows, ShouldBeEmpty)
-		So(h.Tell(10, "two", rows(2)).Rows["engine"].Runs, ShouldEqual, 1)
-		So(h.Tell(20, "three", rows(4)).Rows["engine"].Runs, ShouldEqual, 3)
-		reply := h.Tell(30, "one", rows(8))
+		So(h.Exchange(0, "one", rows(1)).Rows, ShouldBeEmpty)
+		So(h.Exchange(10, "two", rows(2)).Rows["engine"].Runs, ShouldEqual, 1)
+		So(h.Exchange(20, "three", rows(4)).Rows["engine"].Runs, ShouldEqual, 3)
+		reply := h.Exchange(30, "one", rows(8))
 		So(reply.Rows["engine"].Runs, ShouldEqual, 6)
 		So(reply.Paces["engine"], ShouldEqual, 3)
 		Convey("and drops one that is silent", func() {
-			So(h.Tell(reportTTL+25, "one", rows(8)).Rows, ShouldBeEmpty)
+			So(h.Exchange(reportTTL+25, "one", rows(8)).Rows, ShouldBeEmpty)
 		})
 		Convey("whose paces are averaged with the entry's own", func() {
 			pace, ok := Pace(map[string]float64{"engine": 5}, reply.Paces, "engine")
@@ -88,11 +88,11 @@
 		})
 	})
 	Convey("A count without requests is empty", t, func() {
-		var c Count
-		c.Add("engine", Row{Runs: 1, Pending: 3000})
-		c.Add("engine", Row{Pending: -3000})
+		var c Tracker
+		c.Add("engine", Load{Runs: 1, Pending: 3000})
+		c.Add("engine", Load{Pending: -3000})
 		So(c.Row("engine").Runs, ShouldEqual, 1)
-		c.Add("engine", Row{Runs: -1})
+		c.Add("engine", Load{Runs: -1})
 		So(c.Rows(), ShouldBeEmpty)
 	})
 }
@@ -114,7 +114,7 @@
 	const entries, engines, step = 5, 12, mgclock.Millis(200)
 	r := rand.New(rand.NewPCG(1, 2))
 	var hub Hub
-	counts := make([]Count, entries)
+	counts := make([]Tracker, entries)
 	others := make([]Report, entries)
 	type end struct {
 		at     mgclock.Millis
@@ -130,12 +130,12 @@
 				kept = append(kept, e)
 				continue
 			}
-			counts[e.entry].Add(e.engine, Row{Runs: -1})
+			counts[e.entry].Add(e.engine, Load{Runs: -1})
 		}
 		running = kept
 		if usesHub {
 			for i := range counts {
-				others[i] = hub.Tell(at, fmt.Sprint(i), Report{Rows: counts[i].Rows()})
+				others[i] = hub.Exchange(at, fmt.Sprint(i), Report{Rows: counts[i].Rows()})
 			}
 		}
 		entry, best, least := r.IntN(entries), "", 0.0
@@ -146,7 +146,7 @@
 				best, least = engine, cost
 			}
 		}
-		counts[entry].Add(best, Row{Runs: 1})
+		counts[entry].Add(best, Load{Runs: 1})
 		running = append(running, end{
 			at:     at + 7000 + mgclock.Millis(r.IntN(2000)),
 			entry:  entry,
--- a/internal/request/mgload/pace.go
+++ b/internal/request/mgload/pace.go
@@ -31,7 +31,7 @@
 
 // Paced records the time that an upstream took for each of some tokens of a stream, or for
 // a call.
-func (c *Count) Paced(now mgclock.Millis, upstream string, each float64) {
+func (c *Tracker) RecordPace(now mgclock.Millis, upstream string, each float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.paces == nil {
@@ -47,7 +47,7 @@
 }
 
 // Paces returns the upstreams' recently measured paces, in ms.
-func (c *Count) Paces(now mgclock.Millis) map[string]float64 {
+func (c *Tracker) Paces(now mgclock.Millis) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := make(map[string]float64, len(c.paces))
@@ -64,7 +64,7 @@
 // Slow returns a function from an upstream's pace to the ms for each token, or call, by
 // which it is slower than the median of the given paces. It returns 0 for upstreams that
 // aren't slow, and for all where too few paces are known.
-func Slow(paces []float64) func(pace float64) float64 {
+func SlowPenalty(paces []float64) func(pace float64) float64 {
 	if len(paces) < minKnownPaces {
 		return func(float64) float64 { return 0 }
 	}
--- a/internal/request/mgmigration/model_test.go
+++ b/internal/request/mgmigration/model_test.go
@@ -104,14 +104,14 @@
 func (w *world) call() error {
 	switch step := w.move.Step(); {
 	case step == Wait:
-		w.move.Waited()
+		w.move.EndWait()
 	case step == Stop, w.broken == stopsBeforeCopy:
 		if step == Copy && w.source == running {
 			return errPause
 		}
-		w.move.Take(w.stop())
+		w.move.HandleReply(w.stop())
 	case step == Copy:
-		w.move.Take(w.copy())
+		w.move.HandleReply(w.copy())
 	}
 	if w.broken == resumesEarly && len(w.move.Places()) > 0 && w.source == running {
 		return w.resume(w.move.Places()[0])
@@ -126,7 +126,7 @@
 	case w.source != running:
 		return failedReply(Absent)
 	case w.destinationGone:
-		return failedReply(NoRoom)
+		return failedReply(NoCapacity)
 	}
 	if w.choose(4) == 1 {
 		return failedReply(Busy)
@@ -154,7 +154,7 @@
 	w.sourceCopies[handle] = true
 	reply := copiedReply(handle)
 	if w.destinationGone {
-		reply.Outcome = NoRoom
+		reply.Outcome = NoCapacity
 	} else {
 		w.destinationCopies[handle] = true
 	}
--- a/internal/request/mgmigration/move.go
+++ b/internal/request/mgmigration/move.go
@@ -14,7 +14,7 @@
 	// Busy: another call for the run is in progress.
 	Busy
 	// NoRoom: the destination has no capacity or can't be reached.
-	NoRoom
+	NoCapacity
 	// Lost: no reply. The call may have been carried out.
 	Lost
 )
@@ -28,7 +28,7 @@
 		return "absent"
 	case Busy:
 		return "busy"
-	case NoRoom:
+	case NoCapacity:
 		return "noroom"
 	case Lost:
 		return "lost"
@@ -62,7 +62,7 @@
 	// RetrySpan is the delay before the next try when the run was absent or busy,
 	// or no destination had capacity: about the time of one decoding step and its
 	// network path.
-	RetrySpan = 40 * mgclock.Millis(1)
+	RetryDelay = 40 * mgclock.Millis(1)
 	// maxWaits bounds these delays. A run that has not begun after two seconds is
 	// queued behind others on an engine that is about to leave.
 	maxWaits = 50
@@ -101,14 +101,14 @@
 func (m *Move) Stopped() bool { return m.stopped }
 
 // Waited ends a Wait step.
-func (m *Move) Waited() {
+func (m *Move) EndWait() {
 	if m.step == Wait {
 		m.step = Copy
 	}
 }
 
 // Take updates the move with the source's reply to the current step.
-func (m *Move) Take(r Reply) {
+func (m *Move) HandleReply(r Reply) {
 	switch m.Step() {
 	case Copy:
 		m.handleCopyReply(r)
@@ -125,7 +125,7 @@
 		m.handle = r.Handle
 		m.copyUsable = true
 		m.step = Stop
-	case NoRoom:
+	case NoCapacity:
 		m.noRoomCount++
 		m.step = Copy
 		if m.noRoomCount%triesBeforePause == 0 {
@@ -158,7 +158,7 @@
 	case Copied:
 		m.handle = r.Handle
 		m.stopped = true
-	case NoRoom:
+	case NoCapacity:
 		// The last copy failed, and the destination's older copy may be lost with it.
 		// The source keeps the run's memory under the new handle.
 		if r.Handle != "" {
--- a/internal/request/mgmigration/move_test.go
+++ b/internal/request/mgmigration/move_test.go
@@ -49,12 +49,12 @@
 		},
 		{
 			name:    "tries another destination while nothing is lost",
-			replies: []Reply{failedReply(NoRoom), failedReply(Lost)},
+			replies: []Reply{failedReply(NoCapacity), failedReply(Lost)},
 			step:    Copy,
 		},
 		{
 			name:    "pauses after three destinations without capacity, where some will be free soon",
-			replies: []Reply{failedReply(NoRoom), failedReply(NoRoom), failedReply(NoRoom)},
+			replies: []Reply{failedReply(NoCapacity), failedReply(NoCapacity), failedReply(NoCapacity)},
 			step:    Wait,
 		},
 		{
@@ -75,7 +75,7 @@
 		{
 			name: "resumes at the source when the last copy failed",
 			replies: []Reply{copiedReply("a"), {
-				Outcome: NoRoom,
+				Outcome: NoCapacity,
 				Handle:  "b",
 			}},
 			step:   Done,
@@ -101,7 +101,7 @@
 			Convey(c.name, func() {
 				var m Move
 				for _, reply := range c.replies {
-					m.Take(reply)
+					m.HandleReply(reply)
 				}
 				So(m.Step(), ShouldEqual, c.step)
 				So(m.Places(), ShouldResemble, c.places)
@@ -109,12 +109,12 @@
 			})
 		}
 		Convey("waits for a bounded time", func() {
-			for _, outcome := range []Outcome{Absent, Busy, NoRoom} {
+			for _, outcome := range []Outcome{Absent, Busy, NoCapacity} {
 				var m Move
 				for n := 0; m.Step() != Done; n++ {
 					So(n, ShouldBeLessThan, (triesBeforePause+1)*maxWaits)
-					m.Take(failedReply(outcome))
-					m.Waited()
+					m.HandleReply(failedReply(outcome))
+					m.EndWait()
 				}
 				So(m.Places(), ShouldBeEmpty)
 			}
--- a/internal/request/mgmigration/order.go
+++ b/internal/request/mgmigration/order.go
@@ -4,11 +4,11 @@
 
 // A Run describes a generation that runs at a source.
 type Run struct {
-	Prompt  int            // tokens
-	Output  int            // expected total of output tokens, 0 if unknown
-	Made    int            // output tokens so far
-	Running mgclock.Millis // since its first token
-	Resumes bool           // it can resume elsewhere without a copy
+	Prompt         int            // tokens
+	ExpectedOutput int            // expected total of output tokens, 0 if unknown
+	Generated      int            // output tokens so far
+	Elapsed        mgclock.Millis // since its first token
+	CanResume      bool           // it can resume elsewhere without a copy
 }
 
 // minRemainingTime is the expected remaining time below which a run stays where
@@ -22,17 +22,17 @@
 const minRemainingRatio = 0.25
 
 // Left returns the expected number of remaining output tokens.
-func (r Run) Left() int {
-	return max(r.Output-r.Made, int(minRemainingRatio*float64(r.Made)))
+func (r Run) RemainingTokens() int {
+	return max(r.ExpectedOutput-r.Generated, int(minRemainingRatio*float64(r.Generated)))
 }
 
 // Ends returns the expected remaining time at the run's own pace, or false
 // while it has no pace yet.
-func (r Run) Ends() (mgclock.Millis, bool) {
-	if r.Made == 0 || r.Running <= 0 {
+func (r Run) RemainingTime() (mgclock.Millis, bool) {
+	if r.Generated == 0 || r.Elapsed <= 0 {
 		return 0, false
 	}
-	return mgclock.Millis(float64(r.Left()) * float64(r.Running) / float64(r.Made)), true
+	return mgclock.Millis(float64(r.RemainingTokens()) * float64(r.Elapsed) / float64(r.Generated)), true
 }
 
 // outputWeight is how many prompt tokens one output token counts for. Engines
@@ -44,12 +44,12 @@
 // first. A run that can resume without its copy, or that ends soon by itself,
 // gains least from a move. Of the others, those go first that would lose the
 // most work per unit of copy time.
-func (r Run) Worth() float64 {
-	if r.Resumes {
+func (r Run) Benefit() float64 {
+	if r.CanResume {
 		return 0
 	}
-	benefit := float64(r.Prompt+outputWeight*(r.Made+r.Left())) / float64(r.Prompt+r.Made+1)
-	if remaining, known := r.Ends(); known && remaining < minRemainingTime {
+	benefit := float64(r.Prompt+outputWeight*(r.Generated+r.RemainingTokens())) / float64(r.Prompt+r.Generated+1)
+	if remaining, known := r.RemainingTime(); known && remaining < minRemainingTime {
 		return benefit / nearEndDivisor
 	}
 	return 1 + benefit
--- a/internal/request/mgmigration/order_test.go
+++ b/internal/request/mgmigration/order_test.go
@@ -13,27 +13,27 @@
 	Convey("Runs are moved in the order of the work that they would lose", t, func() {
 		runs := map[string]Run{
 			"begun long ago, much to come": {
-				Prompt:  3000,
-				Output:  2000,
-				Made:    800,
-				Running: 6400,
+				Prompt:         3000,
+				ExpectedOutput: 2000,
+				Generated:      800,
+				Elapsed:        6400,
 			},
 			"just begun": {
-				Prompt: 3000,
-				Output: 900,
+				Prompt:         3000,
+				ExpectedOutput: 900,
 			},
 			"ends in a moment": {
-				Prompt:  3000,
-				Output:  900,
-				Made:    890,
-				Running: 7000,
+				Prompt:         3000,
+				ExpectedOutput: 900,
+				Generated:      890,
+				Elapsed:        7000,
 			},
 			"may go on without a copy": {
-				Prompt:  3000,
-				Output:  2000,
-				Made:    10,
-				Running: 80,
-				Resumes: true,
+				Prompt:         3000,
+				ExpectedOutput: 2000,
+				Generated:      10,
+				Elapsed:        80,
+				CanResume:      true,
 			},
 		}
 		var names []string
@@ -41,7 +41,7 @@
 			names = append(names, name)
 		}
 		slices.SortFunc(names, func(a, b string) int {
-			if runs[a].Worth() > runs[b].Worth() {
+			if runs[a].Benefit() > runs[b].Benefit() {
 				return -1
 			}
 			return 1
@@ -55,19 +55,19 @@
 	})
 	Convey("A run that exceeds its expected length has more to come", t, func() {
 		r := Run{
-			Output:  100,
-			Made:    1000,
-			Running: 8000,
+			ExpectedOutput: 100,
+			Generated:      1000,
+			Elapsed:        8000,
 		}
-		So(r.Left(), ShouldEqual, 250)
-		ends, known := r.Ends()
+		So(r.RemainingTokens(), ShouldEqual, 250)
+		ends, known := r.RemainingTime()
 		So(known, ShouldBeTrue)
 		So(ends, ShouldEqual, 2000)
 	})
 	Convey("A run without a token has no pace", t, func() {
 		_, known := Run{
-			Output: 100,
-		}.Ends()
+			ExpectedOutput: 100,
+		}.RemainingTime()
 		So(known, ShouldBeFalse)
 	})
 }
--- a/internal/request/mgmigration/turns.go
+++ b/internal/request/mgmigration/turns.go
@@ -22,20 +22,20 @@
 )
 
 // An Ask requests the slot to move a run away from its source.
-type Ask struct {
-	Source string
-	Run    string
-	Worth  float64 // benefit of moving it now, see Run.Worth
-	Places []Spot  // candidate destinations
+type SlotRequest struct {
+	Source       string
+	Run          string
+	Benefit      float64       // benefit of moving it now, see Run.Worth
+	Destinations []Destination // candidate destinations
 }
 
 // A Spot is a candidate destination: the upstream's name, the cost of placing
 // the run there in ms (see mgload.Cost), and the time in ms that the copy
 // occupies the source's link.
-type Spot struct {
-	Name string
-	Cost float64
-	Span float64
+type Destination struct {
+	Name     string
+	Cost     float64
+	CopyTime float64
 }
 
 // Turns assigns each source's migration slot to one of its runs at a time, and
@@ -49,7 +49,7 @@
 //
 // Correctness doesn't depend on it: an entry that gets no reply moves its runs
 // all the same. The zero Turns is ready for use by several goroutines.
-type Turns struct {
+type Slots struct {
 	mu      sync.Mutex
 	sources map[string]*sourceState
 	grants  map[string][]mgclock.Millis // times of recent grants by destination
@@ -70,12 +70,12 @@
 
 // Ask returns the run's destination if the run gets or holds the slot now, else
 // false.
-func (t *Turns) Ask(now mgclock.Millis, a Ask) (place string, ok bool) {
+func (t *Slots) Acquire(now mgclock.Millis, a SlotRequest) (place string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.stateOf(a.Source)
 	s.waiting[a.Run] = waiter{
-		benefit: a.Worth,
+		benefit: a.Benefit,
 		expires: now + requestTTL,
 	}
 	if s.holder != "" && s.holder != a.Run && now < s.expires {
@@ -97,7 +97,7 @@
 }
 
 // End releases the slot if the run holds it, and withdraws the run's request.
-func (t *Turns) End(source, run string) {
+func (t *Slots) Release(source, run string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.sources[source]
@@ -114,7 +114,7 @@
 	}
 }
 
-func (t *Turns) stateOf(name string) *sourceState {
+func (t *Slots) stateOf(name string) *sourceState {
 	if t.sources == nil {
 		t.sources = map[string]*sourceState{}
 		t.grants = map[string][]mgclock.Millis{}
@@ -159,13 +159,13 @@
 
 // chooseDestination returns the destination of least cost; among equal ones the
 // first.
-func (t *Turns) chooseDestination(now mgclock.Millis, a Ask) string {
+func (t *Slots) chooseDestination(now mgclock.Millis, a SlotRequest) string {
 	best, minCost := "", 0.0
 	// A longer copy holds up all runs that wait for the link, and their source may
 	// be reclaimed meanwhile.
 	others := float64(len(t.stateOf(a.Source).waiting) - 1)
-	for _, spot := range a.Places {
-		cost := spot.Cost + mgload.RunCost*float64(t.recentGrants(now, spot.Name)) + (others+copyTimeCost)*spot.Span
+	for _, spot := range a.Destinations {
+		cost := spot.Cost + mgload.RunCost*float64(t.recentGrants(now, spot.Name)) + (others+copyTimeCost)*spot.CopyTime
 		if t.receivesFromOther(now, spot.Name, a.Source) {
 			cost += busyDestinationCost
 		}
@@ -178,7 +178,7 @@
 
 // recentGrants returns how many grants a destination got within grantWindow,
 // and drops the older ones.
-func (t *Turns) recentGrants(now mgclock.Millis, place string) int {
+func (t *Slots) recentGrants(now mgclock.Millis, place string) int {
 	kept := t.grants[place][:0]
 	for _, granted := range t.grants[place] {
 		if now < granted+grantWindow {
@@ -195,7 +195,7 @@
 
 // receivesFromOther reports whether a destination receives a copy from another
 // source now.
-func (t *Turns) receivesFromOther(now mgclock.Millis, place, source string) bool {
+func (t *Slots) receivesFromOther(now mgclock.Millis, place, source string) bool {
 	for name, s := range t.sources {
 		if name != source && s.destination == place && now < s.expires {
 			return true
--- a/internal/request/mgmigration/turns_test.go
+++ b/internal/request/mgmigration/turns_test.go
@@ -9,16 +9,16 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-func ask(source, run string, worth float64, places ...string) Ask {
-	var spots []Spot
+func ask(source, run string, worth float64, places ...string) SlotRequest {
+	var spots []Destination
 	for _, place := range places {
-		spots = append(spots, Spot{Name: place})
+		spots = append(spots, Destination{Name: place})
 	}
-	return Ask{
-		Source: source,
-		Run:    run,
-		Worth:  worth,
-		Places: spots,
+	return SlotRequest{
+		Source:       source,
+		Run:          run,
+		Benefit:      worth,
+		Destinations: spots,
 	}
 }
 
@@ -26,88 +26,88 @@
 // others, and each stopped run stands still until all of them are done.
 func TestCopiesShareSourceLink(t *testing.T) {
 	Convey("Runs of one source", t, func() {
-		var turns Turns
-		place, ok := turns.Ask(0, ask("s", "one", 10, "d", "e"))
+		var turns Slots
+		place, ok := turns.Acquire(0, ask("s", "one", 10, "d", "e"))
 		So(ok, ShouldBeTrue)
 		So(place, ShouldEqual, "d")
 		Convey("get the slot one at a time", func() {
-			_, ok := turns.Ask(1, ask("s", "two", 500, "d", "e"))
+			_, ok := turns.Acquire(1, ask("s", "two", 500, "d", "e"))
 			So(ok, ShouldBeFalse)
-			turns.End("s", "one")
-			place, ok := turns.Ask(2, ask("s", "two", 500, "d", "e"))
+			turns.Release("s", "one")
+			place, ok := turns.Acquire(2, ask("s", "two", 500, "d", "e"))
 			So(ok, ShouldBeTrue)
 			So(place, ShouldEqual, "e")
 		})
 		Convey("keep the slot while they request another destination", func() {
-			place, ok := turns.Ask(1, ask("s", "one", 10, "e"))
+			place, ok := turns.Acquire(1, ask("s", "one", 10, "e"))
 			So(ok, ShouldBeTrue)
 			So(place, ShouldEqual, "e")
 		})
 		Convey("get the slot in the order of benefit", func() {
-			turns.Ask(1, ask("s", "small", 20, "d"))
-			turns.Ask(1, ask("s", "large", 9000, "d"))
-			turns.End("s", "one")
-			_, ok := turns.Ask(2, ask("s", "small", 20, "d"))
+			turns.Acquire(1, ask("s", "small", 20, "d"))
+			turns.Acquire(1, ask("s", "large", 9000, "d"))
+			turns.Release("s", "one")
+			_, ok := turns.Acquire(2, ask("s", "small", 20, "d"))
 			So(ok, ShouldBeFalse)
-			_, ok = turns.Ask(2, ask("s", "large", 9000, "d"))
+			_, ok = turns.Acquire(2, ask("s", "large", 9000, "d"))
 			So(ok, ShouldBeTrue)
 		})
 		Convey("are not blocked by a holder that died", func() {
-			_, ok := turns.Ask(slotTimeout, ask("s", "two", 500, "d"))
+			_, ok := turns.Acquire(slotTimeout, ask("s", "two", 500, "d"))
 			So(ok, ShouldBeTrue)
 		})
 		Convey("are not blocked by a waiting run whose entry died", func() {
-			turns.Ask(1, ask("s", "large", 9000, "d"))
-			turns.End("s", "one")
-			_, ok := turns.Ask(requestTTL+2, ask("s", "two", 500, "d"))
+			turns.Acquire(1, ask("s", "large", 9000, "d"))
+			turns.Release("s", "one")
+			_, ok := turns.Acquire(requestTTL+2, ask("s", "two", 500, "d"))
 			So(ok, ShouldBeTrue)
 		})
 		Convey("of another source don't wait for them, and get another destination", func() {
-			place, ok := turns.Ask(1, ask("other", "two", 10, "d", "e"))
+			place, ok := turns.Acquire(1, ask("other", "two", 10, "d", "e"))
 			So(ok, ShouldBeTrue)
 			So(place, ShouldEqual, "e")
 		})
 		Convey("leave no state behind", func() {
-			turns.End("s", "one")
+			turns.Release("s", "one")
 			So(len(turns.sources), ShouldEqual, 0)
 		})
 	})
 	Convey("Many runs spread over the destinations", t, func() {
-		var turns Turns
+		var turns Slots
 		got := map[string]int{}
 		for n := range 12 {
 			run := fmt.Sprint(n)
-			place, ok := turns.Ask(mgclock.Millis(n), ask("s", run, 1, "d", "e", "f"))
+			place, ok := turns.Acquire(mgclock.Millis(n), ask("s", run, 1, "d", "e", "f"))
 			So(ok, ShouldBeTrue)
 			got[place]++
-			turns.End("s", run)
+			turns.Release("s", run)
 		}
 		So(got, ShouldResemble, map[string]int{"d": 4, "e": 4, "f": 4})
 	})
 	Convey("A loaded destination is granted less often", t, func() {
-		var turns Turns
+		var turns Slots
 		a := ask("s", "one", 1, "crowded", "free")
-		a.Places[0].Cost = 500
-		place, _ := turns.Ask(0, a)
+		a.Destinations[0].Cost = 500
+		place, _ := turns.Acquire(0, a)
 		So(place, ShouldEqual, "free")
 	})
 	Convey("Where others wait for the link, a destination with a shorter copy is chosen", t, func() {
 		a := ask("s", "one", 9, "far", "near")
-		a.Places[0].Span = 380
-		a.Places[1].Span = 190
-		a.Places[1].Cost = 700
-		var alone, crowded Turns
-		place, _ := alone.Ask(0, a)
+		a.Destinations[0].CopyTime = 380
+		a.Destinations[1].CopyTime = 190
+		a.Destinations[1].Cost = 700
+		var alone, crowded Slots
+		place, _ := alone.Acquire(0, a)
 		So(place, ShouldEqual, "far")
 		for n := range 4 {
-			crowded.Ask(0, ask("s", fmt.Sprint("waits", n), 1))
+			crowded.Acquire(0, ask("s", fmt.Sprint("waits", n), 1))
 		}
-		place, _ = crowded.Ask(0, a)
+		place, _ = crowded.Acquire(0, a)
 		So(place, ShouldEqual, "near")
 	})
 	Convey("A run without a destination gets no slot", t, func() {
-		var turns Turns
-		_, ok := turns.Ask(0, ask("s", "one", 1))
+		var turns Slots
+		_, ok := turns.Acquire(0, ask("s", "one", 1))
 		So(ok, ShouldBeFalse)
 	})
 }
@@ -117,20 +117,20 @@
 // engine is gone before it ends: the run is cut.
 func TestLastRunCopiedTooFar(t *testing.T) {
 	Convey("A run that no other waits behind goes where its copy is shorter", t, func() {
-		var turns Turns
-		place, ok := turns.Ask(0, Ask{
+		var turns Slots
+		place, ok := turns.Acquire(0, SlotRequest{
 			Source: "s",
 			Run:    "last",
-			Places: []Spot{
+			Destinations: []Destination{
 				{
-					Name: "far",
-					Cost: 190,
-					Span: 400,
+					Name:     "far",
+					Cost:     190,
+					CopyTime: 400,
 				},
 				{
-					Name: "near",
-					Cost: 330, // three more runs than far
-					Span: 200,
+					Name:     "near",
+					Cost:     330, // three more runs than far
+					CopyTime: 200,
 				},
 			},
 		})
--- a/internal/request/mgoperation/key.go
+++ b/internal/request/mgoperation/key.go
@@ -40,7 +40,7 @@
 // the list; nor does a time inside the key, because the agent on the other side
 // of the partition may be as old. Only a minted ID names the one process that
 // has the record.
-func Weigh(seal *mgseal.Signer, spec KeySpec) (Promise, Operation, error) {
+func PromiseFor(seal *mgseal.Signer, spec KeySpec) (Promise, Operation, error) {
 	if spec.Idempotent {
 		return Repeatable, Operation{}, nil
 	}
@@ -49,7 +49,7 @@
 	}
 	operation, err := Open(seal, spec.Account, spec.Service, spec.Key)
 	if err != nil {
-		return Single, Operation{}, mgproblem.New(mgproblem.Unpromisable, mgproblem.NotRun,
+		return Single, Operation{}, mgproblem.New(mgproblem.GuaranteeUnavailable, mgproblem.NotRun,
 			"no key but a minted one keeps this service's calls from running twice",
 			"mint an operation id first and send it as the Idempotency-Key")
 	}
--- a/internal/request/mgoperation/ledger_test.go
+++ b/internal/request/mgoperation/ledger_test.go
@@ -186,7 +186,7 @@
 	Convey("An id opens for its account and service only", t, func() {
 		for _, c := range [][3]string{{"tankline", "submit", id}, {"cooperativa", "status", id}, {"cooperativa", "submit", id + "A"}} {
 			_, err := mgoperation.Open(&seal, c[0], c[1], c[2])
-			So(mgproblem.From(err).Kind(), ShouldEqual, mgproblem.Missing)
+			So(mgproblem.From(err).Kind(), ShouldEqual, mgproblem.NotFound)
 		}
 	})
 }
@@ -213,7 +213,7 @@
 	Convey("The guarantee for each key", t, func() {
 		for _, c := range cases {
 			Convey(c[0], func() {
-				promise, _, err := mgoperation.Weigh(&seal, mgoperation.KeySpec{
+				promise, _, err := mgoperation.PromiseFor(&seal, mgoperation.KeySpec{
 					Account:    "tankline",
 					Service:    "ticket",
 					Key:        c[1],
--- a/internal/request/mgoperation/model_test.go
+++ b/internal/request/mgoperation/model_test.go
@@ -195,7 +195,7 @@
 		w.queued = append(w.queued, m.id)
 	case Refuse:
 		w.attest(m.id, v.Problem().Outcome())
-		if w.broken == refusalForgotten && v.Problem().Kind() == mgproblem.Late {
+		if w.broken == refusalForgotten && v.Problem().Kind() == mgproblem.DeadlineExceeded {
 			delete(w.ledger.records, m.id)
 		}
 	}
--- a/internal/request/mgoperation/operation.go
+++ b/internal/request/mgoperation/operation.go
@@ -99,7 +99,7 @@
 }
 
 func problemMissing() error {
-	return mgproblem.New(mgproblem.Missing, mgproblem.Unknown,
+	return mgproblem.New(mgproblem.NotFound, mgproblem.Unknown,
 		"no such operation for this account and service",
 		"use the id as it was minted, with the key of the account that asked")
 }
--- a/internal/request/mgoperation/problem.go
+++ b/internal/request/mgoperation/problem.go
@@ -29,13 +29,13 @@
 }
 
 func problemFull() *mgproblem.Problem {
-	return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
+	return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
 		"the record of operations is full",
-		"come back later with a new id").WithRetry(DefaultLinger)
+		"come back later with a new id").WithRetryAfter(DefaultLinger)
 }
 
 func problemDeadline() *mgproblem.Problem {
-	return mgproblem.New(mgproblem.Late, mgproblem.NotRun,
+	return mgproblem.New(mgproblem.DeadlineExceeded, mgproblem.NotRun,
 		"its deadline passed before it ran",
 		"allow more time, or come back when the service is less busy")
 }
--- a/internal/request/mgquarantine/age_test.go
+++ b/internal/request/mgquarantine/age_test.go
@@ -13,8 +13,8 @@
 // A record that arrives on a faster path than the one before it has a smaller age bound. It
 // must be merged and forwarded at once all the same.
 func TestRecordOnFasterPathIsNotForwarded(t *testing.T) {
-	newRecord := func(number uint64, seen mgclock.Millis) Note {
-		return Note{
+	newRecord := func(number uint64, seen mgclock.Millis) Record {
+		return Record{
 			Origin:   "a",
 			Number:   number,
 			Digest:   DigestOf("account", "host", "/path", []byte("body")).String(),
@@ -24,22 +24,22 @@
 	}
 	Convey("Two records of an origin, seen half a second apart", t, func() {
 		b := New("b", nil)
-		So(b.Take(10400, []Note{newRecord(1, 10000)}), ShouldBeEmpty)
-		So(b.Take(10501, []Note{newRecord(2, 10500)}), ShouldBeEmpty)
+		So(b.Merge(10400, []Record{newRecord(1, 10000)}), ShouldBeEmpty)
+		So(b.Merge(10501, []Record{newRecord(2, 10500)}), ShouldBeEmpty)
 		Convey("are both forwarded and merged over two more hops", func() {
 			for now := mgclock.Millis(10501); now < 11100; now += 50 {
 				c, d := New("c", nil), New("d", nil)
-				sent := b.Lacking(now, nil)
+				sent := b.MissingRecords(now, nil)
 				So(len(sent), ShouldEqual, 2)
-				So(c.Take(now+3, sent), ShouldBeEmpty)
-				So(d.Take(now+6, c.Lacking(now+5, nil)), ShouldBeEmpty)
-				So(len(d.Lacking(now+6, nil)), ShouldEqual, 2)
+				So(c.Merge(now+3, sent), ShouldBeEmpty)
+				So(d.Merge(now+6, c.MissingRecords(now+5, nil)), ShouldBeEmpty)
+				So(len(d.MissingRecords(now+6, nil)), ShouldEqual, 2)
 			}
 		})
 		Convey("keep their order and distance", func() {
-			sent := b.Lacking(10600, nil)
+			sent := b.MissingRecords(10600, nil)
 			c := New("c", nil)
-			c.Take(10600, sent)
+			c.Merge(10600, sent)
 			So(len(c.records), ShouldEqual, 2)
 			at := map[uint64]mgclock.Millis{}
 			for id, stored := range c.records {
@@ -59,29 +59,29 @@
 		first := New("a", nil)
 		digest := DigestOf("account", "host", "/path", nil)
 		seen := map[uint64]mgclock.Millis{}
-		var sent []Note
+		var sent []Record
 		for number := uint64(1); number <= 4; number++ {
-			first.Crashed(now, Crash{
+			first.RecordCrash(now, Crash{
 				Digest:   digest,
 				Upstream: "engine",
 			})
 			seen[number] = now
 			now += mgclock.Millis(delayRange.Draw(t, "pause"))
 		}
-		sent = first.Lacking(now, nil)
+		sent = first.MissingRecords(now, nil)
 		for hop := range 3 {
 			next := New(string(rune('b'+hop)), nil)
 			ages := map[uint64]mgclock.Millis{}
-			slices.SortFunc(sent, func(a, b Note) int { return int(a.Number) - int(b.Number) })
+			slices.SortFunc(sent, func(a, b Record) int { return int(a.Number) - int(b.Number) })
 			for _, record := range sent {
 				ages[record.Number] = record.Age
 				now += mgclock.Millis(delayRange.Draw(t, "delay"))
-				if invalid := next.Take(now, []Note{record}); len(invalid) > 0 {
+				if invalid := next.Merge(now, []Record{record}); len(invalid) > 0 {
 					t.Fatalf("hop %d: %v", hop, invalid)
 				}
 			}
 			now += mgclock.Millis(delayRange.Draw(t, "stored"))
-			sent = next.Lacking(now, nil)
+			sent = next.MissingRecords(now, nil)
 			for _, record := range sent {
 				if record.Age < ages[record.Number] || record.Age > now-seen[record.Number] {
 					t.Fatalf("hop %d: record %d, %d ms old, was sent with age %d ms, now with %d", hop, record.Number,
--- a/internal/request/mgquarantine/bench_test.go
+++ b/internal/request/mgquarantine/bench_test.go
@@ -25,14 +25,14 @@
 						upstream: fmt.Sprint("engine-", i),
 						sent:     at - 500,
 					}})
-					q.Take(at, other.Lacking(at, nil))
+					q.Merge(at, other.MissingRecords(at, nil))
 				}
 			}
 			now := mgclock.Millis(1000 * (count + 1))
 			b.ResetTimer()
 			for range b.N {
 				now += 10
-				q.Crashed(now, mgquarantine.Crash{
+				q.RecordCrash(now, mgquarantine.Crash{
 					Digest:   digestOf("bad"),
 					Upstream: "engine",
 					Begun:    true,
--- a/internal/request/mgquarantine/exchange.go
+++ b/internal/request/mgquarantine/exchange.go
@@ -6,7 +6,7 @@
 
 // Take merges records of other processes. Records that can't be used are skipped, and
 // returned with the reason.
-func (q *Quarantine) Take(now mgclock.Millis, records []Note) (invalid []*InvalidRecordError) {
+func (q *Quarantine) Merge(now mgclock.Millis, records []Record) (invalid []*InvalidRecordError) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	hasUpdates := false
@@ -35,7 +35,7 @@
 
 // mergeRecord stores another process's record, or the better time bound that a copy of it
 // shows. It reports whether anything improved, and whether by enough to be broadcast.
-func (q *Quarantine) mergeRecord(now mgclock.Millis, digest Digest, record Note) (improved, isUpdate bool) {
+func (q *Quarantine) mergeRecord(now mgclock.Millis, digest Digest, record Record) (improved, isUpdate bool) {
 	seenBound := q.boundSeenTime(now, record)
 	s, isKnown := q.records[record.id()]
 	if isKnown && seenBound >= s.seenBound {
@@ -57,23 +57,23 @@
 }
 
 // News returns the records that this process learned recently and therefore broadcasts.
-func (q *Quarantine) News(now mgclock.Millis) []Note {
+func (q *Quarantine) RecentRecords(now mgclock.Millis) []Record {
 	return q.collect(now, func(s storedRecord) bool { return now < s.learnedAt+broadcastWindow })
 }
 
 // Lacking returns the records that a process with these Sums may be missing.
-func (q *Quarantine) Lacking(now mgclock.Millis, theirs Sums) []Note {
-	own := q.Sums()
+func (q *Quarantine) MissingRecords(now mgclock.Millis, theirs Checksums) []Record {
+	own := q.Checksums()
 	return q.collect(now, func(s storedRecord) bool {
 		bucket := s.id().bucket()
 		return own.at(bucket) != theirs.at(bucket)
 	})
 }
 
-func (q *Quarantine) collect(now mgclock.Millis, wanted func(storedRecord) bool) []Note {
+func (q *Quarantine) collect(now mgclock.Millis, wanted func(storedRecord) bool) []Record {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var records []Note
+	var records []Record
 	for _, s := range q.records {
 		if wanted(s) {
 			records = append(records, s.withAge(now))
@@ -84,10 +84,10 @@
 
 // Refine returns those of the received records that are known here to be older, by at least
 // minAgeGain, than the sender reports, so that the sender can improve its time bounds.
-func (q *Quarantine) Refine(now mgclock.Millis, received []Note) []Note {
+func (q *Quarantine) OlderRecords(now mgclock.Millis, received []Record) []Record {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var older []Note
+	var older []Record
 	for _, record := range received {
 		s, isKnown := q.records[record.id()]
 		if isKnown && now-s.seenBound >= record.Age+minAgeGain {
@@ -98,13 +98,13 @@
 }
 
 // Sums returns the checksums of all records, or nil where there are none.
-func (q *Quarantine) Sums() Sums {
+func (q *Quarantine) Checksums() Checksums {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.records) == 0 {
 		return nil
 	}
-	sums := make(Sums, sumBuckets)
+	sums := make(Checksums, sumBuckets)
 	for id := range q.records {
 		sums[id.bucket()] += id.hash()
 	}
--- a/internal/request/mgquarantine/invalid.go
+++ b/internal/request/mgquarantine/invalid.go
@@ -18,7 +18,7 @@
 }
 
 // validate returns what is wrong with another process's record, or nil.
-func (n Note) validate() *InvalidRecordError {
+func (n Record) validate() *InvalidRecordError {
 	invalid := &InvalidRecordError{
 		Origin: n.Origin,
 		Number: n.Number,
--- a/internal/request/mgquarantine/order.go
+++ b/internal/request/mgquarantine/order.go
@@ -22,12 +22,12 @@
 
 // Watch sets the function that is called before each crash is recorded. It detects a pause
 // of the process and then calls Paused. Call Watch before the quarantine is used.
-func (q *Quarantine) Watch(checkPause func()) { q.checkPause = checkPause }
+func (q *Quarantine) SetPauseCheck(checkPause func()) { q.checkPause = checkPause }
 
 // Paused records that the process, or its clock, stood still until now. Attempts that were
 // in progress say nothing about the order of crashes: their ends may have been seen late,
 // and other processes' records can't be placed in the time before.
-func (q *Quarantine) Paused(now mgclock.Millis) {
+func (q *Quarantine) RecordPause(now mgclock.Millis) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.lastPause = now
@@ -40,7 +40,7 @@
 // the record's age doesn't include its network delay. Records of one origin keep their
 // order and distances, whichever paths they took, since all use the smallest clock offset
 // that any of them shows.
-func (q *Quarantine) boundSeenTime(now mgclock.Millis, record Note) mgclock.Millis {
+func (q *Quarantine) boundSeenTime(now mgclock.Millis, record Record) mgclock.Millis {
 	newOffset := now - record.Age - record.Seen
 	offset, known := q.offsets[record.Origin]
 	if drift := newOffset - offset; known && drift >= 0 && drift <= maxOffsetDrift {
--- a/internal/request/mgquarantine/order_test.go
+++ b/internal/request/mgquarantine/order_test.go
@@ -97,29 +97,29 @@
 		for _, c := range cases {
 			Convey(fmt.Sprintf("%s: %d occurrences", c.name, c.occurrences), func() {
 				first, other, third := mgquarantine.New("first", nil), mgquarantine.New("other", nil), mgquarantine.New("third", nil)
-				first.Crashed(0, mgquarantine.Crash{
+				first.RecordCrash(0, mgquarantine.Crash{
 					Digest:   digestOf("bad"),
 					Upstream: "a",
 					Begun:    true,
 					Sent:     -100,
 				})
-				sent := first.Lacking(0, nil)
+				sent := first.MissingRecords(0, nil)
 				c.second.Digest, c.second.Begun = digestOf("bad"), true
 				if c.known == 0 {
 					c.known = 150
 				}
 				if c.known < 500 {
-					other.Take(c.known, sent)
+					other.Merge(c.known, sent)
 				}
 				if c.pause > 0 {
-					other.Paused(c.pause)
+					other.RecordPause(c.pause)
 				}
-				other.Crashed(500, c.second)
+				other.RecordCrash(500, c.second)
 				if c.known >= 500 {
-					other.Take(c.known, sent)
+					other.Merge(c.known, sent)
 				}
 				for _, q := range []*mgquarantine.Quarantine{first, third} {
-					So(q.Take(5*sec, other.Lacking(600, nil)), ShouldBeEmpty)
+					So(q.Merge(5*sec, other.MissingRecords(600, nil)), ShouldBeEmpty)
 				}
 				So(other.Occurrences(digestOf("bad")), ShouldEqual, c.occurrences)
 				So(first.Occurrences(digestOf("bad")), ShouldEqual, c.occurrences)
@@ -145,14 +145,14 @@
 			upstream: "b",
 			sent:     300,
 		}})
-		other.Take(790, first.Lacking(400, nil)) // 390 ms network delay
+		other.Merge(790, first.MissingRecords(400, nil)) // 390 ms network delay
 		So(other.Occurrences(digestOf("bad")), ShouldEqual, 1)
-		So(len(third.Take(900, other.Lacking(800, nil))), ShouldEqual, 0)
+		So(len(third.Merge(900, other.MissingRecords(800, nil))), ShouldEqual, 0)
 		So(third.Occurrences(digestOf("bad")), ShouldEqual, 1)
 
-		other.Take(1000, first.Lacking(800, nil)) // 200 ms network delay
+		other.Merge(1000, first.MissingRecords(800, nil)) // 200 ms network delay
 		So(other.Occurrences(digestOf("bad")), ShouldEqual, 2)
-		So(third.Take(1300, other.Lacking(1000, third.Sums())), ShouldBeEmpty)
+		So(third.Merge(1300, other.MissingRecords(1000, third.Checksums())), ShouldBeEmpty)
 		So(third.Occurrences(digestOf("bad")), ShouldEqual, 2)
 	})
 }
@@ -177,9 +177,9 @@
 				if from == to {
 					continue
 				}
-				sent := all[from].Lacking(now+offset[from], nil)
+				sent := all[from].MissingRecords(now+offset[from], nil)
 				now += mgclock.Millis(delayRange.Draw(t, "delay"))
-				all[to].Take(now+offset[to], sent)
+				all[to].Merge(now+offset[to], sent)
 			}
 		}
 		for moment := range moments {
@@ -188,7 +188,7 @@
 					continue
 				}
 				at := now + offset[i]
-				all[i].Crashed(at, mgquarantine.Crash{
+				all[i].RecordCrash(at, mgquarantine.Crash{
 					Digest:   digestOf("sound"),
 					Upstream: fmt.Sprintf("engine-%d-%d", moment, rapid.IntRange(0, 3).Draw(t, "engine")),
 					Begun:    true,
@@ -200,7 +200,7 @@
 				i := rapid.IntRange(0, count-1).Draw(t, "which")
 				now += 5 * sec
 				offset[i] -= 5 * sec
-				all[i].Paused(now + offset[i])
+				all[i].RecordPause(now + offset[i])
 			}
 			now += 6 * sec
 		}
--- a/internal/request/mgquarantine/problem.go
+++ b/internal/request/mgquarantine/problem.go
@@ -13,5 +13,5 @@
 		return mgproblem.New(mgproblem.Quarantined, mgproblem.Unknown, detail, "don't send it again as it is")
 	}
 	return mgproblem.New(mgproblem.Quarantined, mgproblem.NotRun, detail,
-		"send another, or the same after the time given").WithRetry(left)
+		"send another, or the same after the time given").WithRetryAfter(left)
 }
--- a/internal/request/mgquarantine/quarantine.go
+++ b/internal/request/mgquarantine/quarantine.go
@@ -84,11 +84,11 @@
 }
 
 // Crashed records a crash that was seen now.
-func (q *Quarantine) Crashed(now mgclock.Millis, c Crash) {
+func (q *Quarantine) RecordCrash(now mgclock.Millis, c Crash) {
 	if q.checkPause != nil {
 		q.checkPause()
 	}
-	q.addOwn(now, c.Digest, Note{
+	q.addOwn(now, c.Digest, Record{
 		Request:  c.Request,
 		Upstream: c.Upstream,
 		Begun:    c.Begun,
@@ -99,16 +99,16 @@
 
 // Answered records that an upstream answered a request. It has an effect only where there
 // is evidence against the request.
-func (q *Quarantine) Answered(now mgclock.Millis, digest Digest) {
+func (q *Quarantine) RecordAnswer(now mgclock.Millis, digest Digest) {
 	if current := q.state.Load(); current == nil || current.suspicions[digest].occurrences == 0 {
 		return
 	}
-	q.addOwn(now, digest, Note{})
+	q.addOwn(now, digest, Record{})
 }
 
 // Watching reports whether there is evidence against any request, so that computing a
 // Digest is worth its cost.
-func (q *Quarantine) Watching() bool {
+func (q *Quarantine) HasSuspects() bool {
 	current := q.state.Load()
 	return current != nil && len(current.suspicions) > 0
 }
@@ -170,7 +170,7 @@
 }
 
 // addOwn adds a record of this process's own.
-func (q *Quarantine) addOwn(now mgclock.Millis, digest Digest, record Note) {
+func (q *Quarantine) addOwn(now mgclock.Millis, digest Digest, record Record) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	record.Digest = digest.String()
--- a/internal/request/mgquarantine/quarantine_test.go
+++ b/internal/request/mgquarantine/quarantine_test.go
@@ -35,10 +35,10 @@
 func record(q *mgquarantine.Quarantine, observations []observation) {
 	for _, s := range observations {
 		if s.upstream == "" {
-			q.Answered(s.at, digestOf(s.request))
+			q.RecordAnswer(s.at, digestOf(s.request))
 			continue
 		}
-		q.Crashed(s.at, mgquarantine.Crash{
+		q.RecordCrash(s.at, mgquarantine.Crash{
 			Digest:   digestOf(s.request),
 			Request:  s.request,
 			Upstream: s.upstream,
@@ -332,17 +332,17 @@
 			record(origins[rapid.IntRange(0, 3).Draw(t, "origin")], []observation{s})
 		}
 		const now = 10 * sec
-		var records []mgquarantine.Note
+		var records []mgquarantine.Record
 		for _, q := range origins {
-			records = append(records, q.Lacking(now, nil)...)
+			records = append(records, q.MissingRecords(now, nil)...)
 		}
 		one, other := mgquarantine.New("one", nil), mgquarantine.New("other", nil)
-		one.Take(now, records)
+		one.Merge(now, records)
 		for _, at := range rapid.Permutation(indexes(len(records))).Draw(t, "order") {
-			other.Take(now, records[at:at+1])
-			other.Take(now, records[at:at+1])
+			other.Merge(now, records[at:at+1])
+			other.Merge(now, records[at:at+1])
 		}
-		if len(one.Lacking(now, other.Sums())) > 0 {
+		if len(one.MissingRecords(now, other.Checksums())) > 0 {
 			t.Fatal("the checksums of the same notes differ")
 		}
 		for _, name := range []string{"x", "y", "z"} {
@@ -370,14 +370,14 @@
 		for i := range 400 {
 			record(q, crashesFrom(0, strconv.Itoa(i), fmt.Sprint("engine-", i)))
 		}
-		So(len(q.Lacking(sec, nil)), ShouldEqual, 400)
-		other.Take(sec, q.Lacking(sec, nil))
-		So(q.Lacking(sec, other.Sums()), ShouldBeEmpty)
+		So(len(q.MissingRecords(sec, nil)), ShouldEqual, 400)
+		other.Merge(sec, q.MissingRecords(sec, nil))
+		So(q.MissingRecords(sec, other.Checksums()), ShouldBeEmpty)
 		record(q, crashesFrom(sec, "one more", "engine"))
-		lacking := q.Lacking(2*sec, other.Sums())
+		lacking := q.MissingRecords(2*sec, other.Checksums())
 		So(len(lacking), ShouldBeBetween, 0, 40)
-		other.Take(2*sec, lacking)
-		So(q.Lacking(2*sec, other.Sums()), ShouldBeEmpty)
+		other.Merge(2*sec, lacking)
+		So(q.MissingRecords(2*sec, other.Checksums()), ShouldBeEmpty)
 	})
 }
 
@@ -390,7 +390,7 @@
 		for i := range 2000 {
 			record(q, crashesFrom(4*sec+mgclock.Millis(i), strconv.Itoa(i), fmt.Sprint("engine-", i)))
 		}
-		So(len(q.Lacking(10*sec, nil)), ShouldBeLessThanOrEqualTo, 1024)
+		So(len(q.MissingRecords(10*sec, nil)), ShouldBeLessThanOrEqualTo, 1024)
 		_, held := q.Held(10*sec, digestOf("bad"))
 		So(held, ShouldBeTrue)
 	})
@@ -401,17 +401,17 @@
 func TestInvalidRecordStopsOthers(t *testing.T) {
 	Convey("Records that can't be parsed are returned and skipped", t, func() {
 		q := mgquarantine.New("life", nil)
-		valid := mgquarantine.Note{
+		valid := mgquarantine.Record{
 			Origin:   "other",
 			Number:   1,
 			Digest:   digestOf("x").String(),
 			Upstream: "a",
 		}
-		invalid := []mgquarantine.Note{valid, valid, valid}
+		invalid := []mgquarantine.Record{valid, valid, valid}
 		invalid[0].Digest = "no digest"
 		invalid[1].Number = 0
 		invalid[2].Age = -5
-		So(len(q.Take(sec, append(invalid, valid))), ShouldEqual, 3)
+		So(len(q.Merge(sec, append(invalid, valid))), ShouldEqual, 3)
 		So(q.Occurrences(digestOf("x")), ShouldEqual, 1)
 	})
 }
@@ -488,7 +488,7 @@
 	Convey("Once the hold of a request is over", t, func() {
 		mine, other := mgquarantine.New("mine", nil), mgquarantine.New("other", func(mgquarantine.Digest) bool { return false })
 		record(mine, crashesFrom(0, "x", "a", "b", "c"))
-		other.Take(2*sec, mine.Lacking(2*sec, nil))
+		other.Merge(2*sec, mine.MissingRecords(2*sec, nil))
 		left, ok := mine.Admit(31*sec, digestOf("x"))
 		So(ok, ShouldBeFalse)
 		So(left, ShouldEqual, sec)
@@ -506,8 +506,8 @@
 			So(held, ShouldBeFalse)
 		})
 		Convey("an answer ends the quarantine everywhere", func() {
-			mine.Answered(over+sec, digestOf("x"))
-			other.Take(over+sec, mine.Lacking(over+sec, nil))
+			mine.RecordAnswer(over+sec, digestOf("x"))
+			other.Merge(over+sec, mine.MissingRecords(over+sec, nil))
 			for range 3 {
 				_, ok = mine.Admit(over+sec, digestOf("x"))
 				So(ok, ShouldBeTrue)
--- a/internal/request/mgquarantine/record.go
+++ b/internal/request/mgquarantine/record.go
@@ -9,7 +9,7 @@
 )
 
 // A Note is the record of what one process has seen of a request, as it is exchanged.
-type Note struct {
+type Record struct {
 	Origin   string         `json:"origin"` // the incarnation of the process that made the record
 	Number   uint64         `json:"number"` // counts the origin's records from 1
 	Digest   string         `json:"digest"`
@@ -58,10 +58,10 @@
 
 // Sums are checksums of the records, one for each bucket of them. By these, two processes
 // find the buckets in which their records differ. Nil stands for no records.
-type Sums []uint64
+type Checksums []uint64
 
 // at returns the checksum of a bucket.
-func (s Sums) at(bucket int) uint64 {
+func (s Checksums) at(bucket int) uint64 {
 	if bucket >= len(s) {
 		return 0
 	}
@@ -70,14 +70,14 @@
 
 // storedRecord is a record with what this process knows of it.
 type storedRecord struct {
-	record    Note // its age is as received
+	record    Record // its age is as received
 	digest    Digest
 	seenBound mgclock.Millis // upper bound of when it was seen, by this process's clock
 	learnedAt mgclock.Millis // when this process learned of the record, or last improved its bound
 }
 
 // id returns the record's ID.
-func (n Note) id() recordID {
+func (n Record) id() recordID {
 	return recordID{
 		origin: n.Origin,
 		number: n.Number,
@@ -141,7 +141,7 @@
 }
 
 // withAge returns the record with its age at a time.
-func (s storedRecord) withAge(now mgclock.Millis) Note {
+func (s storedRecord) withAge(now mgclock.Millis) Record {
 	record := s.record
 	record.Age = max(now-s.seenBound, 0)
 	return record
--- a/internal/request/mgquarantine/verdict.go
+++ b/internal/request/mgquarantine/verdict.go
@@ -12,7 +12,7 @@
 	digest      Digest
 	occurrences int
 	remaining   mgclock.Millis
-	evidence    []Note
+	evidence    []Record
 }
 
 // Digest returns the request's digest.
@@ -22,10 +22,10 @@
 func (v Verdict) Occurrences() int { return v.occurrences }
 
 // Left returns how long the request is still held, 0 where it isn't.
-func (v Verdict) Left() mgclock.Millis { return v.remaining }
+func (v Verdict) Remaining() mgclock.Millis { return v.remaining }
 
 // Evidence returns the records of the crashes, the newest first.
-func (v Verdict) Evidence() []Note { return v.evidence }
+func (v Verdict) Evidence() []Record { return v.evidence }
 
 // Verdicts returns the evidence against all requests, sorted by digest.
 func (q *Quarantine) Verdicts(now mgclock.Millis) []Verdict {
@@ -35,7 +35,7 @@
 	if current == nil {
 		return nil
 	}
-	records := map[Digest][]Note{}
+	records := map[Digest][]Record{}
 	for _, s := range q.evidence() {
 		records[s.digest] = append(records[s.digest], s.withAge(now))
 	}
--- a/internal/request/mgrest/rest.go
+++ b/internal/request/mgrest/rest.go
@@ -29,7 +29,7 @@
 
 // Ask records that an upstream asked for a rest of a duration. A shorter one
 // doesn't end an earlier one sooner.
-func (r *Rests) Ask(now mgclock.Millis, upstream string, duration mgclock.Millis) {
+func (r *Rests) Begin(now mgclock.Millis, upstream string, duration mgclock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.byUpstream == nil {
@@ -45,7 +45,7 @@
 }
 
 // Left returns the remaining time of an upstream's rest, 0 if it has none.
-func (r *Rests) Left(now mgclock.Millis, upstream string) mgclock.Millis {
+func (r *Rests) Remaining(now mgclock.Millis, upstream string) mgclock.Millis {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if current := r.byUpstream[upstream]; current != nil {
@@ -55,7 +55,7 @@
 }
 
 // Takes reports whether a request may be sent to an upstream now.
-func (r *Rests) Takes(now mgclock.Millis, upstream string) bool {
+func (r *Rests) CanSend(now mgclock.Millis, upstream string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	current := r.byUpstream[upstream]
@@ -67,7 +67,7 @@
 // Take reports whether a request may be sent to an upstream now, and counts it.
 // The caller calls ended at the request's end, with whether the upstream
 // answered it.
-func (r *Rests) Take(now mgclock.Millis, upstream string) (ended func(answered bool), ok bool) {
+func (r *Rests) Acquire(now mgclock.Millis, upstream string) (ended func(answered bool), ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	current := r.byUpstream[upstream]
--- a/internal/request/mgrest/rest_test.go
+++ b/internal/request/mgrest/rest_test.go
@@ -16,61 +16,61 @@
 func TestUpstreamLoadedDuringRest(t *testing.T) {
 	Convey("An upstream that asked for a rest of two seconds", t, func() {
 		var r mgrest.Rests
-		So(r.Takes(0, "a"), ShouldBeTrue)
-		r.Ask(0, "a", 2*sec)
+		So(r.CanSend(0, "a"), ShouldBeTrue)
+		r.Begin(0, "a", 2*sec)
 		Convey("is sent nothing until its end, while others are", func() {
-			So(r.Takes(2*sec-1, "a"), ShouldBeFalse)
-			So(r.Left(500, "a"), ShouldEqual, 1500)
-			So(r.Takes(0, "b"), ShouldBeTrue)
-			So(r.Left(0, "b"), ShouldEqual, 0)
+			So(r.CanSend(2*sec-1, "a"), ShouldBeFalse)
+			So(r.Remaining(500, "a"), ShouldEqual, 1500)
+			So(r.CanSend(0, "b"), ShouldBeTrue)
+			So(r.Remaining(0, "b"), ShouldEqual, 0)
 		})
 		Convey("is sent one request at its end, and more with each answer", func() {
 			for _, window := range []int{1, 2, 4, 8} {
 				var ends []func(bool)
 				for range window {
-					end, ok := r.Take(2*sec, "a")
+					end, ok := r.Acquire(2*sec, "a")
 					So(ok, ShouldBeTrue)
 					ends = append(ends, end)
 				}
-				_, ok := r.Take(2*sec, "a")
+				_, ok := r.Acquire(2*sec, "a")
 				So(ok, ShouldBeFalse)
-				So(r.Takes(2*sec, "a"), ShouldBeFalse)
+				So(r.CanSend(2*sec, "a"), ShouldBeFalse)
 				for i, end := range ends {
 					end(i == 0)
 				}
 			}
 		})
 		Convey("rests again when it asks again, also at the first request after its rest", func() {
-			end, ok := r.Take(2*sec, "a")
+			end, ok := r.Acquire(2*sec, "a")
 			So(ok, ShouldBeTrue)
-			r.Ask(2*sec+10, "a", sec)
+			r.Begin(2*sec+10, "a", sec)
 			end(false)
-			So(r.Takes(3*sec, "a"), ShouldBeFalse)
-			So(r.Takes(3*sec+10, "a"), ShouldBeTrue)
+			So(r.CanSend(3*sec, "a"), ShouldBeFalse)
+			So(r.CanSend(3*sec+10, "a"), ShouldBeTrue)
 		})
 		Convey("is not sent requests sooner because a later answer asked for a shorter rest", func() {
-			r.Ask(100, "a", 500)
-			So(r.Takes(sec, "a"), ShouldBeFalse)
+			r.Begin(100, "a", 500)
+			So(r.CanSend(sec, "a"), ShouldBeFalse)
 		})
 		Convey("is no longer limited after some answers", func() {
 			for range 5 {
-				end, ok := r.Take(2*sec, "a")
+				end, ok := r.Acquire(2*sec, "a")
 				So(ok, ShouldBeTrue)
 				end(true)
 			}
 			for range 100 {
-				_, ok := r.Take(2*sec, "a")
+				_, ok := r.Acquire(2*sec, "a")
 				So(ok, ShouldBeTrue)
 			}
 		})
 		Convey("is forgotten when it is gone", func() {
 			r.Forget(func(upstream string) bool { return upstream != "a" })
-			So(r.Takes(0, "a"), ShouldBeTrue)
+			So(r.CanSend(0, "a"), ShouldBeTrue)
 		})
 	})
 	Convey("A rest is bounded, whatever is asked for", t, func() {
 		var r mgrest.Rests
-		r.Ask(0, "a", 1000*mgclock.Minute)
-		So(r.Takes(10*mgclock.Minute, "a"), ShouldBeTrue)
+		r.Begin(0, "a", 1000*mgclock.Minute)
+		So(r.CanSend(10*mgclock.Minute, "a"), ShouldBeTrue)
 	})
 }
--- a/internal/request/mgretry/budget.go
+++ b/internal/request/mgretry/budget.go
@@ -29,7 +29,7 @@
 
 // Bound sets the maximum of retries in the budget, where several processes
 // share a service's budget.
-func (b *Budget) Bound(limit int) { b.limit.Store(int64(limit)) }
+func (b *Budget) SetLimit(limit int) { b.limit.Store(int64(limit)) }
 
 // maxRetries returns the maximum of retries in the budget.
 func (b *Budget) maxRetries() int64 {
--- a/internal/request/mgretry/budgets.go
+++ b/internal/request/mgretry/budgets.go
@@ -17,13 +17,13 @@
 }
 
 // Bound sets the maximum of retries in each budget; see Budget.Bound.
-func (s *Budgets) Bound(limit int) {
+func (s *Budgets) SetLimit(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit = limit
 	if all := s.byService.Load(); all != nil {
 		for _, b := range *all {
-			b.Bound(limit)
+			b.SetLimit(limit)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 		next = maps.Clone(*all)
 	}
 	b := new(Budget)
-	b.Bound(s.limit)
+	b.SetLimit(s.limit)
 	next[service] = b
 	s.byService.Store(&next)
 	return b
--- a/internal/request/mgretry/hedge.go
+++ b/internal/request/mgretry/hedge.go
@@ -29,7 +29,7 @@
 
 // Answered records the delay of an answered lookup. Ratio is the fraction of a
 // second copy that it earns, from 0 to 1.
-func (h *Hedge) Answered(delay mgclock.Millis, ratio float64) {
+func (h *Hedge) Observe(delay mgclock.Millis, ratio float64) {
 	h.budget.Earn(ratio)
 	h.counts[bucketOf(delay)].Add(1)
 	if h.total.Add(1) == decayPeriod {
@@ -39,7 +39,7 @@
 
 // After returns the delay after which a second copy should be sent, or false
 // while there are fewer than minSamples delays.
-func (h *Hedge) After() (mgclock.Millis, bool) {
+func (h *Hedge) Delay() (mgclock.Millis, bool) {
 	total := h.total.Load()
 	if total < minSamples {
 		return 0, false
--- a/internal/request/mgretry/retry.go
+++ b/internal/request/mgretry/retry.go
@@ -38,7 +38,7 @@
 	}
 	wait := mgclock.Millis(0)
 	if a.Problem.Kind() != mgproblem.Leaving {
-		wait = Backoff(a.Tries, a.Problem.Retry(), r)
+		wait = Backoff(a.Tries, a.Problem.RetryAfter(), r)
 	}
 	if a.Deadline > 0 && now+wait >= a.Deadline {
 		return 0, false
@@ -68,7 +68,7 @@
 // after a while.
 func isTransient(kind mgproblem.Kind) bool {
 	switch kind {
-	case mgproblem.Crowded, mgproblem.Leaving, mgproblem.Unready, mgproblem.Behind,
+	case mgproblem.Overloaded, mgproblem.Leaving, mgproblem.NotReady, mgproblem.OutdatedVersion,
 		mgproblem.Incarnation, mgproblem.Interrupted, mgproblem.Unconfirmed, mgproblem.Internal:
 		return true
 	default:
--- a/internal/request/mgretry/retry_test.go
+++ b/internal/request/mgretry/retry_test.go
@@ -37,7 +37,7 @@
 				}
 				now := mgclock.Millis(second) * mgclock.Second
 				wait, ok := b.Next(now, mgretry.Attempt{
-					Problem: newProblem(mgproblem.Crowded, mgproblem.NotRun),
+					Problem: newProblem(mgproblem.Overloaded, mgproblem.NotRun),
 					Tries:   tries,
 				}, r)
 				if ok {
@@ -100,7 +100,7 @@
 	}
 	Convey("Retried is", t, func() {
 		Convey("what did not run", func() {
-			So(allowed(mgproblem.Crowded, mgproblem.NotRun, false, false), ShouldBeTrue)
+			So(allowed(mgproblem.Overloaded, mgproblem.NotRun, false, false), ShouldBeTrue)
 		})
 		Convey("of what may have run, a lookup but no write", func() {
 			So(allowed(mgproblem.Unconfirmed, mgproblem.Unknown, true, false), ShouldBeTrue)
@@ -122,12 +122,12 @@
 	Convey("Hedges", t, func() {
 		var h mgretry.Hedge
 		r := newRand()
-		_, ok := h.After()
+		_, ok := h.Delay()
 		So(ok, ShouldBeFalse)
 		for range 10_000 {
-			h.Answered(mgclock.Millis(10+r.IntN(100)), mgretry.HedgeRatio)
+			h.Observe(mgclock.Millis(10+r.IntN(100)), mgretry.HedgeRatio)
 		}
-		after, ok := h.After()
+		after, ok := h.Delay()
 		So(ok, ShouldBeTrue)
 		So(after, ShouldBeBetween, 100, 130)
 
@@ -137,10 +137,10 @@
 				if h.Allow() {
 					sent++
 				}
-				h.Answered(2000, mgretry.HedgeRatio)
+				h.Observe(2000, mgretry.HedgeRatio)
 			}
 			So(sent, ShouldBeLessThanOrEqualTo, mgretry.DefaultLimit+1000/20)
-			after, _ := h.After()
+			after, _ := h.Delay()
 			So(after, ShouldBeGreaterThan, 1500)
 		})
 	})
@@ -176,7 +176,7 @@
 	var budgets mgretry.Budgets
 	r := newRand()
 	a := mgretry.Attempt{
-		Problem: newProblem(mgproblem.Crowded, mgproblem.NotRun),
+		Problem: newProblem(mgproblem.Overloaded, mgproblem.NotRun),
 		Tries:   1,
 	}
 	b.ReportAllocs()
@@ -192,8 +192,8 @@
 	n := mgclock.Millis(0)
 	b.ReportAllocs()
 	for b.Loop() {
-		h.Answered(n%1000, mgretry.HedgeRatio)
-		_, _ = h.After()
+		h.Observe(n%1000, mgretry.HedgeRatio)
+		_, _ = h.Delay()
 		n++
 	}
 }
@@ -212,7 +212,7 @@
 		Convey("and no more, once bounded", func() {
 			var budgets mgretry.Budgets
 			before := budgets.Of("books")
-			budgets.Bound(mgretry.Share(56, 5))
+			budgets.SetLimit(mgretry.Share(56, 5))
 			for _, b := range []*mgretry.Budget{before, budgets.Of("notes")} {
 				spent := 0
 				for b.Spend() {
--- a/internal/request/mgroom/close_test.go
+++ b/internal/request/mgroom/close_test.go
@@ -10,21 +10,21 @@
 // be granted: their callers wait for three times their goal and are refused only then.
 func TestCloseLeavesRequestsWaiting(t *testing.T) {
 	Convey("Where no upstream may be given work, all waiting requests are given up at once", t, func() {
-		var r Room
+		var r WaitingList
 		for _, name := range []string{"a", "b", "c"} {
-			r.Add(Wait{
+			r.Add(Request{
 				Name: name,
 				Need: 3000,
 				End:  60_000,
 			})
 		}
-		grants := r.Close()
+		grants := r.GiveUpAll()
 		So(len(grants), ShouldEqual, 3)
 		for _, grant := range grants {
 			So(grant.Place, ShouldBeEmpty)
 			So(grant.Retry, ShouldEqual, maxRetry)
 		}
 		So(r.Len(), ShouldEqual, 0)
-		So(r.Close(), ShouldBeEmpty)
+		So(r.GiveUpAll(), ShouldBeEmpty)
 	})
 }
--- a/internal/request/mgroom/limit_test.go
+++ b/internal/request/mgroom/limit_test.go
@@ -21,8 +21,8 @@
 			Permits: permits,
 		}
 	}
-	newRoom := func(count int, end mgclock.Millis) *Room {
-		var r Room
+	newRoom := func(count int, end mgclock.Millis) *WaitingList {
+		var r WaitingList
 		for n := range count {
 			w := newWait(fmt.Sprint("report ", n), 100, 100)
 			w.End = end
@@ -32,7 +32,7 @@
 	}
 	Convey("Of ten reports", t, func() {
 		Convey("as many go to a limited place as it has permits", func() {
-			grants := newRoom(10, mgclock.Minute).Look(0, []Place{limited("a", 3)})
+			grants := newRoom(10, mgclock.Minute).Assign(0, []Place{limited("a", 3)})
 			So(describeGrants(grants), ShouldEqual, "report 0 at a, report 1 at a, report 2 at a, ")
 		})
 		Convey("the others go to a place without a limit", func() {
@@ -41,12 +41,12 @@
 				Cost: 500,
 				Free: 200,
 			}
-			grants := newRoom(10, mgclock.Minute).Look(0, []Place{limited("a", 1), roomy})
+			grants := newRoom(10, mgclock.Minute).Assign(0, []Place{limited("a", 1), roomy})
 			So(describeGrants(grants), ShouldEqual, "report 0 at a, report 1 at b, report 2 at b, ")
 		})
 		Convey("those whose permit can't come in time are given up at once, the others wait", func() {
 			r := newRoom(10, 2*mgclock.Second)
-			grants := r.Look(0, []Place{limited("a", 0)})
+			grants := r.Assign(0, []Place{limited("a", 0)})
 			So(len(grants), ShouldEqual, 6)
 			So(r.Len(), ShouldEqual, 4)
 			for _, g := range grants {
@@ -59,7 +59,7 @@
 				Name: "b",
 				Free: 10,
 			}
-			So(newRoom(10, 2*mgclock.Second).Look(0, []Place{limited("a", 0), full}), ShouldBeEmpty)
+			So(newRoom(10, 2*mgclock.Second).Assign(0, []Place{limited("a", 0), full}), ShouldBeEmpty)
 		})
 	})
 }
--- a/internal/request/mgroom/ramp_test.go
+++ b/internal/request/mgroom/ramp_test.go
@@ -45,17 +45,17 @@
 		},
 	} {
 		Convey("Cold engines aren't given more than their rate where "+c.name, t, func() {
-			var r Room
+			var r WaitingList
 			given := map[string][]mgclock.Millis{}
 			atWarm := 0
 			for now := mgclock.Millis(0); now < 5*mgclock.Second; now += step {
 				for n := range c.load {
-					r.Add(Wait{
-						Name: fmt.Sprintf("note-%d-%d", now, n),
-						Need: 200,
-						Came: now,
-						Due:  now + 1000,
-						End:  now + 4500,
+					r.Add(Request{
+						Name:    fmt.Sprintf("note-%d-%d", now, n),
+						Need:    200,
+						Arrived: now,
+						Due:     now + 1000,
+						End:     now + 4500,
 					})
 				}
 				places := []Place{}
@@ -72,12 +72,12 @@
 							continue
 						}
 						if now < warm {
-							place.Ramp = mgwarm.Placed(rate, 1)
+							place.Ramp = mgwarm.PlacementLimit(rate, 1)
 						}
 					}
 					places = append(places, place)
 				}
-				for _, g := range r.Look(now, places) {
+				for _, g := range r.Assign(now, places) {
 					if g.Place != "" && now < warm {
 						given[g.Place] = append(given[g.Place], now)
 					}
--- a/internal/request/mgroom/read_test.go
+++ b/internal/request/mgroom/read_test.go
@@ -55,7 +55,7 @@
 	capacity := engines * mgload.ReadRate / prompt // requests per ms
 	read := mgclock.Millis(math.Ceil(prompt / mgload.ReadRate))
 	r := rand.New(rand.NewPCG(3, 4))
-	var room Room
+	var room WaitingList
 	list := make([]readingEngine, engines)
 	came := map[string]mgclock.Millis{}
 	asked, onTime := 0.0, 0.0
@@ -68,13 +68,13 @@
 			name := fmt.Sprint(len(came))
 			came[name] = now
 			asked++
-			room.Add(Wait{
-				Name: name,
-				Need: prompt,
-				Span: read,
-				Came: now,
-				Due:  now + goal - read,
-				End:  now + 3*goal,
+			room.Add(Request{
+				Name:     name,
+				Need:     prompt,
+				Duration: read,
+				Arrived:  now,
+				Due:      now + goal - read,
+				End:      now + 3*goal,
 			})
 		}
 		var places []Place
@@ -90,7 +90,7 @@
 			places = append(places, place)
 		}
 		room.assignments = nil // the engines here show their grants at once
-		for _, g := range room.Look(now, places) {
+		for _, g := range room.Assign(now, places) {
 			var index int
 			if _, err := fmt.Sscan(g.Place, &index); err != nil {
 				continue // the request was given up
--- a/internal/request/mgroom/return_test.go
+++ b/internal/request/mgroom/return_test.go
@@ -29,19 +29,19 @@
 	capacity := engines * mgload.ReadRate / prompt // requests per ms
 	read := mgclock.Millis(math.Ceil(prompt / mgload.ReadRate))
 	r := rand.New(rand.NewPCG(5, 6))
-	var room Room
+	var room WaitingList
 	list := make([]readingEngine, engines)
 	var callers []*returningCaller
 	refusals := 0.0
 	add := func(now mgclock.Millis, index int) {
 		callers[index].attempts++
-		room.Add(Wait{
-			Name: fmt.Sprint(index),
-			Need: prompt,
-			Span: read,
-			Came: now,
-			Due:  now + goal - read,
-			End:  now + 3*goal,
+		room.Add(Request{
+			Name:     fmt.Sprint(index),
+			Need:     prompt,
+			Duration: read,
+			Arrived:  now,
+			Due:      now + goal - read,
+			End:      now + 3*goal,
 		})
 	}
 	for now := mgclock.Millis(0); now < span; now += step {
@@ -69,7 +69,7 @@
 			})
 		}
 		room.assignments = nil // the engines here show their grants at once
-		for _, g := range room.Look(now, places) {
+		for _, g := range room.Assign(now, places) {
 			var index, place int
 			_, _ = fmt.Sscan(g.Name, &index)
 			c := callers[index]
--- a/internal/request/mgroom/room.go
+++ b/internal/request/mgroom/room.go
@@ -30,26 +30,26 @@
 )
 
 // A Wait is a request on the waiting list.
-type Wait struct {
-	Name    string
-	Account string         // client account of the request
-	Need    int            // tokens of memory that it takes
-	Made    int            // expected tokens of its output
-	Span    mgclock.Millis // expected time for which it holds the memory
-	Due     mgclock.Millis // when it must have a place for its answer to begin on time
-	Came    mgclock.Millis
-	End     mgclock.Millis // when it is given up unless it has a place
+type Request struct {
+	Name     string
+	Account  string         // client account of the request
+	Need     int            // tokens of memory that it takes
+	Output   int            // expected tokens of its output
+	Duration mgclock.Millis // expected time for which it holds the memory
+	Due      mgclock.Millis // when it must have a place for its answer to begin on time
+	Arrived  mgclock.Millis
+	End      mgclock.Millis // when it is given up unless it has a place
 }
 
 // work returns the request's size, in tokens times ms.
-func (w Wait) work() int64 { return int64(w.Need) * int64(max(w.Span, 1)) }
+func (w Request) work() int64 { return int64(w.Need) * int64(max(w.Duration, 1)) }
 
 // A Place is the reported state of an upstream at which requests can be placed.
 type Place struct {
-	Name string
-	Cost float64 // of a request there, ms; see mgload.Cost
-	Slow float64 // additional cost for each output token, ms
-	Free int     // unused tokens of memory
+	Name      string
+	Cost      float64 // of a request there, ms; see mgload.Cost
+	TokenCost float64 // additional cost for each output token, ms
+	Free      int     // unused tokens of memory
 	// Pending is the number of prompt tokens that the upstream has to read first.
 	Pending int
 	// Ramp is the maximum number of requests that a cold upstream may be given in a second,
@@ -60,13 +60,13 @@
 	Rate         float64
 	Limited      bool
 	Permits      int
-	Givers       int // number of processes that grant placements there
+	Granters     int // number of processes that grant placements there
 	recentGrants int // grants in the last second
 }
 
 // canTake reports whether a request can be placed there: there is memory for it, its prompt
 // is read soon, and neither the ramp of a cold upstream nor a rate limit is exceeded.
-func (p *Place) canTake(w Wait) bool {
+func (p *Place) canTake(w Request) bool {
 	if p.Ramp > 0 && p.recentGrants >= p.Ramp {
 		return false
 	}
@@ -91,15 +91,15 @@
 
 // A Room is the waiting list of one service. The zero Room is empty. It isn't safe for
 // concurrent use.
-type Room struct {
-	waiting     []Wait
+type WaitingList struct {
+	waiting     []Request
 	assignments map[string][]assignment // by name of the place
 	grantRate   grantRate
 	shares      shares
 }
 
 // Len returns the number of waiting requests.
-func (r *Room) Len() int { return len(r.waiting) }
+func (r *WaitingList) Len() int { return len(r.waiting) }
 
 // A State describes a waiting list at a time.
 type State struct {
@@ -109,7 +109,7 @@
 }
 
 // State returns the state of the waiting list.
-func (r *Room) State(now mgclock.Millis) State {
+func (r *WaitingList) State(now mgclock.Millis) State {
 	s := State{
 		Waiting: len(r.waiting),
 	}
@@ -117,33 +117,33 @@
 		if now > w.Due {
 			s.Late++
 		}
-		s.Age = max(s.Age, now-w.Came)
+		s.Age = max(s.Age, now-w.Arrived)
 	}
 	return s
 }
 
 // Add appends a request to the waiting list, unless it is on it.
-func (r *Room) Add(w Wait) {
-	if !slices.ContainsFunc(r.waiting, func(other Wait) bool { return other.Name == w.Name }) {
+func (r *WaitingList) Add(w Request) {
+	if !slices.ContainsFunc(r.waiting, func(other Request) bool { return other.Name == w.Name }) {
 		r.waiting = append(r.waiting, w)
 	}
 }
 
 // Drop removes a request from the waiting list.
-func (r *Room) Drop(name string) {
-	r.waiting = slices.DeleteFunc(r.waiting, func(w Wait) bool { return w.Name == name })
+func (r *WaitingList) Remove(name string) {
+	r.waiting = slices.DeleteFunc(r.waiting, func(w Request) bool { return w.Name == name })
 }
 
 // Look assigns waiting requests to the places that can take them, and gives up those whose
 // end has come or that can't get a permit before it. It modifies places: each grant is
 // subtracted from its place.
-func (r *Room) Look(now mgclock.Millis, places []Place) []Grant {
+func (r *WaitingList) Assign(now mgclock.Millis, places []Place) []Grant {
 	if len(r.waiting) == 0 {
 		return nil
 	}
 	r.applyRecent(now, places)
 	over := r.shares.overUsers(now, r.waiting)
-	slices.SortStableFunc(r.waiting, func(a, b Wait) int { return compareWaits(now, over, a, b) })
+	slices.SortStableFunc(r.waiting, func(a, b Request) int { return compareWaits(now, over, a, b) })
 	rate, isLimited := limitedRate(places)
 	var grants []Grant
 	stillWaiting := r.waiting[:0]
@@ -194,7 +194,7 @@
 
 // Close gives up all waiting requests, for a service none of whose upstreams may be given
 // work. A caller that learns this at once can come back in time; one that waits can't.
-func (r *Room) Close() []Grant {
+func (r *WaitingList) GiveUpAll() []Grant {
 	grants := make([]Grant, 0, len(r.waiting))
 	for _, w := range r.waiting {
 		grants = append(grants, Grant{
@@ -208,7 +208,7 @@
 
 // retryAfter returns when the requests that wait now will have their places, by the rate at
 // which memory was granted recently.
-func (r *Room) retryAfter(now mgclock.Millis) mgclock.Millis {
+func (r *WaitingList) retryAfter(now mgclock.Millis) mgclock.Millis {
 	need := 0
 	for _, w := range r.waiting {
 		need += w.Need
@@ -219,11 +219,11 @@
 // compareWaits orders requests: those that can be on time before those that can't, the
 // former by size, which counts more for an account that has had more than its share, the
 // latter by arrival.
-func compareWaits(now mgclock.Millis, over map[string]bool, a, b Wait) int {
+func compareWaits(now mgclock.Millis, over map[string]bool, a, b Request) int {
 	lateA, lateB := now > a.Due, now > b.Due
 	switch {
 	case lateA && lateB:
-		return cmp.Compare(a.Came, b.Came)
+		return cmp.Compare(a.Arrived, b.Arrived)
 	case lateA:
 		return 1
 	case lateB:
@@ -234,7 +234,7 @@
 }
 
 // weightedWork returns a request's size with the weight of its account.
-func weightedWork(over map[string]bool, w Wait) int64 {
+func weightedWork(over map[string]bool, w Request) int64 {
 	if over[w.Account] {
 		return overShareWeight * w.work()
 	}
@@ -242,12 +242,12 @@
 }
 
 // cheapest returns the cheapest place that can take a request, or nil.
-func cheapest(places []Place, w Wait) *Place {
+func cheapest(places []Place, w Request) *Place {
 	var best *Place
 	minCost := 0.0
 	for i := range places {
 		p := &places[i]
-		cost := p.Cost + p.Slow*float64(w.Made)
+		cost := p.Cost + p.TokenCost*float64(w.Output)
 		if p.canTake(w) && (best == nil || cost < minCost) {
 			best, minCost = p, cost
 		}
@@ -255,7 +255,7 @@
 	return best
 }
 
-func (r *Room) assign(now mgclock.Millis, w Wait, place *Place) {
+func (r *WaitingList) assign(now mgclock.Millis, w Request, place *Place) {
 	if r.assignments == nil {
 		r.assignments = map[string][]assignment{}
 	}
@@ -279,7 +279,7 @@
 }
 
 // applyRecent drops old assignments and subtracts the recent ones from the places.
-func (r *Room) applyRecent(now mgclock.Millis, places []Place) {
+func (r *WaitingList) applyRecent(now mgclock.Millis, places []Place) {
 	for name, recent := range r.assignments {
 		recent = slices.DeleteFunc(recent, func(g assignment) bool { return now >= g.at+rampWindow })
 		if len(recent) == 0 {
--- a/internal/request/mgroom/room_test.go
+++ b/internal/request/mgroom/room_test.go
@@ -9,13 +9,13 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-func newWait(name string, need int, due mgclock.Millis) Wait {
-	return Wait{
-		Name: name,
-		Need: need,
-		Span: 1000,
-		Due:  due,
-		End:  mgclock.Minute,
+func newWait(name string, need int, due mgclock.Millis) Request {
+	return Request{
+		Name:     name,
+		Need:     need,
+		Duration: 1000,
+		Due:      due,
+		End:      mgclock.Minute,
 	}
 }
 
@@ -46,53 +46,53 @@
 	}
 	cases := []struct {
 		name  string
-		waits []Wait
+		waits []Request
 		want  string
 	}{
 		{
 			name:  "goes where there is memory, not where it is cheapest",
-			waits: []Wait{newWait("report", 3000, 100)},
+			waits: []Request{newWait("report", 3000, 100)},
 			want:  "report at roomy, ",
 		},
 		{
 			name:  "goes to the cheapest of those with memory",
-			waits: []Wait{newWait("note", 900, 100)},
+			waits: []Request{newWait("note", 900, 100)},
 			want:  "note at full, ",
 		},
 		{
 			name:  "goes before a larger one",
-			waits: []Wait{newWait("report", 3000, 100), newWait("note", 2500, 100)},
+			waits: []Request{newWait("report", 3000, 100), newWait("note", 2500, 100)},
 			want:  "note at roomy, ",
 		},
 		{
 			name:  "goes before one that is late, though larger",
-			waits: []Wait{newWait("late", 2500, -1), newWait("report", 3000, 100)},
+			waits: []Request{newWait("late", 2500, -1), newWait("report", 3000, 100)},
 			want:  "report at roomy, ",
 		},
 		{
 			name:  "overtakes one that fits nowhere",
-			waits: []Wait{newWait("late", 9000, -1), newWait("later", 900, -1)},
+			waits: []Request{newWait("late", 9000, -1), newWait("later", 900, -1)},
 			want:  "later at full, ",
 		},
 	}
 	Convey("A request that waits", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				var r Room
+				var r WaitingList
 				for _, w := range c.waits {
 					r.Add(w)
 				}
-				So(describeGrants(r.Look(0, places())), ShouldEqual, c.want)
+				So(describeGrants(r.Assign(0, places())), ShouldEqual, c.want)
 				So(r.Len(), ShouldEqual, len(c.waits)-1)
 			})
 		}
 		Convey("avoids a slow engine the more the longer its output is", func() {
-			var r Room
+			var r WaitingList
 			slow := []Place{
 				{
-					Name: "slow",
-					Free: 9000,
-					Slow: 5,
+					Name:      "slow",
+					Free:      9000,
+					TokenCost: 5,
 				},
 				{
 					Name: "busy",
@@ -101,33 +101,33 @@
 				},
 			}
 			long := newWait("report", 3000, 100)
-			long.Made = 900
+			long.Output = 900
 			r.Add(long)
-			So(describeGrants(r.Look(0, slow)), ShouldEqual, "report at busy, ")
+			So(describeGrants(r.Assign(0, slow)), ShouldEqual, "report at busy, ")
 			r.Add(newWait("note", 900, 100))
-			So(describeGrants(r.Look(0, slow)), ShouldEqual, "note at slow, ")
+			So(describeGrants(r.Assign(0, slow)), ShouldEqual, "note at slow, ")
 		})
 		Convey("waits once, however often it is added", func() {
-			var r Room
+			var r WaitingList
 			r.Add(newWait("report", 9000, 100))
 			r.Add(newWait("report", 9000, 100))
 			So(r.Len(), ShouldEqual, 1)
-			r.Drop("report")
-			So(r.Look(0, places()), ShouldBeEmpty)
+			r.Remove("report")
+			So(r.Assign(0, places()), ShouldBeEmpty)
 		})
 		Convey("doesn't get memory that was granted just before", func() {
-			var r Room
+			var r WaitingList
 			r.Add(newWait("first", 3000, 100))
-			So(describeGrants(r.Look(0, places())), ShouldEqual, "first at roomy, ")
+			So(describeGrants(r.Assign(0, places())), ShouldEqual, "first at roomy, ")
 			r.Add(newWait("second", 3000, 100))
-			So(r.Look(reportDelay-1, places()), ShouldBeEmpty)
-			So(describeGrants(r.Look(reportDelay, places())), ShouldEqual, "second at roomy, ")
+			So(r.Assign(reportDelay-1, places()), ShouldBeEmpty)
+			So(describeGrants(r.Assign(reportDelay, places())), ShouldEqual, "second at roomy, ")
 		})
 		Convey("is given up at its end, with the time that the list takes as its retry time", func() {
-			var r Room
+			var r WaitingList
 			for n := range 10 {
 				r.Add(newWait(fmt.Sprint("served", n), 3000, 100))
-				r.Look(mgclock.Millis(n)*reportDelay, places())
+				r.Assign(mgclock.Millis(n)*reportDelay, places())
 			}
 			now := 10 * reportDelay
 			for n := range 20 {
@@ -136,7 +136,7 @@
 			late := newWait("late", 9000, -1)
 			late.End = now
 			r.Add(late)
-			grants := r.Look(now, places())
+			grants := r.Assign(now, places())
 			So(len(grants), ShouldEqual, 1)
 			So(grants[0].Name, ShouldEqual, "late")
 			So(grants[0].Place, ShouldBeEmpty)
@@ -144,10 +144,10 @@
 			So(r.Len(), ShouldEqual, 20)
 		})
 		Convey("is counted in the state: how many wait, how many are late, since when", func() {
-			var r Room
+			var r WaitingList
 			r.Add(newWait("on time", 9000, 100))
 			late := newWait("late", 9000, 40)
-			late.Came = -60
+			late.Arrived = -60
 			r.Add(late)
 			So(r.State(50), ShouldResemble, State{
 				Waiting: 2,
@@ -156,18 +156,18 @@
 			})
 		})
 		Convey("overtakes only a few", func() {
-			var r Room
+			var r WaitingList
 			for n := range maxOvertakes + 1 {
 				r.Add(newWait(fmt.Sprint("large", n), 9000, -1))
 			}
-			r.Add(Wait{
-				Name: "small",
-				Need: 10,
-				Came: 1,
-				Due:  -1,
-				End:  mgclock.Minute,
+			r.Add(Request{
+				Name:    "small",
+				Need:    10,
+				Arrived: 1,
+				Due:     -1,
+				End:     mgclock.Minute,
 			})
-			So(r.Look(0, places()), ShouldBeEmpty)
+			So(r.Assign(0, places()), ShouldBeEmpty)
 		})
 	})
 }
--- a/internal/request/mgroom/share.go
+++ b/internal/request/mgroom/share.go
@@ -37,7 +37,7 @@
 
 // overUsers returns the accounts that have had more than their share, where the memory is
 // shared among those with recent grants and those that wait.
-func (s *shares) overUsers(now mgclock.Millis, waits []Wait) map[string]bool {
+func (s *shares) overUsers(now mgclock.Millis, waits []Request) map[string]bool {
 	active := map[string]bool{}
 	for _, w := range waits {
 		active[w.Account] = true
--- a/internal/request/mgroom/share_test.go
+++ b/internal/request/mgroom/share_test.go
@@ -17,7 +17,7 @@
 func simulateFlood(hasAccounts bool) (others, flooder float64) {
 	const accounts, span, step = 10, 60 * mgclock.Second, 20 * mgclock.Millis(1)
 	r := rand.New(rand.NewPCG(1, 2))
-	var room Room
+	var room WaitingList
 	type run struct {
 		need int
 		end  mgclock.Millis
@@ -37,8 +37,8 @@
 			}
 			number++
 			w := newWait(fmt.Sprint(number), 3000, now+1500)
-			w.Span = 4000
-			w.Came = now
+			w.Duration = 4000
+			w.Arrived = now
 			w.End = now + 5000
 			if hasAccounts {
 				w.Account = fmt.Sprint(account)
@@ -58,7 +58,7 @@
 		runs = kept
 		// The runs here show their grants at once.
 		room.assignments = nil
-		for _, g := range room.Look(now, []Place{{Name: "all", Free: free}}) {
+		for _, g := range room.Assign(now, []Place{{Name: "all", Free: free}}) {
 			if g.Place == "" {
 				continue
 			}
--- a/internal/request/mgrouting/choose.go
+++ b/internal/request/mgrouting/choose.go
@@ -52,9 +52,9 @@
 
 // cost returns the cost of taking an offer in milliseconds.
 func (f *Fleet) cost(o *Offer, q *Query) float64 {
-	cost := float64(o.Wait) + paceCost*float64(o.Rest)
+	cost := float64(o.Wait) + paceCost*float64(o.GenerationTime)
 	cost += streamDelayCost * float64(o.Uncached) / 1000 * float64(o.Running)
-	cost += inFlightCost * float64(max(f.Flights(o.Upstream)-o.Flights, 0))
+	cost += inFlightCost * float64(max(f.InFlight(o.Upstream)-o.InFlight, 0))
 	need := int64(q.Prompt + q.Output)
 	if o.Headroom >= 0 && o.Headroom < need {
 		cost += shortageCost * float64(need-o.Headroom) / 1000
--- a/internal/request/mgrouting/fleet.go
+++ b/internal/request/mgrouting/fleet.go
@@ -13,7 +13,7 @@
 // DefaultCount is the number of upstreams queried per request. The step from
 // one to two brings most of the gain (Mitzenmacher 2001); the third is the one
 // with the prefix.
-const DefaultCount = 3
+const DefaultCandidates = 3
 
 // MaxLoadFactor is how many times the average of requests in flight an upstream
 // may have and still be the first candidate. Mirrokni et al. bound the moves by
@@ -95,7 +95,7 @@
 func (f *Fleet) Upstream(i int) *Upstream { return &f.upstreams[i].upstream }
 
 // Flights returns the number of this entry's requests in flight to an upstream.
-func (f *Fleet) Flights(i int) int { return int(f.upstreams[i].state.inFlight.Load()) }
+func (f *Fleet) InFlight(i int) int { return int(f.upstreams[i].state.inFlight.Load()) }
 
 // Started records that a request was sent to an upstream.
 func (f *Fleet) Started(i int) { f.upstreams[i].state.inFlight.Add(1) }
@@ -105,7 +105,7 @@
 
 // Leave excludes an upstream that announced its leaving, before the list shows
 // it.
-func (f *Fleet) Leave(i int) { f.upstreams[i].state.leaving.Store(true) }
+func (f *Fleet) MarkLeaving(i int) { f.upstreams[i].state.leaving.Store(true) }
 
 // Candidates appends to dst the indices of the upstreams to query, the
 // preferred one first, and returns it.
@@ -116,7 +116,7 @@
 	}
 	count := q.Count
 	if count <= 0 {
-		count = DefaultCount
+		count = DefaultCandidates
 	}
 	region := g.regions[q.Region]
 	start := len(dst)
--- a/internal/request/mgrouting/fleet_test.go
+++ b/internal/request/mgrouting/fleet_test.go
@@ -44,10 +44,10 @@
 		for range 120 {
 			f.Started(f.Candidates(nil, query, r)[0])
 		}
-		So(f.Flights(home), ShouldBeBetween, 5, 14)
+		So(f.InFlight(home), ShouldBeBetween, 5, 14)
 		for i := range f.Len() {
-			So(f.Flights(i), ShouldBeLessThanOrEqualTo, 14)
-			for range f.Flights(i) {
+			So(f.InFlight(i), ShouldBeLessThanOrEqualTo, 14)
+			for range f.InFlight(i) {
 				f.Ended(i)
 			}
 		}
@@ -115,7 +115,7 @@
 	Convey("A leaving upstream is neither a candidate nor chosen", t, func() {
 		f := mgrouting.NewFleet(newUpstreams(3), nil)
 		r := newRand()
-		f.Leave(1)
+		f.MarkLeaving(1)
 		So(f.Candidates(nil, query, r), ShouldNotContain, 1)
 		So(f.Choose([]mgrouting.Offer{
 			{
@@ -154,9 +154,9 @@
 		})
 		Convey("is not a slow engine's", func() {
 			slow := offer(200, 4, 4000)
-			slow.Rest = 64_000
+			slow.GenerationTime = 64_000
 			usual := offer(250, 4, 4000)
-			usual.Rest = 16_000
+			usual.GenerationTime = 16_000
 			So(choose(slow, usual), ShouldEqual, 1)
 		})
 		Convey("delays few streams", func() {
--- a/internal/request/mgrouting/spec.go
+++ b/internal/request/mgrouting/spec.go
@@ -24,12 +24,12 @@
 
 // An Offer is an upstream's reply to a query.
 type Offer struct {
-	Upstream int            // index in the Fleet
-	Wait     mgclock.Millis // expected time to the first token
-	Rest     mgclock.Millis // expected time from the first token to the last
-	Uncached int            // prompt tokens that it has to compute
-	Headroom int64          // free memory in tokens, negative for unlimited
-	Running  int            // streams
-	Flights  int            // this entry's requests in flight when the query was sent
-	Refused  bool
+	Upstream       int            // index in the Fleet
+	Wait           mgclock.Millis // expected time to the first token
+	GenerationTime mgclock.Millis // expected time from the first token to the last
+	Uncached       int            // prompt tokens that it has to compute
+	Headroom       int64          // free memory in tokens, negative for unlimited
+	Running        int            // streams
+	InFlight       int            // this entry's requests in flight when the query was sent
+	Refused        bool
 }
--- a/internal/request/mgscheduler/example_test.go
+++ b/internal/request/mgscheduler/example_test.go
@@ -29,7 +29,7 @@
 	}
 	now = s.NextWake(now)
 	for _, d := range s.Poll(now, nil) {
-		fmt.Println(d.ID, "is given up on at", now, "and may come back in", d.GiveUp.Retry(), "ms")
+		fmt.Println(d.ID, "is given up on at", now, "and may come back in", d.GiveUp.RetryAfter(), "ms")
 	}
 	// Output:
 	// first refused: false
--- a/internal/request/mgscheduler/problem.go
+++ b/internal/request/mgscheduler/problem.go
@@ -13,7 +13,7 @@
 }
 
 func problemLarge() *mgproblem.Problem {
-	return mgproblem.New(mgproblem.Large, mgproblem.NotRun,
+	return mgproblem.New(mgproblem.TooLarge, mgproblem.NotRun,
 		"the prompt is larger than the upstream's memory", "send a shorter prompt")
 }
 
@@ -23,16 +23,16 @@
 }
 
 func problemFull(retry mgclock.Millis) *mgproblem.Problem {
-	return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-		"the account's part of the queue is full", "come back after the time given, with fewer requests at a time").WithRetry(retry)
+	return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
+		"the account's part of the queue is full", "come back after the time given, with fewer requests at a time").WithRetryAfter(retry)
 }
 
 func problemCrowded(retry mgclock.Millis) *mgproblem.Problem {
-	return mgproblem.New(mgproblem.Crowded, mgproblem.NotRun,
-		"the upstream can't answer before the deadline", "come back after the time given, or allow more time").WithRetry(retry)
+	return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
+		"the upstream can't answer before the deadline", "come back after the time given, or allow more time").WithRetryAfter(retry)
 }
 
 func problemLate(retry mgclock.Millis) *mgproblem.Problem {
-	return mgproblem.New(mgproblem.Late, mgproblem.NotRun,
-		"the request waited and can't be answered in time any more", "come back after the time given, or allow more time").WithRetry(retry)
+	return mgproblem.New(mgproblem.DeadlineExceeded, mgproblem.NotRun,
+		"the request waited and can't be answered in time any more", "come back after the time given, or allow more time").WithRetryAfter(retry)
 }
--- a/internal/request/mgscheduler/scheduler.go
+++ b/internal/request/mgscheduler/scheduler.go
@@ -18,7 +18,7 @@
 // much of that which it waits for, and the limit on their cost bounds its wait. Without
 // overtaking, lookups wait among very long reports; with a higher limit, heavy accounts get
 // more than their share.
-const DefaultPassing = 0.5
+const DefaultOvertaking = 0.5
 
 // maxSpares is the maximum number of freed jobs kept for reuse.
 const maxSpares = 1024
@@ -98,12 +98,12 @@
 	output := s.output(&r)
 	predicted := s.predict(now, &r, output)
 	return Offer{
-		Wait:     s.forecast.Correct(r.Priority, predicted) + s.forecast.FirstToken(r.uncached()),
-		Rest:     s.forecast.OutputTime(output),
-		Headroom: s.gate.Headroom(),
-		Running:  s.gate.Running(),
-		Queued:   s.queue.Len(),
-		Refused:  s.refusal(now, &r, output, predicted),
+		Wait:           s.forecast.Correct(r.Priority, predicted) + s.forecast.FirstToken(r.uncached()),
+		GenerationTime: s.forecast.OutputTime(output),
+		Headroom:       s.gate.Headroom(),
+		Running:        s.gate.Running(),
+		Queued:         s.queue.Len(),
+		Refused:        s.refusal(now, &r, output, predicted),
 	}
 }
 
@@ -142,7 +142,7 @@
 	j.chargedCost = j.cost()
 	s.jobs[r.ID] = j
 	s.markRunning(now, j)
-	j.answer.Skip(produced)
+	j.answer.SkipTo(produced)
 	s.gate.RecordProgress(&j.share, produced)
 	s.gate.UpdateProjection(&j.share, j.answer.Curve())
 }
@@ -181,7 +181,7 @@
 
 // Preempted records that the upstream took a running request's memory away. The memory
 // stays counted, since the request takes it again before it ends.
-func (s *Scheduler) Preempted(_ mgclock.Millis, id string) {
+func (s *Scheduler) RecordPreemption(_ mgclock.Millis, id string) {
 	if j := s.jobs[id]; j != nil && j.isRunning {
 		s.preemptions++
 	}
@@ -200,7 +200,7 @@
 }
 
 // Rest returns the expected time until a running request is complete.
-func (s *Scheduler) Rest(id string) mgclock.Millis {
+func (s *Scheduler) Remaining(id string) mgclock.Millis {
 	j := s.jobs[id]
 	if j == nil || !j.isRunning {
 		return 0
@@ -221,7 +221,7 @@
 }
 
 // Used records the upstream's own count of used memory, which lags.
-func (s *Scheduler) Used(_ mgclock.Millis, tokens int64) {
+func (s *Scheduler) ReportUsed(_ mgclock.Millis, tokens int64) {
 	s.gate.RecordUsed(tokens)
 }
 
@@ -231,13 +231,13 @@
 
 // Leaving refuses new requests from now on, and the next Poll gives up those that wait.
 // Running requests continue.
-func (s *Scheduler) Leaving(mgclock.Millis) { s.isLeaving = true }
+func (s *Scheduler) Leave(mgclock.Millis) { s.isLeaving = true }
 
 // passingFactor returns the limit on the cost that may overtake a request, as a multiple of
 // its own cost.
 func (s *Scheduler) passingFactor() float64 {
-	if p := s.spec.Policy.Passing; p != 0 {
+	if p := s.spec.Policy.Overtaking; p != 0 {
 		return p
 	}
-	return DefaultPassing
+	return DefaultOvertaking
 }
--- a/internal/request/mgscheduler/scheduler_test.go
+++ b/internal/request/mgscheduler/scheduler_test.go
@@ -38,7 +38,7 @@
 				if c.problem != nil {
 					So(c.problemAt, ShouldBeLessThanOrEqualTo, c.request.Deadline)
 					So(c.problem.Outcome(), ShouldEqual, mgproblem.NotRun)
-					So(c.problem.Retry(), ShouldBeGreaterThan, 0)
+					So(c.problem.RetryAfter(), ShouldBeGreaterThan, 0)
 					So(c.isStarted, ShouldBeFalse)
 					continue
 				}
@@ -64,7 +64,7 @@
 				break
 			}
 		}
-		u.runUntil(u.now + c.problem.Retry() + u.step)
+		u.runUntil(u.now + c.problem.RetryAfter() + u.step)
 		again := u.send(c.request.Account, "note", 100, 20*mgclock.Second)
 		So(again.problem, ShouldBeNil)
 		u.runUntil(u.now + mgclock.Minute)
@@ -117,7 +117,7 @@
 				}
 			}
 			for _, c := range u.calls {
-				if c.problem != nil && c.problem.Kind() == mgproblem.Late {
+				if c.problem != nil && c.problem.Kind() == mgproblem.DeadlineExceeded {
 					late++
 				}
 			}
@@ -168,8 +168,8 @@
 		u := newUpstream(mgscheduler.Spec{
 			Memory: 1000,
 			Policy: mgscheduler.Policy{
-				Rule:    mgadmission.CurrentSize,
-				Passing: 1,
+				Rule:       mgadmission.CurrentSize,
+				Overtaking: 1,
 			},
 		})
 		for range 40 {
@@ -243,7 +243,7 @@
 		for range 20 {
 			u.send("tank", "note", 100, 0)
 		}
-		u.scheduler.Leaving(u.now)
+		u.scheduler.Leave(u.now)
 		u.poll()
 		So(u.send("tank", "note", 100, 0).problem.Kind(), ShouldEqual, mgproblem.Leaving)
 		u.runUntil(mgclock.Minute)
@@ -287,7 +287,7 @@
 				}
 			case 3:
 				if len(u.running) > 0 {
-					u.scheduler.Preempted(u.now, u.running[0].request.ID)
+					u.scheduler.RecordPreemption(u.now, u.running[0].request.ID)
 				}
 			}
 			u.runUntil(u.now + 20)
--- a/internal/request/mgscheduler/spec.go
+++ b/internal/request/mgscheduler/spec.go
@@ -22,13 +22,13 @@
 // A Policy is a named set of settings, for comparisons. The zero Policy is the one for
 // production.
 type Policy struct {
-	Rule    mgadmission.Rule // admission rule
-	Free    float64          // share of the memory that stays free under mgadmission.Watermark
-	Short   float64          // z of short steady answers under mgadmission.OverflowProbability
-	Steady  float64          // z of other steady answers under mgadmission.OverflowProbability
-	Whole   float64          // z of whole answers under mgadmission.OverflowProbability
-	Loan    float64          // tokens lent to each priority level, 0 for mgqueue.DefaultLoan, negative for none
-	Passing float64          // cost that may overtake a waiting request, as a multiple of its own, 0 for DefaultPassing, negative for none
+	Rule       mgadmission.Rule // admission rule
+	Free       float64          // share of the memory that stays free under mgadmission.Watermark
+	Short      float64          // z of short steady answers under mgadmission.OverflowProbability
+	Steady     float64          // z of other steady answers under mgadmission.OverflowProbability
+	Whole      float64          // z of whole answers under mgadmission.OverflowProbability
+	Loan       float64          // tokens lent to each priority level, 0 for mgqueue.DefaultLoan, negative for none
+	Overtaking float64          // cost that may overtake a waiting request, as a multiple of its own, 0 for DefaultPassing, negative for none
 }
 
 // policies holds the policies by name. Those other than "ours" are its earlier versions and
@@ -37,8 +37,8 @@
 var policies = map[string]Policy{
 	"ours": {},
 	"strict": {
-		Loan:    -1,
-		Passing: -1,
+		Loan:       -1,
+		Overtaking: -1,
 	},
 	"ours-1.5": {
 		Whole: 1.5,
@@ -81,16 +81,16 @@
 }
 
 // Named returns the policy with a name.
-func Named(name string) (Policy, error) {
+func PolicyByName(name string) (Policy, error) {
 	p, ok := policies[name]
 	if !ok {
-		return Policy{}, fmt.Errorf("mgscheduler: unknown policy %q: use one of %q", name, Names())
+		return Policy{}, fmt.Errorf("mgscheduler: unknown policy %q: use one of %q", name, PolicyNames())
 	}
 	return p, nil
 }
 
 // Names returns the sorted names of all policies.
-func Names() []string {
+func PolicyNames() []string {
 	names := make([]string, 0, len(policies))
 	for name := range policies {
 		names = append(names, name)
@@ -143,10 +143,10 @@
 
 // An Offer describes to an entry the prospects of a request at this upstream.
 type Offer struct {
-	Wait     mgclock.Millis     // expected until the first token
-	Rest     mgclock.Millis     // expected from the first token to the last
-	Headroom int64              // free tokens of memory
-	Running  int                // requests
-	Queued   int                // requests
-	Refused  *mgproblem.Problem // nil when it would be accepted
+	Wait           mgclock.Millis     // expected until the first token
+	GenerationTime mgclock.Millis     // expected from the first token to the last
+	Headroom       int64              // free tokens of memory
+	Running        int                // requests
+	Queued         int                // requests
+	Refused        *mgproblem.Problem // nil when it would be accepted
 }
