--- a/internal/request/mgwarm/warm.go
+++ b/internal/request/mgwarm/warm.go
@@ -24,7 +24,7 @@
 
 // Placed returns how many placements per second one process may grant at a cold
 // upstream, if givers processes grant placements there.
-func Placed(rate float64, givers int) int {
+func PlacementLimit(rate float64, givers int) int {
 	return max(int(rate*placedFraction)/max(givers, 1), 1)
 }
 
--- a/internal/request/mgwarm/warm_test.go
+++ b/internal/request/mgwarm/warm_test.go
@@ -84,7 +84,7 @@
 				want:   1,
 			},
 		} {
-			So(Placed(c.rate, c.givers), ShouldEqual, c.want)
+			So(PlacementLimit(c.rate, c.givers), ShouldEqual, c.want)
 		}
 	})
 }
--- a/internal/soak/mgproc/link.go
+++ b/internal/soak/mgproc/link.go
@@ -79,7 +79,7 @@
 // Silence stops forwarding on the open connections for good without closing them, as
 // when a middlebox has lost their state, and returns their number. New connections
 // work.
-func (l *Link) Silence() int {
+func (l *Link) DropSilently() int {
 	open := l.openConnections()
 	for _, c := range open {
 		c.silence()
--- a/internal/soak/mgsoak/deployment.go
+++ b/internal/soak/mgsoak/deployment.go
@@ -197,7 +197,7 @@
 // publishList publishes the list of VMs and the cordoned zones.
 func (d *deployment) publishList(cordoned ...string) error {
 	d.listVersion++
-	list := mgplatform.List{
+	list := mgplatform.VMList{
 		Version:  d.listVersion,
 		Cordoned: cordoned,
 	}
--- a/internal/soak/mgsoak/evidence.go
+++ b/internal/soak/mgsoak/evidence.go
@@ -137,13 +137,13 @@
 	ids := e.generationsOf(r.prompt)
 	matches := r.tokens == 0 && r.text == ""
 	for _, id := range ids {
-		matches = matches || mgstandin.Whole(id, r.tokens) == r.text
+		matches = matches || mgstandin.FirstTokens(id, r.tokens) == r.text
 	}
 	var found []Finding
 	if !matches {
 		promise := oneGeneration
 		for id := range e.generations {
-			if mgstandin.Whole(id, r.tokens) == r.text {
+			if mgstandin.FirstTokens(id, r.tokens) == r.text {
 				promise = ownAnswerOnly
 			}
 		}
--- a/internal/soak/mgsoak/evidence_test.go
+++ b/internal/soak/mgsoak/evidence_test.go
@@ -28,19 +28,19 @@
 			{
 				prompt: "report 1.",
 				length: 9,
-				text:   mgstandin.Whole("g1", 9),
+				text:   mgstandin.FirstTokens("g1", 9),
 				tokens: 9,
 			},
 			{
 				prompt: "report 2.",
 				length: 9,
-				text:   mgstandin.Whole("g2", 4),
+				text:   mgstandin.FirstTokens("g2", 4),
 				tokens: 4,
 				err:    errors.New("cut"),
 			},
 			{
 				prompt: "report 3.",
-				err:    mgproblem.New(mgproblem.Crowded, mgproblem.NotRun, "full", "wait"),
+				err:    mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun, "full", "wait"),
 			},
 		},
 		tickets: []ticket{{
@@ -86,19 +86,19 @@
 		broken  func(e *evidence)
 	}{
 		{"a token comes twice", oneGeneration, func(e *evidence) {
-			e.answers[0].text = mgstandin.Text("g1", 1) + mgstandin.Whole("g1", 9)
+			e.answers[0].text = mgstandin.Text("g1", 1) + mgstandin.FirstTokens("g1", 9)
 			e.answers[0].tokens = 10
 			e.answers[0].length = 10
 		}},
 		{"a token is missing", oneGeneration, func(e *evidence) {
-			e.answers[0].text = mgstandin.Whole("g1", 9)[len(mgstandin.Text("g1", 1)):]
+			e.answers[0].text = mgstandin.FirstTokens("g1", 9)[len(mgstandin.Text("g1", 1)):]
 		}},
 		{"two generations are joined", oneGeneration, func(e *evidence) {
-			e.answers[0].text = mgstandin.Whole("g1", 8) + mgstandin.Text("g2", 9)
+			e.answers[0].text = mgstandin.FirstTokens("g1", 8) + mgstandin.Text("g2", 9)
 		}},
 		{"a part looks whole", oneGeneration, func(e *evidence) { e.answers[1].err = nil }},
 		{"another's answer comes", ownAnswerOnly, func(e *evidence) {
-			e.answers[1].text = mgstandin.Whole("g1", 4)
+			e.answers[1].text = mgstandin.FirstTokens("g1", 4)
 		}},
 		{"a generation is started at two engines", generationStartsOnce, func(e *evidence) {
 			e.merge(mgstandin.EngineCounts{Generations: map[string]mgstandin.Record{"g1": {Starts: 1}}})
@@ -109,7 +109,7 @@
 		{"a write runs twice", writeRunsOnce, func(e *evidence) { e.runs["op"] = 2 }},
 		{"a write is answered and did not run", writeRunsOnce, func(e *evidence) { e.runs["op"] = 0 }},
 		{"a refused write has run", notRunIsTrue, func(e *evidence) {
-			e.tickets[0].err = mgproblem.New(mgproblem.Crowded, mgproblem.NotRun, "full", "wait")
+			e.tickets[0].err = mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun, "full", "wait")
 		}},
 		{"a write gets another's reply", ownAnswerOnly, func(e *evidence) { e.tickets[0].body = []byte("ticket 2") }},
 		{"a table goes back", versionMonotonic, func(e *evidence) {
--- a/internal/soak/mgsoak/inject.go
+++ b/internal/soak/mgsoak/inject.go
@@ -103,7 +103,7 @@
 	case CutLink:
 		l.Cut()
 	case SilenceLink:
-		l.Silence()
+		l.DropSilently()
 	case BlockLink:
 		l.Block(true)
 		r.sleep(ctx, f.Duration)
--- a/internal/soak/mgsoak/load.go
+++ b/internal/soak/mgsoak/load.go
@@ -35,13 +35,13 @@
 	rng := rand.New(rand.NewPCG(r.seed, uint64(number)+1))
 	first := number % len(r.deployment.entries)
 	client := mgclient.New(mgclient.Spec{
-		Bases:   append(slices.Clone(r.deployment.entries[first:]), r.deployment.entries[:first]...),
-		Key:     firstKey,
-		Silence: 2500,
-		Begin:   20000,
-		Tries:   12,
-		Jitter:  rng.Float64,
-		Dial:    r.deployment.dial,
+		Bases:          append(slices.Clone(r.deployment.entries[first:]), r.deployment.entries[:first]...),
+		Key:            firstKey,
+		SilenceTimeout: 2500,
+		BeginTimeout:   20000,
+		MaxTries:       12,
+		Jitter:         rng.Float64,
+		Dial:           r.deployment.dial,
 	})
 	for n := 0; ctx.Err() == nil; n++ {
 		name := fmt.Sprintf("caller %d, request %d,", number, n)
@@ -88,7 +88,7 @@
 	result := ticket{
 		body: []byte(name + " ticket"),
 	}
-	result.operation, result.err = client.Mint(ctx, "ticket")
+	result.operation, result.err = client.NewOperationID(ctx, "ticket")
 	if result.err == nil {
 		var reply mgclient.Reply
 		reply, result.err = client.Call(ctx, mgclient.CallSpec{
--- a/internal/standin/mgdemo/bench_test.go
+++ b/internal/standin/mgdemo/bench_test.go
@@ -89,10 +89,10 @@
 	client := d.EngineClient("engine-1")
 	id := fmt.Sprintf("direct-%d-%d", b.N, i)
 	if err := client.Start(ctx, mgengine.StartSpec{
-		ID:     id,
-		Model:  "tank-70b",
-		Prompt: fmt.Sprintf("len=%d", tokens),
-		Tokens: 4,
+		ID:           id,
+		Model:        "tank-70b",
+		Prompt:       fmt.Sprintf("len=%d", tokens),
+		PromptTokens: 4,
 	}); err != nil {
 		return err
 	}
--- a/internal/standin/mgdemo/caps_test.go
+++ b/internal/standin/mgdemo/caps_test.go
@@ -32,9 +32,9 @@
 	for i := range callers {
 		group.Go(func() {
 			client := mgclient.New(mgclient.Spec{
-				Bases: d.Entries()[i%2 : i%2+1],
-				Key:   "sample-harbour",
-				Tries: 1,
+				Bases:    d.Entries()[i%2 : i%2+1],
+				Key:      "sample-harbour",
+				MaxTries: 1,
 			})
 			_, err := client.Complete(context.Background(), mgclient.Request{
 				Model: "lookup",
@@ -49,7 +49,7 @@
 			switch {
 			case err == nil:
 				done++
-			case problem.Kind() == mgproblem.Capped && problem.Outcome() == mgproblem.NotRun && problem.Retry() > 0:
+			case problem.Kind() == mgproblem.LimitReached && problem.Outcome() == mgproblem.NotRun && problem.RetryAfter() > 0:
 				capped++
 			default:
 				others = append(others, err.Error())
--- a/internal/standin/mgdemo/deployment.go
+++ b/internal/standin/mgdemo/deployment.go
@@ -122,9 +122,9 @@
 		name := fmt.Sprintf("engine-%d", i+1)
 		engine := mgstandin.NewEngine(mgstandin.EngineSpec{
 			Model: mgmodel.Spec{
-				Memory: 40000,
-				Batch:  32,
-				Speed:  engineSpeed,
+				Memory:   40000,
+				MaxBatch: 32,
+				Speed:    engineSpeed,
 			},
 			Serves: []string{"tank-70b", "mar-70b"},
 			Fenced: i%2 == 0,
@@ -190,16 +190,16 @@
 		return mgsettings.Process{}, err
 	}
 	return mgsettings.Process{
-		Name:     name,
-		Zone:     zone(i),
-		Region:   region,
-		Peer:     peer,
-		Admin:    admin,
-		Platform: d.platformURL,
-		Secret:   secret,
-		Log:      d.spec.Level,
-		Drain:    int64(drainTimeout),
-		Beat:     250,
+		Name:              name,
+		Zone:              zone(i),
+		Region:            region,
+		PeerAddr:          peer,
+		AdminAddr:         admin,
+		PlatformURL:       d.platformURL,
+		Secret:            secret,
+		LogLevel:          d.spec.Level,
+		DrainTimeout:      int64(drainTimeout),
+		HeartbeatInterval: 250,
 	}, nil
 }
 
@@ -210,18 +210,18 @@
 		return err
 	}
 	settings := mgsettings.Agent{
-		Process:  common,
-		Upstream: upstream,
-		Address:  address,
-		Grace:    15000,
-		Keep:     60000,
-		Queue:    512,
-		Policy:   "ours",
+		Process:     common,
+		Upstream:    upstream,
+		UpstreamURL: address,
+		ReaderGrace: 15000,
+		ResultTTL:   60000,
+		MaxWaiting:  512,
+		Policy:      "ours",
 	}
 	d.vms = append(d.vms, mgplatform.VM{
 		Name:     name,
 		Kind:     "agent",
-		Addr:     common.Peer,
+		Addr:     common.PeerAddr,
 		Zone:     common.Zone,
 		Region:   region,
 		Upstream: upstream,
@@ -246,21 +246,21 @@
 			return err
 		}
 		settings := mgsettings.Entry{
-			Process: common,
-			Listen:  listen,
-			Body:    1 << 20,
-			Head:    32 << 10,
-			Slow:    10000,
-			Probe:   200,
-			Call:    10000,
-			Fresh:   true,
+			Process:       common,
+			ListenAddr:    listen,
+			MaxBody:       1 << 20,
+			MaxHeader:     32 << 10,
+			CallerTimeout: 10000,
+			ProbeTimeout:  200,
+			CallTimeout:   10000,
+			Fresh:         true,
 		}
 		d.entries = append(d.entries, "http://"+listen)
 		d.vms = append(d.vms, mgplatform.VM{
 			Name:   name,
 			Kind:   "entry",
 			Addr:   listen,
-			Peer:   common.Peer,
+			Peer:   common.PeerAddr,
 			Zone:   common.Zone,
 			Region: region,
 			State:  "live",
--- a/internal/standin/mgdemo/play.go
+++ b/internal/standin/mgdemo/play.go
@@ -138,9 +138,9 @@
 	entries := p.deployment.entries
 	first := i % len(entries)
 	return mgclient.New(mgclient.Spec{
-		Bases:   append(slices.Clone(entries[first:]), entries[:first]...),
-		Key:     "sample-" + account,
-		Silence: callerSilenceTimeout,
+		Bases:          append(slices.Clone(entries[first:]), entries[:first]...),
+		Key:            "sample-" + account,
+		SilenceTimeout: callerSilenceTimeout,
 	})
 }
 
@@ -196,7 +196,7 @@
 		Path:    fmt.Sprintf("/%s/%d", k.name, i),
 	}
 	if k.isWrite {
-		operation, err := client.Mint(ctx, k.name)
+		operation, err := client.NewOperationID(ctx, k.name)
 		if err != nil {
 			t.recordFailure(err)
 			return
--- a/internal/standin/mgdemo/report.go
+++ b/internal/standin/mgdemo/report.go
@@ -95,8 +95,8 @@
 
 func (t *results) recordAnswer(account string, answer mgclient.Answer, wanted int) {
 	t.done.Add(1)
-	t.resumed.Add(int64(answer.Resumes()))
-	t.preempted.Add(int64(answer.Preempted()))
+	t.resumed.Add(int64(answer.ResumeCount()))
+	t.preempted.Add(int64(answer.PreemptionCount()))
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.answers = append(t.answers, receivedAnswer{
@@ -233,7 +233,7 @@
 	if g.answer.Tokens() != uint64(g.wantedTokens) {
 		return fmt.Sprintf("answer has %d tokens, asked for %d", g.answer.Tokens(), g.wantedTokens)
 	}
-	if g.answer.Text() != mgstandin.Whole(name.Generation(), g.wantedTokens) {
+	if g.answer.Text() != mgstandin.FirstTokens(name.Generation(), g.wantedTokens) {
 		return fmt.Sprintf("generation %s: the text is not what the engine made", name.Generation())
 	}
 	return ""
--- a/internal/standin/mgdemo/stall_test.go
+++ b/internal/standin/mgdemo/stall_test.go
@@ -139,9 +139,9 @@
 
 func newClient(bases []string) *mgclient.Client {
 	return mgclient.New(mgclient.Spec{
-		Bases:   bases,
-		Key:     "sample-tankline",
-		Silence: callerSilenceTimeout,
+		Bases:          bases,
+		Key:            "sample-tankline",
+		SilenceTimeout: callerSilenceTimeout,
 	})
 }
 
--- a/internal/standin/mgstandin/engine_test.go
+++ b/internal/standin/mgstandin/engine_test.go
@@ -77,14 +77,14 @@
 				text, last, err := readStream(ctx, client, "g", 1)
 				if c.kind != "" {
 					So(mgengine.KindOf(err), ShouldEqual, c.kind)
-					So(text, ShouldEqual, mgstandin.Whole("g", int(c.fault.After)))
+					So(text, ShouldEqual, mgstandin.FirstTokens("g", int(c.fault.After)))
 					var rest string
 					rest, last, err = readStream(ctx, client, "g", c.fault.After+1)
 					text += rest
 				}
 				So(err, ShouldBeNil)
 				So(last.End, ShouldEqual, "stop")
-				So(text, ShouldEqual, mgstandin.Whole("g", length))
+				So(text, ShouldEqual, mgstandin.FirstTokens("g", length))
 				id, record, found := e.Counts().Find(text)
 				So(found, ShouldBeTrue)
 				So(id, ShouldEqual, "g")
@@ -123,7 +123,7 @@
 		text, last, err := readStream(ctx, client, "g", 6)
 		So(err, ShouldBeNil)
 		So(last.End, ShouldEqual, "stop")
-		So(mgstandin.Whole("g", 5)+text, ShouldEqual, mgstandin.Whole("g", 20))
+		So(mgstandin.FirstTokens("g", 5)+text, ShouldEqual, mgstandin.FirstTokens("g", 20))
 	})
 }
 
@@ -164,24 +164,24 @@
 	Convey("A leaving engine's report counts its notice down", t, func() {
 		var clock mgclock.Manual
 		e := mgstandin.NewEngine(mgstandin.EngineSpec{}, clock.Clock())
-		So(e.Load().Notice, ShouldEqual, 0)
+		So(e.Load().ShutdownNotice, ShouldEqual, 0)
 		e.Set(mgstandin.Fault{
 			Kind: mgstandin.Leave,
 		})
 		So(e.Load().Leaving, ShouldBeTrue)
-		So(e.Load().Notice, ShouldEqual, 0)
+		So(e.Load().ShutdownNotice, ShouldEqual, 0)
 		e.Set(mgstandin.Fault{
 			Kind:  mgstandin.Leave,
 			Delay: 30 * mgclock.Second,
 		})
 		clock.Advance(10 * mgclock.Second)
-		So(e.Load().Notice, ShouldEqual, 20*mgclock.Second)
+		So(e.Load().ShutdownNotice, ShouldEqual, 20*mgclock.Second)
 		clock.Advance(mgclock.Minute)
-		So(e.Load().Notice, ShouldEqual, 1)
+		So(e.Load().ShutdownNotice, ShouldEqual, 1)
 		e.Set(mgstandin.Fault{
 			Kind: mgstandin.Heal,
 		})
-		So(e.Load().Notice, ShouldEqual, 0)
+		So(e.Load().ShutdownNotice, ShouldEqual, 0)
 	})
 }
 
@@ -206,7 +206,7 @@
 			id := fmt.Sprint("g", i)
 			text, _, err := readStream(ctx, client, id, 1)
 			So(err, ShouldBeNil)
-			So(text, ShouldEqual, mgstandin.Whole(id, 90))
+			So(text, ShouldEqual, mgstandin.FirstTokens(id, 90))
 		}
 		So(e.Counts().Preempted, ShouldBeGreaterThan, 0)
 	})
@@ -274,11 +274,11 @@
 		var log strings.Builder
 		logCall := func(call string, args ...any) { fmt.Fprintln(&log, append([]any{call}, args...)...) }
 		spec := mgengine.StartSpec{
-			ID:     "a.1",
-			Model:  "reports",
-			Prompt: "len=12",
-			Prefix: []uint64{1, 2},
-			Max:    8,
+			ID:        "a.1",
+			Model:     "reports",
+			Prompt:    "len=12",
+			Prefix:    []uint64{1, 2},
+			MaxTokens: 8,
 		}
 		logCall("start", client.Start(ctx, spec))
 		logCall("start again", client.Start(ctx, spec))
--- a/internal/standin/mgstandin/generation.go
+++ b/internal/standin/mgstandin/generation.go
@@ -92,11 +92,11 @@
 	if len(e.loaded) > 0 && !slices.Contains(e.loaded, spec.Model) {
 		return refusal("model", "the model isn't loaded; order it or start elsewhere")
 	}
-	if spec.Copy != "" {
+	if spec.CopyName != "" {
 		return e.resumeFromCopy(spec)
 	}
-	if spec.Tokens < 1 {
-		spec.Tokens = 1 + len(spec.Prompt)/bytesPerToken
+	if spec.PromptTokens < 1 {
+		spec.PromptTokens = 1 + len(spec.Prompt)/bytesPerToken
 	}
 	if !e.model.Add(sequenceOf(spec)) {
 		return refusal("large", "the prompt doesn't fit the engine's memory; shorten it")
--- a/internal/standin/mgstandin/helpers_test.go
+++ b/internal/standin/mgstandin/helpers_test.go
@@ -77,9 +77,9 @@
 // startSpec returns the spec of a generation of the given length.
 func startSpec(id string, length int) mgengine.StartSpec {
 	return mgengine.StartSpec{
-		ID:     id,
-		Prompt: fmt.Sprintf("shift report len=%d", length),
-		Max:    1 << 29,
+		ID:        id,
+		Prompt:    fmt.Sprintf("shift report len=%d", length),
+		MaxTokens: 1 << 29,
 	}
 }
 
@@ -96,7 +96,7 @@
 		if err != nil || t.End != "" {
 			return text.String(), t, err
 		}
-		if t.Heartbeat() {
+		if t.IsHeartbeat() {
 			continue
 		}
 		if t.Seq != seq {
--- a/internal/standin/mgstandin/move.go
+++ b/internal/standin/mgstandin/move.go
@@ -46,7 +46,7 @@
 }
 
 // Reach sets the HTTP client for calls to other engines.
-func (e *Engine) Reach(client *http.Client) {
+func (e *Engine) SetClient(client *http.Client) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.client = client
@@ -63,8 +63,8 @@
 		return mgengine.Copy{}, refusal(roomRefusal, err.Error())
 	}
 	return mgengine.Copy{
-		Name: order.Spec.ID,
-		Made: order.Produced,
+		Name:       order.Spec.ID,
+		TokenCount: order.Produced,
 	}, nil
 }
 
@@ -89,7 +89,7 @@
 	if g.copiedTo != spec.To {
 		g.copiedTokens = 0
 	}
-	totalTokens := g.spec.Tokens + int(g.produced)
+	totalTokens := g.spec.PromptTokens + int(g.produced)
 	newTokens := totalTokens - g.copiedTokens
 	g.copiedTokens, g.copiedTo = totalTokens, spec.To
 	if spec.Last {
@@ -144,7 +144,7 @@
 	if c == nil {
 		c = &incomingCopy{}
 	}
-	if e.fault.Kind == Leave || !e.model.Hold(order.HeldTokens-c.heldTokens) {
+	if e.fault.Kind == Leave || !e.model.Reserve(order.HeldTokens-c.heldTokens) {
 		return refusal(roomRefusal, "no room for a copy; send it to another engine")
 	}
 	*c = incomingCopy{
@@ -170,11 +170,11 @@
 // resumeFromCopy resumes a generation from a copy that this engine holds. The caller
 // holds mu.
 func (e *Engine) resumeFromCopy(spec mgengine.StartSpec) *mgengine.Refusal {
-	c := e.copies[spec.Copy]
+	c := e.copies[spec.CopyName]
 	if c == nil {
 		return refusal(copyRefusal, "no such copy; it was used or has run out")
 	}
-	delete(e.copies, spec.Copy)
+	delete(e.copies, spec.CopyName)
 	e.model.Release(c.heldTokens)
 	if !e.model.Resume(sequenceOf(c.spec), int(c.producedTokens), 1) {
 		return refusal(copyRefusal, "the generation doesn't fit")
@@ -193,9 +193,9 @@
 func sequenceOf(spec mgengine.StartSpec) mgmodel.Sequence {
 	return mgmodel.Sequence{
 		ID:       spec.ID,
-		Prompt:   spec.Tokens,
+		Prompt:   spec.PromptTokens,
 		Prefix:   spec.Prefix,
-		Output:   Output(spec.Prompt, spec.Max),
+		Output:   Output(spec.Prompt, spec.MaxTokens),
 		Priority: spec.Priority,
 	}
 }
--- a/internal/standin/mgstandin/platform.go
+++ b/internal/standin/mgstandin/platform.go
@@ -96,7 +96,7 @@
 // PutVMs publishes the list of VMs, which readers see after the lag. It must not be
 // called concurrently.
 func (p *Platform) PutVMs(vms []mgplatform.VM) (uint64, error) {
-	body, err := json.Marshal(mgplatform.List{
+	body, err := json.Marshal(mgplatform.VMList{
 		Version: p.version(mgplatform.ListKey) + 1,
 		VMs:     vms,
 	})
@@ -316,7 +316,7 @@
 // faultFor returns the fault kind that applies to a key. A fault can spare one key, so
 // that the list of VMs works while the configuration fails, or the reverse.
 func (p *Platform) faultFor(key string) string {
-	if p.fault.Spare == key {
+	if p.fault.ExemptKey == key {
 		return Heal
 	}
 	return p.fault.Kind
--- a/internal/standin/mgstandin/platform_test.go
+++ b/internal/standin/mgstandin/platform_test.go
@@ -24,7 +24,7 @@
 }
 
 func formatValue(v mgplatform.Value, err error) string {
-	for _, known := range []error{mgplatform.ErrMissing, mgplatform.ErrUnchanged, mgplatform.ErrRate, mgplatform.ErrDown} {
+	for _, known := range []error{mgplatform.ErrMissing, mgplatform.ErrUnchanged, mgplatform.ErrRateLimited, mgplatform.ErrUnavailable} {
 		if errors.Is(err, known) {
 			return known.Error()
 		}
@@ -35,7 +35,7 @@
 // Guards against a reader that gets an older version than before while the platform
 // fails during an edit, or that doesn't get the new version after healing.
 func TestFaultyPlatformServesWrongVersion(t *testing.T) {
-	down := mgplatform.ErrDown.Error()
+	down := mgplatform.ErrUnavailable.Error()
 	cases := []struct {
 		name  string
 		fault string
@@ -81,8 +81,8 @@
 			rate: 1,
 			reads: []string{
 				"1 old",
-				mgplatform.ErrRate.Error(),
-				mgplatform.ErrRate.Error(),
+				mgplatform.ErrRateLimited.Error(),
+				mgplatform.ErrRateLimited.Error(),
 			},
 		},
 	}
@@ -99,8 +99,8 @@
 				p.Put(c.key, []byte("old"))
 				manual.Advance(c.lag)
 				p.Set(mgstandin.Fault{
-					Kind:  c.fault,
-					Spare: c.spare,
+					Kind:      c.fault,
+					ExemptKey: c.spare,
 				})
 				reads := []string{readValue(ctx, base, c.key)}
 				p.Put(c.key, []byte("new"))
--- a/internal/standin/mgstandin/text.go
+++ b/internal/standin/mgstandin/text.go
@@ -35,7 +35,7 @@
 }
 
 // Whole returns the first tokens of a generation, joined.
-func Whole(generation string, tokens int) string {
+func FirstTokens(generation string, tokens int) string {
 	var b strings.Builder
 	for seq := 1; seq <= tokens; seq++ {
 		b.WriteString(Text(generation, uint64(seq)))
@@ -48,7 +48,7 @@
 // that of a running generation.
 func (c EngineCounts) Find(text string) (string, Record, bool) {
 	for id, record := range c.Generations {
-		if record.End != "" && strings.HasPrefix(text, Text(id, 1)) && Whole(id, record.Tokens) == text {
+		if record.End != "" && strings.HasPrefix(text, Text(id, 1)) && FirstTokens(id, record.Tokens) == text {
 			return id, record, true
 		}
 	}
--- a/internal/standin/mgstandin/wire.go
+++ b/internal/standin/mgstandin/wire.go
@@ -21,12 +21,12 @@
 
 // Fault is the setting of a switch.
 type Fault struct {
-	Kind   string         `json:"kind"`
-	After  uint64         `json:"after,omitempty"`  // tokens before a cut or stall
-	Times  int            `json:"times,omitempty"`  // number of service calls affected, 0 for all
-	Factor float64        `json:"factor,omitempty"` // factor by which an engine's steps take longer
-	Delay  mgclock.Millis `json:"delay,omitempty"`  // service: added delay; engine: notice of a Leave, 0 for none
-	Spare  string         `json:"spare,omitempty"`  // platform: a key that is not affected
+	Kind      string         `json:"kind"`
+	After     uint64         `json:"after,omitempty"`  // tokens before a cut or stall
+	Times     int            `json:"times,omitempty"`  // number of service calls affected, 0 for all
+	Factor    float64        `json:"factor,omitempty"` // factor by which an engine's steps take longer
+	Delay     mgclock.Millis `json:"delay,omitempty"`  // service: added delay; engine: notice of a Leave, 0 for none
+	ExemptKey string         `json:"spare,omitempty"`  // platform: a key that is not affected
 }
 
 // EngineCounts holds the counters of an engine. They survive Die.
--- a/internal/version/mgconfig/action.go
+++ b/internal/version/mgconfig/action.go
@@ -70,7 +70,7 @@
 	Summary *mgrpc.Summary // of an exchange
 	Values  [][]byte       // of a fetch, decompressed
 	List    []byte         // of a fetch or long poll, decompressed
-	Report  Word           // of a long poll
+	Report  VersionReport  // of a long poll
 	Gossip  []mgmember.Gossip
 	Value   mgplatform.Value // of a read or watch
 }
--- a/internal/version/mgconfig/cordon_test.go
+++ b/internal/version/mgconfig/cordon_test.go
@@ -75,7 +75,7 @@
 			counts: []int{31, 100},
 			fault: func(f *fleet) {
 				reader := f.reader()
-				f.net.Cut(0, func(from, to string) bool {
+				f.net.SetLoss(0, func(from, to string) bool {
 					return from == reader && to == "platform" || from == "platform" && to == reader
 				})
 			},
@@ -88,7 +88,7 @@
 				for i, n := range f.nodes {
 					cut[n.name] = i%3 == 0
 				}
-				f.net.Cut(0, func(from, to string) bool {
+				f.net.SetLoss(0, func(from, to string) bool {
 					return cut[from] && to == "platform" || from == "platform" && cut[to]
 				})
 			},
--- a/internal/version/mgconfig/departure_test.go
+++ b/internal/version/mgconfig/departure_test.go
@@ -27,7 +27,7 @@
 }
 
 func upstreamList(version uint64, state string) []byte {
-	data, _ := json.Marshal(mgplatform.List{
+	data, _ := json.Marshal(mgplatform.VMList{
 		Version: version,
 		VMs: []mgplatform.VM{
 			{
@@ -106,16 +106,16 @@
 func TestWatchIgnoresSettings(t *testing.T) {
 	Convey("Timeouts and backoff follow the settings", t, func() {
 		m, _ := machineWithoutPeers()
-		m.spec.Watch = 2 * sec
-		m.spec.Answer = 500
+		m.spec.WatchWait = 2 * sec
+		m.spec.AnswerTimeout = 500
 		for _, action := range m.readPlatform(sec) {
 			if action.Kind() == Watch {
 				So(actionTimeout(action), ShouldEqual, 2500)
 			}
 		}
-		m.spec.Backoff = sec
+		m.spec.MaxBackoff = sec
 		for n := range 20 {
-			m.listSource.finishRead(mgclock.Millis(n)*sec, ResultSpec{Err: mgplatform.ErrDown}, m)
+			m.listSource.finishRead(mgclock.Millis(n)*sec, ResultSpec{Err: mgplatform.ErrUnavailable}, m)
 			So(m.listSource.next, ShouldBeLessThanOrEqualTo, mgclock.Millis(n)*sec+1500)
 		}
 	})
@@ -169,9 +169,9 @@
 func TestLostAnswerHidesChange(t *testing.T) {
 	Convey("A list whose changes must be known soon", t, func() {
 		m, _ := machineWithoutPeers()
-		m.spec.Quick = 60
-		m.spec.Watch = 5 * sec
-		m.spec.Answer = sec
+		m.spec.QuickInterval = 60
+		m.spec.WatchWait = 5 * sec
+		m.spec.AnswerTimeout = sec
 		Convey("is watched for at most a second, including the answer", func() {
 			for _, action := range m.readPlatform(sec) {
 				if action.Key() == mgplatform.ListKey {
@@ -181,7 +181,7 @@
 		})
 		Convey("is read again at once after a failure", func() {
 			m.listSource.failures = 0
-			m.listSource.finishRead(sec, ResultSpec{Err: mgplatform.ErrDown}, m)
+			m.listSource.finishRead(sec, ResultSpec{Err: mgplatform.ErrUnavailable}, m)
 			So(m.listSource.next-sec, ShouldBeLessThanOrEqualTo, 3*firstRetryDelay)
 			So(m.IsListStale(sec), ShouldBeTrue)
 		})
@@ -194,7 +194,7 @@
 func TestFetchWaitsForDeadPeer(t *testing.T) {
 	Convey("A version is fetched from another peer when the first doesn't answer", t, func() {
 		m, _ := machineWithoutPeers()
-		m.spec.Fetch = 600
+		m.spec.FetchTimeout = 600
 		summary := func(name string) *mgrpc.Summary {
 			return &mgrpc.Summary{
 				Name:        name,
@@ -255,12 +255,12 @@
 func TestFirstReadBacksOffTooLong(t *testing.T) {
 	Convey("A process without a table retries soon, with increasing delays", t, func() {
 		m := NewMachine(0, MachineSpec{
-			Name:    "entry-1",
-			Backoff: sec,
+			Name:       "entry-1",
+			MaxBackoff: sec,
 		}, mgmember.New("entry-1"))
 		at, readCount := mgclock.Millis(0), 0
 		for at < 10*sec {
-			m.listSource.finishRead(at, ResultSpec{Err: mgplatform.ErrDown}, m)
+			m.listSource.finishRead(at, ResultSpec{Err: mgplatform.ErrUnavailable}, m)
 			if at < sec {
 				readCount++
 			}
@@ -276,7 +276,7 @@
 func TestMissingTableReadTooOften(t *testing.T) {
 	Convey("A value that isn't published yet is read about once a second", t, func() {
 		m, _ := machineWithoutPeers()
-		m.spec.Quick = 60
+		m.spec.QuickInterval = 60
 		for n := range 20 {
 			at := mgclock.Millis(n) * sec
 			m.manifestSource.finishRead(at, ResultSpec{Err: mgplatform.ErrMissing}, m)
@@ -295,9 +295,9 @@
 		for _, name := range names {
 			members := mgmember.New(name)
 			m := NewMachine(0, MachineSpec{
-				Name:   name,
-				Region: "south",
-				Quick:  60,
+				Name:          name,
+				Region:        "south",
+				QuickInterval: 60,
 			}, members)
 			m.adoptList(0, upstreamList(5, mgplatform.Live))
 			for _, other := range names {
@@ -324,7 +324,7 @@
 	})
 	Convey("A process that knows no other one watches quickly", t, func() {
 		m, _ := machineWithoutPeers()
-		m.spec.Quick = 60
+		m.spec.QuickInterval = 60
 		So(m.nextReadAt(0, &m.listSource), ShouldEqual, 60)
 	})
 }
@@ -335,7 +335,7 @@
 func TestSilentPlatformHidesNotice(t *testing.T) {
 	Convey("The quick watcher treats its list as stale once two watches are overdue", t, func() {
 		m, _ := machineWithoutPeers()
-		m.spec.Quick = 60
+		m.spec.QuickInterval = 60
 		m.listSource.confirmedAt = 1000
 		So(m.IsListStale(1000+quickStaleTimeout-1), ShouldBeFalse)
 		So(m.IsListStale(1000+quickStaleTimeout), ShouldBeTrue)
--- a/internal/version/mgconfig/exchange.go
+++ b/internal/version/mgconfig/exchange.go
@@ -122,7 +122,7 @@
 	delete(m.exchanging, result.Action.addr)
 	if result.Err != nil {
 		if result.Action.peer != "" {
-			m.members.Failed(now, result.Action.peer)
+			m.members.RecordFailure(now, result.Action.peer)
 		}
 		m.recordUnreachable(now, result.Action.addr)
 		return nil
@@ -136,7 +136,7 @@
 	if s.GetName() == m.spec.Name {
 		return nil
 	}
-	m.members.Heard(now, s.GetName(), s.GetIncarnation(), s.GetLeaving())
+	m.members.RecordMessage(now, s.GetName(), s.GetIncarnation(), s.GetLeaving())
 	m.introduceAll(now, s)
 	actions := m.applyDepartures(now, s.GetDeparted())
 	from := peer{
@@ -179,7 +179,7 @@
 	first := m.rng.IntN(len(peers))
 	for i := range peers {
 		peer := peers[(first+i)%len(peers)]
-		if peer.Listed() || !m.members.Recent(m.now, peer.Name(), knownMaxAge) {
+		if peer.Listed() || !m.members.SeenWithin(m.now, peer.Name(), knownMaxAge) {
 			continue
 		}
 		known = append(known, &mgrpc.Known{
@@ -295,7 +295,7 @@
 // listFetchInterval returns the minimum interval between fetches of the list.
 func (m *Machine) listFetchInterval() mgclock.Millis {
 	interval := listFetchDelayPerRow * mgclock.Millis(len(m.members.View().All()))
-	if m.spec.Quick > 0 {
+	if m.spec.QuickInterval > 0 {
 		return min(interval, maxListFetchInterval)
 	}
 	return interval
@@ -311,7 +311,7 @@
 		kind:          Fetch,
 		peer:          from.name,
 		addr:          from.addr,
-		answerTimeout: m.spec.Fetch,
+		answerTimeout: m.spec.FetchTimeout,
 		fetch: &mgrpc.FetchRequest{
 			List: true,
 		},
@@ -325,12 +325,12 @@
 		m.rejections.add(0, mgplatform.ListKey, err)
 		return false
 	}
-	if !m.members.List(now, list) {
+	if !m.members.AdoptList(now, list) {
 		return false
 	}
 	m.setEra(now, list.Era)
 	m.list = data
-	m.counts.Lists++
+	m.counts.ListAdoptions++
 	return true
 }
 
--- a/internal/version/mgconfig/fleet_test.go
+++ b/internal/version/mgconfig/fleet_test.go
@@ -70,7 +70,7 @@
 		byName: make(map[string]*node),
 		spread: spread,
 	}
-	var list mgplatform.List
+	var list mgplatform.VMList
 	list.Version = 1
 	for i := range count {
 		n := &node{
@@ -103,14 +103,14 @@
 	n.readyAt = never
 	n.inForceAt = make(map[uint64]mgclock.Millis)
 	n.machine = NewMachine(f.net.Now(), MachineSpec{
-		Name:        n.name,
-		Zone:        zoneOf(i),
-		Incarnation: fmt.Sprintf("%08d", n.incarnation),
-		Addr:        n.name,
-		Seed:        uint64(i*1000 + n.incarnation),
-		Spread:      f.spread,
-		Quick:       f.quick,
-		Seeds:       f.seeds(),
+		Name:          n.name,
+		Zone:          zoneOf(i),
+		Incarnation:   fmt.Sprintf("%08d", n.incarnation),
+		Addr:          n.name,
+		Seed:          uint64(i*1000 + n.incarnation),
+		StartWindow:   f.spread,
+		QuickInterval: f.quick,
+		Seeds:         f.seeds(),
 	}, n.members)
 	f.scheduleTick(n, n.incarnation)
 	if f.quick > 0 {
@@ -125,7 +125,7 @@
 }
 
 func (f *fleet) scheduleTick(n *node, incarnation int) {
-	f.net.At(max(f.net.Now(), n.machine.NextTick()), n.name, func() {
+	f.net.Schedule(max(f.net.Now(), n.machine.NextTick()), n.name, func() {
 		if n.incarnation != incarnation {
 			return
 		}
@@ -170,9 +170,9 @@
 			f.tickNow(n, incarnation)
 		}
 	}
-	f.net.At(f.net.Now()+actionTimeout(a), n.name, func() {
+	f.net.Schedule(f.net.Now()+actionTimeout(a), n.name, func() {
 		finish(ResultSpec{
-			Err: mgplatform.ErrDown,
+			Err: mgplatform.ErrUnavailable,
 		})
 	})
 	switch a.Kind() {
--- a/internal/version/mgconfig/gossip.go
+++ b/internal/version/mgconfig/gossip.go
@@ -99,7 +99,7 @@
 		return nil
 	}
 	interval := gossipInterval
-	if m.members.TakeGossip(now, result.Gossip) {
+	if m.members.MergeGossip(now, result.Gossip) {
 		interval = gossipStartInterval
 	}
 	g.next = now + interval*3/4 + m.jitter(interval/2)
@@ -108,6 +108,6 @@
 
 // HandleGossip merges a peer's records and returns the records known here.
 func (m *Machine) HandleGossip(now mgclock.Millis, all []mgmember.Gossip) []mgmember.Gossip {
-	m.members.TakeGossip(now, all)
+	m.members.MergeGossip(now, all)
 	return append(m.members.Gossip(now), m.self())
 }
--- a/internal/version/mgconfig/gossip_test.go
+++ b/internal/version/mgconfig/gossip_test.go
@@ -22,12 +22,12 @@
 			minKnown, cells := count, map[int]int{}
 			for _, n := range f.nodes {
 				cell := n.members.View().Cell(n.name, "")
-				cells[cell.Of]++
+				cells[cell.Count]++
 				minKnown = min(minKnown, 1+len(n.members.View().HealthyPeers("")))
 			}
 			t.Logf("at %d ms: each knows at least %d of %d; entries by the number of cells that they compute: %v", at, minKnown, count, cells)
 			So(minKnown, ShouldBeGreaterThanOrEqualTo, count-1)
-			So(cells[mgmember.Cells(count)], ShouldEqual, count)
+			So(cells[mgmember.CellCount(count)], ShouldEqual, count)
 		}
 		Convey("forget one that died, although others still have records of it", func() {
 			dead := f.nodes[50].name
--- a/internal/version/mgconfig/join.go
+++ b/internal/version/mgconfig/join.go
@@ -154,7 +154,7 @@
 func (m *Machine) countLiveOthers() int {
 	count := 0
 	for _, member := range m.members.View().All() {
-		if member.Peer() && member.Name() != m.spec.Name && member.Listed() && !member.Leaving() {
+		if member.IsPeer() && member.Name() != m.spec.Name && member.Listed() && !member.Leaving() {
 			count++
 		}
 	}
--- a/internal/version/mgconfig/longpoll.go
+++ b/internal/version/mgconfig/longpoll.go
@@ -62,10 +62,10 @@
 )
 
 // A Listing is the reply to a long poll for the list of VMs.
-type Listing struct {
-	Word Word
+type ListReply struct {
+	Report VersionReport
 	// Packed is the compressed list, or nil where the caller's list is as new.
-	Packed []byte
+	Compressed []byte
 }
 
 // readsForOthers reports whether this process reads the list quickly: as the reader of
@@ -136,7 +136,7 @@
 // startLongPoll polls for a list newer than the own one, when that is due.
 func (m *Machine) startLongPoll(now mgclock.Millis) []Action {
 	l := &m.longPoll
-	if m.spec.Quick == 0 || l.busy || now < l.next {
+	if m.spec.QuickInterval == 0 || l.busy || now < l.next {
 		return nil
 	}
 	to, wait := m.longPollTarget()
@@ -146,7 +146,7 @@
 		return nil
 	}
 	l.busy = true
-	m.counts.Listens++
+	m.counts.LongPolls++
 	return []Action{{
 		kind:          LongPoll,
 		peer:          to.Name(),
@@ -169,7 +169,7 @@
 		if m.roles().hub == nil {
 			// A hub makes no other calls to the reader that would show the reader's
 			// failure.
-			m.members.Failed(now, from)
+			m.members.RecordFailure(now, from)
 			m.listSource.next = min(m.listSource.next, now)
 		}
 		if m.leavesListToOthers() {
@@ -177,7 +177,7 @@
 		}
 		return nil
 	}
-	m.members.Answered(now, from)
+	m.members.RecordAnswer(now, from)
 	l.failures = 0
 	l.hasAnswered = true
 	l.answeredAt = now
@@ -203,7 +203,7 @@
 
 // confirmList records the confirmation in a report of the own list, or of an older one,
 // and postpones the own watch.
-func (m *Machine) confirmList(now mgclock.Millis, report Word) {
+func (m *Machine) confirmList(now mgclock.Millis, report VersionReport) {
 	if !report.isFresh() || report.List > m.members.View().Version() {
 		return
 	}
@@ -217,7 +217,7 @@
 // hubAnswers reports whether another process reads the platform for this one, which
 // itself gets no answer now.
 func (m *Machine) hubAnswers(now mgclock.Millis) bool {
-	return m.spec.Quick > 0 && m.Current() != nil && m.roles().rank >= watchersPerCell && m.longPoll.isAnswering(now)
+	return m.spec.QuickInterval > 0 && m.Current() != nil && m.roles().rank >= watchersPerCell && m.longPoll.isAnswering(now)
 }
 
 // postponeListRead postpones the own watch, counted from the time of another process's
@@ -252,7 +252,7 @@
 // leavesListToOthers reports whether this process leaves reading a long list to its hub
 // and the watchers of its cell.
 func (m *Machine) leavesListToOthers() bool {
-	return m.spec.Quick > 0 && len(m.members.View().All()) > longListRows && m.roles().rank >= watchersPerCell
+	return m.spec.QuickInterval > 0 && len(m.members.View().All()) > longListRows && m.roles().rank >= watchersPerCell
 }
 
 // ownReadInterval returns the interval of reads of the list by a process that doesn't
--- a/internal/version/mgconfig/longpoll_fleet_test.go
+++ b/internal/version/mgconfig/longpoll_fleet_test.go
@@ -36,7 +36,7 @@
 	if f.listedUpstreams > 0 {
 		upstreams = f.listedUpstreams
 	}
-	list := mgplatform.List{
+	list := mgplatform.VMList{
 		Version:  f.platform.values[mgplatform.ListKey].Version() + 1,
 		Cordoned: f.cordoned,
 	}
@@ -61,7 +61,7 @@
 
 // tickNow schedules a tick of a member whose next tick may have moved, as a Loop does.
 func (f *fleet) tickNow(n *node, incarnation int) {
-	f.net.At(max(f.net.Now(), n.machine.NextTick()), n.name, func() {
+	f.net.Schedule(max(f.net.Now(), n.machine.NextTick()), n.name, func() {
 		if n.incarnation == incarnation {
 			f.perform(n, n.machine.Tick(f.net.Now()))
 		}
@@ -90,7 +90,7 @@
 			}
 			report := to.machine.Report(f.net.Now())
 			if report.List <= a.After() && f.net.Now() < end {
-				f.net.At(f.net.Now()+longPollCheckInterval, to.name, check)
+				f.net.Schedule(f.net.Now()+longPollCheckInterval, to.name, check)
 				return
 			}
 			var list []byte
@@ -133,7 +133,7 @@
 
 // scheduleLoadReports makes a member send load reports to its hub periodically.
 func (f *fleet) scheduleLoadReports(n *node, incarnation int) {
-	f.net.At(f.net.Now()+loadReportInterval, n.name, func() {
+	f.net.Schedule(f.net.Now()+loadReportInterval, n.name, func() {
 		if n.incarnation != incarnation || f.dead[n.name] {
 			return
 		}
@@ -146,10 +146,10 @@
 
 func (f *fleet) sendLoadReport(n *node, hub *mgmember.Member) {
 	incarnation, finished := n.incarnation, false
-	f.net.At(f.net.Now()+loadReportTimeout, n.name, func() {
+	f.net.Schedule(f.net.Now()+loadReportTimeout, n.name, func() {
 		if !finished && n.incarnation == incarnation {
 			finished = true
-			n.members.Failed(f.net.Now(), hub.Name())
+			n.members.RecordFailure(f.net.Now(), hub.Name())
 		}
 	})
 	f.net.Send(n.name, hub.Name(), callBytes/2, func() {
@@ -162,7 +162,7 @@
 				return
 			}
 			finished = true
-			n.members.Answered(f.net.Now(), hub.Name())
+			n.members.RecordAnswer(f.net.Now(), hub.Name())
 			f.perform(n, n.machine.ApplyReport(f.net.Now(), report, hub.Name()))
 		})
 	})
--- a/internal/version/mgconfig/longpoll_test.go
+++ b/internal/version/mgconfig/longpoll_test.go
@@ -123,7 +123,7 @@
 		for i, n := range f.nodes {
 			half[n.name] = i%2 == 0 && n.name != reader
 		}
-		f.net.Cut(0, func(from, to string) bool {
+		f.net.SetLoss(0, func(from, to string) bool {
 			return from == reader && half[to] || to == reader && half[from]
 		})
 		So(f.timeUntilKnown(1, 1), ShouldBeLessThanOrEqualTo, 1500)
@@ -157,7 +157,7 @@
 func TestOldReportTakenAsFresh(t *testing.T) {
 	Convey("A list without the platform's confirmation is not reported as fresh", t, func() {
 		m, _ := machineWithoutPeers()
-		m.spec.Quick = 60
+		m.spec.QuickInterval = 60
 		m.listSource.confirmedAt = 1000
 		m.listSource.failures = 1
 		So(m.Report(1200).Age, ShouldBeLessThan, 0)
--- a/internal/version/mgconfig/loop.go
+++ b/internal/version/mgconfig/loop.go
@@ -42,7 +42,7 @@
 
 	// Listen long-polls the peer at an address for a list of VMs newer than a version.
 	// It is required where MachineSpec.Quick is set.
-	Listen func(ctx context.Context, addr string, after uint64, wait mgclock.Millis) (Listing, error)
+	LongPoll func(ctx context.Context, addr string, after uint64, wait mgclock.Millis) (ListReply, error)
 
 	// Gossip sends records of processes to the peer at an address and returns the
 	// peer's records.
@@ -51,7 +51,7 @@
 	// Adopted is called with each snapshot put in force, in order. It may be nil. It
 	// must not call the loop and must return soon, such as after emitting a control
 	// event.
-	Adopted func(*Snapshot)
+	OnAdopt func(*Snapshot)
 }
 
 // A Loop carries out a machine's actions and feeds it their results.
@@ -65,7 +65,7 @@
 	reportedCordons   []string      // the cordoned availability zones that were logged last
 	tableChanged      chan struct{} // closed and replaced at each adoption
 	listChanged       chan struct{} // closed and replaced at each newer list of VMs
-	compressed        Listing       // the list that was compressed last, and its version
+	compressed        ListReply     // the list that was compressed last, and its version
 	wakeRun           chan struct{} // wakes Run after the machine's next tick may have moved
 	ctx               context.Context
 	stopped           bool
@@ -94,7 +94,7 @@
 }
 
 // Stale reports whether the list of VMs is unconfirmed by the platform.
-func (l *Loop) Stale() bool {
+func (l *Loop) IsListStale() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machine.IsListStale(l.spec.Clock.Now())
@@ -102,7 +102,7 @@
 
 // Certain reports whether the table in force was recently confirmed as the newest, so
 // that a route or key that it lacks doesn't exist.
-func (l *Loop) Certain() bool {
+func (l *Loop) TableConfirmed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machine.TableConfirmed(l.spec.Clock.Now())
@@ -148,7 +148,7 @@
 
 // Seen handles a version number that a call from a peer carried. It costs two atomic
 // loads where the peer isn't ahead.
-func (l *Loop) Seen(version uint64, from string) {
+func (l *Loop) ObserveVersion(version uint64, from string) {
 	if version <= l.Current().Version() {
 		return
 	}
@@ -177,21 +177,21 @@
 
 // Departed records an upstream's own announcement that it is leaving, and forwards it
 // to peers.
-func (l *Loop) Departed(upstream string) {
+func (l *Loop) HandleDeparture(upstream string) {
 	l.stepAndWakeRun(func(m *Machine, now mgclock.Millis) []Action { return m.HandleDeparture(now, upstream) })
 }
 
 // LookForTable reads the table from the platform at once, after another call to the
 // platform has shown that there is a newer one.
-func (l *Loop) LookForTable() { l.stepAndWakeRun((*Machine).ReadTableNow) }
+func (l *Loop) ReadTableNow() { l.stepAndWakeRun((*Machine).ReadTableNow) }
 
 // Take applies another process's report of the platform's state.
-func (l *Loop) Take(report Word, from string) {
+func (l *Loop) ApplyReport(report VersionReport, from string) {
 	l.step(func(m *Machine, now mgclock.Millis) []Action { return m.ApplyReport(now, report, from) })
 }
 
 // Reseed replaces the peer addresses that are used while no other peer is known.
-func (l *Loop) Reseed(seeds []string) {
+func (l *Loop) SetSeeds(seeds []string) {
 	l.stepAndWakeRun(func(m *Machine, _ mgclock.Millis) []Action {
 		m.spec.Seeds = seeds
 		return nil
@@ -250,9 +250,9 @@
 	}
 	l.reported = current
 	l.spec.Log.Info("a version of the table is in force",
-		"version", current.Version(), "accounts", current.Table().Len(), "digest", current.Digest())
-	if l.spec.Adopted != nil {
-		l.spec.Adopted(current)
+		"version", current.Version(), "accounts", current.Table().AccountCount(), "digest", current.Digest())
+	if l.spec.OnAdopt != nil {
+		l.spec.OnAdopt(current)
 	}
 	close(l.tableChanged)
 	l.tableChanged = make(chan struct{})
@@ -298,11 +298,11 @@
 			result.Values, result.List, result.Err = decompressReply(reply)
 		}
 	case LongPoll:
-		var listing Listing
-		listing, result.Err = l.spec.Listen(ctx, action.addr, action.after, action.wait)
-		result.Report = listing.Word
-		if result.Err == nil && listing.Packed != nil {
-			result.List, result.Err = decompress(listing.Packed)
+		var listing ListReply
+		listing, result.Err = l.spec.LongPoll(ctx, action.addr, action.after, action.wait)
+		result.Report = listing.Report
+		if result.Err == nil && listing.Compressed != nil {
+			result.List, result.Err = decompress(listing.Compressed)
 		}
 	case Gossip:
 		result.Gossip, result.Err = l.spec.Gossip(ctx, action.addr, action.gossip)
--- a/internal/version/mgconfig/loop_serve.go
+++ b/internal/version/mgconfig/loop_serve.go
@@ -40,22 +40,22 @@
 	if version == 0 {
 		return nil
 	}
-	if l.compressed.Word.List != version {
-		l.compressed.Word.List = version
-		l.compressed.Packed = compress(l.machine.List())
+	if l.compressed.Report.List != version {
+		l.compressed.Report.List = version
+		l.compressed.Compressed = compress(l.machine.List())
 	}
-	return l.compressed.Packed
+	return l.compressed.Compressed
 }
 
 // Word returns the report of versions that this process sends to its peers.
-func (l *Loop) Word() Word {
+func (l *Loop) Report() VersionReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machine.Report(l.spec.Clock.Now())
 }
 
 // Gossiped merges a peer's records of processes and returns the records known here.
-func (l *Loop) Gossiped(all []mgmember.Gossip) []mgmember.Gossip {
+func (l *Loop) HandleGossip(all []mgmember.Gossip) []mgmember.Gossip {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machine.HandleGossip(l.spec.Clock.Now(), all)
@@ -63,11 +63,11 @@
 
 // Listing answers a long poll: it returns this process's report, with the list of VMs
 // as soon as that is newer than the given version, or without it once wait is over.
-func (l *Loop) Listing(ctx context.Context, after uint64, wait mgclock.Millis) Listing {
+func (l *Loop) HandleLongPoll(ctx context.Context, after uint64, wait mgclock.Millis) ListReply {
 	expired := l.spec.Clock.After(wait)
 	for done := false; ; {
 		listing, changed := l.listReply(after)
-		if listing.Packed != nil || done {
+		if listing.Compressed != nil || done {
 			return listing
 		}
 		select {
@@ -82,18 +82,18 @@
 
 // listReply returns the reply as of now, and a channel that is closed at the next newer
 // list.
-func (l *Loop) listReply(after uint64) (Listing, <-chan struct{}) {
+func (l *Loop) listReply(after uint64) (ListReply, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.machine.HandleLongPoll(l.spec.Clock.Now()) {
 		l.signalRun()
 	}
-	listing := Listing{
-		Word: l.machine.Report(l.spec.Clock.Now()),
+	listing := ListReply{
+		Report: l.machine.Report(l.spec.Clock.Now()),
 	}
-	if listing.Word.List <= after {
+	if listing.Report.List <= after {
 		return listing, l.listChanged
 	}
-	listing.Packed = l.compressedList()
+	listing.Compressed = l.compressedList()
 	return listing, l.listChanged
 }
--- a/internal/version/mgconfig/loop_test.go
+++ b/internal/version/mgconfig/loop_test.go
@@ -50,7 +50,7 @@
 			Members:  mgmember.New("a"),
 			Platform: mgplatform.NewHTTP(server.URL, server.Client()),
 			Log:      logr.Discard(),
-			Adopted:  func(s *Snapshot) { adopted <- s.Version() },
+			OnAdopt:  func(s *Snapshot) { adopted <- s.Version() },
 		})
 		_, err = loop.Exchange(context.Background(), loop.machine.summary())
 		So(err, ShouldWrap, errStopped)
--- a/internal/version/mgconfig/machine.go
+++ b/internal/version/mgconfig/machine.go
@@ -29,30 +29,30 @@
 	// Known returns a page that the process has parsed already, or nil. Where the table
 	// is converted here from another format, parsing its pages again would cost half of
 	// an adoption. Known may be nil.
-	Known func(digest string) *mgtable.Page
+	ParsedPage func(digest string) *mgtable.Page
 
 	// Quick is the minimum interval between two watches of the list by the one process
 	// that watches it for its region, where changes must be known within tens of ms;
 	// the others watch once a second. With 0 all watch alike.
-	Quick mgclock.Millis
+	QuickInterval mgclock.Millis
 
 	// Joint is set where an answer of the platform about the list also confirms that
 	// there is no table newer than the one that the platform's client has.
-	Joint bool
+	ListConfirmsTable bool
 
 	// Watch is the maximum wait of one watch, Answer the timeout of the platform's
 	// answer in addition to it, and Backoff the maximum delay after failed reads; 0
 	// stands for the defaults.
-	Watch   mgclock.Millis
-	Answer  mgclock.Millis
-	Backoff mgclock.Millis
+	WatchWait     mgclock.Millis
+	AnswerTimeout mgclock.Millis
+	MaxBackoff    mgclock.Millis
 
 	// Fetch is the timeout of a peer's answer to a fetch; 0 stands for the default.
-	Fetch mgclock.Millis
+	FetchTimeout mgclock.Millis
 
 	// Spread is the window over which first reads are spread: in a mass restart all
 	// processes make their first reads within it.
-	Spread mgclock.Millis
+	StartWindow mgclock.Millis
 }
 
 // A Machine decides which actions keep the newest table in force. Its methods must not
@@ -115,7 +115,7 @@
 	m.nextExchange = now + m.jitter(exchangeInterval)
 	m.gossipState.next = now + m.jitter(gossipStartInterval)
 	m.nextTick = now + tickInterval
-	m.listSource.next = now + m.jitter(spec.Spread)
+	m.listSource.next = now + m.jitter(spec.StartWindow)
 	m.manifestSource.next = m.listSource.next
 	m.join.begin(now)
 	return m
@@ -167,7 +167,7 @@
 		next = min(next, m.join.next)
 	}
 	next = min(next, m.manifestSource.nextDue(), m.listSource.nextDue())
-	if m.spec.Quick > 0 {
+	if m.spec.QuickInterval > 0 {
 		next = min(next, m.longPoll.nextDue())
 	}
 	if m.pull != nil && !m.pull.busy {
--- a/internal/version/mgconfig/machine_test.go
+++ b/internal/version/mgconfig/machine_test.go
@@ -66,14 +66,14 @@
 			// A request is accepted under a table from last week: the process that
 			// accepted it started in a partition, alone with a stale platform, while
 			// the list named thirteen others.
-			f.net.Cut(0, func(from, to string) bool {
+			f.net.SetLoss(0, func(from, to string) bool {
 				return (from == "vm-0003" || to == "vm-0003") && from != "platform" && to != "platform"
 			})
 			f.startNode(3)
 			f.net.Run(80 * sec)
 			So(f.nodes[3].machine.Current().Version(), ShouldEqual, 1)
 			So(f.nodes[3].machine.Ready(f.net.Now()), ShouldBeFalse)
-			f.net.Cut(0, nil)
+			f.net.SetLoss(0, nil)
 			f.net.Run(120 * sec)
 			So(f.nodes[3].machine.Ready(f.net.Now()), ShouldBeTrue)
 		})
@@ -142,7 +142,7 @@
 			n.machine.applyManifest(f.net.Now(), old)
 			So(n.machine.pull, ShouldBeNil)
 			n.machine.applyManifest(f.net.Now(), []byte("{}"))
-			So(n.machine.Status(f.net.Now()).Faults, ShouldContainSubstring, "manifest")
+			So(n.machine.Status(f.net.Now()).RejectionReason, ShouldContainSubstring, "manifest")
 		})
 		So(f.regression, ShouldBeEmpty)
 	})
@@ -204,12 +204,12 @@
 		f.net.Run(f.net.Now() + mgclock.Millis(200+rng.IntN(3000)))
 		switch rng.IntN(8) {
 		case 0:
-			f.net.Cut(0, nil)
+			f.net.SetLoss(0, nil)
 		case 1:
-			f.net.Cut(0.2, nil)
+			f.net.SetLoss(0.2, nil)
 		case 2, 3:
 			side := rng.Uint64()
-			f.net.Cut(0, func(from, to string) bool { return half(side, from) != half(side, to) })
+			f.net.SetLoss(0, func(from, to string) bool { return half(side, from) != half(side, to) })
 		case 4:
 			f.net.Pause(f.nodes[rng.IntN(8)].name, mgclock.Millis(rng.IntN(15_000)))
 		case 5:
@@ -226,7 +226,7 @@
 			f.publish(version, rng.IntN(7))
 		}
 	}
-	f.net.Cut(0, nil)
+	f.net.SetLoss(0, nil)
 	f.platform.down = false
 	f.platform.stale = false
 	f.publish(version+4-version%4+1, 3)
--- a/internal/version/mgconfig/platform.go
+++ b/internal/version/mgconfig/platform.go
@@ -155,7 +155,7 @@
 		action := Action{
 			kind:          Read,
 			key:           s.key,
-			answerTimeout: m.spec.Answer,
+			answerTimeout: m.spec.AnswerTimeout,
 		}
 		if m.isQuick(s) {
 			// A read may take some dozen calls, each of which has its own timeout.
@@ -168,8 +168,8 @@
 		kind:          Watch,
 		key:           s.key,
 		after:         s.version,
-		wait:          orDefault(m.spec.Watch, watchWait),
-		answerTimeout: m.spec.Answer,
+		wait:          orDefault(m.spec.WatchWait, watchWait),
+		answerTimeout: m.spec.AnswerTimeout,
 	}
 	if m.isQuick(s) {
 		action.wait = min(action.wait, quickWatchWait)
@@ -188,25 +188,25 @@
 // readCounter returns the counter for a plain read.
 func (m *Machine) readCounter(s *source) *int {
 	if s.version == 0 || !m.isWatcher() {
-		return &m.counts.First
+		return &m.counts.FirstReads
 	}
-	return &m.counts.Plain
+	return &m.counts.PlainReads
 }
 
 // watchCounter returns the counter for a watch.
 func (m *Machine) watchCounter(s *source) *int {
 	switch {
 	case s == &m.manifestSource:
-		return &m.counts.Table
+		return &m.counts.TableWatches
 	case m.isQuick(s) && m.readsForOthers(m.now):
-		return &m.counts.Quick
+		return &m.counts.QuickWatches
 	default:
-		return &m.counts.Slow
+		return &m.counts.SlowWatches
 	}
 }
 
 // isQuick reports whether a source's changes must be known within tens of ms.
-func (m *Machine) isQuick(s *source) bool { return s == &m.listSource && m.spec.Quick > 0 }
+func (m *Machine) isQuick(s *source) bool { return s == &m.listSource && m.spec.QuickInterval > 0 }
 
 // isWatcher reports whether this process watches the platform for its zone. Suspects
 // are skipped, so that the next member in the ranking takes over from a watcher that
@@ -218,7 +218,7 @@
 	}
 	var candidates []*mgmember.Member
 	for _, member := range m.members.View().Zone(m.spec.Zone) {
-		if !member.Peer() {
+		if !member.IsPeer() {
 			continue
 		}
 		self := member.Name() == m.spec.Name
@@ -247,13 +247,13 @@
 }
 
 func (m *Machine) handleListResult(now mgclock.Millis, result ResultSpec) []Action {
-	if errors.Is(result.Err, mgplatform.ErrLong) {
+	if errors.Is(result.Err, mgplatform.ErrManyCalls) {
 		m.listSource.busy = false
 		m.deferFirstListRead(now)
 		return m.askPeersForJoin(now)
 	}
 	fresh := m.listSource.finishRead(now, result, m)
-	if m.spec.Joint && m.listSource.failures == 0 {
+	if m.spec.ListConfirmsTable && m.listSource.failures == 0 {
 		m.confirmTable(now)
 	}
 	before := m.members.View()
@@ -293,7 +293,7 @@
 		m.tableReadPending = false
 		m.confirmTable(now)
 	}
-	if errors.Is(result.Err, mgplatform.ErrCordons) {
+	if errors.Is(result.Err, mgplatform.ErrCordonsChanged) {
 		// Each hub and two more processes of its cell learn of a cordon here, even
 		// where the region's reader has just died or is cut off.
 		m.listSource.next = min(m.listSource.next, now)
@@ -340,11 +340,11 @@
 // the read returned a value.
 func (s *source) finishRead(now mgclock.Millis, result ResultSpec, m *Machine) bool {
 	s.busy = false
-	unchanged := errors.Is(result.Err, mgplatform.ErrUnchanged) || errors.Is(result.Err, mgplatform.ErrCordons)
+	unchanged := errors.Is(result.Err, mgplatform.ErrUnchanged) || errors.Is(result.Err, mgplatform.ErrCordonsChanged)
 	if result.Err != nil && !unchanged {
 		s.failures++
-		m.counts.Failed++
-		if m.spec.Quick > 0 && errors.Is(result.Err, mgplatform.ErrMissing) {
+		m.counts.FailedReads++
+		if m.spec.QuickInterval > 0 && errors.Is(result.Err, mgplatform.ErrMissing) {
 			s.next = now + missingRetryInterval/2 + m.jitter(missingRetryInterval)
 			return false
 		}
@@ -357,10 +357,10 @@
 			return false
 		}
 		if m.Current() == nil || m.isQuick(s) {
-			s.next = now + firstRetryDelay/2 + m.jitter(min(orDefault(m.spec.Backoff, backoffMax), firstRetryDelay<<min(s.failures, maxDoublings)))
+			s.next = now + firstRetryDelay/2 + m.jitter(min(orDefault(m.spec.MaxBackoff, backoffMax), firstRetryDelay<<min(s.failures, maxDoublings)))
 			return false
 		}
-		s.next = now + backoffMin/2 + m.jitter(min(orDefault(m.spec.Backoff, backoffMax), backoffMin<<min(s.failures, maxDoublings)))
+		s.next = now + backoffMin/2 + m.jitter(min(orDefault(m.spec.MaxBackoff, backoffMax), backoffMin<<min(s.failures, maxDoublings)))
 		if m.join.ready && !m.isWatcher() {
 			// A failed poll waits for the next poll interval. Otherwise every member
 			// would be retrying after an hour's outage.
@@ -385,7 +385,7 @@
 	switch {
 	case !m.isWatcher():
 	case m.isQuick(s) && m.readsForOthers(now):
-		return now + m.spec.Quick
+		return now + m.spec.QuickInterval
 	case m.isQuick(s):
 		return now + m.ownReadInterval()
 	default:
--- a/internal/version/mgconfig/platform_fleet_test.go
+++ b/internal/version/mgconfig/platform_fleet_test.go
@@ -81,7 +81,7 @@
 			n.hasAskedPlatform = true
 			f.readPages(n, firstPages, func(_ mgplatform.Value, err error) {
 				if err == nil {
-					err = mgplatform.ErrLong
+					err = mgplatform.ErrManyCalls
 				}
 				answer(mgplatform.Value{}, err)
 			})
@@ -93,7 +93,7 @@
 	f.net.Send(n.name, "platform", callBytes/2, func() {
 		p.reads[f.net.Now()/mgclock.Second]++
 		if p.down {
-			answer(mgplatform.Value{}, mgplatform.ErrDown)
+			answer(mgplatform.Value{}, mgplatform.ErrUnavailable)
 			return
 		}
 		v, err := p.get(a.Key())
@@ -113,13 +113,13 @@
 		p.reads[second]++
 		switch {
 		case p.down:
-			answer(mgplatform.Value{}, mgplatform.ErrDown)
+			answer(mgplatform.Value{}, mgplatform.ErrUnavailable)
 		case p.reads[second] > pageRate:
-			answer(mgplatform.Value{}, mgplatform.ErrRate)
+			answer(mgplatform.Value{}, mgplatform.ErrRateLimited)
 		case pages <= 1:
 			answer(p.get(mgplatform.ListKey))
 		default:
-			f.net.At(f.net.Now()+pageDelay, "platform", func() {
+			f.net.Schedule(f.net.Now()+pageDelay, "platform", func() {
 				f.net.Send("platform", n.name, callBytes/2, func() { f.readPages(n, pages-1, answer) })
 			})
 		}
@@ -137,7 +137,7 @@
 		}
 		if a.Key() == mgplatform.ManifestKey && f.platform.cordons > cordons && !f.platform.down {
 			answered = true
-			answer(mgplatform.Value{}, mgplatform.ErrCordons)
+			answer(mgplatform.Value{}, mgplatform.ErrCordonsChanged)
 			return true
 		}
 		if f.platform.down || err != nil || v.Version() <= a.After() {
@@ -147,7 +147,7 @@
 		answer(v, nil)
 		return true
 	})
-	f.net.At(f.net.Now()+a.Wait(), "platform", func() {
+	f.net.Schedule(f.net.Now()+a.Wait(), "platform", func() {
 		if !answered {
 			answered = true
 			answer(mgplatform.Value{}, mgplatform.ErrUnchanged)
--- a/internal/version/mgconfig/pull.go
+++ b/internal/version/mgconfig/pull.go
@@ -156,8 +156,8 @@
 	if current := m.Current(); current != nil && current.pages[digest] != nil {
 		return current.pages[digest]
 	}
-	if m.spec.Known != nil {
-		return m.spec.Known(digest)
+	if m.spec.ParsedPage != nil {
+		return m.spec.ParsedPage(digest)
 	}
 	return nil
 }
@@ -170,7 +170,7 @@
 		pullID:        m.pull.id,
 		peer:          p.name,
 		addr:          p.addr,
-		answerTimeout: m.spec.Fetch,
+		answerTimeout: m.spec.FetchTimeout,
 		fetch: &mgrpc.FetchRequest{
 			Digests: missing,
 		},
@@ -201,7 +201,7 @@
 
 func (m *Machine) readPage(digest string) []Action {
 	m.pull.busy = true
-	m.counts.countRead(&m.counts.Pages)
+	m.counts.countRead(&m.counts.PageReads)
 	return []Action{{
 		kind:   Read,
 		pullID: m.pull.id,
@@ -230,9 +230,9 @@
 	switch {
 	case result.Action.peer == "":
 	case result.Err != nil:
-		m.members.Failed(now, result.Action.peer)
+		m.members.RecordFailure(now, result.Action.peer)
 	default:
-		m.members.Answered(now, result.Action.peer)
+		m.members.RecordAnswer(now, result.Action.peer)
 	}
 	if result.Action.fetch.GetList() {
 		m.listFetch.busy = false
--- a/internal/version/mgconfig/start_test.go
+++ b/internal/version/mgconfig/start_test.go
@@ -123,7 +123,7 @@
 		})
 		Convey("leave the list to the watchers of their cells, which may read it twice", func() {
 			So(f.platform.peak(from), ShouldBeLessThan, pageRate)
-			So(f.readsFrom(0)-before, ShouldBeLessThan, 2*watchersPerCell*mgmember.Cells(count)*f.upstreams/pageRows)
+			So(f.readsFrom(0)-before, ShouldBeLessThan, 2*watchersPerCell*mgmember.CellCount(count)*f.upstreams/pageRows)
 		})
 	})
 }
--- a/internal/version/mgconfig/status.go
+++ b/internal/version/mgconfig/status.go
@@ -4,22 +4,22 @@
 
 // Counts holds counters of a machine's actions since its start.
 type Counts struct {
-	Exchanges int `json:"exchanges"` // sent
-	Fetches   int `json:"fetches"`   // sent
-	Reads     int `json:"reads"`     // reads of the platform, watches included
-	Listens   int `json:"listens"`   // long polls sent
-	Adoptions int `json:"adoptions"`
-	Lists     int `json:"lists"` // lists of VMs adopted
+	Exchanges     int `json:"exchanges"` // sent
+	Fetches       int `json:"fetches"`   // sent
+	Reads         int `json:"reads"`     // reads of the platform, watches included
+	LongPolls     int `json:"listens"`   // long polls sent
+	Adoptions     int `json:"adoptions"`
+	ListAdoptions int `json:"lists"` // lists of VMs adopted
 
 	// Reads by reason. They add up to Reads, except Failed, which counts those without
 	// an answer.
-	First  int `json:"first"`  // of a key without a value yet, or by the rare poll of a member that is no watcher
-	Plain  int `json:"plain"`  // plain reads in place of watches
-	Quick  int `json:"quick"`  // watches of the list on behalf of others
-	Slow   int `json:"slow"`   // watches of the list for this process alone
-	Table  int `json:"table"`  // watches of the table's manifest
-	Pages  int `json:"pages"`  // of pages of the table
-	Failed int `json:"failed"` // reads that got no answer
+	FirstReads   int `json:"first"`  // of a key without a value yet, or by the rare poll of a member that is no watcher
+	PlainReads   int `json:"plain"`  // plain reads in place of watches
+	QuickWatches int `json:"quick"`  // watches of the list on behalf of others
+	SlowWatches  int `json:"slow"`   // watches of the list for this process alone
+	TableWatches int `json:"table"`  // watches of the table's manifest
+	PageReads    int `json:"pages"`  // of pages of the table
+	FailedReads  int `json:"failed"` // reads that got no answer
 }
 
 // countRead counts a read and its reason.
@@ -30,43 +30,43 @@
 
 // Status is a machine's state for the debug dump.
 type Status struct {
-	Version  uint64 `json:"version"`
-	Digest   string `json:"digest"`
-	Accounts int    `json:"accounts"`
-	Ready    bool   `json:"ready"`
-	Watcher  bool   `json:"watcher"`
-	List     uint64 `json:"list"`
-	Members  int    `json:"members"`
-	Heard    int    `json:"heard"`             // peers that answered before it was ready
-	Pulling  uint64 `json:"pulling,omitempty"` // version that is being fetched
-	Refused  uint64 `json:"refused,omitempty"` // last rejected version
-	Faults   string `json:"faults,omitempty"`  // reasons of the rejection, one per line
-	Failures int    `json:"failures"`          // consecutive failed reads of the platform
-	Counts   Counts `json:"counts"`
+	Version         uint64 `json:"version"`
+	Digest          string `json:"digest"`
+	Accounts        int    `json:"accounts"`
+	Ready           bool   `json:"ready"`
+	Watcher         bool   `json:"watcher"`
+	List            uint64 `json:"list"`
+	Members         int    `json:"members"`
+	JoinPeers       int    `json:"heard"`             // peers that answered before it was ready
+	PullVersion     uint64 `json:"pulling,omitempty"` // version that is being fetched
+	RejectedVersion uint64 `json:"refused,omitempty"` // last rejected version
+	RejectionReason string `json:"faults,omitempty"`  // reasons of the rejection, one per line
+	Failures        int    `json:"failures"`          // consecutive failed reads of the platform
+	Counts          Counts `json:"counts"`
 }
 
 // Status returns the machine's state.
 func (m *Machine) Status(now mgclock.Millis) Status {
 	s := Status{
-		Version:  m.Current().Version(),
-		Digest:   m.Current().Digest(),
-		Ready:    m.Ready(now),
-		Watcher:  m.isWatcher(),
-		List:     m.members.View().Version(),
-		Members:  len(m.members.View().All()),
-		Heard:    len(m.join.peers),
-		Refused:  m.rejections.version,
-		Failures: m.manifestSource.failures,
-		Counts:   m.counts,
+		Version:         m.Current().Version(),
+		Digest:          m.Current().Digest(),
+		Ready:           m.Ready(now),
+		Watcher:         m.isWatcher(),
+		List:            m.members.View().Version(),
+		Members:         len(m.members.View().All()),
+		JoinPeers:       len(m.join.peers),
+		RejectedVersion: m.rejections.version,
+		Failures:        m.manifestSource.failures,
+		Counts:          m.counts,
 	}
 	if current := m.Current(); current != nil {
-		s.Accounts = current.table.Len()
+		s.Accounts = current.table.AccountCount()
 	}
 	if m.pull != nil {
-		s.Pulling = m.pull.key.version
+		s.PullVersion = m.pull.key.version
 	}
 	if m.rejections.err != nil {
-		s.Faults = m.rejections.err.Error()
+		s.RejectionReason = m.rejections.err.Error()
 	}
 	return s
 }
--- a/internal/version/mgconfig/table_age.go
+++ b/internal/version/mgconfig/table_age.go
@@ -15,7 +15,7 @@
 // TableConfirmed reports whether the table in force was confirmed as the newest within
 // tableMaxAge. It is always true without MachineSpec.Joint.
 func (m *Machine) TableConfirmed(now mgclock.Millis) bool {
-	if !m.spec.Joint {
+	if !m.spec.ListConfirmsTable {
 		return true // the age of the table is unknown
 	}
 	age := m.tableAge(now)
@@ -46,7 +46,7 @@
 
 // confirmTableFrom records the confirmation in another process's report of the table in
 // force here.
-func (m *Machine) confirmTableFrom(now mgclock.Millis, report Word) {
+func (m *Machine) confirmTableFrom(now mgclock.Millis, report VersionReport) {
 	if report.TableAge >= 0 && report.Table == m.Current().Version() {
 		m.confirmTable(now - report.TableAge)
 	}
--- a/internal/version/mgconfig/table_age_test.go
+++ b/internal/version/mgconfig/table_age_test.go
@@ -15,18 +15,18 @@
 func TestRouteDeniedByOutdatedTable(t *testing.T) {
 	Convey("For a process where one watch covers list and table, the table is confirmed", t, func() {
 		m, _ := machineOfSix()
-		m.spec.Joint = true
+		m.spec.ListConfirmsTable = true
 		m.current.Store(newSnapshot(7, 0))
 		m.handleManifestResult(1000, ResultSpec{
 			Err: mgplatform.ErrUnchanged,
 		})
-		report := Word{
+		report := VersionReport{
 			List:     m.members.View().Version(),
 			Age:      100,
 			Table:    7,
 			TableAge: 100,
 		}
-		listen := func(at mgclock.Millis, report Word) {
+		listen := func(at mgclock.Millis, report VersionReport) {
 			m.handleListReply(at, ResultSpec{
 				Action: Action{
 					kind: LongPoll,
@@ -49,7 +49,7 @@
 		})
 		Convey("not just after the platform was restored from a copy", func() {
 			list := func(era uint64) []byte {
-				data, err := json.Marshal(mgplatform.List{
+				data, err := json.Marshal(mgplatform.VMList{
 					Version: 1000 + era,
 					Era:     era,
 				})
@@ -71,7 +71,7 @@
 		})
 		Convey("not after a failed read of the list", func() {
 			m.handleListResult(4000, ResultSpec{
-				Err: mgplatform.ErrDown,
+				Err: mgplatform.ErrUnavailable,
 			})
 			So(m.TableConfirmed(4000), ShouldBeFalse)
 		})
@@ -82,7 +82,7 @@
 			So(m.Report(4050).TableAge, ShouldEqual, 150)
 		})
 		Convey("not by a report of another table, or one without an age", func() {
-			for _, report := range []Word{
+			for _, report := range []VersionReport{
 				{
 					List:     report.List,
 					Age:      100,
--- a/internal/version/mgconfig/version_report.go
+++ b/internal/version/mgconfig/version_report.go
@@ -7,7 +7,7 @@
 // A Word is the report that a process that reads the platform sends to others of its
 // region, so that they need not read it: which versions it has, and how long ago the
 // platform confirmed the list.
-type Word struct {
+type VersionReport struct {
 	List  uint64
 	Age   mgclock.Millis // negative without a confirmation by the platform
 	Table uint64
@@ -26,8 +26,8 @@
 )
 
 // Report returns the report that this process sends to others.
-func (m *Machine) Report(now mgclock.Millis) Word {
-	report := Word{
+func (m *Machine) Report(now mgclock.Millis) VersionReport {
+	report := VersionReport{
 		List:     m.members.View().Version(),
 		Age:      -1,
 		Table:    m.Current().Version(),
@@ -40,14 +40,14 @@
 }
 
 // isFresh reports whether a report is as good as the platform's own answer.
-func (r Word) isFresh() bool { return r.Age >= 0 && r.Age <= maxReportAge }
+func (r VersionReport) isFresh() bool { return r.Age >= 0 && r.Age <= maxReportAge }
 
 // ApplyReport applies another process's report. A newer list is requested at once,
 // unless long polls deliver it. Where the report is fresh, the own watches are
 // postponed by the interval between two of them. Of 1,875 calls to the platform that 24
 // processes made in 47 s, these watches were more than half. Processes without such a
 // report watch within a second.
-func (m *Machine) ApplyReport(now mgclock.Millis, report Word, from string) []Action {
+func (m *Machine) ApplyReport(now mgclock.Millis, report VersionReport, from string) []Action {
 	m.now = now
 	behind := report.List > m.members.View().Version()
 	if behind && !m.longPoll.isFresh(now) {
--- a/internal/version/mgconfig/version_report_test.go
+++ b/internal/version/mgconfig/version_report_test.go
@@ -20,14 +20,14 @@
 		m.listSource.next, m.manifestSource.next = 100, 100
 		list := m.members.View().Version()
 		Convey("postpones its watches while another has a fresh confirmation of the same list and table", func() {
-			m.ApplyReport(1000, Word{List: list, Age: 60}, "entry-2")
+			m.ApplyReport(1000, VersionReport{List: list, Age: 60}, "entry-2")
 			So(m.listSource.next, ShouldEqual, 940+slowWatchInterval)
 			So(m.IsListStale(940+quickStaleTimeout-1), ShouldBeFalse)
 			So(m.IsListStale(940+quickStaleTimeout), ShouldBeTrue)
 			So(m.manifestSource.next == 1000+slowWatchInterval, ShouldEqual, last)
 		})
 		Convey("doesn't postpone its watches where the other one reports", func() {
-			for name, report := range map[string]Word{
+			for name, report := range map[string]VersionReport{
 				"another list":                         {List: list + 1, Age: 60},
 				"an old confirmation":                  {List: list, Age: maxReportAge + 1},
 				"no confirmation":                      {List: list, Age: -1},
@@ -39,14 +39,14 @@
 				})
 			}
 			Convey("another table", func() {
-				m.ApplyReport(1000, Word{List: list, Age: 60, Table: 7}, "entry-2")
+				m.ApplyReport(1000, VersionReport{List: list, Age: 60, Table: 7}, "entry-2")
 				So(m.manifestSource.next, ShouldEqual, 100)
 			})
 		})
 		Convey("isn't stale after a failed read while it has another's fresh report", func() {
 			m.listSource.failures = 1
 			So(m.IsListStale(1000), ShouldBeTrue)
-			m.ApplyReport(1000, Word{List: list, Age: 60}, "entry-2")
+			m.ApplyReport(1000, VersionReport{List: list, Age: 60}, "entry-2")
 			So(m.IsListStale(1100), ShouldBeFalse)
 			So(m.IsListStale(1000+maxReportAge), ShouldBeTrue)
 		})
@@ -56,7 +56,7 @@
 		m.adoptList(0, upstreamList(5, mgplatform.Live))
 		m.listSource.hasAnswered = false
 		So(m.Report(1000).Age, ShouldBeLessThan, 0)
-		m.ApplyReport(1000, Word{List: m.members.View().Version(), Age: 60}, "entry-2")
+		m.ApplyReport(1000, VersionReport{List: m.members.View().Version(), Age: 60}, "entry-2")
 		So(m.Report(1010).Age, ShouldEqual, 70)
 	})
 	Convey("A process without a confirmation by the platform reports that", t, func() {
@@ -77,9 +77,9 @@
 	names := []string{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5", "entry-6"}
 	members := mgmember.New(names[0])
 	m = NewMachine(0, MachineSpec{
-		Name:   names[0],
-		Region: "south",
-		Quick:  60,
+		Name:          names[0],
+		Region:        "south",
+		QuickInterval: 60,
 	}, members)
 	for _, other := range names[1:] {
 		members.Introduce(0, mgplatform.VM{
--- a/internal/version/mgmember/cell.go
+++ b/internal/version/mgmember/cell.go
@@ -12,7 +12,7 @@
 
 // Cells returns the number of cells for a number of processes: a power of two, so that
 // processes with slightly different counts mostly agree.
-func Cells(processes int) int {
+func CellCount(processes int) int {
 	cells := 1
 	for processes > maxCellSize*cells {
 		cells *= 2
@@ -33,7 +33,7 @@
 }
 
 // Part returns the part of the upstreams that belongs to a cell.
-func Part(all []*Member, cell, cells int) []*Member {
+func CellPart(all []*Member, cell, cells int) []*Member {
 	sorted := slices.Clone(all)
 	slices.SortFunc(sorted, compareByHash)
 	return sorted[cell*len(sorted)/cells : (cell+1)*len(sorted)/cells]
@@ -41,9 +41,9 @@
 
 // A Cell is the part of a region's processes that share a hub.
 type Cell struct {
-	Peers  []*Member // healthy known processes, without this one
-	Number int       // index of the cell, from 0
-	Of     int       // number of cells in the region
+	Peers []*Member // healthy known processes, without this one
+	Index int       // index of the cell, from 0
+	Count int       // number of cells in the region
 }
 
 // HealthyPeers returns the processes of a region that are neither leaving nor suspect,
@@ -63,7 +63,7 @@
 func (v *View) Cell(self, region string) Cell {
 	peers := v.regionPeers[region] // in the order of compareByHash
 	c := Cell{
-		Of: Cells(1 + len(peers)),
+		Count: CellCount(1 + len(peers)),
 	}
 	own := Self(self, "", 0)
 	rank := 0
@@ -72,12 +72,12 @@
 			rank++
 		}
 	}
-	c.Number = rank * c.Of / (1 + len(peers))
+	c.Index = rank * c.Count / (1 + len(peers))
 	for i, m := range peers {
 		if i >= rank {
 			i++ // this process comes before m in the order
 		}
-		if !m.Leaving() && !m.Suspect() && i*c.Of/(1+len(peers)) == c.Number {
+		if !m.Leaving() && !m.Suspect() && i*c.Count/(1+len(peers)) == c.Index {
 			c.Peers = append(c.Peers, m)
 		}
 	}
--- a/internal/version/mgmember/cell_test.go
+++ b/internal/version/mgmember/cell_test.go
@@ -15,13 +15,13 @@
 func TestCellsOfUnequalSize(t *testing.T) {
 	Convey("A region divides as it grows", t, func() {
 		for processes, cells := range map[int]int{1: 1, 24: 1, 40: 1, 41: 2, 100: 4, 120: 4, 300: 8, 360: 16} {
-			So(Cells(processes), ShouldEqual, cells)
+			So(CellCount(processes), ShouldEqual, cells)
 		}
 	})
 	Convey("Of 300 processes", t, func() {
 		const count = 300
 		name := func(n int) string { return fmt.Sprint("entry-", n) }
-		list := mgplatform.List{
+		list := mgplatform.VMList{
 			Version: 1,
 		}
 		for n := range count {
@@ -39,16 +39,16 @@
 				continue
 			}
 			m := New(name(self))
-			m.List(0, list)
+			m.AdoptList(0, list)
 			views[name(self)] = m.View()
 		}
 		Convey("cells are of equal size, and their members agree on them", func() {
 			of := map[string]int{}
 			for self, view := range views {
 				c := view.Cell(self, "south")
-				So(c.Of, ShouldEqual, 8)
+				So(c.Count, ShouldEqual, 8)
 				So(len(c.Peers)+1, ShouldBeBetweenOrEqual, count/8, count/8+1)
-				of[self] = c.Number
+				of[self] = c.Index
 			}
 			for self, view := range views {
 				for _, peer := range view.Cell(self, "south").Peers {
@@ -65,7 +65,7 @@
 			}
 			seen := map[string]bool{}
 			for cell := range 8 {
-				part := Part(all, cell, 8)
+				part := CellPart(all, cell, 8)
 				So(len(part), ShouldEqual, 375)
 				for _, m := range part {
 					seen[m.Name()] = true
--- a/internal/version/mgmember/cordon_test.go
+++ b/internal/version/mgmember/cordon_test.go
@@ -25,7 +25,7 @@
 		}
 		m := New("entry-1")
 		list := func(now mgclock.Millis, version uint64, cordoned ...string) {
-			m.List(now, mgplatform.List{
+			m.AdoptList(now, mgplatform.VMList{
 				Version:  version,
 				VMs:      []mgplatform.VM{upstream("a", "hall-1"), upstream("b", "hall-2")},
 				Cordoned: cordoned,
@@ -41,10 +41,10 @@
 		So(hosts(), ShouldResemble, []string{"b"})
 		So(m.View().Cordoned()["hall-1"], ShouldEqual, 1000)
 		Convey("get no work whatever is seen of them", func() {
-			m.Heard(1100, "a", "life", true)
-			m.Heard(1200, "a", "later life", false)
-			m.Failed(1300, "b")
-			m.Failed(1300, "b")
+			m.RecordMessage(1100, "a", "life", true)
+			m.RecordMessage(1200, "a", "later life", false)
+			m.RecordFailure(1300, "b")
+			m.RecordFailure(1300, "b")
 			So(hosts(), ShouldResemble, []string{"b"})
 		})
 		Convey("get no work because of an older list", func() {
@@ -58,7 +58,7 @@
 		Convey("count as served even when all zones are cordoned", func() {
 			list(1100, 6, "hall-1", "hall-2")
 			So(hosts(), ShouldBeEmpty)
-			So(m.View().Served(), ShouldBeTrue)
+			So(m.View().HasUpstream(), ShouldBeTrue)
 		})
 		Convey("are used again once the cordon is lifted", func() {
 			list(1100, 6)
@@ -75,16 +75,16 @@
 	Convey("An upstream is cold", t, func() {
 		m := New("entry-1")
 		list := func(now mgclock.Millis, version uint64, cold int64) {
-			m.List(now, mgplatform.List{
+			m.AdoptList(now, mgplatform.VMList{
 				Version: version,
 				VMs: []mgplatform.VM{
 					{
-						Name:     "a",
-						Kind:     mgplatform.UpstreamKind,
-						Upstream: "a",
-						Services: []string{"reports"},
-						State:    mgplatform.Live,
-						Cold:     cold,
+						Name:       "a",
+						Kind:       mgplatform.UpstreamKind,
+						Upstream:   "a",
+						Services:   []string{"reports"},
+						State:      mgplatform.Live,
+						ColdMillis: cold,
 					},
 				},
 			})
@@ -102,19 +102,19 @@
 			So(cold(5400), ShouldBeFalse)
 		})
 		Convey("from its failure until the cold period after its next answer is over", func() {
-			m.Failed(10_000, "a")
+			m.RecordFailure(10_000, "a")
 			So(cold(10_000), ShouldBeFalse) // one lost answer is no evidence
-			m.Failed(10_100, "a")
+			m.RecordFailure(10_100, "a")
 			So(cold(10_100), ShouldBeTrue)
 			m.Tick(20_000)
 			So(cold(20_000), ShouldBeTrue)
-			m.Answered(20_100, "a")
+			m.RecordAnswer(20_100, "a")
 			So(cold(20_100+coldPeriod-1), ShouldBeTrue)
 			So(cold(20_100+coldPeriod), ShouldBeFalse)
 		})
 		Convey("according to the list alone where its service has no cold period", func() {
-			m.Failed(10_000, "a")
-			m.Failed(10_100, "a")
+			m.RecordFailure(10_000, "a")
+			m.RecordFailure(10_100, "a")
 			member, _ := m.View().Member("a")
 			So(member.Cold(10_100, 0), ShouldBeFalse)
 		})
--- a/internal/version/mgmember/departure.go
+++ b/internal/version/mgmember/departure.go
@@ -52,7 +52,7 @@
 	defer m.mu.Unlock()
 	return Departure{
 		Upstream:  upstream,
-		StartedAt: m.known[upstream].Born,
+		StartedAt: m.known[upstream].IncarnationStart,
 	}
 }
 
@@ -62,7 +62,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	vm, listed := m.known[d.Upstream]
-	if listed && vm.Born > d.StartedAt {
+	if listed && vm.IncarnationStart > d.StartedAt {
 		return false // it has restarted since
 	}
 	before, known := m.departures[d.Upstream]
@@ -95,12 +95,12 @@
 	for name, d := range m.departures {
 		vm, known := m.known[name]
 		switch {
-		case known && vm.Born > d.startedAt:
+		case known && vm.IncarnationStart > d.startedAt:
 		case d.expiresAt > 0:
 			if d.isActive(now) {
 				continue
 			}
-		case now < d.recordedAt+leavingTTL || known && vm.Born > 0 && m.isListed(name):
+		case now < d.recordedAt+leavingTTL || known && vm.IncarnationStart > 0 && m.isListed(name):
 			continue
 		}
 		delete(m.departures, name)
--- a/internal/version/mgmember/gossip.go
+++ b/internal/version/mgmember/gossip.go
@@ -27,7 +27,7 @@
 	var all []Gossip
 	for _, member := range view.All() {
 		e := m.evidence[member.Name()]
-		if member.Listed() || !member.Peer() || e == nil || !e.wasSeen || now >= e.lastSeen+lastSeenTTL {
+		if member.Listed() || !member.IsPeer() || e == nil || !e.wasSeen || now >= e.lastSeen+lastSeenTTL {
 			continue
 		}
 		all = append(all, Gossip{
@@ -44,7 +44,7 @@
 
 // TakeGossip merges another process's records, and reports whether they named an
 // unknown process. The view is rebuilt once for all new processes.
-func (m *Members) TakeGossip(now mgclock.Millis, all []Gossip) bool {
+func (m *Members) MergeGossip(now mgclock.Millis, all []Gossip) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	foundNew := false
--- a/internal/version/mgmember/member.go
+++ b/internal/version/mgmember/member.go
@@ -33,7 +33,7 @@
 func (m *Member) Addr() string { return m.vm.Addr }
 
 // Peer reports whether a process of this system runs there, not a plain upstream.
-func (m *Member) Peer() bool { return m.vm.Kind != mgplatform.UpstreamKind }
+func (m *Member) IsPeer() bool { return m.vm.Kind != mgplatform.UpstreamKind }
 
 // PeerAddr returns the address at which other processes reach it.
 func (m *Member) PeerAddr() string { return m.vm.PeerAddr() }
@@ -66,7 +66,7 @@
 
 // Born returns the start time of its current incarnation according to the list, 0 where
 // the list has none. It orders the incarnations of one upstream.
-func (m *Member) Born() int64 { return m.vm.Born }
+func (m *Member) IncarnationStart() int64 { return m.vm.IncarnationStart }
 
 // Power returns the relative capacity of its VM, or 0.
 func (m *Member) Power() int { return m.vm.Power }
--- a/internal/version/mgmember/member_test.go
+++ b/internal/version/mgmember/member_test.go
@@ -18,8 +18,8 @@
 
 // list returns a list of agents with a model, given as names, with "-" before those
 // that are leaving.
-func list(version uint64, names string) mgplatform.List {
-	l := mgplatform.List{
+func list(version uint64, names string) mgplatform.VMList {
+	l := mgplatform.VMList{
 		Version: version,
 	}
 	for _, name := range strings.Fields(names) {
@@ -53,65 +53,65 @@
 		m := mgmember.New("e")
 		upstreams := func() string { return names(m.View().Upstreams("m")) }
 		So(upstreams(), ShouldEqual, "")
-		So(m.List(0, list(2, "a b c")), ShouldBeTrue)
+		So(m.AdoptList(0, list(2, "a b c")), ShouldBeTrue)
 		So(upstreams(), ShouldEqual, "a b c")
 
 		Convey("are without one that the list shows leaving", func() {
-			m.List(0, list(3, "a -b c"))
+			m.AdoptList(0, list(3, "a -b c"))
 			So(upstreams(), ShouldEqual, "a c")
 			_, there := m.View().Agent("u-b")
 			So(there, ShouldBeTrue)
 		})
 		Convey("don't go back to an older list", func() {
-			So(m.List(0, list(1, "a")), ShouldBeFalse)
+			So(m.AdoptList(0, list(1, "a")), ShouldBeFalse)
 			So(upstreams(), ShouldEqual, "a b c")
 		})
 		Convey("are without one that announces that it leaves, although the list lags", func() {
 			// A request goes to an engine that is about to be reclaimed: the agent
 			// announces at once that it leaves, but the list shows it as live for
 			// another minute and is published again meanwhile.
-			m.Heard(10, "b", "1", true)
+			m.RecordMessage(10, "b", "1", true)
 			So(upstreams(), ShouldEqual, "a c")
-			m.List(20, list(3, "a b c d"))
-			m.Heard(30, "b", "1", false)
+			m.AdoptList(20, list(3, "a b c d"))
+			m.RecordMessage(30, "b", "1", false)
 			So(upstreams(), ShouldEqual, "a c d")
 		})
 		Convey("include its next incarnation", func() {
 			// The VM's name is reused with another incarnation. A delayed reply of the
 			// old one, which says that it leaves, arrives after the new one was seen.
-			m.Heard(10, "b", "1", true)
-			m.Heard(20, "b", "2", false)
-			m.Heard(30, "b", "1", true)
+			m.RecordMessage(10, "b", "1", true)
+			m.RecordMessage(20, "b", "2", false)
+			m.RecordMessage(30, "b", "1", true)
 			So(upstreams(), ShouldEqual, "a b c")
 		})
 		Convey("include it again when its announcement has expired", func() {
-			m.Heard(10, "b", "1", true)
+			m.RecordMessage(10, "b", "1", true)
 			m.Tick(2*mgclock.Minute - 1)
 			So(upstreams(), ShouldEqual, "a c")
 			m.Tick(2*mgclock.Minute + 10)
 			So(upstreams(), ShouldEqual, "a b c")
 		})
 		Convey("exclude one that failed twice, until it is tried again", func() {
-			m.Failed(10, "b")
+			m.RecordFailure(10, "b")
 			So(upstreams(), ShouldEqual, "a b c")
-			m.Failed(20, "b")
+			m.RecordFailure(20, "b")
 			So(upstreams(), ShouldEqual, "a c")
 			m.Tick(1020)
 			So(upstreams(), ShouldEqual, "a b c")
-			m.Failed(1030, "b")
+			m.RecordFailure(1030, "b")
 			m.Tick(2030)
 			So(upstreams(), ShouldEqual, "a c")
-			m.Heard(2040, "b", "1", false)
+			m.RecordMessage(2040, "b", "1", false)
 			So(upstreams(), ShouldEqual, "a b c")
 		})
 		Convey("keep one whose failures aren't consecutive", func() {
-			m.Failed(10, "b")
-			m.Answered(20, "b")
-			m.Failed(30, "b")
+			m.RecordFailure(10, "b")
+			m.RecordAnswer(20, "b")
+			m.RecordFailure(30, "b")
 			So(upstreams(), ShouldEqual, "a b c")
-			m.Failed(40, "b")
+			m.RecordFailure(40, "b")
 			So(upstreams(), ShouldEqual, "a c")
-			m.Answered(50, "b")
+			m.RecordAnswer(50, "b")
 			So(upstreams(), ShouldEqual, "a b c")
 		})
 		Convey("are all of them when all are suspects", func() {
@@ -119,18 +119,18 @@
 			// agent to call it would answer "no upstream" long after the partition
 			// healed.
 			for _, name := range []string{"a", "b", "c"} {
-				m.Failed(10, name)
-				m.Failed(20, name)
+				m.RecordFailure(10, name)
+				m.RecordFailure(20, name)
 			}
 			So(upstreams(), ShouldEqual, "a b c")
 		})
 		Convey("include those that a faulty list lost but that were seen recently", func() {
-			m.Heard(10, "a", "1", false)
-			m.List(20, list(3, ""))
+			m.RecordMessage(10, "a", "1", false)
+			m.AdoptList(20, list(3, ""))
 			So(upstreams(), ShouldEqual, "a")
 			m.Tick(10 + 30*mgclock.Second)
 			So(upstreams(), ShouldEqual, "")
-			So(m.Recent(40, "a", mgclock.Second), ShouldBeFalse)
+			So(m.SeenWithin(40, "a", mgclock.Second), ShouldBeFalse)
 		})
 	})
 }
@@ -143,10 +143,10 @@
 		ends := map[mgclock.Millis]int{}
 		for i := range entries {
 			m := mgmember.New(fmt.Sprintf("entry-%d", i))
-			m.List(0, list(1, "a b"))
+			m.AdoptList(0, list(1, "a b"))
 			now := mgclock.Millis(0)
 			for range 20 {
-				m.Failed(now, "a")
+				m.RecordFailure(now, "a")
 				now += mgclock.Second
 			}
 			for names(m.View().Upstreams("m")) != "a b" {
@@ -166,9 +166,9 @@
 func TestRank(t *testing.T) {
 	Convey("Rendezvous hashing moves only the keys of the removed member", t, func() {
 		m := mgmember.New("")
-		m.List(0, list(1, "a b c d e"))
+		m.AdoptList(0, list(1, "a b c d e"))
 		before := m.View().All()
-		m.List(0, list(2, "a b d e"))
+		m.AdoptList(0, list(2, "a b d e"))
 		after := m.View().All()
 		moved := 0
 		for i := range 500 {
@@ -186,9 +186,9 @@
 func TestPause(t *testing.T) {
 	Convey("A process that was paused", t, func() {
 		var clock, wall mgclock.Manual
-		p := mgmember.NewPause(clock.Clock(), wall.Now)
+		p := mgmember.NewPauseDetector(clock.Clock(), wall.Now)
 		var gaps []mgclock.Millis
-		p.On(func(gap mgclock.Millis) { gaps = append(gaps, gap) })
+		p.OnPause(func(gap mgclock.Millis) { gaps = append(gaps, gap) })
 		advanceBoth := func(duration mgclock.Millis) {
 			clock.Advance(duration)
 			wall.Advance(duration)
@@ -229,9 +229,9 @@
 
 func BenchmarkHeard(b *testing.B) {
 	m := mgmember.New("e")
-	m.List(0, list(1, "a b c d e"))
+	m.AdoptList(0, list(1, "a b c d e"))
 	for b.Loop() {
-		m.Heard(0, "a", "1", false)
+		m.RecordMessage(0, "a", "1", false)
 	}
 }
 
@@ -245,7 +245,7 @@
 	l := list(1, strings.Join(all, " "))
 	for b.Loop() {
 		l.Version++
-		m.List(0, l)
+		m.AdoptList(0, l)
 	}
 }
 
@@ -256,9 +256,9 @@
 		all = append(all, fmt.Sprintf("vm-%04d", i))
 	}
 	m := mgmember.New("e")
-	m.List(0, list(1, strings.Join(all, " ")))
+	m.AdoptList(0, list(1, strings.Join(all, " ")))
 	for _, name := range all {
-		m.Heard(0, name, "1", false)
+		m.RecordMessage(0, name, "1", false)
 	}
 	m.Tick(1)
 	for b.Loop() {
@@ -271,26 +271,26 @@
 func TestRestartedUpstreamStaysIdle(t *testing.T) {
 	Convey("An upstream that restarted gets work again", t, func() {
 		m := mgmember.New("entry-1")
-		list := func(version uint64, born int64) mgplatform.List {
-			return mgplatform.List{
+		list := func(version uint64, born int64) mgplatform.VMList {
+			return mgplatform.VMList{
 				Version: version,
 				VMs: []mgplatform.VM{
 					{
-						Name:     "engine-1",
-						Kind:     mgplatform.UpstreamKind,
-						Services: []string{"reports"},
-						State:    mgplatform.Live,
-						Born:     born,
+						Name:             "engine-1",
+						Kind:             mgplatform.UpstreamKind,
+						Services:         []string{"reports"},
+						State:            mgplatform.Live,
+						IncarnationStart: born,
 					},
 				},
 			}
 		}
-		m.List(0, list(1, 100))
-		m.Heard(10, "engine-1", "", true)
+		m.AdoptList(0, list(1, 100))
+		m.RecordMessage(10, "engine-1", "", true)
 		So(m.View().Hosts("reports"), ShouldBeEmpty)
-		m.List(20, list(2, 100))
+		m.AdoptList(20, list(2, 100))
 		So(m.View().Hosts("reports"), ShouldBeEmpty)
-		m.List(30, list(3, 200))
+		m.AdoptList(30, list(3, 200))
 		So(len(m.View().Hosts("reports")), ShouldEqual, 1)
 	})
 }
--- a/internal/version/mgmember/members.go
+++ b/internal/version/mgmember/members.go
@@ -51,7 +51,7 @@
 	view atomic.Pointer[View]
 
 	mu            sync.Mutex
-	list          mgplatform.List
+	list          mgplatform.VMList
 	known         map[string]mgplatform.VM // last listed row of each member
 	evidence      map[string]*evidence
 	coldUntil     map[string]mgclock.Millis  // by name, the time until which a listed upstream is cold
@@ -92,7 +92,7 @@
 }
 
 // List adopts a list of VMs and reports whether it was newer than the last.
-func (m *Members) List(now mgclock.Millis, list mgplatform.List) bool {
+func (m *Members) AdoptList(now mgclock.Millis, list mgplatform.VMList) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if list.Version <= m.list.Version {
@@ -105,7 +105,7 @@
 		m.known = make(map[string]mgplatform.VM)
 	}
 	for _, vm := range list.VMs {
-		if vm.Born > m.known[vm.Name].Born {
+		if vm.IncarnationStart > m.known[vm.Name].IncarnationStart {
 			// The upstream has restarted. Evidence about its last incarnation, such as
 			// its announcement that it is leaving, would keep work from it for two
 			// minutes.
@@ -135,15 +135,15 @@
 func (m *Members) setColdUntil(now mgclock.Millis, vms []mgplatform.VM) {
 	m.coldUntil = make(map[string]mgclock.Millis)
 	for _, vm := range vms {
-		if vm.Cold > 0 {
-			m.coldUntil[vm.Name] = now + mgclock.Millis(vm.Cold)
+		if vm.ColdMillis > 0 {
+			m.coldUntil[vm.Name] = now + mgclock.Millis(vm.ColdMillis)
 		}
 	}
 }
 
 // Heard records a message of a process about itself. A message of an older incarnation
 // is dropped: a late reply must not change the state of its successor.
-func (m *Members) Heard(now mgclock.Millis, name, incarnation string, leaving bool) {
+func (m *Members) RecordMessage(now mgclock.Millis, name, incarnation string, leaving bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e := m.evidenceOf(name)
@@ -187,7 +187,7 @@
 
 // Answered records an answer of a member that carried no message about itself. Without
 // it two failures that are hours apart would count as consecutive.
-func (m *Members) Answered(now mgclock.Millis, name string) {
+func (m *Members) RecordAnswer(now mgclock.Millis, name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e := m.evidenceOf(name)
@@ -203,7 +203,7 @@
 }
 
 // Failed records a call to a member that got no answer.
-func (m *Members) Failed(now mgclock.Millis, name string) {
+func (m *Members) RecordFailure(now mgclock.Millis, name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e := m.evidenceOf(name)
@@ -273,7 +273,7 @@
 }
 
 // Recent reports whether a member was last seen at most maxAge ago.
-func (m *Members) Recent(now mgclock.Millis, name string, maxAge mgclock.Millis) bool {
+func (m *Members) SeenWithin(now mgclock.Millis, name string, maxAge mgclock.Millis) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e := m.evidence[name]
@@ -330,7 +330,7 @@
 		vm:       vm,
 		nameHash: xxhash.Sum64String(vm.Name),
 		listed:   listed,
-		leaving:  vm.State == mgplatform.Leaving || m.hasDeparted(vm.Name, vm.Born),
+		leaving:  vm.State == mgplatform.Leaving || m.hasDeparted(vm.Name, vm.IncarnationStart),
 	}
 	member.coldUntil = m.coldUntil[vm.Name]
 	_, member.cordoned = m.cordonedSince[vm.Zone]
--- a/internal/version/mgmember/pause.go
+++ b/internal/version/mgmember/pause.go
@@ -22,7 +22,7 @@
 // the middle of an instruction with state that is out of date: an expired lease, an old
 // offer, an order that is no longer the newest. Check compares clocks before such state
 // is used, and the callbacks drop it. The zero Pause reads the system's clocks.
-type Pause struct {
+type PauseDetector struct {
 	clock mgclock.Clock
 	wall  func() mgclock.Millis
 
@@ -40,8 +40,8 @@
 // the system's. Both clocks are needed: the monotonic clock stops while a VM is
 // suspended, and the time of day is corrected right after it. A step of the time of day
 // counts as a pause, which costs a few leases.
-func NewPause(clock mgclock.Clock, wall func() mgclock.Millis) *Pause {
-	return &Pause{
+func NewPauseDetector(clock mgclock.Clock, wall func() mgclock.Millis) *PauseDetector {
+	return &PauseDetector{
 		clock: clock,
 		wall:  wall,
 	}
@@ -49,20 +49,20 @@
 
 // On adds a callback that drops state invalidated by a pause. It runs before Check
 // returns, on the goroutine that detects the pause.
-func (p *Pause) On(f func(gap mgclock.Millis)) {
+func (p *PauseDetector) OnPause(f func(gap mgclock.Millis)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.callbacks = append(p.callbacks, f)
 }
 
 // Count returns the number of detected pauses.
-func (p *Pause) Count() int { return int(p.count.Load()) }
+func (p *PauseDetector) Count() int { return int(p.count.Load()) }
 
 // Check reads the clocks, and runs the callbacks if the last check was too long ago. It
 // returns the length of the pause, or 0. Between pauses it takes no lock. The readings
 // are stored after the callbacks ran, so that no goroutine sees the pause as over
 // before invalid state is dropped.
-func (p *Pause) Check() mgclock.Millis {
+func (p *PauseDetector) Check() mgclock.Millis {
 	if p.gap() < pauseThreshold {
 		return 0
 	}
@@ -81,7 +81,7 @@
 }
 
 // gap returns the time since the last check, on the clock that shows the longer one.
-func (p *Pause) gap() mgclock.Millis {
+func (p *PauseDetector) gap() mgclock.Millis {
 	return max(since(&p.lastMonotonic, p.clock.Now()), since(&p.lastWall, p.wallNow()))
 }
 
@@ -96,12 +96,12 @@
 }
 
 // recordClocks stores the readings of both clocks.
-func (p *Pause) recordClocks() {
+func (p *PauseDetector) recordClocks() {
 	p.lastMonotonic.Store(int64(p.clock.Now()) + 1)
 	p.lastWall.Store(int64(p.wallNow()) + 1)
 }
 
-func (p *Pause) wallNow() mgclock.Millis {
+func (p *PauseDetector) wallNow() mgclock.Millis {
 	if p.wall != nil {
 		return p.wall()
 	}
@@ -110,7 +110,7 @@
 
 // Run checks the clocks periodically until ctx ends. Without it Check would treat the
 // time between two requests as a pause.
-func (p *Pause) Run(ctx context.Context) {
+func (p *PauseDetector) Run(ctx context.Context) {
 	p.Step()
 	for p.clock.Sleep(ctx, checkInterval) {
 		p.Step()
@@ -118,7 +118,7 @@
 }
 
 // Step performs one check of Run, for loops that have their own wait.
-func (p *Pause) Step() {
+func (p *PauseDetector) Step() {
 	p.Check()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/version/mgmember/restore.go
+++ b/internal/version/mgmember/restore.go
@@ -22,7 +22,7 @@
 
 // recordRemovedRows records the rows of the last list that a newer one lacks. mu must
 // be held.
-func (m *Members) recordRemovedRows(now mgclock.Millis, list mgplatform.List) {
+func (m *Members) recordRemovedRows(now mgclock.Millis, list mgplatform.VMList) {
 	listed := make(map[string]bool, len(list.VMs))
 	for _, vm := range list.VMs {
 		listed[vm.Name] = true
@@ -35,7 +35,7 @@
 			m.removedRows = map[string]removedRow{}
 		}
 		m.removedRows[vm.Name] = removedRow{
-			startedAt: vm.Born,
+			startedAt: vm.IncarnationStart,
 			removedAt: now,
 		}
 	}
@@ -49,7 +49,7 @@
 // keepDepartures keeps the departures that a list of a new era undoes: upstreams that
 // were leaving, or had left, stay so in the same incarnation. It must be called with mu
 // held, before the list is adopted.
-func (m *Members) keepDepartures(now mgclock.Millis, list mgplatform.List) {
+func (m *Members) keepDepartures(now mgclock.Millis, list mgplatform.VMList) {
 	if m.list.Version == 0 || list.Era <= m.list.Era {
 		return
 	}
@@ -63,14 +63,14 @@
 		if vm.State == mgplatform.Leaving {
 			continue
 		}
-		if before, known := leaving[vm.Name]; known && vm.Born <= before.Born {
+		if before, known := leaving[vm.Name]; known && vm.IncarnationStart <= before.IncarnationStart {
 			m.markDeparted(now, vm.Name, departureRecord{
-				startedAt:  before.Born,
+				startedAt:  before.IncarnationStart,
 				recordedAt: now,
 			})
 			continue
 		}
-		if g, known := m.removedRows[vm.Name]; known && vm.Born <= g.startedAt && now < g.removedAt+removedRowTTL {
+		if g, known := m.removedRows[vm.Name]; known && vm.IncarnationStart <= g.startedAt && now < g.removedAt+removedRowTTL {
 			m.markDeparted(now, vm.Name, departureRecord{
 				startedAt:  g.startedAt,
 				recordedAt: now,
--- a/internal/version/mgmember/restore_test.go
+++ b/internal/version/mgmember/restore_test.go
@@ -13,8 +13,8 @@
 // The platform is restored from an older copy, and its list brings back an upstream
 // that is leaving or has left.
 func TestRestoredListBringsBackDepartedUpstream(t *testing.T) {
-	list := func(version, era uint64, born int64, states ...string) mgplatform.List {
-		l := mgplatform.List{
+	list := func(version, era uint64, born int64, states ...string) mgplatform.VMList {
+		l := mgplatform.VMList{
 			Version: version,
 			Era:     era,
 		}
@@ -24,11 +24,11 @@
 			}
 			name := string(rune('a' + i))
 			l.VMs = append(l.VMs, mgplatform.VM{
-				Name:     name,
-				Kind:     mgplatform.UpstreamKind,
-				Upstream: name,
-				State:    state,
-				Born:     born,
+				Name:             name,
+				Kind:             mgplatform.UpstreamKind,
+				Upstream:         name,
+				State:            state,
+				IncarnationStart: born,
 			})
 		}
 		return l
@@ -47,24 +47,24 @@
 	for _, born := range []int64{0, 7} {
 		Convey("After a leaves, b has left and c came", t, func() {
 			var m mgmember.Members
-			m.List(0, list(1, 1, born, live, live, absent))
-			m.List(1000, list(2, 1, born, leaving, absent, live))
+			m.AdoptList(0, list(1, 1, born, live, live, absent))
+			m.AdoptList(1000, list(2, 1, born, leaving, absent, live))
 			So(working(&m), ShouldEqual, "c")
 			Convey("a restored copy doesn't bring a and b back", func() {
-				m.List(2000, list(3, 2, born, live, live, live))
+				m.AdoptList(2000, list(3, 2, born, live, live, live))
 				So(working(&m), ShouldEqual, "c")
 				Convey("nor do the lists that follow it, for a", func() {
-					m.List(2500, list(4, 2, born, live, live, live))
+					m.AdoptList(2500, list(4, 2, born, live, live, live))
 					So(working(&m), ShouldEqual, "c")
 					m.Tick(2000 + 10*mgclock.Second)
 					So(working(&m), ShouldEqual, "bc")
 				})
 				Convey("nor does another restored copy", func() {
-					m.List(2500, list(5, 3, born, live, live, live))
+					m.AdoptList(2500, list(5, 3, born, live, live, live))
 					So(working(&m), ShouldEqual, "c")
 				})
 				Convey("a later incarnation comes back at once", func() {
-					m.List(2500, list(4, 2, born+1, live, live, live))
+					m.AdoptList(2500, list(4, 2, born+1, live, live, live))
 					So(working(&m), ShouldEqual, "abc")
 				})
 				Convey("b stays away after its own announcement", func() {
@@ -74,12 +74,12 @@
 				})
 			})
 			Convey("a list of the same era is applied as it is", func() {
-				m.List(2000, list(3, 1, born, live, live, live))
+				m.AdoptList(2000, list(3, 1, born, live, live, live))
 				So(working(&m), ShouldEqual, "abc")
 			})
 			Convey("a list from before the restore is old", func() {
-				m.List(2000, list(3, 2, born, leaving, absent, live))
-				So(m.List(2100, list(2, 1, born, live, live, live)), ShouldBeFalse)
+				m.AdoptList(2000, list(3, 2, born, leaving, absent, live))
+				So(m.AdoptList(2100, list(2, 1, born, live, live, live)), ShouldBeFalse)
 			})
 		})
 	}
--- a/internal/version/mgmember/view.go
+++ b/internal/version/mgmember/view.go
@@ -68,7 +68,7 @@
 
 func (v *View) add(m *Member, self bool) {
 	v.zones[m.Zone()] = append(v.zones[m.Zone()], m)
-	if !self && m.Peer() {
+	if !self && m.IsPeer() {
 		v.peers = append(v.peers, m)
 		v.regionPeers[m.Region()] = append(v.regionPeers[m.Region()], m)
 	}
@@ -141,7 +141,7 @@
 // availability zones count: a process that refuses requests for that reason tells its
 // callers when to come back, whereas an unready process makes them try others, which
 // can't serve them either.
-func (v *View) Served() bool { return v.hasUpstream }
+func (v *View) HasUpstream() bool { return v.hasUpstream }
 
 // Cordoned returns the availability zones whose upstreams get no new work, with the
 // time when the cordon became known here. The caller must not modify the map.
@@ -164,4 +164,4 @@
 func (v *View) Peers() []*Member { return v.peers }
 
 // Others returns the number of other known entries, including leaving and suspect ones.
-func (v *View) Others() int { return v.otherEntries }
+func (v *View) OtherEntryCount() int { return v.otherEntries }
--- a/internal/version/mgplacement/pacer.go
+++ b/internal/version/mgplacement/pacer.go
@@ -56,7 +56,7 @@
 // Loaded records which model the engine holds, "" for none. It may be called with an
 // unchanged model. An engine that has lost its model, such as one that restarted, loads
 // again within startWindow, because others may have restarted with it.
-func (p *Pacer) Loaded(now mgclock.Millis, model string) {
+func (p *Pacer) RecordLoaded(now mgclock.Millis, model string) {
 	if model == p.loaded {
 		return
 	}
@@ -70,7 +70,7 @@
 }
 
 // Plan applies a new plan.
-func (p *Pacer) Plan(now mgclock.Millis, plan *Plan) {
+func (p *Pacer) SetPlan(now mgclock.Millis, plan *Plan) {
 	before := p.plan
 	p.plan = plan
 	wanted := plan.Model(p.upstream)
@@ -117,7 +117,7 @@
 // attempt comes at a random time in a window that doubles up to twice the time that the
 // loads of all engines take: from then on their attempts come no faster than the store
 // admits.
-func (p *Pacer) Refused(now mgclock.Millis) {
+func (p *Pacer) RecordRefusal(now mgclock.Millis) {
 	allLoads := mgclock.Millis(float64(max(1, p.plan.Len())) * 2000 / p.rate)
 	window := min(allLoads, startWindow<<min(p.attempts, 16))
 	p.attempts++
--- a/internal/version/mgplacement/plan.go
+++ b/internal/version/mgplacement/plan.go
@@ -64,7 +64,7 @@
 func (p *Plan) coverModel(model string, live []*mgtable.Upstream) {
 	best := ""
 	for _, u := range live {
-		if !u.Holds(model) || p.engineCounts[p.models[u.Name()]] < 2 {
+		if !u.ListsModel(model) || p.engineCounts[p.models[u.Name()]] < 2 {
 			continue
 		}
 		if best == "" || score(u.Name(), model) > score(best, model) {
@@ -80,7 +80,7 @@
 func (p *Plan) Model(upstream string) string { return p.models[upstream] }
 
 // Engines returns the number of engines that hold a model.
-func (p *Plan) Engines(model string) int { return p.engineCounts[model] }
+func (p *Plan) EngineCount(model string) int { return p.engineCounts[model] }
 
 // Len returns the number of engines.
 func (p *Plan) Len() int { return len(p.models) }
--- a/internal/version/mgplacement/plan_test.go
+++ b/internal/version/mgplacement/plan_test.go
@@ -38,7 +38,7 @@
 
 // view returns a view of the agents of some upstreams, without the removed ones.
 func view(engines int, removed ...int) *mgmember.View {
-	list := mgplatform.List{
+	list := mgplatform.VMList{
 		Version: 1,
 	}
 	isRemoved := make(map[int]bool)
@@ -57,7 +57,7 @@
 		})
 	}
 	members := mgmember.New("")
-	members.List(0, list)
+	members.AdoptList(0, list)
 	return members.View()
 }
 
@@ -67,7 +67,7 @@
 		plan := mgplacement.Assign(big, view(900))
 		Convey("spreads the engines over the models", func() {
 			for i := range 9 {
-				So(plan.Engines(fmt.Sprintf("m%d", i)), ShouldBeBetween, 60, 140)
+				So(plan.EngineCount(fmt.Sprintf("m%d", i)), ShouldBeBetween, 60, 140)
 			}
 		})
 		Convey("moves nothing when an engine is removed", func() {
@@ -80,7 +80,7 @@
 			plan := mgplacement.Assign(small, view(4, i))
 			So(plan.Len(), ShouldEqual, 3)
 			for m := range 3 {
-				So(plan.Engines(fmt.Sprintf("m%d", m)), ShouldEqual, 1)
+				So(plan.EngineCount(fmt.Sprintf("m%d", m)), ShouldEqual, 1)
 			}
 		}
 	})
@@ -98,18 +98,18 @@
 			}
 		}
 		p := mgplacement.NewPacer(upstream, 5, 1)
-		p.Plan(0, plan)
-		p.Loaded(0, plan.Model(upstream))
+		p.SetPlan(0, plan)
+		p.RecordLoaded(0, plan.Model(upstream))
 		Convey("that is undone at once loads nothing", func() {
-			p.Plan(sec, other)
-			p.Plan(2*sec, plan)
+			p.SetPlan(sec, other)
+			p.SetPlan(2*sec, plan)
 			So(p.Due(100*sec), ShouldEqual, "")
 		})
 		Convey("is acted upon once it has been stable", func() {
-			p.Plan(sec, other)
+			p.SetPlan(sec, other)
 			So(p.Due(30*sec), ShouldEqual, "")
 			So(p.Due(32*sec), ShouldEqual, "m0")
-			p.Loaded(32*sec, "m0")
+			p.RecordLoaded(32*sec, "m0")
 			So(p.Due(99*sec), ShouldEqual, "")
 		})
 	})
@@ -149,17 +149,17 @@
 		for _, c := range cases {
 			Convey(c.name, func() {
 				p := mgplacement.NewPacer(upstream, 5, 1)
-				p.Plan(0, some)
-				p.Loaded(0, some.Model(upstream))
+				p.SetPlan(0, some)
+				p.RecordLoaded(0, some.Model(upstream))
 				loads := 0
 				for now := sec; now < 600*sec; now += sec {
 					plan := some
 					if now/c.every%2 == 1 {
 						plan = all
 					}
-					p.Plan(now, plan)
+					p.SetPlan(now, plan)
 					if model := p.Due(now); model != "" {
-						p.Loaded(now, model)
+						p.RecordLoaded(now, model)
 						loads++
 					}
 				}
@@ -184,7 +184,7 @@
 		held := ""
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += mgclock.Millis(rapid.IntRange(0, 60_000).Draw(t, "span"))
-			p.Plan(now, plans[rapid.IntRange(0, 2).Draw(t, "plan")])
+			p.SetPlan(now, plans[rapid.IntRange(0, 2).Draw(t, "plan")])
 			model := p.Due(now)
 			if model == "" {
 				continue
@@ -193,14 +193,14 @@
 				t.Fatalf("%q loaded over %q, %d ms after a refusal", model, held, now-refused)
 			}
 			if rapid.Bool().Draw(t, "refused") {
-				p.Refused(now)
+				p.RecordRefusal(now)
 				refused = now
 				continue
 			}
 			if held != "" && now-changed < 120*sec {
 				t.Fatalf("changed after %d ms", now-changed)
 			}
-			p.Loaded(now, model)
+			p.RecordLoaded(now, model)
 			held, changed = model, now
 		}
 	})
@@ -216,7 +216,7 @@
 		pacers := make([]*mgplacement.Pacer, engines)
 		for i := range pacers {
 			pacers[i] = mgplacement.NewPacer(fmt.Sprintf("u%03d", i), rate, uint64(i))
-			pacers[i].Plan(0, plan)
+			pacers[i].SetPlan(0, plan)
 		}
 		loaded, attempts, latePeak := 0, 0, 0
 		now := mgclock.Millis(0)
@@ -230,11 +230,11 @@
 				}
 				requested++
 				if admitted == rate {
-					p.Refused(now)
+					p.RecordRefusal(now)
 					continue
 				}
 				admitted++
-				p.Loaded(now, model)
+				p.RecordLoaded(now, model)
 				loaded++
 			}
 			attempts += requested
--- a/internal/version/mgshare/loop.go
+++ b/internal/version/mgshare/loop.go
@@ -23,8 +23,8 @@
 	Clock  mgclock.Clock
 
 	// Lease and Support call the peer at an address.
-	Lease   func(ctx context.Context, addr string, r *mgrpc.LeaseRequest) (*mgrpc.LeaseReply, error)
-	Support func(ctx context.Context, addr string, r *mgrpc.SupportRequest) (*mgrpc.SupportReply, error)
+	Lease        func(ctx context.Context, addr string, r *mgrpc.LeaseRequest) (*mgrpc.LeaseReply, error)
+	RequestVotes func(ctx context.Context, addr string, r *mgrpc.SupportRequest) (*mgrpc.SupportReply, error)
 }
 
 // A Loop renews an entry's leases and serves its peers.
@@ -84,10 +84,10 @@
 	if err != nil {
 		reply = nil
 		if ctx.Err() == nil || context.Cause(ctx) == context.DeadlineExceeded {
-			l.spec.Shares.Members.Failed(now, call.Home)
+			l.spec.Shares.Members.RecordFailure(now, call.Home)
 		}
 	} else {
-		l.spec.Shares.Members.Answered(now, call.Home)
+		l.spec.Shares.Members.RecordAnswer(now, call.Home)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,7 +140,7 @@
 }
 
 // Running records how many streams of an account run.
-func (l *Loop) Running(account string, count int) {
+func (l *Loop) SetRunning(account string, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.shares.SetRunning(account, count)
@@ -202,13 +202,13 @@
 	if v.Witness == l.spec.Shares.Name {
 		reply, err = l.Support(ctx, request)
 	} else {
-		reply, err = l.spec.Support(ctx, v.Addr, request)
+		reply, err = l.spec.RequestVotes(ctx, v.Addr, request)
 	}
 	if err != nil {
-		l.spec.Shares.Members.Failed(l.spec.Clock.Now(), v.Witness)
+		l.spec.Shares.Members.RecordFailure(l.spec.Clock.Now(), v.Witness)
 		return
 	}
-	l.spec.Shares.Members.Answered(l.spec.Clock.Now(), v.Witness)
+	l.spec.Shares.Members.RecordAnswer(l.spec.Clock.Now(), v.Witness)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.shares.RecordVotes(sent, v, reply)
--- a/internal/version/mgshare/shares.go
+++ b/internal/version/mgshare/shares.go
@@ -21,7 +21,7 @@
 
 	// Fresh is set if no process ran under this name recently, as in a demo: its
 	// witness votes from the start.
-	Fresh bool
+	IsFresh bool
 }
 
 // Shares hold an entry's state as holder, home and witness of leases. Their methods
@@ -39,7 +39,7 @@
 	s := &Shares{
 		spec: spec,
 	}
-	if !spec.Fresh {
+	if !spec.IsFresh {
 		s.witness.RefuseAtStart(now)
 	}
 	return s
@@ -47,12 +47,12 @@
 
 // CapsOf returns an account's caps and false when it has none.
 func CapsOf(a *mgtable.Account) (Caps, bool) {
-	if a == nil || a.Rate() == 0 && a.Streams() == 0 {
+	if a == nil || a.MaxTokenRate() == 0 && a.MaxStreams() == 0 {
 		return Caps{}, false
 	}
 	return Caps{
-		Rate:    a.Rate(),
-		Streams: a.Streams(),
+		Rate:    a.MaxTokenRate(),
+		Streams: a.MaxStreams(),
 	}, true
 }
 
--- a/internal/version/mgshare/shares_test.go
+++ b/internal/version/mgshare/shares_test.go
@@ -73,8 +73,8 @@
 	return r
 }
 
-func listOf(version uint64, entries []*entry) mgplatform.List {
-	list := mgplatform.List{
+func listOf(version uint64, entries []*entry) mgplatform.VMList {
+	list := mgplatform.VMList{
 		Version: version,
 	}
 	for _, e := range entries {
@@ -93,14 +93,14 @@
 func (r *region) start(e *entry, fresh bool) {
 	e.incarnation++
 	e.members = mgmember.New(e.name)
-	e.members.List(r.net.Now(), listOf(1, r.entries))
+	e.members.AdoptList(r.net.Now(), listOf(1, r.entries))
 	e.shares = NewShares(r.net.Now(), SharesSpec{
 		Name:        e.name,
 		Incarnation: fmt.Sprint(e.incarnation),
 		Region:      "r",
 		Members:     e.members,
 		Account:     func(string) (Caps, bool) { return r.caps, true },
-		Fresh:       fresh,
+		IsFresh:     fresh,
 	})
 	r.step(e, e.incarnation)
 }
@@ -120,7 +120,7 @@
 	for _, call := range e.shares.DueCalls(now) {
 		r.sendLeaseCall(e, incarnation, call)
 	}
-	r.net.At(now+stepInterval, e.name, func() { r.step(e, incarnation) })
+	r.net.Schedule(now+stepInterval, e.name, func() { r.step(e, incarnation) })
 }
 
 // sendLeaseCall sends a call to its home and delivers the answer.
@@ -133,20 +133,20 @@
 		}
 		finished = true
 		if reply == nil {
-			e.members.Failed(r.net.Now(), call.Home)
+			e.members.RecordFailure(r.net.Now(), call.Home)
 		} else {
-			e.members.Answered(r.net.Now(), call.Home)
+			e.members.RecordAnswer(r.net.Now(), call.Home)
 		}
 		e.shares.HandleReply(r.net.Now(), call, reply)
 		r.check()
 	}
-	r.net.At(r.net.Now()+leaseTimeout, e.name, func() { finish(nil) })
+	r.net.Schedule(r.net.Now()+leaseTimeout, e.name, func() { finish(nil) })
 	r.net.Send(e.name, home.name, proto.Size(call.Request)+httpBytes, func() {
 		homeIncarnation := home.incarnation
 		for _, a := range home.shares.VoteRequests(r.net.Now(), call.Request) {
 			r.sendVoteRequest(home, a)
 		}
-		r.net.At(r.net.Now()+supportTimeout, home.name, func() {
+		r.net.Schedule(r.net.Now()+supportTimeout, home.name, func() {
 			if home.incarnation != homeIncarnation {
 				return
 			}
@@ -245,13 +245,13 @@
 		})
 		Convey("serves less, but never nothing, on both sides of a partition", func() {
 			left := map[string]bool{"e000": true, "e001": true, "e002": true}
-			r.net.Cut(0, func(from, to string) bool { return left[from] != left[to] })
+			r.net.SetLoss(0, func(from, to string) bool { return left[from] != left[to] })
 			r.net.Run(30 * sec)
 			for _, e := range r.entries {
 				So(e.shares.Slice(r.net.Now(), "a").Rate, ShouldBeGreaterThan, 0)
 			}
 			So(r.meanRate(5*sec), ShouldBeBetween, 600, 1000.1)
-			r.net.Cut(0, nil)
+			r.net.SetLoss(0, nil)
 			// Suspicions of 30 s and votes of 16 s expire first.
 			r.net.Run(85 * sec)
 			So(r.meanRate(5*sec), ShouldBeGreaterThan, 950)
@@ -305,12 +305,12 @@
 		e := r.entries[rng.IntN(len(r.entries))]
 		switch rng.IntN(7) {
 		case 0:
-			r.net.Cut(0, nil)
+			r.net.SetLoss(0, nil)
 		case 1:
-			r.net.Cut(0.3, nil)
+			r.net.SetLoss(0.3, nil)
 		case 2, 3:
 			side := rng.Uint64()
-			r.net.Cut(0, func(from, to string) bool { return side>>from[3]&1 != side>>to[3]&1 })
+			r.net.SetLoss(0, func(from, to string) bool { return side>>from[3]&1 != side>>to[3]&1 })
 		case 4:
 			r.net.Pause(e.name, mgclock.Millis(rng.IntN(12_000)))
 		case 5:
@@ -319,14 +319,14 @@
 			e.tokensPerStep = float64(rng.IntN(100))
 			if changeLists {
 				version++
-				e.members.List(r.net.Now(), listOf(version, r.entries[:3+rng.IntN(4)]))
+				e.members.AdoptList(r.net.Now(), listOf(version, r.entries[:3+rng.IntN(4)]))
 			}
 		}
 	}
-	r.net.Cut(0, nil)
+	r.net.SetLoss(0, nil)
 	for _, e := range r.entries {
 		e.tokensPerStep = 50
-		e.members.List(r.net.Now(), listOf(version+1, r.entries))
+		e.members.AdoptList(r.net.Now(), listOf(version+1, r.entries))
 	}
 	r.net.Run(r.net.Now() + 40*sec)
 	return r
@@ -338,13 +338,13 @@
 	defer goleak.VerifyNone(t)
 	Convey("A loop acquires a lease from itself", t, func() {
 		members := mgmember.New("e000")
-		members.List(0, listOf(1, []*entry{{name: "e000"}}))
+		members.AdoptList(0, listOf(1, []*entry{{name: "e000"}}))
 		loop := NewLoop(LoopSpec{
 			Shares: SharesSpec{
 				Name:    "e000",
 				Region:  "r",
 				Members: members,
-				Fresh:   true,
+				IsFresh: true,
 				Account: func(name string) (Caps, bool) {
 					return Caps{
 						Rate: 1000,
--- a/pkg/mgclient/backoff.go
+++ b/pkg/mgclient/backoff.go
@@ -33,11 +33,11 @@
 		return false
 	}
 	switch p.Kind() {
-	case mgproblem.Capped, mgproblem.Crowded, mgproblem.Leaving, mgproblem.Unready,
-		mgproblem.Behind, mgproblem.Incarnation, mgproblem.Tombstone:
+	case mgproblem.LimitReached, mgproblem.Overloaded, mgproblem.Leaving, mgproblem.NotReady,
+		mgproblem.OutdatedVersion, mgproblem.Incarnation, mgproblem.Tombstone:
 		return true
 	default:
-		return p.Retry() > 0
+		return p.RetryAfter() > 0
 	}
 }
 
@@ -49,7 +49,7 @@
 		return true
 	}
 	switch problem.Kind() {
-	case mgproblem.Leaving, mgproblem.Unready, mgproblem.Behind:
+	case mgproblem.Leaving, mgproblem.NotReady, mgproblem.OutdatedVersion:
 		return true
 	default:
 		return false
@@ -60,7 +60,7 @@
 func retryAfter(err error) mgclock.Millis {
 	var problem *mgproblem.Problem
 	if errors.As(err, &problem) {
-		return problem.Retry()
+		return problem.RetryAfter()
 	}
 	return 0
 }
--- a/pkg/mgclient/call.go
+++ b/pkg/mgclient/call.go
@@ -15,7 +15,7 @@
 
 // Mint returns the id of a new operation of a service. An id that is never
 // used costs nothing, so Mint may be retried after any transport failure.
-func (c *Client) Mint(ctx context.Context, service string) (string, error) {
+func (c *Client) NewOperationID(ctx context.Context, service string) (string, error) {
 	reply, err := c.callWithRetries(ctx, servicePath(service, "operations"), CallSpec{
 		Method: http.MethodPost,
 	})
@@ -98,7 +98,7 @@
 	isLast := attempt >= c.maxTries()
 	var problem *mgproblem.Problem
 	if errors.As(err, &problem) {
-		canRetry := isTransient(problem) || isRepeatable && problem.Retry() > 0
+		canRetry := isTransient(problem) || isRepeatable && problem.RetryAfter() > 0
 		if canRetry && !isLast {
 			return nil
 		}
@@ -161,7 +161,7 @@
 		}
 	}
 	if len(data) > maxReplyBytes {
-		return Reply{}, mgproblem.New(mgproblem.Large, mgproblem.Done,
+		return Reply{}, mgproblem.New(mgproblem.TooLarge, mgproblem.Done,
 			fmt.Sprintf("the reply has over %d bytes", maxReplyBytes), "ask the service for less")
 	}
 	return Reply{
--- a/pkg/mgclient/client.go
+++ b/pkg/mgclient/client.go
@@ -55,22 +55,22 @@
 }
 
 func (c *Client) silenceTimeout() mgclock.Millis {
-	if c.spec.Silence > 0 {
-		return c.spec.Silence
+	if c.spec.SilenceTimeout > 0 {
+		return c.spec.SilenceTimeout
 	}
 	return defaultSilenceTimeout
 }
 
 func (c *Client) beginTimeout() mgclock.Millis {
-	if c.spec.Begin > 0 {
-		return c.spec.Begin
+	if c.spec.BeginTimeout > 0 {
+		return c.spec.BeginTimeout
 	}
 	return defaultBeginTimeout
 }
 
 func (c *Client) maxTries() int {
-	if c.spec.Tries > 0 {
-		return c.spec.Tries
+	if c.spec.MaxTries > 0 {
+		return c.spec.MaxTries
 	}
 	return defaultMaxTries
 }
@@ -153,14 +153,14 @@
 		return nil
 	}
 	problem := parseProblem(data)
-	if problem == nil || problem.Retry() > 0 {
+	if problem == nil || problem.RetryAfter() > 0 {
 		return problem
 	}
 	seconds, err := strconv.ParseInt(response.Header.Get("Retry-After"), 10, 64)
 	if err != nil || seconds <= 0 {
 		return problem
 	}
-	return problem.WithRetry(mgclock.Millis(seconds) * mgclock.Second)
+	return problem.WithRetryAfter(mgclock.Millis(seconds) * mgclock.Second)
 }
 
 // parseProblem returns the system's own problem in data, or nil.
@@ -216,7 +216,7 @@
 
 // unreachableProblem returns the problem of a request that reached no entry.
 func unreachableProblem(err error) *mgproblem.Problem {
-	return mgproblem.New(mgproblem.Unready, mgproblem.NotRun,
+	return mgproblem.New(mgproblem.NotReady, mgproblem.NotRun,
 		"no entry can be reached", "check the base URLs and try again later").WithCause(err)
 }
 
--- a/pkg/mgclient/client_test.go
+++ b/pkg/mgclient/client_test.go
@@ -78,25 +78,25 @@
 		},
 		{
 			name:  "the next entry isn't ready",
-			steps: []step{sendAndCut("a", 1), refuseWith(mgproblem.Unready), sendAndFinish("a", 2, 3, 4)},
+			steps: []step{sendAndCut("a", 1), refuseWith(mgproblem.NotReady), sendAndFinish("a", 2, 3, 4)},
 			text:  "1,2,3,4,",
 			asked: []string{postRequest, resumeRequest + "1", resumeRequest + "1"},
 		},
 		{
 			name:  "it is refused and retried after the requested delay",
-			steps: []step{refuseWith(mgproblem.Crowded), sendAndFinish("a", 1, 2, 3, 4)},
+			steps: []step{refuseWith(mgproblem.Overloaded), sendAndFinish("a", 1, 2, 3, 4)},
 			text:  "1,2,3,4,",
 			asked: []string{postRequest, postRequest},
 		},
 		{
 			name:  "it waited and was attested not run in the stream",
-			steps: []step{failWith(mgproblem.Crowded, mgproblem.NotRun), sendAndFinish("a", 1, 2, 3, 4)},
+			steps: []step{failWith(mgproblem.Overloaded, mgproblem.NotRun), sendAndFinish("a", 1, 2, 3, 4)},
 			text:  "1,2,3,4,",
 			asked: []string{postRequest, postRequest},
 		},
 		{
 			name:  "its name came early and it was refused",
-			steps: []step{withEarlyHints(refuseWith(mgproblem.Crowded)), sendAndFinish("a", 1, 2, 3, 4)},
+			steps: []step{withEarlyHints(refuseWith(mgproblem.Overloaded)), sendAndFinish("a", 1, 2, 3, 4)},
 			text:  "1,2,3,4,",
 			asked: []string{postRequest, postRequest},
 		},
@@ -130,7 +130,7 @@
 		{
 			name: "its name came early and its generation was lost",
 			steps: []step{withEarlyHints(func(w http.ResponseWriter, _ *http.Request) {
-				mgproblem.Write(w, mgproblem.New(mgproblem.Interrupted, mgproblem.Unknown, "a test", "none").WithRetry(1))
+				mgproblem.Write(w, mgproblem.New(mgproblem.Interrupted, mgproblem.Unknown, "a test", "none").WithRetryAfter(1))
 			})},
 			kind:    mgproblem.Interrupted,
 			outcome: mgproblem.Unknown,
@@ -153,15 +153,15 @@
 		},
 		{
 			name:    "the key is wrong",
-			steps:   []step{refuseWith(mgproblem.Stranger)},
-			kind:    mgproblem.Stranger,
+			steps:   []step{refuseWith(mgproblem.Unauthenticated)},
+			kind:    mgproblem.Unauthenticated,
 			outcome: mgproblem.NotRun,
 		},
 		{
 			name:    "its resume is refused, which leaves its outcome unknown",
-			steps:   []step{sendAndCut("a", 1), refuseWith(mgproblem.Stranger)},
+			steps:   []step{sendAndCut("a", 1), refuseWith(mgproblem.Unauthenticated)},
 			text:    "1,",
-			kind:    mgproblem.Stranger,
+			kind:    mgproblem.Unauthenticated,
 			outcome: mgproblem.Unknown,
 		},
 		{
@@ -192,12 +192,12 @@
 				}
 				if c.kind == "" {
 					So(err, ShouldBeNil)
-					So(answer.End(), ShouldEqual, "stop")
+					So(answer.EndReason(), ShouldEqual, "stop")
 					return
 				}
 				So(mgproblem.From(err).Kind(), ShouldEqual, c.kind)
 				So(mgproblem.From(err).Outcome(), ShouldEqual, c.outcome)
-				So(answer.End(), ShouldBeEmpty)
+				So(answer.EndReason(), ShouldBeEmpty)
 			})
 		}
 	})
@@ -244,7 +244,7 @@
 		{
 			name:   "a write that didn't run is repeated after the requested delay",
 			method: http.MethodPost,
-			steps:  []step{refuseWith(mgproblem.Crowded), replyBooked},
+			steps:  []step{refuseWith(mgproblem.Overloaded), replyBooked},
 			asked:  []string{write, write},
 		},
 		{
@@ -300,15 +300,15 @@
 		So(err, ShouldBeNil)
 		So(l.Close(), ShouldBeNil)
 		client := mgclient.New(mgclient.Spec{
-			Bases:  []string{"http://" + l.Addr().String()},
-			Tries:  2,
-			Jitter: func() float64 { return 0 },
+			Bases:    []string{"http://" + l.Addr().String()},
+			MaxTries: 2,
+			Jitter:   func() float64 { return 0 },
 		})
 		_, err = client.Complete(context.Background(), mgclient.Request{}, nil)
 		So(mgproblem.From(err).Outcome(), ShouldEqual, mgproblem.NotRun)
-		_, err = client.Mint(context.Background(), "tickets")
+		_, err = client.NewOperationID(context.Background(), "tickets")
 		So(mgproblem.From(err).Outcome(), ShouldEqual, mgproblem.NotRun)
-		_, err = (&mgclient.Client{}).Mint(context.Background(), "tickets")
+		_, err = (&mgclient.Client{}).NewOperationID(context.Background(), "tickets")
 		So(mgproblem.From(err).Kind(), ShouldEqual, mgproblem.Invalid)
 	})
 }
--- a/pkg/mgclient/entries_test.go
+++ b/pkg/mgclient/entries_test.go
@@ -63,11 +63,11 @@
 // client returns a client of the two entries.
 func (e *fakeEntries) client(silence mgclock.Millis) *mgclient.Client {
 	return mgclient.New(mgclient.Spec{
-		Bases:   e.bases,
-		Key:     "key",
-		Silence: silence,
-		Tries:   4,
-		Jitter:  func() float64 { return 0 },
+		Bases:          e.bases,
+		Key:            "key",
+		SilenceTimeout: silence,
+		MaxTries:       4,
+		Jitter:         func() float64 { return 0 },
 	})
 }
 
--- a/pkg/mgclient/session.go
+++ b/pkg/mgclient/session.go
@@ -131,7 +131,7 @@
 		return problem
 	}
 	return mgproblem.New(problem.Kind(), mgproblem.Unknown, problem.Detail(), problem.Remedy()).
-		WithRetry(problem.Retry()).WithCause(problem)
+		WithRetryAfter(problem.RetryAfter()).WithCause(problem)
 }
 
 // shouldRetry reports whether another attempt may succeed after a problem. A
@@ -140,7 +140,7 @@
 	if problem.Kind() == mgproblem.Interrupted {
 		return false
 	}
-	return isTransient(problem) || s.answer.name != "" && (shouldSwitchEntry(problem) || problem.Retry() > 0)
+	return isTransient(problem) || s.answer.name != "" && (shouldSwitchEntry(problem) || problem.RetryAfter() > 0)
 }
 
 // retryDelay returns the delay before the next attempt. An answer whose
--- a/pkg/mgclient/spec.go
+++ b/pkg/mgclient/spec.go
@@ -9,23 +9,23 @@
 
 // Spec configures a client. The default of a zero field is given in brackets.
 type Spec struct {
-	Bases   []string       // base URLs of the entries, in the order of preference
-	Key     string         // the client account's key
-	Silence mgclock.Millis // timeout for a connection without tokens and heartbeats [5000]
-	Begin   mgclock.Millis // timeout for the response to a new request or a call [60000]
-	Tries   int            // max consecutive attempts without progress [8]
-	Clock   mgclock.Clock
-	Jitter  func() float64 // uniform random numbers in [0, 1) [math/rand/v2]
+	Bases          []string       // base URLs of the entries, in the order of preference
+	Key            string         // the client account's key
+	SilenceTimeout mgclock.Millis // timeout for a connection without tokens and heartbeats [5000]
+	BeginTimeout   mgclock.Millis // timeout for the response to a new request or a call [60000]
+	MaxTries       int            // max consecutive attempts without progress [8]
+	Clock          mgclock.Clock
+	Jitter         func() float64 // uniform random numbers in [0, 1) [math/rand/v2]
 	// Dial opens the connections to the entries [mgdial.NewClient's].
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
 // Request is the request for one answer.
 type Request struct {
-	Model    string    `json:"model"`
-	Messages []Message `json:"messages"`
-	Max      int       `json:"max_tokens,omitempty"`
-	Stream   bool      `json:"stream"` // set by Complete
+	Model     string    `json:"model"`
+	Messages  []Message `json:"messages"`
+	MaxTokens int       `json:"max_tokens,omitempty"`
+	Stream    bool      `json:"stream"` // set by Complete
 }
 
 // Message is one message of a conversation.
--- a/pkg/mgclock/clock.go
+++ b/pkg/mgclock/clock.go
@@ -80,11 +80,11 @@
 
 // Unix returns the seconds since 1970 by the system's clock, for formats that
 // require them. It may jump; no decision may depend on it.
-func Unix() int64 { return time.Now().Unix() }
+func UnixSeconds() int64 { return time.Now().Unix() }
 
 // Deadline returns the time after timeout as a time.Time, for the deadlines of
 // connections.
-func Deadline(timeout Millis) time.Time { return time.Now().Add(timeout.Duration()) }
+func DeadlineAfter(timeout Millis) time.Time { return time.Now().Add(timeout.Duration()) }
 
 // UnixMillis returns the ms since 1970 by the system's clock. It may jump, as
 // Unix may.
--- a/pkg/mgclock/clock_test.go
+++ b/pkg/mgclock/clock_test.go
@@ -21,7 +21,7 @@
 			manual.Advance(10)
 			So(isClosed(early), ShouldBeTrue)
 			So(isClosed(late), ShouldBeFalse)
-			So(manual.Waiting(), ShouldEqual, 1)
+			So(manual.PendingTimers(), ShouldEqual, 1)
 		})
 
 		Convey("ends a sleep when its context ends", func() {
--- a/pkg/mgclock/manual.go
+++ b/pkg/mgclock/manual.go
@@ -50,7 +50,7 @@
 
 // Waiting returns the number of timers that have not fired, so that a test can
 // detect when all goroutines wait.
-func (m *Manual) Waiting() int {
+func (m *Manual) PendingTimers() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.timers)
--- a/pkg/mgdial/dial.go
+++ b/pkg/mgdial/dial.go
@@ -28,7 +28,7 @@
 // after silenceTimeout without an acknowledgement: a partition, or a middlebox that
 // drops its state, cuts a connection without a reset, and a reader would
 // otherwise wait for its whole timeout.
-func Near(silenceTimeout time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
+func DialInRegion(silenceTimeout time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	dialer := net.Dialer{
 		Timeout: regionalConnectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
@@ -122,7 +122,7 @@
 // Refuses reports whether an address refuses connections, as it does after its
 // process has ended while the host is up. An error means that neither is known:
 // the host may be down or unreachable.
-func Refuses(ctx context.Context, addr string) (bool, error) {
+func RefusesConnections(ctx context.Context, addr string) (bool, error) {
 	dialer := net.Dialer{
 		Timeout: regionalConnectTimeout,
 	}
--- a/pkg/mgproblem/problem.go
+++ b/pkg/mgproblem/problem.go
@@ -15,26 +15,26 @@
 
 // The kinds of problems.
 const (
-	Invalid      Kind = "invalid"      // the request can't be understood
-	Stranger     Kind = "stranger"     // no client account has this key
-	Forbidden    Kind = "forbidden"    // the account isn't allowed to do this
-	Missing      Kind = "missing"      // no such answer, service or model
-	Large        Kind = "large"        // a size limit is exceeded
-	Capped       Kind = "capped"       // the account's limit is reached
-	Crowded      Kind = "crowded"      // no upstream has capacity in time
-	Late         Kind = "late"         // the deadline passed while the request waited
-	Leaving      Kind = "leaving"      // the process or upstream is shutting down
-	Unready      Kind = "unready"      // the process has no configuration yet
-	Behind       Kind = "behind"       // the process has an older version
-	Incarnation  Kind = "incarnation"  // the process was replaced by a new incarnation
-	Tombstone    Kind = "tombstone"    // the attempt was cancelled before it arrived
-	Interrupted  Kind = "interrupted"  // the generation stopped before it was complete
-	Crashed      Kind = "crashed"      // the upstream ended as it began the request
-	Unconfirmed  Kind = "unconfirmed"  // it is unknown whether the request ran
-	Unpromisable Kind = "unpromisable" // the requested guarantee can't be given
-	Cancelled    Kind = "cancelled"    // the caller cancelled the request
-	Quarantined  Kind = "quarantined"  // the request crashes upstreams and is quarantined
-	Internal     Kind = "internal"     // a fault of the system
+	Invalid              Kind = "invalid"      // the request can't be understood
+	Unauthenticated      Kind = "stranger"     // no client account has this key
+	Forbidden            Kind = "forbidden"    // the account isn't allowed to do this
+	NotFound             Kind = "missing"      // no such answer, service or model
+	TooLarge             Kind = "large"        // a size limit is exceeded
+	LimitReached         Kind = "capped"       // the account's limit is reached
+	Overloaded           Kind = "crowded"      // no upstream has capacity in time
+	DeadlineExceeded     Kind = "late"         // the deadline passed while the request waited
+	Leaving              Kind = "leaving"      // the process or upstream is shutting down
+	NotReady             Kind = "unready"      // the process has no configuration yet
+	OutdatedVersion      Kind = "behind"       // the process has an older version
+	Incarnation          Kind = "incarnation"  // the process was replaced by a new incarnation
+	Tombstone            Kind = "tombstone"    // the attempt was cancelled before it arrived
+	Interrupted          Kind = "interrupted"  // the generation stopped before it was complete
+	Crashed              Kind = "crashed"      // the upstream ended as it began the request
+	Unconfirmed          Kind = "unconfirmed"  // it is unknown whether the request ran
+	GuaranteeUnavailable Kind = "unpromisable" // the requested guarantee can't be given
+	Cancelled            Kind = "cancelled"    // the caller cancelled the request
+	Quarantined          Kind = "quarantined"  // the request crashes upstreams and is quarantined
+	Internal             Kind = "internal"     // a fault of the system
 )
 
 // Outcome specifies whether a request ran.
@@ -73,7 +73,7 @@
 }
 
 // WithRetry returns a copy that asks the caller to retry after delay.
-func (p Problem) WithRetry(delay mgclock.Millis) *Problem {
+func (p Problem) WithRetryAfter(delay mgclock.Millis) *Problem {
 	p.retry = delay
 	return &p
 }
@@ -107,7 +107,7 @@
 func (p *Problem) Remedy() string { return p.remedy }
 
 // Retry returns the delay after which to retry, or 0.
-func (p *Problem) Retry() mgclock.Millis { return p.retry }
+func (p *Problem) RetryAfter() mgclock.Millis { return p.retry }
 
 // Unwrap returns the cause, or nil.
 func (p *Problem) Unwrap() error { return p.cause }
@@ -134,27 +134,27 @@
 // Status returns the HTTP status for the problem's kind.
 func (p *Problem) Status() int {
 	switch p.Kind() {
-	case Invalid, Unpromisable:
+	case Invalid, GuaranteeUnavailable:
 		return http.StatusBadRequest
-	case Stranger:
+	case Unauthenticated:
 		return http.StatusUnauthorized
 	case Forbidden:
 		return http.StatusForbidden
-	case Missing:
+	case NotFound:
 		return http.StatusNotFound
-	case Large:
+	case TooLarge:
 		return http.StatusRequestEntityTooLarge
-	case Capped:
+	case LimitReached:
 		return http.StatusTooManyRequests
 	case Incarnation, Tombstone, Unconfirmed:
 		return http.StatusConflict
 	case Interrupted, Crashed:
 		return http.StatusBadGateway
-	case Late:
+	case DeadlineExceeded:
 		return http.StatusGatewayTimeout
 	case Cancelled:
 		return http.StatusGone
-	case Crowded, Leaving, Unready, Behind:
+	case Overloaded, Leaving, NotReady, OutdatedVersion:
 		return http.StatusServiceUnavailable
 	case Quarantined:
 		// Callers interpret 503 as an attestation that the request did not run.
--- a/pkg/mgproblem/problem_test.go
+++ b/pkg/mgproblem/problem_test.go
@@ -16,7 +16,7 @@
 func TestProblemLacksOpenAIErrorObject(t *testing.T) {
 	Convey("A problem has the error object of OpenAI's API", t, func() {
 		recorder := httptest.NewRecorder()
-		mgproblem.Write(recorder, mgproblem.New(mgproblem.Stranger, mgproblem.NotRun, "no key", "send one"))
+		mgproblem.Write(recorder, mgproblem.New(mgproblem.Unauthenticated, mgproblem.NotRun, "no key", "send one"))
 		var body struct {
 			Error struct {
 				Message string `json:"message"`
--- a/pkg/mgtable/build.go
+++ b/pkg/mgtable/build.go
@@ -22,39 +22,39 @@
 
 // ServiceSpec describes a service. Model is empty for a plain service.
 type ServiceSpec struct {
-	Name   string
-	Model  string
-	Move   bool    // whether running generations may migrate between engines
-	Stride int64   // tokens per stream event, 0 for 1
-	Copy   int64   // µs to copy one token's memory to another engine
-	Cold   int64   // ms for which an upstream is cold after its start
-	Ramp   float64 // max requests per second to a cold upstream, 0 for no limit
+	Name           string
+	Model          string
+	CanMigrate     bool    // whether running generations may migrate between engines
+	TokensPerEvent int64   // tokens per stream event, 0 for 1
+	CopyMicros     int64   // µs to copy one token's memory to another engine
+	ColdMillis     int64   // ms for which an upstream is cold after its start
+	MaxColdRate    float64 // max requests per second to a cold upstream, 0 for no limit
 }
 
 // ModelSpec describes a model; Context and Max are in tokens.
 type ModelSpec struct {
-	Name    string
-	Context int64
-	Max     int64
+	Name      string
+	Context   int64
+	MaxOutput int64
 }
 
 // RouteSpec describes a route; see the accessors of Route for its fields. Times
 // are in ms.
 type RouteSpec struct {
-	Name     string
-	Host     string
-	Prefix   string
-	Kind     string
-	Services []ShareSpec
-	Attempts int64
-	Timeout  int64
-	Goal     int64
-	Gap      int64
-	Priority int64
-	Resumes  bool
-	Public   bool
-	Sticky   bool
-	Homes    []string // regions
+	Name             string
+	Host             string
+	Prefix           string
+	Kind             string
+	Services         []ShareSpec
+	MaxAttempts      int64
+	Timeout          int64
+	LatencyGoal      int64
+	MaxEventInterval int64
+	Priority         int64
+	Resumes          bool
+	Public           bool
+	Sticky           bool
+	Homes            []string // regions
 }
 
 // ShareSpec names a service of a route and its weight.
@@ -90,7 +90,7 @@
 			kind: modelRow,
 			cells: cells{}.text("name", m.Name).
 				count("context", m.Context).
-				count("max", m.Max),
+				count("max", m.MaxOutput),
 		})
 	}
 	for _, v := range s.Services {
@@ -109,8 +109,8 @@
 	row := record{
 		kind: serviceRow,
 		cells: cells{}.text("name", s.Name).
-			count("cold", s.Cold).
-			number("ramp", s.Ramp),
+			count("cold", s.ColdMillis).
+			number("ramp", s.MaxColdRate),
 	}
 	if s.Model == "" {
 		row.cells = cells(row.cells).text("kind", Plain)
@@ -118,9 +118,9 @@
 	}
 	row.cells = cells(row.cells).text("kind", Generation).
 		text("model", s.Model).
-		text("move", yesOrNo(s.Move)).
-		count("copy", s.Copy).
-		count("stride", s.Stride)
+		text("move", yesOrNo(s.CanMigrate)).
+		count("copy", s.CopyMicros).
+		count("stride", s.TokensPerEvent)
 	return row
 }
 
@@ -147,10 +147,10 @@
 			text("prefix", r.Prefix).
 			text("kind", r.Kind).
 			list("services", shares).
-			count("attempts", r.Attempts).
+			count("attempts", r.MaxAttempts).
 			count("timeout", r.Timeout).
-			count("goal", r.Goal).
-			count("gap", r.Gap).
+			count("goal", r.LatencyGoal).
+			count("gap", r.MaxEventInterval).
 			count("priority", r.Priority).
 			text("resume", yesOrNo(r.Resumes)).
 			text("public", yesOrNo(r.Public)).
--- a/pkg/mgtable/columns.go
+++ b/pkg/mgtable/columns.go
@@ -23,7 +23,7 @@
 	nameColumn("name", func(s *Service) *string { return &s.name }),
 	choiceColumn("kind", []string{Generation, Plain}, func(s *Service) *string { return &s.kind }),
 	nameColumn("model", func(s *Service) *string { return &s.model }),
-	choiceColumn("prefer", []string{Steady, Whole}, func(s *Service) *string { return &s.prefer }),
+	choiceColumn("prefer", []string{PreferSteady, PreferWhole}, func(s *Service) *string { return &s.prefer }),
 	countColumn("priority", maxPriority, func(s *Service) *int64 { return &s.priority }),
 	countColumn("deadline", maxDeadlineMillis, func(s *Service) *int64 { return &s.deadline }),
 	countColumn("max", maxTokens, func(s *Service) *int64 { return &s.max }),
@@ -50,7 +50,7 @@
 	namesColumn("services", func(u *Upstream) *[]string { return &u.services }),
 	countColumn("memory", maxTokens, func(u *Upstream) *int64 { return &u.memory }),
 	countColumn("batch", maxBatch, func(u *Upstream) *int64 { return &u.batch }),
-	choiceColumn("orders", []string{Checked, Ignored}, func(u *Upstream) *string { return &u.orders }),
+	choiceColumn("orders", []string{OrdersChecked, OrdersIgnored}, func(u *Upstream) *string { return &u.orders }),
 }
 
 // setAccountDefaults fills in omitted columns.
@@ -67,7 +67,7 @@
 		s.kind = Generation
 	}
 	if s.prefer == "" {
-		s.prefer = Steady
+		s.prefer = PreferSteady
 	}
 	if s.deadline == 0 {
 		s.deadline = defaultDeadlineMillis
@@ -84,6 +84,6 @@
 		u.kind = Engine
 	}
 	if u.orders == "" {
-		u.orders = Ignored
+		u.orders = OrdersIgnored
 	}
 }
--- a/pkg/mgtable/large_test.go
+++ b/pkg/mgtable/large_test.go
@@ -23,7 +23,7 @@
 			name:     "service-" + name,
 			kind:     Generation,
 			model:    name,
-			prefer:   Steady,
+			prefer:   PreferSteady,
 			deadline: 10_000,
 			repeat:   Never,
 		})
@@ -35,7 +35,7 @@
 			models: []string{fmt.Sprintf("model-%d", i%9)},
 			memory: 400_000,
 			batch:  64,
-			orders: Checked,
+			orders: OrdersChecked,
 		})
 	}
 	for i := range count {
@@ -138,7 +138,7 @@
 func BenchmarkByKey(b *testing.B) {
 	t := LargeTable(targetAccounts, 0)
 	for b.Loop() {
-		if t.ByKey("sample-account-00077") == nil {
+		if t.AccountByKey("sample-account-00077") == nil {
 			b.Fatal("missing")
 		}
 	}
--- a/pkg/mgtable/route.go
+++ b/pkg/mgtable/route.go
@@ -66,18 +66,18 @@
 func (r *Route) Services() []Share { return r.services }
 
 // Attempts returns the maximum number of upstreams that one request may be sent to.
-func (r *Route) Attempts() int { return int(r.attempts) }
+func (r *Route) MaxAttempts() int { return int(r.attempts) }
 
 // Timeout returns the timeout of a request, including all its attempts.
 func (r *Route) Timeout() mgclock.Millis { return mgclock.Millis(r.timeout) }
 
 // Goal returns the latency goal: the time to the reply, or to the first event of
 // a stream, or 0 when none is given.
-func (r *Route) Goal() mgclock.Millis { return mgclock.Millis(r.goal) }
+func (r *Route) LatencyGoal() mgclock.Millis { return mgclock.Millis(r.goal) }
 
 // Gap returns the goal for the maximum interval between events, or 0 when none
 // is given.
-func (r *Route) Gap() mgclock.Millis { return mgclock.Millis(r.gap) }
+func (r *Route) MaxEventInterval() mgclock.Millis { return mgclock.Millis(r.gap) }
 
 // Priority returns the priority from 0 to 9; higher priorities are served first.
 func (r *Route) Priority() int { return int(r.priority) }
@@ -94,7 +94,7 @@
 
 // Homes returns the regions in which the route's requests may run; none listed
 // means all. Callers must not modify the slice.
-func (r *Route) Homes() []string { return r.homes }
+func (r *Route) HomeRegions() []string { return r.homes }
 
 // Repeatable reports whether a request may run more than once.
 func (r *Route) Repeatable() bool {
@@ -102,7 +102,7 @@
 }
 
 // Pick selects a service by weight, given a uniformly distributed random number.
-func (r *Route) Pick(random uint64) string {
+func (r *Route) PickService(random uint64) string {
 	total := uint64(0)
 	for _, share := range r.services {
 		total += uint64(share.weight)
--- a/pkg/mgtable/route_test.go
+++ b/pkg/mgtable/route_test.go
@@ -78,7 +78,7 @@
 		So(err, ShouldBeNil)
 		got := map[string]int{}
 		for drawn := range uint64(1000) {
-			got[table.Route("tanks.example", "/book/1").Pick(drawn)]++
+			got[table.Route("tanks.example", "/book/1").PickService(drawn)]++
 		}
 		So(got["ledger"], ShouldEqual, 900)
 		So(got["archive"], ShouldEqual, 100)
@@ -114,7 +114,7 @@
 			again, err := mgtable.Join(manifest, pages)
 			So(err, ShouldBeNil)
 			So(again.Digest(), ShouldEqual, table.Digest())
-			So(again.Route("tanks.example", "/book/look/1").Attempts(), ShouldEqual, 2)
+			So(again.Route("tanks.example", "/book/look/1").MaxAttempts(), ShouldEqual, 2)
 		})
 	})
 }
--- a/pkg/mgtable/row.go
+++ b/pkg/mgtable/row.go
@@ -25,8 +25,8 @@
 // The preferences of a service: Steady prefers a steady rate of tokens, Whole
 // prefers complete answers without stalls and preemptions.
 const (
-	Steady = "steady"
-	Whole  = "whole"
+	PreferSteady = "steady"
+	PreferWhole  = "whole"
 )
 
 // Values of the column that specifies whether the calls of a plain service may
@@ -45,8 +45,8 @@
 // Values of the column that specifies whether an upstream refuses orders with an
 // outdated fencing number.
 const (
-	Checked = "checked"
-	Ignored = "ignored"
+	OrdersChecked = "checked"
+	OrdersIgnored = "ignored"
 )
 
 // An Account is one client account.
@@ -73,10 +73,10 @@
 func (a *Account) Weight() float64 { return a.weight }
 
 // Rate returns the limit in tokens per second, or 0 when there is none.
-func (a *Account) Rate() float64 { return a.rate }
+func (a *Account) MaxTokenRate() float64 { return a.rate }
 
 // Streams returns the limit of concurrent streams, or 0 when there is none.
-func (a *Account) Streams() int { return int(a.streams) }
+func (a *Account) MaxStreams() int { return int(a.streams) }
 
 // Services returns the services the account may use; none listed means all.
 // Callers must not modify the slice.
@@ -84,10 +84,10 @@
 
 // Homes returns the regions in which the account's requests may run; none listed
 // means all. Callers must not modify the slice.
-func (a *Account) Homes() []string { return a.homes }
+func (a *Account) HomeRegions() []string { return a.homes }
 
 // Allows reports whether the account may use a service.
-func (a *Account) Allows(service string) bool {
+func (a *Account) AllowsService(service string) bool {
 	if len(a.services) == 0 {
 		return true
 	}
@@ -125,7 +125,7 @@
 func (s *Service) Model() string { return s.model }
 
 // Prefer returns Steady or Whole.
-func (s *Service) Prefer() string { return s.prefer }
+func (s *Service) Preference() string { return s.prefer }
 
 // Priority returns the priority from 0 to 9; higher priorities are served first.
 func (s *Service) Priority() int { return int(s.priority) }
@@ -134,36 +134,36 @@
 func (s *Service) Deadline() mgclock.Millis { return mgclock.Millis(s.deadline) }
 
 // Max returns the maximum output in tokens, or 0 for the model's own limit.
-func (s *Service) Max() int { return int(s.max) }
+func (s *Service) MaxOutput() int { return int(s.max) }
 
 // Repeatable reports whether calls may run more than once.
 func (s *Service) Repeatable() bool { return s.repeat == Safe }
 
 // Hedge returns the fraction of calls that may be sent twice, from 0 to 1.
-func (s *Service) Hedge() float64 { return s.hedge }
+func (s *Service) HedgeFraction() float64 { return s.hedge }
 
 // Move reports whether running generations of the service may migrate between
 // engines.
-func (s *Service) Move() bool { return s.move == Yes }
+func (s *Service) CanMigrate() bool { return s.move == Yes }
 
 // Copy returns the time in µs to copy the memory of one token between two
 // engines of an availability zone, or 0 when it is unknown.
-func (s *Service) Copy() int { return int(s.copy) }
+func (s *Service) CopyMicros() int { return int(s.copy) }
 
 // Stride returns the number of tokens per stream event.
-func (s *Service) Stride() int { return max(int(s.stride), 1) }
+func (s *Service) TokensPerEvent() int { return max(int(s.stride), 1) }
 
 // Cold returns how long an upstream is cold after its start, or 0 when it is
 // warm at once.
-func (s *Service) Cold() mgclock.Millis { return mgclock.Millis(s.cold) }
+func (s *Service) ColdPeriod() mgclock.Millis { return mgclock.Millis(s.cold) }
 
 // Ramp returns the maximum requests per second to a cold upstream, or 0 for no
 // limit.
-func (s *Service) Ramp() float64 { return s.ramp }
+func (s *Service) MaxColdRate() float64 { return s.ramp }
 
 // Paths returns the upstreams that serve a plain service; none listed means
 // all upstreams that list the service. Callers must not modify the slice.
-func (s *Service) Paths() []string { return s.paths }
+func (s *Service) UpstreamNames() []string { return s.paths }
 
 // A Model is a language model.
 type Model struct {
@@ -177,10 +177,10 @@
 func (m *Model) Name() string { return m.name }
 
 // Context returns the maximum length of prompt and output together, in tokens.
-func (m *Model) Context() int { return int(m.context) }
+func (m *Model) MaxContext() int { return int(m.context) }
 
 // Max returns the maximum output in tokens.
-func (m *Model) Max() int { return int(m.max) }
+func (m *Model) MaxOutput() int { return int(m.max) }
 
 // An Upstream is a model engine or a host of plain services.
 type Upstream struct {
@@ -212,16 +212,16 @@
 func (u *Upstream) Memory() int { return int(u.memory) }
 
 // Batch returns the maximum number of concurrent generations or calls.
-func (u *Upstream) Batch() int { return int(u.batch) }
+func (u *Upstream) MaxConcurrent() int { return int(u.batch) }
 
 // Orders returns Checked or Ignored.
-func (u *Upstream) Orders() string { return u.orders }
+func (u *Upstream) FencingMode() string { return u.orders }
 
 // Runs reports whether the upstream lists a service.
-func (u *Upstream) Runs(service string) bool { return contains(u.services, service) }
+func (u *Upstream) ListsService(service string) bool { return contains(u.services, service) }
 
 // Holds reports whether the upstream lists a model.
-func (u *Upstream) Holds(model string) bool { return contains(u.models, model) }
+func (u *Upstream) ListsModel(model string) bool { return contains(u.models, model) }
 
 func contains(list []string, name string) bool {
 	for _, n := range list {
--- a/pkg/mgtable/table.go
+++ b/pkg/mgtable/table.go
@@ -66,7 +66,7 @@
 // ByKey returns the account with an API key, or nil. It looks up the digest of
 // the presented key, so that the time of the lookup doesn't reveal how much of a
 // key was correct.
-func (t *Table) ByKey(key string) *Account { return t.accountsByKey[DigestOf([]byte(key))] }
+func (t *Table) AccountByKey(key string) *Account { return t.accountsByKey[DigestOf([]byte(key))] }
 
 // Service returns the service with a name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
@@ -78,7 +78,7 @@
 func (t *Table) Upstream(name string) *Upstream { return t.upstreams[name] }
 
 // Len returns the number of accounts.
-func (t *Table) Len() int { return len(t.rows.accounts) }
+func (t *Table) AccountCount() int { return len(t.rows.accounts) }
 
 // Accounts iterates over the accounts in order of their names.
 func (t *Table) Accounts() iter.Seq[*Account] { return iterate(t.rows.accounts) }
--- a/pkg/mgtable/table_test.go
+++ b/pkg/mgtable/table_test.go
@@ -99,9 +99,9 @@
 			{"cooperativa", "itajai", "sample-itajai"},
 		} {
 			table := readSample(c.deployment)
-			So(table.ByKey(c.key), ShouldEqual, table.Account(c.account))
-			So(table.ByKey(c.key+"x"), ShouldBeNil)
-			So(table.Len(), ShouldEqual, 10)
+			So(table.AccountByKey(c.key), ShouldEqual, table.Account(c.account))
+			So(table.AccountByKey(c.key+"x"), ShouldBeNil)
+			So(table.AccountCount(), ShouldEqual, 10)
 		}
 	})
 }
