--- a/internal/bench/mgbench/reclaim.go
+++ b/internal/bench/mgbench/reclaim.go
@@ -8,7 +8,7 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/bench/mgmodel"
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgload"
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgmigration"
-	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgwaitlist"
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
@@ -37,8 +37,8 @@
 	otherReports         []mgload.Report
 	linkFreeAt           []float64 // by upstream, time at which its link is free
 	random               *rand.Rand
-	waitingList          *mgroom.WaitingList // nil if requests wait at engines
-	isPlacementScheduled bool                // the next placement round is scheduled
+	waitingList          *mgwaitlist.WaitingList // nil if requests wait at engines
+	isPlacementScheduled bool                    // the next placement round is scheduled
 }
 
 func newMigrator(d *driver, strategy moveStrategy, seed uint64) *migrator {
@@ -54,7 +54,7 @@
 		random:       rand.New(rand.NewPCG(seed, randomStream+1)),
 	}
 	if strategy == strategyWaitingList {
-		m.waitingList = &mgroom.WaitingList{}
+		m.waitingList = &mgwaitlist.WaitingList{}
 	}
 	return m
 }
@@ -138,7 +138,7 @@
 		return false
 	}
 	promptTime := float64(c.sequence.Prompt)/promptReadRate + firstTokenSlack
-	m.waitingList.Add(mgroom.Request{
+	m.waitingList.Add(mgwaitlist.Request{
 		Name:     c.sequence.ID,
 		Account:  m.driver.workload.scenario.Accounts[c.account].Name,
 		Need:     c.countedMemory(),
@@ -163,13 +163,13 @@
 
 // placeWaiting assigns placements to calls on the waiting list.
 func (m *migrator) placeWaiting(now float64) {
-	var placements []mgroom.Place
+	var placements []mgwaitlist.Place
 	for _, u := range m.driver.upstreams {
 		if u.isLeaving {
 			continue
 		}
 		row := m.counts[0].Row(upstreamName(u)).Add(m.otherReports[0].Rows[upstreamName(u)])
-		placements = append(placements, mgroom.Place{
+		placements = append(placements, mgwaitlist.Place{
 			Name:    upstreamName(u),
 			Cost:    mgload.Cost(mgload.State{Row: row}, mgload.Query{}),
 			Free:    u.engine.Spec().Memory - row.Memory,
--- a/internal/process/mgentry/relay.go
+++ b/internal/process/mgentry/relay.go
@@ -9,7 +9,7 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mglog"
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mgrelay"
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgload"
-	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgwaitlist"
 	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
@@ -100,7 +100,7 @@
 
 // Places returns the directly reached upstreams of a service, with the load that
 // this entry and the others have sent there.
-func (e *Entry) PlacementCandidates(service string, others mgload.Report) []mgroom.Place {
+func (e *Entry) PlacementCandidates(service string, others mgload.Report) []mgwaitlist.Place {
 	table := e.spec.Table()
 	if e.relay == nil || table == nil {
 		return nil
--- a/internal/process/mgnode/node.go
+++ b/internal/process/mgnode/node.go
@@ -26,8 +26,8 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgload"
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgmigration"
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgquarantine"
-	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgseal"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgwaitlist"
 	"github.com/marjoramgauge/marjoramgauge/internal/version/mgconfig"
 	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
 	"github.com/marjoramgauge/marjoramgauge/internal/version/mgshare"
@@ -54,7 +54,7 @@
 	listCoversTable bool
 	migrationSlots  mgmigration.Slots
 	placementQueues placementQueues
-	readUpstreams   atomic.Pointer[func(service string, others mgload.Report) []mgroom.Place]
+	readUpstreams   atomic.Pointer[func(service string, others mgload.Report) []mgwaitlist.Place]
 	hub             mgload.Hub
 	otherLoads      atomic.Pointer[otherLoads]
 	quarantine      *mgquarantine.Quarantine
--- a/internal/process/mgnode/permit.go
+++ b/internal/process/mgnode/permit.go
@@ -12,7 +12,7 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mglog"
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mgrelay"
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mglimit"
-	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgwaitlist"
 	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
@@ -171,7 +171,7 @@
 
 // applyLimits sets how many requests each rate-limited upstream accepts now, and returns this
 // process's shares of their limits.
-func (n *Node) applyLimits(now mgclock.Millis, upstreams []mgroom.Place) map[string]mglimit.Share {
+func (n *Node) applyLimits(now mgclock.Millis, upstreams []mgwaitlist.Place) map[string]mglimit.Share {
 	var shares map[string]mglimit.Share
 	for i := range upstreams {
 		p := &upstreams[i]
@@ -191,7 +191,7 @@
 
 // reservePermits reserves permits for the requests that have been granted placements at
 // rate-limited upstreams, since they will request one.
-func (n *Node) reservePermits(now mgclock.Millis, grants []mgroom.Grant, shares map[string]mglimit.Share) {
+func (n *Node) reservePermits(now mgclock.Millis, grants []mgwaitlist.Grant, shares map[string]mglimit.Share) {
 	for _, grant := range grants {
 		if share, limited := shares[grant.Place]; limited {
 			n.permits.Reserve(now, grant.Place, grant.Name, share)
--- a/internal/process/mgnode/placement.go
+++ b/internal/process/mgnode/placement.go
@@ -6,7 +6,7 @@
 	"sync"
 
 	"github.com/marjoramgauge/marjoramgauge/internal/connection/mgrpc"
-	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgwaitlist"
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
@@ -34,10 +34,10 @@
 // acquirePlacement waits until an upstream of a service has memory for a request,
 // or the request is given up. It returns false if the hub didn't respond or ctx has
 // ended.
-func (n *Node) acquirePlacement(ctx context.Context, service string, request mgroom.Request) (mgroom.Grant, bool) {
+func (n *Node) acquirePlacement(ctx context.Context, service string, request mgwaitlist.Request) (mgwaitlist.Grant, bool) {
 	for ctx.Err() == nil {
 		hub := n.hubPeer()
-		var grant mgroom.Grant
+		var grant mgwaitlist.Grant
 		if hub == nil {
 			grant = n.awaitPlacement(ctx, service, request)
 		} else {
@@ -49,17 +49,17 @@
 					n.log.Info("a request for a placement failed, the request is sent without one",
 						"hub", hub.Name(), "request", request.Name, "why", err.Error())
 				}
-				return mgroom.Grant{}, false
+				return mgwaitlist.Grant{}, false
 			}
 		}
-		if grant != (mgroom.Grant{}) {
+		if grant != (mgwaitlist.Grant{}) {
 			return grant, true
 		}
 	}
-	return mgroom.Grant{}, false
+	return mgwaitlist.Grant{}, false
 }
 
-func (n *Node) requestPlacement(ctx context.Context, hub, service string, request mgroom.Request) (mgroom.Grant, error) {
+func (n *Node) requestPlacement(ctx context.Context, hub, service string, request mgwaitlist.Request) (mgwaitlist.Grant, error) {
 	ctx, cancel := context.WithTimeout(ctx, placementTimeout.Duration())
 	defer cancel()
 	now := n.clock.Now()
@@ -75,9 +75,9 @@
 		Rest:    int64(request.End - now),
 	})
 	if err != nil {
-		return mgroom.Grant{}, err
+		return mgwaitlist.Grant{}, err
 	}
-	return mgroom.Grant{
+	return mgwaitlist.Grant{
 		Place: reply.GetPlace(),
 		Retry: mgclock.Millis(reply.GetRetry()),
 	}, nil
@@ -86,7 +86,7 @@
 // Place enqueues a request of an entry until it has a placement.
 func (p peerServer) Place(ctx context.Context, r *mgrpc.PlaceRequest) (*mgrpc.PlaceReply, error) {
 	now := p.node.clock.Now()
-	grant := p.node.awaitPlacement(ctx, r.GetService(), mgroom.Request{
+	grant := p.node.awaitPlacement(ctx, r.GetService(), mgwaitlist.Request{
 		Name:     r.GetRequest(),
 		Account:  r.GetAccount(),
 		Need:     int(r.GetNeed()),
@@ -111,10 +111,10 @@
 
 // placementQueue holds the requests that wait for an upstream of one service.
 type placementQueue struct {
-	waiting         mgroom.WaitingList
+	waiting         mgwaitlist.WaitingList
 	pending         map[string]*pendingRequest
 	assignedAt      mgclock.Millis
-	upstreams       []mgroom.Place // with their free capacity at upstreamsReadAt
+	upstreams       []mgwaitlist.Place // with their free capacity at upstreamsReadAt
 	upstreamsReadAt mgclock.Millis
 	loggedAt        mgclock.Millis // time of the last log line about the queue
 }
@@ -122,13 +122,13 @@
 // pendingRequest is a request that waits, and its grant.
 type pendingRequest struct {
 	expiresAt mgclock.Millis // it is dropped then unless its entry has called again
-	grant     mgroom.Grant
+	grant     mgwaitlist.Grant
 	granted   chan struct{} // closed once grant is set
 }
 
 // awaitPlacement enqueues a request at this entry and waits for its grant, for
 // placementHoldTimeout at most. It returns the zero Grant if there is none by then.
-func (n *Node) awaitPlacement(ctx context.Context, service string, request mgroom.Request) mgroom.Grant {
+func (n *Node) awaitPlacement(ctx context.Context, service string, request mgwaitlist.Request) mgwaitlist.Grant {
 	pending := n.placementQueues.enqueue(n.clock.Now(), service, request)
 	holdEnd := n.clock.After(placementHoldTimeout)
 	for {
@@ -138,16 +138,16 @@
 			return n.placementQueues.dequeue(service, request.Name)
 		case <-n.clock.After(minAssignInterval):
 		case <-holdEnd:
-			return mgroom.Grant{}
+			return mgwaitlist.Grant{}
 		case <-ctx.Done():
 			n.placementQueues.dequeue(service, request.Name)
-			return mgroom.Grant{}
+			return mgwaitlist.Grant{}
 		}
 	}
 }
 
 // enqueue adds a request to the queue of its service, or extends its wait if it is queued.
-func (l *placementQueues) enqueue(now mgclock.Millis, service string, request mgroom.Request) *pendingRequest {
+func (l *placementQueues) enqueue(now mgclock.Millis, service string, request mgwaitlist.Request) *pendingRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.byService == nil {
@@ -174,12 +174,12 @@
 }
 
 // dequeue removes a request and returns its grant, if there is one.
-func (l *placementQueues) dequeue(service, name string) mgroom.Grant {
+func (l *placementQueues) dequeue(service, name string) mgwaitlist.Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	pending := l.byService[service].pending[name]
 	if pending == nil {
-		return mgroom.Grant{}
+		return mgwaitlist.Grant{}
 	}
 	delete(l.byService[service].pending, name)
 	l.byService[service].waiting.Remove(name)
@@ -226,7 +226,7 @@
 
 // assign returns the grants that are possible now. Without upstreams that may be given work,
 // it gives all waiting requests up.
-func (l *placementQueue) assign(now mgclock.Millis, upstreams []mgroom.Place) []mgroom.Grant {
+func (l *placementQueue) assign(now mgclock.Millis, upstreams []mgwaitlist.Place) []mgwaitlist.Grant {
 	if upstreams == nil {
 		return l.waiting.GiveUpAll()
 	}
--- a/internal/process/mgnode/placement_test.go
+++ b/internal/process/mgnode/placement_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mgmetric"
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgload"
-	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgwaitlist"
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
@@ -22,8 +22,8 @@
 		metrics: mgmetric.New(),
 		log:     logr.Discard(),
 	}
-	places := func(string, mgload.Report) []mgroom.Place {
-		return []mgroom.Place{{
+	places := func(string, mgload.Report) []mgwaitlist.Place {
+		return []mgwaitlist.Place{{
 			Name: "engine",
 			Free: free(),
 		}}
@@ -32,8 +32,8 @@
 	return n
 }
 
-func reportRequest(name string) mgroom.Request {
-	return mgroom.Request{
+func reportRequest(name string) mgwaitlist.Request {
+	return mgwaitlist.Request{
 		Name: name,
 		Need: 3000,
 		End:  mgclock.Clock{}.Now() + mgclock.Minute,
--- a/internal/process/mgrelay/backoff_test.go
+++ b/internal/process/mgrelay/backoff_test.go
@@ -9,7 +9,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mgrelay"
-	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgwaitlist"
 )
 
 // refuseFor returns a handler that refuses requests with a Retry-After in seconds.
@@ -42,8 +42,8 @@
 		Convey("so do those with a placement there", func() {
 			g.useMemory(tableText)
 			g.restart(func(spec *mgrelay.Spec) {
-				spec.AwaitPlacement = func(context.Context, string, mgroom.Request) (mgroom.Grant, bool) {
-					return mgroom.Grant{Place: "a"}, true
+				spec.AwaitPlacement = func(context.Context, string, mgwaitlist.Request) (mgwaitlist.Grant, bool) {
+					return mgwaitlist.Grant{Place: "a"}, true
 				}
 			})
 			for n := range 5 {
@@ -70,9 +70,9 @@
 			g.useMemory(tableText)
 			asked := 0
 			g.restart(func(spec *mgrelay.Spec) {
-				spec.AwaitPlacement = func(context.Context, string, mgroom.Request) (mgroom.Grant, bool) {
+				spec.AwaitPlacement = func(context.Context, string, mgwaitlist.Request) (mgwaitlist.Grant, bool) {
 					asked++
-					return mgroom.Grant{}, false
+					return mgwaitlist.Grant{}, false
 				}
 			})
 			for range 2 {
--- a/internal/process/mgrelay/crash_test.go
+++ b/internal/process/mgrelay/crash_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mgrelay"
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgquarantine"
-	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgwaitlist"
 )
 
 // headerThenHangUp answers with a header and closes the connection.
@@ -215,10 +215,10 @@
 			waiting := make(chan struct{})
 			g.restart(func(spec *mgrelay.Spec) {
 				spec.Quarantine = q
-				spec.AwaitPlacement = func(ctx context.Context, _ string, _ mgroom.Request) (mgroom.Grant, bool) {
+				spec.AwaitPlacement = func(ctx context.Context, _ string, _ mgwaitlist.Request) (mgwaitlist.Grant, bool) {
 					close(waiting)
 					<-ctx.Done()
-					return mgroom.Grant{}, false
+					return mgwaitlist.Grant{}, false
 				}
 			})
 			g.useMemory(tableText)
--- a/internal/process/mgrelay/home_test.go
+++ b/internal/process/mgrelay/home_test.go
@@ -9,7 +9,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mgrelay"
-	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgwaitlist"
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
@@ -87,9 +87,9 @@
 				g.hosts[1].Region = "south"
 				asked := 0
 				g.restart(func(spec *mgrelay.Spec) {
-					spec.AwaitPlacement = func(context.Context, string, mgroom.Request) (mgroom.Grant, bool) {
+					spec.AwaitPlacement = func(context.Context, string, mgwaitlist.Request) (mgwaitlist.Grant, bool) {
 						asked++
-						return mgroom.Grant{Place: "a"}, true
+						return mgwaitlist.Grant{Place: "a"}, true
 					}
 				})
 				got := g.send(context.Background(), http.MethodPost, "/write/1", "x", http.Header{"Tokens": {"100,50"}})
--- a/internal/process/mgrelay/host.go
+++ b/internal/process/mgrelay/host.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgload"
-	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgwaitlist"
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgwarm"
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
@@ -140,7 +140,7 @@
 // Places returns the upstreams of a service, given what the other entries have sent,
 // for the assignment of placements. It returns nil if the service has no upstreams
 // that accept new work.
-func (y *Relay) PlacementCandidates(table *mgtable.Table, service string, others mgload.Report) []mgroom.Place {
+func (y *Relay) PlacementCandidates(table *mgtable.Table, service string, others mgload.Report) []mgwaitlist.Place {
 	query := mgload.Query{
 		Zone:     y.spec.Zone,
 		Capacity: upstreamCapacity(table, service),
@@ -153,12 +153,12 @@
 	if found := table.Service(service); found != nil {
 		ramp = found.MaxColdRate()
 	}
-	places := make([]mgroom.Place, 0, len(list))
+	places := make([]mgwaitlist.Place, 0, len(list))
 	for _, c := range list {
 		if c.avoid {
 			continue
 		}
-		place := mgroom.Place{
+		place := mgwaitlist.Place{
 			Name:      c.host.Name,
 			Cost:      c.cost,
 			TokenCost: c.tokenDelay,
--- a/internal/process/mgrelay/limit_test.go
+++ b/internal/process/mgrelay/limit_test.go
@@ -13,7 +13,7 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mgrelay"
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mglimit"
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgmigration"
-	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgwaitlist"
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
@@ -68,8 +68,8 @@
 		Convey("so do those with a placement there", func() {
 			g.useMemory(tableText)
 			g.restart(func(spec *mgrelay.Spec) {
-				spec.AwaitPlacement = func(context.Context, string, mgroom.Request) (mgroom.Grant, bool) {
-					return mgroom.Grant{Place: "a"}, true
+				spec.AwaitPlacement = func(context.Context, string, mgwaitlist.Request) (mgwaitlist.Grant, bool) {
+					return mgwaitlist.Grant{Place: "a"}, true
 				}
 			})
 			began = time.Now()
--- a/internal/process/mgrelay/placement.go
+++ b/internal/process/mgrelay/placement.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgload"
-	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgwaitlist"
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
@@ -67,7 +67,7 @@
 }
 
 // waitingRequest describes the request for the waiting list.
-func (x *exchange) waitingRequest(now mgclock.Millis) mgroom.Request {
+func (x *exchange) waitingRequest(now mgclock.Millis) mgwaitlist.Request {
 	promptTime := mgclock.Millis(float64(x.size.prompt)/mgload.ReadRate) + firstEventSlack
 	end := x.startedAt + maxWaitGoals*x.call.Route.LatencyGoal()
 	if x.call.Route.LatencyGoal() == 0 {
@@ -77,7 +77,7 @@
 	if x.call.Account != nil {
 		account = x.call.Account.Name()
 	}
-	return mgroom.Request{
+	return mgwaitlist.Request{
 		Name:     x.id,
 		Account:  account,
 		Need:     x.size.memory(),
--- a/internal/process/mgrelay/relay.go
+++ b/internal/process/mgrelay/relay.go
@@ -15,7 +15,7 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgquarantine"
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgrest"
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgretry"
-	"github.com/marjoramgauge/marjoramgauge/internal/request/mgroom"
+	"github.com/marjoramgauge/marjoramgauge/internal/request/mgwaitlist"
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgwarm"
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
@@ -70,7 +70,7 @@
 	// soon as one has memory for the generation, or when the request is given up,
 	// and returns false if no process could be asked. If Place is nil, each entry
 	// chooses by what it knows.
-	AwaitPlacement func(ctx context.Context, service string, wait mgroom.Request) (grant mgroom.Grant, ok bool)
+	AwaitPlacement func(ctx context.Context, service string, wait mgwaitlist.Request) (grant mgwaitlist.Grant, ok bool)
 	// Stale reports whether the list of upstreams may be out of date. While it is,
 	// Probe asks the upstreams that run generations whether they are leaving, and
 	// Departed reports those that are. If Probe is nil, none are asked.
--- a/internal/request/mgroom/doc.go
+++ b/internal/request/mgwaitlist/doc.go
@@ -1,4 +1,4 @@
-// Package mgroom keeps the waiting list of a service's requests. It decides which
+// Package mgwaitlist keeps the waiting list of a service's requests. It decides which
 // generation gets the next free memory of the service's upstreams, and at which upstream.
 //
 // # Load
@@ -39,4 +39,4 @@
 //   - grant: the decision that gives a request its place, or gives the request up.
 //   - cold: describes an upstream that has just started and takes few requests a second.
 //   - permit: leave to send one request to an upstream with a rate limit.
-package mgroom
+package mgwaitlist
--- a/internal/request/mgroom/rate.go
+++ b/internal/request/mgwaitlist/rate.go
@@ -1,4 +1,4 @@
-package mgroom
+package mgwaitlist
 
 import (
 	"math"
