--- a/internal/bench/mgmodel/move.go
+++ b/internal/bench/mgmodel/move.go
@@ -1,6 +1,6 @@
 package mgmodel
 
-// Hold reserves memory for a copy from another engine. It returns false, and
+// Reserve reserves memory for a copy from another engine. It returns false, and
 // reserves nothing, if there is not enough free memory.
 func (e *Engine) Reserve(tokens int) bool {
 	if tokens > e.Free() {
@@ -10,7 +10,7 @@
 	return true
 }
 
-// Release frees memory that Hold reserved.
+// Release frees memory that Reserve reserved.
 func (e *Engine) Release(tokens int) { e.used -= tokens }
 
 // Resume continues a sequence whose first produced tokens came from another
--- a/internal/bench/mgnet/net.go
+++ b/internal/bench/mgnet/net.go
@@ -44,7 +44,7 @@
 // Now returns the virtual time.
 func (n *Net) Now() mgclock.Millis { return n.now }
 
-// Cut drops the messages for which isCut returns true, and a random fraction
+// SetLoss drops the messages for which isCut returns true, and a random fraction
 // loss of all others.
 func (n *Net) SetLoss(loss float64, isCut func(from, to string) bool) {
 	n.loss = loss
@@ -85,7 +85,7 @@
 // received.
 func (n *Net) Traffic(name string) (messages, bytes int) { return n.messages[name], n.bytes[name] }
 
-// At schedules a function of a member at a time.
+// Schedule schedules a function of a member at a time.
 func (n *Net) Schedule(at mgclock.Millis, owner string, run func()) {
 	n.lastSeq++
 	heap.Push(&n.queue, event{
--- a/internal/connection/mgengine/calls.go
+++ b/internal/connection/mgengine/calls.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// Seams are the functions that implement the calls of an engine's protocol. A
+// Calls are the functions that implement the calls of an engine's protocol. A
 // call whose function is nil fails as NotStarted.
 type Calls struct {
 	Start  func(ctx context.Context, spec StartSpec) error
--- a/internal/connection/mgengine/errors.go
+++ b/internal/connection/mgengine/errors.go
@@ -93,7 +93,7 @@
 	return failure
 }
 
-// Refused reports whether err is an engine's own refusal. Such an engine is
+// IsRefusal reports whether err is an engine's own refusal. Such an engine is
 // reachable and other requests may succeed; NotStarted alone may mean that it
 // can't be reached.
 func IsRefusal(err error) bool {
--- a/internal/connection/mgengine/wire.go
+++ b/internal/connection/mgengine/wire.go
@@ -23,7 +23,7 @@
 
 // Copy is a copy of a generation on another engine.
 type Copy struct {
-	Name       string `json:"name"` // for one start from the copy (StartSpec.Copy)
+	Name       string `json:"name"` // for one start from the copy (StartSpec.CopyName)
 	TokenCount uint64 `json:"made"` // number of tokens in the copy
 }
 
@@ -38,7 +38,7 @@
 	Preempted int    `json:"preempted,omitempty"`
 }
 
-// Heartbeat reports whether t is a heartbeat, without content.
+// IsHeartbeat reports whether t is a heartbeat, without content.
 func (t Token) IsHeartbeat() bool {
 	return t.Seq == 0 && t.End == "" && t.Fault == ""
 }
@@ -54,7 +54,7 @@
 	Fence    uint64   `json:"fence"`   // highest fencing number it accepted, 0 if it ignores them
 	Leaving  bool     `json:"leaving"` // it accepts no new generations
 
-	// Notice is the announced time until the engine is shut down, 0 when none is
+	// ShutdownNotice is the announced time until the engine is shut down, 0 when none is
 	// announced.
 	ShutdownNotice mgclock.Millis `json:"notice,omitempty"`
 }
--- a/internal/connection/mglink/call.go
+++ b/internal/connection/mglink/call.go
@@ -18,7 +18,7 @@
 // maxReplyBytes limits the body of a call's reply.
 const maxReplyBytes = 64 << 20
 
-// Alive returns a handler that sends an informational response (102) at once and
+// WithHeartbeats returns a handler that sends an informational response (102) at once and
 // at each interval until next writes its response, so that the client can detect
 // a dead connection during a long call. It is for calls, not for streams.
 func WithHeartbeats(next http.Handler, clock mgclock.Clock, interval mgclock.Millis) http.Handler {
@@ -93,17 +93,17 @@
 	return true
 }
 
-// A Guard is a transport for calls over pooled connections that detects dead
+// A RetryTransport is a transport for calls over pooled connections that detects dead
 // connections: when nothing is received within the silence timeout, not even a
 // 102, it repeats the call on a new connection and closes the idle ones.
 //
-// The first call may have arrived as well. So all calls through a Guard must be
+// The first call may have arrived as well. So all calls through a RetryTransport must be
 // idempotent, by an id of their own or by nature.
 type RetryTransport struct {
 	// Pooled makes the first attempt. If it has a CloseIdleConnections method, as
 	// *http.Transport has, its idle connections are closed after a silent call.
 	Pooled http.RoundTripper
-	// Again makes the second attempt, by default that of NewUnpooledClient.
+	// Second makes the second attempt, by default that of NewUnpooledClient.
 	Second http.RoundTripper
 	// Clock measures the silence.
 	Clock mgclock.Clock
--- a/internal/connection/mglink/codec.go
+++ b/internal/connection/mglink/codec.go
@@ -49,7 +49,7 @@
 	return len(f.GetText()) == 0 && !IsFinal(f)
 }
 
-// Final reports whether f is the last frame of its stream.
+// IsFinal reports whether f is the last frame of its stream.
 func IsFinal(f *mgrpc.Frame) bool {
 	return f.GetEnd() != "" || f.GetFault() != "" || f.GetMoved() != ""
 }
--- a/internal/connection/mglink/stream.go
+++ b/internal/connection/mglink/stream.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// Silence returns the silence timeout: the maximum time without a frame after
+// SilenceTimeout returns the silence timeout: the maximum time without a frame after
 // which a connection is still used.
 func (s *Stream) SilenceTimeout() mgclock.Millis { return silentIntervals * s.spec.Interval }
 
--- a/internal/connection/mglink/writer.go
+++ b/internal/connection/mglink/writer.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Response returns a Writer that writes to an HTTP response.
+// NewResponseWriter returns a Writer that writes to an HTTP response.
 func NewResponseWriter(w http.ResponseWriter, generation string, clock mgclock.Clock, interval mgclock.Millis) *Writer {
 	control := http.NewResponseController(w)
 	return NewWriter(WriterSpec{
@@ -94,7 +94,7 @@
 	return w.spec.Flush()
 }
 
-// Beat writes a heartbeat.
+// WriteHeartbeat writes a heartbeat.
 func (w *Writer) WriteHeartbeat() error {
 	return w.Write(&mgrpc.Frame{
 		Generation: w.spec.Generation,
@@ -127,7 +127,7 @@
 	}
 }
 
-// Idle returns a channel that is closed when it is time to call Tend. It uses one
+// Idle returns a channel that is closed when it is time to call WriteHeartbeatIfIdle. It uses one
 // timer per interval for any number of frames.
 func (w *Writer) Idle() <-chan struct{} {
 	if w.timer == nil {
@@ -137,7 +137,7 @@
 	return w.timer
 }
 
-// Tend writes a heartbeat if nothing was written for an interval.
+// WriteHeartbeatIfIdle writes a heartbeat if nothing was written for an interval.
 func (w *Writer) WriteHeartbeatIfIdle() error {
 	w.timer = nil
 	if w.spec.Clock.Now()-w.lastWrite < w.spec.Interval {
--- a/internal/connection/mglistener/listener.go
+++ b/internal/connection/mglistener/listener.go
@@ -36,7 +36,7 @@
 	}, nil
 }
 
-// Accept returns the next connection. After Finish it returns those that the kernel has
+// Accept returns the next connection. After Shutdown it returns those that the kernel has
 // established, and then net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	conn, err := l.tcp.Accept()
@@ -52,7 +52,7 @@
 	return conn, nil
 }
 
-// Finish makes the kernel drop connection requests, waits settleTime for handshakes in
+// Shutdown makes the kernel drop connection requests, waits settleTime for handshakes in
 // progress, and then lets Accept empty the queue and close the socket. It returns an
 // error when connection requests can't be dropped; a connection established between the
 // last Accept and the close is then reset.
--- a/internal/connection/mgpeer/peer.go
+++ b/internal/connection/mgpeer/peer.go
@@ -31,7 +31,7 @@
 // dialTimeout limits the opening of a connection between processes.
 const dialTimeout = time.Second
 
-// Public returns the TLS configuration of the listener for callers, or nil when
+// LoadPublicTLS returns the TLS configuration of the listener for callers, or nil when
 // no certificate is configured and the platform's load balancer terminates TLS.
 func LoadPublicTLS(files Files) (*tls.Config, error) {
 	if files.Cert == "" && files.Key == "" {
@@ -90,7 +90,7 @@
 	return guard, nil
 }
 
-// Unkeyed returns a guard that requires no key, for networks on which only the
+// NewWithoutKey returns a guard that requires no key, for networks on which only the
 // system's own processes can reach the peer listener.
 func NewWithoutKey() *Guard {
 	return &Guard{isOpen: true}
@@ -122,7 +122,7 @@
 	}, nil
 }
 
-// Require returns a handler that forwards requests with an accepted key to next
+// RequireKey returns a handler that forwards requests with an accepted key to next
 // and refuses others.
 func (g *Guard) RequireKey(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -155,7 +155,7 @@
 	return listener, nil
 }
 
-// Base returns the base URL of a process at an IP and port.
+// BaseURL returns the base URL of a process at an IP and port.
 func (g *Guard) BaseURL(address string) string {
 	if g.tlsConfig != nil {
 		return "https://" + address
--- a/internal/connection/mgplatform/client.go
+++ b/internal/connection/mgplatform/client.go
@@ -22,10 +22,10 @@
 var (
 	ErrMissing   = errors.New("platform: no value has this key: publish it")
 	ErrUnchanged = errors.New("platform: the value has not changed: watch again")
-	// ErrLong ends a process's first read of a list of VMs that would take many calls:
+	// ErrManyCalls ends a process's first read of a list of VMs that would take many calls:
 	// a peer may already have the list.
 	ErrManyCalls = errors.New("platform: the list of VMs takes many calls: ask a peer for it, then read it again")
-	// ErrCordons ends a watch of the manifest when the cordons of zones have changed,
+	// ErrCordonsChanged ends a watch of the manifest when the cordons of zones have changed,
 	// on platforms that publish them next to it: the list of VMs contains them.
 	ErrCordonsChanged = errors.New("platform: cordons of availability zones have changed: read the list of VMs")
 	ErrRateLimited    = errors.New("platform: too many reads a second: read less often")
@@ -54,7 +54,7 @@
 func (v Value) Bytes() []byte { return v.data }
 
 // A Client reads and watches values. The calls of the zero Client fail with
-// ErrDown.
+// ErrUnavailable.
 type Client struct {
 	read  func(ctx context.Context, key string) (Value, error)
 	watch func(ctx context.Context, key string, after uint64, wait mgclock.Millis) (Value, error)
--- a/internal/connection/mgplatform/list.go
+++ b/internal/connection/mgplatform/list.go
@@ -55,7 +55,7 @@
 	return v.Addr
 }
 
-// List is the value of ListKey. It lags behind the real state of the VMs.
+// VMList is the value of ListKey. It lags behind the real state of the VMs.
 type VMList struct {
 	Version uint64 `json:"version"`
 	// Era increases each time the platform is restored from an older copy of its
--- a/internal/process/mgadmin/admin.go
+++ b/internal/process/mgadmin/admin.go
@@ -22,7 +22,7 @@
 	ready   atomic.Pointer[func() (bool, string)]
 }
 
-// Source adds a named section to the dump. The function is called for each dump
+// AddSection adds a named section to the dump. The function is called for each dump
 // and returns a value that encoding/json can encode.
 func (a *Admin) AddSection(name string, read func() any) {
 	a.mu.Lock()
@@ -33,11 +33,11 @@
 	a.sources[name] = read
 }
 
-// Ready sets the function that reports whether the process accepts new work, and
+// SetReadiness sets the function that reports whether the process accepts new work, and
 // the reason if it doesn't.
 func (a *Admin) SetReadiness(check func() (bool, string)) { a.ready.Store(&check) }
 
-// Routes returns the HTTP handler.
+// Handler returns the HTTP handler.
 func (a *Admin) Handler(set *mgmetric.Set) http.Handler {
 	router := chi.NewRouter()
 	router.Get("/health", func(w http.ResponseWriter, _ *http.Request) { writeText(w, http.StatusOK, "alive") })
--- a/internal/process/mgagent/adopt_test.go
+++ b/internal/process/mgagent/adopt_test.go
@@ -23,8 +23,8 @@
 	starts atomic.Int64
 }
 
-func (e *idleEngine) seams() mgengine.Calls {
-	engine := idleSeams()
+func (e *idleEngine) calls() mgengine.Calls {
+	engine := idleCalls()
 	engine.Start = func(context.Context, mgengine.StartSpec) error {
 		e.starts.Add(1)
 		return nil
@@ -43,7 +43,7 @@
 // runWithEngine runs an agent with the engine in virtual time.
 func runWithEngine(t *testing.T, e *idleEngine, play func(ctx context.Context, agent *mgagent.Agent)) {
 	synctest.Test(t, func(t *testing.T) {
-		agent, err := newAgent(strings.Replace(table, "batch = 1\n", "batch = 16\n", 1), e.seams(), unchanged)
+		agent, err := newAgent(strings.Replace(table, "batch = 1\n", "batch = 16\n", 1), e.calls(), unchanged)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/process/mgagent/agent.go
+++ b/internal/process/mgagent/agent.go
@@ -36,22 +36,22 @@
 	Service     mgservice.Client
 	// Table returns the table in force, or nil before the first one.
 	Table func() *mgtable.Table
-	// Seen reports that another process uses a version of the table.
+	// ObserveVersion reports that another process uses a version of the table.
 	ObserveVersion func(version uint64, from string)
-	// Await returns once a version is in force in this process, or an error if
+	// AwaitVersion returns once a version is in force in this process, or an error if
 	// ctx ends first. If it is nil, the agent decides by the version that it
 	// has.
 	AwaitVersion func(ctx context.Context, version uint64) error
 	// Plan returns the assignment of models to engines. If it is nil, the agent
 	// sends no orders and assumes that its engine has every model.
 	Plan func() *mgplacement.Plan
-	// Ours reports whether this agent is the engine's current agent, according
+	// IsCurrent reports whether this agent is the engine's current agent, according
 	// to the list of VMs and the peers, and when they were last asked.
 	IsCurrent func() (mgclock.Millis, bool)
-	// Others returns the agents of other engines that hold a model. If it is
+	// OtherAgents returns the agents of other engines that hold a model. If it is
 	// nil, no generation is moved.
 	OtherAgents func(model string) []OtherAgent
-	// Started is when the process started, in Unix ms.
+	// StartedUnix is when the process started, in Unix ms.
 	StartedUnix int64
 }
 
--- a/internal/process/mgagent/crash_test.go
+++ b/internal/process/mgagent/crash_test.go
@@ -14,7 +14,7 @@
 
 // crashingStream returns a stream that delivers some tokens, breaks, and can't
 // be opened again.
-func crashingStream(tokens uint64, cause error) streamSeam {
+func crashingStream(tokens uint64, cause error) streamFunc {
 	opened := false
 	return func(context.Context, string, uint64) (*mgengine.TokenStream, error) {
 		if opened {
--- a/internal/process/mgagent/frames.go
+++ b/internal/process/mgagent/frames.go
@@ -12,7 +12,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// Routes returns the handler of the RPC calls and frame streams that entries
+// Handler returns the handler of the RPC calls and frame streams that entries
 // use.
 func (a *Agent) Handler() http.Handler {
 	router := chi.NewRouter()
--- a/internal/process/mgagent/frames_test.go
+++ b/internal/process/mgagent/frames_test.go
@@ -45,7 +45,7 @@
 
 // longEngine has one generation, "long", with 16 bytes per token.
 func longEngine(tokens int, produced *atomic.Bool) mgengine.Calls {
-	engine := idleSeams()
+	engine := idleCalls()
 	engine.List = func(context.Context) ([]mgengine.Generation, error) {
 		return []mgengine.Generation{{
 			ID: "long",
--- a/internal/process/mgagent/harness_test.go
+++ b/internal/process/mgagent/harness_test.go
@@ -83,9 +83,9 @@
 // unchanged leaves newAgent's spec as it is.
 func unchanged(*mgagent.Spec) {}
 
-// idleSeams returns the calls of an engine that runs nothing and reports
+// idleCalls returns the calls of an engine that runs nothing and reports
 // nothing.
-func idleSeams() mgengine.Calls {
+func idleCalls() mgengine.Calls {
 	return mgengine.Calls{
 		Load:   func(context.Context) (mgengine.Load, error) { return mgengine.Load{}, nil },
 		Events: func(context.Context, uint64) ([]mgengine.Event, error) { return nil, nil },
@@ -127,12 +127,12 @@
 
 var errNoAnswer = mgengine.NewFailure(mgengine.Unknown, "start", "no answer", nil)
 
-func newHarness(stream streamSeam) (*harness, error) {
+func newHarness(stream streamFunc) (*harness, error) {
 	r := &harness{
 		ran:         map[string]int{},
 		startResult: func(int) error { return nil },
 	}
-	engine := idleSeams()
+	engine := idleCalls()
 	engine.Start = r.engineStart
 	engine.Stream = stream
 	engine.Load = r.load
@@ -159,8 +159,8 @@
 	return err
 }
 
-// streamSeam opens a generation's stream.
-type streamSeam func(ctx context.Context, id string, from uint64) (*mgengine.TokenStream, error)
+// streamFunc opens a generation's stream.
+type streamFunc func(ctx context.Context, id string, from uint64) (*mgengine.TokenStream, error)
 
 // silentStream sends no token until its reader leaves, so generations keep
 // running and occupy the batch.
@@ -267,7 +267,7 @@
 func runHarness(t *testing.T, play func(r *harness)) { runHarnessWith(t, silentStream, play) }
 
 // runHarnessWith is like runHarness with the given token stream.
-func runHarnessWith(t *testing.T, stream streamSeam, play func(r *harness)) {
+func runHarnessWith(t *testing.T, stream streamFunc, play func(r *harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		r, err := newHarness(stream)
 		if err != nil {
--- a/internal/process/mgagent/move.go
+++ b/internal/process/mgagent/move.go
@@ -11,7 +11,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Other is an agent that may take over a generation.
+// OtherAgent is an agent that may take over a generation.
 type OtherAgent struct {
 	Name  string
 	Zone  string
--- a/internal/process/mgagent/move_test.go
+++ b/internal/process/mgagent/move_test.go
@@ -101,7 +101,7 @@
 func runMove(t *testing.T, m *movingEngine) (seen readResult) {
 	const notice = 2 * mgclock.Second
 	synctest.Test(t, func(t *testing.T) {
-		engine := idleSeams()
+		engine := idleCalls()
 		engine.Start = func(context.Context, mgengine.StartSpec) error { return nil }
 		engine.Stream = m.stream
 		engine.Load = m.load
--- a/internal/process/mgagent/orders_test.go
+++ b/internal/process/mgagent/orders_test.go
@@ -207,10 +207,10 @@
 			State:    mgplatform.Live,
 		}},
 	})
-	seams := idleSeams()
-	seams.Load = engine.load
-	seams.Order = engine.order
-	return newAgent(text, seams, func(spec *mgagent.Spec) {
+	calls := idleCalls()
+	calls.Load = engine.load
+	calls.Order = engine.order
+	return newAgent(text, calls, func(spec *mgagent.Spec) {
 		spec.Plan = func() *mgplacement.Plan { return mgplacement.Assign(spec.Table(), members.View()) }
 		spec.IsCurrent = func() (mgclock.Millis, bool) { return engine.clock.Now(), ours && !engine.isReplaced.Load() }
 		spec.Log = log
--- a/internal/process/mgagent/outdated_test.go
+++ b/internal/process/mgagent/outdated_test.go
@@ -42,7 +42,7 @@
 			Convey(c.name, func() {
 				var got, reportedBy string
 				synctest.Test(t, func(t *testing.T) {
-					agent, err := newAgent(table, idleSeams(), func(spec *mgagent.Spec) {
+					agent, err := newAgent(table, idleCalls(), func(spec *mgagent.Spec) {
 						var now atomic.Pointer[mgtable.Table]
 						now.Store(spec.Table())
 						spec.Table = now.Load
--- a/internal/process/mgagent/refused_test.go
+++ b/internal/process/mgagent/refused_test.go
@@ -38,7 +38,7 @@
 			Convey(c.name, func() {
 				var refused string
 				synctest.Test(t, func(t *testing.T) {
-					engine := idleSeams()
+					engine := idleCalls()
 					engine.Start = func(context.Context, mgengine.StartSpec) error { return c.failure }
 					agent, err := newAgent(table, engine, unchanged)
 					if err != nil {
--- a/internal/process/mgagent/stream_test.go
+++ b/internal/process/mgagent/stream_test.go
@@ -16,7 +16,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// scriptedStream returns a stream seam whose n-th connection delivers the tokens
+// scriptedStream returns a stream function whose n-th connection delivers the tokens
 // of the n-th script. 0 stands for the end; after its script a connection
 // breaks.
 func scriptedStream(scripts [][]uint64) func(context.Context, string, uint64) (*mgengine.TokenStream, error) {
--- a/internal/process/mgentry/entry.go
+++ b/internal/process/mgentry/entry.go
@@ -35,19 +35,19 @@
 	Signer   *mgseal.Signer
 	// Table returns the table in force, or nil before the first one.
 	Table func() *mgtable.Table
-	// Certain reports whether the table in force was recently confirmed to be the
+	// TableConfirmed reports whether the table in force was recently confirmed to be the
 	// newest, so that a name it lacks does not exist. Nil means always.
 	TableConfirmed func() bool
-	// Seen reports the table version that another process uses.
+	// ObserveVersion reports the table version that another process uses.
 	ObserveVersion func(version uint64, from string)
 	// View returns the current view of the other processes.
 	View func() *mgmember.View
-	// Failed reports a process that could not be reached. Heard reports what a
+	// ReportFailed reports a process that could not be reached. ReportAnnouncement reports what a
 	// process has announced about itself.
 	ReportFailed       func(name string)
 	ReportAnnouncement func(name, incarnation string, leaving bool)
 	// Acquire returns this entry's share of an account's caps, and false for an
-	// account without caps. Running reports how many of the account's streams run
+	// account without caps. ReportRunning reports how many of the account's streams run
 	// on this entry. If Acquire is nil, no account has caps.
 	Acquire       func(ctx context.Context, account string, tokens float64) (mgshare.Slice, bool)
 	ReportRunning func(account string, count int)
@@ -61,20 +61,20 @@
 	// Relay forwards the requests that match the table's routes. If it is nil, the
 	// routes have no effect.
 	Relay *mgrelay.Spec
-	// Answered reports that a relayed request reached an upstream.
+	// ReportAnswered reports that a relayed request reached an upstream.
 	ReportAnswered func(name string)
-	// Elsewhere reports whether a caller that this entry refuses while it stops
+	// OthersStay reports whether a caller that this entry refuses while it stops
 	// will probably reach an entry that is not stopping. Nil means always.
 	OthersStay func() bool
-	// Others returns the load that the other entries have sent to upstreams.
+	// OtherLoads returns the load that the other entries have sent to upstreams.
 	OtherLoads func() mgload.Report
-	// Stale reports whether the list of VMs may be out of date. Left reports an
+	// IsListStale reports whether the list of VMs may be out of date. ReportDeparted reports an
 	// upstream that has announced that it is leaving.
 	IsListStale    func() bool
 	ReportDeparted func(name string)
 	// Changed returns a channel that is closed when the view is next replaced.
 	Changed func() <-chan struct{}
-	// Base returns the base URL for an agent's address.
+	// BaseURL returns the base URL for an agent's address.
 	BaseURL func(address string) string
 }
 
@@ -114,7 +114,7 @@
 	return e
 }
 
-// Stopping announces the time at which the process stops. Requests that can't
+// AnnounceStop announces the time at which the process stops. Requests that can't
 // end by then are refused from now on. Each response asks its caller to open a
 // new connection, which reaches another entry: otherwise all callers that keep
 // their connections would be refused at once when Leave is called.
@@ -136,7 +136,7 @@
 // Busy returns the number of requests in progress.
 func (e *Entry) Busy() int { return int(e.busy.Load()) }
 
-// Routes returns the HTTP handler for callers.
+// Handler returns the HTTP handler for callers.
 func (e *Entry) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Use(e.countRequests)
--- a/internal/process/mgentry/relay.go
+++ b/internal/process/mgentry/relay.go
@@ -98,7 +98,7 @@
 // Load returns the count of requests relayed to each upstream.
 func (e *Entry) Load() *mgload.Tracker { return &e.load }
 
-// Places returns the directly reached upstreams of a service, with the load that
+// PlacementCandidates returns the directly reached upstreams of a service, with the load that
 // this entry and the others have sent there.
 func (e *Entry) PlacementCandidates(service string, others mgload.Report) []mgwaitlist.Place {
 	table := e.spec.Table()
@@ -108,7 +108,7 @@
 	return e.relay.PlacementCandidates(table, service, others)
 }
 
-// BoundRetries sets the maximum number of retries that this entry's budget holds
+// SetMaxRetries sets the maximum number of retries that this entry's budget holds
 // for each service. The entries share what a service allows.
 func (e *Entry) SetMaxRetries(limit int) { e.budgets.SetLimit(limit) }
 
--- a/internal/process/mgevent/bus.go
+++ b/internal/process/mgevent/bus.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// On registers a handler for a kind of event. Handlers of a kind run in the
+// Handle registers a handler for a kind of event. Handlers of a kind run in the
 // order of their registration.
 func (b *Bus) Handle(kind Kind, handle func(Event)) {
 	b.mu.Lock()
--- a/internal/process/mgnode/list.go
+++ b/internal/process/mgnode/list.go
@@ -50,18 +50,18 @@
 		http.Error(w, "wait is no time: give whole ms", http.StatusBadRequest)
 		return
 	}
-	listing := n.loop.HandleLongPoll(r.Context(), after, min(mgclock.Millis(wait), maxLongPoll))
+	reply := n.loop.HandleLongPoll(r.Context(), after, min(mgclock.Millis(wait), maxLongPoll))
 	header := w.Header()
-	header.Set(listVersionHeader, strconv.FormatUint(listing.Report.List, 10))
-	header.Set(listAgeHeader, strconv.FormatInt(int64(listing.Report.Age), 10))
-	header.Set(tableVersionHeader, strconv.FormatUint(listing.Report.Table, 10))
-	header.Set(tableAgeHeader, strconv.FormatInt(int64(listing.Report.TableAge), 10))
-	if listing.Compressed == nil {
+	header.Set(listVersionHeader, strconv.FormatUint(reply.Report.List, 10))
+	header.Set(listAgeHeader, strconv.FormatInt(int64(reply.Report.Age), 10))
+	header.Set(tableVersionHeader, strconv.FormatUint(reply.Report.Table, 10))
+	header.Set(tableAgeHeader, strconv.FormatInt(int64(reply.Report.TableAge), 10))
+	if reply.Compressed == nil {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
 	header.Set("Content-Type", "application/octet-stream")
-	_, _ = w.Write(listing.Compressed) // a peer that closed the connection asks again
+	_, _ = w.Write(reply.Compressed) // a peer that closed the connection asks again
 }
 
 // longPollList asks the process at an address for a list newer than a version, and waits
@@ -80,25 +80,25 @@
 		return mgconfig.ListReply{}, fmt.Errorf("peer %s: requesting the list of VMs: %w", addr, err)
 	}
 	defer response.Body.Close()
-	listing, err := decodeListing(response)
+	reply, err := decodeListReply(response)
 	if err != nil {
 		return mgconfig.ListReply{}, fmt.Errorf("peer %s: reading the list of VMs: %w", addr, err)
 	}
-	return listing, nil
+	return reply, nil
 }
 
-// decodeListing reads the response to a long poll for the list.
-func decodeListing(response *http.Response) (mgconfig.ListReply, error) {
+// decodeListReply reads the response to a long poll for the list.
+func decodeListReply(response *http.Response) (mgconfig.ListReply, error) {
 	header := response.Header
-	var listing mgconfig.ListReply
+	var reply mgconfig.ListReply
 	var age int64
 	for _, read := range []func() error{
 		func() (err error) {
-			listing.Report.List, err = strconv.ParseUint(header.Get(listVersionHeader), 10, 64)
+			reply.Report.List, err = strconv.ParseUint(header.Get(listVersionHeader), 10, 64)
 			return
 		},
 		func() (err error) {
-			listing.Report.Table, err = strconv.ParseUint(header.Get(tableVersionHeader), 10, 64)
+			reply.Report.Table, err = strconv.ParseUint(header.Get(tableVersionHeader), 10, 64)
 			return
 		},
 		func() (err error) { age, err = strconv.ParseInt(header.Get(listAgeHeader), 10, 64); return },
@@ -107,18 +107,18 @@
 			return mgconfig.ListReply{}, fmt.Errorf("status %d, and a header is missing or not a number: %w", response.StatusCode, err)
 		}
 	}
-	listing.Report.Age = mgclock.Millis(age)
-	listing.Report.TableAge = -1
+	reply.Report.Age = mgclock.Millis(age)
+	reply.Report.TableAge = -1
 	if tableAge, err := strconv.ParseInt(header.Get(tableAgeHeader), 10, 64); err == nil {
-		listing.Report.TableAge = mgclock.Millis(tableAge)
+		reply.Report.TableAge = mgclock.Millis(tableAge)
 	}
 	if response.StatusCode == http.StatusNotModified {
-		return listing, nil
+		return reply, nil
 	}
 	packed, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
 	if err != nil {
 		return mgconfig.ListReply{}, fmt.Errorf("the response broke off: %w", err)
 	}
-	listing.Compressed = packed
-	return listing, nil
+	reply.Compressed = packed
+	return reply, nil
 }
--- a/internal/process/mgnode/node.go
+++ b/internal/process/mgnode/node.go
@@ -192,10 +192,10 @@
 // ObserveVersion records that another process uses a version of the table.
 func (n *Node) ObserveVersion(version uint64, from string) { n.loop.ObserveVersion(version, from) }
 
-// LookForTable reads the table from the platform at once.
+// ReadTableNow reads the table from the platform at once.
 func (n *Node) ReadTableNow() { n.loop.ReadTableNow() }
 
-// Reseed replaces the addresses of the peers to ask while no other process is known.
+// SetSeeds replaces the addresses of the peers to ask while no other process is known.
 func (n *Node) SetSeeds(seeds []string) { n.loop.SetSeeds(seeds) }
 
 // peerFailed records that a call to another process brought no response.
@@ -286,7 +286,7 @@
 	n.background.Go(func() { Serve(ctx, n.killed, n.log, spec) })
 }
 
-// Also adds a listener that Start serves in addition to the node's own. Call it before
+// AddServer adds a listener that Start serves in addition to the node's own. Call it before
 // Start.
 func (n *Node) AddServer(spec ServerSpec) { n.extraServers = append(n.extraServers, spec) }
 
--- a/internal/process/mgnode/spec.go
+++ b/internal/process/mgnode/spec.go
@@ -22,10 +22,10 @@
 	// Platform reads the table and the list of VMs. Nil uses the service at
 	// Settings.Platform.
 	Platform *mgplatform.Client
-	// Joint is true if the platform's response about the list of VMs also shows that
+	// ListConfirmsTable is true if the platform's response about the list of VMs also shows that
 	// there is no newer table; see mgconfig.MachineSpec.
 	ListConfirmsTable bool
-	// Known returns the page of the table with a digest if the process has already
+	// ParsedPage returns the page of the table with a digest if the process has already
 	// read it, else nil; see mgconfig.MachineSpec.
 	ParsedPage func(digest string) *mgtable.Page
 	// Unkeyed is true if the network lets only the system's own processes reach
--- a/internal/process/mgrelay/attempt.go
+++ b/internal/process/mgrelay/attempt.go
@@ -122,13 +122,13 @@
 // newRequest returns the request to send to an upstream.
 func (y *Relay) newRequest(ctx context.Context, x *exchange, host Host) *http.Request {
 	header := x.header.Clone()
-	form := &y.spec.Headers
-	if form.Upstream != "" {
-		header.Set(form.Upstream, host.Name)
+	names := &y.spec.Headers
+	if names.Upstream != "" {
+		header.Set(names.Upstream, host.Name)
 	}
-	if form.Deadline != "" {
+	if names.Deadline != "" {
 		left := max(x.timeLeft(y.spec.Clock.Now()), 1)
-		header.Set(form.Deadline, strconv.FormatInt(int64(left), 10))
+		header.Set(names.Deadline, strconv.FormatInt(int64(left), 10))
 	}
 	request := &http.Request{
 		Method: x.method,
@@ -230,14 +230,14 @@
 // this request: it may be the late answer to an earlier request, or come from
 // another program at the address.
 func (y *Relay) checkAnswer(x *exchange, response *http.Response) *mgproblem.Problem {
-	form := &y.spec.Headers
+	names := &y.spec.Headers
 	why := ""
-	echo := response.Header.Get(form.ID)
+	echo := response.Header.Get(names.ID)
 	success := response.StatusCode < http.StatusMultipleChoices
 	switch {
 	case echo != x.id && (success || echo != ""):
 		why = "the answer names another request"
-	case success && form.Signature != "" && response.Header.Get(form.Signature) == "":
+	case success && names.Signature != "" && response.Header.Get(names.Signature) == "":
 		why = "the answer has no signature"
 	case response.Header.Get("Content-Encoding") != "":
 		why = "the answer is encoded, which nobody asked for"
--- a/internal/process/mgrelay/doc.go
+++ b/internal/process/mgrelay/doc.go
@@ -1,7 +1,7 @@
 // Package mgrelay is the reverse proxy of an entry: it forwards callers' requests to
 // upstreams unchanged, and the answers back, along the routes of the table.
 //
-// Method, path, query and body are forwarded byte for byte. A Form names the headers
+// Method, path, query and body are forwarded byte for byte. HeaderNames names the headers
 // in which a deployment carries what the proxy reads and sets: the request's id, its
 // deadline, the account, the intended upstream, and the upstream's statement that a
 // request did not run.
--- a/internal/process/mgrelay/headernames.go
+++ b/internal/process/mgrelay/headernames.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Form names the headers of a deployment. An empty name isn't used.
+// HeaderNames names the headers of a deployment. An empty name isn't used.
 type HeaderNames struct {
 	ID           string   // the request's id, which upstreams echo
 	Deadline     string   // how long the caller still waits, ms
@@ -22,11 +22,11 @@
 	LastEventID  string   // id of the last event that a caller, or the relay, has received
 	Copy         string   // the copy from which a generation continues, address/name
 	NotForwarded []string // further headers that are never forwarded to upstreams
-	// Fractions reports whether callers accept fractions of a second in Retry-After.
+	// RetryAfterFractions reports whether callers accept fractions of a second in Retry-After.
 	RetryAfterFractions bool
 }
 
-// DefaultForm returns the headers of the project's own interface.
+// DefaultHeaderNames returns the headers of the project's own interface.
 func DefaultHeaderNames() HeaderNames {
 	return HeaderNames{
 		ID:          "Request-Id",
--- a/internal/process/mgrelay/host.go
+++ b/internal/process/mgrelay/host.go
@@ -137,7 +137,7 @@
 	return list
 }
 
-// Places returns the upstreams of a service, given what the other entries have sent,
+// PlacementCandidates returns the upstreams of a service, given what the other entries have sent,
 // for the assignment of placements. It returns nil if the service has no upstreams
 // that accept new work.
 func (y *Relay) PlacementCandidates(table *mgtable.Table, service string, others mgload.Report) []mgwaitlist.Place {
--- a/internal/process/mgrelay/limit.go
+++ b/internal/process/mgrelay/limit.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// Permit asks for permission to send one request to an upstream that has announced a
+// PermitRequest asks for permission to send one request to an upstream that has announced a
 // rate limit.
 type PermitRequest struct {
 	Ask              mglimit.PermitRequest
--- a/internal/process/mgrelay/move.go
+++ b/internal/process/mgrelay/move.go
@@ -205,7 +205,7 @@
 // chooseDestination waits for a migration slot and returns the best destination by
 // the list.
 func (y *Relay) chooseDestination(r *generation, tried map[string]bool) (Host, bool) {
-	ask := mgmigration.SlotRequest{
+	request := mgmigration.SlotRequest{
 		Source:  r.host.Name,
 		Run:     r.exchange.id,
 		Benefit: r.state(y.spec.Clock.Now()).Benefit(),
@@ -217,22 +217,22 @@
 			continue
 		}
 		hosts[c.host.Name] = c.host
-		ask.Destinations = append(ask.Destinations, mgmigration.Destination{
+		request.Destinations = append(request.Destinations, mgmigration.Destination{
 			Name:     c.host.Name,
 			Cost:     c.cost,
 			CopyTime: copyTime * crossZoneFactor(c.host.Zone != r.host.Zone),
 		})
 	}
-	if len(ask.Destinations) == 0 {
+	if len(request.Destinations) == 0 {
 		return Host{}, false
 	}
 	if y.spec.AcquireSlot != nil {
-		if name, ok := y.spec.AcquireSlot(r.ctx, r.exchange.service, ask); ok {
+		if name, ok := y.spec.AcquireSlot(r.ctx, r.exchange.service, request); ok {
 			host, known := hosts[name]
 			return host, known
 		}
 	}
-	return hosts[ask.Destinations[0].Name], true
+	return hosts[request.Destinations[0].Name], true
 }
 
 // copyTime returns the time in ms to copy the generation's memory within an
--- a/internal/process/mgrelay/relay.go
+++ b/internal/process/mgrelay/relay.go
@@ -31,10 +31,10 @@
 	Budgets *mgretry.Budgets
 	// Client sends requests to upstreams; see mgdial.NewClientWith.
 	Client *http.Client
-	// Every returns all upstreams that run a service and aren't leaving, in any
+	// Upstreams returns all upstreams that run a service and aren't leaving, in any
 	// order.
 	Upstreams func(service string) []Host
-	// Load counts what this process sends to each upstream. Others returns what
+	// Load counts what this process sends to each upstream. OtherLoads returns what
 	// other entries have sent. Zone is this entry's availability zone.
 	Load       *mgload.Tracker
 	OtherLoads func() mgload.Report
@@ -44,62 +44,62 @@
 	// not protected.
 	Name      string
 	Processes func() int
-	// Failed reports an upstream that could not be reached, Answered one that
+	// ReportFailed reports an upstream that could not be reached, ReportAnswered one that
 	// answered.
 	ReportFailed   func(upstream string)
 	ReportAnswered func(upstream string)
-	// Leaving reports whether an upstream is leaving or gone. Changed returns a
+	// IsLeaving reports whether an upstream is leaving or gone. LeavingChanged returns a
 	// channel that is closed when that may have changed.
 	IsLeaving      func(upstream string) bool
 	LeavingChanged func() <-chan struct{}
-	// Missing reports whether an upstream is absent from the list, though it hasn't
+	// IsMissing reports whether an upstream is absent from the list, though it hasn't
 	// been reported as leaving. Nil reports none.
 	IsMissing func(upstream string) bool
-	// Cordoned reports whether an upstream's availability zone is cordoned, and how
-	// long this has been known. Every leaves such upstreams out. Nil reports none.
+	// CordonAge reports whether an upstream's availability zone is cordoned, and how
+	// long this has been known. Upstreams leaves such upstreams out. Nil reports none.
 	CordonAge func(upstream string) (age mgclock.Millis, cordoned bool)
-	// Closed reports whether a service has upstreams that aren't leaving and all of
+	// AllCordoned reports whether a service has upstreams that aren't leaving and all of
 	// them are cordoned. Nil reports none.
 	AllCordoned func(service string) bool
-	// Turn acquires a migration slot for a generation of a service, and EndTurn
-	// releases it; see mgmigration.Turns. It returns false if no process could be
-	// asked. If Turn is nil, moves need no slot.
-	AcquireSlot func(ctx context.Context, service string, ask mgmigration.SlotRequest) (place string, ok bool)
+	// AcquireSlot acquires a migration slot for a generation of a service, and ReleaseSlot
+	// releases it; see mgmigration.Slots. It returns false if no process could be
+	// asked. If AcquireSlot is nil, moves need no slot.
+	AcquireSlot func(ctx context.Context, service string, request mgmigration.SlotRequest) (place string, ok bool)
 	ReleaseSlot func(service, source, run string)
-	// Place asks the process that assigns placements for an upstream. It returns as
+	// AwaitPlacement asks the process that assigns placements for an upstream. It returns as
 	// soon as one has memory for the generation, or when the request is given up,
-	// and returns false if no process could be asked. If Place is nil, each entry
+	// and returns false if no process could be asked. If AwaitPlacement is nil, each entry
 	// chooses by what it knows.
 	AwaitPlacement func(ctx context.Context, service string, wait mgwaitlist.Request) (grant mgwaitlist.Grant, ok bool)
-	// Stale reports whether the list of upstreams may be out of date. While it is,
-	// Probe asks the upstreams that run generations whether they are leaving, and
-	// Departed reports those that are. If Probe is nil, none are asked.
+	// IsListStale reports whether the list of upstreams may be out of date. While it is,
+	// AskLeaving asks the upstreams that run generations whether they are leaving, and
+	// ReportDeparted reports those that are. If AskLeaving is nil, none are asked.
 	IsListStale    func() bool
 	AskLeaving     func(ctx context.Context, upstream Host) (leaving bool, err error)
 	ReportDeparted func(upstream string)
-	// Basis returns the version of the list of upstreams and the age of the result
-	// of Others, for logs. If it is nil, neither is logged.
+	// ListVersion returns the version of the list of upstreams and the age of the result
+	// of OtherLoads, for logs. If it is nil, neither is logged.
 	ListVersion func() (list uint64, age mgclock.Millis)
-	// Left returns how long this process continues to run, or false if it isn't
+	// TimeLeft returns how long this process continues to run, or false if it isn't
 	// stopping.
 	TimeLeft func() (mgclock.Millis, bool)
 	// Quarantine holds requests under which upstreams crash. New creates one if it
 	// is nil.
 	Quarantine *mgquarantine.Quarantine
-	// Limits are the rate limits that upstreams announce in their answers. Permit
+	// Limits are the rate limits that upstreams announce in their answers. TakePermit
 	// takes a permit to send to one of them, or returns the time until there may be
 	// one. New creates both for this process alone if they are nil.
 	Limits     *mglimit.Limits
-	TakePermit func(ctx context.Context, permit PermitRequest) (wait mgclock.Millis, ok bool)
-	// Refuses reports whether an upstream's address refuses connections, as it does
-	// after its process has ended. An error means that this is unknown. If Refuses
+	TakePermit func(ctx context.Context, request PermitRequest) (wait mgclock.Millis, ok bool)
+	// RefusesConnections reports whether an upstream's address refuses connections, as it does
+	// after its process has ended. An error means that this is unknown. If RefusesConnections
 	// is nil, it is always unknown.
 	RefusesConnections func(ctx context.Context, addr string) (bool, error)
 	// Move sends an order to the source of a move. If it is nil, nothing is moved.
 	Move func(ctx context.Context, source Host, order MoveOrder) mgmigration.Reply
 }
 
-// Order is a step of a move, sent to the source.
+// MoveOrder is a step of a move, sent to the source.
 type MoveOrder struct {
 	Request string // the request's id
 	To      string // the destination's address
@@ -114,7 +114,7 @@
 	coldTurns    mgwarm.Turns
 	backoffs     mgrest.Rests
 	permitWaits  mglimit.Backoffs
-	localPermits mglimit.Permits // if Spec.Permit is nil
+	localPermits mglimit.Permits // if Spec.TakePermit is nil
 	rejections   rejections
 	answerCount  atomic.Uint64 // successful answers to the first attempt
 	// lastOutageAt is when the platform was last unavailable, in ms of the clock; 0
--- a/internal/process/mgrelay/respond.go
+++ b/internal/process/mgrelay/respond.go
@@ -96,7 +96,7 @@
 		"ms", int64(y.elapsed(x)), "why", problem.Error())...)
 }
 
-// Write answers with a problem, with Retry-After in the deployment's format.
+// WriteProblem answers with a problem, with Retry-After in the deployment's format.
 func (y *Relay) WriteProblem(w http.ResponseWriter, problem *mgproblem.Problem) {
 	if problem.RetryAfter() > 0 {
 		y.setRetryAfter(w, problem.RetryAfter())
@@ -105,7 +105,7 @@
 	mgproblem.Write(w, problem)
 }
 
-// setRetryAfter sets Retry-After, rounded up to whole seconds unless the form allows
+// setRetryAfter sets Retry-After, rounded up to whole seconds unless HeaderNames allow
 // fractions.
 func (y *Relay) setRetryAfter(w http.ResponseWriter, delay mgclock.Millis) {
 	if y.spec.Headers.RetryAfterFractions {
--- a/internal/process/mgrelay/resume.go
+++ b/internal/process/mgrelay/resume.go
@@ -25,13 +25,13 @@
 // addResumeHeaders sets the headers with which an upstream continues a generation
 // from a copy, after the last event that the caller has.
 func (y *Relay) addResumeHeaders(x *exchange, request *http.Request) {
-	form := &y.spec.Headers
+	names := &y.spec.Headers
 	if x.resumeFrom.copyRef != "" {
-		request.Header.Set(form.Copy, x.resumeFrom.copyRef)
+		request.Header.Set(names.Copy, x.resumeFrom.copyRef)
 		x.resumeFrom = resumePoint{}
 	}
 	if x.sequence.lastID != "" {
-		request.Header.Set(form.LastEventID, x.sequence.lastID)
+		request.Header.Set(names.LastEventID, x.sequence.lastID)
 		x.resumed = true
 	}
 }
--- a/internal/request/mgdelivery/decision.go
+++ b/internal/request/mgdelivery/decision.go
@@ -17,7 +17,7 @@
 	// Reopen: read the same generation again from the token after Last, on a new
 	// connection.
 	Reopen
-	// Elsewhere: start a new generation; the caller has received nothing.
+	// StartOver: start a new generation; the caller has received nothing.
 	StartOver
 	// Fail: report the decision's problem to the caller. Nothing follows it.
 	Fail
--- a/internal/request/mgdelivery/receiver.go
+++ b/internal/request/mgdelivery/receiver.go
@@ -60,7 +60,7 @@
 }
 
 // Begin records that a generation was started or is resumed, and returns the
-// number of the attempt with which its frames are passed to Frame. It returns
+// number of the attempt with which its frames are passed to HandleFrame. It returns
 // 0, under which no frame is accepted, for a generation that can't continue the
 // answer.
 func (r *Receiver) Begin(generation string) int {
@@ -88,10 +88,10 @@
 // the next.
 func (r *Receiver) Last() uint64 { return r.last }
 
-// Over reports whether the caller was sent the end or a problem.
+// Finished reports whether the caller was sent the end or a problem.
 func (r *Receiver) Finished() bool { return r.finished }
 
-// Frame handles a frame received on an attempt's stream.
+// HandleFrame handles a frame received on an attempt's stream.
 func (r *Receiver) HandleFrame(attempt int, f *Frame) Decision {
 	if r.finished || attempt == 0 || attempt != r.currentAttempt {
 		// A frame of an earlier attempt was in flight when the answer started over
@@ -150,7 +150,7 @@
 	}
 }
 
-// Lost handles the loss of an attempt's generation: its agent or engine is
+// HandleLoss handles the loss of an attempt's generation: its agent or engine is
 // gone, or its link gave up.
 func (r *Receiver) HandleLoss(attempt int) Decision {
 	if r.finished || attempt == 0 || attempt != r.currentAttempt {
--- a/internal/request/mglength/estimator.go
+++ b/internal/request/mglength/estimator.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// Skip records how many tokens the answer had produced when it was first seen.
+// SkipTo skips the tokens that the answer had produced when it was first seen.
 // Reaching that length is no evidence, because answers that ended before were
 // never seen (left truncation).
 func (a *Answer) SkipTo(produced int) { a.passedBuckets = bucket(produced) }
--- a/internal/request/mglimit/backoffs.go
+++ b/internal/request/mglimit/backoffs.go
@@ -11,29 +11,29 @@
 // rise.
 const maxWait = mgclock.Second
 
-// Waits holds the upstreams for which no permit is available for a while. The zero Waits is
+// Backoffs holds the upstreams for which no permit is available for a while. The zero Backoffs is
 // empty and ready for use by several goroutines.
 type Backoffs struct {
 	mu    sync.Mutex
 	until map[string]mgclock.Millis
 }
 
-// Put records that there is no permit for an upstream until after a delay.
-func (w *Backoffs) Set(now mgclock.Millis, upstream string, delay mgclock.Millis) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.until == nil {
-		w.until = map[string]mgclock.Millis{}
+// Set records that there is no permit for an upstream until after a delay.
+func (b *Backoffs) Set(now mgclock.Millis, upstream string, delay mgclock.Millis) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.until == nil {
+		b.until = map[string]mgclock.Millis{}
 	}
-	w.until[upstream] = now + min(max(delay, 1), maxWait)
+	b.until[upstream] = now + min(max(delay, 1), maxWait)
 }
 
 // Left returns the time until a permit for an upstream may be asked for, 0 where that is
 // now.
-func (w *Backoffs) Left(now mgclock.Millis, upstream string) mgclock.Millis {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	until, hasWait := w.until[upstream]
+func (b *Backoffs) Left(now mgclock.Millis, upstream string) mgclock.Millis {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	until, hasWait := b.until[upstream]
 	if !hasWait {
 		return 0
 	}
@@ -41,8 +41,8 @@
 }
 
 // Forget drops all upstreams except those for which keep is true.
-func (w *Backoffs) Forget(keep func(upstream string) bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	maps.DeleteFunc(w.until, func(upstream string, _ mgclock.Millis) bool { return !keep(upstream) })
+func (b *Backoffs) Forget(keep func(upstream string) bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	maps.DeleteFunc(b.until, func(upstream string, _ mgclock.Millis) bool { return !keep(upstream) })
 }
--- a/internal/request/mglimit/doc.go
+++ b/internal/request/mglimit/doc.go
@@ -10,7 +10,7 @@
 //
 // # Decision
 //
-// The rate that answers name is stored in a record of type Word, with the time when it was
+// The rate that answers name is stored in a record of type Record, with the time when it was
 // last named and the time when an answer named none. Processes exchange these records. A
 // record applies to one incarnation of the upstream and doesn't expire while the upstream
 // is listed: where nothing is sent, nothing shows that the upstream has recovered, and a
@@ -20,7 +20,7 @@
 // Each request to such an upstream takes a permit, from the process that grants placements
 // for the cell (Permits, a token bucket for each upstream). Where several processes grant
 // permits, each grants a part of the rate: the fraction that the processes that use it are
-// of all processes (PartOf). The parts sum to the rate also while a granter is dead,
+// of all processes (ShareOf). The parts sum to the rate also while a granter is dead,
 // replaced or cut off, or while two processes both act as the granter.
 //
 // # Terms
@@ -28,7 +28,7 @@
 //   - cell: a part of a region's processes that share a hub; the hub grants placements for
 //     it.
 //   - limit: the requests a second that an upstream takes from all processes together.
-//   - record: what a process knows of a limit, with the ages of that (Word).
+//   - record: what a process knows of a limit, with the ages of that (Record).
 //   - permit: leave to send one request.
 //   - granter: a process that grants permits.
 //   - incarnation: the time from a start of an upstream to its end.
--- a/internal/request/mglimit/limits.go
+++ b/internal/request/mglimit/limits.go
@@ -24,7 +24,7 @@
 	maxLimits = 8192
 )
 
-// A Word is the record of what a process knows of an upstream's limit, as processes
+// A Record is the record of what a process knows of an upstream's limit, as processes
 // exchange it. Its ages are relative to the time at which it is sent, in ms, 0 or more.
 type Record struct {
 	Upstream         string         `json:"upstream"`
@@ -37,8 +37,8 @@
 }
 
 // isValid reports whether another process's record can be used.
-func (w Record) isValid() bool {
-	return w.Upstream != "" && w.Rate >= 0 && !math.IsNaN(w.Rate) && !math.IsInf(w.Rate, 0) && w.Named >= 0 && w.Unnamed >= 0
+func (r Record) isValid() bool {
+	return r.Upstream != "" && r.Rate >= 0 && !math.IsNaN(r.Rate) && !math.IsInf(r.Rate, 0) && r.Named >= 0 && r.Unnamed >= 0
 }
 
 // Limits holds the limits that upstreams have named. The zero Limits is empty and ready for
@@ -63,51 +63,51 @@
 // answer that named one.
 func (l *limit) isActive() bool { return !l.ended || l.lastUnnamed <= l.lastNamed }
 
-// Named records that an answer of an incarnation of an upstream named a rate, and reports
+// RecordRate records that an answer of an incarnation of an upstream named a rate, and reports
 // whether that changed the limit.
-func (s *Limits) RecordRate(now mgclock.Millis, upstream string, born int64, rate float64) bool {
+func (s *Limits) RecordRate(now mgclock.Millis, upstream string, incarnationStart int64, rate float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.update(now, upstream, born, func(l *limit) { l.setNamed(now, rate) })
+	return s.update(now, upstream, incarnationStart, func(l *limit) { l.setNamed(now, rate) })
 }
 
-// Unnamed records that the answer to a request, sent at a time, named no rate, and reports
+// RecordNoRate records that the answer to a request, sent at a time, named no rate, and reports
 // whether that changed the limit.
-func (s *Limits) RecordNoRate(now, sent mgclock.Millis, upstream string, born int64) bool {
+func (s *Limits) RecordNoRate(now, sent mgclock.Millis, upstream string, incarnationStart int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := s.limits[upstream]
 	switch {
-	case known == nil || born < known.incarnationStart:
+	case known == nil || incarnationStart < known.incarnationStart:
 		return false
-	case born > known.incarnationStart:
+	case incarnationStart > known.incarnationStart:
 		delete(s.limits, upstream)
 		return true
 	}
-	return s.update(now, upstream, born, func(l *limit) { l.setEnded(sent) })
+	return s.update(now, upstream, incarnationStart, func(l *limit) { l.setEnded(sent) })
 }
 
-// Take merges records of other processes. It returns those that changed a limit, and the
+// Merge merges records of other processes. It returns those that changed a limit, and the
 // number of unusable ones.
 func (s *Limits) Merge(now mgclock.Millis, records []Record) (updates []Record, unusable int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, w := range records {
-		if !w.isValid() {
+	for _, r := range records {
+		if !r.isValid() {
 			unusable++
 			continue
 		}
-		if s.limits[w.Upstream] == nil && w.Named >= unlistedTTL {
+		if s.limits[r.Upstream] == nil && r.Named >= unlistedTTL {
 			continue // dropped here, or about to be
 		}
-		isUpdate := s.update(now, w.Upstream, w.IncarnationStart, func(l *limit) {
-			l.setNamed(now-w.Named, w.Rate)
-			if w.Ended {
-				l.setEnded(now - w.Unnamed - maxRecordDelay)
+		isUpdate := s.update(now, r.Upstream, r.IncarnationStart, func(l *limit) {
+			l.setNamed(now-r.Named, r.Rate)
+			if r.Ended {
+				l.setEnded(now - r.Unnamed - maxRecordDelay)
 			}
 		})
 		if isUpdate {
-			updates = append(updates, w)
+			updates = append(updates, r)
 		}
 	}
 	return updates, unusable
@@ -115,21 +115,21 @@
 
 // update changes the limit of one incarnation of an upstream, and reports whether that
 // changes the rate or whether there is a limit. It is called with mu held.
-func (s *Limits) update(now mgclock.Millis, upstream string, born int64, change func(l *limit)) bool {
+func (s *Limits) update(now mgclock.Millis, upstream string, incarnationStart int64, change func(l *limit)) bool {
 	l := s.limits[upstream]
 	switch {
 	case l == nil && len(s.limits) >= maxLimits:
 		return false
-	case l != nil && born < l.incarnationStart:
+	case l != nil && incarnationStart < l.incarnationStart:
 		return false
 	}
 	wasActive, rate := false, 0.0
 	if l != nil {
 		wasActive, rate = l.isActive(), l.rate
 	}
-	if l == nil || born > l.incarnationStart {
+	if l == nil || incarnationStart > l.incarnationStart {
 		l = &limit{
-			incarnationStart: born,
+			incarnationStart: incarnationStart,
 			lastNamed:        math.MinInt64,
 		}
 	}
@@ -168,17 +168,17 @@
 // Rate returns the limit of an upstream whose incarnation began at born, from the list, or
 // false where it has none. A limit of a later incarnation counts, since the list may be out
 // of date.
-func (s *Limits) Rate(upstream string, born int64) (rate float64, limited bool) {
+func (s *Limits) Rate(upstream string, incarnationStart int64) (rate float64, limited bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.limits[upstream]
-	if l == nil || born > l.incarnationStart || !l.isActive() {
+	if l == nil || incarnationStart > l.incarnationStart || !l.isActive() {
 		return 0, false
 	}
 	return l.rate, true
 }
 
-// Word returns the record of an upstream, or false where there is none.
+// Record returns the record of an upstream, or false where there is none.
 func (s *Limits) Record(now mgclock.Millis, upstream string) (Record, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,12 +189,12 @@
 	return l.record(now, upstream), true
 }
 
-// Words returns all records, sorted by upstream.
+// Records returns all records, sorted by upstream.
 func (s *Limits) Records(now mgclock.Millis) []Record {
 	return s.collect(now, func(*limit) bool { return true })
 }
 
-// News returns the records to be broadcast.
+// RecentRecords returns the records to be broadcast.
 func (s *Limits) RecentRecords(now mgclock.Millis) []Record {
 	return s.collect(now, func(l *limit) bool { return now < l.broadcastUntil })
 }
@@ -237,7 +237,7 @@
 	return s.changed
 }
 
-// Forget drops the limits of upstreams that were last named long ago and aren't listed.
+// Prune drops the limits of upstreams that were last named long ago and aren't listed.
 func (s *Limits) Prune(now mgclock.Millis, listed func(upstream string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/request/mglimit/limits_test.go
+++ b/internal/request/mglimit/limits_test.go
@@ -18,10 +18,10 @@
 	}
 }
 
-func withEnd(w Record, unnamed mgclock.Millis) Record {
-	w.Ended = true
-	w.Unnamed = unnamed
-	return w
+func withEnd(r Record, unnamed mgclock.Millis) Record {
+	r.Ended = true
+	r.Unnamed = unnamed
+	return r
 }
 
 func TestWrongLimitIsActive(t *testing.T) {
--- a/internal/request/mglimit/permits.go
+++ b/internal/request/mglimit/permits.go
@@ -24,13 +24,13 @@
 	reservationTTL = mgclock.Second
 )
 
-// A Part is the part of an upstream's limit that one granter grants.
+// A Share is the part of an upstream's limit that one granter grants.
 type Share struct {
 	rate     float64 // requests a second
 	granters float64 // approximate number of processes that grant parts
 }
 
-// PartOf returns the part of a limit that a granter grants, by the numbers of processes
+// ShareOf returns the part of a limit that a granter grants, by the numbers of processes
 // that use it (own) and of all that may send to the upstream.
 func ShareOf(rate float64, own, all int) Share {
 	all = max(all, 1)
@@ -44,7 +44,7 @@
 // Rate returns the part in requests a second.
 func (p Share) Rate() float64 { return p.rate }
 
-// An Ask is a request for a permit.
+// A PermitRequest is a request for a permit.
 type PermitRequest struct {
 	Upstream string
 	Request  string
@@ -68,33 +68,33 @@
 }
 
 // Take grants a permit, or returns the time until there may be one.
-func (p *Permits) Take(now mgclock.Millis, ask PermitRequest, part Share) (wait mgclock.Millis, ok bool) {
+func (p *Permits) Take(now mgclock.Millis, request PermitRequest, share Share) (wait mgclock.Millis, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b := p.bucket(now, ask.Upstream, part)
-	if until, reserved := b.reservations[ask.Request]; reserved && now < until {
-		delete(b.reservations, ask.Request)
+	b := p.bucket(now, request.Upstream, share)
+	if until, reserved := b.reservations[request.Request]; reserved && now < until {
+		delete(b.reservations, request.Request)
 		return 0, true
 	}
-	if b.permits >= wholePermit || ask.Forced {
+	if b.permits >= wholePermit || request.Forced {
 		b.permits--
 		return 0, true
 	}
-	return mgclock.Millis(math.Ceil((wholePermit - b.permits) / part.rate * float64(mgclock.Second))), false
+	return mgclock.Millis(math.Ceil((wholePermit - b.permits) / share.rate * float64(mgclock.Second))), false
 }
 
-// Left returns how many permits can be granted now.
-func (p *Permits) Available(now mgclock.Millis, upstream string, part Share) int {
+// Available returns how many permits can be granted now.
+func (p *Permits) Available(now mgclock.Millis, upstream string, share Share) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(int(p.bucket(now, upstream, part).permits+1-wholePermit), 0)
+	return max(int(p.bucket(now, upstream, share).permits+1-wholePermit), 0)
 }
 
 // Reserve takes a permit for a request that was given a place and will ask for the permit.
-func (p *Permits) Reserve(now mgclock.Millis, upstream, request string, part Share) {
+func (p *Permits) Reserve(now mgclock.Millis, upstream, request string, share Share) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b := p.bucket(now, upstream, part)
+	b := p.bucket(now, upstream, share)
 	b.permits--
 	for name, until := range b.reservations {
 		if now >= until {
@@ -108,7 +108,7 @@
 }
 
 // bucket returns an upstream's bucket, refilled until now. It is called with mu held.
-func (p *Permits) bucket(now mgclock.Millis, upstream string, part Share) *bucket {
+func (p *Permits) bucket(now mgclock.Millis, upstream string, share Share) *bucket {
 	b := p.buckets[upstream]
 	if b == nil {
 		// A random level, so that granters that begin together have their first permits at
@@ -122,22 +122,22 @@
 		}
 		p.buckets[upstream] = b
 	}
-	b.refill(now, part)
+	b.refill(now, share)
 	return b
 }
 
 // refill adds the permits since the last call.
-func (b *bucket) refill(now mgclock.Millis, part Share) {
+func (b *bucket) refill(now mgclock.Millis, share Share) {
 	if now <= b.filledAt {
 		return
 	}
-	b.permits += part.rate * float64(now-b.filledAt) / float64(mgclock.Second)
+	b.permits += share.rate * float64(now-b.filledAt) / float64(mgclock.Second)
 	b.filledAt = now
-	kept := part.rate * float64(accumulationWindow) / float64(mgclock.Second)
+	kept := share.rate * float64(accumulationWindow) / float64(mgclock.Second)
 	switch {
 	case kept >= 1:
 		b.permits = min(b.permits, kept)
-	case part.granters <= maxKeepingGranters:
+	case share.granters <= maxKeepingGranters:
 		b.permits = min(b.permits, 1)
 	case b.permits >= 1+kept:
 		// The permit has expired unless it came within accumulationWindow.
--- a/internal/request/mglimit/permits_test.go
+++ b/internal/request/mglimit/permits_test.go
@@ -9,24 +9,24 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-func ask(request string) PermitRequest {
+func newPermitRequest(request string) PermitRequest {
 	return PermitRequest{
 		Upstream: "a",
 		Request:  request,
 	}
 }
 
-func forced(a PermitRequest) PermitRequest {
-	a.Forced = true
-	return a
+func forced(r PermitRequest) PermitRequest {
+	r.Forced = true
+	return r
 }
 
 // countGranted asks a granter for a permit every ten ms for a time span, and returns how
 // many it granted.
-func countGranted(p *Permits, from, duration mgclock.Millis, part Share) int {
+func countGranted(p *Permits, from, duration mgclock.Millis, share Share) int {
 	count := 0
 	for at := from; at < from+duration; at += 10 {
-		if _, ok := p.Take(at, ask(fmt.Sprint(at)), part); ok {
+		if _, ok := p.Take(at, newPermitRequest(fmt.Sprint(at)), share); ok {
 			count++
 		}
 	}
@@ -38,17 +38,17 @@
 	Convey("A granter", t, func() {
 		var p Permits
 		Convey("grants the rate, and nothing at the first moment", func() {
-			part := ShareOf(5, 1, 1)
-			So(countGranted(&p, 0, 10, part), ShouldEqual, 0)
-			So(countGranted(&p, 10, 4*second, part), ShouldBeBetweenOrEqual, 19, 21)
+			share := ShareOf(5, 1, 1)
+			So(countGranted(&p, 0, 10, share), ShouldEqual, 0)
+			So(countGranted(&p, 10, 4*second, share), ShouldBeBetweenOrEqual, 19, 21)
 		})
 		Convey("grants its part of the rate", func() {
 			So(countGranted(&p, 0, 10*second, ShareOf(5, 2, 5)), ShouldBeBetweenOrEqual, 19, 21)
 		})
 		Convey("grants no burst after a pause", func() {
-			part := ShareOf(20, 1, 1)
-			countGranted(&p, 0, 10, part)
-			So(countGranted(&p, mgclock.Minute, 4*second, part), ShouldBeLessThanOrEqualTo, 4*20+10)
+			share := ShareOf(20, 1, 1)
+			countGranted(&p, 0, 10, share)
+			So(countGranted(&p, mgclock.Minute, 4*second, share), ShouldBeLessThanOrEqualTo, 4*20+10)
 		})
 		Convey("grants no burst when the rate falls", func() {
 			countGranted(&p, 0, 10, ShareOf(1000, 1, 1))
@@ -63,38 +63,38 @@
 			So(countGranted(&p, 0, 60*second, ShareOf(0, 1, 1)), ShouldBeBetweenOrEqual, 11, 13)
 		})
 		Convey("returns when the next permit comes", func() {
-			part := ShareOf(0.5, 1, 1)
-			countGranted(&p, 0, 10*second, part)
-			wait, ok := p.Take(10*second, ask(""), part)
+			share := ShareOf(0.5, 1, 1)
+			countGranted(&p, 0, 10*second, share)
+			wait, ok := p.Take(10*second, newPermitRequest(""), share)
 			if ok { // a permit has just come
-				wait, ok = p.Take(10*second, ask(""), part)
+				wait, ok = p.Take(10*second, newPermitRequest(""), share)
 			}
 			So(ok, ShouldBeFalse)
-			_, ok = p.Take(10*second+wait-1, ask(""), part)
+			_, ok = p.Take(10*second+wait-1, newPermitRequest(""), share)
 			So(ok, ShouldBeFalse)
-			_, ok = p.Take(10*second+wait, ask(""), part)
+			_, ok = p.Take(10*second+wait, newPermitRequest(""), share)
 			So(ok, ShouldBeTrue)
 		})
 		Convey("subtracts forced requests", func() {
-			part := ShareOf(5, 1, 1)
+			share := ShareOf(5, 1, 1)
 			for range 10 {
-				_, ok := p.Take(0, forced(ask("")), part)
+				_, ok := p.Take(0, forced(newPermitRequest("")), share)
 				So(ok, ShouldBeTrue)
 			}
-			So(countGranted(&p, 0, 4*second, part), ShouldBeBetweenOrEqual, 9, 12)
+			So(countGranted(&p, 0, 4*second, share), ShouldBeBetweenOrEqual, 9, 12)
 		})
 		Convey("reserves a permit for a request that was given a place, for a while", func() {
-			part := ShareOf(1, 1, 1)
-			countGranted(&p, 0, 2*second, part)
-			p.Reserve(2*second, "a", "r", part)
-			_, ok := p.Take(2*second+10, ask("other"), part)
+			share := ShareOf(1, 1, 1)
+			countGranted(&p, 0, 2*second, share)
+			p.Reserve(2*second, "a", "r", share)
+			_, ok := p.Take(2*second+10, newPermitRequest("other"), share)
 			So(ok, ShouldBeFalse)
-			_, ok = p.Take(2*second+10, ask("r"), part)
+			_, ok = p.Take(2*second+10, newPermitRequest("r"), share)
 			So(ok, ShouldBeTrue)
-			_, ok = p.Take(2*second+20, ask("r"), part)
+			_, ok = p.Take(2*second+20, newPermitRequest("r"), share)
 			So(ok, ShouldBeFalse)
-			p.Reserve(2*second+20, "a", "late", part)
-			_, ok = p.Take(2*second+20+reservationTTL, ask("late"), part)
+			p.Reserve(2*second+20, "a", "late", share)
+			_, ok = p.Take(2*second+20+reservationTTL, newPermitRequest("late"), share)
 			So(ok, ShouldBeFalse)
 		})
 	})
@@ -106,11 +106,11 @@
 		for _, count := range []int{2, 8, 30, 100} {
 			for _, rate := range []float64{0.5, 5, 40} {
 				granters := make([]Permits, count)
-				part := ShareOf(rate, 1, count)
+				share := ShareOf(rate, 1, count)
 				total := 0
 				for from := mgclock.Minute; from <= 5*mgclock.Minute; from += mgclock.Minute {
 					for i := range granters {
-						total += countGranted(&granters[i], from, 4*mgclock.Second, part)
+						total += countGranted(&granters[i], from, 4*mgclock.Second, share)
 					}
 				}
 				So(total, ShouldBeLessThanOrEqualTo, int(5*(1.5*rate*4+5)))
@@ -121,19 +121,19 @@
 
 func TestPermitIsAskedForTooEarly(t *testing.T) {
 	Convey("An upstream without a permit isn't asked for until there may be one", t, func() {
-		var w Backoffs
-		So(w.Left(-5, "a"), ShouldEqual, 0)
-		w.Set(100, "a", 40)
-		So(w.Left(110, "a"), ShouldEqual, 30)
-		So(w.Left(140, "a"), ShouldEqual, 0)
+		var backoffs Backoffs
+		So(backoffs.Left(-5, "a"), ShouldEqual, 0)
+		backoffs.Set(100, "a", 40)
+		So(backoffs.Left(110, "a"), ShouldEqual, 30)
+		So(backoffs.Left(140, "a"), ShouldEqual, 0)
 		Convey("and for no longer than a maximum", func() {
-			w.Set(200, "a", mgclock.Minute)
-			So(w.Left(200, "a"), ShouldEqual, maxWait)
+			backoffs.Set(200, "a", mgclock.Minute)
+			So(backoffs.Left(200, "a"), ShouldEqual, maxWait)
 		})
 		Convey("or until it is dropped", func() {
-			w.Set(200, "a", 40)
-			w.Forget(func(string) bool { return false })
-			So(w.Left(200, "a"), ShouldEqual, 0)
+			backoffs.Set(200, "a", 40)
+			backoffs.Forget(func(string) bool { return false })
+			So(backoffs.Left(200, "a"), ShouldEqual, 0)
 		})
 	})
 }
--- a/internal/request/mgload/doc.go
+++ b/internal/request/mgload/doc.go
@@ -27,7 +27,7 @@
 // # Terms
 //
 //   - hub: the entry that collects the reports of a region, or of a part of it.
-//   - row: the counts of one upstream.
+//   - load: the counts of one upstream.
 //   - pace: the time that an upstream takes for each token, or for a call.
 //   - fault: a request that ended at an upstream without an answer of its own.
 package mgload
--- a/internal/request/mgload/fault.go
+++ b/internal/request/mgload/fault.go
@@ -36,7 +36,7 @@
 	return f.weight * math.Exp(-float64(now-f.at)/float64(faultDecay))
 }
 
-// Fault records that a request ended at an upstream without an answer of its own: no
+// RecordFault records that a request ended at an upstream without an answer of its own: no
 // connection, a reset, silence until the end, or bytes that aren't an answer.
 func (c *Tracker) RecordFault(now mgclock.Millis, upstream string) {
 	c.mu.Lock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// Well records that an upstream answered.
+// RecordAnswer records that an upstream answered.
 func (c *Tracker) RecordAnswer(now mgclock.Millis, upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/request/mgload/load.go
+++ b/internal/request/mgload/load.go
@@ -6,14 +6,14 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Row is what was sent to an upstream and has not ended.
+// A Load is what was sent to an upstream and has not ended.
 type Load struct {
 	Runs    int // requests
 	Pending int // prompt tokens without a first event
 	Memory  int // tokens of prompts and expected outputs
 }
 
-// Add returns the sum of two rows.
+// Add returns the sum of two loads.
 func (r Load) Add(o Load) Load {
 	return Load{
 		Runs:    r.Runs + o.Runs,
@@ -56,8 +56,8 @@
 type State struct {
 	Row       Load
 	Zone      string
-	TokenCost float64 // additional time compared with others, ms for each token; see the function Slow
-	Faults    float64 // weight of its faults; see Count.Faults
+	TokenCost float64 // additional time compared with others, ms for each token; see the function SlowPenalty
+	Faults    float64 // weight of its faults; see Tracker.Faults
 }
 
 // Cost returns the cost in ms of a request at an upstream.
@@ -80,7 +80,7 @@
 	return cost
 }
 
-// A Count is what one entry has sent. The zero Count is empty and ready for use by several
+// A Tracker counts what one entry has sent. The zero Tracker is empty and ready for use by several
 // goroutines.
 type Tracker struct {
 	mu     sync.Mutex
@@ -89,7 +89,7 @@
 	faults map[string]fault
 }
 
-// Add adds delta, whose counts may be negative, to an upstream's row.
+// Add adds delta, whose counts may be negative, to an upstream's load.
 func (c *Tracker) Add(upstream string, delta Load) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,14 +104,14 @@
 	c.rows[upstream] = row
 }
 
-// Row returns an upstream's row.
+// Row returns an upstream's load.
 func (c *Tracker) Row(upstream string) Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rows[upstream]
 }
 
-// Rows returns a copy of all rows.
+// Rows returns a copy of all loads.
 func (c *Tracker) Rows() map[string]Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,8 +126,8 @@
 // them.
 type Report struct {
 	Rows   map[string]Load
-	Paces  map[string]float64 // ms; see Count.Paces
-	Faults map[string]float64 // weights; see Count.Faults
+	Paces  map[string]float64 // ms; see Tracker.Paces
+	Faults map[string]float64 // weights; see Tracker.Faults
 }
 
 // reportTTL is how long a hub counts an entry's report: five report intervals. An entry
@@ -147,7 +147,7 @@
 	at     mgclock.Millis
 }
 
-// Tell stores an entry's report and returns the merged report of the others: the sum of
+// Exchange stores an entry's report and returns the merged report of the others: the sum of
 // what they sent, and the mean of the paces that they measured.
 func (h *Hub) Exchange(now mgclock.Millis, entry string, report Report) Report {
 	h.mu.Lock()
@@ -163,7 +163,7 @@
 	return h.sumOthers(now, entry)
 }
 
-// Heard records that an entry uses this process as its hub.
+// MarkSeen records that an entry uses this process as its hub.
 func (h *Hub) MarkSeen(now mgclock.Millis, entry string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/request/mgload/pace.go
+++ b/internal/request/mgload/pace.go
@@ -29,7 +29,7 @@
 	at    mgclock.Millis
 }
 
-// Paced records the time that an upstream took for each of some tokens of a stream, or for
+// RecordPace records the time that an upstream took for each of some tokens of a stream, or for
 // a call.
 func (c *Tracker) RecordPace(now mgclock.Millis, upstream string, each float64) {
 	c.mu.Lock()
@@ -61,7 +61,7 @@
 	return known
 }
 
-// Slow returns a function from an upstream's pace to the ms for each token, or call, by
+// SlowPenalty returns a function from an upstream's pace to the ms for each token, or call, by
 // which it is slower than the median of the given paces. It returns 0 for upstreams that
 // aren't slow, and for all where too few paces are known.
 func SlowPenalty(paces []float64) func(pace float64) float64 {
--- a/internal/request/mgmigration/move.go
+++ b/internal/request/mgmigration/move.go
@@ -13,7 +13,7 @@
 	Absent
 	// Busy: another call for the run is in progress.
 	Busy
-	// NoRoom: the destination has no capacity or can't be reached.
+	// NoCapacity: the destination has no capacity or can't be reached.
 	NoCapacity
 	// Lost: no reply. The call may have been carried out.
 	Lost
@@ -40,7 +40,7 @@
 // Reply is the source's reply to a call.
 type Reply struct {
 	Outcome Outcome
-	Handle  string // of the copy; set with NoRoom too if the run was stopped
+	Handle  string // of the copy; set with NoCapacity too if the run was stopped
 }
 
 // Step is the next call or wait of a move.
@@ -52,14 +52,14 @@
 	Copy Step = iota + 1
 	// Stop asks the source to stop the run and copy the rest.
 	Stop
-	// Wait asks for a pause of RetrySpan and then a call of Waited.
+	// Wait asks for a pause of RetryDelay and then a call of EndWait.
 	Wait
 	// Done: the move is over; see Places.
 	Done
 )
 
 const (
-	// RetrySpan is the delay before the next try when the run was absent or busy,
+	// RetryDelay is the delay before the next try when the run was absent or busy,
 	// or no destination had capacity: about the time of one decoding step and its
 	// network path.
 	RetryDelay = 40 * mgclock.Millis(1)
@@ -100,14 +100,14 @@
 // Stopped reports whether the source has confirmed that it stopped the run.
 func (m *Move) Stopped() bool { return m.stopped }
 
-// Waited ends a Wait step.
+// EndWait ends a Wait step.
 func (m *Move) EndWait() {
 	if m.step == Wait {
 		m.step = Copy
 	}
 }
 
-// Take updates the move with the source's reply to the current step.
+// HandleReply updates the move with the source's reply to the current step.
 func (m *Move) HandleReply(r Reply) {
 	switch m.Step() {
 	case Copy:
--- a/internal/request/mgmigration/order.go
+++ b/internal/request/mgmigration/order.go
@@ -21,12 +21,12 @@
 // have long-tailed distributions: the longer a run is, the more is left.
 const minRemainingRatio = 0.25
 
-// Left returns the expected number of remaining output tokens.
+// RemainingTokens returns the expected number of remaining output tokens.
 func (r Run) RemainingTokens() int {
 	return max(r.ExpectedOutput-r.Generated, int(minRemainingRatio*float64(r.Generated)))
 }
 
-// Ends returns the expected remaining time at the run's own pace, or false
+// RemainingTime returns the expected remaining time at the run's own pace, or false
 // while it has no pace yet.
 func (r Run) RemainingTime() (mgclock.Millis, bool) {
 	if r.Generated == 0 || r.Elapsed <= 0 {
@@ -40,7 +40,7 @@
 // token for each of ten streams.
 const outputWeight = 10
 
-// Worth returns the priority with which a source's runs are moved, the greatest
+// Benefit returns the priority with which a source's runs are moved, the greatest
 // first. A run that can resume without its copy, or that ends soon by itself,
 // gains least from a move. Of the others, those go first that would lose the
 // most work per unit of copy time.
--- a/internal/request/mgmigration/simulation_test.go
+++ b/internal/request/mgmigration/simulation_test.go
@@ -65,7 +65,7 @@
 	reclaimAt [engineCount]mgclock.Millis // time of the reclaim, or 0
 	returnAt  [engineCount]mgclock.Millis
 	links     [engineCount][]*job
-	turns     Slots
+	slots     Slots
 	runCount  int
 
 	done, cut, late int
@@ -149,7 +149,7 @@
 			if r.late {
 				p.late++
 			}
-			p.turns.Release(fmt.Sprint(r.engine), r.name)
+			p.slots.Release(fmt.Sprint(r.engine), r.name)
 			continue
 		}
 		kept = append(kept, r)
@@ -194,7 +194,7 @@
 				Benefit:      state.Benefit(),
 				Destinations: []Destination{{Name: "any"}},
 			}
-			if _, ok := p.turns.Acquire(p.now, a); ok {
+			if _, ok := p.slots.Acquire(p.now, a); ok {
 				p.startCopy(r, false)
 			}
 		}
@@ -245,7 +245,7 @@
 	if float64(p.now-r.stopped)+resumeMillis > maxPauseMillis {
 		r.late = true
 	}
-	p.turns.Release(fmt.Sprint(engine), r.name)
+	p.slots.Release(fmt.Sprint(engine), r.name)
 	r.engine = p.leastLoaded()
 	r.stopped = 0
 	r.moving = false
@@ -265,7 +265,7 @@
 				continue
 			}
 			p.cut++
-			p.turns.Release(fmt.Sprint(e), r.name)
+			p.slots.Release(fmt.Sprint(e), r.name)
 		}
 		p.runs = kept
 		p.links[e] = nil
--- a/internal/request/mgmigration/slots.go
+++ b/internal/request/mgmigration/slots.go
@@ -21,15 +21,15 @@
 	grantWindow = 2 * mgclock.Second
 )
 
-// An Ask requests the slot to move a run away from its source.
+// A SlotRequest requests the slot to move a run away from its source.
 type SlotRequest struct {
 	Source       string
 	Run          string
-	Benefit      float64       // benefit of moving it now, see Run.Worth
+	Benefit      float64       // benefit of moving it now, see Run.Benefit
 	Destinations []Destination // candidate destinations
 }
 
-// A Spot is a candidate destination: the upstream's name, the cost of placing
+// A Destination is a candidate destination: the upstream's name, the cost of placing
 // the run there in ms (see mgload.Cost), and the time in ms that the copy
 // occupies the source's link.
 type Destination struct {
@@ -38,7 +38,7 @@
 	CopyTime float64
 }
 
-// Turns assigns each source's migration slot to one of its runs at a time, and
+// Slots assigns each source's migration slot to one of its runs at a time, and
 // picks that run's destination. One entry does so for a service; all others
 // send their requests to it.
 //
@@ -48,7 +48,7 @@
 // loads send their runs to the same engine.
 //
 // Correctness doesn't depend on it: an entry that gets no reply moves its runs
-// all the same. The zero Turns is ready for use by several goroutines.
+// all the same. The zero Slots is ready for use by several goroutines.
 type Slots struct {
 	mu      sync.Mutex
 	sources map[string]*sourceState
@@ -68,35 +68,35 @@
 	expires mgclock.Millis
 }
 
-// Ask returns the run's destination if the run gets or holds the slot now, else
+// Acquire returns the run's destination if the run gets or holds the slot now, else
 // false.
-func (t *Slots) Acquire(now mgclock.Millis, a SlotRequest) (place string, ok bool) {
+func (t *Slots) Acquire(now mgclock.Millis, request SlotRequest) (place string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.stateOf(a.Source)
-	s.waiting[a.Run] = waiter{
-		benefit: a.Benefit,
+	s := t.stateOf(request.Source)
+	s.waiting[request.Run] = waiter{
+		benefit: request.Benefit,
 		expires: now + requestTTL,
 	}
-	if s.holder != "" && s.holder != a.Run && now < s.expires {
+	if s.holder != "" && s.holder != request.Run && now < s.expires {
 		return "", false
 	}
-	if s.nextRun(now) != a.Run {
+	if s.nextRun(now) != request.Run {
 		return "", false
 	}
-	place = t.chooseDestination(now, a)
+	place = t.chooseDestination(now, request)
 	if place == "" {
 		return "", false
 	}
-	delete(s.waiting, a.Run)
-	s.holder = a.Run
+	delete(s.waiting, request.Run)
+	s.holder = request.Run
 	s.destination = place
 	s.expires = now + slotTimeout
 	t.grants[place] = append(t.grants[place], now)
 	return place, true
 }
 
-// End releases the slot if the run holds it, and withdraws the run's request.
+// Release releases the slot if the run holds it, and withdraws the run's request.
 func (t *Slots) Release(source, run string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -159,18 +159,18 @@
 
 // chooseDestination returns the destination of least cost; among equal ones the
 // first.
-func (t *Slots) chooseDestination(now mgclock.Millis, a SlotRequest) string {
+func (t *Slots) chooseDestination(now mgclock.Millis, request SlotRequest) string {
 	best, minCost := "", 0.0
 	// A longer copy holds up all runs that wait for the link, and their source may
 	// be reclaimed meanwhile.
-	others := float64(len(t.stateOf(a.Source).waiting) - 1)
-	for _, spot := range a.Destinations {
-		cost := spot.Cost + mgload.RunCost*float64(t.recentGrants(now, spot.Name)) + (others+copyTimeCost)*spot.CopyTime
-		if t.receivesFromOther(now, spot.Name, a.Source) {
+	others := float64(len(t.stateOf(request.Source).waiting) - 1)
+	for _, destination := range request.Destinations {
+		cost := destination.Cost + mgload.RunCost*float64(t.recentGrants(now, destination.Name)) + (others+copyTimeCost)*destination.CopyTime
+		if t.receivesFromOther(now, destination.Name, request.Source) {
 			cost += busyDestinationCost
 		}
 		if best == "" || cost < minCost {
-			best, minCost = spot.Name, cost
+			best, minCost = destination.Name, cost
 		}
 	}
 	return best
--- a/internal/request/mgmigration/slots_test.go
+++ b/internal/request/mgmigration/slots_test.go
@@ -9,16 +9,16 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-func ask(source, run string, worth float64, places ...string) SlotRequest {
-	var spots []Destination
+func newSlotRequest(source, run string, benefit float64, places ...string) SlotRequest {
+	var destinations []Destination
 	for _, place := range places {
-		spots = append(spots, Destination{Name: place})
+		destinations = append(destinations, Destination{Name: place})
 	}
 	return SlotRequest{
 		Source:       source,
 		Run:          run,
-		Benefit:      worth,
-		Destinations: spots,
+		Benefit:      benefit,
+		Destinations: destinations,
 	}
 }
 
@@ -26,73 +26,73 @@
 // others, and each stopped run stands still until all of them are done.
 func TestCopiesShareSourceLink(t *testing.T) {
 	Convey("Runs of one source", t, func() {
-		var turns Slots
-		place, ok := turns.Acquire(0, ask("s", "one", 10, "d", "e"))
+		var slots Slots
+		place, ok := slots.Acquire(0, newSlotRequest("s", "one", 10, "d", "e"))
 		So(ok, ShouldBeTrue)
 		So(place, ShouldEqual, "d")
 		Convey("get the slot one at a time", func() {
-			_, ok := turns.Acquire(1, ask("s", "two", 500, "d", "e"))
+			_, ok := slots.Acquire(1, newSlotRequest("s", "two", 500, "d", "e"))
 			So(ok, ShouldBeFalse)
-			turns.Release("s", "one")
-			place, ok := turns.Acquire(2, ask("s", "two", 500, "d", "e"))
+			slots.Release("s", "one")
+			place, ok := slots.Acquire(2, newSlotRequest("s", "two", 500, "d", "e"))
 			So(ok, ShouldBeTrue)
 			So(place, ShouldEqual, "e")
 		})
 		Convey("keep the slot while they request another destination", func() {
-			place, ok := turns.Acquire(1, ask("s", "one", 10, "e"))
+			place, ok := slots.Acquire(1, newSlotRequest("s", "one", 10, "e"))
 			So(ok, ShouldBeTrue)
 			So(place, ShouldEqual, "e")
 		})
 		Convey("get the slot in the order of benefit", func() {
-			turns.Acquire(1, ask("s", "small", 20, "d"))
-			turns.Acquire(1, ask("s", "large", 9000, "d"))
-			turns.Release("s", "one")
-			_, ok := turns.Acquire(2, ask("s", "small", 20, "d"))
+			slots.Acquire(1, newSlotRequest("s", "small", 20, "d"))
+			slots.Acquire(1, newSlotRequest("s", "large", 9000, "d"))
+			slots.Release("s", "one")
+			_, ok := slots.Acquire(2, newSlotRequest("s", "small", 20, "d"))
 			So(ok, ShouldBeFalse)
-			_, ok = turns.Acquire(2, ask("s", "large", 9000, "d"))
+			_, ok = slots.Acquire(2, newSlotRequest("s", "large", 9000, "d"))
 			So(ok, ShouldBeTrue)
 		})
 		Convey("are not blocked by a holder that died", func() {
-			_, ok := turns.Acquire(slotTimeout, ask("s", "two", 500, "d"))
+			_, ok := slots.Acquire(slotTimeout, newSlotRequest("s", "two", 500, "d"))
 			So(ok, ShouldBeTrue)
 		})
 		Convey("are not blocked by a waiting run whose entry died", func() {
-			turns.Acquire(1, ask("s", "large", 9000, "d"))
-			turns.Release("s", "one")
-			_, ok := turns.Acquire(requestTTL+2, ask("s", "two", 500, "d"))
+			slots.Acquire(1, newSlotRequest("s", "large", 9000, "d"))
+			slots.Release("s", "one")
+			_, ok := slots.Acquire(requestTTL+2, newSlotRequest("s", "two", 500, "d"))
 			So(ok, ShouldBeTrue)
 		})
 		Convey("of another source don't wait for them, and get another destination", func() {
-			place, ok := turns.Acquire(1, ask("other", "two", 10, "d", "e"))
+			place, ok := slots.Acquire(1, newSlotRequest("other", "two", 10, "d", "e"))
 			So(ok, ShouldBeTrue)
 			So(place, ShouldEqual, "e")
 		})
 		Convey("leave no state behind", func() {
-			turns.Release("s", "one")
-			So(len(turns.sources), ShouldEqual, 0)
+			slots.Release("s", "one")
+			So(len(slots.sources), ShouldEqual, 0)
 		})
 	})
 	Convey("Many runs spread over the destinations", t, func() {
-		var turns Slots
+		var slots Slots
 		got := map[string]int{}
 		for n := range 12 {
 			run := fmt.Sprint(n)
-			place, ok := turns.Acquire(mgclock.Millis(n), ask("s", run, 1, "d", "e", "f"))
+			place, ok := slots.Acquire(mgclock.Millis(n), newSlotRequest("s", run, 1, "d", "e", "f"))
 			So(ok, ShouldBeTrue)
 			got[place]++
-			turns.Release("s", run)
+			slots.Release("s", run)
 		}
 		So(got, ShouldResemble, map[string]int{"d": 4, "e": 4, "f": 4})
 	})
 	Convey("A loaded destination is granted less often", t, func() {
-		var turns Slots
-		a := ask("s", "one", 1, "crowded", "free")
+		var slots Slots
+		a := newSlotRequest("s", "one", 1, "crowded", "free")
 		a.Destinations[0].Cost = 500
-		place, _ := turns.Acquire(0, a)
+		place, _ := slots.Acquire(0, a)
 		So(place, ShouldEqual, "free")
 	})
 	Convey("Where others wait for the link, a destination with a shorter copy is chosen", t, func() {
-		a := ask("s", "one", 9, "far", "near")
+		a := newSlotRequest("s", "one", 9, "far", "near")
 		a.Destinations[0].CopyTime = 380
 		a.Destinations[1].CopyTime = 190
 		a.Destinations[1].Cost = 700
@@ -100,14 +100,14 @@
 		place, _ := alone.Acquire(0, a)
 		So(place, ShouldEqual, "far")
 		for n := range 4 {
-			crowded.Acquire(0, ask("s", fmt.Sprint("waits", n), 1))
+			crowded.Acquire(0, newSlotRequest("s", fmt.Sprint("waits", n), 1))
 		}
 		place, _ = crowded.Acquire(0, a)
 		So(place, ShouldEqual, "near")
 	})
 	Convey("A run without a destination gets no slot", t, func() {
-		var turns Slots
-		_, ok := turns.Acquire(0, ask("s", "one", 1))
+		var slots Slots
+		_, ok := slots.Acquire(0, newSlotRequest("s", "one", 1))
 		So(ok, ShouldBeFalse)
 	})
 }
--- a/internal/request/mgoperation/key.go
+++ b/internal/request/mgoperation/key.go
@@ -30,7 +30,7 @@
 	Idempotent bool
 }
 
-// Weigh returns the guarantee for a call and, if it is Pinned, the operation
+// PromiseFor returns the guarantee for a call and, if it is Pinned, the operation
 // that its key names. A key made by the caller is refused for a service whose
 // calls may not be repeated.
 //
--- a/internal/request/mgoperation/operation.go
+++ b/internal/request/mgoperation/operation.go
@@ -63,7 +63,7 @@
 }
 
 // Open returns the operation that text names, if it was minted for account and
-// service. Any other text gives the problem Missing.
+// service. Any other text gives the problem NotFound.
 func Open(seal *mgseal.Signer, account, service, text string) (Operation, error) {
 	fields, err := seal.Open(kind, account, text)
 	if err != nil || len(fields) != 5 || fields[2] != service {
--- a/internal/request/mgquarantine/doc.go
+++ b/internal/request/mgquarantine/doc.go
@@ -30,7 +30,7 @@
 //
 // # State
 //
-// Evidence and answers are stored as records of type Note. Records are only added, so that
+// Evidence and answers are stored as records of type Record. Records are only added, so that
 // processes can exchange them in any order and more than once (a grow-only set). Each
 // record carries its age instead of a time. Nothing is persisted.
 //
--- a/internal/request/mgquarantine/exchange.go
+++ b/internal/request/mgquarantine/exchange.go
@@ -4,7 +4,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Take merges records of other processes. Records that can't be used are skipped, and
+// Merge merges records of other processes. Records that can't be used are skipped, and
 // returned with the reason.
 func (q *Quarantine) Merge(now mgclock.Millis, records []Record) (invalid []*InvalidRecordError) {
 	q.mu.Lock()
@@ -56,12 +56,12 @@
 	return true, isUpdate
 }
 
-// News returns the records that this process learned recently and therefore broadcasts.
+// RecentRecords returns the records that this process learned recently and therefore broadcasts.
 func (q *Quarantine) RecentRecords(now mgclock.Millis) []Record {
 	return q.collect(now, func(s storedRecord) bool { return now < s.learnedAt+broadcastWindow })
 }
 
-// Lacking returns the records that a process with these Sums may be missing.
+// MissingRecords returns the records that a process with these Checksums may be missing.
 func (q *Quarantine) MissingRecords(now mgclock.Millis, theirs Checksums) []Record {
 	own := q.Checksums()
 	return q.collect(now, func(s storedRecord) bool {
@@ -82,7 +82,7 @@
 	return records
 }
 
-// Refine returns those of the received records that are known here to be older, by at least
+// OlderRecords returns those of the received records that are known here to be older, by at least
 // minAgeGain, than the sender reports, so that the sender can improve its time bounds.
 func (q *Quarantine) OlderRecords(now mgclock.Millis, received []Record) []Record {
 	q.mu.Lock()
@@ -97,16 +97,16 @@
 	return older
 }
 
-// Sums returns the checksums of all records, or nil where there are none.
+// Checksums returns the checksums of all records, or nil where there are none.
 func (q *Quarantine) Checksums() Checksums {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.records) == 0 {
 		return nil
 	}
-	sums := make(Checksums, sumBuckets)
+	checksums := make(Checksums, sumBuckets)
 	for id := range q.records {
-		sums[id.bucket()] += id.hash()
+		checksums[id.bucket()] += id.hash()
 	}
-	return sums
+	return checksums
 }
--- a/internal/request/mgquarantine/invalid.go
+++ b/internal/request/mgquarantine/invalid.go
@@ -18,25 +18,25 @@
 }
 
 // validate returns what is wrong with another process's record, or nil.
-func (n Record) validate() *InvalidRecordError {
+func (r Record) validate() *InvalidRecordError {
 	invalid := &InvalidRecordError{
-		Origin: n.Origin,
-		Number: n.Number,
+		Origin: r.Origin,
+		Number: r.Number,
 	}
-	_, err := ParseDigest(n.Digest)
+	_, err := ParseDigest(r.Digest)
 	switch {
 	case err != nil:
 		invalid.Field = "digest"
-		invalid.Value = n.Digest
-	case n.Number == 0:
+		invalid.Value = r.Digest
+	case r.Number == 0:
 		invalid.Field = "number"
 		invalid.Value = "0"
-	case n.Age < 0:
+	case r.Age < 0:
 		invalid.Field = "age"
-		invalid.Value = strconv.FormatInt(int64(n.Age), 10)
-	case n.Delay < 0:
+		invalid.Value = strconv.FormatInt(int64(r.Age), 10)
+	case r.Delay < 0:
 		invalid.Field = "delay"
-		invalid.Value = strconv.FormatInt(int64(n.Delay), 10)
+		invalid.Value = strconv.FormatInt(int64(r.Delay), 10)
 	default:
 		return nil
 	}
--- a/internal/request/mgquarantine/order.go
+++ b/internal/request/mgquarantine/order.go
@@ -20,11 +20,11 @@
 	maxOffsetDrift = 500 * mgclock.Millis(1)
 )
 
-// Watch sets the function that is called before each crash is recorded. It detects a pause
-// of the process and then calls Paused. Call Watch before the quarantine is used.
+// SetPauseCheck sets the function that is called before each crash is recorded. It detects a pause
+// of the process and then calls RecordPause. Call SetPauseCheck before the quarantine is used.
 func (q *Quarantine) SetPauseCheck(checkPause func()) { q.checkPause = checkPause }
 
-// Paused records that the process, or its clock, stood still until now. Attempts that were
+// RecordPause records that the process, or its clock, stood still until now. Attempts that were
 // in progress say nothing about the order of crashes: their ends may have been seen late,
 // and other processes' records can't be placed in the time before.
 func (q *Quarantine) RecordPause(now mgclock.Millis) {
--- a/internal/request/mgquarantine/quarantine.go
+++ b/internal/request/mgquarantine/quarantine.go
@@ -33,7 +33,7 @@
 type Quarantine struct {
 	origin     string
 	runsTrial  func(Digest) bool // see New
-	checkPause func()            // see Watch
+	checkPause func()            // see SetPauseCheck
 	state      atomic.Pointer[state]
 
 	mu             sync.Mutex
@@ -83,7 +83,7 @@
 	Delay    mgclock.Millis // how long before it was seen the upstream may have ended
 }
 
-// Crashed records a crash that was seen now.
+// RecordCrash records a crash that was seen now.
 func (q *Quarantine) RecordCrash(now mgclock.Millis, c Crash) {
 	if q.checkPause != nil {
 		q.checkPause()
@@ -97,7 +97,7 @@
 	})
 }
 
-// Answered records that an upstream answered a request. It has an effect only where there
+// RecordAnswer records that an upstream answered a request. It has an effect only where there
 // is evidence against the request.
 func (q *Quarantine) RecordAnswer(now mgclock.Millis, digest Digest) {
 	if current := q.state.Load(); current == nil || current.suspicions[digest].occurrences == 0 {
@@ -106,7 +106,7 @@
 	q.addOwn(now, digest, Record{})
 }
 
-// Watching reports whether there is evidence against any request, so that computing a
+// HasSuspects reports whether there is evidence against any request, so that computing a
 // Digest is worth its cost.
 func (q *Quarantine) HasSuspects() bool {
 	current := q.state.Load()
--- a/internal/request/mgquarantine/record.go
+++ b/internal/request/mgquarantine/record.go
@@ -8,7 +8,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Note is the record of what one process has seen of a request, as it is exchanged.
+// A Record is the record of what one process has seen of a request, as it is exchanged.
 type Record struct {
 	Origin   string         `json:"origin"` // the incarnation of the process that made the record
 	Number   uint64         `json:"number"` // counts the origin's records from 1
@@ -41,22 +41,22 @@
 }
 
 // hash returns a hash of the ID.
-func (n recordID) hash() uint64 { return xxhash.Sum64String(n.origin) ^ n.number*hashMultiplier }
+func (id recordID) hash() uint64 { return xxhash.Sum64String(id.origin) ^ id.number*hashMultiplier }
 
 // hashMultiplier is 2^64 divided by the golden ratio: multiples of it by consecutive
 // numbers differ in their high bits (multiplicative hashing, D. Knuth, The Art of Computer
 // Programming 3, 6.4).
 const hashMultiplier = 0x9e3779b97f4a7c15
 
-// bucket returns the index in Sums that covers the record.
-func (n recordID) bucket() int { return int(n.hash() >> (64 - sumBits)) }
+// bucket returns the index in Checksums that covers the record.
+func (id recordID) bucket() int { return int(id.hash() >> (64 - sumBits)) }
 
 const (
 	sumBits    = 5
 	sumBuckets = 1 << sumBits
 )
 
-// Sums are checksums of the records, one for each bucket of them. By these, two processes
+// Checksums are checksums of the records, one for each bucket of them. By these, two processes
 // find the buckets in which their records differ. Nil stands for no records.
 type Checksums []uint64
 
@@ -77,10 +77,10 @@
 }
 
 // id returns the record's ID.
-func (n Record) id() recordID {
+func (r Record) id() recordID {
 	return recordID{
-		origin: n.Origin,
-		number: n.Number,
+		origin: r.Origin,
+		number: r.Number,
 	}
 }
 
--- a/internal/request/mgquarantine/verdict.go
+++ b/internal/request/mgquarantine/verdict.go
@@ -21,7 +21,7 @@
 // Occurrences returns how many crash occurrences are attributed to the request.
 func (v Verdict) Occurrences() int { return v.occurrences }
 
-// Left returns how long the request is still held, 0 where it isn't.
+// Remaining returns how long the request is still held, 0 where it isn't.
 func (v Verdict) Remaining() mgclock.Millis { return v.remaining }
 
 // Evidence returns the records of the crashes, the newest first.
--- a/internal/request/mgrest/rest.go
+++ b/internal/request/mgrest/rest.go
@@ -27,7 +27,7 @@
 	inFlight int // requests in flight that were sent after the rest
 }
 
-// Ask records that an upstream asked for a rest of a duration. A shorter one
+// Begin begins a rest of a duration that an upstream asked for. A shorter one
 // doesn't end an earlier one sooner.
 func (r *Rests) Begin(now mgclock.Millis, upstream string, duration mgclock.Millis) {
 	r.mu.Lock()
@@ -44,7 +44,7 @@
 	current.window = 1
 }
 
-// Left returns the remaining time of an upstream's rest, 0 if it has none.
+// Remaining returns the remaining time of an upstream's rest, 0 if it has none.
 func (r *Rests) Remaining(now mgclock.Millis, upstream string) mgclock.Millis {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,7 +54,7 @@
 	return 0
 }
 
-// Takes reports whether a request may be sent to an upstream now.
+// CanSend reports whether a request may be sent to an upstream now.
 func (r *Rests) CanSend(now mgclock.Millis, upstream string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,7 +64,7 @@
 
 func (r *rest) accepts(now mgclock.Millis) bool { return now >= r.until && r.inFlight < r.window }
 
-// Take reports whether a request may be sent to an upstream now, and counts it.
+// Acquire reports whether a request may be sent to an upstream now, and counts it.
 // The caller calls ended at the request's end, with whether the upstream
 // answered it.
 func (r *Rests) Acquire(now mgclock.Millis, upstream string) (ended func(answered bool), ok bool) {
--- a/internal/request/mgretry/budget.go
+++ b/internal/request/mgretry/budget.go
@@ -27,7 +27,7 @@
 	limit atomic.Int64 // whole retries, 0 for DefaultLimit
 }
 
-// Bound sets the maximum of retries in the budget, where several processes
+// SetLimit sets the maximum of retries in the budget, where several processes
 // share a service's budget.
 func (b *Budget) SetLimit(limit int) { b.limit.Store(int64(limit)) }
 
--- a/internal/request/mgretry/budgets.go
+++ b/internal/request/mgretry/budgets.go
@@ -16,7 +16,7 @@
 	limit int // of each budget, 0 for DefaultLimit
 }
 
-// Bound sets the maximum of retries in each budget; see Budget.Bound.
+// SetLimit sets the maximum of retries in each budget; see Budget.SetLimit.
 func (s *Budgets) SetLimit(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/request/mgretry/hedge.go
+++ b/internal/request/mgretry/hedge.go
@@ -27,7 +27,7 @@
 	counts [bucketCount]atomic.Int64
 }
 
-// Answered records the delay of an answered lookup. Ratio is the fraction of a
+// Observe records the delay of an answered lookup. Ratio is the fraction of a
 // second copy that it earns, from 0 to 1.
 func (h *Hedge) Observe(delay mgclock.Millis, ratio float64) {
 	h.budget.Earn(ratio)
@@ -37,7 +37,7 @@
 	}
 }
 
-// After returns the delay after which a second copy should be sent, or false
+// Delay returns the delay after which a second copy should be sent, or false
 // while there are fewer than minSamples delays.
 func (h *Hedge) Delay() (mgclock.Millis, bool) {
 	total := h.total.Load()
--- a/internal/request/mgrouting/fleet.go
+++ b/internal/request/mgrouting/fleet.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultCount is the number of upstreams queried per request. The step from
+// DefaultCandidates is the number of upstreams queried per request. The step from
 // one to two brings most of the gain (Mitzenmacher 2001); the third is the one
 // with the prefix.
 const DefaultCandidates = 3
@@ -94,7 +94,7 @@
 // Upstream returns the upstream with an index of the list.
 func (f *Fleet) Upstream(i int) *Upstream { return &f.upstreams[i].upstream }
 
-// Flights returns the number of this entry's requests in flight to an upstream.
+// InFlight returns the number of this entry's requests in flight to an upstream.
 func (f *Fleet) InFlight(i int) int { return int(f.upstreams[i].state.inFlight.Load()) }
 
 // Started records that a request was sent to an upstream.
@@ -103,7 +103,7 @@
 // Ended records that a request to an upstream ended.
 func (f *Fleet) Ended(i int) { f.upstreams[i].state.inFlight.Add(-1) }
 
-// Leave excludes an upstream that announced its leaving, before the list shows
+// MarkLeaving excludes an upstream that announced its leaving, before the list shows
 // it.
 func (f *Fleet) MarkLeaving(i int) { f.upstreams[i].state.leaving.Store(true) }
 
--- a/internal/request/mgrouting/spec.go
+++ b/internal/request/mgrouting/spec.go
@@ -17,7 +17,7 @@
 	Prefix uint64 // hash of the prompt's leading blocks, 0 for none
 	Zone   string // of the entry
 	Region string // of the entry
-	Count  int    // candidates wanted, 0 for DefaultCount
+	Count  int    // candidates wanted, 0 for DefaultCandidates
 	Prompt int    // tokens
 	Output int    // expected tokens
 }
--- a/internal/request/mgscheduler/doc.go
+++ b/internal/request/mgscheduler/doc.go
@@ -17,7 +17,7 @@
 // (backfilling, Lifka 1995), up to a total that depends on its own cost: an unlimited
 // number of them would keep a long prompt waiting forever.
 //
-// The engine's reports lag, so the scheduler counts by itself what it started; Used only
+// The engine's reports lag, so the scheduler counts by itself what it started; ReportUsed only
 // reports memory that something else holds.
 //
 // A Scheduler has no clock, no network and no goroutine, and isn't safe for concurrent use:
--- a/internal/request/mgscheduler/scheduler.go
+++ b/internal/request/mgscheduler/scheduler.go
@@ -13,7 +13,7 @@
 // than its share, and large enough to cost nothing per token.
 const chargeStep = 64
 
-// DefaultPassing limits the cost of the requests that may overtake one that waits for
+// DefaultOvertaking limits the cost of the requests that may overtake one that waits for
 // memory, as a multiple of that one's cost. The memory that they take becomes free before
 // much of that which it waits for, and the limit on their cost bounds its wait. Without
 // overtaking, lookups wait among very long reports; with a higher limit, heavy accounts get
@@ -179,7 +179,7 @@
 	}
 }
 
-// Preempted records that the upstream took a running request's memory away. The memory
+// RecordPreemption records that the upstream took a running request's memory away. The memory
 // stays counted, since the request takes it again before it ends.
 func (s *Scheduler) RecordPreemption(_ mgclock.Millis, id string) {
 	if j := s.jobs[id]; j != nil && j.isRunning {
@@ -199,7 +199,7 @@
 	s.finishJob(now, j)
 }
 
-// Rest returns the expected time until a running request is complete.
+// Remaining returns the expected time until a running request is complete.
 func (s *Scheduler) Remaining(id string) mgclock.Millis {
 	j := s.jobs[id]
 	if j == nil || !j.isRunning {
@@ -220,7 +220,7 @@
 	}
 }
 
-// Used records the upstream's own count of used memory, which lags.
+// ReportUsed records the upstream's own count of used memory, which lags.
 func (s *Scheduler) ReportUsed(_ mgclock.Millis, tokens int64) {
 	s.gate.RecordUsed(tokens)
 }
@@ -229,7 +229,7 @@
 // up takes only part of its batch. Answers beyond a lower limit keep running.
 func (s *Scheduler) Limit(_ mgclock.Millis, batch int) { s.gate.SetBatch(batch) }
 
-// Leaving refuses new requests from now on, and the next Poll gives up those that wait.
+// Leave refuses new requests from now on, and the next Poll gives up those that wait.
 // Running requests continue.
 func (s *Scheduler) Leave(mgclock.Millis) { s.isLeaving = true }
 
--- a/internal/request/mgscheduler/spec.go
+++ b/internal/request/mgscheduler/spec.go
@@ -28,7 +28,7 @@
 	Steady     float64          // z of other steady answers under mgadmission.OverflowProbability
 	Whole      float64          // z of whole answers under mgadmission.OverflowProbability
 	Loan       float64          // tokens lent to each priority level, 0 for mgqueue.DefaultLoan, negative for none
-	Overtaking float64          // cost that may overtake a waiting request, as a multiple of its own, 0 for DefaultPassing, negative for none
+	Overtaking float64          // cost that may overtake a waiting request, as a multiple of its own, 0 for DefaultOvertaking, negative for none
 }
 
 // policies holds the policies by name. Those other than "ours" are its earlier versions and
@@ -80,7 +80,7 @@
 	},
 }
 
-// Named returns the policy with a name.
+// PolicyByName returns the policy with a name.
 func PolicyByName(name string) (Policy, error) {
 	p, ok := policies[name]
 	if !ok {
@@ -89,7 +89,7 @@
 	return p, nil
 }
 
-// Names returns the sorted names of all policies.
+// PolicyNames returns the sorted names of all policies.
 func PolicyNames() []string {
 	names := make([]string, 0, len(policies))
 	for name := range policies {
--- a/internal/request/mgwaitlist/limit_test.go
+++ b/internal/request/mgwaitlist/limit_test.go
@@ -24,7 +24,7 @@
 	newRoom := func(count int, end mgclock.Millis) *WaitingList {
 		var r WaitingList
 		for n := range count {
-			w := newWait(fmt.Sprint("report ", n), 100, 100)
+			w := newRequest(fmt.Sprint("report ", n), 100, 100)
 			w.End = end
 			r.Add(w)
 		}
--- a/internal/request/mgwaitlist/read_test.go
+++ b/internal/request/mgwaitlist/read_test.go
@@ -55,7 +55,7 @@
 	capacity := engines * mgload.ReadRate / prompt // requests per ms
 	read := mgclock.Millis(math.Ceil(prompt / mgload.ReadRate))
 	r := rand.New(rand.NewPCG(3, 4))
-	var room WaitingList
+	var waitingList WaitingList
 	list := make([]readingEngine, engines)
 	came := map[string]mgclock.Millis{}
 	asked, onTime := 0.0, 0.0
@@ -68,7 +68,7 @@
 			name := fmt.Sprint(len(came))
 			came[name] = now
 			asked++
-			room.Add(Request{
+			waitingList.Add(Request{
 				Name:     name,
 				Need:     prompt,
 				Duration: read,
@@ -89,8 +89,8 @@
 			}
 			places = append(places, place)
 		}
-		room.assignments = nil // the engines here show their grants at once
-		for _, g := range room.Assign(now, places) {
+		waitingList.assignments = nil // the engines here show their grants at once
+		for _, g := range waitingList.Assign(now, places) {
 			var index int
 			if _, err := fmt.Sscan(g.Place, &index); err != nil {
 				continue // the request was given up
--- a/internal/request/mgwaitlist/return_test.go
+++ b/internal/request/mgwaitlist/return_test.go
@@ -29,13 +29,13 @@
 	capacity := engines * mgload.ReadRate / prompt // requests per ms
 	read := mgclock.Millis(math.Ceil(prompt / mgload.ReadRate))
 	r := rand.New(rand.NewPCG(5, 6))
-	var room WaitingList
+	var waitingList WaitingList
 	list := make([]readingEngine, engines)
 	var callers []*returningCaller
 	refusals := 0.0
 	add := func(now mgclock.Millis, index int) {
 		callers[index].attempts++
-		room.Add(Request{
+		waitingList.Add(Request{
 			Name:     fmt.Sprint(index),
 			Need:     prompt,
 			Duration: read,
@@ -68,8 +68,8 @@
 				Pending: list[i].pending(),
 			})
 		}
-		room.assignments = nil // the engines here show their grants at once
-		for _, g := range room.Assign(now, places) {
+		waitingList.assignments = nil // the engines here show their grants at once
+		for _, g := range waitingList.Assign(now, places) {
 			var index, place int
 			_, _ = fmt.Sscan(g.Name, &index)
 			c := callers[index]
--- a/internal/request/mgwaitlist/share.go
+++ b/internal/request/mgwaitlist/share.go
@@ -37,10 +37,10 @@
 
 // overUsers returns the accounts that have had more than their share, where the memory is
 // shared among those with recent grants and those that wait.
-func (s *shares) overUsers(now mgclock.Millis, waits []Request) map[string]bool {
+func (s *shares) overUsers(now mgclock.Millis, requests []Request) map[string]bool {
 	active := map[string]bool{}
-	for _, w := range waits {
-		active[w.Account] = true
+	for _, r := range requests {
+		active[r.Account] = true
 	}
 	total := 0.0
 	for account, p := range s.rates {
--- a/internal/request/mgwaitlist/share_test.go
+++ b/internal/request/mgwaitlist/share_test.go
@@ -17,7 +17,7 @@
 func simulateFlood(hasAccounts bool) (others, flooder float64) {
 	const accounts, span, step = 10, 60 * mgclock.Second, 20 * mgclock.Millis(1)
 	r := rand.New(rand.NewPCG(1, 2))
-	var room WaitingList
+	var waitingList WaitingList
 	type run struct {
 		need int
 		end  mgclock.Millis
@@ -36,7 +36,7 @@
 				continue
 			}
 			number++
-			w := newWait(fmt.Sprint(number), 3000, now+1500)
+			w := newRequest(fmt.Sprint(number), 3000, now+1500)
 			w.Duration = 4000
 			w.Arrived = now
 			w.End = now + 5000
@@ -45,7 +45,7 @@
 			}
 			owner[w.Name], due[w.Name] = account, w.Due
 			asked[account]++
-			room.Add(w)
+			waitingList.Add(w)
 		}
 		free := 60000 // twenty requests at once, for a demand of 27
 		kept := runs[:0]
@@ -57,8 +57,8 @@
 		}
 		runs = kept
 		// The runs here show their grants at once.
-		room.assignments = nil
-		for _, g := range room.Assign(now, []Place{{Name: "all", Free: free}}) {
+		waitingList.assignments = nil
+		for _, g := range waitingList.Assign(now, []Place{{Name: "all", Free: free}}) {
 			if g.Place == "" {
 				continue
 			}
--- a/internal/request/mgwaitlist/waitinglist.go
+++ b/internal/request/mgwaitlist/waitinglist.go
@@ -29,7 +29,7 @@
 	maxReadWaitMs = 400.0
 )
 
-// A Wait is a request on the waiting list.
+// A Request is a request on the waiting list.
 type Request struct {
 	Name     string
 	Account  string         // client account of the request
@@ -42,7 +42,7 @@
 }
 
 // work returns the request's size, in tokens times ms.
-func (w Request) work() int64 { return int64(w.Need) * int64(max(w.Duration, 1)) }
+func (r Request) work() int64 { return int64(r.Need) * int64(max(r.Duration, 1)) }
 
 // A Place is the reported state of an upstream at which requests can be placed.
 type Place struct {
@@ -66,14 +66,14 @@
 
 // canTake reports whether a request can be placed there: there is memory for it, its prompt
 // is read soon, and neither the ramp of a cold upstream nor a rate limit is exceeded.
-func (p *Place) canTake(w Request) bool {
+func (p *Place) canTake(r Request) bool {
 	if p.Ramp > 0 && p.recentGrants >= p.Ramp {
 		return false
 	}
 	if p.Limited && p.Permits < 1 {
 		return false
 	}
-	return p.Free >= w.Need && float64(p.Pending)/mgload.ReadRate <= maxReadWaitMs
+	return p.Free >= r.Need && float64(p.Pending)/mgload.ReadRate <= maxReadWaitMs
 }
 
 // A Grant gives a request its place, or gives the request up.
@@ -89,8 +89,8 @@
 	at     mgclock.Millis
 }
 
-// A Room is the waiting list of one service. The zero Room is empty. It isn't safe for
-// concurrent use.
+// A WaitingList is the waiting list of one service. The zero WaitingList is empty. It isn't
+// safe for concurrent use.
 type WaitingList struct {
 	waiting     []Request
 	assignments map[string][]assignment // by name of the place
@@ -113,28 +113,28 @@
 	s := State{
 		Waiting: len(r.waiting),
 	}
-	for _, w := range r.waiting {
-		if now > w.Due {
+	for _, request := range r.waiting {
+		if now > request.Due {
 			s.Late++
 		}
-		s.Age = max(s.Age, now-w.Arrived)
+		s.Age = max(s.Age, now-request.Arrived)
 	}
 	return s
 }
 
 // Add appends a request to the waiting list, unless it is on it.
-func (r *WaitingList) Add(w Request) {
-	if !slices.ContainsFunc(r.waiting, func(other Request) bool { return other.Name == w.Name }) {
-		r.waiting = append(r.waiting, w)
+func (r *WaitingList) Add(request Request) {
+	if !slices.ContainsFunc(r.waiting, func(other Request) bool { return other.Name == request.Name }) {
+		r.waiting = append(r.waiting, request)
 	}
 }
 
-// Drop removes a request from the waiting list.
+// Remove removes a request from the waiting list.
 func (r *WaitingList) Remove(name string) {
 	r.waiting = slices.DeleteFunc(r.waiting, func(w Request) bool { return w.Name == name })
 }
 
-// Look assigns waiting requests to the places that can take them, and gives up those whose
+// Assign assigns waiting requests to the places that can take them, and gives up those whose
 // end has come or that can't get a permit before it. It modifies places: each grant is
 // subtracted from its place.
 func (r *WaitingList) Assign(now mgclock.Millis, places []Place) []Grant {
@@ -147,27 +147,27 @@
 	rate, isLimited := limitedRate(places)
 	var grants []Grant
 	stillWaiting := r.waiting[:0]
-	for _, w := range r.waiting {
-		place := cheapest(places, w)
+	for _, request := range r.waiting {
+		place := cheapest(places, request)
 		switch {
 		case place != nil && len(stillWaiting) <= maxOvertakes:
-			r.assign(now, w, place)
+			r.assign(now, request, place)
 			grants = append(grants, Grant{
-				Name:  w.Name,
+				Name:  request.Name,
 				Place: place.Name,
 			})
-		case now >= w.End:
+		case now >= request.End:
 			grants = append(grants, Grant{
-				Name:  w.Name,
+				Name:  request.Name,
 				Retry: r.retryAfter(now),
 			})
-		case isLimited && now+timeToTurn(len(stillWaiting), rate) > w.End:
+		case isLimited && now+timeToTurn(len(stillWaiting), rate) > request.End:
 			grants = append(grants, Grant{
-				Name:  w.Name,
+				Name:  request.Name,
 				Retry: min(max(timeToTurn(len(stillWaiting), rate), minRetry), maxRetry),
 			})
 		default:
-			stillWaiting = append(stillWaiting, w)
+			stillWaiting = append(stillWaiting, request)
 		}
 	}
 	r.waiting = stillWaiting
@@ -192,13 +192,13 @@
 	return mgclock.Millis(float64(before+1) / rate * float64(mgclock.Second))
 }
 
-// Close gives up all waiting requests, for a service none of whose upstreams may be given
+// GiveUpAll gives up all waiting requests, for a service none of whose upstreams may be given
 // work. A caller that learns this at once can come back in time; one that waits can't.
 func (r *WaitingList) GiveUpAll() []Grant {
 	grants := make([]Grant, 0, len(r.waiting))
-	for _, w := range r.waiting {
+	for _, request := range r.waiting {
 		grants = append(grants, Grant{
-			Name:  w.Name,
+			Name:  request.Name,
 			Retry: maxRetry,
 		})
 	}
@@ -210,8 +210,8 @@
 // which memory was granted recently.
 func (r *WaitingList) retryAfter(now mgclock.Millis) mgclock.Millis {
 	need := 0
-	for _, w := range r.waiting {
-		need += w.Need
+	for _, request := range r.waiting {
+		need += request.Need
 	}
 	return min(max(r.grantRate.timeToGrant(now, need), minRetry), maxRetry)
 }
@@ -234,41 +234,41 @@
 }
 
 // weightedWork returns a request's size with the weight of its account.
-func weightedWork(over map[string]bool, w Request) int64 {
-	if over[w.Account] {
-		return overShareWeight * w.work()
+func weightedWork(over map[string]bool, r Request) int64 {
+	if over[r.Account] {
+		return overShareWeight * r.work()
 	}
-	return w.work()
+	return r.work()
 }
 
 // cheapest returns the cheapest place that can take a request, or nil.
-func cheapest(places []Place, w Request) *Place {
+func cheapest(places []Place, request Request) *Place {
 	var best *Place
 	minCost := 0.0
 	for i := range places {
 		p := &places[i]
-		cost := p.Cost + p.TokenCost*float64(w.Output)
-		if p.canTake(w) && (best == nil || cost < minCost) {
+		cost := p.Cost + p.TokenCost*float64(request.Output)
+		if p.canTake(request) && (best == nil || cost < minCost) {
 			best, minCost = p, cost
 		}
 	}
 	return best
 }
 
-func (r *WaitingList) assign(now mgclock.Millis, w Request, place *Place) {
+func (r *WaitingList) assign(now mgclock.Millis, request Request, place *Place) {
 	if r.assignments == nil {
 		r.assignments = map[string][]assignment{}
 	}
 	g := assignment{
-		tokens: w.Need,
+		tokens: request.Need,
 		at:     now,
 	}
 	r.assignments[place.Name] = append(r.assignments[place.Name], g)
 	place.reserve(g)
 	place.recentGrants++
 	place.Permits--
-	r.grantRate.add(now, w.Need)
-	r.shares.add(now, w.Account, w.Need)
+	r.grantRate.add(now, request.Need)
+	r.shares.add(now, request.Account, request.Need)
 }
 
 // reserve subtracts a grant that the reports of the place don't show yet.
--- a/internal/request/mgwaitlist/waitinglist_test.go
+++ b/internal/request/mgwaitlist/waitinglist_test.go
@@ -9,7 +9,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-func newWait(name string, need int, due mgclock.Millis) Request {
+func newRequest(name string, need int, due mgclock.Millis) Request {
 	return Request{
 		Name:     name,
 		Need:     need,
@@ -51,27 +51,27 @@
 	}{
 		{
 			name:  "goes where there is memory, not where it is cheapest",
-			waits: []Request{newWait("report", 3000, 100)},
+			waits: []Request{newRequest("report", 3000, 100)},
 			want:  "report at roomy, ",
 		},
 		{
 			name:  "goes to the cheapest of those with memory",
-			waits: []Request{newWait("note", 900, 100)},
+			waits: []Request{newRequest("note", 900, 100)},
 			want:  "note at full, ",
 		},
 		{
 			name:  "goes before a larger one",
-			waits: []Request{newWait("report", 3000, 100), newWait("note", 2500, 100)},
+			waits: []Request{newRequest("report", 3000, 100), newRequest("note", 2500, 100)},
 			want:  "note at roomy, ",
 		},
 		{
 			name:  "goes before one that is late, though larger",
-			waits: []Request{newWait("late", 2500, -1), newWait("report", 3000, 100)},
+			waits: []Request{newRequest("late", 2500, -1), newRequest("report", 3000, 100)},
 			want:  "report at roomy, ",
 		},
 		{
 			name:  "overtakes one that fits nowhere",
-			waits: []Request{newWait("late", 9000, -1), newWait("later", 900, -1)},
+			waits: []Request{newRequest("late", 9000, -1), newRequest("later", 900, -1)},
 			want:  "later at full, ",
 		},
 	}
@@ -100,40 +100,40 @@
 					Cost: 1000,
 				},
 			}
-			long := newWait("report", 3000, 100)
+			long := newRequest("report", 3000, 100)
 			long.Output = 900
 			r.Add(long)
 			So(describeGrants(r.Assign(0, slow)), ShouldEqual, "report at busy, ")
-			r.Add(newWait("note", 900, 100))
+			r.Add(newRequest("note", 900, 100))
 			So(describeGrants(r.Assign(0, slow)), ShouldEqual, "note at slow, ")
 		})
 		Convey("waits once, however often it is added", func() {
 			var r WaitingList
-			r.Add(newWait("report", 9000, 100))
-			r.Add(newWait("report", 9000, 100))
+			r.Add(newRequest("report", 9000, 100))
+			r.Add(newRequest("report", 9000, 100))
 			So(r.Len(), ShouldEqual, 1)
 			r.Remove("report")
 			So(r.Assign(0, places()), ShouldBeEmpty)
 		})
 		Convey("doesn't get memory that was granted just before", func() {
 			var r WaitingList
-			r.Add(newWait("first", 3000, 100))
+			r.Add(newRequest("first", 3000, 100))
 			So(describeGrants(r.Assign(0, places())), ShouldEqual, "first at roomy, ")
-			r.Add(newWait("second", 3000, 100))
+			r.Add(newRequest("second", 3000, 100))
 			So(r.Assign(reportDelay-1, places()), ShouldBeEmpty)
 			So(describeGrants(r.Assign(reportDelay, places())), ShouldEqual, "second at roomy, ")
 		})
 		Convey("is given up at its end, with the time that the list takes as its retry time", func() {
 			var r WaitingList
 			for n := range 10 {
-				r.Add(newWait(fmt.Sprint("served", n), 3000, 100))
+				r.Add(newRequest(fmt.Sprint("served", n), 3000, 100))
 				r.Assign(mgclock.Millis(n)*reportDelay, places())
 			}
 			now := 10 * reportDelay
 			for n := range 20 {
-				r.Add(newWait(fmt.Sprint("large", n), 9000, -1))
+				r.Add(newRequest(fmt.Sprint("large", n), 9000, -1))
 			}
-			late := newWait("late", 9000, -1)
+			late := newRequest("late", 9000, -1)
 			late.End = now
 			r.Add(late)
 			grants := r.Assign(now, places())
@@ -145,8 +145,8 @@
 		})
 		Convey("is counted in the state: how many wait, how many are late, since when", func() {
 			var r WaitingList
-			r.Add(newWait("on time", 9000, 100))
-			late := newWait("late", 9000, 40)
+			r.Add(newRequest("on time", 9000, 100))
+			late := newRequest("late", 9000, 40)
 			late.Arrived = -60
 			r.Add(late)
 			So(r.State(50), ShouldResemble, State{
@@ -158,7 +158,7 @@
 		Convey("overtakes only a few", func() {
 			var r WaitingList
 			for n := range maxOvertakes + 1 {
-				r.Add(newWait(fmt.Sprint("large", n), 9000, -1))
+				r.Add(newRequest(fmt.Sprint("large", n), 9000, -1))
 			}
 			r.Add(Request{
 				Name:    "small",
--- a/internal/request/mgwarm/warm.go
+++ b/internal/request/mgwarm/warm.go
@@ -22,10 +22,10 @@
 	turnDuration = mgclock.Second
 )
 
-// Placed returns how many placements per second one process may grant at a cold
-// upstream, if givers processes grant placements there.
-func PlacementLimit(rate float64, givers int) int {
-	return max(int(rate*placedFraction)/max(givers, 1), 1)
+// PlacementLimit returns how many placements per second one process may grant at a cold
+// upstream, if granters processes grant placements there.
+func PlacementLimit(rate float64, granters int) int {
+	return max(int(rate*placedFraction)/max(granters, 1), 1)
 }
 
 // Turns holds one process's turns at cold upstreams. The zero Turns has used
--- a/internal/request/mgwarm/warm_test.go
+++ b/internal/request/mgwarm/warm_test.go
@@ -64,27 +64,27 @@
 func TestPlacementsExceedRate(t *testing.T) {
 	Convey("What processes grant together", t, func() {
 		for _, c := range []struct {
-			rate   float64
-			givers int
-			want   int
+			rate     float64
+			granters int
+			want     int
 		}{
 			{
-				rate:   25,
-				givers: 1,
-				want:   12,
+				rate:     25,
+				granters: 1,
+				want:     12,
 			},
 			{
-				rate:   25,
-				givers: 4,
-				want:   3,
+				rate:     25,
+				granters: 4,
+				want:     3,
 			},
 			{
-				rate:   1,
-				givers: 1,
-				want:   1,
+				rate:     1,
+				granters: 1,
+				want:     1,
 			},
 		} {
-			So(PlacementLimit(c.rate, c.givers), ShouldEqual, c.want)
+			So(PlacementLimit(c.rate, c.granters), ShouldEqual, c.want)
 		}
 	})
 }
--- a/internal/soak/mgproc/link.go
+++ b/internal/soak/mgproc/link.go
@@ -76,7 +76,7 @@
 	return len(open)
 }
 
-// Silence stops forwarding on the open connections for good without closing them, as
+// DropSilently stops forwarding on the open connections for good without closing them, as
 // when a middlebox has lost their state, and returns their number. New connections
 // work.
 func (l *Link) DropSilently() int {
--- a/internal/standin/mgstandin/move.go
+++ b/internal/standin/mgstandin/move.go
@@ -45,7 +45,7 @@
 	HeldTokens int                `json:"hold"` // tokens of memory
 }
 
-// Reach sets the HTTP client for calls to other engines.
+// SetClient sets the HTTP client for calls to other engines.
 func (e *Engine) SetClient(client *http.Client) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/mgstandin/text.go
+++ b/internal/standin/mgstandin/text.go
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("%s-%04x ", words[hash%uint64(len(words))], hash>>48)
 }
 
-// Whole returns the first tokens of a generation, joined.
+// FirstTokens returns the first tokens of a generation, joined.
 func FirstTokens(generation string, tokens int) string {
 	var b strings.Builder
 	for seq := 1; seq <= tokens; seq++ {
--- a/internal/version/mgconfig/doc.go
+++ b/internal/version/mgconfig/doc.go
@@ -40,7 +40,7 @@
 //
 // # The list of many VMs
 //
-// Where changes of the list of VMs must be known at once (MachineSpec.Quick), one
+// Where changes of the list of VMs must be known at once (MachineSpec.QuickInterval), one
 // process of a region reads it for all others; see longpoll.go. Where the platform
 // lists no processes, they learn of one another by gossip; see gossip.go.
 //
--- a/internal/version/mgconfig/longpoll.go
+++ b/internal/version/mgconfig/longpoll.go
@@ -61,10 +61,10 @@
 	maxLongPollDelay = maxListFetchInterval
 )
 
-// A Listing is the reply to a long poll for the list of VMs.
+// A ListReply is the reply to a long poll for the list of VMs.
 type ListReply struct {
 	Report VersionReport
-	// Packed is the compressed list, or nil where the caller's list is as new.
+	// Compressed is the compressed list, or nil where the caller's list is as new.
 	Compressed []byte
 }
 
--- a/internal/version/mgconfig/loop.go
+++ b/internal/version/mgconfig/loop.go
@@ -17,8 +17,8 @@
 )
 
 // Timeouts of actions. A peer answers an exchange from memory; a fetch may carry a
-// megabyte. fetchTimeout is the default of MachineSpec.Fetch, and readTimeout of
-// MachineSpec.Answer.
+// megabyte. fetchTimeout is the default of MachineSpec.FetchTimeout, and readTimeout of
+// MachineSpec.AnswerTimeout.
 const (
 	exchangeTimeout = mgclock.Second
 	fetchTimeout    = 5 * mgclock.Second
@@ -40,15 +40,15 @@
 	Exchange func(ctx context.Context, addr string, s *mgrpc.Summary) (*mgrpc.Summary, error)
 	Fetch    func(ctx context.Context, addr string, r *mgrpc.FetchRequest) (*mgrpc.FetchReply, error)
 
-	// Listen long-polls the peer at an address for a list of VMs newer than a version.
-	// It is required where MachineSpec.Quick is set.
+	// LongPoll long-polls the peer at an address for a list of VMs newer than a version.
+	// It is required where MachineSpec.QuickInterval is set.
 	LongPoll func(ctx context.Context, addr string, after uint64, wait mgclock.Millis) (ListReply, error)
 
 	// Gossip sends records of processes to the peer at an address and returns the
 	// peer's records.
 	Gossip func(ctx context.Context, addr string, all []mgmember.Gossip) ([]mgmember.Gossip, error)
 
-	// Adopted is called with each snapshot put in force, in order. It may be nil. It
+	// OnAdopt is called with each snapshot put in force, in order. It may be nil. It
 	// must not call the loop and must return soon, such as after emitting a control
 	// event.
 	OnAdopt func(*Snapshot)
@@ -60,7 +60,7 @@
 	machine *Machine
 
 	mu                sync.Mutex
-	reported          *Snapshot     // the last snapshot passed to Adopted
+	reported          *Snapshot     // the last snapshot passed to OnAdopt
 	reportedRejection error         // the last rejection that was logged
 	reportedCordons   []string      // the cordoned availability zones that were logged last
 	tableChanged      chan struct{} // closed and replaced at each adoption
@@ -93,14 +93,14 @@
 	return l.machine.Ready(l.spec.Clock.Now())
 }
 
-// Stale reports whether the list of VMs is unconfirmed by the platform.
+// IsListStale reports whether the list of VMs is unconfirmed by the platform.
 func (l *Loop) IsListStale() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machine.IsListStale(l.spec.Clock.Now())
 }
 
-// Certain reports whether the table in force was recently confirmed as the newest, so
+// TableConfirmed reports whether the table in force was recently confirmed as the newest, so
 // that a route or key that it lacks doesn't exist.
 func (l *Loop) TableConfirmed() bool {
 	l.mu.Lock()
@@ -146,7 +146,7 @@
 	}
 }
 
-// Seen handles a version number that a call from a peer carried. It costs two atomic
+// ObserveVersion handles a version number that a call from a peer carried. It costs two atomic
 // loads where the peer isn't ahead.
 func (l *Loop) ObserveVersion(version uint64, from string) {
 	if version <= l.Current().Version() {
@@ -175,22 +175,22 @@
 	}
 }
 
-// Departed records an upstream's own announcement that it is leaving, and forwards it
+// HandleDeparture records an upstream's own announcement that it is leaving, and forwards it
 // to peers.
 func (l *Loop) HandleDeparture(upstream string) {
 	l.stepAndWakeRun(func(m *Machine, now mgclock.Millis) []Action { return m.HandleDeparture(now, upstream) })
 }
 
-// LookForTable reads the table from the platform at once, after another call to the
+// ReadTableNow reads the table from the platform at once, after another call to the
 // platform has shown that there is a newer one.
 func (l *Loop) ReadTableNow() { l.stepAndWakeRun((*Machine).ReadTableNow) }
 
-// Take applies another process's report of the platform's state.
+// ApplyReport applies another process's report of the platform's state.
 func (l *Loop) ApplyReport(report VersionReport, from string) {
 	l.step(func(m *Machine, now mgclock.Millis) []Action { return m.ApplyReport(now, report, from) })
 }
 
-// Reseed replaces the peer addresses that are used while no other peer is known.
+// SetSeeds replaces the peer addresses that are used while no other peer is known.
 func (l *Loop) SetSeeds(seeds []string) {
 	l.stepAndWakeRun(func(m *Machine, _ mgclock.Millis) []Action {
 		m.spec.Seeds = seeds
@@ -298,11 +298,11 @@
 			result.Values, result.List, result.Err = decompressReply(reply)
 		}
 	case LongPoll:
-		var listing ListReply
-		listing, result.Err = l.spec.LongPoll(ctx, action.addr, action.after, action.wait)
-		result.Report = listing.Report
-		if result.Err == nil && listing.Compressed != nil {
-			result.List, result.Err = decompress(listing.Compressed)
+		var reply ListReply
+		reply, result.Err = l.spec.LongPoll(ctx, action.addr, action.after, action.wait)
+		result.Report = reply.Report
+		if result.Err == nil && reply.Compressed != nil {
+			result.List, result.Err = decompress(reply.Compressed)
 		}
 	case Gossip:
 		result.Gossip, result.Err = l.spec.Gossip(ctx, action.addr, action.gossip)
--- a/internal/version/mgconfig/loop_serve.go
+++ b/internal/version/mgconfig/loop_serve.go
@@ -47,28 +47,28 @@
 	return l.compressed.Compressed
 }
 
-// Word returns the report of versions that this process sends to its peers.
+// Report returns the report of versions that this process sends to its peers.
 func (l *Loop) Report() VersionReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machine.Report(l.spec.Clock.Now())
 }
 
-// Gossiped merges a peer's records of processes and returns the records known here.
+// HandleGossip merges a peer's records of processes and returns the records known here.
 func (l *Loop) HandleGossip(all []mgmember.Gossip) []mgmember.Gossip {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machine.HandleGossip(l.spec.Clock.Now(), all)
 }
 
-// Listing answers a long poll: it returns this process's report, with the list of VMs
+// HandleLongPoll answers a long poll: it returns this process's report, with the list of VMs
 // as soon as that is newer than the given version, or without it once wait is over.
 func (l *Loop) HandleLongPoll(ctx context.Context, after uint64, wait mgclock.Millis) ListReply {
 	expired := l.spec.Clock.After(wait)
 	for done := false; ; {
-		listing, changed := l.listReply(after)
-		if listing.Compressed != nil || done {
-			return listing
+		reply, changed := l.listReply(after)
+		if reply.Compressed != nil || done {
+			return reply
 		}
 		select {
 		case <-changed:
@@ -88,12 +88,12 @@
 	if l.machine.HandleLongPoll(l.spec.Clock.Now()) {
 		l.signalRun()
 	}
-	listing := ListReply{
+	reply := ListReply{
 		Report: l.machine.Report(l.spec.Clock.Now()),
 	}
-	if listing.Report.List <= after {
-		return listing, l.listChanged
+	if reply.Report.List <= after {
+		return reply, l.listChanged
 	}
-	listing.Compressed = l.compressedList()
-	return listing, l.listChanged
+	reply.Compressed = l.compressedList()
+	return reply, l.listChanged
 }
--- a/internal/version/mgconfig/machine.go
+++ b/internal/version/mgconfig/machine.go
@@ -26,31 +26,31 @@
 	// when the platform is down at the start.
 	Seeds []string
 
-	// Known returns a page that the process has parsed already, or nil. Where the table
+	// ParsedPage returns a page that the process has parsed already, or nil. Where the table
 	// is converted here from another format, parsing its pages again would cost half of
-	// an adoption. Known may be nil.
+	// an adoption. ParsedPage may be nil.
 	ParsedPage func(digest string) *mgtable.Page
 
-	// Quick is the minimum interval between two watches of the list by the one process
+	// QuickInterval is the minimum interval between two watches of the list by the one process
 	// that watches it for its region, where changes must be known within tens of ms;
 	// the others watch once a second. With 0 all watch alike.
 	QuickInterval mgclock.Millis
 
-	// Joint is set where an answer of the platform about the list also confirms that
+	// ListConfirmsTable is set where an answer of the platform about the list also confirms that
 	// there is no table newer than the one that the platform's client has.
 	ListConfirmsTable bool
 
-	// Watch is the maximum wait of one watch, Answer the timeout of the platform's
-	// answer in addition to it, and Backoff the maximum delay after failed reads; 0
+	// WatchWait is the maximum wait of one watch, AnswerTimeout the timeout of the platform's
+	// answer in addition to it, and MaxBackoff the maximum delay after failed reads; 0
 	// stands for the defaults.
 	WatchWait     mgclock.Millis
 	AnswerTimeout mgclock.Millis
 	MaxBackoff    mgclock.Millis
 
-	// Fetch is the timeout of a peer's answer to a fetch; 0 stands for the default.
+	// FetchTimeout is the timeout of a peer's answer to a fetch; 0 stands for the default.
 	FetchTimeout mgclock.Millis
 
-	// Spread is the window over which first reads are spread: in a mass restart all
+	// StartWindow is the window over which first reads are spread: in a mass restart all
 	// processes make their first reads within it.
 	StartWindow mgclock.Millis
 }
@@ -73,7 +73,7 @@
 	tableReadPending bool           // the platform has a newer table that is being read
 	tableConfirmed   bool           // the table in force has been confirmed as the newest at least once
 	tableConfirmedAt mgclock.Millis // time of the last such confirmation
-	era              uint64         // of the list in use; see mgplatform.List
+	era              uint64         // of the list in use; see mgplatform.VMList
 	restored         bool           // the platform was restored from a copy
 	restoredAt       mgclock.Millis // time when the restore was noticed
 	peerConfirmedAt  mgclock.Millis // time of the last confirmation of the list that another process reported
--- a/internal/version/mgconfig/pull.go
+++ b/internal/version/mgconfig/pull.go
@@ -148,7 +148,7 @@
 }
 
 // page returns a page that was fetched, that the current snapshot has, or that
-// MachineSpec.Known returns; else nil.
+// MachineSpec.ParsedPage returns; else nil.
 func (m *Machine) page(digest string) *mgtable.Page {
 	if page := m.pull.pages[digest]; page != nil {
 		return page
--- a/internal/version/mgconfig/status.go
+++ b/internal/version/mgconfig/status.go
@@ -11,7 +11,7 @@
 	Adoptions     int `json:"adoptions"`
 	ListAdoptions int `json:"lists"` // lists of VMs adopted
 
-	// Reads by reason. They add up to Reads, except Failed, which counts those without
+	// Reads by reason. They add up to Reads, except FailedReads, which counts those without
 	// an answer.
 	FirstReads   int `json:"first"`  // of a key without a value yet, or by the rare poll of a member that is no watcher
 	PlainReads   int `json:"plain"`  // plain reads in place of watches
--- a/internal/version/mgconfig/table_age.go
+++ b/internal/version/mgconfig/table_age.go
@@ -5,7 +5,7 @@
 // A process that doesn't know the newest table may serve what its table allows, but
 // must not answer that a route or a key doesn't exist: callers take that answer as
 // final. Where one watch of the platform covers both list and table
-// (MachineSpec.Joint), each answer about the list also confirms that there is no newer
+// (MachineSpec.ListConfirmsTable), each answer about the list also confirms that there is no newer
 // table, and reports of the list's age carry the age of that confirmation.
 
 // tableMaxAge is the maximum age of the confirmation. An edit must be in force
@@ -13,7 +13,7 @@
 const tableMaxAge = 1500 * mgclock.Millis(1)
 
 // TableConfirmed reports whether the table in force was confirmed as the newest within
-// tableMaxAge. It is always true without MachineSpec.Joint.
+// tableMaxAge. It is always true without MachineSpec.ListConfirmsTable.
 func (m *Machine) TableConfirmed(now mgclock.Millis) bool {
 	if !m.spec.ListConfirmsTable {
 		return true // the age of the table is unknown
--- a/internal/version/mgconfig/version_report.go
+++ b/internal/version/mgconfig/version_report.go
@@ -4,7 +4,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Word is the report that a process that reads the platform sends to others of its
+// A VersionReport is the report that a process that reads the platform sends to others of its
 // region, so that they need not read it: which versions it has, and how long ago the
 // platform confirmed the list.
 type VersionReport struct {
--- a/internal/version/mgmember/cell.go
+++ b/internal/version/mgmember/cell.go
@@ -10,7 +10,7 @@
 // this takes up its CPU and its link, and its replies come late.
 const maxCellSize = 40
 
-// Cells returns the number of cells for a number of processes: a power of two, so that
+// CellCount returns the number of cells for a number of processes: a power of two, so that
 // processes with slightly different counts mostly agree.
 func CellCount(processes int) int {
 	cells := 1
@@ -32,7 +32,7 @@
 	return cmp.Compare(a.Name(), b.Name())
 }
 
-// Part returns the part of the upstreams that belongs to a cell.
+// CellPart returns the part of the upstreams that belongs to a cell.
 func CellPart(all []*Member, cell, cells int) []*Member {
 	sorted := slices.Clone(all)
 	slices.SortFunc(sorted, compareByHash)
--- a/internal/version/mgmember/gossip.go
+++ b/internal/version/mgmember/gossip.go
@@ -42,7 +42,7 @@
 	return all
 }
 
-// TakeGossip merges another process's records, and reports whether they named an
+// MergeGossip merges another process's records, and reports whether they named an
 // unknown process. The view is rebuilt once for all new processes.
 func (m *Members) MergeGossip(now mgclock.Millis, all []Gossip) bool {
 	m.mu.Lock()
--- a/internal/version/mgmember/member.go
+++ b/internal/version/mgmember/member.go
@@ -32,7 +32,7 @@
 // Addr returns the address at which callers reach an entry, and entries an agent.
 func (m *Member) Addr() string { return m.vm.Addr }
 
-// Peer reports whether a process of this system runs there, not a plain upstream.
+// IsPeer reports whether a process of this system runs there, not a plain upstream.
 func (m *Member) IsPeer() bool { return m.vm.Kind != mgplatform.UpstreamKind }
 
 // PeerAddr returns the address at which other processes reach it.
@@ -64,7 +64,7 @@
 // Suspect reports whether it is suspected after recent failures.
 func (m *Member) Suspect() bool { return m.suspect }
 
-// Born returns the start time of its current incarnation according to the list, 0 where
+// IncarnationStart returns the start time of its current incarnation according to the list, 0 where
 // the list has none. It orders the incarnations of one upstream.
 func (m *Member) IncarnationStart() int64 { return m.vm.IncarnationStart }
 
--- a/internal/version/mgmember/members.go
+++ b/internal/version/mgmember/members.go
@@ -91,7 +91,7 @@
 	return m.viewChanged
 }
 
-// List adopts a list of VMs and reports whether it was newer than the last.
+// AdoptList adopts a list of VMs and reports whether it was newer than the last.
 func (m *Members) AdoptList(now mgclock.Millis, list mgplatform.VMList) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -141,7 +141,7 @@
 	}
 }
 
-// Heard records a message of a process about itself. A message of an older incarnation
+// RecordMessage records a message of a process about itself. A message of an older incarnation
 // is dropped: a late reply must not change the state of its successor.
 func (m *Members) RecordMessage(now mgclock.Millis, name, incarnation string, leaving bool) {
 	m.mu.Lock()
@@ -185,7 +185,7 @@
 	}
 }
 
-// Answered records an answer of a member that carried no message about itself. Without
+// RecordAnswer records an answer of a member that carried no message about itself. Without
 // it two failures that are hours apart would count as consecutive.
 func (m *Members) RecordAnswer(now mgclock.Millis, name string) {
 	m.mu.Lock()
@@ -202,7 +202,7 @@
 	}
 }
 
-// Failed records a call to a member that got no answer.
+// RecordFailure records a call to a member that got no answer.
 func (m *Members) RecordFailure(now mgclock.Millis, name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -272,7 +272,7 @@
 	return true
 }
 
-// Recent reports whether a member was last seen at most maxAge ago.
+// SeenWithin reports whether a member was last seen at most maxAge ago.
 func (m *Members) SeenWithin(now mgclock.Millis, name string, maxAge mgclock.Millis) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/version/mgmember/pause.go
+++ b/internal/version/mgmember/pause.go
@@ -18,10 +18,10 @@
 	pauseThreshold = 250 * mgclock.Millis(1)
 )
 
-// A Pause detects that the process didn't run for a while. A stopped process resumes in
+// A PauseDetector detects that the process didn't run for a while. A stopped process resumes in
 // the middle of an instruction with state that is out of date: an expired lease, an old
 // offer, an order that is no longer the newest. Check compares clocks before such state
-// is used, and the callbacks drop it. The zero Pause reads the system's clocks.
+// is used, and the callbacks drop it. The zero PauseDetector reads the system's clocks.
 type PauseDetector struct {
 	clock mgclock.Clock
 	wall  func() mgclock.Millis
@@ -36,7 +36,7 @@
 	count         atomic.Int64
 }
 
-// NewPause returns a detector on a clock. wall returns the time of day; nil stands for
+// NewPauseDetector returns a detector on a clock. wall returns the time of day; nil stands for
 // the system's. Both clocks are needed: the monotonic clock stops while a VM is
 // suspended, and the time of day is corrected right after it. A step of the time of day
 // counts as a pause, which costs a few leases.
@@ -47,7 +47,7 @@
 	}
 }
 
-// On adds a callback that drops state invalidated by a pause. It runs before Check
+// OnPause adds a callback that drops state invalidated by a pause. It runs before Check
 // returns, on the goroutine that detects the pause.
 func (p *PauseDetector) OnPause(f func(gap mgclock.Millis)) {
 	p.mu.Lock()
--- a/internal/version/mgmember/view.go
+++ b/internal/version/mgmember/view.go
@@ -137,7 +137,7 @@
 // exclusions as Upstreams.
 func (v *View) Hosts(service string) []*Member { return v.hosts[service] }
 
-// Served reports whether an upstream exists that isn't leaving. Those of cordoned
+// HasUpstream reports whether an upstream exists that isn't leaving. Those of cordoned
 // availability zones count: a process that refuses requests for that reason tells its
 // callers when to come back, whereas an unready process makes them try others, which
 // can't serve them either.
@@ -163,5 +163,5 @@
 // Peers returns the other processes, without suspects unless there are no others.
 func (v *View) Peers() []*Member { return v.peers }
 
-// Others returns the number of other known entries, including leaving and suspect ones.
+// OtherEntryCount returns the number of other known entries, including leaving and suspect ones.
 func (v *View) OtherEntryCount() int { return v.otherEntries }
--- a/internal/version/mgplacement/pacer.go
+++ b/internal/version/mgplacement/pacer.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// Loaded records which model the engine holds, "" for none. It may be called with an
+// RecordLoaded records which model the engine holds, "" for none. It may be called with an
 // unchanged model. An engine that has lost its model, such as one that restarted, loads
 // again within startWindow, because others may have restarted with it.
 func (p *Pacer) RecordLoaded(now mgclock.Millis, model string) {
@@ -69,7 +69,7 @@
 	p.attempts = 0
 }
 
-// Plan applies a new plan.
+// SetPlan applies a new plan.
 func (p *Pacer) SetPlan(now mgclock.Millis, plan *Plan) {
 	before := p.plan
 	p.plan = plan
@@ -100,8 +100,8 @@
 	return 0
 }
 
-// Due returns the model to load now, or "". The caller loads it and then calls Loaded
-// or Refused.
+// Due returns the model to load now, or "". The caller loads it and then calls RecordLoaded
+// or RecordRefusal.
 func (p *Pacer) Due(now mgclock.Millis) string {
 	if p.wanted == "" || p.wanted == p.loaded || now < p.notBefore {
 		return ""
@@ -113,7 +113,7 @@
 	return p.wanted
 }
 
-// Refused records that the store refused a load, or that a load failed. The next
+// RecordRefusal records that the store refused a load, or that a load failed. The next
 // attempt comes at a random time in a window that doubles up to twice the time that the
 // loads of all engines take: from then on their attempts come no faster than the store
 // admits.
--- a/internal/version/mgplacement/plan.go
+++ b/internal/version/mgplacement/plan.go
@@ -79,7 +79,7 @@
 // Model returns the model of an upstream, or "" when the plan has none for it.
 func (p *Plan) Model(upstream string) string { return p.models[upstream] }
 
-// Engines returns the number of engines that hold a model.
+// EngineCount returns the number of engines that hold a model.
 func (p *Plan) EngineCount(model string) int { return p.engineCounts[model] }
 
 // Len returns the number of engines.
--- a/internal/version/mgshare/doc.go
+++ b/internal/version/mgshare/doc.go
@@ -22,7 +22,7 @@
 // Every TTL counts from when a request was sent, on the clock of the sender, and until
 // it was answered on the clock of the receiver, so that delay only shortens what is
 // granted. A paused process finds its leases and votes expired by its clock, or drops
-// them through mgmember's Pause.
+// them through mgmember's PauseDetector.
 //
 // # Known bounds
 //
@@ -42,7 +42,7 @@
 //   - lease: a slice of an account's caps, for one entry, for a short time.
 //   - home: the entry that leases the caps of a slot's accounts.
 //   - witness, vote: an entry whose votes, each valid for a TTL, entitle a home to
-//     lease. A request for votes is a Support call.
+//     lease. A request for votes is a RequestVotes call.
 //   - demand: what an entry's callers asked for recently.
 //
 // # References
--- a/internal/version/mgshare/holder.go
+++ b/internal/version/mgshare/holder.go
@@ -85,7 +85,7 @@
 	a.tokens.add(now, tokens)
 }
 
-// SetRunning records how many streams of an account run.
+// SetRunning sets how many streams of an account run.
 func (h *Holder) SetRunning(account string, count int) {
 	if a := h.accounts[account]; a != nil {
 		a.running = count
--- a/internal/version/mgshare/loop.go
+++ b/internal/version/mgshare/loop.go
@@ -22,7 +22,7 @@
 	Shares SharesSpec
 	Clock  mgclock.Clock
 
-	// Lease and Support call the peer at an address.
+	// Lease and RequestVotes call the peer at an address.
 	Lease        func(ctx context.Context, addr string, r *mgrpc.LeaseRequest) (*mgrpc.LeaseReply, error)
 	RequestVotes func(ctx context.Context, addr string, r *mgrpc.SupportRequest) (*mgrpc.SupportReply, error)
 }
@@ -139,7 +139,7 @@
 	return l.shares.Slice(l.spec.Clock.Now(), account)
 }
 
-// Running records how many streams of an account run.
+// SetRunning sets how many streams of an account run.
 func (l *Loop) SetRunning(account string, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/version/mgshare/shares.go
+++ b/internal/version/mgshare/shares.go
@@ -19,7 +19,7 @@
 	// Account returns the caps of an account, and false when it has none.
 	Account func(name string) (Caps, bool)
 
-	// Fresh is set if no process ran under this name recently, as in a demo: its
+	// IsFresh is set if no process ran under this name recently, as in a demo: its
 	// witness votes from the start.
 	IsFresh bool
 }
--- a/pkg/mgclient/answer.go
+++ b/pkg/mgclient/answer.go
@@ -29,19 +29,19 @@
 // Text returns the concatenated text of the tokens.
 func (a Answer) Text() string { return a.text }
 
-// End returns the reason why the answer ended, such as "stop" or "length", or ""
+// EndReason returns the reason why the answer ended, such as "stop" or "length", or ""
 // when the answer is incomplete.
 func (a Answer) EndReason() string { return a.end }
 
 // Tokens returns the number of tokens.
 func (a Answer) Tokens() uint64 { return a.tokens }
 
-// Starts returns how many times a generation was requested. For all but the last
+// StartCount returns how many times a generation was requested. For all but the last
 // request, the system attested that no generation ran.
 func (a Answer) StartCount() int { return a.starts }
 
-// Resumes returns how many times the answer was resumed on a new connection.
+// ResumeCount returns how many times the answer was resumed on a new connection.
 func (a Answer) ResumeCount() int { return a.resumes }
 
-// Preempted returns how many times the engine evicted the answer's generation.
+// PreemptionCount returns how many times the engine evicted the answer's generation.
 func (a Answer) PreemptionCount() int { return a.preempted }
--- a/pkg/mgclient/call.go
+++ b/pkg/mgclient/call.go
@@ -13,8 +13,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// Mint returns the id of a new operation of a service. An id that is never
-// used costs nothing, so Mint may be retried after any transport failure.
+// NewOperationID returns the id of a new operation of a service. An id that is never
+// used costs nothing, so NewOperationID may be retried after any transport failure.
 func (c *Client) NewOperationID(ctx context.Context, service string) (string, error) {
 	reply, err := c.callWithRetries(ctx, servicePath(service, "operations"), CallSpec{
 		Method: http.MethodPost,
@@ -72,7 +72,7 @@
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
 		return true
 	}
-	// Mint and Cancel name no service.
+	// NewOperationID and Cancel name no service.
 	return spec.Operation != "" || spec.Service == ""
 }
 
--- a/pkg/mgclient/doc.go
+++ b/pkg/mgclient/doc.go
@@ -8,7 +8,7 @@
 // where the system attests that none ran.
 //
 // Call makes one call of a plain service. A call that may not be repeated uses
-// an operation id from Mint, which every attempt carries, so that the system
+// an operation id from NewOperationID, which every attempt carries, so that the system
 // runs it at most once.
 //
 // All errors are *mgproblem.Problem.
--- a/pkg/mgclient/spec.go
+++ b/pkg/mgclient/spec.go
@@ -41,7 +41,7 @@
 	Path      string // relative to the service, with its query
 	Mime      string
 	Body      []byte
-	Operation string // from Mint, for a call that may not be repeated
+	Operation string // from NewOperationID, for a call that may not be repeated
 }
 
 // Reply is a plain service's response.
@@ -66,7 +66,7 @@
 	Content string `json:"content"`
 }
 
-// mintReply is the JSON reply to Mint.
+// mintReply is the JSON reply to NewOperationID.
 type mintReply struct {
 	Operation string `json:"operation"`
 }
--- a/pkg/mgclock/clock.go
+++ b/pkg/mgclock/clock.go
@@ -78,14 +78,14 @@
 	}
 }
 
-// Unix returns the seconds since 1970 by the system's clock, for formats that
+// UnixSeconds returns the seconds since 1970 by the system's clock, for formats that
 // require them. It may jump; no decision may depend on it.
 func UnixSeconds() int64 { return time.Now().Unix() }
 
-// Deadline returns the time after timeout as a time.Time, for the deadlines of
+// DeadlineAfter returns the time after timeout as a time.Time, for the deadlines of
 // connections.
 func DeadlineAfter(timeout Millis) time.Time { return time.Now().Add(timeout.Duration()) }
 
 // UnixMillis returns the ms since 1970 by the system's clock. It may jump, as
-// Unix may.
+// UnixSeconds may.
 func UnixMillis() int64 { return time.Now().UnixMilli() }
--- a/pkg/mgclock/manual.go
+++ b/pkg/mgclock/manual.go
@@ -48,7 +48,7 @@
 	m.timers = m.timers[dueCount:]
 }
 
-// Waiting returns the number of timers that have not fired, so that a test can
+// PendingTimers returns the number of timers that have not fired, so that a test can
 // detect when all goroutines wait.
 func (m *Manual) PendingTimers() int {
 	m.mu.Lock()
--- a/pkg/mgdial/dial.go
+++ b/pkg/mgdial/dial.go
@@ -23,7 +23,7 @@
 // within the shortest deadlines.
 const regionalConnectTimeout = 250 * time.Millisecond
 
-// Near returns a dial function for connections within a region. The kernel probes
+// DialInRegion returns a dial function for connections within a region. The kernel probes
 // the peer with TCP keep-alives (net.KeepAliveConfig) and ends the connection
 // after silenceTimeout without an acknowledgement: a partition, or a middlebox that
 // drops its state, cuts a connection without a reset, and a reader would
@@ -119,7 +119,7 @@
 	return response, nil
 }
 
-// Refuses reports whether an address refuses connections, as it does after its
+// RefusesConnections reports whether an address refuses connections, as it does after its
 // process has ended while the host is up. An error means that neither is known:
 // the host may be down or unreachable.
 func RefusesConnections(ctx context.Context, addr string) (bool, error) {
--- a/pkg/mgproblem/problem.go
+++ b/pkg/mgproblem/problem.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// WithRetry returns a copy that asks the caller to retry after delay.
+// WithRetryAfter returns a copy that asks the caller to retry after delay.
 func (p Problem) WithRetryAfter(delay mgclock.Millis) *Problem {
 	p.retry = delay
 	return &p
@@ -106,7 +106,7 @@
 // Remedy returns what to do about it.
 func (p *Problem) Remedy() string { return p.remedy }
 
-// Retry returns the delay after which to retry, or 0.
+// RetryAfter returns the delay after which to retry, or 0.
 func (p *Problem) RetryAfter() mgclock.Millis { return p.retry }
 
 // Unwrap returns the cause, or nil.
--- a/pkg/mgtable/build.go
+++ b/pkg/mgtable/build.go
@@ -31,7 +31,7 @@
 	MaxColdRate    float64 // max requests per second to a cold upstream, 0 for no limit
 }
 
-// ModelSpec describes a model; Context and Max are in tokens.
+// ModelSpec describes a model; Context and MaxOutput are in tokens.
 type ModelSpec struct {
 	Name      string
 	Context   int64
--- a/pkg/mgtable/route.go
+++ b/pkg/mgtable/route.go
@@ -65,17 +65,17 @@
 // slice.
 func (r *Route) Services() []Share { return r.services }
 
-// Attempts returns the maximum number of upstreams that one request may be sent to.
+// MaxAttempts returns the maximum number of upstreams that one request may be sent to.
 func (r *Route) MaxAttempts() int { return int(r.attempts) }
 
 // Timeout returns the timeout of a request, including all its attempts.
 func (r *Route) Timeout() mgclock.Millis { return mgclock.Millis(r.timeout) }
 
-// Goal returns the latency goal: the time to the reply, or to the first event of
+// LatencyGoal returns the latency goal: the time to the reply, or to the first event of
 // a stream, or 0 when none is given.
 func (r *Route) LatencyGoal() mgclock.Millis { return mgclock.Millis(r.goal) }
 
-// Gap returns the goal for the maximum interval between events, or 0 when none
+// MaxEventInterval returns the goal for the maximum interval between events, or 0 when none
 // is given.
 func (r *Route) MaxEventInterval() mgclock.Millis { return mgclock.Millis(r.gap) }
 
@@ -92,7 +92,7 @@
 // Sticky reports whether requests list the parts of their prompts.
 func (r *Route) Sticky() bool { return r.sticky == Yes }
 
-// Homes returns the regions in which the route's requests may run; none listed
+// HomeRegions returns the regions in which the route's requests may run; none listed
 // means all. Callers must not modify the slice.
 func (r *Route) HomeRegions() []string { return r.homes }
 
@@ -101,7 +101,7 @@
 	return r.kind == Safe || r.kind == Stream && r.Resumes()
 }
 
-// Pick selects a service by weight, given a uniformly distributed random number.
+// PickService selects a service by weight, given a uniformly distributed random number.
 func (r *Route) PickService(random uint64) string {
 	total := uint64(0)
 	for _, share := range r.services {
--- a/pkg/mgtable/row.go
+++ b/pkg/mgtable/row.go
@@ -22,7 +22,7 @@
 	Plain      = "plain"
 )
 
-// The preferences of a service: Steady prefers a steady rate of tokens, Whole
+// The preferences of a service: PreferSteady prefers a steady rate of tokens, PreferWhole
 // prefers complete answers without stalls and preemptions.
 const (
 	PreferSteady = "steady"
@@ -72,21 +72,21 @@
 // that compete for the same upstreams.
 func (a *Account) Weight() float64 { return a.weight }
 
-// Rate returns the limit in tokens per second, or 0 when there is none.
+// MaxTokenRate returns the limit in tokens per second, or 0 when there is none.
 func (a *Account) MaxTokenRate() float64 { return a.rate }
 
-// Streams returns the limit of concurrent streams, or 0 when there is none.
+// MaxStreams returns the limit of concurrent streams, or 0 when there is none.
 func (a *Account) MaxStreams() int { return int(a.streams) }
 
 // Services returns the services the account may use; none listed means all.
 // Callers must not modify the slice.
 func (a *Account) Services() []string { return a.services }
 
-// Homes returns the regions in which the account's requests may run; none listed
+// HomeRegions returns the regions in which the account's requests may run; none listed
 // means all. Callers must not modify the slice.
 func (a *Account) HomeRegions() []string { return a.homes }
 
-// Allows reports whether the account may use a service.
+// AllowsService reports whether the account may use a service.
 func (a *Account) AllowsService(service string) bool {
 	if len(a.services) == 0 {
 		return true
@@ -124,7 +124,7 @@
 // Model returns the model of a generation service, or "".
 func (s *Service) Model() string { return s.model }
 
-// Prefer returns Steady or Whole.
+// Preference returns PreferSteady or PreferWhole.
 func (s *Service) Preference() string { return s.prefer }
 
 // Priority returns the priority from 0 to 9; higher priorities are served first.
@@ -133,35 +133,35 @@
 // Deadline returns the maximum time to the first token or the reply.
 func (s *Service) Deadline() mgclock.Millis { return mgclock.Millis(s.deadline) }
 
-// Max returns the maximum output in tokens, or 0 for the model's own limit.
+// MaxOutput returns the maximum output in tokens, or 0 for the model's own limit.
 func (s *Service) MaxOutput() int { return int(s.max) }
 
 // Repeatable reports whether calls may run more than once.
 func (s *Service) Repeatable() bool { return s.repeat == Safe }
 
-// Hedge returns the fraction of calls that may be sent twice, from 0 to 1.
+// HedgeFraction returns the fraction of calls that may be sent twice, from 0 to 1.
 func (s *Service) HedgeFraction() float64 { return s.hedge }
 
-// Move reports whether running generations of the service may migrate between
+// CanMigrate reports whether running generations of the service may migrate between
 // engines.
 func (s *Service) CanMigrate() bool { return s.move == Yes }
 
-// Copy returns the time in µs to copy the memory of one token between two
+// CopyMicros returns the time in µs to copy the memory of one token between two
 // engines of an availability zone, or 0 when it is unknown.
 func (s *Service) CopyMicros() int { return int(s.copy) }
 
-// Stride returns the number of tokens per stream event.
+// TokensPerEvent returns the number of tokens per stream event.
 func (s *Service) TokensPerEvent() int { return max(int(s.stride), 1) }
 
-// Cold returns how long an upstream is cold after its start, or 0 when it is
+// ColdPeriod returns how long an upstream is cold after its start, or 0 when it is
 // warm at once.
 func (s *Service) ColdPeriod() mgclock.Millis { return mgclock.Millis(s.cold) }
 
-// Ramp returns the maximum requests per second to a cold upstream, or 0 for no
+// MaxColdRate returns the maximum requests per second to a cold upstream, or 0 for no
 // limit.
 func (s *Service) MaxColdRate() float64 { return s.ramp }
 
-// Paths returns the upstreams that serve a plain service; none listed means
+// UpstreamNames returns the upstreams that serve a plain service; none listed means
 // all upstreams that list the service. Callers must not modify the slice.
 func (s *Service) UpstreamNames() []string { return s.paths }
 
@@ -176,10 +176,10 @@
 // Name returns the model's name.
 func (m *Model) Name() string { return m.name }
 
-// Context returns the maximum length of prompt and output together, in tokens.
+// MaxContext returns the maximum length of prompt and output together, in tokens.
 func (m *Model) MaxContext() int { return int(m.context) }
 
-// Max returns the maximum output in tokens.
+// MaxOutput returns the maximum output in tokens.
 func (m *Model) MaxOutput() int { return int(m.max) }
 
 // An Upstream is a model engine or a host of plain services.
@@ -211,16 +211,16 @@
 // Memory returns an engine's memory capacity in tokens.
 func (u *Upstream) Memory() int { return int(u.memory) }
 
-// Batch returns the maximum number of concurrent generations or calls.
+// MaxConcurrent returns the maximum number of concurrent generations or calls.
 func (u *Upstream) MaxConcurrent() int { return int(u.batch) }
 
-// Orders returns Checked or Ignored.
+// FencingMode returns OrdersChecked or OrdersIgnored.
 func (u *Upstream) FencingMode() string { return u.orders }
 
-// Runs reports whether the upstream lists a service.
+// ListsService reports whether the upstream lists a service.
 func (u *Upstream) ListsService(service string) bool { return contains(u.services, service) }
 
-// Holds reports whether the upstream lists a model.
+// ListsModel reports whether the upstream lists a model.
 func (u *Upstream) ListsModel(model string) bool { return contains(u.models, model) }
 
 func contains(list []string, name string) bool {
--- a/pkg/mgtable/table.go
+++ b/pkg/mgtable/table.go
@@ -63,7 +63,7 @@
 // Account returns the account with a name, or nil.
 func (t *Table) Account(name string) *Account { return t.accounts[name] }
 
-// ByKey returns the account with an API key, or nil. It looks up the digest of
+// AccountByKey returns the account with an API key, or nil. It looks up the digest of
 // the presented key, so that the time of the lookup doesn't reveal how much of a
 // key was correct.
 func (t *Table) AccountByKey(key string) *Account { return t.accountsByKey[DigestOf([]byte(key))] }
@@ -77,7 +77,7 @@
 // Upstream returns the upstream with a name, or nil.
 func (t *Table) Upstream(name string) *Upstream { return t.upstreams[name] }
 
-// Len returns the number of accounts.
+// AccountCount returns the number of accounts.
 func (t *Table) AccountCount() int { return len(t.rows.accounts) }
 
 // Accounts iterates over the accounts in order of their names.
