--- a/internal/connection/mgengine/wire.go
+++ b/internal/connection/mgengine/wire.go
@@ -54,9 +54,9 @@
 	Fence    uint64   `json:"fence"`   // highest fencing number it accepted, 0 if it ignores them
 	Leaving  bool     `json:"leaving"` // it accepts no new generations
 
-	// ShutdownNotice is the announced time until the engine is shut down, 0 when none is
+	// Notice is the announced time until the engine is shut down, 0 when none is
 	// announced.
-	ShutdownNotice mgclock.Millis `json:"notice,omitempty"`
+	Notice mgclock.Millis `json:"notice,omitempty"`
 }
 
 // Event is a change of the prefix cache. Seq increases by one; a gap means that
--- a/internal/process/mgagent/drain.go
+++ b/internal/process/mgagent/drain.go
@@ -12,13 +12,13 @@
 // so the earliest end is the most accurate. An engine that is not leaving after
 // all has no end.
 func (a *Agent) updateReclaimTime(load mgengine.Load) {
-	end := a.spec.Clock.Now() + load.ShutdownNotice
+	end := a.spec.Clock.Now() + load.Notice
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case !load.Leaving:
 		a.hasNotice = false
-	case load.ShutdownNotice > 0 && (!a.hasNotice || end < a.goneAt):
+	case load.Notice > 0 && (!a.hasNotice || end < a.goneAt):
 		a.hasNotice = true
 		a.goneAt = end
 	}
--- a/internal/process/mgagent/drain_test.go
+++ b/internal/process/mgagent/drain_test.go
@@ -38,7 +38,7 @@
 		Leaving: e.leaving.Load(),
 	}
 	if gone := e.goneAt.Load(); gone != 0 {
-		load.ShutdownNotice = mgclock.Millis(gone) - mgclock.Clock{}.Now()
+		load.Notice = mgclock.Millis(gone) - mgclock.Clock{}.Now()
 	}
 	return load, nil
 }
--- a/internal/standin/mgstandin/engine.go
+++ b/internal/standin/mgstandin/engine.go
@@ -150,15 +150,15 @@
 // load returns the current load.
 func (e *Engine) load() mgengine.Load {
 	return mgengine.Load{
-		Running:        e.model.Running(),
-		Waiting:        e.model.Waiting(),
-		Free:           int64(e.model.Free()),
-		Capacity:       int64(e.model.Spec().Memory),
-		Models:         slices.Clone(e.loaded),
-		Role:           e.role,
-		Fence:          e.fence,
-		Leaving:        e.fault.Kind == Leave,
-		ShutdownNotice: e.remainingNotice(),
+		Running:  e.model.Running(),
+		Waiting:  e.model.Waiting(),
+		Free:     int64(e.model.Free()),
+		Capacity: int64(e.model.Spec().Memory),
+		Models:   slices.Clone(e.loaded),
+		Role:     e.role,
+		Fence:    e.fence,
+		Leaving:  e.fault.Kind == Leave,
+		Notice:   e.remainingNotice(),
 	}
 }
 
--- a/internal/standin/mgstandin/engine_test.go
+++ b/internal/standin/mgstandin/engine_test.go
@@ -164,24 +164,24 @@
 	Convey("A leaving engine's report counts its notice down", t, func() {
 		var clock mgclock.Manual
 		e := mgstandin.NewEngine(mgstandin.EngineSpec{}, clock.Clock())
-		So(e.Load().ShutdownNotice, ShouldEqual, 0)
+		So(e.Load().Notice, ShouldEqual, 0)
 		e.Set(mgstandin.Fault{
 			Kind: mgstandin.Leave,
 		})
 		So(e.Load().Leaving, ShouldBeTrue)
-		So(e.Load().ShutdownNotice, ShouldEqual, 0)
+		So(e.Load().Notice, ShouldEqual, 0)
 		e.Set(mgstandin.Fault{
 			Kind:  mgstandin.Leave,
 			Delay: 30 * mgclock.Second,
 		})
 		clock.Advance(10 * mgclock.Second)
-		So(e.Load().ShutdownNotice, ShouldEqual, 20*mgclock.Second)
+		So(e.Load().Notice, ShouldEqual, 20*mgclock.Second)
 		clock.Advance(mgclock.Minute)
-		So(e.Load().ShutdownNotice, ShouldEqual, 1)
+		So(e.Load().Notice, ShouldEqual, 1)
 		e.Set(mgstandin.Fault{
 			Kind: mgstandin.Heal,
 		})
-		So(e.Load().ShutdownNotice, ShouldEqual, 0)
+		So(e.Load().Notice, ShouldEqual, 0)
 	})
 }
 
