--- a/internal/connection/mglink/writer.go
+++ b/internal/connection/mglink/writer.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Response returns a Writer that writes to an HTTP response.
-func Response(w http.ResponseWriter, generation string, clock mgclock.Clock, interval mgclock.Millis) *Writer {
+// NewResponseWriter returns a Writer that writes to an HTTP response.
+func NewResponseWriter(w http.ResponseWriter, generation string, clock mgclock.Clock, interval mgclock.Millis) *Writer {
 	control := http.NewResponseController(w)
 	return NewWriter(WriterSpec{
 		Generation: generation,
@@ -94,8 +94,8 @@
 	return w.spec.Flush()
 }
 
-// Beat writes a heartbeat.
-func (w *Writer) Beat() error {
+// WriteHeartbeat writes a heartbeat.
+func (w *Writer) WriteHeartbeat() error {
 	return w.Write(&mgrpc.Frame{
 		Generation: w.spec.Generation,
 	})
@@ -105,7 +105,7 @@
 // final frame, the end of the channel or the end of ctx. It begins with a
 // heartbeat, so that the reader knows at once that the connection works.
 func (w *Writer) Copy(ctx context.Context, frames <-chan *mgrpc.Frame) error {
-	if err := w.Beat(); err != nil {
+	if err := w.WriteHeartbeat(); err != nil {
 		return err
 	}
 	for {
@@ -116,18 +116,18 @@
 			if !ok {
 				return nil
 			}
-			if err := w.Write(f); err != nil || Final(f) {
+			if err := w.Write(f); err != nil || IsFinal(f) {
 				return err
 			}
 		case <-w.Idle():
-			if err := w.Tend(); err != nil {
+			if err := w.WriteHeartbeatIfIdle(); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// Idle returns a channel that is closed when it is time to call Tend. It uses one
+// Idle returns a channel that is closed when it is time to call WriteHeartbeatIfIdle. It uses one
 // timer per interval for any number of frames.
 func (w *Writer) Idle() <-chan struct{} {
 	if w.timer == nil {
@@ -137,11 +137,11 @@
 	return w.timer
 }
 
-// Tend writes a heartbeat if nothing was written for an interval.
-func (w *Writer) Tend() error {
+// WriteHeartbeatIfIdle writes a heartbeat if nothing was written for an interval.
+func (w *Writer) WriteHeartbeatIfIdle() error {
 	w.timer = nil
 	if w.spec.Clock.Now()-w.lastWrite < w.spec.Interval {
 		return nil
 	}
-	return w.Beat()
+	return w.WriteHeartbeat()
 }
--- a/internal/process/mgagent/drain.go
+++ b/internal/process/mgagent/drain.go
@@ -50,7 +50,7 @@
 	actions := map[*generation]mgpace.Action{}
 	for id, g := range a.generations {
 		action := mgpace.ActionFor(now, a.goneAt, mgpace.Stream{
-			Remaining: a.scheduler.Rest(id),
+			Remaining: a.scheduler.Remaining(id),
 			Delivered: g.deliveredTokens(),
 			Whole:     g.wholeOnly,
 		})
--- a/internal/process/mgagent/outdated_test.go
+++ b/internal/process/mgagent/outdated_test.go
@@ -42,12 +42,12 @@
 			Convey(c.name, func() {
 				var got, reportedBy string
 				synctest.Test(t, func(t *testing.T) {
-					agent, err := newAgent(table, idleSeams(), func(spec *mgagent.Spec) {
+					agent, err := newAgent(table, idleCalls(), func(spec *mgagent.Spec) {
 						var now atomic.Pointer[mgtable.Table]
 						now.Store(spec.Table())
 						spec.Table = now.Load
-						spec.Seen = func(_ uint64, from string) { reportedBy = from }
-						spec.Await = func(ctx context.Context, _ uint64) error {
+						spec.ObserveVersion = func(_ uint64, from string) { reportedBy = from }
+						spec.AwaitVersion = func(ctx context.Context, _ uint64) error {
 							if !spec.Clock.Sleep(ctx, c.appearsAfter) {
 								return ctx.Err()
 							}
--- a/internal/request/mgdelivery/receiver.go
+++ b/internal/request/mgdelivery/receiver.go
@@ -60,7 +60,7 @@
 }
 
 // Begin records that a generation was started or is resumed, and returns the
-// number of the attempt with which its frames are passed to Frame. It returns
+// number of the attempt with which its frames are passed to HandleFrame. It returns
 // 0, under which no frame is accepted, for a generation that can't continue the
 // answer.
 func (r *Receiver) Begin(generation string) int {
@@ -88,11 +88,11 @@
 // the next.
 func (r *Receiver) Last() uint64 { return r.last }
 
-// Over reports whether the caller was sent the end or a problem.
-func (r *Receiver) Over() bool { return r.finished }
+// Finished reports whether the caller was sent the end or a problem.
+func (r *Receiver) Finished() bool { return r.finished }
 
-// Frame handles a frame received on an attempt's stream.
-func (r *Receiver) Frame(attempt int, f *Frame) Decision {
+// HandleFrame handles a frame received on an attempt's stream.
+func (r *Receiver) HandleFrame(attempt int, f *Frame) Decision {
 	if r.finished || attempt == 0 || attempt != r.currentAttempt {
 		// A frame of an earlier attempt was in flight when the answer started over
 		// elsewhere. Its tokens are of another run of the model; mixed in, they would
@@ -150,9 +150,9 @@
 	}
 }
 
-// Lost handles the loss of an attempt's generation: its agent or engine is
+// HandleLoss handles the loss of an attempt's generation: its agent or engine is
 // gone, or its link gave up.
-func (r *Receiver) Lost(attempt int) Decision {
+func (r *Receiver) HandleLoss(attempt int) Decision {
 	if r.finished || attempt == 0 || attempt != r.currentAttempt {
 		return Decision{}
 	}
@@ -201,7 +201,7 @@
 	if r.delivered() == 0 && !r.spec.Pinned && r.generationCount < r.maxGenerations() {
 		r.currentAttempt = 0
 		return Decision{
-			action: Elsewhere,
+			action: StartOver,
 			cancel: r.generation,
 		}
 	}
--- a/internal/request/mgoperation/operation.go
+++ b/internal/request/mgoperation/operation.go
@@ -63,7 +63,7 @@
 }
 
 // Open returns the operation that text names, if it was minted for account and
-// service. Any other text gives the problem Missing.
+// service. Any other text gives the problem NotFound.
 func Open(seal *mgseal.Signer, account, service, text string) (Operation, error) {
 	fields, err := seal.Open(kind, account, text)
 	if err != nil || len(fields) != 5 || fields[2] != service {
@@ -99,7 +99,7 @@
 }
 
 func problemMissing() error {
-	return mgproblem.New(mgproblem.Missing, mgproblem.Unknown,
+	return mgproblem.New(mgproblem.NotFound, mgproblem.Unknown,
 		"no such operation for this account and service",
 		"use the id as it was minted, with the key of the account that asked")
 }
--- a/internal/request/mgquarantine/record.go
+++ b/internal/request/mgquarantine/record.go
@@ -8,8 +8,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Note is the record of what one process has seen of a request, as it is exchanged.
-type Note struct {
+// A Record is the record of what one process has seen of a request, as it is exchanged.
+type Record struct {
 	Origin   string         `json:"origin"` // the incarnation of the process that made the record
 	Number   uint64         `json:"number"` // counts the origin's records from 1
 	Digest   string         `json:"digest"`
@@ -41,27 +41,27 @@
 }
 
 // hash returns a hash of the ID.
-func (n recordID) hash() uint64 { return xxhash.Sum64String(n.origin) ^ n.number*hashMultiplier }
+func (id recordID) hash() uint64 { return xxhash.Sum64String(id.origin) ^ id.number*hashMultiplier }
 
 // hashMultiplier is 2^64 divided by the golden ratio: multiples of it by consecutive
 // numbers differ in their high bits (multiplicative hashing, D. Knuth, The Art of Computer
 // Programming 3, 6.4).
 const hashMultiplier = 0x9e3779b97f4a7c15
 
-// bucket returns the index in Sums that covers the record.
-func (n recordID) bucket() int { return int(n.hash() >> (64 - sumBits)) }
+// bucket returns the index in Checksums that covers the record.
+func (id recordID) bucket() int { return int(id.hash() >> (64 - sumBits)) }
 
 const (
 	sumBits    = 5
 	sumBuckets = 1 << sumBits
 )
 
-// Sums are checksums of the records, one for each bucket of them. By these, two processes
+// Checksums are checksums of the records, one for each bucket of them. By these, two processes
 // find the buckets in which their records differ. Nil stands for no records.
-type Sums []uint64
+type Checksums []uint64
 
 // at returns the checksum of a bucket.
-func (s Sums) at(bucket int) uint64 {
+func (s Checksums) at(bucket int) uint64 {
 	if bucket >= len(s) {
 		return 0
 	}
@@ -70,17 +70,17 @@
 
 // storedRecord is a record with what this process knows of it.
 type storedRecord struct {
-	record    Note // its age is as received
+	record    Record // its age is as received
 	digest    Digest
 	seenBound mgclock.Millis // upper bound of when it was seen, by this process's clock
 	learnedAt mgclock.Millis // when this process learned of the record, or last improved its bound
 }
 
 // id returns the record's ID.
-func (n Note) id() recordID {
+func (r Record) id() recordID {
 	return recordID{
-		origin: n.Origin,
-		number: n.Number,
+		origin: r.Origin,
+		number: r.Number,
 	}
 }
 
@@ -141,7 +141,7 @@
 }
 
 // withAge returns the record with its age at a time.
-func (s storedRecord) withAge(now mgclock.Millis) Note {
+func (s storedRecord) withAge(now mgclock.Millis) Record {
 	record := s.record
 	record.Age = max(now-s.seenBound, 0)
 	return record
--- a/internal/request/mgretry/budgets.go
+++ b/internal/request/mgretry/budgets.go
@@ -16,14 +16,14 @@
 	limit int // of each budget, 0 for DefaultLimit
 }
 
-// Bound sets the maximum of retries in each budget; see Budget.Bound.
-func (s *Budgets) Bound(limit int) {
+// SetLimit sets the maximum of retries in each budget; see Budget.SetLimit.
+func (s *Budgets) SetLimit(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit = limit
 	if all := s.byService.Load(); all != nil {
 		for _, b := range *all {
-			b.Bound(limit)
+			b.SetLimit(limit)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 		next = maps.Clone(*all)
 	}
 	b := new(Budget)
-	b.Bound(s.limit)
+	b.SetLimit(s.limit)
 	next[service] = b
 	s.byService.Store(&next)
 	return b
--- a/internal/request/mgretry/hedge.go
+++ b/internal/request/mgretry/hedge.go
@@ -27,9 +27,9 @@
 	counts [bucketCount]atomic.Int64
 }
 
-// Answered records the delay of an answered lookup. Ratio is the fraction of a
+// Observe records the delay of an answered lookup. Ratio is the fraction of a
 // second copy that it earns, from 0 to 1.
-func (h *Hedge) Answered(delay mgclock.Millis, ratio float64) {
+func (h *Hedge) Observe(delay mgclock.Millis, ratio float64) {
 	h.budget.Earn(ratio)
 	h.counts[bucketOf(delay)].Add(1)
 	if h.total.Add(1) == decayPeriod {
@@ -37,9 +37,9 @@
 	}
 }
 
-// After returns the delay after which a second copy should be sent, or false
+// Delay returns the delay after which a second copy should be sent, or false
 // while there are fewer than minSamples delays.
-func (h *Hedge) After() (mgclock.Millis, bool) {
+func (h *Hedge) Delay() (mgclock.Millis, bool) {
 	total := h.total.Load()
 	if total < minSamples {
 		return 0, false
--- a/internal/version/mgconfig/loop.go
+++ b/internal/version/mgconfig/loop.go
@@ -17,8 +17,8 @@
 )
 
 // Timeouts of actions. A peer answers an exchange from memory; a fetch may carry a
-// megabyte. fetchTimeout is the default of MachineSpec.Fetch, and readTimeout of
-// MachineSpec.Answer.
+// megabyte. fetchTimeout is the default of MachineSpec.FetchTimeout, and readTimeout of
+// MachineSpec.AnswerTimeout.
 const (
 	exchangeTimeout = mgclock.Second
 	fetchTimeout    = 5 * mgclock.Second
@@ -40,18 +40,18 @@
 	Exchange func(ctx context.Context, addr string, s *mgrpc.Summary) (*mgrpc.Summary, error)
 	Fetch    func(ctx context.Context, addr string, r *mgrpc.FetchRequest) (*mgrpc.FetchReply, error)
 
-	// Listen long-polls the peer at an address for a list of VMs newer than a version.
-	// It is required where MachineSpec.Quick is set.
-	Listen func(ctx context.Context, addr string, after uint64, wait mgclock.Millis) (Listing, error)
+	// LongPoll long-polls the peer at an address for a list of VMs newer than a version.
+	// It is required where MachineSpec.QuickInterval is set.
+	LongPoll func(ctx context.Context, addr string, after uint64, wait mgclock.Millis) (ListReply, error)
 
 	// Gossip sends records of processes to the peer at an address and returns the
 	// peer's records.
 	Gossip func(ctx context.Context, addr string, all []mgmember.Gossip) ([]mgmember.Gossip, error)
 
-	// Adopted is called with each snapshot put in force, in order. It may be nil. It
+	// OnAdopt is called with each snapshot put in force, in order. It may be nil. It
 	// must not call the loop and must return soon, such as after emitting a control
 	// event.
-	Adopted func(*Snapshot)
+	OnAdopt func(*Snapshot)
 }
 
 // A Loop carries out a machine's actions and feeds it their results.
@@ -60,12 +60,12 @@
 	machine *Machine
 
 	mu                sync.Mutex
-	reported          *Snapshot     // the last snapshot passed to Adopted
+	reported          *Snapshot     // the last snapshot passed to OnAdopt
 	reportedRejection error         // the last rejection that was logged
 	reportedCordons   []string      // the cordoned availability zones that were logged last
 	tableChanged      chan struct{} // closed and replaced at each adoption
 	listChanged       chan struct{} // closed and replaced at each newer list of VMs
-	compressed        Listing       // the list that was compressed last, and its version
+	compressed        ListReply     // the list that was compressed last, and its version
 	wakeRun           chan struct{} // wakes Run after the machine's next tick may have moved
 	ctx               context.Context
 	stopped           bool
@@ -93,16 +93,16 @@
 	return l.machine.Ready(l.spec.Clock.Now())
 }
 
-// Stale reports whether the list of VMs is unconfirmed by the platform.
-func (l *Loop) Stale() bool {
+// IsListStale reports whether the list of VMs is unconfirmed by the platform.
+func (l *Loop) IsListStale() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machine.IsListStale(l.spec.Clock.Now())
 }
 
-// Certain reports whether the table in force was recently confirmed as the newest, so
+// TableConfirmed reports whether the table in force was recently confirmed as the newest, so
 // that a route or key that it lacks doesn't exist.
-func (l *Loop) Certain() bool {
+func (l *Loop) TableConfirmed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machine.TableConfirmed(l.spec.Clock.Now())
@@ -146,9 +146,9 @@
 	}
 }
 
-// Seen handles a version number that a call from a peer carried. It costs two atomic
+// ObserveVersion handles a version number that a call from a peer carried. It costs two atomic
 // loads where the peer isn't ahead.
-func (l *Loop) Seen(version uint64, from string) {
+func (l *Loop) ObserveVersion(version uint64, from string) {
 	if version <= l.Current().Version() {
 		return
 	}
@@ -175,23 +175,23 @@
 	}
 }
 
-// Departed records an upstream's own announcement that it is leaving, and forwards it
+// HandleDeparture records an upstream's own announcement that it is leaving, and forwards it
 // to peers.
-func (l *Loop) Departed(upstream string) {
+func (l *Loop) HandleDeparture(upstream string) {
 	l.stepAndWakeRun(func(m *Machine, now mgclock.Millis) []Action { return m.HandleDeparture(now, upstream) })
 }
 
-// LookForTable reads the table from the platform at once, after another call to the
+// ReadTableNow reads the table from the platform at once, after another call to the
 // platform has shown that there is a newer one.
-func (l *Loop) LookForTable() { l.stepAndWakeRun((*Machine).ReadTableNow) }
+func (l *Loop) ReadTableNow() { l.stepAndWakeRun((*Machine).ReadTableNow) }
 
-// Take applies another process's report of the platform's state.
-func (l *Loop) Take(report Word, from string) {
+// ApplyReport applies another process's report of the platform's state.
+func (l *Loop) ApplyReport(report VersionReport, from string) {
 	l.step(func(m *Machine, now mgclock.Millis) []Action { return m.ApplyReport(now, report, from) })
 }
 
-// Reseed replaces the peer addresses that are used while no other peer is known.
-func (l *Loop) Reseed(seeds []string) {
+// SetSeeds replaces the peer addresses that are used while no other peer is known.
+func (l *Loop) SetSeeds(seeds []string) {
 	l.stepAndWakeRun(func(m *Machine, _ mgclock.Millis) []Action {
 		m.spec.Seeds = seeds
 		return nil
@@ -250,9 +250,9 @@
 	}
 	l.reported = current
 	l.spec.Log.Info("a version of the table is in force",
-		"version", current.Version(), "accounts", current.Table().Len(), "digest", current.Digest())
-	if l.spec.Adopted != nil {
-		l.spec.Adopted(current)
+		"version", current.Version(), "accounts", current.Table().AccountCount(), "digest", current.Digest())
+	if l.spec.OnAdopt != nil {
+		l.spec.OnAdopt(current)
 	}
 	close(l.tableChanged)
 	l.tableChanged = make(chan struct{})
@@ -298,11 +298,11 @@
 			result.Values, result.List, result.Err = decompressReply(reply)
 		}
 	case LongPoll:
-		var listing Listing
-		listing, result.Err = l.spec.Listen(ctx, action.addr, action.after, action.wait)
-		result.Report = listing.Word
-		if result.Err == nil && listing.Packed != nil {
-			result.List, result.Err = decompress(listing.Packed)
+		var reply ListReply
+		reply, result.Err = l.spec.LongPoll(ctx, action.addr, action.after, action.wait)
+		result.Report = reply.Report
+		if result.Err == nil && reply.Compressed != nil {
+			result.List, result.Err = decompress(reply.Compressed)
 		}
 	case Gossip:
 		result.Gossip, result.Err = l.spec.Gossip(ctx, action.addr, action.gossip)
--- a/pkg/mgclock/manual.go
+++ b/pkg/mgclock/manual.go
@@ -48,9 +48,9 @@
 	m.timers = m.timers[dueCount:]
 }
 
-// Waiting returns the number of timers that have not fired, so that a test can
+// PendingTimers returns the number of timers that have not fired, so that a test can
 // detect when all goroutines wait.
-func (m *Manual) Waiting() int {
+func (m *Manual) PendingTimers() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.timers)
--- a/pkg/mgtable/row.go
+++ b/pkg/mgtable/row.go
@@ -22,11 +22,11 @@
 	Plain      = "plain"
 )
 
-// The preferences of a service: Steady prefers a steady rate of tokens, Whole
+// The preferences of a service: PreferSteady prefers a steady rate of tokens, PreferWhole
 // prefers complete answers without stalls and preemptions.
 const (
-	Steady = "steady"
-	Whole  = "whole"
+	PreferSteady = "steady"
+	PreferWhole  = "whole"
 )
 
 // Values of the column that specifies whether the calls of a plain service may
@@ -45,8 +45,8 @@
 // Values of the column that specifies whether an upstream refuses orders with an
 // outdated fencing number.
 const (
-	Checked = "checked"
-	Ignored = "ignored"
+	OrdersChecked = "checked"
+	OrdersIgnored = "ignored"
 )
 
 // An Account is one client account.
@@ -72,22 +72,22 @@
 // that compete for the same upstreams.
 func (a *Account) Weight() float64 { return a.weight }
 
-// Rate returns the limit in tokens per second, or 0 when there is none.
-func (a *Account) Rate() float64 { return a.rate }
+// MaxTokenRate returns the limit in tokens per second, or 0 when there is none.
+func (a *Account) MaxTokenRate() float64 { return a.rate }
 
-// Streams returns the limit of concurrent streams, or 0 when there is none.
-func (a *Account) Streams() int { return int(a.streams) }
+// MaxStreams returns the limit of concurrent streams, or 0 when there is none.
+func (a *Account) MaxStreams() int { return int(a.streams) }
 
 // Services returns the services the account may use; none listed means all.
 // Callers must not modify the slice.
 func (a *Account) Services() []string { return a.services }
 
-// Homes returns the regions in which the account's requests may run; none listed
+// HomeRegions returns the regions in which the account's requests may run; none listed
 // means all. Callers must not modify the slice.
-func (a *Account) Homes() []string { return a.homes }
+func (a *Account) HomeRegions() []string { return a.homes }
 
-// Allows reports whether the account may use a service.
-func (a *Account) Allows(service string) bool {
+// AllowsService reports whether the account may use a service.
+func (a *Account) AllowsService(service string) bool {
 	if len(a.services) == 0 {
 		return true
 	}
@@ -124,8 +124,8 @@
 // Model returns the model of a generation service, or "".
 func (s *Service) Model() string { return s.model }
 
-// Prefer returns Steady or Whole.
-func (s *Service) Prefer() string { return s.prefer }
+// Preference returns PreferSteady or PreferWhole.
+func (s *Service) Preference() string { return s.prefer }
 
 // Priority returns the priority from 0 to 9; higher priorities are served first.
 func (s *Service) Priority() int { return int(s.priority) }
@@ -133,37 +133,37 @@
 // Deadline returns the maximum time to the first token or the reply.
 func (s *Service) Deadline() mgclock.Millis { return mgclock.Millis(s.deadline) }
 
-// Max returns the maximum output in tokens, or 0 for the model's own limit.
-func (s *Service) Max() int { return int(s.max) }
+// MaxOutput returns the maximum output in tokens, or 0 for the model's own limit.
+func (s *Service) MaxOutput() int { return int(s.max) }
 
 // Repeatable reports whether calls may run more than once.
 func (s *Service) Repeatable() bool { return s.repeat == Safe }
 
-// Hedge returns the fraction of calls that may be sent twice, from 0 to 1.
-func (s *Service) Hedge() float64 { return s.hedge }
+// HedgeFraction returns the fraction of calls that may be sent twice, from 0 to 1.
+func (s *Service) HedgeFraction() float64 { return s.hedge }
 
-// Move reports whether running generations of the service may migrate between
+// CanMigrate reports whether running generations of the service may migrate between
 // engines.
-func (s *Service) Move() bool { return s.move == Yes }
+func (s *Service) CanMigrate() bool { return s.move == Yes }
 
-// Copy returns the time in µs to copy the memory of one token between two
+// CopyMicros returns the time in µs to copy the memory of one token between two
 // engines of an availability zone, or 0 when it is unknown.
-func (s *Service) Copy() int { return int(s.copy) }
+func (s *Service) CopyMicros() int { return int(s.copy) }
 
-// Stride returns the number of tokens per stream event.
-func (s *Service) Stride() int { return max(int(s.stride), 1) }
+// TokensPerEvent returns the number of tokens per stream event.
+func (s *Service) TokensPerEvent() int { return max(int(s.stride), 1) }
 
-// Cold returns how long an upstream is cold after its start, or 0 when it is
+// ColdPeriod returns how long an upstream is cold after its start, or 0 when it is
 // warm at once.
-func (s *Service) Cold() mgclock.Millis { return mgclock.Millis(s.cold) }
+func (s *Service) ColdPeriod() mgclock.Millis { return mgclock.Millis(s.cold) }
 
-// Ramp returns the maximum requests per second to a cold upstream, or 0 for no
+// MaxColdRate returns the maximum requests per second to a cold upstream, or 0 for no
 // limit.
-func (s *Service) Ramp() float64 { return s.ramp }
+func (s *Service) MaxColdRate() float64 { return s.ramp }
 
-// Paths returns the upstreams that serve a plain service; none listed means
+// UpstreamNames returns the upstreams that serve a plain service; none listed means
 // all upstreams that list the service. Callers must not modify the slice.
-func (s *Service) Paths() []string { return s.paths }
+func (s *Service) UpstreamNames() []string { return s.paths }
 
 // A Model is a language model.
 type Model struct {
@@ -176,11 +176,11 @@
 // Name returns the model's name.
 func (m *Model) Name() string { return m.name }
 
-// Context returns the maximum length of prompt and output together, in tokens.
-func (m *Model) Context() int { return int(m.context) }
+// MaxContext returns the maximum length of prompt and output together, in tokens.
+func (m *Model) MaxContext() int { return int(m.context) }
 
-// Max returns the maximum output in tokens.
-func (m *Model) Max() int { return int(m.max) }
+// MaxOutput returns the maximum output in tokens.
+func (m *Model) MaxOutput() int { return int(m.max) }
 
 // An Upstream is a model engine or a host of plain services.
 type Upstream struct {
@@ -211,17 +211,17 @@
 // Memory returns an engine's memory capacity in tokens.
 func (u *Upstream) Memory() int { return int(u.memory) }
 
-// Batch returns the maximum number of concurrent generations or calls.
-func (u *Upstream) Batch() int { return int(u.batch) }
+// MaxConcurrent returns the maximum number of concurrent generations or calls.
+func (u *Upstream) MaxConcurrent() int { return int(u.batch) }
 
-// Orders returns Checked or Ignored.
-func (u *Upstream) Orders() string { return u.orders }
+// FencingMode returns OrdersChecked or OrdersIgnored.
+func (u *Upstream) FencingMode() string { return u.orders }
 
-// Runs reports whether the upstream lists a service.
-func (u *Upstream) Runs(service string) bool { return contains(u.services, service) }
+// ListsService reports whether the upstream lists a service.
+func (u *Upstream) ListsService(service string) bool { return contains(u.services, service) }
 
-// Holds reports whether the upstream lists a model.
-func (u *Upstream) Holds(model string) bool { return contains(u.models, model) }
+// ListsModel reports whether the upstream lists a model.
+func (u *Upstream) ListsModel(model string) bool { return contains(u.models, model) }
 
 func contains(list []string, name string) bool {
 	for _, n := range list {
