--- a/internal/process/mgnode/quarantine.go
+++ b/internal/process/mgnode/quarantine.go
@@ -46,7 +46,7 @@
 // returns those that are held now.
 func (n *Node) reportHeld(previous map[mgquarantine.Digest]bool) map[mgquarantine.Digest]bool {
 	held := map[mgquarantine.Digest]bool{}
-	for _, verdict := range n.quarantine.Verdicts(n.clock.Now()) {
+	for _, verdict := range n.quarantine.Suspects(n.clock.Now()) {
 		if verdict.Remaining() == 0 {
 			continue
 		}
@@ -89,7 +89,7 @@
 
 // quarantineState returns the dump of the requests that crash upstreams.
 func (n *Node) quarantineState() any {
-	verdicts := n.quarantine.Verdicts(n.clock.Now())
+	verdicts := n.quarantine.Suspects(n.clock.Now())
 	rows := make([]quarantineRow, 0, len(verdicts))
 	for _, verdict := range verdicts {
 		rows = append(rows, quarantineRow{
--- a/internal/request/mgquarantine/age_test.go
+++ b/internal/request/mgquarantine/age_test.go
@@ -10,8 +10,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A record that arrives on a faster path than the one before it has a smaller age bound. It
-// must be merged and forwarded at once all the same.
+// A record that was forwarded with less delay than the one before it gives a smaller clock
+// offset of its origin, which also lowers the time bounds of the origin's earlier records.
+// It must be merged and forwarded at once all the same.
 func TestRecordOnFasterPathIsNotForwarded(t *testing.T) {
 	newRecord := func(number uint64, seen mgclock.Millis) Record {
 		return Record{
@@ -51,7 +52,8 @@
 }
 
 // An age that is sent must be neither negative nor smaller than the age received: clock
-// offsets are only estimated, from the delays that records show.
+// offsets are only estimated, from the ages of records, which don't include their network
+// delays.
 func TestAgeIsNegativeOrShrinks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		delayRange := rapid.Int64Range(0, 600)
--- a/internal/request/mgquarantine/bench_test.go
+++ b/internal/request/mgquarantine/bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// BenchmarkCrashed measures one more crash of a request, by the number of its crashes
-// already recorded, each seen by eight processes.
-func BenchmarkCrashed(b *testing.B) {
+// BenchmarkRecordCrash measures recording one more crash of a request, for several numbers
+// of crashes recorded before, each seen by eight processes.
+func BenchmarkRecordCrash(b *testing.B) {
 	for _, count := range []int{1, 8, 32, 128} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
 			q := mgquarantine.New("life", nil)
--- a/internal/request/mgquarantine/doc.go
+++ b/internal/request/mgquarantine/doc.go
@@ -1,7 +1,7 @@
 // Package mgquarantine detects requests that crash the upstreams that run them, and holds
 // such requests back.
 //
-// # Load
+// # Problem
 //
 // One request body can crash each engine that begins to run it, together with the two dozen
 // other generations there. Its caller repeats it through other entries, and an entry that
@@ -24,9 +24,9 @@
 //   - an answer to the request, from any upstream, voids the evidence against it.
 //
 // Once its hold is over, a request is tried again, one attempt at a time, first by the
-// process that ranks first for it and after a delay by any process. If the upstreams
-// crashed for another reason, an answer ends the quarantine; a further crash holds the
-// request for longer.
+// process that ranks first for it, by rendezvous hashing of the digest (see New), and
+// after a delay by any process. If the upstreams crashed for another reason, an answer
+// ends the quarantine; a further crash holds the request for longer.
 //
 // # State
 //
@@ -34,23 +34,28 @@
 // processes can exchange them in any order and more than once (a grow-only set). Each
 // record carries its age instead of a time. Nothing is persisted.
 //
-// The network delay of a record isn't known. Its age is therefore a lower bound, and the
-// time that a process computes from it an upper bound: the smallest that any copy shows.
+// The network delay of a record isn't known. The age that a record carries is therefore a
+// lower bound, and the time of the occurrence that a process computes from it is an upper
+// bound. Of the bounds that several copies of a record give, a process keeps the smallest.
 // One occurrence is later than another when a single clock proves it. That is the clock of
-// the process that saw both, or of the one that saw the later crash, if that attempt was
-// sent after the upper bound of the earlier crash, or its upstream ended at least a window
-// after it. That process lists the earlier records in its own (After), and does so again
-// when a copy that came on a faster path proves more. All processes count by these
-// references and not by times of their own. A pause of a process or its clock voids what
-// its attempts in progress would prove.
+// the process that saw both crashes, or of the process that saw the later one. The latter
+// clock proves the order if the attempt of the later crash was sent after the upper bound
+// of the earlier crash, or if the upstream of the later crash ended at least a window
+// after that bound. The process that saw the later crash lists the earlier records in its
+// own record (Record.Earlier), and adds a follow-up record when a copy that came on a
+// faster path proves more. All processes count by these references and not by times of
+// their own. If a process or its clock pauses, its attempts that are in progress then
+// prove nothing about the order.
 //
 // # Terms
 //
 //   - crash: the end of an upstream's process without notice.
 //   - occurrence: all crashes within one window, which count once.
-//   - sound: describes a request that an upstream has answered.
+//   - sound: describes a request that an upstream has answered; used in the tests.
 //   - hold: the time for which a request is sent to no upstream.
-//   - quarantine: the state of a request from its first hold until an answer or expiry.
+//   - quarantine: the state of a request from its first hold until an answer or expiry,
+//     also while no hold is in effect.
+//   - incarnation: one run of a process, from its start to its end.
 //
 // # References
 //
--- a/internal/request/mgquarantine/evaluate.go
+++ b/internal/request/mgquarantine/evaluate.go
@@ -26,21 +26,21 @@
 	initialHold = 30 * mgclock.Second
 	holdFactor  = 4
 	maxHold     = 32 * mgclock.Minute
-	// maxChainLength limits how many crashes of one request are evaluated; the latest
-	// count.
-	maxChainLength = 128
+	// maxEvaluatedCrashes limits how many crashes of one request are evaluated. Only the
+	// latest ones are.
+	maxEvaluatedCrashes = 128
 )
 
 // crash is the end of one upstream, with the requests that may have caused it.
 type crash struct {
-	at        mgclock.Millis
-	records   []storedRecord // of requests that were about to begin or had just begun
-	begun     bool           // some of these requests had begun; those are the likelier causes
-	explained bool
+	at              mgclock.Millis
+	records         []storedRecord // of requests that were about to begin or had just begun
+	hasBegunRequest bool           // some of these requests had begun; those are the likelier causes
+	explained       bool
 }
 
 // isSuspect reports whether a record's request is among the likeliest causes.
-func (c *crash) isSuspect(s storedRecord) bool { return s.record.Begun == c.begun }
+func (c *crash) isSuspect(s storedRecord) bool { return s.record.Begun == c.hasBegunRequest }
 
 // involves reports whether a request was about to begin or had just begun.
 func (c *crash) involves(digest Digest) bool {
@@ -49,10 +49,10 @@
 
 // suspicion is the evaluation of the records of one request.
 type suspicion struct {
-	occurrences int
-	isHeld      bool           // also true after the hold has ended
-	heldUntil   mgclock.Millis // end of the hold
-	retainUntil mgclock.Millis // end of the time for which its records are needed
+	occurrences   int
+	isQuarantined bool           // also true after the hold has ended
+	heldUntil     mgclock.Millis // end of the hold
+	retainUntil   mgclock.Millis // end of the time for which its records are needed
 }
 
 // groupCrashes groups records, sorted by time, into crashes.
@@ -69,7 +69,7 @@
 			all = append(all, c)
 		}
 		c.records = append(c.records, s)
-		c.begun = c.begun || s.record.Begun
+		c.hasBegunRequest = c.hasBegunRequest || s.record.Begun
 	}
 	return all
 }
@@ -99,8 +99,9 @@
 	}
 }
 
-// occurrences returns, for each request, its longest chain of crashes that it is suspected
-// of and that no other request explains.
+// occurrences returns, for each request, its longest chain of crashes: a sequence in which
+// each crash is a later occurrence than the one before. Only crashes that the request is
+// suspected of, and that no other request explains, are considered.
 func occurrences(crashes []*crash) map[Digest][]*crash {
 	suspected := map[Digest][]*crash{}
 	for _, c := range crashes {
@@ -116,7 +117,7 @@
 	}
 	chains := map[Digest][]*crash{}
 	for digest, all := range suspected {
-		chains[digest] = longestChain(digest, all[max(len(all)-maxChainLength, 0):])
+		chains[digest] = longestChain(digest, all[max(len(all)-maxEvaluatedCrashes, 0):])
 	}
 	return chains
 }
@@ -132,7 +133,7 @@
 		if chains[i] != nil {
 			return chains[i]
 		}
-		chains[i] = crashes[i : i+1 : i+1] // ends the recursion where records contradict each other
+		chains[i] = crashes[i : i+1 : i+1] // ends the recursion where records contradict each other: their references form a cycle
 		var longest []*crash
 		for _, j := range earlier[i] {
 			if chain := chainTo(j); len(chain) > len(longest) {
@@ -183,7 +184,7 @@
 					earlier[i] = append(earlier[i], other.crash)
 				}
 			}
-			for _, reference := range s.record.After {
+			for _, reference := range s.record.Earlier {
 				if at, known := crashOf[reference]; known && at != i {
 					earlier[i] = append(earlier[i], at)
 				}
@@ -220,10 +221,10 @@
 		until = c.at + hold
 	}
 	return suspicion{
-		occurrences: len(chain),
-		isHeld:      true,
-		heldUntil:   until,
-		retainUntil: until + evidenceTTL,
+		occurrences:   len(chain),
+		isQuarantined: true,
+		heldUntil:     until,
+		retainUntil:   until + evidenceTTL,
 	}
 }
 
@@ -236,7 +237,7 @@
 
 // remaining returns how much of the hold is left at a time, 0 where there is none.
 func (s suspicion) remaining(now mgclock.Millis) mgclock.Millis {
-	if !s.isHeld {
+	if !s.isQuarantined {
 		return 0
 	}
 	return max(s.heldUntil-now, 0)
--- a/internal/request/mgquarantine/exchange.go
+++ b/internal/request/mgquarantine/exchange.go
@@ -25,7 +25,7 @@
 		hasUpdates = hasUpdates || isUpdate
 	}
 	for digest := range changed {
-		hasUpdates = q.restateOwn(now, digest) || hasUpdates
+		hasUpdates = q.addFollowUps(now, digest) || hasUpdates
 	}
 	if hasUpdates {
 		q.reevaluate(now)
@@ -33,15 +33,16 @@
 	return invalid
 }
 
-// mergeRecord stores another process's record, or the better time bound that a copy of it
-// shows. It reports whether anything improved, and whether by enough to be broadcast.
+// mergeRecord stores another process's record, or the better time bound that a further
+// copy of it gives. It reports whether anything improved, and whether by enough to be
+// broadcast.
 func (q *Quarantine) mergeRecord(now mgclock.Millis, digest Digest, record Record) (improved, isUpdate bool) {
 	seenBound := q.boundSeenTime(now, record)
 	s, isKnown := q.records[record.id()]
 	if isKnown && seenBound >= s.seenBound {
 		return false, false
 	}
-	isUpdate = !isKnown || s.seenBound-seenBound >= minAgeGain
+	isUpdate = !isKnown || s.seenBound-seenBound >= minBoundImprovement
 	if !isKnown {
 		s = storedRecord{
 			record: record,
@@ -82,15 +83,16 @@
 	return records
 }
 
-// OlderRecords returns those of the received records that are known here to be older, by at least
-// minAgeGain, than the sender reports, so that the sender can improve its time bounds.
+// OlderRecords returns those of the received records that are known here to be older, by
+// at least minBoundImprovement, than the sender reports, so that the sender can improve
+// its time bounds.
 func (q *Quarantine) OlderRecords(now mgclock.Millis, received []Record) []Record {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var older []Record
 	for _, record := range received {
 		s, isKnown := q.records[record.id()]
-		if isKnown && now-s.seenBound >= record.Age+minAgeGain {
+		if isKnown && now-s.seenBound >= record.Age+minBoundImprovement {
 			older = append(older, s.withAge(now))
 		}
 	}
--- a/internal/request/mgquarantine/order.go
+++ b/internal/request/mgquarantine/order.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// maxAfter limits how many records of other processes one record references as earlier.
-	maxAfter = 8
-	// maxRestatements limits how many follow-up records a process adds for one attempt, and
-	// maxRestatedAttempts for how many attempts of one request, the latest ones.
-	maxRestatements     = 4
-	maxRestatedAttempts = 8
+	// maxReferences limits how many records of other processes one record references as
+	// earlier.
+	maxReferences = 8
+	// maxFollowUps limits how many follow-up records a process adds for one attempt, and
+	// maxFollowUpAttempts for how many attempts of one request, the latest ones.
+	maxFollowUps        = 4
+	maxFollowUpAttempts = 8
 	// maxOffsetDrift is how far the offset of an origin's clock may differ between two of
 	// its records. A clock that stood still in between makes it differ by more.
 	maxOffsetDrift = 500 * mgclock.Millis(1)
@@ -24,9 +25,10 @@
 // of the process and then calls RecordPause. Call SetPauseCheck before the quarantine is used.
 func (q *Quarantine) SetPauseCheck(checkPause func()) { q.checkPause = checkPause }
 
-// RecordPause records that the process, or its clock, stood still until now. Attempts that were
-// in progress say nothing about the order of crashes: their ends may have been seen late,
-// and other processes' records can't be placed in the time before.
+// RecordPause records that the process, or its clock, stood still until now. Attempts that
+// were in progress say nothing about the order of crashes: their ends may have been seen
+// late, and the time of another process's record can't be compared with times before the
+// pause.
 func (q *Quarantine) RecordPause(now mgclock.Millis) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -36,10 +38,11 @@
 // pausedSince reports whether the process paused at or after a time.
 func (q *Quarantine) pausedSince(at mgclock.Millis) bool { return q.lastPause > 0 && at <= q.lastPause }
 
-// boundSeenTime returns an upper bound, by this process's clock, of when a record was seen:
-// the record's age doesn't include its network delay. Records of one origin keep their
-// order and distances, whichever paths they took, since all use the smallest clock offset
-// that any of them shows.
+// boundSeenTime returns an upper bound, by this process's clock, of when a record's crash
+// or answer was seen. It is only a bound because the record's age doesn't include its
+// network delay. Records of one origin keep their order and the time between them,
+// whichever processes forwarded them, since all use the smallest clock offset that any of
+// them gives.
 func (q *Quarantine) boundSeenTime(now mgclock.Millis, record Record) mgclock.Millis {
 	newOffset := now - record.Age - record.Seen
 	offset, known := q.offsets[record.Origin]
@@ -62,14 +65,15 @@
 }
 
 // provenEarlier returns the records of other processes that an own record proves to be of
-// earlier occurrences, latest first, without those already known to be.
+// earlier occurrences, latest first, without those in known, which the own records
+// reference already.
 func (q *Quarantine) provenEarlier(own storedRecord, known []Reference) []Reference {
 	if !own.isCrash() || q.pausedSince(own.record.Sent) {
 		return nil
 	}
 	var proven []storedRecord
 	for _, s := range q.records {
-		if s.digest != own.digest || !s.isCrash() || s.record.Of != 0 || s.record.Origin == q.origin {
+		if s.digest != own.digest || !s.isCrash() || s.record.FirstNumber != 0 || s.record.Origin == q.origin {
 			continue
 		}
 		if own.provesLaterThan(s) && !slices.Contains(known, s.reference()) {
@@ -79,15 +83,15 @@
 	sortByTime(proven)
 	slices.Reverse(proven)
 	var references []Reference
-	for _, s := range proven[:min(len(proven), maxAfter)] {
+	for _, s := range proven[:min(len(proven), maxReferences)] {
 		references = append(references, s.reference())
 	}
 	return references
 }
 
-// restateOwn adds follow-up records for what this process's own records of a request prove
-// now, and reports whether it added any.
-func (q *Quarantine) restateOwn(now mgclock.Millis, digest Digest) bool {
+// addFollowUps adds follow-up records with the references that this process's own records
+// of a request prove now and that they don't have yet. It reports whether it added any.
+func (q *Quarantine) addFollowUps(now mgclock.Millis, digest Digest) bool {
 	own := map[uint64][]storedRecord{} // by the first record's number
 	for _, s := range q.records {
 		if s.digest == digest && s.isCrash() && s.record.Origin == q.origin {
@@ -96,22 +100,22 @@
 	}
 	numbers := slices.Sorted(maps.Keys(own))
 	hasNew := false
-	for _, number := range numbers[max(len(numbers)-maxRestatedAttempts, 0):] {
+	for _, number := range numbers[max(len(numbers)-maxFollowUpAttempts, 0):] {
 		records := own[number]
-		if len(records) > maxRestatements {
+		if len(records) > maxFollowUps {
 			continue
 		}
 		first := slices.MinFunc(records, func(a, b storedRecord) int { return cmp.Compare(a.record.Number, b.record.Number) })
 		var known []Reference
 		for _, s := range records {
-			known = append(known, s.record.After...)
+			known = append(known, s.record.Earlier...)
 		}
 		references := q.provenEarlier(first, known)
 		if len(references) == 0 {
 			continue
 		}
-		first.record.Of = first.firstID().number
-		first.record.After = references
+		first.record.FirstNumber = first.firstID().number
+		first.record.Earlier = references
 		first.learnedAt = now
 		q.putOwn(first)
 		hasNew = true
--- a/internal/request/mgquarantine/order_test.go
+++ b/internal/request/mgquarantine/order_test.go
@@ -20,7 +20,7 @@
 	cases := []struct {
 		name        string
 		second      mgquarantine.Crash
-		known       mgclock.Millis // when the other process receives the first record, if not at 150
+		receivedAt  mgclock.Millis // when the other process receives the first record, if not at 150
 		pause       mgclock.Millis // when the other process resumes after a pause
 		occurrences int
 	}{
@@ -55,7 +55,7 @@
 				Upstream: "b",
 				Sent:     100,
 			},
-			known:       250,
+			receivedAt:  250,
 			occurrences: 1,
 		},
 		{
@@ -64,7 +64,7 @@
 				Upstream: "b",
 				Sent:     450,
 			},
-			known:       510,
+			receivedAt:  510,
 			occurrences: 1,
 		},
 		{
@@ -105,18 +105,18 @@
 				})
 				sent := first.MissingRecords(0, nil)
 				c.second.Digest, c.second.Begun = digestOf("bad"), true
-				if c.known == 0 {
-					c.known = 150
+				if c.receivedAt == 0 {
+					c.receivedAt = 150
 				}
-				if c.known < 500 {
-					other.Merge(c.known, sent)
+				if c.receivedAt < 500 {
+					other.Merge(c.receivedAt, sent)
 				}
 				if c.pause > 0 {
 					other.RecordPause(c.pause)
 				}
 				other.RecordCrash(500, c.second)
-				if c.known >= 500 {
-					other.Merge(c.known, sent)
+				if c.receivedAt >= 500 {
+					other.Merge(c.receivedAt, sent)
 				}
 				for _, q := range []*mgquarantine.Quarantine{first, third} {
 					So(q.Merge(5*sec, other.MissingRecords(600, nil)), ShouldBeEmpty)
@@ -162,7 +162,7 @@
 func TestOneMomentCountsMoreThanOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const count = 4
-		moments := rapid.IntRange(1, 3).Draw(t, "moments")
+		occurrences := rapid.IntRange(1, 3).Draw(t, "moments")
 		delayRange := rapid.Int64Range(0, rapid.SampledFrom([]int64{3, 200, 400, 1500}).Draw(t, "slowest"))
 		var all [count]*mgquarantine.Quarantine
 		var offset [count]mgclock.Millis // of each process's clock
@@ -182,7 +182,7 @@
 				all[to].Merge(now+offset[to], sent)
 			}
 		}
-		for moment := range moments {
+		for moment := range occurrences {
 			for i := range count {
 				if !rapid.Bool().Draw(t, "sees") {
 					continue
@@ -206,8 +206,8 @@
 		}
 		exchange(20)
 		for i, q := range all {
-			if q.Occurrences(digestOf("sound")) > moments {
-				t.Fatalf("process %d counts %d occurrences for %d moments", i, q.Occurrences(digestOf("sound")), moments)
+			if q.Occurrences(digestOf("sound")) > occurrences {
+				t.Fatalf("process %d counts %d occurrences for %d moments", i, q.Occurrences(digestOf("sound")), occurrences)
 			}
 		}
 	})
--- a/internal/request/mgquarantine/quarantine.go
+++ b/internal/request/mgquarantine/quarantine.go
@@ -22,19 +22,19 @@
 	trialWindow = 5 * mgclock.Second
 	// broadcastWindow is how long a record is broadcast after it was learned.
 	broadcastWindow = 600 * mgclock.Millis(1)
-	// minAgeGain is by how much a record's time bound must fall for the record to be
-	// broadcast again: other copies of it came on slower paths.
-	minAgeGain = 20 * mgclock.Millis(1)
+	// minBoundImprovement is by how much a record's time bound must fall for the record to
+	// be broadcast again: the copies of it that came before were delayed longer.
+	minBoundImprovement = 20 * mgclock.Millis(1)
 )
 
 // A Quarantine holds what this process knows of requests that crash upstreams. The zero
 // Quarantine is empty and ready for use by several goroutines; New sets the process that it
 // belongs to.
 type Quarantine struct {
-	origin     string
-	runsTrial  func(Digest) bool // see New
-	checkPause func()            // see SetPauseCheck
-	state      atomic.Pointer[state]
+	origin           string
+	mayRunFirstTrial func(Digest) bool // see New
+	checkPause       func()            // see SetPauseCheck
+	state            atomic.Pointer[state]
 
 	mu             sync.Mutex
 	lastNumber     uint64
@@ -51,13 +51,13 @@
 	nextExpiry mgclock.Millis
 }
 
-// New returns the quarantine of a process with the incarnation origin. The function reports
-// whether this process, of those that exchange records, is the first to try a request whose
-// hold is over; nil stands for yes.
-func New(origin string, runsTrial func(Digest) bool) *Quarantine {
+// New returns the quarantine of a process with the incarnation origin. mayRunFirstTrial
+// reports whether this process, of those that exchange records, is the first to try a
+// request whose hold is over. A nil function means that it always is.
+func New(origin string, mayRunFirstTrial func(Digest) bool) *Quarantine {
 	return &Quarantine{
-		origin:    origin,
-		runsTrial: runsTrial,
+		origin:           origin,
+		mayRunFirstTrial: mayRunFirstTrial,
 	}
 }
 
@@ -80,7 +80,7 @@
 	Upstream string
 	Begun    bool           // the upstream had begun the request
 	Sent     mgclock.Millis // when the attempt was sent
-	Delay    mgclock.Millis // how long before it was seen the upstream may have ended
+	Delay    mgclock.Millis // uncertainty of the crash's time: how long before it was seen the upstream may have ended
 }
 
 // RecordCrash records a crash that was seen now.
@@ -129,14 +129,14 @@
 // longer hold.
 func (q *Quarantine) Admit(now mgclock.Millis, digest Digest) (left mgclock.Millis, ok bool) {
 	current := q.state.Load()
-	if current == nil || !current.suspicions[digest].isHeld {
+	if current == nil || !current.suspicions[digest].isQuarantined {
 		return 0, true
 	}
 	suspicion := current.suspicions[digest]
 	if left := suspicion.remaining(now); left > 0 {
 		return left, false
 	}
-	if left := suspicion.heldUntil + trialWindow - now; left > 0 && q.runsTrial != nil && !q.runsTrial(digest) {
+	if left := suspicion.heldUntil + trialWindow - now; left > 0 && q.mayRunFirstTrial != nil && !q.mayRunFirstTrial(digest) {
 		return left, false
 	}
 	q.mu.Lock()
@@ -151,16 +151,17 @@
 	return 0, true
 }
 
-// retryCrashLimit is the number of occurrences from which a request is no longer retried on
-// another upstream after a crash, but only when its caller sends it again.
+// retryCrashLimit is the number of occurrences from which a request is no longer retried
+// on another upstream after a crash. It then runs again only when its caller sends it
+// again.
 const retryCrashLimit = 2
 
 // Retryable reports whether a request whose upstream has just crashed may be retried on
 // another one.
 func (q *Quarantine) Retryable(digest Digest) bool { return q.Occurrences(digest) < retryCrashLimit }
 
-// Occurrences returns how many occurrences a request is suspected of that no other request
-// explains.
+// Occurrences returns the number of occurrences that a request is suspected of, without
+// those that another request explains.
 func (q *Quarantine) Occurrences(digest Digest) int {
 	current := q.state.Load()
 	if current == nil {
@@ -184,7 +185,7 @@
 		seenBound: now,
 		learnedAt: now,
 	}
-	own.record.After = q.provenEarlier(own, nil)
+	own.record.Earlier = q.provenEarlier(own, nil)
 	q.putOwn(own)
 	q.reevaluate(now)
 }
@@ -237,7 +238,7 @@
 		}
 	}
 	for digest := range q.trialDeadlines {
-		if !next.suspicions[digest].isHeld {
+		if !next.suspicions[digest].isQuarantined {
 			delete(q.trialDeadlines, digest)
 		}
 	}
@@ -261,12 +262,12 @@
 			continue
 		}
 		if merged, known := attempts[s.firstID()]; known {
-			s.record.After = slices.Concat(merged.record.After, s.record.After)
+			s.record.Earlier = slices.Concat(merged.record.Earlier, s.record.Earlier)
 			s.seenBound = min(merged.seenBound, s.seenBound)
 			s.learnedAt = min(merged.learnedAt, s.learnedAt)
 		}
 		s.record.Number = s.firstID().number
-		s.record.Of = 0
+		s.record.FirstNumber = 0
 		attempts[s.id()] = s
 	}
 	records := make([]storedRecord, 0, len(attempts))
@@ -287,8 +288,8 @@
 	for id := range q.records {
 		ids = append(ids, id)
 	}
-	rank := func(name recordID) int {
-		if s := q.records[name]; s.isCrash() && next.suspicions[s.digest].isHeld {
+	rank := func(id recordID) int {
+		if s := q.records[id]; s.isCrash() && next.suspicions[s.digest].isQuarantined {
 			return 1
 		}
 		return 0
@@ -296,8 +297,8 @@
 	slices.SortFunc(ids, func(a, b recordID) int {
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(q.records[a].seenBound, q.records[b].seenBound))
 	})
-	for _, name := range ids[:len(ids)-maxRecords+maxRecords/8] { // an extra eighth, since ranking takes a while
-		delete(q.records, name)
+	for _, id := range ids[:len(ids)-maxRecords+maxRecords/8] { // an extra eighth, since ranking takes a while
+		delete(q.records, id)
 	}
 }
 
--- a/internal/request/mgquarantine/quarantine_test.go
+++ b/internal/request/mgquarantine/quarantine_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	sec = mgclock.Second
-	min = mgclock.Minute
+	sec    = mgclock.Second
+	minute = mgclock.Minute
 )
 
 func digestOf(name string) mgquarantine.Digest {
@@ -253,17 +253,17 @@
 					upstream: "a",
 				},
 				{
-					at:       11 * min,
+					at:       11 * minute,
 					request:  "old",
 					upstream: "b",
 				},
 				{
-					at:       22 * min,
+					at:       22 * minute,
 					request:  "old",
 					upstream: "c",
 				},
 			},
-			now: 22*min + sec,
+			now: 22*minute + sec,
 		},
 		{
 			name: "three, once the hold is over",
@@ -288,8 +288,8 @@
 		},
 		{
 			name: "one more long after a hold",
-			seen: append(crashesFrom(0, "bad", "a", "b", "c"), crashesFrom(11*min, "bad", "d")...),
-			now:  11*min + sec,
+			seen: append(crashesFrom(0, "bad", "a", "b", "c"), crashesFrom(11*minute, "bad", "d")...),
+			now:  11*minute + sec,
 		},
 	}
 	Convey("Which requests are held", t, func() {
@@ -374,9 +374,9 @@
 		other.Merge(sec, q.MissingRecords(sec, nil))
 		So(q.MissingRecords(sec, other.Checksums()), ShouldBeEmpty)
 		record(q, crashesFrom(sec, "one more", "engine"))
-		lacking := q.MissingRecords(2*sec, other.Checksums())
-		So(len(lacking), ShouldBeBetween, 0, 40)
-		other.Merge(2*sec, lacking)
+		missing := q.MissingRecords(2*sec, other.Checksums())
+		So(len(missing), ShouldBeBetween, 0, 40)
+		other.Merge(2*sec, missing)
 		So(q.MissingRecords(2*sec, other.Checksums()), ShouldBeEmpty)
 	})
 }
@@ -416,8 +416,8 @@
 	})
 }
 
-// storm is a service whose engines are crashed by one request again and again.
-type storm struct {
+// crashLoop simulates a service whose engines are crashed by one request again and again.
+type crashLoop struct {
 	random   *rand.Rand
 	q        *mgquarantine.Quarantine
 	now      mgclock.Millis
@@ -427,9 +427,9 @@
 	innocent map[string]bool
 }
 
-// crash ends an engine that runs the request, along with neighbours that had just begun or
-// were waiting.
-func (s *storm) crash(upstream int) {
+// crash ends an engine that runs the request, along with neighbours: other requests at the
+// same engine that had just begun or were waiting.
+func (s *crashLoop) crash(upstream int) {
 	s.ended++
 	name := fmt.Sprintf("engine-%d-%d", upstream, s.ended)
 	all := []observation{{
@@ -459,7 +459,7 @@
 		wronglyHeld := 0
 		maxEnded := 0
 		for seed := range uint64(300) {
-			s := storm{
+			s := crashLoop{
 				random:   rand.New(rand.NewPCG(seed, 0)),
 				q:        mgquarantine.New("life", nil),
 				engines:  18,
--- a/internal/request/mgquarantine/record.go
+++ b/internal/request/mgquarantine/record.go
@@ -19,13 +19,15 @@
 	Sent     mgclock.Millis `json:"sent,omitempty"`     // time of the attempt by the origin's clock
 	Seen     mgclock.Millis `json:"seen,omitempty"`     // when its end was seen, by the origin's clock
 	Age      mgclock.Millis `json:"age"`                // lower bound of the time since Seen, ms
-	// Delay is how long before Seen the upstream may have ended, ms.
+	// Delay is the uncertainty of the crash's time: how long before Seen the upstream may
+	// have ended, ms.
 	Delay mgclock.Millis `json:"delay,omitempty"`
-	// After references records of other processes whose upstreams ended in an earlier
-	// occurrence. A record that adds references to an earlier one repeats that one, with
-	// its number in Of.
-	After []Reference `json:"after,omitempty"`
-	Of    uint64      `json:"of,omitempty"`
+	// Earlier references records of other processes whose upstreams ended in an earlier
+	// occurrence. A follow-up record adds references to an earlier record of the same
+	// attempt: it repeats that record with the new references, and has the number of the
+	// attempt's first record in FirstNumber.
+	Earlier     []Reference `json:"after,omitempty"`
+	FirstNumber uint64      `json:"of,omitempty"`
 }
 
 // A Reference identifies another process's record.
@@ -97,12 +99,12 @@
 
 // firstID returns the ID of the first record of the same attempt.
 func (s storedRecord) firstID() recordID {
-	if s.record.Of == 0 {
+	if s.record.FirstNumber == 0 {
 		return s.id()
 	}
 	return recordID{
 		origin: s.record.Origin,
-		number: s.record.Of,
+		number: s.record.FirstNumber,
 	}
 }
 
@@ -122,7 +124,7 @@
 	if s.record.Origin == earlier.record.Origin {
 		return s.sentAfter(earlier) || s.record.Seen-s.record.Delay >= earlier.record.Seen+windowFor(s, earlier)
 	}
-	return slices.Contains(s.record.After, earlier.reference())
+	return slices.Contains(s.record.Earlier, earlier.reference())
 }
 
 // provesLaterThan reports whether this process's own record s is provably of a later
--- a/internal/request/mgquarantine/verdict.go
+++ b/internal/request/mgquarantine/suspect.go
@@ -7,8 +7,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Verdict is the evidence against a request and its hold.
-type Verdict struct {
+// A Suspect is a request against which there is evidence, with that evidence and the
+// request's hold, if any.
+type Suspect struct {
 	digest      Digest
 	occurrences int
 	remaining   mgclock.Millis
@@ -16,19 +17,19 @@
 }
 
 // Digest returns the request's digest.
-func (v Verdict) Digest() Digest { return v.digest }
+func (v Suspect) Digest() Digest { return v.digest }
 
 // Occurrences returns how many crash occurrences are attributed to the request.
-func (v Verdict) Occurrences() int { return v.occurrences }
+func (v Suspect) Occurrences() int { return v.occurrences }
 
 // Remaining returns how long the request is still held, 0 where it isn't.
-func (v Verdict) Remaining() mgclock.Millis { return v.remaining }
+func (v Suspect) Remaining() mgclock.Millis { return v.remaining }
 
 // Evidence returns the records of the crashes, the newest first.
-func (v Verdict) Evidence() []Record { return v.evidence }
+func (v Suspect) Evidence() []Record { return v.evidence }
 
-// Verdicts returns the evidence against all requests, sorted by digest.
-func (q *Quarantine) Verdicts(now mgclock.Millis) []Verdict {
+// Suspects returns all requests against which there is evidence, sorted by digest.
+func (q *Quarantine) Suspects(now mgclock.Millis) []Suspect {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	current := q.state.Load()
@@ -39,16 +40,16 @@
 	for _, s := range q.evidence() {
 		records[s.digest] = append(records[s.digest], s.withAge(now))
 	}
-	verdicts := make([]Verdict, 0, len(current.suspicions))
+	suspects := make([]Suspect, 0, len(current.suspicions))
 	for digest, suspicion := range current.suspicions {
 		slices.Reverse(records[digest])
-		verdicts = append(verdicts, Verdict{
+		suspects = append(suspects, Suspect{
 			digest:      digest,
 			occurrences: suspicion.occurrences,
 			remaining:   suspicion.remaining(now),
 			evidence:    records[digest],
 		})
 	}
-	slices.SortFunc(verdicts, func(a, b Verdict) int { return cmp.Compare(a.digest.String(), b.digest.String()) })
-	return verdicts
+	slices.SortFunc(suspects, func(a, b Suspect) int { return cmp.Compare(a.digest.String(), b.digest.String()) })
+	return suspects
 }
