--- a/internal/request/mglimit/backoffs.go
+++ b/internal/request/mglimit/backoffs.go
@@ -7,8 +7,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// maxWait bounds the time for which no permits of an upstream are asked for: its limit may
-// rise.
+// maxWait bounds the time for which no permits of an upstream are asked for, since its
+// limit may rise in the meantime.
 const maxWait = mgclock.Second
 
 // Backoffs holds the upstreams for which no permit is available for a while. The zero Backoffs is
--- a/internal/request/mglimit/doc.go
+++ b/internal/request/mglimit/doc.go
@@ -1,7 +1,7 @@
 // Package mglimit keeps the requests that all processes together send to an upstream within
 // the rate that the upstream asks for.
 //
-// # Load
+// # Problem
 //
 // An overloaded upstream names in its answers how many requests a second it takes from all
 // processes together. A process sees only its own requests. Equal parts would waste what
@@ -28,8 +28,9 @@
 //   - cell: a part of a region's processes that share a hub; the hub grants placements for
 //     it.
 //   - limit: the requests a second that an upstream takes from all processes together.
-//   - record: what a process knows of a limit, with the ages of that (Record).
-//   - permit: leave to send one request.
+//   - record: what a process knows of a limit, with the ages of the answers that it knows
+//     this from (Record).
+//   - permit: a token that allows sending one request.
 //   - granter: a process that grants permits.
 //   - incarnation: the time from a start of an upstream to its end.
 //
--- a/internal/request/mglimit/limits.go
+++ b/internal/request/mglimit/limits.go
@@ -13,12 +13,13 @@
 const (
 	// broadcastWindow is how long a changed record is broadcast.
 	broadcastWindow = 600 * mgclock.Millis(1)
-	// maxRecordDelay is how much older than its age says another process's record may be.
+	// maxRecordDelay is how much older another process's record may be than its age says.
 	// It is subtracted from the time of a limit's end, which must not seem later than an
 	// answer that named the limit.
 	maxRecordDelay = 500 * mgclock.Millis(1)
-	// unlistedTTL is how long after it was last named the limit of an upstream is kept that
-	// isn't on the list: longer than a list may lack an upstream that is alive.
+	// unlistedTTL is how long the limit of an upstream that isn't on the list of upstreams
+	// is kept after it was last named: longer than a list may lack an upstream that is
+	// alive.
 	unlistedTTL = 5 * mgclock.Minute
 	// maxLimits bounds the number of upstreams whose limits are kept.
 	maxLimits = 8192
@@ -28,10 +29,10 @@
 // exchange it. Its ages are relative to the time at which it is sent, in ms, 0 or more.
 type Record struct {
 	Upstream         string         `json:"upstream"`
-	IncarnationStart int64          `json:"born,omitempty"` // start of the upstream's incarnation, from the list
-	Rate             float64        `json:"rate"`           // requests a second
-	Named            mgclock.Millis `json:"named"`          // age of the last answer that named the rate
-	Ended            bool           `json:"ended,omitempty"`
+	IncarnationStart int64          `json:"born,omitempty"`  // start of the upstream's incarnation, from the list
+	Rate             float64        `json:"rate"`            // requests a second
+	Named            mgclock.Millis `json:"named"`           // age of the last answer that named the rate
+	Ended            bool           `json:"ended,omitempty"` // an answer named no rate, before or after Named; see limit.isActive
 	// Unnamed is the age of the last request whose answer named no rate, where Ended.
 	Unnamed mgclock.Millis `json:"unnamed,omitempty"`
 }
@@ -165,9 +166,9 @@
 	}
 }
 
-// Rate returns the limit of an upstream whose incarnation began at born, from the list, or
-// false where it has none. A limit of a later incarnation counts, since the list may be out
-// of date.
+// Rate returns the limit of an upstream whose incarnation began at incarnationStart, from
+// the list of upstreams, or false where it has none. A limit of a later incarnation
+// counts, since the list may be out of date.
 func (s *Limits) Rate(upstream string, incarnationStart int64) (rate float64, limited bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,7 +219,8 @@
 		IncarnationStart: l.incarnationStart,
 		Rate:             l.rate,
 		Ended:            l.ended,
-		// The time may be ahead of now by the time for which a goroutine waited.
+		// lastNamed may be ahead of now by the time for which the calling goroutine waited
+		// for the lock.
 		Named: max(now-l.lastNamed, 0),
 	}
 	if l.ended {
--- a/internal/request/mglimit/permits.go
+++ b/internal/request/mglimit/permits.go
@@ -14,9 +14,10 @@
 	minRate = 0.2
 	// accumulationWindow is the time for which unused permits accumulate.
 	accumulationWindow = 500 * mgclock.Millis(1)
-	// maxKeepingGranters is the maximum number of granters that each keep an unused permit
-	// without expiry. What more of them keep could be used all at once.
-	maxKeepingGranters = 4
+	// maxNonExpiringGranters is the maximum number of granters up to which each keeps an
+	// unused permit without expiry. With more granters, the permits that they keep could
+	// be used all at once.
+	maxNonExpiringGranters = 4
 	// wholePermit is the least amount that counts as a permit: sums of fractions are
 	// rounded.
 	wholePermit = 1 - 1e-9
@@ -48,8 +49,8 @@
 type PermitRequest struct {
 	Upstream string
 	Request  string
-	// Forced marks a request that is sent in any case, such as to the upstream that has its
-	// generation's copy. Its permit is subtracted from later ones.
+	// Forced marks a request that is sent in any case, such as to the upstream that has
+	// the copy of its generation's memory. Its permit is subtracted from later ones.
 	Forced bool
 }
 
@@ -137,10 +138,11 @@
 	switch {
 	case kept >= 1:
 		b.permits = min(b.permits, kept)
-	case share.granters <= maxKeepingGranters:
+	case share.granters <= maxNonExpiringGranters:
 		b.permits = min(b.permits, 1)
 	case b.permits >= 1+kept:
-		// The permit has expired unless it came within accumulationWindow.
+		// The whole permits have expired, except one that became whole within
+		// accumulationWindow.
 		_, b.permits = math.Modf(b.permits)
 		if b.permits < kept {
 			b.permits++
