--- a/internal/request/mgqueue/account.go
+++ b/internal/request/mgqueue/account.go
@@ -7,11 +7,11 @@
 	name            string
 	weight          float64
 	tag             float64
-	credit          float64 // refunded tokens not used up; see Charge
-	serial          uint64  // breaks ties between tags in turn, 0 while it doesn't wait
+	refund          float64 // refunded tokens not used up; see Charge
+	serial          uint64  // breaks ties between tags in the order of service; 0 means that it doesn't wait
 	requests        heap[entry]
 	countByPriority [Levels]int
-	heapIndex       int // in waiting or indebted: an account is in one of them at most
+	heapIndex       int // in waiting or aheadOfTime: an account is in one of them at most
 }
 
 // entry is a waiting request.
@@ -115,17 +115,17 @@
 	item := q.dequeue(e)
 	q.serial++
 	a.serial = q.serial
-	used := min(a.credit, item.Cost/2)
-	a.credit -= used
+	used := min(a.refund, item.Cost/2)
+	a.refund -= used
 	q.advanceTag(a, item.Cost-used)
 	q.dropSettled()
 	return item
 }
 
-// activate moves an account to those that wait. Its tag is never behind the current virtual
-// time: idleness saves up no credit.
+// activate moves an account to those that wait. Its tag is never behind the current
+// virtual time: an account gains nothing by being idle.
 func (q *Queue) activate(a *account) {
-	q.indebted.remove(a)
+	q.aheadOfTime.remove(a)
 	a.tag = max(a.tag, q.virtualTime)
 	a.serial = q.serial
 	q.waiting.push(a)
@@ -155,22 +155,22 @@
 	case a.tag <= q.virtualTime:
 		q.drop(a)
 	case a.heapIndex == 0:
-		q.indebted.push(a)
+		q.aheadOfTime.push(a)
 	default:
-		q.indebted.fix(a)
+		q.aheadOfTime.fix(a)
 	}
 }
 
 // dropSettled drops the accounts whose tags the virtual time has reached.
 func (q *Queue) dropSettled() {
-	for a := q.indebted.top(); a != nil && a.tag <= q.virtualTime; a = q.indebted.top() {
+	for a := q.aheadOfTime.top(); a != nil && a.tag <= q.virtualTime; a = q.aheadOfTime.top() {
 		q.drop(a)
 	}
 }
 
 // drop removes an account that has no waiting request.
 func (q *Queue) drop(a *account) {
-	q.indebted.remove(a)
+	q.aheadOfTime.remove(a)
 	delete(q.accounts, a.name)
 	requests := a.requests
 	*a = account{
@@ -189,8 +189,9 @@
 	a.weight = weight
 }
 
-// costBefore returns the cost of the account's requests, from index i of their heap down,
-// that rank before a time. It visits at most maxVisits requests.
+// costBefore returns the cost of those of the account's requests that don't rank after a
+// rank (a time). It considers the subtree of their heap at index i. It visits at most
+// maxVisits requests.
 func (a *account) costBefore(i int, rank mgclock.Millis, visits *int) float64 {
 	if i >= len(a.requests.items) || a.requests.items[i].rank > rank || *visits == maxVisits {
 		return 0
@@ -211,8 +212,8 @@
 	return due - mgclock.Millis(item.Priority)*q.boost()
 }
 
-// accountLess orders the accounts that wait by the key of their next requests, then in
-// turn.
+// accountLess orders the accounts that wait by the key of their next requests, and where
+// these are equal by how long ago they were served or began to wait (round robin).
 func (q *Queue) accountLess(a, b *account) bool {
 	x, y := q.key(a), q.key(b)
 	if x != y {
--- a/internal/request/mgqueue/queue.go
+++ b/internal/request/mgqueue/queue.go
@@ -9,10 +9,11 @@
 // Levels is the number of priority levels.
 const Levels = 4
 
-// The defaults of a Spec. DefaultCapacity holds some ten batches of a large engine, which
-// is longer than any deadline lets a request wait. DefaultBoost is the wait after which an
-// operator takes a lookup for lost, so that a report gives way to lookups of the same
-// deadline for that long and no longer; most of the order comes from the due times.
+// The defaults of a Spec. DefaultCapacity is some ten batches of a large engine, whose
+// work takes longer than any deadline lets a request wait. DefaultBoost is the wait after
+// which an operator assumes that a lookup is lost, so that a report gives way to lookups
+// of the same deadline for that long and no longer; most of the order comes from the due
+// times.
 //
 // DefaultLoan is what an account may be ahead of its share, in tokens. Without a loan,
 // lookups beyond saturation wait for their account's turn; with a much larger one, heavy
@@ -28,7 +29,7 @@
 const DefaultDeadline = mgclock.Minute
 
 // maxSpares is the maximum number of freed entries and of freed accounts kept for reuse:
-// the turnover of a burst, not its peak.
+// enough for those that a burst frees and takes again, not for all at its peak.
 const maxSpares = 1024
 
 // maxAlternativeAccounts is the number of accounts that Alternatives considers: the upper
@@ -49,14 +50,14 @@
 // of a Spec and is ready for use.
 type Queue struct {
 	spec         Spec
-	virtualTime  float64 // largest key of the requests that left in turn
+	virtualTime  float64 // largest key, see key, of the requests that left as the next one
 	serial       uint64
 	backlog      float64 // expected cost of all waiting requests
 	totalWeight  float64 // of the accounts that wait
 	accounts     map[string]*account
 	entries      map[string]*entry
 	waiting      heap[account] // accounts that wait, by key
-	indebted     heap[account] // accounts that don't wait and have a tag ahead of virtualTime
+	aheadOfTime  heap[account] // accounts that don't wait and have a tag ahead of virtualTime
 	expiring     heap[entry]   // requests with an expiry
 	freeEntries  []*entry
 	freeAccounts []*account
@@ -124,8 +125,9 @@
 	return q.charge(e), true
 }
 
-// Alternatives appends to dst the next requests of some other accounts after the next
-// request, and two more of that one's account.
+// Alternatives appends to dst requests that may overtake the next request: the first
+// requests of some other accounts, and up to two further ones of the next request's own
+// account.
 func (q *Queue) Alternatives(dst []Item) []Item {
 	for k, a := range q.waiting.items[:min(len(q.waiting.items), maxAlternativeAccounts)] {
 		if k > 0 {
@@ -162,10 +164,10 @@
 		a = q.account(name)
 		a.weight = weightOrDefault(weight)
 	}
-	a.credit -= tokens
-	if a.credit < 0 || a.serial == 0 {
-		tokens = -a.credit
-		a.credit = 0
+	a.refund -= tokens
+	if a.refund < 0 || a.serial == 0 {
+		tokens = -a.refund
+		a.refund = 0
 		q.advanceTag(a, tokens)
 	}
 }
@@ -206,17 +208,17 @@
 func (q *Queue) WorkAhead(now mgclock.Millis, item Item) float64 {
 	item = normalize(item)
 	total := q.totalWeight
-	lead := 0.0
+	virtualDelay := 0.0
 	a := q.accounts[item.Account]
 	if a == nil || a.requests.top() == nil {
 		total += item.Weight
 	}
 	if a != nil {
 		visits := 0
-		lead = a.tag - q.virtualTime + a.costBefore(0, q.rank(now, item), &visits)/item.Weight
-		lead = max(0, lead-q.priorityLead(item.Priority, item.Weight))
+		virtualDelay = a.tag - q.virtualTime + a.costBefore(0, q.rank(now, item), &visits)/item.Weight
+		virtualDelay = max(0, virtualDelay-q.priorityLead(item.Priority, item.Weight))
 	}
-	return min(q.backlog, lead*total)
+	return min(q.backlog, virtualDelay*total)
 }
 
 // EndBusyPeriod ends the busy period, when nothing waits and nothing runs: every account
@@ -225,9 +227,9 @@
 	if len(q.entries) > 0 || len(q.accounts) == 0 {
 		return
 	}
-	for len(q.indebted.items) > 0 {
-		q.virtualTime = max(q.virtualTime, q.indebted.top().tag)
-		q.drop(q.indebted.top())
+	for len(q.aheadOfTime.items) > 0 {
+		q.virtualTime = max(q.virtualTime, q.aheadOfTime.top().tag)
+		q.drop(q.aheadOfTime.top())
 	}
 }
 
@@ -242,7 +244,7 @@
 		less:  q.accountLess,
 		index: index,
 	}
-	q.indebted = heap[account]{
+	q.aheadOfTime = heap[account]{
 		less:  func(a, b *account) bool { return a.tag < b.tag },
 		index: index,
 	}
--- a/internal/request/mgqueue/queue_test.go
+++ b/internal/request/mgqueue/queue_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// A light account that sends one lookup a minute waits minutes for each, behind hundreds of
-// requests that a heavy account sent first.
+// Guards against this failure: a light account that sends one lookup a minute waits
+// minutes for each, behind hundreds of requests that a heavy account sent first.
 func TestHeavyAccountDelaysOthers(t *testing.T) {
 	Convey("Behind a heavy account's backlog", t, func() {
 		var q mgqueue.Queue
@@ -49,34 +49,35 @@
 	})
 }
 
-// A report never starts while lookups keep coming, because each new lookup has the higher
-// priority and overtakes it.
+// Guards against this failure: a report never starts while lookups keep coming, because
+// each new lookup has the higher priority and overtakes it.
 func TestPriorityStarvesOthers(t *testing.T) {
 	Convey("A report overtaken by lookups leaves after the boost", t, func() {
 		var q mgqueue.Queue
 		So(q.Push(0, item("tank", 0, 1000)), ShouldBeNil)
-		left := mgclock.Millis(-1)
-		for now := mgclock.Millis(1); now < mgclock.Minute && left < 0; now += 100 {
+		leftAt := mgclock.Millis(-1)
+		for now := mgclock.Millis(1); now < mgclock.Minute && leftAt < 0; now += 100 {
 			lookup := item("tank", int(now), 10)
 			lookup.Priority = 1
 			So(q.Push(now, lookup), ShouldBeNil)
 			if got, _ := q.Pop(); got.ID == "tank0" {
-				left = now
+				leftAt = now
 			}
 		}
-		So(left, ShouldBeBetween, 0, mgqueue.DefaultBoost+200)
+		So(leftAt, ShouldBeBetween, 0, mgqueue.DefaultBoost+200)
 	})
 }
 
-// An account whose answers run ten times longer than expected takes ten times its share,
-// because it is charged the expected cost; one whose answers are short gets a tenth.
+// Guards against this failure: an account whose answers run ten times longer than expected
+// takes ten times its share, because it is charged the expected cost; one whose answers
+// are short gets a tenth.
 func TestUnexpectedLengthSkewsShares(t *testing.T) {
 	Convey("Actual lengths determine the shares", t, func() {
 		q := mgqueue.New(mgqueue.Spec{
 			Capacity: 4096,
 		})
 		got := map[string]float64{}
-		real := map[string]float64{
+		actualLength := map[string]float64{
 			"long":  1000,
 			"right": 100,
 			"short": 60,
@@ -88,16 +89,16 @@
 		}
 		for range 500 {
 			it, _ := q.Pop()
-			got[it.Account] += real[it.Account]
-			q.Charge(it.Account, 1, real[it.Account]-it.Cost)
+			got[it.Account] += actualLength[it.Account]
+			q.Charge(it.Account, 1, actualLength[it.Account]-it.Cost)
 		}
 		So(got["long"]/got["right"], ShouldBeBetween, 0.95, 1.05)
 		So(got["short"]/got["right"], ShouldBeBetween, 0.95, 1.05)
 	})
 }
 
-// An account is charged for long answers, gets short ones, and the refund sets its tag so
-// far back that a newcomer waits for minutes.
+// Guards against this failure: an account is charged for long answers, gets short ones,
+// and the refund sets its tag so far back that a newcomer waits for minutes.
 func TestRefundDelaysNewcomer(t *testing.T) {
 	Convey("A refund delays no account that came since", t, func() {
 		var q mgqueue.Queue
@@ -113,8 +114,8 @@
 	})
 }
 
-// A lookup waits behind nine other accounts' reports, because a report of its own account
-// ran just before.
+// Guards against this failure: a lookup waits behind nine other accounts' reports, because
+// a report of its own account ran just before.
 func TestPriorityWaitsForAccountTurn(t *testing.T) {
 	Convey("A request with priority goes before its account's turn, within the loan", t, func() {
 		var q mgqueue.Queue
@@ -140,8 +141,8 @@
 	})
 }
 
-// Requests are reported as expired long after their expiry, because only the head of the
-// queue is checked.
+// Guards against this failure: requests are reported as expired long after their expiry,
+// because only the head of the queue is checked.
 func TestExpiryIsOutOfOrder(t *testing.T) {
 	Convey("Requests expire in the order of their expiry", t, func() {
 		var q mgqueue.Queue
