--- a/internal/process/mgagent/adopt.go
+++ b/internal/process/mgagent/adopt.go
@@ -169,7 +169,7 @@
 		batch = upstream.MaxConcurrent()
 	}
 	a.isWarming = a.ramp.Share(now) < 1
-	a.scheduler.Limit(now, a.ramp.Limit(now, batch))
+	a.scheduler.SetBatch(now, a.ramp.Limit(now, batch))
 }
 
 // applyCacheEvent applies a cache event. After a gap in the sequence the lost
--- a/internal/request/mgadmission/doc.go
+++ b/internal/request/mgadmission/doc.go
@@ -1,7 +1,7 @@
 // Package mgadmission decides which requests an upstream's agent admits, predicts how long
 // a request is going to wait, and computes when a refused one may come back.
 //
-// # Load
+// # Problem
 //
 // An answer's memory in an engine grows by a token in each step, and nobody knows for how
 // long. If requests are admitted by what fits now, the batch outgrows memory in the middle
@@ -17,10 +17,11 @@
 //   - OverflowProbability, the default, considers the times 1, 16, 32, … steps ahead. At
 //     each of them an answer either has ended, and its memory is free, or holds its prompt
 //     and what it has produced until then; the probabilities come from its curve (package
-//     mglength). Sums of many small independent parts are nearly normally distributed. The
-//     batch therefore stays within memory at that time with the probability that belongs to
-//     z if mean + z·deviation does. A request is admitted when that holds at every time. z
-//     depends on the request's preference and size; see DefaultSteady.
+//     mglength). Sums of many small independent parts are nearly normally distributed.
+//     Therefore, if mean + z·deviation is within memory at that time, so is the batch,
+//     with the probability that a normal distribution is below z deviations above its
+//     mean. A request is admitted when that holds at every time. z depends on the
+//     request's preference and size; see DefaultSteady.
 //   - Watermark admits requests while a fixed share of the memory stays free.
 //   - Reserve counts each answer with its maximum length.
 //   - CurrentSize admits what fits now.
--- a/internal/request/mgadmission/forecast.go
+++ b/internal/request/mgadmission/forecast.go
@@ -33,10 +33,10 @@
 type Forecast struct {
 	updatedAt    mgclock.Millis
 	isBusy       bool
-	doneTokens   float64 // tokens produced, decayed
+	doneCost     float64 // cost of the work done, see RecordWork, decayed
 	busyMs       float64 // milliseconds with work, decayed
 	promptTokens float64 // uncached prompt tokens that reached a first token, decayed
-	delayMs      float64 // milliseconds from their starts, decayed
+	delayMs      float64 // milliseconds from the starts of these prompts to their first tokens, decayed
 	gapTokens    float64 // tokens that followed another one, decayed
 	gapMs        float64 // milliseconds between them, decayed
 	biases       [priorityLevels]bias
@@ -51,8 +51,8 @@
 	waitedMs    float64 // decayed
 }
 
-// priorWaitMs is a correct prediction, in milliseconds, with which every bias begins, so
-// that the first waits don't decide alone.
+// priorWaitMs is the wait, in milliseconds, of a pseudo-observation with which every bias
+// begins: a wait that was predicted correctly. With it the first waits don't decide alone.
 const priorWaitMs = 10_000.0
 
 // maxBiasFactor is the maximum factor by which a bias lengthens a prediction. There is no
@@ -68,7 +68,7 @@
 // RecordWork records that the upstream has done work of a cost.
 func (f *Forecast) RecordWork(now mgclock.Millis, cost float64) {
 	f.advance(now)
-	f.doneTokens += cost
+	f.doneCost += cost
 }
 
 // RecordFirstToken records that an answer's first token came a delay after its start.
@@ -113,10 +113,10 @@
 	if f.busyMs < float64(warmup) || cost <= 0 {
 		return 0
 	}
-	if f.doneTokens <= 0 {
+	if f.doneCost <= 0 {
 		return mgclock.Minute
 	}
-	return mgclock.Millis(min(cost*f.busyMs/f.doneTokens, float64(mgclock.Minute)))
+	return mgclock.Millis(min(cost*f.busyMs/f.doneCost, float64(mgclock.Minute)))
 }
 
 // RecordWait records the predicted and the actual wait of a request of a priority level.
@@ -140,11 +140,12 @@
 	return &f.biases[min(max(level, 0), priorityLevels-1)]
 }
 
-// RetryAfter returns the time after which a request that would wait for wait, and may wait
-// only for slack, can come back with as much time as it has now. That is when the work
-// ahead has shrunk far enough, plus an eighth of the wait for the error of the measured
-// rate. A caller that comes back earlier is refused again; so is one that comes back while
-// the overload goes on, since requests that came in between are ahead of it.
+// RetryAfter returns the time after which a request can be retried with as much time as it
+// has now, where wait is how long it would have to wait now, and slack how long it may.
+// That is when the work ahead has shrunk far enough, plus an eighth of the wait for the
+// error of the measured rate. A caller that comes back earlier is refused again; so is one
+// that comes back while the overload goes on, since requests that came in between are
+// ahead of it.
 func RetryAfter(wait, slack mgclock.Millis) mgclock.Millis {
 	return max(wait+wait/8-max(slack, 0), minRetry)
 }
@@ -160,6 +161,6 @@
 		return
 	}
 	decay := math.Exp(-elapsed / float64(averagingWindow))
-	f.doneTokens *= decay
+	f.doneCost *= decay
 	f.busyMs = decay*f.busyMs + (1-decay)*float64(averagingWindow)
 }
--- a/internal/request/mgadmission/gate.go
+++ b/internal/request/mgadmission/gate.go
@@ -9,9 +9,9 @@
 
 // The defaults of a Spec. How much memory must be left depends on what matters to the
 // service's callers. A whole answer is admitted while the batch outgrows memory with a
-// probability of some 0.6 % at one time. A steady one must leave more: a smaller batch has
-// shorter steps, and an answer that isn't preempted has no gap. The front between them is
-// measured in docs/MEASUREMENTS.md.
+// probability of some 0.6 % at any one horizon. A steady one must leave more: a smaller
+// batch has shorter steps, and an answer that isn't preempted has no gap. The Pareto front
+// between them is measured in docs/MEASUREMENTS.md.
 //
 // A short steady answer may use the memory that the others leave, up to a probability of 7
 // %: with one z for all, a lookup would wait until a report ends.
@@ -38,8 +38,8 @@
 	variance [len(horizons)]float64
 }
 
-// A Share is one answer's part of the memory. The zero Share holds nothing.
-type Share struct {
+// An Allocation is one answer's part of the memory. The zero Allocation holds nothing.
+type Allocation struct {
 	projection  projection
 	prompt      int // tokens
 	produced    int // tokens
@@ -49,7 +49,7 @@
 }
 
 // Tokens returns the tokens of memory that the answer holds.
-func (s *Share) Tokens() int { return s.prompt + s.produced }
+func (s *Allocation) Tokens() int { return s.prompt + s.produced }
 
 // A Gate admits requests to one upstream. The zero Gate has the defaults of a Spec and is
 // ready for use.
@@ -133,9 +133,10 @@
 	}
 }
 
-// Admit admits c and initializes its share. The caller keeps the share until Leave.
-func (g *Gate) Admit(s *Share, c Candidate) {
-	*s = Share{
+// Admit admits c and initializes its allocation. The caller keeps the allocation until
+// Release.
+func (g *Gate) Admit(s *Allocation, c Candidate) {
+	*s = Allocation{
 		prompt:    c.Prompt,
 		max:       c.Max,
 		isRunning: true,
@@ -150,7 +151,7 @@
 // reports whether UpdateProjection is due. An answer that the engine preempts doesn't grow:
 // its memory stays counted, so that nothing is admitted that would keep it from being
 // resumed.
-func (g *Gate) RecordProgress(s *Share, produced int) bool {
+func (g *Gate) RecordProgress(s *Allocation, produced int) bool {
 	if !s.isRunning || produced <= s.produced {
 		return false
 	}
@@ -160,7 +161,7 @@
 }
 
 // Release releases the answer's memory.
-func (g *Gate) Release(s *Share) {
+func (g *Gate) Release(s *Allocation) {
 	if !s.isRunning {
 		return
 	}
@@ -171,14 +172,14 @@
 	if g.running == 0 {
 		g.projection = projection{} // avoids drift of the sums
 	}
-	*s = Share{}
+	*s = Allocation{}
 }
 
 // staysWithin reports whether the batch with c stays within memory at each horizon.
 func (g *Gate) staysWithin(c Candidate, available float64) bool {
 	z := g.z(c)
 	var sum projection
-	sum.project(&Share{
+	sum.project(&Allocation{
 		prompt: c.Prompt,
 		max:    c.Max,
 	}, c.Curve)
@@ -192,7 +193,7 @@
 }
 
 // UpdateProjection recomputes the answer's projection from the curve of its length.
-func (g *Gate) UpdateProjection(s *Share, curve *mglength.Curve) {
+func (g *Gate) UpdateProjection(s *Allocation, curve *mglength.Curve) {
 	if g.spec.Rule != OverflowProbability || g.spec.Memory <= 0 || !s.isRunning {
 		return
 	}
@@ -205,7 +206,7 @@
 // project sets mean and variance of one answer's memory at each horizon: its whole context
 // with the probability that it still runs, else nothing. Without a curve it runs until its
 // maximum length.
-func (o *projection) project(s *Share, curve *mglength.Curve) {
+func (o *projection) project(s *Allocation, curve *mglength.Curve) {
 	survival := 1.0
 	if curve != nil {
 		survival = max(curve.Beyond(s.produced), math.SmallestNonzeroFloat64)
@@ -275,8 +276,8 @@
 }
 
 // isShort reports whether c is expected to become no larger than the average of what runs.
-// A fixed share of the memory as the bound would classify short answers as short on large
-// engines and as long on small ones.
+// If the bound were a fixed share of the memory instead, the same short answer would count
+// as short on a large engine and as long on a small one.
 func (g *Gate) isShort(c Candidate) bool {
 	size := float64(c.Prompt)
 	if c.Curve != nil {
--- a/internal/request/mgadmission/gate_test.go
+++ b/internal/request/mgadmission/gate_test.go
@@ -16,10 +16,10 @@
 
 // simulatedAnswer is an answer of a simulated batch.
 type simulatedAnswer struct {
-	share    mgadmission.Share
-	estimate mglength.Answer
-	produced int
-	length   int
+	allocation mgadmission.Allocation
+	estimate   mglength.Answer
+	produced   int
+	length     int
 }
 
 // simulateBatch keeps a batch as full as the gate allows, at one token a step. It returns
@@ -46,7 +46,7 @@
 				estimate: lengths.Begin(mglength.Key{}),
 				length:   min(length, c.Max),
 			}
-			gate.Admit(&a.share, c)
+			gate.Admit(&a.allocation, c)
 			batch = append(batch, a)
 			length = next()
 		}
@@ -58,23 +58,23 @@
 			a.produced++
 			tokens++
 			a.estimate.Progress(a.produced)
-			if gate.RecordProgress(&a.share, a.produced) {
-				gate.UpdateProjection(&a.share, a.estimate.Curve())
+			if gate.RecordProgress(&a.allocation, a.produced) {
+				gate.UpdateProjection(&a.allocation, a.estimate.Curve())
 			}
 			if a.produced < a.length {
 				kept = append(kept, a)
 				continue
 			}
 			a.estimate.End(a.produced)
-			gate.Release(&a.share)
+			gate.Release(&a.allocation)
 		}
 		batch = kept
 	}
 	return tokens, outgrown
 }
 
-// An engine under saturation preempts all the time, or is half idle, because answers are
-// admitted by what fits now, or by their maximum length.
+// Guards against this failure: an engine under saturation preempts all the time, or is
+// half idle, because answers are admitted by what fits now, or by their maximum length.
 func TestMemoryIsOutgrownOrIdle(t *testing.T) {
 	Convey("Under saturation", t, func() {
 		spec := mgadmission.Spec{
@@ -98,8 +98,8 @@
 	})
 }
 
-// A service of long reports is set to steady, but its tokens come less evenly than before,
-// because more of its answers are admitted at a time.
+// Guards against this failure: a service of long reports is set to steady, but its tokens
+// come less evenly than before, because more of its answers are admitted at a time.
 func TestSteadyAnswersAreCrowded(t *testing.T) {
 	Convey("Of long answers", t, func() {
 		var lengths mglength.Estimator
@@ -113,7 +113,7 @@
 			})
 			long.Whole = whole
 			for gate.CanAdmit(long) {
-				gate.Admit(new(mgadmission.Share), long)
+				gate.Admit(new(mgadmission.Allocation), long)
 			}
 			return gate
 		}
@@ -132,8 +132,8 @@
 	})
 }
 
-// A preempted answer is never resumed, because each time memory becomes free a new request
-// takes it.
+// Guards against this failure: a preempted answer is never resumed, because each time
+// memory becomes free a new request takes it.
 func TestPreemptedMemoryIsGivenAway(t *testing.T) {
 	Convey("The memory of a preempted answer is given to no other request", t, func() {
 		for _, rule := range []mgadmission.Rule{mgadmission.OverflowProbability, mgadmission.Watermark, mgadmission.CurrentSize} {
@@ -141,15 +141,16 @@
 				Memory: 1000,
 				Rule:   rule,
 			})
-			var dossier, other mgadmission.Share
+			var preempted, other mgadmission.Allocation
 			gate.Admit(&other, mgadmission.Candidate{
 				Prompt: 100,
 			})
-			gate.Admit(&dossier, mgadmission.Candidate{
+			gate.Admit(&preempted, mgadmission.Candidate{
 				Prompt: 500,
 			})
-			gate.RecordProgress(&dossier, 300)
-			// The engine preempts the dossier here, and 800 tokens are free in it.
+			gate.RecordProgress(&preempted, 300)
+			// The engine preempts the larger answer here, and 800 tokens are free in the
+			// engine.
 			So(gate.CanAdmit(mgadmission.Candidate{
 				Prompt: 100,
 			}), ShouldBeFalse)
@@ -158,8 +159,8 @@
 	})
 }
 
-// An engine's report of a second ago shows memory that has been freed since, and requests
-// are refused although there is memory.
+// Guards against this failure: an engine's report of a second ago shows memory that has
+// been freed since, and requests are refused although there is memory.
 func TestLaggingReportBlocksMemory(t *testing.T) {
 	Convey("One lagging report blocks no memory, a steady difference does", t, func() {
 		gate := mgadmission.NewGate(mgadmission.Spec{
@@ -177,7 +178,8 @@
 	})
 }
 
-// An upstream hangs, and the predicted wait stays at some seconds.
+// Guards against this failure: an upstream hangs, and the predicted wait stays at some
+// seconds.
 func TestStallPredictsShortWait(t *testing.T) {
 	Convey("A stalled upstream's predicted waits grow", t, func() {
 		var f mgadmission.Forecast
@@ -191,8 +193,8 @@
 	})
 }
 
-// Lookups are refused because of the reports that wait, although each admitted lookup
-// overtook these at once.
+// Guards against this failure: lookups are refused because of the reports that wait,
+// although each admitted lookup overtook these at once.
 func TestPredictedWaitStaysWrong(t *testing.T) {
 	Convey("A wait that doesn't occur is no longer predicted, for its level only", t, func() {
 		var f mgadmission.Forecast
@@ -229,7 +231,7 @@
 				a := &simulatedAnswer{
 					length: c.Max,
 				}
-				gate.Admit(&a.share, c)
+				gate.Admit(&a.allocation, c)
 				batch = append(batch, a)
 				if gate.Used() > spec.Memory || gate.Running() > spec.Batch {
 					t.Fatalf("%d of %d tokens, %d of %d answers", gate.Used(), spec.Memory, gate.Running(), spec.Batch)
@@ -240,12 +242,12 @@
 			kept := batch[:0]
 			for _, a := range batch {
 				a.produced = min(a.produced+rapid.IntRange(0, 500).Draw(t, "made"), a.length)
-				gate.RecordProgress(&a.share, a.produced)
-				gate.UpdateProjection(&a.share, lengths.Curve(mglength.Key{}))
+				gate.RecordProgress(&a.allocation, a.produced)
+				gate.UpdateProjection(&a.allocation, lengths.Curve(mglength.Key{}))
 				if a.produced < a.length {
 					kept = append(kept, a)
 				} else {
-					gate.Release(&a.share)
+					gate.Release(&a.allocation)
 				}
 			}
 			batch = kept
@@ -254,7 +256,7 @@
 			}
 		}
 		for _, a := range batch {
-			gate.Release(&a.share)
+			gate.Release(&a.allocation)
 		}
 		if gate.Used() != 0 || gate.Running() != 0 {
 			t.Fatalf("an empty gate holds %d tokens in %d answers", gate.Used(), gate.Running())
@@ -262,7 +264,7 @@
 	})
 }
 
-func BenchmarkAdmits(b *testing.B) {
+func BenchmarkCanAdmit(b *testing.B) {
 	for _, running := range []int{10, 64} {
 		b.Run(fmt.Sprint(running), func(b *testing.B) {
 			gate := mgadmission.NewGate(mgadmission.Spec{
@@ -274,9 +276,9 @@
 				Prompt: 500,
 				Curve:  lengths.Curve(mglength.Key{}),
 			}
-			shares := make([]mgadmission.Share, running)
-			for n := range shares {
-				gate.Admit(&shares[n], c)
+			allocations := make([]mgadmission.Allocation, running)
+			for n := range allocations {
+				gate.Admit(&allocations[n], c)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/request/mgadmission/spec.go
+++ b/internal/request/mgadmission/spec.go
@@ -29,6 +29,6 @@
 type Candidate struct {
 	Prompt int             // tokens
 	Max    int             // maximum tokens of the answer, 0 for unlimited
-	Whole  bool            // prefers an answer without stalls over steady tokens
+	Whole  bool            // prefers an answer without stalls or preemption over short gaps between tokens
 	Curve  *mglength.Curve // of the answer's length, used by OverflowProbability
 }
--- a/internal/request/mgscheduler/decide.go
+++ b/internal/request/mgscheduler/decide.go
@@ -24,7 +24,7 @@
 	wait := s.forecast.Correct(r.Priority, predicted)
 	slack := expiry - now
 	if slack < 0 || wait > slack {
-		return problemCrowded(mgadmission.RetryAfter(wait, slack))
+		return problemDeadline(mgadmission.RetryAfter(wait, slack))
 	}
 	return nil
 }
@@ -37,8 +37,8 @@
 }
 
 // predict returns the time until a request would start, by the work ahead of it. Where
-// nothing is ahead and it still doesn't fit, something must end first, which takes about
-// the work of one answer.
+// nothing is ahead and it still doesn't fit, something must end first. That is estimated
+// as the time for the request's own cost, about the work of one answer.
 func (s *Scheduler) predict(now mgclock.Millis, r *Request, output float64) mgclock.Millis {
 	item := s.item(r, output)
 	ahead := s.queue.WorkAhead(now, item)
@@ -76,14 +76,14 @@
 	if s.gate.CanAdmit(s.candidate(head)) {
 		return item, true
 	}
-	budget := s.passingFactor()*item.Cost - head.passedCost
+	budget := s.overtakingLimit()*item.Cost - head.overtakenByCost
 	if budget <= 0 {
 		return item, false
 	}
 	s.candidates = s.queue.Alternatives(s.candidates[:0])
 	for _, other := range s.candidates {
 		if other.Cost <= budget && s.gate.CanAdmit(s.candidate(s.jobs[other.ID])) {
-			head.passedCost += other.Cost
+			head.overtakenByCost += other.Cost
 			return other, true
 		}
 	}
@@ -115,8 +115,8 @@
 	}
 }
 
-// returnAll gives up all waiting requests, since they can start elsewhere.
-func (s *Scheduler) returnAll(dst []Decision) []Decision {
+// giveUpAll gives up all waiting requests, since they can start elsewhere.
+func (s *Scheduler) giveUpAll(dst []Decision) []Decision {
 	for {
 		item, ok := s.queue.Pop()
 		if !ok {
--- a/internal/request/mgscheduler/doc.go
+++ b/internal/request/mgscheduler/doc.go
@@ -1,7 +1,7 @@
 // Package mgscheduler makes an agent's decisions for its upstream. It combines the fair
 // queue, the memory gate and the forecast of waits.
 //
-// # Load
+// # Problem
 //
 // An upstream gets more requests than it can answer in time, of unknown length, from
 // accounts of which a few send most. Without the scheduler a request waits until its caller
--- a/internal/request/mgscheduler/job.go
+++ b/internal/request/mgscheduler/job.go
@@ -9,17 +9,17 @@
 
 // job is a waiting or running request.
 type job struct {
-	request      Request
-	arrivedAt    mgclock.Millis
-	predicted    mgclock.Millis // wait, without the correction for its priority
-	startedAt    mgclock.Millis
-	lastProgress mgclock.Millis // when it last produced tokens
-	passedCost   float64        // cost of the requests that overtook it
-	chargedCost  float64        // cost charged to its account
-	answer       mglength.Answer
-	share        mgadmission.Share
-	isRunning    bool
-	produced     int // tokens
+	request         Request
+	arrivedAt       mgclock.Millis
+	predicted       mgclock.Millis // wait, without the correction for its priority
+	startedAt       mgclock.Millis
+	lastProgress    mgclock.Millis // when it last produced tokens
+	overtakenByCost float64        // cost of the requests that overtook it
+	chargedCost     float64        // cost charged to its account
+	answer          mglength.Answer
+	allocation      mgadmission.Allocation
+	isRunning       bool
+	produced        int // tokens
 }
 
 // job returns an empty job.
@@ -42,7 +42,7 @@
 	j.startedAt = now
 	j.lastProgress = now
 	j.answer = s.lengths.Begin(key(&j.request))
-	s.gate.Admit(&j.share, candidate(&j.request, j.answer.Curve()))
+	s.gate.Admit(&j.allocation, candidate(&j.request, j.answer.Curve()))
 	s.forecast.SetBusy(now, true)
 }
 
@@ -70,7 +70,8 @@
 	return cost + mgadmission.Cost(j.request.uncached(), 0)
 }
 
-// charge sets what the job's account has been charged to cost.
+// charge raises or lowers the total that the job's account has been charged for it to
+// cost.
 func (s *Scheduler) charge(j *job, cost float64) {
 	s.queue.Charge(j.request.Account, j.request.Weight, cost-j.chargedCost)
 	j.chargedCost = cost
@@ -79,7 +80,7 @@
 // finishJob removes a running job and charges its final cost.
 func (s *Scheduler) finishJob(now mgclock.Millis, j *job) {
 	s.charge(j, j.cost())
-	s.gate.Release(&j.share)
+	s.gate.Release(&j.allocation)
 	s.dropJob(j)
 	if s.gate.Running() > 0 {
 		return
--- a/internal/request/mgscheduler/problem.go
+++ b/internal/request/mgscheduler/problem.go
@@ -27,7 +27,7 @@
 		"the account's part of the queue is full", "come back after the time given, with fewer requests at a time").WithRetryAfter(retry)
 }
 
-func problemCrowded(retry mgclock.Millis) *mgproblem.Problem {
+func problemDeadline(retry mgclock.Millis) *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
 		"the upstream can't answer before the deadline", "come back after the time given, or allow more time").WithRetryAfter(retry)
 }
--- a/internal/request/mgscheduler/scheduler.go
+++ b/internal/request/mgscheduler/scheduler.go
@@ -14,10 +14,10 @@
 const chargeStep = 64
 
 // DefaultOvertaking limits the cost of the requests that may overtake one that waits for
-// memory, as a multiple of that one's cost. The memory that they take becomes free before
-// much of that which it waits for, and the limit on their cost bounds its wait. Without
-// overtaking, lookups wait among very long reports; with a higher limit, heavy accounts get
-// more than their share.
+// memory, as a multiple of that one's cost. The memory that they take becomes free again
+// before much of the memory that the waiting request needs does, and the limit on their
+// cost bounds its wait. Without overtaking, lookups wait among very long reports; with a
+// higher limit, heavy accounts get more than their share.
 const DefaultOvertaking = 0.5
 
 // maxSpares is the maximum number of freed jobs kept for reuse.
@@ -110,7 +110,7 @@
 // Poll appends to dst first the requests that are given up and then those that start now.
 func (s *Scheduler) Poll(now mgclock.Millis, dst []Decision) []Decision {
 	if s.isLeaving {
-		return s.returnAll(dst)
+		return s.giveUpAll(dst)
 	}
 	for {
 		item, ok := s.queue.Expire(now)
@@ -129,8 +129,8 @@
 }
 
 // Resume adds a request that the upstream runs already and for which it has produced a
-// number of tokens, as a replaced agent finds it. The request counts against memory and
-// batch from now on, and its account pays for the remaining tokens.
+// number of tokens, as an agent that replaces another one finds it. The request counts
+// against memory and batch from now on, and its account pays for the remaining tokens.
 func (s *Scheduler) Resume(now mgclock.Millis, r Request, produced int) {
 	if s.jobs[r.ID] != nil {
 		return
@@ -143,8 +143,8 @@
 	s.jobs[r.ID] = j
 	s.markRunning(now, j)
 	j.answer.SkipTo(produced)
-	s.gate.RecordProgress(&j.share, produced)
-	s.gate.UpdateProjection(&j.share, j.answer.Curve())
+	s.gate.RecordProgress(&j.allocation, produced)
+	s.gate.UpdateProjection(&j.allocation, j.answer.Curve())
 }
 
 // NextWake returns the time at which Poll has something to do even without an event, or 0.
@@ -171,8 +171,8 @@
 	s.forecast.RecordWork(now, s.progressCost(now, j, produced))
 	j.produced = produced
 	j.answer.Progress(produced)
-	if s.gate.RecordProgress(&j.share, produced) {
-		s.gate.UpdateProjection(&j.share, j.answer.Curve())
+	if s.gate.RecordProgress(&j.allocation, produced) {
+		s.gate.UpdateProjection(&j.allocation, j.answer.Curve())
 	}
 	if cost := j.cost(); cost > j.chargedCost {
 		s.charge(j, cost+chargeStep)
@@ -225,17 +225,17 @@
 	s.gate.RecordUsed(tokens)
 }
 
-// Limit sets the maximum number of running answers, 0 for the default: an engine that warms
-// up takes only part of its batch. Answers beyond a lower limit keep running.
-func (s *Scheduler) Limit(_ mgclock.Millis, batch int) { s.gate.SetBatch(batch) }
+// SetBatch sets the maximum number of running answers, 0 for the default: an engine that
+// warms up takes only part of its batch. Answers beyond a lower limit keep running.
+func (s *Scheduler) SetBatch(_ mgclock.Millis, batch int) { s.gate.SetBatch(batch) }
 
 // Leave refuses new requests from now on, and the next Poll gives up those that wait.
 // Running requests continue.
 func (s *Scheduler) Leave(mgclock.Millis) { s.isLeaving = true }
 
-// passingFactor returns the limit on the cost that may overtake a request, as a multiple of
-// its own cost.
-func (s *Scheduler) passingFactor() float64 {
+// overtakingLimit returns the limit on the cost that may overtake a request, as a multiple
+// of its own cost.
+func (s *Scheduler) overtakingLimit() float64 {
 	if p := s.spec.Policy.Overtaking; p != 0 {
 		return p
 	}
--- a/internal/request/mgscheduler/scheduler_test.go
+++ b/internal/request/mgscheduler/scheduler_test.go
@@ -19,9 +19,9 @@
 	Batch:  16,
 }
 
-// Five hundred requests come within one second, and some can't be answered in time. Their
-// callers learn it only at the deadline or never, and the answers to the others are late as
-// well.
+// Guards against this failure: five hundred requests come within one second, and some
+// can't be answered in time. Their callers learn it only at the deadline or never, and the
+// answers to the others are late as well.
 func TestBurstMissesDeadlines(t *testing.T) {
 	Convey("In a burst", t, func() {
 		u := newUpstream(smallSpec)
@@ -51,8 +51,8 @@
 	})
 }
 
-// A caller returns after the given retry time and is refused again and again, because the
-// time is not derived from the work ahead.
+// Guards against this failure: a caller returns after the given retry time and is refused
+// again and again, because the time is not derived from the work ahead.
 func TestRetryTimeIsTooShort(t *testing.T) {
 	Convey("A caller that returns after the retry time is accepted", t, func() {
 		u := newUpstream(smallSpec)
@@ -73,8 +73,8 @@
 	})
 }
 
-// One account's batch job occupies the engine, and the requests of nine other accounts time
-// out although they ask for little.
+// Guards against this failure: one account's batch job occupies the engine, and the
+// requests of nine other accounts time out although they ask for little.
 func TestHeavyAccountDelaysOthers(t *testing.T) {
 	Convey("A heavy account doesn't delay others", t, func() {
 		u := newUpstream(smallSpec)
@@ -102,8 +102,8 @@
 	})
 }
 
-// An upstream becomes ten times slower. Requests are accepted as before, and all of them
-// wait until their deadline.
+// Guards against this failure: an upstream becomes ten times slower. Requests are accepted
+// as before, and all of them wait until their deadline.
 func TestSlowUpstreamStillAccepts(t *testing.T) {
 	Convey("When the upstream becomes slow, more requests are refused at once", t, func() {
 		u := newUpstream(smallSpec)
@@ -137,8 +137,8 @@
 	})
 }
 
-// A lookup takes a minute, because the batch is full of reports and more of them wait ahead
-// of it.
+// Guards against this failure: a lookup takes a minute, because the batch is full of
+// reports and more of them wait ahead of it.
 func TestReportsDelayLookups(t *testing.T) {
 	Convey("Lookups overtake the reports that wait", t, func() {
 		u := newUpstream(smallSpec)
@@ -161,8 +161,8 @@
 	})
 }
 
-// A request with a long prompt waits for memory. Either all lookups wait behind it, or they
-// take all memory that becomes free, and it never starts.
+// Guards against this failure: a request with a long prompt waits for memory. Either all
+// lookups wait behind it, or they take all memory that becomes free, and it never starts.
 func TestLongPromptBlocksOrStarves(t *testing.T) {
 	Convey("While a long prompt waits for memory", t, func() {
 		u := newUpstream(mgscheduler.Spec{
@@ -195,8 +195,9 @@
 	})
 }
 
-// An agent is replaced while eight long answers run. The new one assumes that the engine is
-// empty and starts a full batch, and the engine preempts all of them.
+// Guards against this failure: an agent is replaced while eight long answers run. The new
+// one assumes that the engine is empty and starts a full batch, and the engine preempts
+// all of them.
 func TestRunningAnswersAreNotCounted(t *testing.T) {
 	Convey("What the upstream already runs is counted", t, func() {
 		u := newUpstream(smallSpec)
@@ -219,24 +220,25 @@
 	})
 }
 
-// An engine returns with cold caches and gets a full batch at once.
+// Guards against this failure: an engine returns with cold caches and gets a full batch at
+// once.
 func TestBatchLimitIsExceeded(t *testing.T) {
 	Convey("The zero scheduler starts no more than its limit", t, func() {
 		u := newUpstream(mgscheduler.Spec{})
 		u.scheduler = new(mgscheduler.Scheduler)
-		u.scheduler.Limit(0, 3)
+		u.scheduler.SetBatch(0, 3)
 		for range 10 {
 			u.send("tank", "note", 10, 0)
 		}
 		So(u.scheduler.Running(), ShouldEqual, 3)
-		u.scheduler.Limit(0, 0)
+		u.scheduler.SetBatch(0, 0)
 		u.poll()
 		So(u.scheduler.Running(), ShouldEqual, 10)
 	})
 }
 
-// Requests that wait for an upstream that is reclaimed are kept until it ends, although
-// others could have answered them.
+// Guards against this failure: requests that wait for an upstream that is reclaimed are
+// kept until it ends, although others could have answered them.
 func TestLeavingUpstreamKeepsWaitingRequests(t *testing.T) {
 	Convey("A leaving upstream gives up what waits and finishes what runs", t, func() {
 		u := newUpstream(smallSpec)
--- a/internal/request/mgscheduler/spec.go
+++ b/internal/request/mgscheduler/spec.go
@@ -24,16 +24,16 @@
 type Policy struct {
 	Rule       mgadmission.Rule // admission rule
 	Free       float64          // share of the memory that stays free under mgadmission.Watermark
-	Short      float64          // z of short steady answers under mgadmission.OverflowProbability
-	Steady     float64          // z of other steady answers under mgadmission.OverflowProbability
-	Whole      float64          // z of whole answers under mgadmission.OverflowProbability
+	Short      float64          // z, see package mgadmission, of short answers with the preference Steady under mgadmission.OverflowProbability
+	Steady     float64          // z of other answers with the preference Steady under mgadmission.OverflowProbability
+	Whole      float64          // z of answers with the preference Whole under mgadmission.OverflowProbability
 	Loan       float64          // tokens lent to each priority level, 0 for mgqueue.DefaultLoan, negative for none
 	Overtaking float64          // cost that may overtake a waiting request, as a multiple of its own, 0 for DefaultOvertaking, negative for none
 }
 
-// policies holds the policies by name. Those other than "ours" are its earlier versions and
-// alternatives; ours-Z is a point on the Pareto front between many answers and few
-// preemptions.
+// policies holds the policies by name. "ours" is the one for production; the others are
+// earlier versions of it and alternatives to it; ours-Z is a point on the Pareto front
+// between many answers and few preemptions.
 var policies = map[string]Policy{
 	"ours": {},
 	"strict": {
