--- a/internal/bench/mgbench/reclaim.go
+++ b/internal/bench/mgbench/reclaim.go
@@ -77,7 +77,7 @@
 func (m *migrator) exchangeReports(now float64) {
 	for i := range m.counts {
 		m.otherReports[i] = m.hub.Exchange(toClock(now), strconv.Itoa(i), mgload.Report{
-			Rows: m.counts[i].Rows(),
+			Loads: m.counts[i].Loads(),
 		})
 	}
 }
@@ -145,7 +145,7 @@
 		Duration: toClock(promptTime + tokenInterval*float64(c.expectedOutput())),
 		Due:      toClock(c.arrival + c.spec.FirstTokenLimit*1000 - promptTime),
 		Arrived:  toClock(c.arrival),
-		End:      toClock(c.deadline),
+		GiveUpAt: toClock(c.deadline),
 	})
 	m.placeWaiting(now)
 	return true
@@ -168,10 +168,10 @@
 		if u.isLeaving {
 			continue
 		}
-		row := m.counts[0].Row(upstreamName(u)).Add(m.otherReports[0].Rows[upstreamName(u)])
+		row := m.counts[0].Load(upstreamName(u)).Add(m.otherReports[0].Loads[upstreamName(u)])
 		placements = append(placements, mgwaitlist.Place{
 			Name:    upstreamName(u),
-			Cost:    mgload.Cost(mgload.State{Row: row}, mgload.Query{}),
+			Cost:    mgload.Cost(mgload.State{Load: row}, mgload.Query{}),
 			Free:    u.engine.Spec().Memory - row.Memory,
 			Pending: row.Pending,
 		})
@@ -261,9 +261,9 @@
 // cost returns the cost of a request at an upstream according to the load that
 // an entry knows.
 func (m *migrator) cost(u *upstream, entry int, query mgload.Query) float64 {
-	row := m.counts[entry].Row(upstreamName(u)).Add(m.otherReports[entry].Rows[upstreamName(u)])
+	row := m.counts[entry].Load(upstreamName(u)).Add(m.otherReports[entry].Loads[upstreamName(u)])
 	return mgload.Cost(mgload.State{
-		Row:  row,
+		Load: row,
 		Zone: m.zone(u.index),
 	}, query)
 }
--- a/internal/process/mgnode/load.go
+++ b/internal/process/mgnode/load.go
@@ -53,7 +53,7 @@
 		hub := n.hubPeer()
 		now := n.clock.Now()
 		local := mgload.Report{
-			Rows:   count.Rows(),
+			Loads:  count.Loads(),
 			Paces:  count.Paces(now),
 			Faults: count.Faults(now),
 		}
@@ -89,7 +89,7 @@
 	message := &mgrpc.LoadRows{
 		Entry: entry,
 	}
-	for upstream, load := range report.Rows {
+	for upstream, load := range report.Loads {
 		message.Rows = append(message.Rows, &mgrpc.LoadRow{
 			Upstream: upstream,
 			Runs:     int32(load.Runs),
@@ -108,7 +108,7 @@
 		idle[upstream] = true
 	}
 	for upstream := range idle {
-		if _, hasRow := report.Rows[upstream]; hasRow {
+		if _, hasRow := report.Loads[upstream]; hasRow {
 			continue
 		}
 		message.Rows = append(message.Rows, &mgrpc.LoadRow{
@@ -122,7 +122,7 @@
 
 func decodeLoads(message *mgrpc.LoadRows) mgload.Report {
 	report := mgload.Report{
-		Rows:   make(map[string]mgload.Load, len(message.GetRows())),
+		Loads:  make(map[string]mgload.Load, len(message.GetRows())),
 		Paces:  make(map[string]float64, len(message.GetRows())),
 		Faults: map[string]float64{},
 	}
@@ -133,7 +133,7 @@
 			Memory:  int(row.GetMemory()),
 		}
 		if load != (mgload.Load{}) {
-			report.Rows[row.GetUpstream()] = load
+			report.Loads[row.GetUpstream()] = load
 		}
 		if row.GetFaults() > 0 {
 			report.Faults[row.GetUpstream()] = row.GetFaults()
--- a/internal/process/mgnode/placement.go
+++ b/internal/process/mgnode/placement.go
@@ -72,7 +72,7 @@
 		Span:    int64(request.Duration),
 		Left:    int64(request.Due - now),
 		Waited:  int64(now - request.Arrived),
-		Rest:    int64(request.End - now),
+		Rest:    int64(request.GiveUpAt - now),
 	})
 	if err != nil {
 		return mgwaitlist.Grant{}, err
@@ -94,7 +94,7 @@
 		Duration: mgclock.Millis(r.GetSpan()),
 		Due:      now + mgclock.Millis(r.GetLeft()),
 		Arrived:  now - mgclock.Millis(r.GetWaited()),
-		End:      now + mgclock.Millis(r.GetRest()),
+		GiveUpAt: now + mgclock.Millis(r.GetRest()),
 	})
 	return &mgrpc.PlaceReply{
 		Place: grant.Place,
--- a/internal/process/mgnode/placement_test.go
+++ b/internal/process/mgnode/placement_test.go
@@ -34,9 +34,9 @@
 
 func reportRequest(name string) mgwaitlist.Request {
 	return mgwaitlist.Request{
-		Name: name,
-		Need: 3000,
-		End:  mgclock.Clock{}.Now() + mgclock.Minute,
+		Name:     name,
+		Need:     3000,
+		GiveUpAt: mgclock.Clock{}.Now() + mgclock.Minute,
 	}
 }
 
@@ -93,7 +93,7 @@
 			name: "one that has waited for too long gets a retry delay",
 			scenario: func(ctx context.Context, n *Node, _ *atomic.Int64) []string {
 				w := reportRequest("late")
-				w.End = n.clock.Now() + 50
+				w.GiveUpAt = n.clock.Now() + 50
 				grant := n.awaitPlacement(ctx, "llm", w)
 				return []string{grant.Place, fmt.Sprint(grant.Retry >= mgclock.Second)}
 			},
--- a/internal/process/mgrelay/harness_test.go
+++ b/internal/process/mgrelay/harness_test.go
@@ -124,7 +124,7 @@
 	for i, host := range g.hosts {
 		rows[host.Name] = mgload.Load{Runs: i}
 	}
-	return mgload.Report{Rows: rows}
+	return mgload.Report{Loads: rows}
 }
 
 // useMemory gives the upstreams of a table's service a memory, so that generations
--- a/internal/process/mgrelay/host.go
+++ b/internal/process/mgrelay/host.go
@@ -113,7 +113,7 @@
 	for i, host := range hosts {
 		pace, _ := mgload.Pace(paces, others.Paces, host.Name)
 		state := mgload.State{
-			Row:       y.spec.Load.Row(host.Name).Add(others.Rows[host.Name]),
+			Load:      y.spec.Load.Load(host.Name).Add(others.Loads[host.Name]),
 			Zone:      host.Zone,
 			TokenCost: slowdown(pace),
 			Faults:    faultWeights[i],
@@ -122,8 +122,8 @@
 			host:          host,
 			cost:          mgload.Cost(state, query),
 			tokenDelay:    state.TokenCost,
-			freeTokens:    query.Capacity - state.Row.Memory,
-			pendingTokens: state.Row.Pending,
+			freeTokens:    query.Capacity - state.Load.Memory,
+			pendingTokens: state.Load.Pending,
 			avoid:         host.Suspect || isFaulty(faultWeights[i]),
 			// Other entries may have seen it fail and start again when this process
 			// didn't.
@@ -166,7 +166,7 @@
 			Pending:   c.pendingTokens,
 		}
 		if c.cold && ramp > 0 {
-			place.Ramp = mgwarm.PlacementLimit(ramp, c.host.Granters)
+			place.ColdRate = mgwarm.PlacementLimit(ramp, c.host.Granters)
 		}
 		place.Rate, place.Limited = y.spec.Limits.Rate(c.host.Name, c.host.IncarnationStart)
 		place.Granters = c.host.Granters
--- a/internal/process/mgrelay/placement.go
+++ b/internal/process/mgrelay/placement.go
@@ -85,6 +85,6 @@
 		Duration: promptTime + msPerToken*mgclock.Millis(x.size.output),
 		Due:      x.startedAt + x.call.Route.LatencyGoal() - promptTime,
 		Arrived:  x.startedAt,
-		End:      end,
+		GiveUpAt: end,
 	}
 }
--- a/internal/request/mgload/fault.go
+++ b/internal/request/mgload/fault.go
@@ -11,8 +11,9 @@
 	// reset all requests do so for some seconds; one fault in ten seconds is an ordinary
 	// end of a connection.
 	faultDecay = 5 * mgclock.Second
-	// answerFactor is the fraction of the weight that remains after an answer.
-	answerFactor = 0.2
+	// weightAfterAnswer is the fraction of the weight of an upstream's faults that remains
+	// after an answer.
+	weightAfterAnswer = 0.2
 	// faultCost is the cost of each fault, in ms: about that of a run. With a far higher
 	// cost, where there are few plain upstreams and each loses an answer now and then, all
 	// requests would go to the one whose last loss is the oldest.
@@ -36,8 +37,9 @@
 	return f.weight * math.Exp(-float64(now-f.at)/float64(faultDecay))
 }
 
-// RecordFault records that a request ended at an upstream without an answer of its own: no
-// connection, a reset, silence until the end, or bytes that aren't an answer.
+// RecordFault records that a request ended at an upstream without an answer that the
+// upstream itself made: no connection, a reset, silence until the end, or bytes that
+// aren't an answer.
 func (c *Tracker) RecordFault(now mgclock.Millis, upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,7 +61,7 @@
 		return
 	}
 	f = fault{
-		weight: answerFactor * f.weightAt(now),
+		weight: weightAfterAnswer * f.weightAt(now),
 		at:     now,
 	}
 	if f.weight < minFaultWeight {
@@ -94,12 +96,12 @@
 			count++
 		}
 	}
-	return count > 1 && 2*count > len(r.Rows)
+	return count > 1 && 2*count > len(r.Loads)
 }
 
-// Faulty returns a function that reports whether an upstream with a weight of faults gets
-// nothing new, among upstreams with the given weights. It is always false where more than
-// half would be faulty: the cause is then the calling process, or the network.
+// Faulty returns a predicate, which reports whether an upstream with a weight of faults
+// gets nothing new, among upstreams with the given weights. It is always false where more
+// than half would be faulty: the cause is then the calling process, or the network.
 func Faulty(weights []float64) func(weight float64) bool {
 	count := 0
 	for _, weight := range weights {
--- a/internal/request/mgload/fault_test.go
+++ b/internal/request/mgload/fault_test.go
@@ -8,9 +8,10 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// An engine resets all requests for seven seconds while its health check succeeds. It is
-// idle, looks the cheapest, and attracts requests from each entry: 91 callers in one day
-// got an error although another engine had time for their requests.
+// Guards against this failure: an engine resets all requests for seven seconds while its
+// health check succeeds. It is idle, looks the cheapest, and attracts requests from each
+// entry: 91 callers in one day got an error although another engine had time for their
+// requests.
 func TestFailingEngineAttractsRequests(t *testing.T) {
 	Convey("Of two entries' requests to an engine", t, func() {
 		var hub Hub
@@ -53,7 +54,7 @@
 	Convey("An entry that is cut off doesn't exclude engines for all others", t, func() {
 		var hub Hub
 		hub.Exchange(0, "cut", Report{
-			Rows:   map[string]Load{"a": {Runs: 1}},
+			Loads:  map[string]Load{"a": {Runs: 1}},
 			Faults: map[string]float64{"a": 2, "b": 2, "c": 2},
 		})
 		So(hub.Others(0, "hub").Faults, ShouldBeEmpty)
--- a/internal/request/mgload/load.go
+++ b/internal/request/mgload/load.go
@@ -25,7 +25,7 @@
 const (
 	// ReadRate is the number of prompt tokens that an engine reads in a ms; it gives the
 	// time that a request waits for the prompts before its own. Engines publish 14, but
-	// they alternate between reading and the steps of what runs.
+	// they alternate between prefill of prompts (reading) and decode steps of the runs.
 	ReadRate = 7.4
 	// RunCost is the cost of each run, in ms: it makes each step 0.12 ms longer, which is
 	// 110 ms for a generation of 900 tokens.
@@ -48,13 +48,13 @@
 	Zone     string // of the entry, or of the source of a copy
 	Memory   int    // tokens of the prompt and the expected output
 	Capacity int    // tokens of an upstream's memory, 0 for unlimited
-	Copy     bool   // the request is a copy that brings its memory along
-	Tokens   int    // expected tokens of the output, 1 for a call
+	Copy     bool   // the request is a copy, see the package comment, that brings its memory along
+	Tokens   int    // expected tokens of the output, 1 for a call (a request whose answer isn't a stream)
 }
 
 // A State is what an entry knows of an upstream.
 type State struct {
-	Row       Load
+	Load      Load
 	Zone      string
 	TokenCost float64 // additional time compared with others, ms for each token; see the function SlowPenalty
 	Faults    float64 // weight of its faults; see Tracker.Faults
@@ -62,7 +62,7 @@
 
 // Cost returns the cost in ms of a request at an upstream.
 func Cost(s State, q Query) float64 {
-	r := s.Row
+	r := s.Load
 	cost := float64(r.Pending)/ReadRate + RunCost*float64(r.Runs) + s.TokenCost*float64(q.Tokens) + faultCost*s.Faults
 	if lack := r.Memory + q.Memory - q.Capacity; q.Capacity > 0 && lack > 0 {
 		cost += missingTokenCost * float64(lack)
@@ -84,7 +84,7 @@
 // goroutines.
 type Tracker struct {
 	mu     sync.Mutex
-	rows   map[string]Load
+	loads  map[string]Load
 	paces  map[string]pace
 	faults map[string]fault
 }
@@ -93,39 +93,39 @@
 func (c *Tracker) Add(upstream string, delta Load) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.rows == nil {
-		c.rows = map[string]Load{}
+	if c.loads == nil {
+		c.loads = map[string]Load{}
 	}
-	row := c.rows[upstream].Add(delta)
-	if row == (Load{}) {
-		delete(c.rows, upstream)
+	load := c.loads[upstream].Add(delta)
+	if load == (Load{}) {
+		delete(c.loads, upstream)
 		return
 	}
-	c.rows[upstream] = row
+	c.loads[upstream] = load
 }
 
-// Row returns an upstream's load.
-func (c *Tracker) Row(upstream string) Load {
+// Load returns an upstream's load.
+func (c *Tracker) Load(upstream string) Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.rows[upstream]
+	return c.loads[upstream]
 }
 
-// Rows returns a copy of all loads.
-func (c *Tracker) Rows() map[string]Load {
+// Loads returns a copy of all loads.
+func (c *Tracker) Loads() map[string]Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	rows := make(map[string]Load, len(c.rows))
-	for upstream, row := range c.rows {
-		rows[upstream] = row
+	loads := make(map[string]Load, len(c.loads))
+	for upstream, load := range c.loads {
+		loads[upstream] = load
 	}
-	return rows
+	return loads
 }
 
 // A Report is what one entry, or several together, have sent to upstreams and measured of
 // them.
 type Report struct {
-	Rows   map[string]Load
+	Loads  map[string]Load
 	Paces  map[string]float64 // ms; see Tracker.Paces
 	Faults map[string]float64 // weights; see Tracker.Faults
 }
@@ -199,7 +199,7 @@
 // sumOthers merges the reports of all entries but one. It is called with mu held.
 func (h *Hub) sumOthers(now mgclock.Millis, entry string) Report {
 	others := Report{
-		Rows:   map[string]Load{},
+		Loads:  map[string]Load{},
 		Paces:  map[string]float64{},
 		Faults: map[string]float64{},
 	}
@@ -212,8 +212,8 @@
 		if name == entry {
 			continue
 		}
-		for upstream, row := range other.report.Rows {
-			others.Rows[upstream] = others.Rows[upstream].Add(row)
+		for upstream, load := range other.report.Loads {
+			others.Loads[upstream] = others.Loads[upstream].Add(load)
 		}
 		if !other.report.widespread() {
 			for upstream, weight := range other.report.Faults {
--- a/internal/request/mgload/load_test.go
+++ b/internal/request/mgload/load_test.go
@@ -10,8 +10,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Three of an engine's nine runs are this entry's. The entry sends a fourth one there,
-// where its prompt waits behind two others and the memory is full.
+// Guards against this failure: three of an engine's nine runs are this entry's. The entry
+// sends a fourth one there, where its prompt waits behind two others and the memory is
+// full.
 func TestLoadedUpstreamIsPreferred(t *testing.T) {
 	query := Query{
 		Zone:     "a",
@@ -47,15 +48,15 @@
 	Convey("A request costs less where there is", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				So(Cost(State{Row: c.better, Zone: c.zone}, query), ShouldBeLessThan, Cost(State{Row: c.worse, Zone: c.farther}, query))
+				So(Cost(State{Load: c.better, Zone: c.zone}, query), ShouldBeLessThan, Cost(State{Load: c.worse, Zone: c.farther}, query))
 			})
 		}
 		Convey("A copy counts the transfer time between zones", func() {
 			near := Load{Runs: 1}
 			moved := query
-			So(Cost(State{Row: near, Zone: "a"}, moved), ShouldBeGreaterThan, Cost(State{Zone: "b"}, moved))
+			So(Cost(State{Load: near, Zone: "a"}, moved), ShouldBeGreaterThan, Cost(State{Zone: "b"}, moved))
 			moved.Copy = true
-			So(Cost(State{Row: near, Zone: "a"}, moved), ShouldBeLessThan, Cost(State{Zone: "b"}, moved))
+			So(Cost(State{Load: near, Zone: "a"}, moved), ShouldBeLessThan, Cost(State{Zone: "b"}, moved))
 		})
 	})
 }
@@ -66,18 +67,18 @@
 		var h Hub
 		rows := func(n int) Report {
 			return Report{
-				Rows:  map[string]Load{"engine": {Runs: n}},
+				Loads: map[string]Load{"engine": {Runs: n}},
 				Paces: map[string]float64{"engine": float64(n)},
 			}
 		}
-		So(h.Exchange(0, "one", rows(1)).Rows, ShouldBeEmpty)
-		So(h.Exchange(10, "two", rows(2)).Rows["engine"].Runs, ShouldEqual, 1)
-		So(h.Exchange(20, "three", rows(4)).Rows["engine"].Runs, ShouldEqual, 3)
+		So(h.Exchange(0, "one", rows(1)).Loads, ShouldBeEmpty)
+		So(h.Exchange(10, "two", rows(2)).Loads["engine"].Runs, ShouldEqual, 1)
+		So(h.Exchange(20, "three", rows(4)).Loads["engine"].Runs, ShouldEqual, 3)
 		reply := h.Exchange(30, "one", rows(8))
-		So(reply.Rows["engine"].Runs, ShouldEqual, 6)
+		So(reply.Loads["engine"].Runs, ShouldEqual, 6)
 		So(reply.Paces["engine"], ShouldEqual, 3)
 		Convey("and drops one that is silent", func() {
-			So(h.Exchange(reportTTL+25, "one", rows(8)).Rows, ShouldBeEmpty)
+			So(h.Exchange(reportTTL+25, "one", rows(8)).Loads, ShouldBeEmpty)
 		})
 		Convey("whose paces are averaged with the entry's own", func() {
 			pace, ok := Pace(map[string]float64{"engine": 5}, reply.Paces, "engine")
@@ -91,15 +92,15 @@
 		var c Tracker
 		c.Add("engine", Load{Runs: 1, Pending: 3000})
 		c.Add("engine", Load{Pending: -3000})
-		So(c.Row("engine").Runs, ShouldEqual, 1)
+		So(c.Load("engine").Runs, ShouldEqual, 1)
 		c.Add("engine", Load{Runs: -1})
-		So(c.Rows(), ShouldBeEmpty)
+		So(c.Loads(), ShouldBeEmpty)
 	})
 }
 
-// Five entries send runs to twelve engines. By their own counts alone one engine gets nine
-// while another has none, and when the first is reclaimed, three of its runs are cut off
-// for lack of time.
+// Guards against this failure: five entries send runs to twelve engines. By their own
+// counts alone one engine gets nine while another has none, and when the first is
+// reclaimed, three of its runs are cut off for lack of time.
 func TestRunsAreUneven(t *testing.T) {
 	Convey("The maximum number of runs at one engine is lower with a hub", t, func() {
 		alone, together := simulatePlacement(false), simulatePlacement(true)
@@ -135,13 +136,13 @@
 		running = kept
 		if usesHub {
 			for i := range counts {
-				others[i] = hub.Exchange(at, fmt.Sprint(i), Report{Rows: counts[i].Rows()})
+				others[i] = hub.Exchange(at, fmt.Sprint(i), Report{Loads: counts[i].Loads()})
 			}
 		}
 		entry, best, least := r.IntN(entries), "", 0.0
 		for _, k := range r.Perm(engines) {
 			engine := fmt.Sprint("engine", k)
-			cost := Cost(State{Row: counts[entry].Row(engine).Add(others[entry].Rows[engine])}, Query{})
+			cost := Cost(State{Load: counts[entry].Load(engine).Add(others[entry].Loads[engine])}, Query{})
 			if best == "" || cost < least {
 				best, least = engine, cost
 			}
--- a/internal/request/mgload/pace.go
+++ b/internal/request/mgload/pace.go
@@ -8,8 +8,9 @@
 
 const (
 	// paceSmoothing is the weight of the newest sample in the moving average of an
-	// upstream's pace. A prompt that is read beside a run doubles its pace for some events;
-	// after ten of them, about half a second, a slow engine can be told from that.
+	// upstream's pace. A prompt that is prefilled (read) beside a run doubles the run's
+	// time per token for some events; after ten of them, about half a second, a slow
+	// engine can be told from that.
 	paceSmoothing = 0.2
 	// paceTTL is how long a pace counts after its last measurement. A slow engine gets
 	// nothing new, and is tried again after that time.
@@ -18,8 +19,8 @@
 	// count as slow.
 	minKnownPaces = 3
 	// slowFactor is how many times the median pace an upstream's pace must be to count as
-	// slow. It is an estimate: a prompt that is read beside a run doubles its pace for some
-	// events, which the average dampens only in part.
+	// slow. It is an estimate: a prompt that is prefilled beside a run doubles the run's
+	// time per token for some events, which the average dampens only in part.
 	slowFactor = 1.7
 )
 
@@ -31,7 +32,7 @@
 
 // RecordPace records the time that an upstream took for each of some tokens of a stream, or for
 // a call.
-func (c *Tracker) RecordPace(now mgclock.Millis, upstream string, each float64) {
+func (c *Tracker) RecordPace(now mgclock.Millis, upstream string, perToken float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.paces == nil {
@@ -39,9 +40,9 @@
 	}
 	p, known := c.paces[upstream]
 	if !known || now >= p.at+paceTTL {
-		p.value = each
+		p.value = perToken
 	}
-	p.value += paceSmoothing * (each - p.value)
+	p.value += paceSmoothing * (perToken - p.value)
 	p.at = now
 	c.paces[upstream] = p
 }
--- a/internal/request/mgload/pace_test.go
+++ b/internal/request/mgload/pace_test.go
@@ -6,8 +6,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// An engine becomes four times as slow. Only the few slow requests run there, so that it
-// looks the least loaded and attracts the next ones, whose events come 200 ms apart.
+// Guards against this failure: an engine becomes four times as slow. Only the few slow
+// requests run there, so that it looks the least loaded and attracts the next ones, whose
+// events come 200 ms apart.
 func TestSlowEngineAttractsRequests(t *testing.T) {
 	Convey("A pace", t, func() {
 		var c Tracker
--- a/internal/request/mgwaitlist/close_test.go
+++ b/internal/request/mgwaitlist/close_test.go
@@ -6,16 +6,17 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// When the last availability zone is cordoned, requests keep waiting for a place that can't
-// be granted: their callers wait for three times their goal and are refused only then.
+// Guards against this failure: when the last availability zone is cordoned, requests keep
+// waiting for a place that can't be granted: their callers wait for three times the time
+// within which they want an answer to begin, and are refused only then.
 func TestCloseLeavesRequestsWaiting(t *testing.T) {
 	Convey("Where no upstream may be given work, all waiting requests are given up at once", t, func() {
 		var r WaitingList
 		for _, name := range []string{"a", "b", "c"} {
 			r.Add(Request{
-				Name: name,
-				Need: 3000,
-				End:  60_000,
+				Name:     name,
+				Need:     3000,
+				GiveUpAt: 60_000,
 			})
 		}
 		grants := r.GiveUpAll()
--- a/internal/request/mgwaitlist/doc.go
+++ b/internal/request/mgwaitlist/doc.go
@@ -1,14 +1,15 @@
 // Package mgwaitlist keeps the waiting list of a service's requests. It decides which
 // generation gets the next free memory of the service's upstreams, and at which upstream.
 //
-// # Load
+// # Problem
 //
 // Two dozen entries send prompts of 3,000 tokens, 58 a second, to 44 engines that join and
 // leave. What the entries know of one another's requests is up to 0.2 s old, in which a
 // dozen requests are sent. If each entry decides alone, all of these go to the engine that
 // looked empty, where each waits for the prompts of the others while engines beside it are
-// idle. On such a day half of the requests waited for more than 0.5 s at their engine
-// beyond the reading of their own prompt, with half of all memory free.
+// idle. On a day with this load half of the requests waited at their engine for more than
+// 0.5 s beyond the prefill (the reading) of their own prompt, with half of all memory
+// free.
 //
 // At times the memory is almost full as well, and requests wait in the queue of one engine
 // while another has free memory a moment later. On the heaviest days there is memory, but
@@ -18,13 +19,13 @@
 // # Decision
 //
 // One entry of the region grants all placements, since it knows its own recent grants and
-// what all entries have sent. A request goes to the cheapest upstream that can take it: one
-// with free memory for it, and at most one prompt to read before its own. Requests for
-// which there is none wait. The waiting list has this order:
+// what all entries have sent. A request goes to the cheapest upstream that can take it:
+// one with free memory for it, and at most one prompt to prefill before its own. Requests
+// for which there is none wait. The waiting list has this order:
 //
-//   - first those that can still be on time, the smallest by memory and time first. The
-//     requests of an account that has recently had more than twice an equal share of the
-//     memory count four times as large;
+//   - first those that can still be on time, the smallest product of memory and duration
+//     first. The requests of an account that has recently had more than twice an equal
+//     share of the memory count with four times that product;
 //   - then those that are late, first come first served.
 //
 // Up to four requests that can't be placed may be overtaken by later ones, since otherwise
@@ -35,8 +36,10 @@
 //
 // # Terms
 //
-//   - place, placement: memory at an upstream that is reserved for a generation.
-//   - grant: the decision that gives a request its place, or gives the request up.
+//   - place, placement: memory at an upstream that is reserved for a generation. The type
+//     Place is the reported state of an upstream that has such memory.
+//   - grant: the decision that gives a request its place, or gives the request up: the
+//     caller is refused, with the time after which to retry.
 //   - cold: describes an upstream that has just started and takes few requests a second.
-//   - permit: leave to send one request to an upstream with a rate limit.
+//   - permit: a token that allows sending one request to an upstream with a rate limit.
 package mgwaitlist
--- a/internal/request/mgwaitlist/limit_test.go
+++ b/internal/request/mgwaitlist/limit_test.go
@@ -9,8 +9,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A request waits for a place until its end although the upstream's rate limit doesn't
-// allow a permit for it in time.
+// Guards against a request that waits for a place until it is given up at its latest time,
+// although the upstream's rate limit doesn't allow a permit for it in time.
 func TestRequestWaitsForUnreachablePermit(t *testing.T) {
 	limited := func(name string, permits int) Place {
 		return Place{
@@ -21,18 +21,18 @@
 			Permits: permits,
 		}
 	}
-	newRoom := func(count int, end mgclock.Millis) *WaitingList {
+	newWaitingList := func(count int, end mgclock.Millis) *WaitingList {
 		var r WaitingList
 		for n := range count {
 			w := newRequest(fmt.Sprint("report ", n), 100, 100)
-			w.End = end
+			w.GiveUpAt = end
 			r.Add(w)
 		}
 		return &r
 	}
 	Convey("Of ten reports", t, func() {
 		Convey("as many go to a limited place as it has permits", func() {
-			grants := newRoom(10, mgclock.Minute).Assign(0, []Place{limited("a", 3)})
+			grants := newWaitingList(10, mgclock.Minute).Assign(0, []Place{limited("a", 3)})
 			So(describeGrants(grants), ShouldEqual, "report 0 at a, report 1 at a, report 2 at a, ")
 		})
 		Convey("the others go to a place without a limit", func() {
@@ -41,11 +41,11 @@
 				Cost: 500,
 				Free: 200,
 			}
-			grants := newRoom(10, mgclock.Minute).Assign(0, []Place{limited("a", 1), roomy})
+			grants := newWaitingList(10, mgclock.Minute).Assign(0, []Place{limited("a", 1), roomy})
 			So(describeGrants(grants), ShouldEqual, "report 0 at a, report 1 at b, report 2 at b, ")
 		})
 		Convey("those whose permit can't come in time are given up at once, the others wait", func() {
-			r := newRoom(10, 2*mgclock.Second)
+			r := newWaitingList(10, 2*mgclock.Second)
 			grants := r.Assign(0, []Place{limited("a", 0)})
 			So(len(grants), ShouldEqual, 6)
 			So(r.Len(), ShouldEqual, 4)
@@ -59,7 +59,7 @@
 				Name: "b",
 				Free: 10,
 			}
-			So(newRoom(10, 2*mgclock.Second).Assign(0, []Place{limited("a", 0), full}), ShouldBeEmpty)
+			So(newWaitingList(10, 2*mgclock.Second).Assign(0, []Place{limited("a", 0), full}), ShouldBeEmpty)
 		})
 	})
 }
--- a/internal/request/mgwaitlist/rate.go
+++ b/internal/request/mgwaitlist/rate.go
@@ -6,8 +6,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// rateDecay is the time in which the weight of a grant falls to 1/e. In it the memory of
-// several requests becomes free.
+// rateDecay is the time in which the weight of a grant falls to 1/e. Within that time the
+// memory of several requests becomes free.
 const rateDecay = 3 * mgclock.Second
 
 // grantRate is the memory that is granted per ms, as a sum with exponentially decaying
--- a/internal/request/mgwaitlist/read_test.go
+++ b/internal/request/mgwaitlist/read_test.go
@@ -12,14 +12,15 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// readingEngine is an engine with unlimited memory that reads prompts one after another.
-type readingEngine struct {
+// prefillEngine is an engine with unlimited memory that prefills (reads) prompts one after
+// another.
+type prefillEngine struct {
 	queue     []string
 	remaining map[string]int // tokens to be read, by request
 }
 
-// read reads for one step and returns the requests whose prompts are complete.
-func (e *readingEngine) read(step mgclock.Millis) (done []string) {
+// read prefills for one step and returns the requests whose prompts are complete.
+func (e *prefillEngine) read(step mgclock.Millis) (done []string) {
 	budget := int(float64(step) * mgload.ReadRate)
 	for len(e.queue) > 0 && budget > 0 {
 		name := e.queue[0]
@@ -36,7 +37,7 @@
 	return done
 }
 
-func (e *readingEngine) pending() int {
+func (e *prefillEngine) pending() int {
 	sum := 0
 	for _, tokens := range e.remaining {
 		sum += tokens
@@ -56,8 +57,8 @@
 	read := mgclock.Millis(math.Ceil(prompt / mgload.ReadRate))
 	r := rand.New(rand.NewPCG(3, 4))
 	var waitingList WaitingList
-	list := make([]readingEngine, engines)
-	came := map[string]mgclock.Millis{}
+	list := make([]prefillEngine, engines)
+	arrivedAt := map[string]mgclock.Millis{}
 	asked, onTime := 0.0, 0.0
 	for now := mgclock.Millis(0); now < span; now += step {
 		rate := 1.5 * capacity
@@ -65,8 +66,8 @@
 			rate = 0.5 * capacity
 		}
 		for arrivals := rate * float64(step); r.Float64() < arrivals; arrivals-- {
-			name := fmt.Sprint(len(came))
-			came[name] = now
+			name := fmt.Sprint(len(arrivedAt))
+			arrivedAt[name] = now
 			asked++
 			waitingList.Add(Request{
 				Name:     name,
@@ -74,7 +75,7 @@
 				Duration: read,
 				Arrived:  now,
 				Due:      now + goal - read,
-				End:      now + 3*goal,
+				GiveUpAt: now + 3*goal,
 			})
 		}
 		var places []Place
@@ -89,7 +90,7 @@
 			}
 			places = append(places, place)
 		}
-		waitingList.assignments = nil // the engines here show their grants at once
+		waitingList.assignments = nil // pending includes each grant at once, so none may count twice
 		for _, g := range waitingList.Assign(now, places) {
 			var index int
 			if _, err := fmt.Sscan(g.Place, &index); err != nil {
@@ -103,7 +104,7 @@
 		}
 		for i := range list {
 			for _, name := range list[i].read(step) {
-				if now <= came[name]+goal {
+				if now <= arrivedAt[name]+goal {
 					onTime++
 				}
 			}
@@ -112,13 +113,13 @@
 	return onTime / asked
 }
 
-// Engines have free memory, but prompts wait there for one another for more than a second.
-// All requests of these seconds begin slightly late, although three of four could have been
-// on time; the others would be late in any case.
+// Guards against this failure: engines have free memory, but prompts wait there for one
+// another for more than a second. All requests of these seconds begin slightly late,
+// although three of four could have been on time; the others would be late in any case.
 func TestPromptsQueueAtEngines(t *testing.T) {
-	atEngines, onList := simulateOverload(false), simulateOverload(true)
-	t.Logf("on time: waiting at engines %.2f, on the waiting list %.2f", atEngines, onList)
+	timelyAtEngines, timelyOnList := simulateOverload(false), simulateOverload(true)
+	t.Logf("on time: waiting at engines %.2f, on the waiting list %.2f", timelyAtEngines, timelyOnList)
 	Convey("Requests that wait on the waiting list and not at engines begin on time", t, func() {
-		So(onList, ShouldBeGreaterThan, atEngines+0.1)
+		So(timelyOnList, ShouldBeGreaterThan, timelyAtEngines+0.1)
 	})
 }
--- a/internal/request/mgwaitlist/return_test.go
+++ b/internal/request/mgwaitlist/return_test.go
@@ -19,18 +19,18 @@
 	served    bool
 }
 
-// simulateReturns simulates ten engines that get prompts at twice their reading rate for
-// some seconds, and at a quarter of it afterwards. Callers that are given up come back
-// once, after the grant's retry time, or after fixedDelay where that is set. It returns the
-// fraction of callers that are served at all, and the refusals per caller.
-func simulateReturns(fixedDelay mgclock.Millis) (served, refused float64) {
+// simulateRetries simulates ten engines that get prompts at twice their prefill rate for
+// some seconds, and at a quarter of it afterwards. Callers whose requests are given up
+// retry once, after the grant's retry time, or after fixedDelay where that is set. It
+// returns the fraction of callers that are served at all, and the refusals per caller.
+func simulateRetries(fixedDelay mgclock.Millis) (served, refused float64) {
 	const engines, prompt, span, step = 10, 2800, 60 * mgclock.Second, 20 * mgclock.Millis(1)
 	const goal = 1500 * mgclock.Millis(1)
 	capacity := engines * mgload.ReadRate / prompt // requests per ms
 	read := mgclock.Millis(math.Ceil(prompt / mgload.ReadRate))
 	r := rand.New(rand.NewPCG(5, 6))
 	var waitingList WaitingList
-	list := make([]readingEngine, engines)
+	list := make([]prefillEngine, engines)
 	var callers []*returningCaller
 	refusals := 0.0
 	add := func(now mgclock.Millis, index int) {
@@ -41,7 +41,7 @@
 			Duration: read,
 			Arrived:  now,
 			Due:      now + goal - read,
-			End:      now + 3*goal,
+			GiveUpAt: now + 3*goal,
 		})
 	}
 	for now := mgclock.Millis(0); now < span; now += step {
@@ -103,12 +103,13 @@
 	return count / float64(len(callers)), refusals / float64(len(callers))
 }
 
-// For seven seconds of fifteen, requests arrive at twice the rate at which they can begin.
-// Callers that are given up and come back at once meet the same waiting list, are given up
-// again, and get no answer although the engines are idle some seconds later.
+// Guards against retry times that are too short. For seven seconds of fifteen, requests
+// arrive at twice the rate at which they can begin. Callers whose requests are given up
+// and who retry at once meet the same waiting list, are refused again, and get no answer
+// although the engines are idle some seconds later.
 func TestRefusedCallersReturnTooEarly(t *testing.T) {
-	afterRetry, refusals := simulateReturns(0)
-	atOnce, refusalsAtOnce := simulateReturns(100)
+	afterRetry, refusals := simulateRetries(0)
+	atOnce, refusalsAtOnce := simulateRetries(100)
 	t.Logf("served: with the retry time %.3f, back at once %.3f; refusals for each %.2f, %.2f", afterRetry, atOnce, refusals, refusalsAtOnce)
 	Convey("Callers that come back after the retry time", t, func() {
 		Convey("are served more often than if they came back at once", func() {
@@ -119,7 +120,7 @@
 		})
 		Convey("no fixed delay serves more of them", func() {
 			for _, fixed := range []mgclock.Millis{500, 1000, 2000, 3000, 5000, 8000} {
-				served, _ := simulateReturns(fixed)
+				served, _ := simulateRetries(fixed)
 				So(served, ShouldBeLessThanOrEqualTo, afterRetry+0.005)
 			}
 		})
--- a/internal/request/mgwaitlist/share.go
+++ b/internal/request/mgwaitlist/share.go
@@ -5,12 +5,13 @@
 const (
 	// overShareFactor is how many times an equal share of the recently granted memory an
 	// account must have had for its requests to go behind others' of their size. With a
-	// factor of 1 that would apply at each second request, and accounts that ask for little
-	// leave their share to others.
+	// factor of 1 that would apply to every other request, and accounts that ask for
+	// little leave their share to others.
 	overShareFactor = 2.0
 	// overShareWeight is how many times as large the requests of such an account count. A
-	// short request of it still goes before the long ones of others: behind all of them it
-	// would leave them little more memory and would be given up.
+	// short request of the account still goes before the long ones of others: if it went
+	// behind all of these, that would leave them little more memory, and the short request
+	// would be given up.
 	overShareWeight = 4
 	// minActiveTokens is the minimum decayed sum of an account that counts as active,
 	// tokens.
@@ -35,9 +36,9 @@
 	p.add(now, tokens)
 }
 
-// overUsers returns the accounts that have had more than their share, where the memory is
+// overShareAccounts returns the accounts that have had more than their share, where the memory is
 // shared among those with recent grants and those that wait.
-func (s *shares) overUsers(now mgclock.Millis, requests []Request) map[string]bool {
+func (s *shares) overShareAccounts(now mgclock.Millis, requests []Request) map[string]bool {
 	active := map[string]bool{}
 	for _, r := range requests {
 		active[r.Account] = true
--- a/internal/request/mgwaitlist/share_test.go
+++ b/internal/request/mgwaitlist/share_test.go
@@ -11,10 +11,10 @@
 )
 
 // simulateFlood simulates ten accounts that together ask for all capacity, one of them for
-// eight times as much as each other. It returns the fraction of requests that get a place
-// in time, for the other accounts and for the flooding one. Unless hasAccounts is set, all
-// requests have the same account.
-func simulateFlood(hasAccounts bool) (others, flooder float64) {
+// eight times as much as each of the other nine. It returns the fraction of requests that
+// get a place in time, for the other accounts and for the flooding one. Unless hasAccounts
+// is set, all requests have the same account.
+func simulateFlood(hasAccounts bool) (others, heavy float64) {
 	const accounts, span, step = 10, 60 * mgclock.Second, 20 * mgclock.Millis(1)
 	r := rand.New(rand.NewPCG(1, 2))
 	var waitingList WaitingList
@@ -39,7 +39,7 @@
 			w := newRequest(fmt.Sprint(number), 3000, now+1500)
 			w.Duration = 4000
 			w.Arrived = now
-			w.End = now + 5000
+			w.GiveUpAt = now + 5000
 			if hasAccounts {
 				w.Account = fmt.Sprint(account)
 			}
@@ -56,7 +56,7 @@
 			}
 		}
 		runs = kept
-		// The runs here show their grants at once.
+		// The free memory here includes each grant at once, so none may count twice.
 		waitingList.assignments = nil
 		for _, g := range waitingList.Assign(now, []Place{{Name: "all", Free: free}}) {
 			if g.Place == "" {
@@ -79,17 +79,17 @@
 	return othersTimely / othersAsked, onTime[0] / asked[0]
 }
 
-// One account sends eight times its usual rate, and the requests of all other accounts wait
-// behind its.
+// Guards against an account that takes the places of others. One account sends eight times
+// its usual rate, and the requests of all other accounts wait behind its.
 func TestAccountFloodsOthers(t *testing.T) {
-	alike, _ := simulateFlood(false)
-	others, flooder := simulateFlood(true)
-	t.Logf("others on time without shares %.2f, with %.2f; the flooder %.2f", alike, others, flooder)
+	othersWithoutAccounts, _ := simulateFlood(false)
+	others, heavy := simulateFlood(true)
+	t.Logf("others on time without shares %.2f, with %.2f; the flooder %.2f", othersWithoutAccounts, others, heavy)
 	Convey("The other accounts are served on time beside one that floods", t, func() {
 		So(others, ShouldBeGreaterThan, 0.9)
-		So(others, ShouldBeGreaterThan, alike+0.1)
+		So(others, ShouldBeGreaterThan, othersWithoutAccounts+0.1)
 		Convey("and it gets what they leave", func() {
-			So(flooder, ShouldBeGreaterThan, 0.2)
+			So(heavy, ShouldBeGreaterThan, 0.2)
 		})
 	})
 }
--- a/internal/request/mgwaitlist/waitinglist.go
+++ b/internal/request/mgwaitlist/waitinglist.go
@@ -10,22 +10,23 @@
 
 const (
 	// reportDelay is how long a grant counts in addition to what is reported of the
-	// upstream: until the entry that got it has reported its request, which it does five
-	// times a second.
+	// upstream: until the entry that got the grant has reported the request that it sent.
+	// An entry reports five times a second.
 	reportDelay = 250 * mgclock.Millis(1)
-	// rampWindow is the time in which a cold upstream is given Place.Ramp requests.
+	// rampWindow is the time in which a cold upstream is given Place.ColdRate requests.
 	rampWindow = mgclock.Second
 	// maxOvertakes is how many requests without a place a later request may overtake.
 	maxOvertakes = 4
 	// minRetry and maxRetry bound the retry time of a request that is given up. A request
-	// that comes back sooner meets the same waiting list, and callers stay away for a third
-	// of their time at most, 2 s for a short request.
+	// that is retried sooner meets the same waiting list, and callers stay away for a
+	// third of their time at most, 2 s for a short request.
 	minRetry = mgclock.Second
 	maxRetry = 5 * mgclock.Second
-	// maxReadWaitMs is the maximum time for the prompts before its own with which a request
-	// is sent to an upstream: one prompt. At an upstream requests keep their order whoever
-	// comes later; on the waiting list, those that can still be on time go first. The limit
-	// isn't lower because reports of an upstream are 200 ms old, and it must not run idle.
+	// maxReadWaitMs is the maximum time that an upstream may need to prefill the prompts
+	// before a request's own for the request to be sent there: that of one prompt. At an
+	// upstream requests keep their order whoever comes later; on the waiting list, those
+	// that can still be on time go first. The limit isn't lower because reports of an
+	// upstream are 200 ms old, and the upstream must not run idle.
 	maxReadWaitMs = 400.0
 )
 
@@ -38,7 +39,7 @@
 	Duration mgclock.Millis // expected time for which it holds the memory
 	Due      mgclock.Millis // when it must have a place for its answer to begin on time
 	Arrived  mgclock.Millis
-	End      mgclock.Millis // when it is given up unless it has a place
+	GiveUpAt mgclock.Millis // when it is given up unless it has a place
 }
 
 // work returns the request's size, in tokens times ms.
@@ -52,22 +53,23 @@
 	Free      int     // unused tokens of memory
 	// Pending is the number of prompt tokens that the upstream has to read first.
 	Pending int
-	// Ramp is the maximum number of requests that a cold upstream may be given in a second,
-	// 0 where it isn't cold.
-	Ramp int
+	// ColdRate is the maximum number of requests that a cold upstream may be given in a
+	// second, 0 where it isn't cold.
+	ColdRate int
 	// Rate is the requests a second that the upstream takes from all processes, if it is
 	// Limited, and Permits how many of them may be granted now.
 	Rate         float64
 	Limited      bool
 	Permits      int
-	Granters     int // number of processes that grant placements there
+	Granters     int // number of processes that grant placements there; the caller computes its share of Rate by it, the list doesn't use it
 	recentGrants int // grants in the last second
 }
 
-// canTake reports whether a request can be placed there: there is memory for it, its prompt
-// is read soon, and neither the ramp of a cold upstream nor a rate limit is exceeded.
+// canTake reports whether a request can be placed there: there is memory for it, its
+// prompt is prefilled soon, and neither the rate of a cold upstream nor a rate limit is
+// exceeded.
 func (p *Place) canTake(r Request) bool {
-	if p.Ramp > 0 && p.recentGrants >= p.Ramp {
+	if p.ColdRate > 0 && p.recentGrants >= p.ColdRate {
 		return false
 	}
 	if p.Limited && p.Permits < 1 {
@@ -134,16 +136,16 @@
 	r.waiting = slices.DeleteFunc(r.waiting, func(w Request) bool { return w.Name == name })
 }
 
-// Assign assigns waiting requests to the places that can take them, and gives up those whose
-// end has come or that can't get a permit before it. It modifies places: each grant is
-// subtracted from its place.
+// Assign assigns waiting requests to the places that can take them, and gives up those
+// whose GiveUpAt has come or that can't get a permit before it. It modifies places: each
+// grant is subtracted from its place.
 func (r *WaitingList) Assign(now mgclock.Millis, places []Place) []Grant {
 	if len(r.waiting) == 0 {
 		return nil
 	}
-	r.applyRecent(now, places)
-	over := r.shares.overUsers(now, r.waiting)
-	slices.SortStableFunc(r.waiting, func(a, b Request) int { return compareWaits(now, over, a, b) })
+	r.reserveRecentGrants(now, places)
+	over := r.shares.overShareAccounts(now, r.waiting)
+	slices.SortStableFunc(r.waiting, func(a, b Request) int { return compareRequests(now, over, a, b) })
 	rate, isLimited := limitedRate(places)
 	var grants []Grant
 	stillWaiting := r.waiting[:0]
@@ -156,15 +158,15 @@
 				Name:  request.Name,
 				Place: place.Name,
 			})
-		case now >= request.End:
+		case now >= request.GiveUpAt:
 			grants = append(grants, Grant{
 				Name:  request.Name,
 				Retry: r.retryAfter(now),
 			})
-		case isLimited && now+timeToTurn(len(stillWaiting), rate) > request.End:
+		case isLimited && now+timeToPermit(len(stillWaiting), rate) > request.GiveUpAt:
 			grants = append(grants, Grant{
 				Name:  request.Name,
-				Retry: min(max(timeToTurn(len(stillWaiting), rate), minRetry), maxRetry),
+				Retry: min(max(timeToPermit(len(stillWaiting), rate), minRetry), maxRetry),
 			})
 		default:
 			stillWaiting = append(stillWaiting, request)
@@ -186,14 +188,15 @@
 	return rate, rate > 0
 }
 
-// timeToTurn returns the time until the turn of a request with a number of others before
-// it.
-func timeToTurn(before int, rate float64) mgclock.Millis {
+// timeToPermit returns the estimated time until a request with a number of others before
+// it gets a permit.
+func timeToPermit(before int, rate float64) mgclock.Millis {
 	return mgclock.Millis(float64(before+1) / rate * float64(mgclock.Second))
 }
 
-// GiveUpAll gives up all waiting requests, for a service none of whose upstreams may be given
-// work. A caller that learns this at once can come back in time; one that waits can't.
+// GiveUpAll gives up all waiting requests, for a service none of whose upstreams may be
+// given work. A caller that learns this at once can retry and still be answered in time;
+// one that waits here can't.
 func (r *WaitingList) GiveUpAll() []Grant {
 	grants := make([]Grant, 0, len(r.waiting))
 	for _, request := range r.waiting {
@@ -216,10 +219,10 @@
 	return min(max(r.grantRate.timeToGrant(now, need), minRetry), maxRetry)
 }
 
-// compareWaits orders requests: those that can be on time before those that can't, the
+// compareRequests orders requests: those that can be on time before those that can't, the
 // former by size, which counts more for an account that has had more than its share, the
 // latter by arrival.
-func compareWaits(now mgclock.Millis, over map[string]bool, a, b Request) int {
+func compareRequests(now mgclock.Millis, over map[string]bool, a, b Request) int {
 	lateA, lateB := now > a.Due, now > b.Due
 	switch {
 	case lateA && lateB:
@@ -278,8 +281,9 @@
 	p.Cost += mgload.RunCost + float64(g.tokens)/mgload.ReadRate
 }
 
-// applyRecent drops old assignments and subtracts the recent ones from the places.
-func (r *WaitingList) applyRecent(now mgclock.Millis, places []Place) {
+// reserveRecentGrants drops old assignments and subtracts the recent ones, which the
+// reports don't show yet, from the places.
+func (r *WaitingList) reserveRecentGrants(now mgclock.Millis, places []Place) {
 	for name, recent := range r.assignments {
 		recent = slices.DeleteFunc(recent, func(g assignment) bool { return now >= g.at+rampWindow })
 		if len(recent) == 0 {
--- a/internal/request/mgwaitlist/waitinglist_test.go
+++ b/internal/request/mgwaitlist/waitinglist_test.go
@@ -15,7 +15,7 @@
 		Need:     need,
 		Duration: 1000,
 		Due:      due,
-		End:      mgclock.Minute,
+		GiveUpAt: mgclock.Minute,
 	}
 }
 
@@ -27,8 +27,8 @@
 	return text
 }
 
-// A short request waits six seconds at an engine full of long ones, behind one that is late
-// already, while the engine beside it has free memory.
+// Guards against this failure: a short request waits six seconds at an engine full of long
+// ones, behind one that is late already, while the engine beside it has free memory.
 func TestRequestGetsWrongPlace(t *testing.T) {
 	places := func() []Place {
 		return []Place{
@@ -134,7 +134,7 @@
 				r.Add(newRequest(fmt.Sprint("large", n), 9000, -1))
 			}
 			late := newRequest("late", 9000, -1)
-			late.End = now
+			late.GiveUpAt = now
 			r.Add(late)
 			grants := r.Assign(now, places())
 			So(len(grants), ShouldEqual, 1)
@@ -161,11 +161,11 @@
 				r.Add(newRequest(fmt.Sprint("large", n), 9000, -1))
 			}
 			r.Add(Request{
-				Name:    "small",
-				Need:    10,
-				Arrived: 1,
-				Due:     -1,
-				End:     mgclock.Minute,
+				Name:     "small",
+				Need:     10,
+				Arrived:  1,
+				Due:      -1,
+				GiveUpAt: mgclock.Minute,
 			})
 			So(r.Assign(0, places()), ShouldBeEmpty)
 		})
