--- a/internal/request/mganswer/answer.go
+++ b/internal/request/mganswer/answer.go
@@ -9,7 +9,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// kind separates answers' names from other sealed names.
+// kind separates answers' names from other signed names.
 const kind = "answer"
 
 // A Name locates an answer's generation.
@@ -37,7 +37,7 @@
 // Generation returns the generation's ID at the engine.
 func (n Name) Generation() string { return n.generation }
 
-// A Signer seals names to client accounts. The names of the zero Signer are
+// A Signer signs names for client accounts. The names of the zero Signer are
 // valid within one process only.
 type Signer struct {
 	own    mgseal.Signer
@@ -53,20 +53,20 @@
 
 // Sign returns the text of an answer's name for account.
 func (s *Signer) Sign(account string, n Name) string {
-	return s.keys().Seal(kind, account, n.agent, n.incarnation, n.generation)
+	return s.signer().Sign(kind, account, n.agent, n.incarnation, n.generation)
 }
 
 // Open returns the name that was signed for account. Another account's name, a
 // forged one and one that never existed give the same problem.
 func (s *Signer) Open(account, text string) (Name, error) {
-	fields, err := s.keys().Open(kind, account, text)
+	fields, err := s.signer().Open(kind, account, text)
 	if err != nil || len(fields) != 3 {
 		return Name{}, missingProblem()
 	}
 	return NewName(fields[0], fields[1], fields[2]), nil
 }
 
-func (s *Signer) keys() *mgseal.Signer {
+func (s *Signer) signer() *mgseal.Signer {
 	if s.shared != nil {
 		return s.shared
 	}
--- a/internal/request/mganswer/answer_test.go
+++ b/internal/request/mganswer/answer_test.go
@@ -30,9 +30,9 @@
 	return mganswer.NewSigner(seal)
 }
 
-// A caller finds or guesses the name of another account's answer and asks for
-// it. Whatever it sends, it must get the problem of a name that never existed,
-// so that it learns nothing.
+// Guards against foreign names that open: a caller finds or guesses the name of
+// another account's answer and asks for it. Whatever it sends, it must get the
+// problem of a name that never existed, so that it learns nothing.
 func TestForeignNameOpens(t *testing.T) {
 	s := signer(t, newKey, oldKey)
 	name := mganswer.NewName("engine-7", "i1", "g1")
@@ -51,20 +51,21 @@
 		{"an unknown key", "tankline", signer(t, "a key that nobody has", "").Sign("tankline", name)},
 	}
 	Convey("A foreign name opens nothing", t, func() {
-		_, never := s.Open("tankline", "bm9uZQ")
+		_, notFoundErr := s.Open("tankline", "bm9uZQ")
 		for _, c := range cases {
 			Convey(c[0], func() {
 				opened, err := s.Open(c[1], c[2])
 				So(opened, ShouldResemble, mganswer.Name{})
 				So(mgproblem.From(err).Kind(), ShouldEqual, mgproblem.NotFound)
-				So(err.Error(), ShouldEqual, never.Error())
+				So(err.Error(), ShouldEqual, notFoundErr.Error())
 			})
 		}
 	})
 }
 
-// The shared key is changed while an answer streams. The caller resumes with a
-// name made under the old key, and must get the rest.
+// Guards against a key change that breaks names: the shared key is changed
+// while an answer streams. The caller resumes with a name made under the old
+// key, and must get the rest.
 func TestKeyChangeBreaksNames(t *testing.T) {
 	name := mganswer.NewName("engine-7", "i1", "g1")
 	text := signer(t, oldKey, "").Sign("tankline", name)
--- a/internal/request/mgoperation/operation.go
+++ b/internal/request/mgoperation/operation.go
@@ -9,7 +9,7 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// kind separates operation IDs from other sealed names.
+// kind separates operation IDs from other signed names.
 const kind = "operation"
 
 // An Operation is the content of a minted ID: a write that only one incarnation
@@ -54,7 +54,7 @@
 // Mint returns a new operation ID for account and service. It stores nothing:
 // the ID itself says when it was minted and by whom.
 func (m *Minter) Mint(account, service string, now mgclock.Millis) string {
-	return m.seal.Seal(kind, account,
+	return m.seal.Sign(kind, account,
 		m.agent,
 		m.incarnation,
 		service,
--- a/internal/request/mgseal/seal.go
+++ b/internal/request/mgseal/seal.go
@@ -15,13 +15,13 @@
 const (
 	MinKey  = 16  // shorter keys can be guessed
 	MaxText = 512 // longer texts are refused without any work on them
-	tagSize = 16  // half of SHA-256: as strong as its collision bound
+	tagSize = 16  // half of SHA-256's length: as hard to forge as a collision of SHA-256 is to find
 )
 
 var (
 	// ErrKey is returned for a key that is too short.
 	ErrKey = errors.New("seal: key too short: give at least 16 bytes, the same to every process")
-	// ErrForeign is returned for a text that was not sealed for this owner. It
+	// ErrForeign is returned for a text that was not signed for this owner. It
 	// gives no details, so that a caller can't learn anything about names of
 	// others.
 	ErrForeign = errors.New("seal: no such name: use the name as it was given to this account")
@@ -31,14 +31,14 @@
 
 // A Spec holds the keys that all processes share.
 type Spec struct {
-	// Current is the key that seals and opens names.
+	// Current is the key that signs and opens names.
 	Current []byte
-	// Previous is the key that opens names sealed before the last change of keys.
+	// Previous is the key that opens names signed before the last change of keys.
 	// It may be empty.
 	Previous []byte
 }
 
-// A Signer seals and opens names. The zero Signer uses a random key of its own,
+// A Signer signs and opens names. The zero Signer uses a random key of its own,
 // so that its names are valid within one process only.
 type Signer struct {
 	once sync.Once
@@ -63,13 +63,13 @@
 	return s, nil
 }
 
-// Seal returns the text of a name of a kind that belongs to owner.
-func (s *Signer) Seal(kind, owner string, fields ...string) string {
+// Sign returns the text of a name of a kind that belongs to owner.
+func (s *Signer) Sign(kind, owner string, fields ...string) string {
 	payload := encodeFields(fields)
 	return encoding.EncodeToString(append(payload, tag(s.keyRing()[0], kind, owner, payload)...))
 }
 
-// Open returns the fields of a name sealed for owner, or ErrForeign.
+// Open returns the fields of a name signed for owner, or ErrForeign.
 func (s *Signer) Open(kind, owner, text string) ([]string, error) {
 	if len(text) > MaxText {
 		return nil, ErrForeign
@@ -89,7 +89,7 @@
 	return nil, ErrForeign
 }
 
-// keyRing returns the keys, beginning with the one that seals.
+// keyRing returns the keys, beginning with the one that signs.
 func (s *Signer) keyRing() [][]byte {
 	s.once.Do(func() {
 		if s.keys != nil {
