--- a/internal/process/mgagent/invoke.go
+++ b/internal/process/mgagent/invoke.go
@@ -114,7 +114,7 @@
 		return
 	}
 	defer a.releaseSlot()
-	if problem := a.operations.Submit(in.GetOperation(), a.spec.Clock.Now()); problem != nil {
+	if problem := a.operations.MarkSent(in.GetOperation(), a.spec.Clock.Now()); problem != nil {
 		return
 	}
 	result, problem := a.sendCall(ctx, in)
--- a/internal/process/mgagent/pump.go
+++ b/internal/process/mgagent/pump.go
@@ -78,7 +78,7 @@
 func (a *Agent) runGeneration(ctx context.Context, g *generation) {
 	// A process that was paused between the decision and this line may be past
 	// the deadline or the cancel: the ledger checks the time again.
-	if problem := a.attempts.Submit(g.id, a.spec.Clock.Now()); problem != nil {
+	if problem := a.attempts.MarkSent(g.id, a.spec.Clock.Now()); problem != nil {
 		a.endGeneration(g, "", problem)
 		return
 	}
--- a/internal/process/mgentry/services.go
+++ b/internal/process/mgentry/services.go
@@ -150,7 +150,7 @@
 		mgproblem.Write(w, bodyProblem(err))
 		return
 	}
-	promise, operation, err := mgoperation.PromiseFor(e.spec.Signer, mgoperation.KeySpec{
+	promise, operation, err := mgoperation.GuaranteeFor(e.spec.Signer, mgoperation.KeySpec{
 		Account:    c.account.Name(),
 		Service:    service.Name(),
 		Key:        r.Header.Get(idempotencyKeyHeader),
@@ -195,7 +195,7 @@
 	return path
 }
 
-func (e *Entry) invoke(ctx context.Context, call *call, promise mgoperation.Promise, operation mgoperation.Operation, key string) (*mgrpc.InvokeReply, *mgproblem.Problem) {
+func (e *Entry) invoke(ctx context.Context, call *call, promise mgoperation.Guarantee, operation mgoperation.Operation, key string) (*mgrpc.InvokeReply, *mgproblem.Problem) {
 	switch promise {
 	case mgoperation.Pinned:
 		call.request.Operation = key
--- a/internal/request/mgoperation/key.go
+++ b/internal/request/mgoperation/key.go
@@ -5,22 +5,23 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// Promise is the delivery guarantee of a call of a plain service.
-type Promise uint8
+// Guarantee is the delivery guarantee of a call of a plain service.
+type Guarantee uint8
 
-// The promises.
+// The guarantees.
 const (
-	// Repeatable: the service declares that its calls may be repeated. A key is
-	// passed on.
-	Repeatable Promise = iota
-	// Single: at most once for this one HTTP request; the entry mints an ID. If the
-	// caller repeats the request, that is another operation.
+	// Repeatable: the call may be repeated, because the service declares so or its
+	// method is safe. A key of the caller's is neither checked nor needed.
+	Repeatable Guarantee = iota
+	// Single: at most once for this one HTTP request; the entry process mints an
+	// ID. If the caller repeats the request, that is another operation.
 	Single
-	// Pinned: at most once for all requests that carry the minted ID.
+	// Pinned: at most once for all requests that carry the minted ID. The ID binds
+	// them to the one incarnation of an agent that it names.
 	Pinned
 )
 
-// A KeySpec is a call's key and the table's setting for its service.
+// A KeySpec is a call's key and its service's setting in the table (mgtable).
 type KeySpec struct {
 	Account string
 	Service string
@@ -30,17 +31,17 @@
 	Idempotent bool
 }
 
-// PromiseFor returns the guarantee for a call and, if it is Pinned, the operation
-// that its key names. A key made by the caller is refused for a service whose
-// calls may not be repeated.
+// GuaranteeFor returns the guarantee for a call and, if it is Pinned, the
+// operation that its key names. A key made by the caller is refused for a
+// service whose calls may not be repeated.
 //
 // Such a key names no incarnation. Two entries with different lists of VMs, as
 // in a partition, would send it to two agents, and each would treat it as new.
 // Ranking the agents by the key doesn't help, because the ranking depends on
 // the list; nor does a time inside the key, because the agent on the other side
-// of the partition may be as old. Only a minted ID names the one process that
-// has the record.
-func PromiseFor(seal *mgseal.Signer, spec KeySpec) (Promise, Operation, error) {
+// of the partition may have run for as long as the first one. Only a minted ID
+// names the one process that has the record.
+func GuaranteeFor(seal *mgseal.Signer, spec KeySpec) (Guarantee, Operation, error) {
 	if spec.Idempotent {
 		return Repeatable, Operation{}, nil
 	}
--- a/internal/request/mgoperation/ledger.go
+++ b/internal/request/mgoperation/ledger.go
@@ -12,10 +12,10 @@
 // State is the state of an entry.
 type State uint8
 
-// The states. Absent is the state of an entry that the ledger doesn't hold.
+// The states. Absent is the state of an entry that isn't in the ledger.
 const (
 	Absent    State = iota
-	Held            // accepted, and nothing has reached the upstream
+	Held            // accepted and queued, and nothing has reached the upstream
 	Sent            // it may have reached the upstream
 	Finished        // the upstream answered, or the agent gave up on it
 	Tombstone       // it never reached the upstream and never will
@@ -27,7 +27,7 @@
 // The actions.
 const (
 	Refuse Action = iota // reply with the verdict's problem
-	Run                  // queue it, and call Submit just before it is sent
+	Run                  // queue it, and call MarkSent just before it is sent
 	Join                 // wait for the entry that an earlier start began
 )
 
@@ -132,8 +132,9 @@
 	case start.Stamp > now:
 		return problemForeign()
 	case l.expired(start.Stamp, now):
-		// An earlier copy of a message that was delayed beyond the window may have run
-		// and been forgotten. If this one ran, the entry would run twice.
+		// This message may have been delayed beyond the window, and an earlier copy
+		// of it may have run and been forgotten. If this one ran, the entry would run
+		// twice.
 		return problemExpired()
 	case start.Stamp <= l.minStamp:
 		return problemFull()
@@ -148,11 +149,11 @@
 	}
 }
 
-// Submit is the last step before an entry reaches the upstream: the agent sends
-// only if the returned problem is nil. An entry that was cancelled or passed
-// its deadline while it was queued, or while the process was paused, is
+// MarkSent is the last step before an entry reaches the upstream: the agent
+// sends only if the returned problem is nil. An entry that was cancelled or
+// passed its deadline while it was queued, or while the process was paused, is
 // refused.
-func (l *Ledger) Submit(id string, now mgclock.Millis) *mgproblem.Problem {
+func (l *Ledger) MarkSent(id string, now mgclock.Millis) *mgproblem.Problem {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now = l.observe(now)
@@ -192,7 +193,7 @@
 
 // Cancel ends an entry and returns its outcome. An entry not yet in the ledger
 // becomes a tombstone, so that a start that arrives after its cancel can't run
-// once "not run" was attested. After Submit and until Finish the outcome is
+// once "not run" was attested. After MarkSent and until Finish the outcome is
 // Unknown: the caller of Cancel still has to stop it at the upstream.
 func (l *Ledger) Cancel(id string, stamp, now mgclock.Millis) mgproblem.Outcome {
 	l.mu.Lock()
@@ -243,9 +244,10 @@
 
 // observe forgets expired entries and returns the ledger's time.
 //
-// A goroutine that read the clock and was then paused passes an old time. By
-// that time an entry that another goroutine has since forgotten may seem within
-// its window, and would run again. So the ledger's time never goes back.
+// A goroutine that read the clock and was then paused passes an old time.
+// Measured by that old time, an entry that another goroutine has since
+// forgotten may seem within its window, and would run again. So the ledger's
+// time never goes back.
 func (l *Ledger) observe(now mgclock.Millis) mgclock.Millis {
 	if l.records == nil {
 		l.records = make(map[string]*record)
--- a/internal/request/mgoperation/ledger_test.go
+++ b/internal/request/mgoperation/ledger_test.go
@@ -39,8 +39,9 @@
 	}
 }
 
-// A caller gets a wrong outcome of its request: done, not run or unknown. Each
-// case applies the events of one sequence in order and lists the replies.
+// Guards against a caller that gets a wrong outcome of its request: done, not
+// run or unknown. Each case applies the events of one sequence in order and
+// lists the replies.
 func TestCallerToldWrongOutcome(t *testing.T) {
 	cases := [][3]string{
 		{"it runs", "begin submit finish lookup", "run ok - done"},
@@ -98,7 +99,7 @@
 		other.Digest = 1
 		return verdict(ledger.Begin(other, *now))
 	case "submit":
-		return problem(ledger.Submit(id, *now))
+		return problem(ledger.MarkSent(id, *now))
 	case "finish":
 		ledger.Finish(id, doneResult("ticket"), *now)
 	case "fail":
@@ -132,9 +133,10 @@
 	return fmt.Sprintf("%s/%s", p.Kind(), p.Outcome())
 }
 
-// A burst of writes fills an agent's ledger. It must refuse instead of growing,
-// and a refused entry must stay not run when a copy of its start arrives after
-// entries were forgotten.
+// Guards against a full ledger that forgets a refusal: a burst of writes fills
+// an agent's ledger. It must refuse instead of growing, and a refused entry
+// must stay not run when a copy of its start arrives after entries were
+// forgotten.
 func TestFullLedgerForgetsRefusal(t *testing.T) {
 	Convey("A full ledger refuses, and its refusal holds", t, func() {
 		ledger := mgoperation.New(mgoperation.Spec{
@@ -156,7 +158,7 @@
 		})
 		for _, id := range []string{"a", "b", "c"} {
 			ledger.Begin(start(id, 0, window), 0)
-			ledger.Submit(id, 0)
+			ledger.MarkSent(id, 0)
 			ledger.Finish(id, doneResult("1234"), 0)
 		}
 		_, first := ledger.Lookup("a")
@@ -167,9 +169,10 @@
 	})
 }
 
-// An agent is replaced while an operation runs, and the caller repeats it with
-// the same ID. The new agent has no record of it, so it must answer "unknown"
-// and not run it, whatever the ID's age.
+// Guards against a second run at a new agent: an agent is replaced while an
+// operation runs, and the caller repeats it with the same ID. The new agent has
+// no record of it, so it must answer "unknown" and not run it, whatever the
+// ID's age.
 func TestReplacedAgentRunsAgain(t *testing.T) {
 	var seal mgseal.Signer
 	old := mgoperation.NewMinter(&seal, "portal-1", "i1")
@@ -191,9 +194,10 @@
 	})
 }
 
-// A client sends its own UUID as Idempotency-Key through two entries with
-// different lists. Each entry would send it to another agent, and the write
-// would run twice. So the key must be refused before anything runs.
+// Guards against a promise that can't be kept: a client sends its own UUID as
+// Idempotency-Key through two entry processes with different lists of VMs. Each
+// would send it to another agent, and the write would run twice. So the key
+// must be refused before anything runs.
 func TestOpaqueKeyPromised(t *testing.T) {
 	var seal mgseal.Signer
 	id := mgoperation.NewMinter(&seal, "app-1", "i1").Mint("tankline", "ticket", 1)
@@ -205,7 +209,7 @@
 		{"a UUID with a time in it", "01890a5d-ac96-774b-bcce-b302099a8057", "never", "unpromisable/notrun"},
 		{"an opaque key for calls that may be repeated", opaque, "safe", "repeatable"},
 	}
-	promiseNames := map[mgoperation.Promise]string{
+	guaranteeNames := map[mgoperation.Guarantee]string{
 		mgoperation.Repeatable: "repeatable",
 		mgoperation.Single:     "single",
 		mgoperation.Pinned:     "pinned",
@@ -213,13 +217,13 @@
 	Convey("The guarantee for each key", t, func() {
 		for _, c := range cases {
 			Convey(c[0], func() {
-				promise, _, err := mgoperation.PromiseFor(&seal, mgoperation.KeySpec{
+				guarantee, _, err := mgoperation.GuaranteeFor(&seal, mgoperation.KeySpec{
 					Account:    "tankline",
 					Service:    "ticket",
 					Key:        c[1],
 					Idempotent: c[2] == "safe",
 				})
-				got := promiseNames[promise]
+				got := guaranteeNames[guarantee]
 				if err != nil {
 					got = problem(mgproblem.From(err))
 				}
@@ -229,7 +233,8 @@
 	})
 }
 
-// A long history makes the ledger grow beyond the entries of one window.
+// Guards against a ledger that a long history makes grow beyond the entries of
+// one window.
 func TestLedgerGrowsUnbounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ledger := mgoperation.New(mgoperation.Spec{
@@ -241,7 +246,7 @@
 		for i := range 200 {
 			now += mgclock.Millis(rapid.Int64Range(0, 1000).Draw(t, "wait"))
 			id := fmt.Sprint(i)
-			if verdict(ledger.Begin(start(id, now, now+window), now)) == "run" && ledger.Submit(id, now) == nil {
+			if verdict(ledger.Begin(start(id, now, now+window), now)) == "run" && ledger.MarkSent(id, now) == nil {
 				ledger.Finish(id, doneResult(strings.Repeat("x", rapid.IntRange(0, 60).Draw(t, "size"))), now)
 			}
 			if ledger.Len() > 50 {
--- a/internal/request/mgoperation/model_test.go
+++ b/internal/request/mgoperation/model_test.go
@@ -52,7 +52,7 @@
 
 // world models an agent, its upstream, and its callers' messages.
 type world struct {
-	broken      fault
+	variant     fault
 	ledger      *Ledger
 	now         mgclock.Millis
 	pausedAt    mgclock.Millis // the time that a paused goroutine read, or -1
@@ -65,9 +65,9 @@
 	notrun      map[string]bool // reported to a caller as not run
 }
 
-func newWorld(broken fault) *world {
+func newWorld(variant fault) *world {
 	w := &world{
-		broken:   broken,
+		variant:  variant,
 		pausedAt: -1,
 		runs:     map[string]int{},
 		notrun:   map[string]bool{},
@@ -89,9 +89,9 @@
 	w.queued, w.sent = nil, nil
 }
 
-func exhaustive(broken fault) func(*mgexplore.Chooser) error {
+func exhaustive(variant fault) func(*mgexplore.Chooser) error {
 	return func(c *mgexplore.Chooser) error {
-		w := newWorld(broken)
+		w := newWorld(variant)
 		for step := range exhaustiveSteps {
 			if c.Seen(step, w.state) {
 				return nil
@@ -105,9 +105,9 @@
 	}
 }
 
-func seeded(broken fault) func(*mgexplore.Chooser) error {
+func randomSchedule(variant fault) func(*mgexplore.Chooser) error {
 	return func(c *mgexplore.Chooser) error {
-		w := newWorld(broken)
+		w := newWorld(variant)
 		for step := range seededSteps {
 			c.Seen(step, w.state)
 			pick := c.Choose(eventKinds)
@@ -169,10 +169,10 @@
 }
 
 func (w *world) deliver(m message, now mgclock.Millis, choose func(int) int) {
-	if m.incarnation != w.incarnation && w.broken != answersForOld {
+	if m.incarnation != w.incarnation && w.variant != answersForOld {
 		return // answered "unknown", see Minter.Check
 	}
-	if w.broken == answersForOld {
+	if w.variant == answersForOld {
 		m.stamp = now
 	}
 	w.tamperBefore(m.id, now)
@@ -195,7 +195,7 @@
 		w.queued = append(w.queued, m.id)
 	case Refuse:
 		w.attest(m.id, v.Problem().Outcome())
-		if w.broken == refusalForgotten && v.Problem().Kind() == mgproblem.DeadlineExceeded {
+		if w.variant == refusalForgotten && v.Problem().Kind() == mgproblem.DeadlineExceeded {
 			delete(w.ledger.records, m.id)
 		}
 	}
@@ -209,8 +209,8 @@
 	}
 	id := w.queued[0]
 	w.queued = slices.Clone(w.queued[1:])
-	problem := w.ledger.Submit(id, w.now)
-	if problem != nil && w.broken != ignoredSubmit {
+	problem := w.ledger.MarkSent(id, w.now)
+	if problem != nil && w.variant != ignoredSubmit {
 		w.attest(id, problem.Outcome())
 		return
 	}
@@ -227,7 +227,7 @@
 	w.ledger.Finish(id, Result{
 		Outcome: mgproblem.Done,
 	}, w.now)
-	if w.broken == earlyForget {
+	if w.variant == earlyForget {
 		w.drop(id)
 	}
 }
@@ -241,7 +241,7 @@
 // tamperBefore breaks the ledger before a message is handled, as the variant
 // requires.
 func (w *world) tamperBefore(id string, now mgclock.Millis) {
-	switch w.broken {
+	switch w.variant {
 	case timeGoesBack:
 		w.ledger.observe(w.now)
 		w.ledger.lastTime = now
@@ -261,9 +261,9 @@
 func (w *world) tamperAfter(m message) {
 	r := w.ledger.records[m.id]
 	switch {
-	case w.broken == noTombstone && m.cancel && r != nil && r.state == Tombstone:
+	case w.variant == noTombstone && m.cancel && r != nil && r.state == Tombstone:
 		w.drop(m.id)
-	case w.broken == noMinStamp:
+	case w.variant == noMinStamp:
 		w.ledger.minStamp = -1
 	}
 }
@@ -281,14 +281,14 @@
 func (w *world) checkInvariants() error {
 	for id, runs := range w.runs {
 		if runs > 1 {
-			return fmt.Errorf("%s: %s ran %d times", w.broken, id, runs)
+			return fmt.Errorf("%s: %s ran %d times", w.variant, id, runs)
 		}
 		if w.notrun[id] && runs > 0 {
-			return fmt.Errorf("%s: a caller was told that %s did not run, and it ran", w.broken, id)
+			return fmt.Errorf("%s: a caller was told that %s did not run, and it ran", w.variant, id)
 		}
 	}
 	if len(w.ledger.records) > maxRecords {
-		return fmt.Errorf("%s: %d records held, at most %d allowed", w.broken, len(w.ledger.records), maxRecords)
+		return fmt.Errorf("%s: %d records held, at most %d allowed", w.variant, len(w.ledger.records), maxRecords)
 	}
 	return nil
 }
@@ -306,9 +306,10 @@
 	return b.String()
 }
 
-// A write runs twice, or runs after its caller was told "not run". Its start
-// was delivered twice, or after its cancel, or to a replacement agent; the
-// ledger was full or had forgotten it; or a paused process used an old time.
+// Guards against a write that runs twice, or runs after its caller was told
+// "not run". Its start was delivered twice, or after its cancel, or to a
+// replacement agent; the ledger was full or had forgotten it; or a paused
+// process used an old time.
 func TestRunsTwiceOrAfterNotRun(t *testing.T) {
 	report := mgexplore.Exhaust(5_000_000, exhaustive(sound))
 	t.Logf("operation, %d steps: %v", exhaustiveSteps, report)
@@ -318,21 +319,21 @@
 }
 
 func TestRunsTwiceOrAfterNotRunSeeded(t *testing.T) {
-	report := mgexplore.Seeds(5, max(2000, *extraSchedules), seeded(sound))
+	report := mgexplore.Seeds(5, max(2000, *extraSchedules), randomSchedule(sound))
 	t.Logf("operation, seeded: %v", report)
 	if report.Violation() != nil {
 		t.Fail()
 	}
 }
 
-// The model itself may miss faults. Each variant lacks one guard, and the model
-// must detect that.
+// Guards against a model that misses faults. Each variant lacks one guard, and
+// the model must detect that.
 func TestModelMissesBrokenLedger(t *testing.T) {
-	for _, broken := range []fault{noTombstone, shortTombstone, earlyForget, noExpiry, timeGoesBack, noMinStamp, ignoredSubmit, answersForOld, refusalForgotten} {
-		report := mgexplore.Seeds(7, 20_000, seeded(broken))
+	for _, variant := range []fault{noTombstone, shortTombstone, earlyForget, noExpiry, timeGoesBack, noMinStamp, ignoredSubmit, answersForOld, refusalForgotten} {
+		report := mgexplore.Seeds(7, 20_000, randomSchedule(variant))
 		t.Logf("%v", report)
 		if report.Violation() == nil {
-			t.Errorf("%s: not caught", broken)
+			t.Errorf("%s: not caught", variant)
 		}
 	}
 }
--- a/internal/request/mgoperation/problem.go
+++ b/internal/request/mgoperation/problem.go
@@ -16,6 +16,8 @@
 		"mint an operation id for each write")
 }
 
+// problemForeign refuses a stamp that is later than this process's clock, which
+// therefore can't be its own.
 func problemForeign() *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Incarnation, mgproblem.Unknown,
 		"the id was not made by this process",
--- a/internal/request/mgoperation/spec.go
+++ b/internal/request/mgoperation/spec.go
@@ -7,8 +7,9 @@
 
 // The defaults of a Spec.
 const (
-	// AttemptWindow is longer than an entry uses an offer (its probe and retries
-	// end within a second or two) and short compared with an agent's lifetime.
+	// AttemptWindow is longer than an entry process uses an offer (its query and
+	// retries end within a second or two) and short compared with an agent's
+	// lifetime.
 	AttemptWindow = 30 * mgclock.Second
 	// OperationWindow gives a caller time to mint, lose its connection and retry by
 	// hand.
@@ -62,7 +63,8 @@
 	Deadline mgclock.Millis
 	// Digest distinguishes bodies sent under one ID; 0 if that doesn't matter.
 	Digest uint64
-	// Generation is the upstream's name for an attempt that begins now.
+	// Generation is the upstream's name of the generation that an attempt starts
+	// now.
 	Generation string
 }
 
