--- a/internal/process/mgentry/read.go
+++ b/internal/process/mgentry/read.go
@@ -291,7 +291,7 @@
 	return &mgdelivery.Frame{
 		Generation: f.GetGeneration(),
 		Seq:        f.GetSeq(),
-		Text:       f.GetText(),
+		Tokens:     f.GetText(),
 		End:        f.GetEnd(),
 		Fault:      f.GetFault(),
 		Total:      f.GetTotal(),
--- a/internal/request/mgdelivery/model_test.go
+++ b/internal/request/mgdelivery/model_test.go
@@ -44,7 +44,7 @@
 // world models a caller, its receiver, the network and the engines' generations
 // "A", "B" and so on, whose tokens are "A1", "A2" and so on.
 type world struct {
-	broken    fault
+	variant   fault
 	whole     bool
 	receiver  *Receiver
 	attempt   int
@@ -59,9 +59,9 @@
 
 func token(generation int, seq uint64) string { return fmt.Sprint(name(generation), seq) }
 
-func exhaustive(broken fault, whole bool) func(*mgexplore.Chooser) error {
+func exhaustive(variant fault, whole bool) func(*mgexplore.Chooser) error {
 	return func(c *mgexplore.Chooser) error {
-		w := newWorld(broken, whole)
+		w := newWorld(variant, whole)
 		for step := range exhaustiveSteps {
 			if c.Seen(step, w.state) {
 				return nil
@@ -78,10 +78,11 @@
 	}
 }
 
-// seeded plays longer random schedules, in which most events are fault-free.
-func seeded(broken fault, whole bool) func(*mgexplore.Chooser) error {
+// randomSchedule plays longer random schedules, in which most events are
+// fault-free.
+func randomSchedule(variant fault, whole bool) func(*mgexplore.Chooser) error {
 	return func(c *mgexplore.Chooser) error {
-		w := newWorld(broken, whole)
+		w := newWorld(variant, whole)
 		for step := range seededSteps {
 			c.Seen(step, w.state)
 			pick := c.Choose(eventKinds)
@@ -97,10 +98,10 @@
 	}
 }
 
-func newWorld(broken fault, whole bool) *world {
+func newWorld(variant fault, whole bool) *world {
 	w := &world{
-		broken: broken,
-		whole:  whole,
+		variant: variant,
+		whole:   whole,
 		receiver: New(Spec{
 			Whole: whole,
 		}),
@@ -124,7 +125,7 @@
 			}
 		}
 	}
-	return fmt.Errorf("%s: caller has %v and waits forever", w.broken, w.delivered)
+	return fmt.Errorf("%s: caller has %v and waits forever", w.variant, w.delivered)
 }
 
 // playEvent plays one event. The fault-free ones come first.
@@ -142,13 +143,13 @@
 		if len(w.inFlight) > 0 {
 			w.inFlight = w.inFlight[1:]
 		}
-	case 5: // crossed: another generation's next token on this stream
+	case 5: // misrouted: another generation's next token on this stream
 		w.receive(frame{
 			attempt: w.attempt,
 			Frame: &Frame{
 				Generation: "Z",
 				Seq:        w.receiver.Last() + 1,
-				Text:       []string{"Z"},
+				Tokens:     []string{"Z"},
 			},
 		})
 	case 6: // engine killed
@@ -160,7 +161,7 @@
 			},
 		})
 	case 7: // agent gone for good
-		if w.broken != hidesLoss {
+		if w.variant != hidesLoss {
 			w.apply(w.receiver.HandleLoss(w.attempt))
 		} else if !w.receiver.finished {
 			w.apply(w.receiver.deliver(Finish, nil))
@@ -180,7 +181,7 @@
 	f := &Frame{
 		Generation: name(w.engine),
 		Seq:        w.emitted,
-		Text:       []string{token(w.engine, w.emitted)},
+		Tokens:     []string{token(w.engine, w.emitted)},
 	}
 	if w.emitted == tokens {
 		f.End = "stop"
@@ -222,12 +223,12 @@
 	in := &Frame{
 		Generation: f.Generation,
 		Seq:        f.Seq,
-		Text:       f.Text,
+		Tokens:     f.Tokens,
 		End:        f.End,
 		Fault:      f.Fault,
 		Total:      f.Total,
 	}
-	switch w.broken {
+	switch w.variant {
 	case noGenerationCheck:
 		in.Generation = r.generation
 	case acceptsOldAttempt:
@@ -242,7 +243,7 @@
 			in.Seq = r.last + 1
 		}
 	case acceptsEarlyEnd:
-		if in.End != "" && len(in.Text) == 0 {
+		if in.End != "" && len(in.Tokens) == 0 {
 			in.Total = r.last
 		}
 	}
@@ -259,7 +260,7 @@
 	case StartOver:
 		w.start()
 	case Fail:
-		if w.broken == splicesGenerations && w.engine == 0 {
+		if w.variant == splicesGenerations && w.engine == 0 {
 			w.receiver = New(Spec{
 				From: w.receiver.Last(),
 			})
@@ -284,7 +285,7 @@
 		return
 	}
 	from := uint64(len(w.delivered))
-	if w.broken == resumesFromStart {
+	if w.variant == resumesFromStart {
 		from = 0
 	}
 	w.receiver = New(Spec{
@@ -300,16 +301,16 @@
 func (w *world) checkInvariants() error {
 	for i, text := range w.delivered {
 		if want := token(w.engine, uint64(i+1)); text != want {
-			return fmt.Errorf("%s: caller got %v: token %d is not %s", w.broken, w.delivered, i+1, want)
+			return fmt.Errorf("%s: caller got %v: token %d is not %s", w.variant, w.delivered, i+1, want)
 		}
 	}
 	switch {
 	case w.outcome == "whole" && len(w.delivered) != tokens:
-		return fmt.Errorf("%s: caller was told %v is whole", w.broken, w.delivered)
+		return fmt.Errorf("%s: caller was told %v is whole", w.variant, w.delivered)
 	case w.outcome != "" && w.outcome != "whole" && w.outcome != string(mgproblem.Interrupted):
-		return fmt.Errorf("%s: caller got the outcome %s", w.broken, w.outcome)
+		return fmt.Errorf("%s: caller got the outcome %s", w.variant, w.outcome)
 	case w.outcome == "" && w.receiver.Finished():
-		return fmt.Errorf("%s: caller got no outcome", w.broken)
+		return fmt.Errorf("%s: caller got no outcome", w.variant)
 	}
 	return nil
 }
@@ -320,15 +321,15 @@
 	r := w.receiver
 	fmt.Fprint(&b, w.engine, w.emitted, w.attempt, w.delivered, w.outcome, r.currentAttempt, r.attemptCount, r.generationCount, r.generation, r.last, r.refusals, r.finished, r.spec)
 	for _, f := range w.inFlight {
-		fmt.Fprint(&b, "|", f.attempt, f.Generation, f.Seq, f.Text, f.End)
+		fmt.Fprint(&b, "|", f.attempt, f.Generation, f.Seq, f.Tokens, f.End)
 	}
 	return b.String()
 }
 
-// A caller gets tokens that are repeated, missing, mixed from two generations,
-// or cut off without a problem. Frames are dropped, duplicated, reordered or
-// crossed, engines die, or the caller resumes through another entry, in any
-// order.
+// Guards against a caller that gets tokens that are repeated, missing, mixed
+// from two generations, or cut off without a problem. Frames are dropped,
+// duplicated, reordered or misrouted, engines die, or the caller resumes
+// through another entry, in any order.
 func TestCallerGetsWrongTokens(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		report := mgexplore.Exhaust(2_000_000, exhaustive(sound, whole))
@@ -341,7 +342,7 @@
 
 func TestCallerGetsWrongTokensSeeded(t *testing.T) {
 	for _, whole := range []bool{false, true} {
-		report := mgexplore.Seeds(5, max(1000, *extraSchedules), seeded(sound, whole))
+		report := mgexplore.Seeds(5, max(1000, *extraSchedules), randomSchedule(sound, whole))
 		t.Logf("delivery, whole %t, seeded: %v", whole, report)
 		if report.Violation() != nil {
 			t.Fail()
@@ -349,14 +350,14 @@
 	}
 }
 
-// The model itself may miss faults. Each variant lacks one guard, and the model
-// must detect that.
+// Guards against a model that misses faults. Each variant lacks one guard, and
+// the model must detect that.
 func TestModelMissesBrokenReceiver(t *testing.T) {
-	for _, broken := range []fault{noGenerationCheck, acceptsGap, deliversTwice, acceptsEarlyEnd, splicesGenerations, resumesFromStart, hidesLoss, acceptsOldAttempt} {
-		report := mgexplore.Exhaust(2_000_000, exhaustive(broken, false))
+	for _, variant := range []fault{noGenerationCheck, acceptsGap, deliversTwice, acceptsEarlyEnd, splicesGenerations, resumesFromStart, hidesLoss, acceptsOldAttempt} {
+		report := mgexplore.Exhaust(2_000_000, exhaustive(variant, false))
 		t.Logf("%v", report)
 		if report.Violation() == nil {
-			t.Errorf("%s: not caught", broken)
+			t.Errorf("%s: not caught", variant)
 		}
 	}
 }
--- a/internal/request/mgdelivery/receiver.go
+++ b/internal/request/mgdelivery/receiver.go
@@ -23,7 +23,8 @@
 
 // A Spec describes an answer.
 type Spec struct {
-	// Whole is set for a caller that gets the answer in one piece.
+	// Whole is set for a caller that gets the answer in one piece, buffered until
+	// its end, instead of as a stream.
 	Whole bool
 	// From is the number of the last token that a resuming caller has.
 	From uint64
@@ -66,7 +67,8 @@
 func (r *Receiver) Begin(generation string) int {
 	other := generation != r.generation
 	if other && r.generationCount > 0 && r.delivered() > 0 {
-		// Another generation's tokens after this one's would be a splice.
+		// Another generation's tokens after this one's would mix two generations in
+		// one answer.
 		return 0
 	}
 	if other {
@@ -125,7 +127,7 @@
 // reports. If f were accepted, the text would lack them, and with the end
 // nobody would notice.
 func (r *Receiver) hasGap(f *Frame, fresh []string) bool {
-	if len(f.Text) > 0 && f.Seq > r.last+1 {
+	if len(f.Tokens) > 0 && f.Seq > r.last+1 {
 		return true
 	}
 	return f.End != "" && f.Total != r.last+uint64(len(fresh))
@@ -150,8 +152,8 @@
 	}
 }
 
-// HandleLoss handles the loss of an attempt's generation: its agent or engine is
-// gone, or its link gave up.
+// HandleLoss handles the loss of an attempt's generation: its agent or engine
+// is gone, or the connection to it was given up.
 func (r *Receiver) HandleLoss(attempt int) Decision {
 	if r.finished || attempt == 0 || attempt != r.currentAttempt {
 		return Decision{}
@@ -162,7 +164,7 @@
 // fresh returns the tokens of f that were not accepted before. A reopened
 // stream repeats some, and one frame may contain both.
 func (r *Receiver) fresh(f *Frame) []string {
-	text := f.Text
+	text := f.Tokens
 	if len(text) == 0 || f.Seq == 0 {
 		return nil
 	}
--- a/internal/request/mgdelivery/receiver_test.go
+++ b/internal/request/mgdelivery/receiver_test.go
@@ -35,9 +35,9 @@
 	mgdelivery.Fail:      "fail",
 }
 
-// parseFrame parses a frame: generation, number of the first token and one
-// letter per token, and = with the total at the end, as in g1ab=2. ! is a
-// fault, ~ a cancel.
+// parseFrame parses a frame such as g1ab=2: the generation (g), the number of
+// its first token (1), one letter per token (ab) and, if the generation ends
+// with it, = and the total of tokens. ! is a fault, ~ a cancel.
 func parseFrame(text string) *mgdelivery.Frame {
 	f := &mgdelivery.Frame{
 		Generation: text[:1],
@@ -50,7 +50,7 @@
 		f.End = "cancelled"
 	case tokens != "":
 		f.Seq = uint64(tokens[0] - '0')
-		f.Text = strings.Split(tokens[1:], "")
+		f.Tokens = strings.Split(tokens[1:], "")
 	}
 	if ended {
 		f.End = "stop"
@@ -59,10 +59,10 @@
 	return f
 }
 
-// A caller gets tokens twice, not at all, or of two texts, because frames are
-// repeated after a reopen, have a gap, or are of another stream. A case has a
-// name, the spec, the frames of one attempt, and the last frame's decision with
-// its tokens.
+// Guards against a caller that gets tokens twice, not at all, or of two texts,
+// because frames are repeated after a reopen, have a gap, or are of another
+// stream. A case has a name, the spec, the frames of one attempt, and the last
+// frame's decision with its tokens.
 func TestFrameRepeatedMissingOrForeign(t *testing.T) {
 	cases := [][4]string{
 		{"new tokens", "stream", "g1ab", "deliver ab"},
@@ -102,8 +102,9 @@
 	})
 }
 
-// An engine is killed halfway, and the caller takes the part for the whole. It
-// must get a problem that states how much of which generation was delivered.
+// Guards against an incomplete answer that the caller takes for a complete one
+// after its engine was killed halfway. It must get a problem that states how
+// much of which generation was delivered.
 func TestPartTakenForWhole(t *testing.T) {
 	Convey("An interruption after the first token is reported as such", t, func() {
 		var r mgdelivery.Receiver
@@ -120,9 +121,10 @@
 	})
 }
 
-// A request starts over elsewhere before its first token, and then the first
-// engine's tokens arrive after all because its link had stalled. They are of a
-// text that the caller must not get.
+// Guards against tokens of an abandoned attempt: a request starts over
+// elsewhere before its first token, and then the first engine's tokens arrive
+// after all because its link had stalled. They are of a text that the caller
+// must not get.
 func TestLateFramesOfOlderAttempt(t *testing.T) {
 	Convey("Frames and losses of an older attempt do nothing", t, func() {
 		var r mgdelivery.Receiver
