--- a/internal/request/mgmigration/doc.go
+++ b/internal/request/mgmigration/doc.go
@@ -2,20 +2,20 @@
 // engine that is about to leave to one that stays. It has no clock, no
 // goroutine and no network: callers pass in the time and carry out the calls.
 //
-// # Load
+// # Problem
 //
 // Engines are reclaimed at one or two seconds' notice while generations of
-// seven seconds and more run on them. If such a run is cut, a generation that
-// must not be started over is lost, with all the time that its caller has
-// waited. If it is copied in one step with the run stopped, its caller sees a
-// pause as long as the whole copy, 190 ms for 3,500 tokens at 24 Gbit/s, plus
-// that of all copies queued before it.
+// seven seconds and more run on them. If such a run is interrupted, a
+// generation that must not be started over is lost, with all the time that its
+// caller has waited. If it is copied in one step with the run stopped, its
+// caller sees a pause as long as the whole copy, 190 ms for 3,500 tokens at 24
+// Gbit/s, plus that of all copies queued before it.
 //
 // # Decision
 //
-// A Move copies the KV memory while the run continues (pre-copy), then stops
-// the run, copies what was added since, and names where the generation can
-// resume (Clark et al. 2005). Every step may fail:
+// A Move copies the KV cache while the run continues (pre-copy), then stops the
+// run, copies what was added since, and names where the generation can resume
+// (Clark et al. 2005). Every step may fail:
 //
 //   - the destination has no capacity or can't be reached: another one is
 //     tried before the run is stopped;
@@ -32,6 +32,7 @@
 //
 // # Terms
 //
+//   - run: a generation while one engine runs it.
 //   - source, destination: the engine that leaves, the one that takes over.
 //   - handle: the name of a copy; it can be used once.
 //   - migration slot: the right to move one run away from a source.
--- a/internal/request/mgmigration/model_test.go
+++ b/internal/request/mgmigration/model_test.go
@@ -42,7 +42,7 @@
 
 // world models a source, a destination and the holder of the stream.
 type world struct {
-	broken            fault
+	variant           fault
 	choose            func(n int) int
 	move              Move
 	source            state
@@ -57,10 +57,10 @@
 // maxSteps bounds the length of a schedule.
 const maxSteps = 8
 
-func model(broken fault) func(*mgexplore.Chooser) error {
+func model(variant fault) func(*mgexplore.Chooser) error {
 	return func(c *mgexplore.Chooser) error {
 		w := &world{
-			broken:            broken,
+			variant:           variant,
 			choose:            c.Choose,
 			destinationCopies: map[string]bool{},
 			sourceCopies:      map[string]bool{},
@@ -69,11 +69,11 @@
 			if c.Seen(step, w.name) {
 				return nil
 			}
-			w.injectFault()
+			w.injectEvent()
 			if err := w.call(); err != nil {
 				return err
 			}
-			w.injectFault()
+			w.injectEvent()
 			if w.move.Step() == Done || w.source > running {
 				break
 			}
@@ -86,8 +86,9 @@
 	return fmt.Sprint(w.move, w.source, w.destinationGone, w.destinationCopies, w.sourceCopies, w.resumed)
 }
 
-// injectFault may change the world independently of the move.
-func (w *world) injectFault() {
+// injectEvent may change the world independently of the move: the run begins or
+// ends by itself, the source dies, or the destination's reachability changes.
+func (w *world) injectEvent() {
 	switch w.choose(4) {
 	case 1:
 		if w.source < finished {
@@ -105,7 +106,7 @@
 	switch step := w.move.Step(); {
 	case step == Wait:
 		w.move.EndWait()
-	case step == Stop, w.broken == stopsBeforeCopy:
+	case step == Stop, w.variant == stopsBeforeCopy:
 		if step == Copy && w.source == running {
 			return errPause
 		}
@@ -113,7 +114,7 @@
 	case step == Copy:
 		w.move.HandleReply(w.copy())
 	}
-	if w.broken == resumesEarly && len(w.move.Places()) > 0 && w.source == running {
+	if w.variant == resumesEarly && len(w.move.Places()) > 0 && w.source == running {
 		return w.resume(w.move.Places()[0])
 	}
 	return nil
@@ -175,19 +176,19 @@
 	if w.source <= running {
 		return nil
 	}
-	if w.source == finished && w.broken != resumesAfterEnd {
+	if w.source == finished && w.variant != resumesAfterEnd {
 		return nil
 	}
-	w.injectFault()
+	w.injectEvent()
 	places := w.move.Places()
-	if w.broken == ignoresSource && len(places) > 1 {
+	if w.variant == ignoresSource && len(places) > 1 {
 		places = places[:1]
 	}
 	for _, place := range places {
 		if err := w.resume(place); err != nil {
 			return err
 		}
-		if w.resumed > 0 && w.broken != reusesCopy {
+		if w.resumed > 0 && w.variant != reusesCopy {
 			return nil
 		}
 	}
@@ -217,16 +218,16 @@
 	}
 	delete(available, handle)
 	w.resumed++
-	if w.broken == reusesCopy {
+	if w.variant == reusesCopy {
 		available[handle] = true
 	}
 	w.resumedAt = place
 	return nil
 }
 
-// A generation runs at its destination while its source still runs it, or at
-// neither, so that a caller gets two outputs interleaved or none. Every order
-// of a few faults and lost replies is tried.
+// Guards against a generation that runs at its destination while its source
+// still runs it, or at neither, so that a caller gets two outputs interleaved
+// or none. Every order of a few faults and lost replies is tried.
 func TestModelRunsTwiceOrNowhere(t *testing.T) {
 	const bound = 200_000
 	report := mgexplore.Exhaust(bound, model(sound))
@@ -237,9 +238,9 @@
 	if report.States() < 40 {
 		t.Fatalf("the model reaches %d states only", report.States())
 	}
-	for _, broken := range []fault{resumesEarly, reusesCopy, resumesAfterEnd, ignoresSource, stopsBeforeCopy} {
-		if report := mgexplore.Exhaust(bound, model(broken)); report.Violation() == nil {
-			t.Errorf("not caught: %s", broken)
+	for _, variant := range []fault{resumesEarly, reusesCopy, resumesAfterEnd, ignoresSource, stopsBeforeCopy} {
+		if report := mgexplore.Exhaust(bound, model(variant)); report.Violation() == nil {
+			t.Errorf("not caught: %s", variant)
 		}
 	}
 }
--- a/internal/request/mgmigration/move.go
+++ b/internal/request/mgmigration/move.go
@@ -61,7 +61,7 @@
 const (
 	// RetryDelay is the delay before the next try when the run was absent or busy,
 	// or no destination had capacity: about the time of one decoding step and its
-	// network path.
+	// network latency.
 	RetryDelay = 40 * mgclock.Millis(1)
 	// maxWaits bounds these delays. A run that has not begun after two seconds is
 	// queued behind others on an engine that is about to leave.
@@ -77,13 +77,13 @@
 
 // A Move is the state of one run's migration. The zero Move is ready to start.
 type Move struct {
-	step        Step
-	noRoomCount int // refusals by destinations without capacity
-	lostCount   int // copies whose reply was lost
-	waitCount   int
-	handle      string
-	stopped     bool // the source confirmed that it stopped the run
-	copyUsable  bool // the destination holds a copy to resume from
+	step            Step
+	noCapacityCount int // refusals by destinations without capacity
+	lostCount       int // copies whose reply was lost
+	waitCount       int
+	handle          string
+	stopped         bool // the source confirmed that it stopped the run
+	copyUsable      bool // the destination holds a copy to resume from
 }
 
 // Step returns the next step.
@@ -126,9 +126,9 @@
 		m.copyUsable = true
 		m.step = Stop
 	case NoCapacity:
-		m.noRoomCount++
+		m.noCapacityCount++
 		m.step = Copy
-		if m.noRoomCount%triesBeforePause == 0 {
+		if m.noCapacityCount%triesBeforePause == 0 {
 			m.pause()
 		}
 	case Lost:
@@ -181,8 +181,8 @@
 )
 
 // Places returns where the generation can resume from Handle, the preferred one
-// first. The holder of its stream resumes it only once the stream has ended:
-// until then the run may still be generating.
+// first. The process that relays its stream resumes it only once the stream has
+// ended: until then the run may still be generating.
 func (m *Move) Places() []Place {
 	if m.handle == "" {
 		return nil
--- a/internal/request/mgmigration/move_test.go
+++ b/internal/request/mgmigration/move_test.go
@@ -19,8 +19,9 @@
 	}
 }
 
-// A generation is cut though its engine gave notice: one call of its move
-// failed, and the move gave up or went on as if the call had succeeded.
+// Guards against a generation that is cut though its engine gave notice: one
+// call of its move failed, and the move gave up or went on as if the call had
+// succeeded.
 func TestFailedCallAbandonsRun(t *testing.T) {
 	cases := []struct {
 		name    string
--- a/internal/request/mgmigration/order.go
+++ b/internal/request/mgmigration/order.go
@@ -11,9 +11,9 @@
 	CanResume      bool           // it can resume elsewhere without a copy
 }
 
-// minRemainingTime is the expected remaining time below which a run stays where
-// it is: about the time of its copy and of those before it, so that moving it
-// gains nothing.
+// minRemainingTime is the expected remaining time below which a run is moved
+// after the others: about the time of its copy and of those before it, so that
+// moving it gains nothing.
 const minRemainingTime = 600 * mgclock.Millis(1)
 
 // minRemainingRatio is the minimum of expected remaining tokens per token
@@ -26,8 +26,8 @@
 	return max(r.ExpectedOutput-r.Generated, int(minRemainingRatio*float64(r.Generated)))
 }
 
-// RemainingTime returns the expected remaining time at the run's own pace, or false
-// while it has no pace yet.
+// RemainingTime returns the expected remaining time at the run's own rate of
+// tokens, or false while it has generated none.
 func (r Run) RemainingTime() (mgclock.Millis, bool) {
 	if r.Generated == 0 || r.Elapsed <= 0 {
 		return 0, false
@@ -35,9 +35,10 @@
 	return mgclock.Millis(float64(r.RemainingTokens()) * float64(r.Elapsed) / float64(r.Generated)), true
 }
 
-// outputWeight is how many prompt tokens one output token counts for. Engines
-// prefill about fourteen tokens in the time in which they generate a tenth of a
-// token for each of ten streams.
+// outputWeight is how many prompt tokens one output token counts for. An engine
+// that runs ten streams generates one output token in all in a tenth of a
+// decoding step, a tenth of a token for each stream. In that time it can
+// prefill about fourteen tokens.
 const outputWeight = 10
 
 // Benefit returns the priority with which a source's runs are moved, the greatest
@@ -56,6 +57,7 @@
 }
 
 // nearEndDivisor sorts a run that ends soon behind all others that can't resume
-// without their copy: the benefit of a run with few remaining tokens is at most
-// outputWeight.
+// without their copy: where few tokens remain, the benefit is at most about
+// outputWeight, so the quotient is about a half, and the others have more than
+// 1.
 const nearEndDivisor = 2 * outputWeight
--- a/internal/request/mgmigration/order_test.go
+++ b/internal/request/mgmigration/order_test.go
@@ -7,8 +7,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A run that would have ended by itself is moved first, and one of seven
-// seconds behind it is cut when the engine leaves.
+// Guards against a wrong order: a run that would have ended by itself is moved
+// first, and one of seven seconds behind it is cut when the engine leaves.
 func TestRunThatEndsSoonMovesFirst(t *testing.T) {
 	Convey("Runs are moved in the order of the work that they would lose", t, func() {
 		runs := map[string]Run{
@@ -60,9 +60,9 @@
 			Elapsed:        8000,
 		}
 		So(r.RemainingTokens(), ShouldEqual, 250)
-		ends, known := r.RemainingTime()
+		remaining, known := r.RemainingTime()
 		So(known, ShouldBeTrue)
-		So(ends, ShouldEqual, 2000)
+		So(remaining, ShouldEqual, 2000)
 	})
 	Convey("A run without a token has no pace", t, func() {
 		_, known := Run{
--- a/internal/request/mgmigration/simulation_test.go
+++ b/internal/request/mgmigration/simulation_test.go
@@ -38,15 +38,15 @@
 
 // simulatedRun is one generation of a simulation.
 type simulatedRun struct {
-	name    string
-	entry   int
-	engine  int
-	prompt  float64
-	made    float64
-	total   float64
-	moving  bool
-	stopped mgclock.Millis // time of the stop, 0 while it runs
-	late    bool           // it paused for more than maxPauseMillis
+	name          string
+	entry         int
+	engine        int
+	prompt        float64
+	generated     float64
+	total         float64
+	moving        bool
+	stopped       mgclock.Millis // time of the stop, 0 while it runs
+	pausedTooLong bool           // it paused for more than maxPauseMillis
 }
 
 // job is a copy that waits for or uses a source's link.
@@ -56,7 +56,7 @@
 	last bool    // copy of the stopped run
 }
 
-// simulation plays reclaims of engines in virtual time.
+// simulation simulates reclaims of engines in virtual time.
 type simulation struct {
 	strategy  strategy
 	r         *rand.Rand
@@ -68,7 +68,7 @@
 	slots     Slots
 	runCount  int
 
-	done, cut, late int
+	done, cut, longPauseCount int
 }
 
 func (p *simulation) run() {
@@ -142,12 +142,12 @@
 	kept := p.runs[:0]
 	for _, r := range p.runs {
 		if r.stopped == 0 {
-			r.made += float64(tick) / tokenMillis
+			r.generated += float64(tick) / tokenMillis
 		}
-		if r.made >= r.total {
+		if r.generated >= r.total {
 			p.done++
-			if r.late {
-				p.late++
+			if r.pausedTooLong {
+				p.longPauseCount++
 			}
 			p.slots.Release(fmt.Sprint(r.engine), r.name)
 			continue
@@ -162,7 +162,7 @@
 	if p.strategy == noMove {
 		return
 	}
-	busy := map[[2]int]bool{}
+	busy := map[[2]int]bool{} // by engine and entry
 	for _, r := range p.runs {
 		if r.moving {
 			busy[[2]int{r.engine, r.entry}] = true
@@ -185,8 +185,8 @@
 			state := Run{
 				Prompt:         int(r.prompt),
 				ExpectedOutput: int(r.total),
-				Generated:      int(r.made) + 1,
-				Elapsed:        mgclock.Millis(r.made*tokenMillis) + 1,
+				Generated:      int(r.generated) + 1,
+				Elapsed:        mgclock.Millis(r.generated*tokenMillis) + 1,
 			}
 			a := SlotRequest{
 				Source:       fmt.Sprint(r.engine),
@@ -205,7 +205,7 @@
 	r.moving = true
 	p.links[r.engine] = append(p.links[r.engine], &job{
 		run:  r,
-		left: copyMillisPerToken * (r.prompt + r.made),
+		left: copyMillisPerToken * (r.prompt + r.generated),
 		last: last,
 	})
 }
@@ -230,7 +230,7 @@
 
 func (p *simulation) copied(engine int, j *job) {
 	r := j.run
-	if r.made >= r.total || r.engine != engine {
+	if r.generated >= r.total || r.engine != engine {
 		return
 	}
 	if !j.last {
@@ -243,7 +243,7 @@
 		return
 	}
 	if float64(p.now-r.stopped)+resumeMillis > maxPauseMillis {
-		r.late = true
+		r.pausedTooLong = true
 	}
 	p.slots.Release(fmt.Sprint(engine), r.name)
 	r.engine = p.leastLoaded()
@@ -274,9 +274,10 @@
 	}
 }
 
-// Generations of eight seconds run on engines that are reclaimed at two
-// seconds' notice, two of twelve every 3.3 s. Measures how many of a hundred
-// are cut, and how many pause for more than 180 ms.
+// Guards against cut and paused streams: generations of eight seconds run on
+// engines that are reclaimed at two seconds' notice, two of twelve every 3.3 s.
+// Measures how many of a hundred are cut, and how many pause for more than 180
+// ms.
 func TestReclaimCutsOrPausesRuns(t *testing.T) {
 	cut, late := map[strategy]float64{}, map[strategy]float64{}
 	for _, s := range []strategy{noMove, stopAndCopy, uncoordinated, oneSlot, oneSlotLongNotice} {
@@ -287,7 +288,7 @@
 			}
 			p.run()
 			cut[s] += 100 * float64(p.cut) / float64(p.done+p.cut) / 5
-			late[s] += 100 * float64(p.late) / float64(p.done+p.cut) / 5
+			late[s] += 100 * float64(p.longPauseCount) / float64(p.done+p.cut) / 5
 		}
 		t.Logf("%-36s cut %5.2f late %5.2f of 100", s, cut[s], late[s])
 	}
--- a/internal/request/mgmigration/slots.go
+++ b/internal/request/mgmigration/slots.go
@@ -16,8 +16,8 @@
 	// requestTTL is how long a run counts as waiting after its last request. Its
 	// entry repeats the request within 150 ms.
 	requestTTL = 400 * mgclock.Millis(1)
-	// grantWindow is how long a grant counts against its destination: until the run
-	// shows in the load that entries see there.
+	// grantWindow is how long a grant counts against its destination: until the
+	// load that the destination reports to entries includes the run.
 	grantWindow = 2 * mgclock.Second
 )
 
@@ -39,8 +39,8 @@
 }
 
 // Slots assigns each source's migration slot to one of its runs at a time, and
-// picks that run's destination. One entry does so for a service; all others
-// send their requests to it.
+// picks that run's destination. For each service one entry does so; all other
+// entries send their requests to it.
 //
 // Without slots the copies of several entries share the source's link: each
 // takes as long as all together, and each stopped run waits for the others'
@@ -70,7 +70,7 @@
 
 // Acquire returns the run's destination if the run gets or holds the slot now, else
 // false.
-func (t *Slots) Acquire(now mgclock.Millis, request SlotRequest) (place string, ok bool) {
+func (t *Slots) Acquire(now mgclock.Millis, request SlotRequest) (destination string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.stateOf(request.Source)
@@ -84,16 +84,16 @@
 	if s.nextRun(now) != request.Run {
 		return "", false
 	}
-	place = t.chooseDestination(now, request)
-	if place == "" {
+	destination = t.chooseDestination(now, request)
+	if destination == "" {
 		return "", false
 	}
 	delete(s.waiting, request.Run)
 	s.holder = request.Run
-	s.destination = place
+	s.destination = destination
 	s.expires = now + slotTimeout
-	t.grants[place] = append(t.grants[place], now)
-	return place, true
+	t.grants[destination] = append(t.grants[destination], now)
+	return destination, true
 }
 
 // Release releases the slot if the run holds it, and withdraws the run's request.
@@ -152,8 +152,8 @@
 	busyDestinationCost = 1500.0
 	// copyTimeCost is the cost of each ms of the run's own copy: the source may be
 	// reclaimed before the copy ends. Without it the last run of a source was sent
-	// to another zone because it had one run fewer, and was cut in the middle of a
-	// copy twice as long.
+	// to another zone because the engine there had one run fewer, and was cut in
+	// the middle of a copy twice as long.
 	copyTimeCost = 3.0
 )
 
@@ -178,26 +178,26 @@
 
 // recentGrants returns how many grants a destination got within grantWindow,
 // and drops the older ones.
-func (t *Slots) recentGrants(now mgclock.Millis, place string) int {
-	kept := t.grants[place][:0]
-	for _, granted := range t.grants[place] {
+func (t *Slots) recentGrants(now mgclock.Millis, destination string) int {
+	kept := t.grants[destination][:0]
+	for _, granted := range t.grants[destination] {
 		if now < granted+grantWindow {
 			kept = append(kept, granted)
 		}
 	}
 	if len(kept) == 0 {
-		delete(t.grants, place)
+		delete(t.grants, destination)
 		return 0
 	}
-	t.grants[place] = kept
+	t.grants[destination] = kept
 	return len(kept)
 }
 
 // receivesFromOther reports whether a destination receives a copy from another
 // source now.
-func (t *Slots) receivesFromOther(now mgclock.Millis, place, source string) bool {
+func (t *Slots) receivesFromOther(now mgclock.Millis, destination, source string) bool {
 	for name, s := range t.sources {
-		if name != source && s.destination == place && now < s.expires {
+		if name != source && s.destination == destination && now < s.expires {
 			return true
 		}
 	}
--- a/internal/request/mgmigration/slots_test.go
+++ b/internal/request/mgmigration/slots_test.go
@@ -22,8 +22,9 @@
 	}
 }
 
-// Eight runs leave one engine at once. Each copy shares the link with seven
-// others, and each stopped run stands still until all of them are done.
+// Guards against copies that share a source's link: eight runs leave one engine
+// at once. Each copy shares the link with seven others, and each stopped run
+// stands still until all of them are done.
 func TestCopiesShareSourceLink(t *testing.T) {
 	Convey("Runs of one source", t, func() {
 		var slots Slots
@@ -112,13 +113,14 @@
 	})
 }
 
-// The last run of an engine that leaves in half a second is copied to another
-// zone that has one run fewer. That copy takes 0.4 s instead of 0.2 s, and the
-// engine is gone before it ends: the run is cut.
+// Guards against a copy that takes too long: the last run of an engine that
+// leaves in half a second is copied to another zone, where an engine has one
+// run fewer. That copy takes 0.4 s instead of 0.2 s, and the engine is gone
+// before it ends: the run is cut.
 func TestLastRunCopiedTooFar(t *testing.T) {
 	Convey("A run that no other waits behind goes where its copy is shorter", t, func() {
-		var turns Slots
-		place, ok := turns.Acquire(0, SlotRequest{
+		var slots Slots
+		place, ok := slots.Acquire(0, SlotRequest{
 			Source: "s",
 			Run:    "last",
 			Destinations: []Destination{
@@ -129,7 +131,7 @@
 				},
 				{
 					Name:     "near",
-					Cost:     330, // three more runs than far
+					Cost:     330, // 140 more than far, a little more than mgload.RunCost
 					CopyTime: 200,
 				},
 			},
