--- a/internal/request/mgrouting/choose.go
+++ b/internal/request/mgrouting/choose.go
@@ -7,18 +7,19 @@
 // accelerator; only their ratios matter. An offer's wait dominates; the other
 // costs decide between offers of equal wait.
 const (
-	// streamDelayCost is the delay that 1000 uncached prompt tokens put on one
-	// running stream, weighted against this request's own first token. A stream of
-	// another caller counts a tenth: it loses one gap between tokens, while this
-	// request is delayed as a whole.
+	// streamDelayCost is the cost, for each running stream, of the delay that 1000
+	// uncached prompt tokens put on that stream. A delay of another caller's
+	// stream counts a tenth of one of this request's own first token: the stream
+	// loses one gap between tokens, while this request is delayed as a whole.
 	streamDelayCost = 3.0
-	// shortageCost is the cost of each 1000 tokens of memory that the expected
-	// answer lacks: about as much is preempted and computed again.
+	// shortageCost is the cost of each 1000 tokens by which the request needs more
+	// memory than is free: about as many tokens are preempted and computed again.
 	shortageCost = 60.0
-	// paceCost is the cost of each millisecond between the first token and the
-	// last. A slow engine may offer an early first token and then generate long
-	// answers slowly; a greater cost makes sharing with heavy accounts less fair.
-	paceCost = 0.1
+	// generationTimeCost is the cost of each millisecond between the first token
+	// and the last. A slow engine may offer an early first token and then generate
+	// long answers slowly; a greater cost makes sharing with heavy accounts less
+	// fair.
+	generationTimeCost = 0.1
 	// inFlightCost is the cost of each request that this entry has sent since it
 	// asked for the offer: about its prompt and its position in the queue.
 	inFlightCost = 50.0
@@ -52,7 +53,7 @@
 
 // cost returns the cost of taking an offer in milliseconds.
 func (f *Fleet) cost(o *Offer, q *Query) float64 {
-	cost := float64(o.Wait) + paceCost*float64(o.GenerationTime)
+	cost := float64(o.Wait) + generationTimeCost*float64(o.GenerationTime)
 	cost += streamDelayCost * float64(o.Uncached) / 1000 * float64(o.Running)
 	cost += inFlightCost * float64(max(f.InFlight(o.Upstream)-o.InFlight, 0))
 	need := int64(q.Prompt + q.Output)
--- a/internal/request/mgrouting/doc.go
+++ b/internal/request/mgrouting/doc.go
@@ -1,7 +1,7 @@
 // Package mgrouting decides which upstreams an entry queries for a request, and
 // which of their offers it accepts.
 //
-// # Load
+// # Problem
 //
 // Prompts that share a prefix are cheap where the prefix is cached and
 // expensive elsewhere; a few prefixes make up most of the load; and many
@@ -25,12 +25,13 @@
 // # Choice
 //
 // Offers are compared by what the request costs in time: the expected first
-// token, which includes the queue and the uncached part of the prompt; the pace
-// of the following tokens; the delay that its prompt puts on the streams that
-// run there; the expected preemptions where memory is short; the distance. What
-// this entry sent since the offer was made is added. With few random candidates
-// per request, entries that see the same numbers still spread (the power of two
-// choices, Mitzenmacher 2001; with old information, Mitzenmacher 2000).
+// token, which includes the queue and the uncached part of the prompt; the time
+// that the following tokens take; the delay that its prompt puts on the streams
+// that run there; the expected preemptions where memory is short; the distance.
+// What this entry sent since the offer was made is added. With few random
+// candidates per request, entries that see the same numbers still spread (the
+// power of two choices, Mitzenmacher 2001; with old information, Mitzenmacher
+// 2000).
 //
 // A Fleet is immutable except for its atomic counters and is read by many
 // goroutines; a new list of VMs makes a new Fleet.
--- a/internal/request/mgrouting/fleet.go
+++ b/internal/request/mgrouting/fleet.go
@@ -10,14 +10,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultCandidates is the number of upstreams queried per request. The step from
-// one to two brings most of the gain (Mitzenmacher 2001); the third is the one
-// with the prefix.
+// DefaultCandidates is the number of upstreams queried per request. The step
+// from one to two brings most of the gain (Mitzenmacher 2001); the third is
+// added for the prefix, and is the first of Candidates.
 const DefaultCandidates = 3
 
 // MaxLoadFactor is how many times the average of requests in flight an upstream
 // may have and still be the first candidate. Mirrokni et al. bound the moves by
-// the inverse square of its excess over 1: at 1.25 a new upstream moves few
+// the inverse square of (MaxLoadFactor - 1): at 1.25 a new upstream moves few
 // prefixes, and none carries more than a quarter above its share.
 const MaxLoadFactor = 1.25
 
@@ -29,11 +29,12 @@
 // A Fleet is the list of upstreams, prepared for queries. The zero Fleet is
 // empty.
 type Fleet struct {
-	upstreams []node
+	upstreams []listedUpstream
 	models    map[string]*modelGroup
 }
 
-type node struct {
+// listedUpstream is an upstream of the list with this entry's record of it.
+type listedUpstream struct {
 	upstream Upstream
 	state    *upstreamState
 }
@@ -69,7 +70,7 @@
 // may be nil, has of the upstreams that stay.
 func NewFleet(list []Upstream, old *Fleet) *Fleet {
 	f := &Fleet{
-		upstreams: make([]node, len(list)),
+		upstreams: make([]listedUpstream, len(list)),
 		models:    make(map[string]*modelGroup),
 	}
 	known := old.statesByName()
@@ -79,7 +80,7 @@
 			s = new(upstreamState)
 		}
 		s.leaving.Store(u.Leaving)
-		f.upstreams[i] = node{
+		f.upstreams[i] = listedUpstream{
 			upstream: u,
 			state:    s,
 		}
@@ -144,19 +145,19 @@
 
 // maxHashTries is the number of upstreams that are tried for a prefix, by
 // descending hash. A prefix for which all of them are above the bound has
-// filled 16 upstreams, and random candidates do as well.
+// filled 16 upstreams, and random candidates serve it as well.
 const maxHashTries = 16
 
 // appendByPrefix appends the live upstream with the highest rendezvous hash
 // that is within its load bound.
 func (f *Fleet) appendByPrefix(dst []int, from upstreamSet, prefix uint64) []int {
 	bound := int32(0)
-	limit := uint64(math.MaxUint64)
+	hashCeiling := uint64(math.MaxUint64)
 	for range maxHashTries {
 		best := -1
 		top := uint64(0)
 		for k, hash := range from.hashes {
-			if h := mix(hash ^ prefix); h >= top && h < limit {
+			if h := mix(hash ^ prefix); h >= top && h < hashCeiling {
 				best, top = k, h
 			}
 		}
@@ -165,14 +166,14 @@
 		}
 		i := from.indices[best]
 		s := f.upstreams[i].state
-		flights := s.inFlight.Load()
-		if flights >= minBoundedInFlight && bound == 0 {
+		inFlight := s.inFlight.Load()
+		if inFlight >= minBoundedInFlight && bound == 0 {
 			bound = f.maxInFlight(from)
 		}
-		if !s.leaving.Load() && (flights < minBoundedInFlight || flights < bound) {
+		if !s.leaving.Load() && (inFlight < minBoundedInFlight || inFlight < bound) {
 			return append(dst, i)
 		}
-		limit = top
+		hashCeiling = top
 	}
 	return dst
 }
--- a/internal/request/mgrouting/fleet_test.go
+++ b/internal/request/mgrouting/fleet_test.go
@@ -34,8 +34,9 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// One customer's prompts all begin with the same long text. The engine that has
-// it cached gets every request, and its callers wait while others are idle.
+// Guards against an overload by one prefix: one customer's prompts all begin
+// with the same long text. The engine that has it cached gets every request,
+// and its callers wait while others are idle.
 func TestPopularPrefixOverloadsUpstream(t *testing.T) {
 	Convey("A popular prefix spreads beyond its first upstream", t, func() {
 		f := mgrouting.NewFleet(newUpstreams(12), nil)
@@ -55,8 +56,8 @@
 	})
 }
 
-// A few engines cache most of the prefixes and are overloaded, because the hash
-// prefers them.
+// Guards against a hash by which a few engines cache most of the prefixes and
+// are overloaded, because the hash prefers them.
 func TestHashPrefersFewUpstreams(t *testing.T) {
 	Convey("Each upstream is the first candidate for its share of the prefixes", t, func() {
 		f := mgrouting.NewFleet(newUpstreams(12), nil)
@@ -73,8 +74,9 @@
 	})
 }
 
-// Every entry sees the same engine as the least loaded one, all send there, and
-// its callers wait for seconds; a second later the next engine is overloaded.
+// Guards against a common choice: every entry sees the same engine as the least
+// loaded one, all send there, and its callers wait for seconds; a second later
+// the next engine is overloaded.
 func TestEntriesPickSameUpstream(t *testing.T) {
 	Convey("Entries with the same old numbers spread", t, func() {
 		const entries, upstreams = 100, 12
@@ -109,8 +111,8 @@
 	})
 }
 
-// An upstream announced that it leaves, the list doesn't show it yet, and new
-// requests are still sent there.
+// Guards against requests to an upstream that leaves: it announced that it
+// leaves, the list doesn't show it yet, and new requests are still sent there.
 func TestLeavingUpstreamGetsRequest(t *testing.T) {
 	Convey("A leaving upstream is neither a candidate nor chosen", t, func() {
 		f := mgrouting.NewFleet(newUpstreams(3), nil)
@@ -125,8 +127,9 @@
 	})
 }
 
-// A request is sent where its first token arrives soonest, and there it stalls
-// sixty running streams, or is preempted as soon as it has grown.
+// Guards against a choice by the first token alone: a request is sent where its
+// first token arrives soonest, and there it stalls sixty running streams, or is
+// preempted as soon as it has grown.
 func TestFirstTokenAloneDecides(t *testing.T) {
 	Convey("The accepted offer", t, func() {
 		f := mgrouting.NewFleet(newUpstreams(1), nil)
--- a/internal/request/mgrouting/spec.go
+++ b/internal/request/mgrouting/spec.go
@@ -2,7 +2,8 @@
 
 import "github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 
-// An Upstream is an engine or plain service of the list.
+// An Upstream is an engine, or a plain service (one that is no engine), of the
+// list of VMs.
 type Upstream struct {
 	Name    string
 	Zone    string
