--- a/internal/request/mgretry/budgets.go
+++ b/internal/request/mgretry/budgets.go
@@ -7,8 +7,8 @@
 )
 
 // Budgets holds the services' budgets. The zero Budgets is empty. A read takes
-// no lock: the map is copied when a service is new, and the table bounds the
-// number of services.
+// no lock: the map is copied when a service is new, and the table (mgtable)
+// bounds the number of services.
 type Budgets struct {
 	mu        sync.Mutex
 	byService atomic.Pointer[map[string]*Budget]
--- a/internal/request/mgretry/doc.go
+++ b/internal/request/mgretry/doc.go
@@ -1,7 +1,7 @@
 // Package mgretry decides whether and when a request is retried, and when a
 // lookup is sent twice.
 //
-// # Load
+// # Problem
 //
 // When an upstream fails, every request is retried several times by every
 // process on its path: the load multiplies just when capacity is lowest, and
@@ -17,13 +17,13 @@
 //
 // The backoff before a retry is at least the delay that the problem asks for,
 // plus a random one whose maximum doubles with each try up to MaxBackoff (full
-// jitter: Brooker 2015). A caller that keeps retrying at the maximum outlasts
-// an outage of any length at a bounded rate, and callers that failed together
-// don't retry together.
+// jitter: Brooker 2015). A caller that keeps retrying at the maximum sends at a
+// bounded rate until an outage of any length is over, and callers that failed
+// together don't retry together.
 //
-// Only what certainly did not run, or may run twice, is retried; nothing is
-// retried once a token was delivered, as no answer is spliced from two
-// generations.
+// Only what certainly did not run, or is allowed to run twice, is retried;
+// nothing is retried once a token was delivered, as no answer is composed of
+// two generations.
 //
 // A Hedge sends a second copy of an idempotent lookup after the 95th percentile
 // of the observed delays (Dean and Barroso 2013), out of a budget of its own:
--- a/internal/request/mgretry/hedge.go
+++ b/internal/request/mgretry/hedge.go
@@ -58,7 +58,7 @@
 func (h *Hedge) Allow() bool { return h.budget.Spend() }
 
 // decay halves all counts. Delays counted concurrently may be lost or not
-// halved, which changes a percentile by no more than their number.
+// halved, which shifts the percentile's rank by no more than their number.
 func (h *Hedge) decay() {
 	sum := int64(0)
 	for s := range h.counts {
--- a/internal/request/mgretry/retry.go
+++ b/internal/request/mgretry/retry.go
@@ -19,10 +19,10 @@
 // three failures the problem goes to the caller, who decides whether to retry.
 const MaxTries = 3
 
-// An Attempt is a failed try of a request.
-type Attempt struct {
+// A FailedTry describes a failed try of a request.
+type FailedTry struct {
 	Problem    *mgproblem.Problem
-	Idempotent bool           // it may run twice
+	Idempotent bool           // it is allowed to run twice
 	Delivered  bool           // the caller has received part of the answer
 	Tries      int            // tries so far, at least 1
 	Deadline   mgclock.Millis // time by which the answer must begin, 0 for none
@@ -32,7 +32,7 @@
 // retry spends from the service's budget, unless an upstream returned the
 // request because it is leaving: such retries are bounded by what was queued
 // there, and the request has cost the upstream nothing.
-func (b *Budget) Next(now mgclock.Millis, a Attempt, r *rand.Rand) (mgclock.Millis, bool) {
+func (b *Budget) Next(now mgclock.Millis, a FailedTry, r *rand.Rand) (mgclock.Millis, bool) {
 	if a.Tries >= MaxTries || !Allowed(a) {
 		return 0, false
 	}
@@ -49,8 +49,8 @@
 	return wait, true
 }
 
-// Allowed reports whether an attempt may be repeated at all.
-func Allowed(a Attempt) bool {
+// Allowed reports whether a failed try may be repeated at all.
+func Allowed(a FailedTry) bool {
 	if a.Delivered || !isTransient(a.Problem.Kind()) {
 		return false
 	}
@@ -64,7 +64,7 @@
 	}
 }
 
-// isTransient reports whether a problem may not occur at another upstream or
+// isTransient reports whether a problem may be absent at another upstream or
 // after a while.
 func isTransient(kind mgproblem.Kind) bool {
 	switch kind {
--- a/internal/request/mgretry/retry_test.go
+++ b/internal/request/mgretry/retry_test.go
@@ -18,8 +18,9 @@
 	return mgproblem.New(kind, outcome, "it failed", "try again")
 }
 
-// An outage of a minute ends, and the engines are overloaded within a second
-// because everything that failed in that minute is retried at once.
+// Guards against a storm of retries: an outage of a minute ends, and the
+// engines are overloaded within a second because everything that failed in that
+// minute is retried at once.
 func TestRetriesStormAfterOutage(t *testing.T) {
 	Convey("Through an outage of a minute", t, func() {
 		const offered = 100 // new requests per second
@@ -36,7 +37,7 @@
 					return
 				}
 				now := mgclock.Millis(second) * mgclock.Second
-				wait, ok := b.Next(now, mgretry.Attempt{
+				wait, ok := b.Next(now, mgretry.FailedTry{
 					Problem: newProblem(mgproblem.Overloaded, mgproblem.NotRun),
 					Tries:   tries,
 				}, r)
@@ -67,8 +68,8 @@
 	})
 }
 
-// After an outage all callers retry within the same second although each of
-// them backed off.
+// Guards against synchronized retries: after an outage all callers retry within
+// the same second although each of them backed off.
 func TestCallersRetryInSameSecond(t *testing.T) {
 	Convey("A thousand callers that failed together", t, func() {
 		r := newRand()
@@ -88,11 +89,11 @@
 	})
 }
 
-// A write runs twice: the connection broke after it had run, and the system
-// sent it again.
+// Guards against a write that runs twice: the connection broke after it had
+// run, and the system sent it again.
 func TestWriteRetriedAfterItRan(t *testing.T) {
 	allowed := func(kind mgproblem.Kind, outcome mgproblem.Outcome, idempotent, delivered bool) bool {
-		return mgretry.Allowed(mgretry.Attempt{
+		return mgretry.Allowed(mgretry.FailedTry{
 			Problem:    newProblem(kind, outcome),
 			Idempotent: idempotent,
 			Delivered:  delivered,
@@ -116,8 +117,9 @@
 	})
 }
 
-// An engine becomes slow, each lookup exceeds the delay after which a second
-// copy is sent, and the copies make it slower.
+// Guards against hedges that add to an overload: an engine becomes slow, each
+// lookup exceeds the delay after which a second copy is sent, and the copies
+// make it slower.
 func TestHedgesOverloadSlowUpstream(t *testing.T) {
 	Convey("Hedges", t, func() {
 		var h mgretry.Hedge
@@ -175,7 +177,7 @@
 func BenchmarkNext(b *testing.B) {
 	var budgets mgretry.Budgets
 	r := newRand()
-	a := mgretry.Attempt{
+	a := mgretry.FailedTry{
 		Problem: newProblem(mgproblem.Overloaded, mgproblem.NotRun),
 		Tries:   1,
 	}
@@ -198,9 +200,10 @@
 	}
 }
 
-// An engine fails half of its requests. Five entries hold 64 retries each, a
-// service allows 56 beyond a fifth of its requests, and the retries overload
-// the other engines.
+// Guards against entries that together retry more than a service allows. An
+// engine fails half of its requests. Five entries hold 64 retries each, while
+// the service allows all of them together a fifth of its requests plus 56, and
+// the retries overload the other engines.
 func TestProcessesExceedServiceBudget(t *testing.T) {
 	Convey("Processes together hold at most what a service allows", t, func() {
 		for _, processes := range []int{1, 2, 5, 24} {
