--- a/internal/request/mgadmission/gate.go
+++ b/internal/request/mgadmission/gate.go
@@ -280,7 +280,7 @@
 func (g *Gate) isShort(c Candidate) bool {
 	size := float64(c.Prompt)
 	if c.Curve != nil {
-		size += c.Curve.Mean(0, c.Max)
+		size += c.Curve.MeanRemaining(0, c.Max)
 	}
 	return size*float64(g.running) <= float64(g.used)
 }
--- a/internal/request/mglength/curve.go
+++ b/internal/request/mglength/curve.go
@@ -92,9 +92,9 @@
 	area     [Buckets + 1]float64 // integral of the survival beyond the edge
 }
 
-// priorHazard is the hazard of a log-logistic distribution with a median of
-// 256 tokens and the shape 2. Its long tail accounts for unknown answers
-// possibly being long. Its mean is 402 tokens.
+// priorHazard is the hazard of a log-logistic distribution with a median of 256
+// tokens and the shape 2. The tail is long because an unknown answer may be
+// long. Its mean is 402 tokens.
 var priorHazard = func() (h [Buckets]float64) {
 	survival := func(length float64) float64 { return 1 / (1 + math.Pow(length/256, 2)) }
 	for b := range h {
@@ -123,7 +123,7 @@
 	}
 }
 
-// Beyond returns the probability of a length beyond x.
+// Beyond returns the probability of a length beyond x: the survival function.
 func (c *Curve) Beyond(x int) float64 {
 	b := bucket(x)
 	fraction := min((float64(x)-edges[b])/(edges[b+1]-edges[b]), 1)
@@ -139,8 +139,8 @@
 	return c.area[b+1] + remaining*(survivalAtX+c.survival[b+1])/2
 }
 
-// Survival returns the probability that an answer of produced tokens still runs
-// after ahead more.
+// Survival returns the conditional probability that an answer which has
+// produced tokens so far still runs after ahead more.
 func (c *Curve) Survival(produced, ahead int) float64 {
 	reached := c.Beyond(produced)
 	if reached <= 0 {
@@ -149,9 +149,9 @@
 	return c.Beyond(produced+ahead) / reached
 }
 
-// Mean returns the expected number of remaining tokens of an answer that has
-// produced some and stops at limit, 0 for no limit.
-func (c *Curve) Mean(produced, limit int) float64 {
+// MeanRemaining returns the expected number of remaining tokens of an answer
+// that has produced some and stops at limit, 0 for no limit.
+func (c *Curve) MeanRemaining(produced, limit int) float64 {
 	reached := c.Beyond(produced)
 	if reached <= 0 || limit > 0 && produced >= limit {
 		return 0
--- a/internal/request/mglength/doc.go
+++ b/internal/request/mglength/doc.go
@@ -1,7 +1,7 @@
 // Package mglength estimates how many tokens of a running answer remain, given
 // what it has produced.
 //
-// # Load
+// # Problem
 //
 // Answers have unknown, widely spread lengths: short and long ones of the same
 // account. Without an estimate memory is reserved for the maximum length, which
--- a/internal/request/mglength/estimator.go
+++ b/internal/request/mglength/estimator.go
@@ -11,9 +11,9 @@
 const MaxClasses = 4096
 
 // maxStaleChanges is the maximum number of changes that a curve may lag behind
-// its histograms, which hold some thousands: filling it after each change would
-// be most of a decision's cost. A curve with few answers may lag by a sixteenth
-// of its changes.
+// its histograms, whose counts add up to some thousands: filling it after each
+// change would be most of a decision's cost. A curve with few answers may lag
+// by a sixteenth of its changes.
 const maxStaleChanges = 64
 
 // A Key names a class and its parent levels.
--- a/internal/request/mglength/estimator_test.go
+++ b/internal/request/mglength/estimator_test.go
@@ -33,8 +33,9 @@
 	return lengths
 }
 
-// An average of ended answers says that answers are short while long ones still
-// run, and engines preempt in the first minutes of a shift.
+// Guards against an estimate from ended answers only: their average says that
+// answers are short while long ones still run, and engines preempt in the first
+// minutes of a shift.
 func TestEstimateIgnoresRunningAnswers(t *testing.T) {
 	Convey("Long answers that run count among short ones that ended", t, func() {
 		var e mglength.Estimator
@@ -47,25 +48,26 @@
 			running[i].Progress(2000)
 		}
 		So(e.Curve(report).Survival(0, 1500), ShouldBeGreaterThan, 0.35)
-		So(e.Curve(report).Mean(0, 0), ShouldBeGreaterThan, 700)
+		So(e.Curve(report).MeanRemaining(0, 0), ShouldBeGreaterThan, 700)
 	})
 }
 
-// After a new version of a model the answers are ten times as long, and the
-// engine preempts for as long as the estimate is based on the old lengths.
+// Guards against an estimate that stays outdated: after a new version of a
+// model the answers are ten times as long, and the engine preempts for as long
+// as the estimate is based on the old lengths.
 func TestOldLengthsOutliveShift(t *testing.T) {
 	Convey("The estimate follows a shift within two half-lives", t, func() {
 		var e mglength.Estimator
 		r := rand.New(rand.NewPCG(1, 2))
 		addLengths(&e, report, exponential(r, 100, 5000)...)
-		So(e.Curve(report).Mean(0, 0), ShouldBeBetween, 80, 125)
+		So(e.Curve(report).MeanRemaining(0, 0), ShouldBeBetween, 80, 125)
 		addLengths(&e, report, exponential(r, 1000, 2*mglength.HalfLife)...)
-		So(e.Curve(report).Mean(0, 0), ShouldBeGreaterThan, 650)
+		So(e.Curve(report).MeanRemaining(0, 0), ShouldBeGreaterThan, 650)
 	})
 }
 
-// Hundreds of accounts without any data arrive at once and use services that
-// have been in use for long.
+// Guards against new accounts that have no estimate: hundreds without any data
+// arrive at once and use services that have been in use for long.
 func TestNewAccountHasNoEstimate(t *testing.T) {
 	Convey("A new account is estimated from its service, then from its model", t, func() {
 		var e mglength.Estimator
@@ -73,10 +75,10 @@
 		addLengths(&e, report, exponential(r, 2000, 1000)...)
 		stranger := report
 		stranger.Account = "stranger"
-		So(e.Curve(stranger).Mean(0, 0), ShouldBeBetween, 1500, 2600)
+		So(e.Curve(stranger).MeanRemaining(0, 0), ShouldBeBetween, 1500, 2600)
 		other := stranger
 		other.Service = "other"
-		So(e.Curve(other).Mean(0, 0), ShouldBeBetween, 1500, 2600)
+		So(e.Curve(other).MeanRemaining(0, 0), ShouldBeBetween, 1500, 2600)
 		other.Model = "other"
 		So(e.Curve(other).Survival(0, 256), ShouldAlmostEqual, 0.5, 0.01)
 	})
@@ -91,10 +93,10 @@
 		addLengths(&e, report, exponential(r, 400, 20_000)...)
 		for _, produced := range []int{0, 100, 400} {
 			c := e.Curve(report)
-			So(c.Mean(produced, 0), ShouldBeBetween, 300, 520)
+			So(c.MeanRemaining(produced, 0), ShouldBeBetween, 300, 520)
 			So(c.Survival(produced, 400), ShouldAlmostEqual, math.Exp(-1), 0.08)
 		}
-		So(e.Curve(report).Mean(0, 100), ShouldBeBetween, 80, 95)
+		So(e.Curve(report).MeanRemaining(0, 100), ShouldBeBetween, 80, 95)
 	})
 }
 
@@ -124,7 +126,7 @@
 			}
 			last = s
 		}
-		if m := c.Mean(produced, 0); !(m >= 0 && m < 1<<20) {
+		if m := c.MeanRemaining(produced, 0); !(m >= 0 && m < 1<<20) {
 			t.Fatalf("mean %v", m)
 		}
 	})
@@ -160,7 +162,7 @@
 			for b.Loop() {
 				a := e.Begin(keys[n%min(accounts, mglength.MaxClasses)])
 				a.End(n % 4096)
-				_ = e.Curve(keys[n%accounts]).Mean(100, 0)
+				_ = e.Curve(keys[n%accounts]).MeanRemaining(100, 0)
 				n++
 			}
 		})
--- a/internal/request/mgscheduler/job.go
+++ b/internal/request/mgscheduler/job.go
@@ -108,7 +108,7 @@
 
 // output returns the expected length of a request's answer.
 func (s *Scheduler) output(r *Request) float64 {
-	return s.lengths.Curve(key(r)).Mean(0, r.Max)
+	return s.lengths.Curve(key(r)).MeanRemaining(0, r.Max)
 }
 
 // candidate returns a waiting job as a candidate for the gate.
--- a/internal/request/mgscheduler/scheduler.go
+++ b/internal/request/mgscheduler/scheduler.go
@@ -205,7 +205,7 @@
 	if j == nil || !j.isRunning {
 		return 0
 	}
-	remaining := s.forecast.OutputTime(j.answer.Curve().Mean(j.produced, j.request.Max))
+	remaining := s.forecast.OutputTime(j.answer.Curve().MeanRemaining(j.produced, j.request.Max))
 	if j.produced == 0 {
 		remaining += s.forecast.FirstToken(j.request.uncached())
 	}
