--- a/internal/request/mgwarm/warm_test.go
+++ b/internal/request/mgwarm/warm_test.go
@@ -9,9 +9,10 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A zone with nineteen engines comes back cold while the queue is full, or one
-// engine is left. Hundreds of entries that know few of each other each send a
-// request to the idle engine, which crashes with all of them.
+// Guards against a flood of requests to a cold upstream: a zone with nineteen
+// engines comes back cold while the queue is full, or one engine is left.
+// Hundreds of entries that know few of each other each send a request to the
+// idle engine. It crashes, and all these requests fail.
 func TestColdUpstreamFlooded(t *testing.T) {
 	const (
 		rate  = 25.0
@@ -20,7 +21,7 @@
 	for _, processes := range []int{1, 31, 100, 300, 1000} {
 		for _, known := range []int{1, processes} {
 			if known == 1 && processes > minProcesses {
-				continue // operators of more entries: see docs/OPERATIONS.md
+				continue // not bounded: operators of more entries see docs/OPERATIONS.md
 			}
 			for _, upstreams := range []int{1, 19} {
 				if upstreams > 1 && processes > 300 {
