--- a/internal/request/mgcap/cap_test.go
+++ b/internal/request/mgcap/cap_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// A batch job sends ten times its cap and gets it, because its answers are
-// short but longer than expected.
+// Guards against a caller that exceeds its cap: a batch job sends ten times its
+// cap and gets it, because its answers are short but longer than expected.
 func TestCallerExceedsCap(t *testing.T) {
 	Convey("A caller that sends all the time gets its cap", t, func() {
 		var c mgcap.Cap
@@ -59,9 +59,9 @@
 	})
 }
 
-// A partition separates an entry from the account's home, and both sides hand
-// out the whole cap until it heals. An entry that was suspended does the same
-// when it wakes.
+// Guards against an expired lease that is still used: a partition separates an
+// entry from the account's home, and both sides hand out the whole cap until it
+// heals. An entry that was suspended does the same when it wakes.
 func TestExpiredLeaseAdmits(t *testing.T) {
 	Convey("After its lease has expired an entry starts nothing", t, func() {
 		var c mgcap.Cap
--- a/internal/request/mgcap/doc.go
+++ b/internal/request/mgcap/doc.go
@@ -1,7 +1,7 @@
 // Package mgcap limits a client account to its caps, in tokens per second and
 // in concurrent streams, by slices that are leased to entries.
 //
-// # Load
+// # Problem
 //
 // A few accounts or keys send most of the requests. Without caps they take the
 // engines from all others wherever fair queueing comes too late; if each entry
--- a/internal/request/mgprefix/prefix.go
+++ b/internal/request/mgprefix/prefix.go
@@ -19,9 +19,9 @@
 	// MaxBlocks bounds the hashes of a prompt: the longest shared prefixes
 	// (instructions and one document) are shorter.
 	MaxBlocks = 64
-	// DefaultBlocks bounds a Record: 32,768 blocks are 2 M tokens, more than an
+	// MaxRecordBlocks bounds a Record: 32,768 blocks are 2 M tokens, more than an
 	// engine's memory holds, and take about 4 MB.
-	DefaultBlocks = 1 << 15
+	MaxRecordBlocks = 1 << 15
 )
 
 // Tokens estimates the length of text in tokens; it is at least 1.
@@ -47,8 +47,9 @@
 	return dst
 }
 
-// A Record holds the blocks most recently sent to an engine. The zero Record
-// holds up to DefaultBlocks and is ready for use by several goroutines.
+// A Record holds the blocks most recently sent to an engine or reported by its
+// cache events. The zero Record holds up to MaxRecordBlocks and is ready for
+// use by several goroutines.
 type Record struct {
 	mu       sync.Mutex
 	lru      list.List
@@ -56,7 +57,7 @@
 }
 
 // Add records that the engine has the blocks, and drops the least recently used
-// ones beyond DefaultBlocks.
+// ones beyond MaxRecordBlocks.
 func (r *Record) Add(blocks []uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,7 +71,7 @@
 		}
 		r.elements[block] = r.lru.PushFront(block)
 	}
-	for r.lru.Len() > DefaultBlocks {
+	for r.lru.Len() > MaxRecordBlocks {
 		r.drop(r.lru.Back())
 	}
 }
--- a/internal/request/mgprefix/prefix_test.go
+++ b/internal/request/mgprefix/prefix_test.go
@@ -31,10 +31,10 @@
 
 	Convey("A record stays bounded", t, func() {
 		var record mgprefix.Record
-		for i := range uint64(mgprefix.DefaultBlocks + 100) {
+		for i := range uint64(mgprefix.MaxRecordBlocks + 100) {
 			record.Add([]uint64{i})
 		}
-		So(record.Len(), ShouldEqual, mgprefix.DefaultBlocks)
+		So(record.Len(), ShouldEqual, mgprefix.MaxRecordBlocks)
 		So(record.Cached([]uint64{0}), ShouldEqual, 0)
 	})
 }
--- a/internal/request/mgrest/doc.go
+++ b/internal/request/mgrest/doc.go
@@ -1,7 +1,7 @@
-// Package mgrest holds requests back from upstreams that asked for a rest, a
-// time without requests.
+// Package mgrest holds requests back from upstreams that asked for a rest, the
+// time without requests that a Retry-After header states.
 //
-// # Load
+// # Problem
 //
 // An overloaded upstream rejects requests and says for how long it wants none
 // (Retry-After). Requests that are still sent take up the time in which it
--- a/internal/request/mgrest/rest_test.go
+++ b/internal/request/mgrest/rest_test.go
@@ -11,8 +11,8 @@
 
 const sec = mgclock.Second
 
-// An upstream gets requests during the rest that it asked for, or all of them
-// at its end.
+// Guards against an upstream that gets requests during the rest that it asked
+// for, or all of them at its end.
 func TestUpstreamLoadedDuringRest(t *testing.T) {
 	Convey("An upstream that asked for a rest of two seconds", t, func() {
 		var r mgrest.Rests
