--- a/internal/process/mgnode/peer.go
+++ b/internal/process/mgnode/peer.go
@@ -26,7 +26,7 @@
 			Incarnation:       n.incarnation,
 			Addr:              n.settings.PeerAddr,
 			Power:             int(n.settings.Power),
-			Seed:              jitterSeed(n.incarnation),
+			RandomSeed:        jitterSeed(n.incarnation),
 			Seeds:             n.settings.Seeds,
 			StartWindow:       mgclock.Millis(n.settings.StartupSpread),
 			ParsedPage:        n.cachedPage,
--- a/internal/version/mgconfig/action.go
+++ b/internal/version/mgconfig/action.go
@@ -17,13 +17,13 @@
 	Read                     // read a value from the platform
 	Watch                    // watch a value of the platform (long poll)
 	LongPoll                 // long-poll a peer for a newer list of VMs
-	Gossip                   // exchange records of unlisted processes with a peer
+	Gossip                   // exchange records of processes that the platform doesn't list with a peer
 )
 
-// An Action is an I/O request of a Machine. Every action gets exactly one ResultSpec.
+// An Action is an I/O request of a Machine. Every action gets exactly one ActionResult.
 type Action struct {
 	kind          Kind
-	pullID        int // the pull that it belongs to, or 0
+	pullID        int // the pull (fetching of a newer table) that it belongs to, or 0
 	peer          string
 	addr          string
 	summary       *mgrpc.Summary
@@ -63,8 +63,8 @@
 // Gossip returns the records of processes that are sent to the peer.
 func (a Action) Gossip() []mgmember.Gossip { return a.gossip }
 
-// A ResultSpec is the result of an action: Err, or the fields of the action's kind.
-type ResultSpec struct {
+// An ActionResult is the result of an action: Err, or the fields of the action's kind.
+type ActionResult struct {
 	Action  Action
 	Err     error
 	Summary *mgrpc.Summary // of an exchange
--- a/internal/version/mgconfig/cordon_test.go
+++ b/internal/version/mgconfig/cordon_test.go
@@ -20,7 +20,7 @@
 	began := f.net.Now()
 	f.cordoned = zones
 	f.platform.cordons++
-	f.list(0)
+	f.putList(0)
 	delays := map[string]mgclock.Millis{}
 	alive := 0
 	for _, n := range f.nodes {
@@ -45,9 +45,9 @@
 	return slices.Sorted(maps.Values(delays))
 }
 
-// Operators cordon a zone and expect it to be empty after a second. An entry learns of
-// the cordon late, because the region's reader has just died, and sends reports there
-// that are cut off with the power.
+// Operators cordon a zone and expect it to be empty after a second. Guards against an
+// entry that learns of the cordon late, because the region's reader has just died, and
+// sends requests there that are cut off with the power.
 func TestCordonLearnedLate(t *testing.T) {
 	all := []int{31, 100, 300}
 	for _, c := range []struct {
@@ -98,7 +98,7 @@
 			t.Run(fmt.Sprintf("%d entries, %s", count, c.name), func(t *testing.T) {
 				t.Parallel()
 				Convey("A cordon, and its removal, is known everywhere in time", t, func() {
-					f := newListening(uint64(count), count)
+					f := newLongPollFleet(uint64(count), count)
 					f.startAll()
 					f.net.Run(15 * sec)
 					c.fault(f)
@@ -114,11 +114,11 @@
 	}
 }
 
-// All entries restart while a zone is cordoned. None has the cordon in memory, and a
-// report is sent to the zone.
+// All entries restart while a zone is cordoned, and none has the cordon in memory.
+// Guards against a request that is then sent to the zone.
 func TestCordonUnknownAtStart(t *testing.T) {
 	Convey("Processes that start while a zone is cordoned know it before they are ready", t, func() {
-		f := newListening(5, 31)
+		f := newLongPollFleet(5, 31)
 		f.startAll()
 		f.net.Run(15 * sec)
 		f.setCordons("hall")
--- a/internal/version/mgconfig/departure_test.go
+++ b/internal/version/mgconfig/departure_test.go
@@ -21,7 +21,7 @@
 		Name: "entry-1",
 		Zone: "a",
 	}, members)
-	m.listSource.finishRead(0, ResultSpec{Value: mgplatform.NewValue(5, nil)}, m)
+	m.listKeyState.finishRead(0, ActionResult{Value: mgplatform.NewValue(5, nil)}, m)
 	m.adoptList(0, upstreamList(5, mgplatform.Live))
 	return m, members
 }
@@ -43,9 +43,10 @@
 	return data
 }
 
-// A report is cut off: an entry sends it to an engine two seconds after the engine
-// announced that it leaves. The entry's watch hangs on a partitioned connection; its
-// peers know, and it fetched their list less than five seconds before.
+// Guards against a request that is cut off because an entry sends it to an engine two
+// seconds after the engine announced that it leaves. The entry's watch hangs on a
+// partitioned connection; its peers know, but the entry doesn't fetch their list, because
+// it last did so less than five seconds before.
 func TestDepartureMissedWhileWatchHangs(t *testing.T) {
 	Convey("A newer list is fetched from peers while the own watch hangs", t, func() {
 		m, members := machineWithoutPeers()
@@ -62,7 +63,7 @@
 					continue
 				}
 				fetches++
-				m.HandleResult(at, ResultSpec{
+				m.HandleResult(at, ActionResult{
 					Action: action,
 					List:   upstreamList(5+uint64(at), mgplatform.Leaving),
 				})
@@ -101,8 +102,9 @@
 	})
 }
 
-// A platform loses answers, and the operator sets short waits. Without them a lost
-// answer hides a change for twenty-five seconds.
+// Guards against watches that ignore the settings: a platform loses answers, and the
+// operator sets short waits. Without them a lost answer hides a change for twenty-five
+// seconds.
 func TestWatchIgnoresSettings(t *testing.T) {
 	Convey("Timeouts and backoff follow the settings", t, func() {
 		m, _ := machineWithoutPeers()
@@ -115,14 +117,15 @@
 		}
 		m.spec.MaxBackoff = sec
 		for n := range 20 {
-			m.listSource.finishRead(mgclock.Millis(n)*sec, ResultSpec{Err: mgplatform.ErrUnavailable}, m)
-			So(m.listSource.next, ShouldBeLessThanOrEqualTo, mgclock.Millis(n)*sec+1500)
+			m.listKeyState.finishRead(mgclock.Millis(n)*sec, ActionResult{Err: mgplatform.ErrUnavailable}, m)
+			So(m.listKeyState.next, ShouldBeLessThanOrEqualTo, mgclock.Millis(n)*sec+1500)
 		}
 	})
 }
 
-// Two entries know only the same seed. Each computes itself as the one that grants
-// migration slots; their copies share a link, and the callers of both see a pause.
+// Guards against two entries that know only the same seed and never learn of each other.
+// Each then computes itself as the one that grants migration slots (package mgmigration);
+// the transfers of two migrations share a link, and the callers of both see a pause.
 func TestSeedPeersNeverMeet(t *testing.T) {
 	Convey("A summary names processes that were seen recently", t, func() {
 		m, members := machineWithoutPeers()
@@ -180,17 +183,17 @@
 			}
 		})
 		Convey("is read again at once after a failure", func() {
-			m.listSource.failures = 0
-			m.listSource.finishRead(sec, ResultSpec{Err: mgplatform.ErrUnavailable}, m)
-			So(m.listSource.next-sec, ShouldBeLessThanOrEqualTo, 3*firstRetryDelay)
+			m.listKeyState.failures = 0
+			m.listKeyState.finishRead(sec, ActionResult{Err: mgplatform.ErrUnavailable}, m)
+			So(m.listKeyState.next-sec, ShouldBeLessThanOrEqualTo, 3*firstRetryDelay)
 			So(m.IsListStale(sec), ShouldBeTrue)
 		})
 	})
 }
 
-// A new route answers 404 at one entry for three seconds after it was accepted: the
-// entry's watch hangs, and the peer from which it fetches the version loses power
-// before it answers.
+// Guards against a fetch that waits for a dead peer. A new route then answers 404 at
+// one entry for three seconds after it was accepted: the entry's watch hangs, and the
+// peer from which it fetches the version loses power before it answers.
 func TestFetchWaitsForDeadPeer(t *testing.T) {
 	Convey("A version is fetched from another peer when the first doesn't answer", t, func() {
 		m, _ := machineWithoutPeers()
@@ -209,7 +212,7 @@
 		So(first[0].Kind(), ShouldEqual, Fetch)
 		So(actionTimeout(first[0]), ShouldEqual, 600)
 		So(m.applySummary(sec, summary("other")), ShouldBeEmpty)
-		second := m.HandleResult(sec+600, ResultSpec{
+		second := m.HandleResult(sec+600, ActionResult{
 			Action: first[0],
 			Err:    context.DeadlineExceeded,
 		})
@@ -218,8 +221,9 @@
 	})
 }
 
-// One entry asks an engine and learns that it is leaving. The others ask a second
-// later, and what runs there for them is cut off.
+// Guards against a departure that isn't forwarded: one entry asks an engine and learns
+// that it is leaving. The others ask a second later, and what runs there for them is cut
+// off.
 func TestDepartureNotForwarded(t *testing.T) {
 	Convey("An upstream's announcement that it leaves reaches the peers", t, func() {
 		m, members := machineWithoutPeers()
@@ -260,12 +264,12 @@
 		}, mgmember.New("entry-1"))
 		at, readCount := mgclock.Millis(0), 0
 		for at < 10*sec {
-			m.listSource.finishRead(at, ResultSpec{Err: mgplatform.ErrUnavailable}, m)
+			m.listKeyState.finishRead(at, ActionResult{Err: mgplatform.ErrUnavailable}, m)
 			if at < sec {
 				readCount++
 			}
-			So(m.listSource.next-at, ShouldBeBetweenOrEqual, firstRetryDelay/2, sec+firstRetryDelay)
-			at = m.listSource.next
+			So(m.listKeyState.next-at, ShouldBeBetweenOrEqual, firstRetryDelay/2, sec+firstRetryDelay)
+			at = m.listKeyState.next
 		}
 		So(readCount, ShouldBeGreaterThanOrEqualTo, 4)
 	})
@@ -279,15 +283,15 @@
 		m.spec.QuickInterval = 60
 		for n := range 20 {
 			at := mgclock.Millis(n) * sec
-			m.manifestSource.finishRead(at, ResultSpec{Err: mgplatform.ErrMissing}, m)
-			So(m.manifestSource.next-at, ShouldBeBetweenOrEqual, sec/2, 3*sec/2)
+			m.manifestKeyState.finishRead(at, ActionResult{Err: mgplatform.ErrMissing}, m)
+			So(m.manifestKeyState.next-at, ShouldBeBetweenOrEqual, sec/2, 3*sec/2)
 		}
 	})
 }
 
-// Every entry of a region watches the list as often as the one that needs its changes
-// at once, and the platform counts each call; or none does, and an engine's notice of
-// two seconds is half over when it is seen.
+// Guards against two faults. If every entry of a region watches the list quickly, the
+// platform counts each call. If none does, an engine's notice of two seconds is half over
+// when it is seen.
 func TestMoreThanOneQuickWatcher(t *testing.T) {
 	Convey("Exactly one process of a region watches quickly", t, func() {
 		names := []string{"entry-1", "entry-2", "entry-3"}
@@ -311,32 +315,33 @@
 					Region: "south",
 				})
 			}
-			// Before that, a process that nobody polls may merely not know the others.
-			interval := m.nextReadAt(discoveryWindow, &m.listSource) - discoveryWindow
+			// Before discoveryWindow is over, a process that nobody polls may merely
+			// not know the others.
+			interval := m.nextReadAt(discoveryWindow, &m.listKeyState) - discoveryWindow
 			if interval == 60 {
 				quickWatchers++
 			} else {
 				So(interval, ShouldEqual, slowWatchInterval)
 			}
-			So(m.nextReadAt(0, &m.manifestSource), ShouldEqual, watchInterval)
+			So(m.nextReadAt(0, &m.manifestKeyState), ShouldEqual, watchInterval)
 		}
 		So(quickWatchers, ShouldEqual, 1)
 	})
 	Convey("A process that knows no other one watches quickly", t, func() {
 		m, _ := machineWithoutPeers()
 		m.spec.QuickInterval = 60
-		So(m.nextReadAt(0, &m.listSource), ShouldEqual, 60)
+		So(m.nextReadAt(0, &m.listKeyState), ShouldEqual, 60)
 	})
 }
 
 // The platform stops answering without an error, and an engine gives notice in the same
-// second. Its reports are cut off 1.7 s later: the engine would have announced its
-// departure, but was asked only once the list was 1.5 s old.
+// second. Guards against requests that are cut off there 1.7 s later: the engine would
+// have told of its departure, but entries asked it only once the list was 1.5 s old.
 func TestSilentPlatformHidesNotice(t *testing.T) {
 	Convey("The quick watcher treats its list as stale once two watches are overdue", t, func() {
 		m, _ := machineWithoutPeers()
 		m.spec.QuickInterval = 60
-		m.listSource.confirmedAt = 1000
+		m.listKeyState.confirmedAt = 1000
 		So(m.IsListStale(1000+quickStaleTimeout-1), ShouldBeFalse)
 		So(m.IsListStale(1000+quickStaleTimeout), ShouldBeTrue)
 	})
--- a/internal/version/mgconfig/doc.go
+++ b/internal/version/mgconfig/doc.go
@@ -1,6 +1,6 @@
-// Package mgconfig keeps the operators' table in force: it finds newer
-// versions, fetches the parts that changed, rejects faulty versions and replaces
-// the snapshot as a whole.
+// Package mgconfig keeps the operators' table of routes, keys and client accounts in
+// force: it finds newer versions, fetches the parts that changed, rejects faulty
+// versions and replaces the snapshot as a whole.
 //
 // Nothing is stored outside of the process and no leader is elected. A Machine
 // makes the decisions; it has no clock, goroutine or I/O, so that tests run it in
@@ -8,13 +8,13 @@
 //
 // # How a version spreads
 //
-// In each availability zone the first three members of a rendezvous ranking
-// watch the platform. A member that adopts a version pushes it to a few peers, and
-// every member exchanges version numbers with one peer at a time every two seconds
-// (anti-entropy). Version numbers are attached to all other calls too. A member that
-// learns of a newer version fetches the pages it lacks by digest, from peers that have
-// them or else from the platform. So the number of reads of the platform depends on
-// the number of zones, not of members.
+// In each availability zone the first three members of a rendezvous ranking watch the
+// platform. A member that adopts a version pushes it to a few peers, and every member
+// exchanges version numbers with one peer at a time every two seconds (anti-entropy).
+// Version numbers are attached to all other calls too. A member that learns of a newer
+// version fetches the manifest and the pages it lacks by digest, from peers that have
+// them or else from the platform. So the number of reads of the platform depends on the
+// number of zones, not of members.
 //
 // # Invariants
 //
@@ -26,16 +26,20 @@
 //
 // # A new process
 //
-// A new process has no stored state. It is ready once it has a table, has an answer from
-// two peers (one after five seconds), has the platform's answer or has waited two
-// seconds for it, and has caught up with the highest version among them. When
-// the list names other VMs and none answers, the process doesn't become ready: a process
-// that reaches no other process reaches no agent, or as an agent is reached by no
-// entry, so it could serve nobody, and the platform's answer alone may be stale.
-// The cost is that a lone survivor whose list still names the dead waits until
-// the list drops them. Only where the list names no other process does the platform
-// alone suffice. When the platform itself is stale and every process is new, no
-// process can detect that, and the stale version is in force until the platform
+// A new process has no stored state. It is ready once all of these hold:
+//
+//   - It has a table.
+//   - Two peers have answered, or one after five seconds.
+//   - The platform has answered, or two seconds have passed.
+//   - It has the highest version that they reported, or has rejected it.
+//
+// When the list names other VMs and none answers, the process doesn't become ready: an
+// entry that reaches no other process reaches no agent, and an agent that reaches none
+// is reached by no entry, so it could serve nobody, and the platform's answer alone may
+// be stale. The cost is that a lone survivor whose list still names the dead waits
+// until the list drops them. Only where the list names no other process does the
+// platform alone suffice. When the platform itself is stale and every process is new,
+// no process can detect that, and the stale version is in force until the platform
 // catches up.
 //
 // # The list of many VMs
@@ -48,16 +52,25 @@
 //
 //   - snapshot: a table with its manifest and pages; immutable, only
 //     replaced (read-copy-update).
-//   - push, exchange: announce a new version to a peer; compare versions with one.
+//   - platform: the service outside of this module that stores the table and lists VMs.
+//   - page, manifest: a part of the table, identified by its digest; the version and
+//     the digests of all its pages.
+//   - member: a process that takes part in the exchanges; its peers are the others.
+//   - exchange: compare versions with a peer, in both directions.
+//   - push: start exchanges with a few random peers after the own state has changed.
+//   - pull: the fetching of a newer table, from peers or the platform.
 //   - watcher: a member that watches the platform for its zone.
 //   - cell: a part of a region's processes that share a hub.
 //   - reader: the process that reads the list for a region.
 //   - hub: the process of a cell that long-polls the reader, and which the
 //     other processes of the cell long-poll.
 //   - report: the versions that a process has, and how long ago the platform confirmed
-//     its list, to it or to the process whose report it received.
-//   - poll: the rare read of a member that is no watcher, in case its zone's
-//     watchers are all dead or cut off.
+//     its list, either to that process itself or to another one whose report it passes
+//     on.
+//   - poll, as opposed to long poll: the rare read of a member that is no watcher, in
+//     case its zone's watchers are all dead or cut off.
+//   - notice: an upstream's announcement that it leaves, and the time from there to its
+//     end.
 //   - cordon: an operator's order that an availability zone gets no new work.
 //
 // # References
--- a/internal/version/mgconfig/exchange.go
+++ b/internal/version/mgconfig/exchange.go
@@ -12,8 +12,9 @@
 	// push reaches all but about 2 % of a large fleet (Karp et al. 2000), and exchanges
 	// reach the rest.
 	fanout = 4
-	// otherZoneOneIn is the share of peers chosen outside of the own zone: one in four.
-	otherZoneOneIn = 4
+	// otherZoneDivisor sets the share of peers chosen outside of the own zone: one in
+	// four.
+	otherZoneDivisor = 4
 )
 
 // peer is the name, if known, and address of another process.
@@ -29,10 +30,10 @@
 	if len(peers) == 0 {
 		return m.seed()
 	}
-	otherZone := m.rng.IntN(otherZoneOneIn) == 0
+	otherZone := m.rng.IntN(otherZoneDivisor) == 0
 	var chosen *mgmember.Member
 	// A few draws suffice to find a peer on the wanted side, where there is one.
-	for range 2 * otherZoneOneIn {
+	for range 2 * otherZoneDivisor {
 		chosen = peers[m.rng.IntN(len(peers))]
 		if (chosen.Zone() != m.spec.Zone) == otherZone {
 			break
@@ -82,7 +83,8 @@
 	}}
 }
 
-// pushToPeers exchanges with a few random peers after this process's state has changed.
+// pushToPeers starts exchanges with a few random peers after this process's state has
+// changed.
 func (m *Machine) pushToPeers(mgclock.Millis) []Action {
 	var actions []Action
 	for range fanout {
@@ -91,10 +93,10 @@
 	return actions
 }
 
-// pushList pushes a newer list to a few peers, unless the processes that need it get it
-// by long polls.
-func (m *Machine) pushList(now mgclock.Millis) []Action {
-	if m.longPoll.isFresh(now) {
+// pushListVersion announces the version of a newer list to a few peers, unless long
+// polls distribute the list, which this process's own one shows.
+func (m *Machine) pushListVersion(now mgclock.Millis) []Action {
+	if m.longPoll.deliversUpdates(now) {
 		return nil
 	}
 	return m.pushToPeers(now)
@@ -118,7 +120,7 @@
 }
 
 // handleExchangeResult handles the answer to an exchange.
-func (m *Machine) handleExchangeResult(now mgclock.Millis, result ResultSpec) []Action {
+func (m *Machine) handleExchangeResult(now mgclock.Millis, result ActionResult) []Action {
 	delete(m.exchanging, result.Action.addr)
 	if result.Err != nil {
 		if result.Action.peer != "" {
@@ -137,13 +139,13 @@
 		return nil
 	}
 	m.members.RecordMessage(now, s.GetName(), s.GetIncarnation(), s.GetLeaving())
-	m.introduceAll(now, s)
+	m.addSummaryMembers(now, s)
 	actions := m.applyDepartures(now, s.GetDeparted())
 	from := peer{
 		name: s.GetName(),
 		addr: s.GetAddr(),
 	}
-	if s.GetList() > m.members.View().Version() && !m.longPoll.isFresh(now) {
+	if s.GetList() > m.members.View().Version() && !m.longPoll.deliversUpdates(now) {
 		actions = append(actions, m.fetchList(now, from)...)
 	}
 	m.learnVersion(now, versionKey{
@@ -159,13 +161,14 @@
 	next mgclock.Millis
 }
 
-// maxKnown is the maximum number of other processes that a summary names. With eight,
-// two processes that know only the same seed know each other after one exchange with it
-// in a fleet of nine, and after a few in one of hundreds.
-const maxKnown = 8
+// maxUnlistedPeers is the maximum number of other processes that a summary names. With
+// eight, two processes that know only the same seed know each other after one exchange
+// with it in a fleet of nine, and after a few in one of hundreds.
+const maxUnlistedPeers = 8
 
-// knownMaxAge is the maximum time since a process named in a summary was last seen:
-// other processes' records of a dead process must not keep it known.
+// knownMaxAge is the maximum time since a process named in a summary was last seen. The
+// receiver counts the process as last seen that long ago, so that processes can't keep
+// a dead one known by naming it to each other.
 const knownMaxAge = 10 * mgclock.Second
 
 // unlistedPeers returns recently seen processes that the list doesn't name. On a
@@ -189,7 +192,7 @@
 			Region: peer.Region(),
 			Power:  int64(peer.Power()),
 		})
-		if len(known) == maxKnown {
+		if len(known) == maxUnlistedPeers {
 			break
 		}
 	}
@@ -197,12 +200,13 @@
 }
 
 // departureTTL is how long summaries carry the announcement of an upstream that is
-// leaving: longer than a notice and the time until the list shows it.
+// leaving: longer than the upstream's notice and the time until the list shows the
+// departure.
 const departureTTL = 5 * mgclock.Second
 
 // HandleDeparture records an upstream's own announcement that it is leaving, and pushes
-// it to peers. Otherwise each peer would find out by itself, up to a second later of a
-// notice of two.
+// it to peers. Otherwise each peer would find out by itself, up to a second later, which
+// is half of a notice of two seconds.
 func (m *Machine) HandleDeparture(now mgclock.Millis, upstream string) []Action {
 	m.now = now
 	if !m.applyDeparture(now, m.members.CurrentDeparture(upstream)) {
@@ -249,10 +253,10 @@
 	return all
 }
 
-// introduceAll adds the sender of a summary, and the processes that it names, to the
+// addSummaryMembers adds the sender of a summary, and the processes that it names, to the
 // members.
-func (m *Machine) introduceAll(now mgclock.Millis, s *mgrpc.Summary) {
-	m.introduce(now, &mgrpc.Known{
+func (m *Machine) addSummaryMembers(now mgclock.Millis, s *mgrpc.Summary) {
+	m.addMember(now, &mgrpc.Known{
 		Name:   s.GetName(),
 		Addr:   s.GetAddr(),
 		Zone:   s.GetZone(),
@@ -260,12 +264,12 @@
 		Power:  s.GetPower(),
 	})
 	for _, k := range s.GetKnown() {
-		m.introduce(now-knownMaxAge, k)
+		m.addMember(now-knownMaxAge, k)
 	}
 }
 
-// introduce adds a process that was last seen at a given time to the members.
-func (m *Machine) introduce(lastSeen mgclock.Millis, k *mgrpc.Known) {
+// addMember adds a process that was last seen at a given time to the members.
+func (m *Machine) addMember(lastSeen mgclock.Millis, k *mgrpc.Known) {
 	if k.GetAddr() == "" {
 		return
 	}
@@ -287,9 +291,10 @@
 // within the two seconds of notice that it may have.
 const listFetchDelayPerRow = 4 * mgclock.Millis(1)
 
-// maxListFetchInterval limits that interval where a member that lacks the newest list
-// watches the platform itself: the heartbeats of some thousand upstreams load its link
-// many times as much as a list of as many rows.
+// maxListFetchInterval limits that interval where MachineSpec.QuickInterval is set. A
+// member that lacks the newest list watches the platform itself there: the heartbeats
+// of some thousand upstreams load its link many times as much as a list of as many
+// rows.
 const maxListFetchInterval = 1500 * mgclock.Millis(1)
 
 // listFetchInterval returns the minimum interval between fetches of the list.
--- a/internal/version/mgconfig/exchange_bench_test.go
+++ b/internal/version/mgconfig/exchange_bench_test.go
@@ -32,12 +32,12 @@
 	b.ReportMetric(float64(f.platform.peak(0)), "restart-reads/s")
 
 	messages, bytes := f.traffic()
-	reads := f.readsFrom(60 * sec)
+	reads := f.readsSince(60 * sec)
 	f.net.Run(160 * sec)
 	idleMessages, idleBytes := f.traffic()
 	b.ReportMetric(float64(idleMessages-messages)/100/float64(count), "idle-msg/s")
 	b.ReportMetric(float64(idleBytes-bytes)/100/float64(count), "idle-B/s")
-	b.ReportMetric(float64(f.readsFrom(60*sec)-reads)/100, "idle-reads/s")
+	b.ReportMetric(float64(f.readsSince(60*sec)-reads)/100, "idle-reads/s")
 
 	var delays []mgclock.Millis
 	for edit := range edits {
@@ -81,8 +81,8 @@
 	return messages, bytes
 }
 
-// readsFrom returns the reads of the platform since a time.
-func (f *fleet) readsFrom(from mgclock.Millis) int {
+// readsSince returns the reads of the platform since a time.
+func (f *fleet) readsSince(from mgclock.Millis) int {
 	total := 0
 	for second, count := range f.platform.reads {
 		if second >= from/sec {
--- a/internal/version/mgconfig/fleet_test.go
+++ b/internal/version/mgconfig/fleet_test.go
@@ -35,24 +35,25 @@
 
 // fleet is a set of members on a simulated network.
 type fleet struct {
-	net        *mgnet.Net
-	platform   *platform
-	nodes      []*node
-	byName     map[string]*node
-	spread     mgclock.Millis
-	regression string // description of a member that went back to an older version, or ""
+	net         *mgnet.Net
+	platform    *platform
+	nodes       []*node
+	byName      map[string]*node
+	startWindow mgclock.Millis
+	regression  string // description of a member that went back to an older version, or ""
 
 	// Where quick is set, the platform lists only upstreams, whose heartbeats end each
-	// watch of the list within heartbeat, and the members of one region get the list
-	// from one another.
+	// watch of the list within the time in the field heartbeat, and the members of one
+	// region get the list from one another.
 	quick     mgclock.Millis
 	heartbeat mgclock.Millis
 	dead      map[string]bool
 	cordoned  []string // availability zones on the platform's list
 
-	// Where upstreams is set, the platform returns the list in the pages that this many
-	// rows take, and allows pageRate reads a second of all members together. The
-	// encoded list itself stays short, because only its number of pages matters.
+	// Where upstreams is set, the platform returns the list in as many pages as a list
+	// of this many rows takes, and allows pageRate reads a second of all members
+	// together. The encoded list itself has only listedUpstreams rows, because only its
+	// number of pages matters.
 	upstreams       int
 	listedUpstreams int // upstreams in the encoded list, 48 where it is 0
 }
@@ -67,8 +68,8 @@
 			values: make(map[string]mgplatform.Value),
 			reads:  make(map[mgclock.Millis]int),
 		},
-		byName: make(map[string]*node),
-		spread: spread,
+		byName:      make(map[string]*node),
+		startWindow: spread,
 	}
 	var list mgplatform.VMList
 	list.Version = 1
@@ -107,8 +108,8 @@
 		Zone:          zoneOf(i),
 		Incarnation:   fmt.Sprintf("%08d", n.incarnation),
 		Addr:          n.name,
-		Seed:          uint64(i*1000 + n.incarnation),
-		StartWindow:   f.spread,
+		RandomSeed:    uint64(i*1000 + n.incarnation),
+		StartWindow:   f.startWindow,
 		QuickInterval: f.quick,
 		Seeds:         f.seeds(),
 	}, n.members)
@@ -159,7 +160,7 @@
 // start sends one action and delivers its result or a timeout, once.
 func (f *fleet) start(n *node, a Action) {
 	incarnation, finished := n.incarnation, false
-	finish := func(result ResultSpec) {
+	finish := func(result ActionResult) {
 		if finished || n.incarnation != incarnation {
 			return
 		}
@@ -171,7 +172,7 @@
 		}
 	}
 	f.net.Schedule(f.net.Now()+actionTimeout(a), n.name, func() {
-		finish(ResultSpec{
+		finish(ActionResult{
 			Err: mgplatform.ErrUnavailable,
 		})
 	})
@@ -187,7 +188,7 @@
 	}
 }
 
-func (f *fleet) call(n *node, a Action, finish func(ResultSpec)) {
+func (f *fleet) call(n *node, a Action, finish func(ActionResult)) {
 	to := f.byName[a.Addr()]
 	if f.dead[to.name] {
 		return
@@ -200,7 +201,7 @@
 			reply, actions := to.machine.HandleExchange(f.net.Now(), a.Summary())
 			f.perform(to, actions)
 			f.net.Send(to.name, n.name, proto.Size(reply)+callBytes/2, func() {
-				finish(ResultSpec{
+				finish(ActionResult{
 					Summary: reply,
 				})
 			})
@@ -214,7 +215,7 @@
 		reply := Serve(to.machine.Current(), compress(to.machine.List()), a.Fetch())
 		f.net.Send(to.name, n.name, proto.Size(reply)+callBytes/2, func() {
 			values, list, err := decompressReply(reply)
-			finish(ResultSpec{
+			finish(ActionResult{
 				Values: values,
 				List:   list,
 				Err:    err,
--- a/internal/version/mgconfig/gossip.go
+++ b/internal/version/mgconfig/gossip.go
@@ -9,7 +9,8 @@
 // An exchange with one peer at a time reaches each of a hundred peers once in a hundred
 // seconds, but a process that wasn't seen for half a minute is forgotten. Half a minute
 // after the start each process would know too few others and compute too few cells: all
-// would use the same two hubs, and half of the engines would be idle.
+// would use the same two hubs, and half of the engines would be idle, because each cell
+// uses its own part of them (mgmember.CellPart).
 //
 // So the processes of a cell report themselves to their hub, the hubs report their
 // cells to the reader, and each reply carries all known processes.
@@ -20,7 +21,8 @@
 	// known. A hundred records take 1.3 KB on the wire, a thousand 11 KB.
 	gossipInterval = 3 * mgclock.Second
 	// gossipStartInterval applies while replies bring unknown processes: just after a
-	// start, the process that others compute as the hub changes with each new one.
+	// start, each process that becomes known may change which one the others compute as
+	// their hub.
 	gossipStartInterval = 500 * mgclock.Millis(1)
 	// gossipTimeout is the timeout of the reply.
 	gossipTimeout = mgclock.Second
@@ -39,8 +41,8 @@
 	return g.next
 }
 
-// startGossip sends the known processes to the hub or reader that collects them, when
-// that is due.
+// startGossip sends this process's record to its hub, or as a hub all known records to
+// the reader, when that is due.
 func (m *Machine) startGossip(now mgclock.Millis) []Action {
 	g := &m.gossipState
 	if g.busy || now < g.next {
@@ -53,7 +55,7 @@
 	}
 	to := m.gossipTarget()
 	if m.roles().hub != nil {
-		known = nil // the hub has received these records already
+		known = nil // the hub receives the cell's records from the processes themselves
 	}
 	g.busy = true
 	return []Action{{
@@ -65,7 +67,7 @@
 	}}
 }
 
-// gossipTarget returns the peer to gossip with. A process that computes itself as the
+// gossipTarget returns the peer to gossip with. A process that ranks itself as the
 // reader may merely not know the actual one, so it gossips with a random peer.
 func (m *Machine) gossipTarget() peer {
 	r := m.roles()
@@ -91,7 +93,7 @@
 }
 
 // handleGossipResult merges the reply and schedules the next gossip.
-func (m *Machine) handleGossipResult(now mgclock.Millis, result ResultSpec) []Action {
+func (m *Machine) handleGossipResult(now mgclock.Millis, result ActionResult) []Action {
 	g := &m.gossipState
 	g.busy = false
 	if result.Err != nil {
--- a/internal/version/mgconfig/gossip_test.go
+++ b/internal/version/mgconfig/gossip_test.go
@@ -8,14 +8,15 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/version/mgmember"
 )
 
-// From half a minute after the start, reports start 8 s late at low load while half of
-// the engines are idle. The platform lists no entries; each entry forgets those that it
-// hasn't seen for 30 s, and exchanges with one of a hundred every two seconds reach
-// few. Entries that know fewer compute fewer cells, so all use two of four hubs.
+// Guards against requests that start 8 s late at low load, from half a minute after the
+// start, while half of the engines are idle. The platform lists no entries; each entry
+// forgets those that it hasn't seen for 30 s, and exchanges with one of a hundred every
+// two seconds reach few. Entries that know fewer compute fewer cells, so all use two of
+// four hubs.
 func TestUnlistedEntriesForgetEachOther(t *testing.T) {
 	Convey("A hundred entries that the platform doesn't list, and a list that doesn't change", t, func() {
 		const count = 100
-		f := newListening(3, count)
+		f := newLongPollFleet(3, count)
 		f.startAll()
 		for at := 12 * sec; at <= 75*sec; at += 9 * sec {
 			f.net.Run(at)
--- a/internal/version/mgconfig/join.go
+++ b/internal/version/mgconfig/join.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// joinPeers is the number of peers from which a new process wants an answer. One
-	// alone may be as new as itself, or cut off with a stale platform.
-	joinPeers = 2
+	// minJoinPeers is the number of peers from which a new process wants an answer. One
+	// peer alone may have just started too, or be cut off with a stale platform.
+	minJoinPeers = 2
 	// secondPeerTimeout is the time after which one peer's answer suffices.
 	secondPeerTimeout = 5 * mgclock.Second
 	// joinPlatformTimeout is the maximum wait for the platform's answer.
@@ -18,30 +18,30 @@
 	// joinInterval is the interval at which a new process asks further peers.
 	joinInterval = 500 * mgclock.Millis(1)
 	// firstListInterval applies while the process has no list of VMs. The peers that
-	// read the list have it after some pages.
+	// read the list have it after reading some pages of it.
 	firstListInterval = 150 * mgclock.Millis(1)
-	// firstListMinDelay and firstListJitter give the random delay after which a process
-	// that may ask peers for its first list reads the platform itself: long enough for
-	// a list of some thousand rows to be read and passed on.
+	// A process that can ask peers for its first list reads the platform itself after
+	// firstListMinDelay and a random part of firstListJitter: long enough for a list of
+	// some thousand rows to be read and passed on.
 	firstListMinDelay = 700 * mgclock.Millis(1)
 	firstListJitter   = 2 * mgclock.Second
 )
 
 // join is the state of a process that isn't ready yet.
 type join struct {
-	startedAt   mgclock.Millis
-	next        mgclock.Millis
-	peers       map[string]bool
-	highest     versionKey // the highest version that a peer has reported
-	ready       bool
-	isListLong  bool            // reading the list of VMs takes many calls to the platform
-	unreachable map[string]bool // configured peer addresses that gave no answer
+	startedAt     mgclock.Millis
+	next          mgclock.Millis
+	answeredPeers map[string]bool
+	highest       versionKey // the highest version that a peer has reported
+	ready         bool
+	isListLong    bool            // reading the list of VMs takes many calls to the platform
+	unreachable   map[string]bool // configured peer addresses that gave no answer
 }
 
 func (j *join) begin(now mgclock.Millis) {
 	j.startedAt = now
 	j.next = now
-	j.peers = make(map[string]bool)
+	j.answeredPeers = make(map[string]bool)
 	j.unreachable = make(map[string]bool)
 }
 
@@ -57,7 +57,7 @@
 	if j.ready {
 		return
 	}
-	j.peers[s.GetName()] = true
+	j.answeredPeers[s.GetName()] = true
 	key := versionKey{
 		version: s.GetVersion(),
 		digest:  s.GetDigest(),
@@ -79,32 +79,32 @@
 		m.join.next = now + firstListInterval
 	}
 	var actions []Action
-	for range joinPeers {
+	for range minJoinPeers {
 		actions = append(actions, m.exchangeWith(m.choosePeer())...)
 	}
 	return actions
 }
 
-// deferFirstListRead handles the answer that reading the list of VMs takes many calls:
-// the process asks peers for the list first, and the platform only later. Where each of
-// 300 processes that start together before 3,000 upstreams reads it, they make 18,000
-// calls of fifty rows each and are rate-limited again and again. None would have a list
-// for seconds, and callers would be refused.
-func (m *Machine) deferFirstListRead(now mgclock.Millis) {
+// requestFirstListFromPeers handles the answer that reading the list of VMs takes many
+// calls: the process asks peers for the list first, and the platform only later. Where
+// each of 300 processes that start together in front of 3,000 upstreams reads it, they
+// make 18,000 calls of fifty rows each and are rate-limited again and again. None would
+// have a list for seconds, and callers would be refused.
+func (m *Machine) requestFirstListFromPeers(now mgclock.Millis) {
 	m.join.isListLong = true
 	m.join.next = now
-	m.listSource.next = now + firstListMinDelay + m.jitter(firstListJitter)
+	m.listKeyState.next = now + firstListMinDelay + m.jitter(firstListJitter)
 }
 
 // lacksFirstList reports whether the process asks its peers for the first list.
 func (m *Machine) lacksFirstList() bool { return m.join.isListLong && m.members.View().Version() == 0 }
 
-// postponeFirstListRead is called when a peer has sent a list. Just after a start,
-// before the reader of the region is known, that peer's next lists replace the
-// process's own read as well.
+// postponeFirstListRead postpones the process's own first read of a long list after a
+// peer has sent one. Just after a start, before the reader of the region is known, that
+// peer's next lists can replace the read.
 func (m *Machine) postponeFirstListRead(now mgclock.Millis) {
-	if m.join.isListLong && now < m.join.startedAt+discoveryWindow && m.listSource.version == 0 {
-		m.listSource.next = max(m.listSource.next, now+firstListMinDelay+m.jitter(firstListJitter))
+	if m.join.isListLong && now < m.join.startedAt+discoveryWindow && m.listKeyState.version == 0 {
+		m.listKeyState.next = max(m.listKeyState.next, now+firstListMinDelay+m.jitter(firstListJitter))
 	}
 }
 
@@ -117,7 +117,7 @@
 	}
 	m.join.unreachable[addr] = true
 	if len(m.join.unreachable) == len(m.spec.Seeds) {
-		m.listSource.next = min(m.listSource.next, now+m.jitter(firstRetryDelay))
+		m.listKeyState.next = min(m.listKeyState.next, now+m.jitter(firstRetryDelay))
 	}
 }
 
@@ -139,11 +139,11 @@
 		return false
 	}
 	elapsed := now - m.join.startedAt
-	if !m.manifestSource.hasAnswered && elapsed < joinPlatformTimeout {
+	if !m.manifestKeyState.hasAnswered && elapsed < joinPlatformTimeout {
 		return false
 	}
-	answered := len(m.join.peers)
-	wanted := min(joinPeers, m.countLiveOthers())
+	answered := len(m.join.answeredPeers)
+	wanted := min(minJoinPeers, m.countLiveOthers())
 	if elapsed >= secondPeerTimeout {
 		wanted = min(1, wanted)
 	}
--- a/internal/version/mgconfig/longpoll.go
+++ b/internal/version/mgconfig/longpoll.go
@@ -22,12 +22,12 @@
 	// report.
 	hubPollWait = 150 * mgclock.Millis(1)
 	// hubReadDelay is the age of the reader's report at which a hub reads for its cell.
-	// Engines that started together send heartbeats together, and the reader's own
-	// watch then takes up to quickWatchWait: with a shorter delay each hub would read
-	// in parallel with the reader.
+	// The reader's watch ends with the next heartbeat. Engines that started together
+	// send heartbeats together, so a watch may take up to quickWatchWait: with a
+	// shorter delay each hub would read in parallel with the reader.
 	hubReadDelay = quickWatchWait + 200
-	// cellPollWait is the same for the other processes, which also see from the replies
-	// to their load reports that the hub is alive.
+	// cellPollWait is how long a hub holds the long polls of its cell, whose processes
+	// also see from the replies to their load reports that the hub is alive.
 	cellPollWait = 500 * mgclock.Millis(1)
 	// longPollTimeout is the timeout of the reply after the wait: the reply time of a
 	// busy VM with a seventh of a core.
@@ -41,21 +41,20 @@
 	longPollRetryMin = 100 * mgclock.Millis(1)
 	longPollRetryMax = mgclock.Second
 	noTargetInterval = 250 * mgclock.Millis(1)
-	// pollersTTL is how long after a long poll others count as polling this process:
-	// two of their polls and a margin.
+	// pollersTTL is how long after the last long poll received this process assumes that
+	// others poll it: two of their polls and a margin.
 	pollersTTL = 3 * cellPollWait
 	// discoveryWindow is the time after a start in which a process that nobody polls
 	// doesn't read for others: until some hundred processes know one another, several
-	// compute themselves as the reader.
+	// rank themselves as the reader.
 	discoveryWindow = 6 * mgclock.Second
 	// platformDownInterval is the mean interval of a process's own reads while its hub
 	// answers but has no confirmation by the platform. The hub reads often, and any
-	// process that gets an answer passes it on, so a platform that refuses all calls is
-	// spared.
+	// process that gets an answer passes it on, so the others need few reads, which would
+	// only load a platform that refuses all calls.
 	platformDownInterval = 3 * mgclock.Second
-	// longPollDelayPerRow is the part of the delay after a received list that is due to
-	// each row, in ms. A row takes some 24 bytes on the wire: 60 KB/s while the
-	// list keeps changing.
+	// longPollDelayPerRow is the delay after a received list per row of it, in ms. A
+	// row takes some 24 bytes on the wire: 60 KB/s while the list keeps changing.
 	longPollDelayPerRow = 0.4
 	// maxLongPollDelay limits that delay, as maxListFetchInterval does for fetches.
 	maxLongPollDelay = maxListFetchInterval
@@ -79,13 +78,13 @@
 	return r.reader == nil || r.hub == nil && now >= m.peerConfirmedAt+hubReadDelay
 }
 
-// HandleLongPoll records that another process polls this one, and reports whether that
+// RecordLongPoll records that another process polls this one, and reports whether that
 // changed the time of the next tick.
-func (m *Machine) HandleLongPoll(now mgclock.Millis) bool {
+func (m *Machine) RecordLongPoll(now mgclock.Millis) bool {
 	first := now >= m.lastPolledAt+pollersTTL
 	m.lastPolledAt = now
 	if first && m.roles().reader == nil {
-		m.listSource.next = min(m.listSource.next, now)
+		m.listKeyState.next = min(m.listKeyState.next, now)
 		return true
 	}
 	return false
@@ -107,12 +106,12 @@
 
 // longPollState is the state of the long poll to the reader or hub.
 type longPollState struct {
-	busy          bool
-	next          mgclock.Millis
-	failures      int            // in a row
-	answeredAt    mgclock.Millis // time of the last reply
-	hasAnswered   bool           // a reply has arrived
-	isReportFresh bool           // its last report was as good as the platform's own answer
+	busy           bool
+	next           mgclock.Millis
+	failures       int            // in a row
+	answeredAt     mgclock.Millis // time of the last reply
+	targetAnswered bool           // a reply has arrived since there was last no member to poll
+	isReportFresh  bool           // its last report was as good as the platform's own answer
 }
 
 func (l *longPollState) nextDue() mgclock.Millis {
@@ -124,12 +123,12 @@
 
 // isAnswering reports whether the polled member answers.
 func (l *longPollState) isAnswering(now mgclock.Millis) bool {
-	return l.hasAnswered && l.failures == 0 && now < l.answeredAt+longPollTTL
+	return l.targetAnswered && l.failures == 0 && now < l.answeredAt+longPollTTL
 }
 
-// isFresh reports whether the polled member also has a fresh confirmation by the
-// platform, so that updates need no other path.
-func (l *longPollState) isFresh(now mgclock.Millis) bool {
+// deliversUpdates reports whether the polled member answers and has a fresh
+// confirmation by the platform, so that updates need no other path.
+func (l *longPollState) deliversUpdates(now mgclock.Millis) bool {
 	return l.isReportFresh && l.isAnswering(now)
 }
 
@@ -141,7 +140,7 @@
 	}
 	to, wait := m.longPollTarget()
 	if to == nil {
-		l.hasAnswered = false
+		l.targetAnswered = false
 		l.next = now + noTargetInterval
 		return nil
 	}
@@ -158,8 +157,8 @@
 	}}
 }
 
-// handleListReply adopts the list and the report of a reply, or schedules a retry.
-func (m *Machine) handleListReply(now mgclock.Millis, result ResultSpec) []Action {
+// handleLongPollResult adopts the list and the report of a reply, or schedules a retry.
+func (m *Machine) handleLongPollResult(now mgclock.Millis, result ActionResult) []Action {
 	l := &m.longPoll
 	l.busy = false
 	from := result.Action.peer
@@ -170,16 +169,16 @@
 			// A hub makes no other calls to the reader that would show the reader's
 			// failure.
 			m.members.RecordFailure(now, from)
-			m.listSource.next = min(m.listSource.next, now)
+			m.listKeyState.next = min(m.listKeyState.next, now)
 		}
-		if m.leavesListToOthers() {
+		if m.delegatesListReads() {
 			m.nextExchange = min(m.nextExchange, now+m.jitter(longListExchangeInterval))
 		}
 		return nil
 	}
 	m.members.RecordAnswer(now, from)
 	l.failures = 0
-	l.hasAnswered = true
+	l.targetAnswered = true
 	l.answeredAt = now
 	l.isReportFresh = result.Report.isFresh()
 	l.next = now
@@ -201,22 +200,23 @@
 	return min(mgclock.Millis(longPollDelayPerRow*rows), maxLongPollDelay)
 }
 
-// confirmList records the confirmation in a report of the own list, or of an older one,
-// and postpones the own watch.
+// confirmList records that the platform confirmed the list, where a report that is fresh
+// is about the own list or an older one, and postpones the own watch.
 func (m *Machine) confirmList(now mgclock.Millis, report VersionReport) {
 	if !report.isFresh() || report.List > m.members.View().Version() {
 		return
 	}
 	at := now - report.Age
-	m.listSource.confirmedByPeer = true
-	m.listSource.confirmedAt = max(m.listSource.confirmedAt, at)
+	m.listKeyState.confirmedByPeer = true
+	m.listKeyState.confirmedAt = max(m.listKeyState.confirmedAt, at)
 	m.peerConfirmedAt = max(m.peerConfirmedAt, at)
 	m.postponeListRead(at)
 }
 
-// hubAnswers reports whether another process reads the platform for this one, which
-// itself gets no answer now.
-func (m *Machine) hubAnswers(now mgclock.Millis) bool {
+// isServedByHub reports whether another process reads the platform for this one: this
+// one has a table, isn't among the first watchersPerCell processes of its cell, and gets
+// replies to its long polls. It then retries a failed read more rarely.
+func (m *Machine) isServedByHub(now mgclock.Millis) bool {
 	return m.spec.QuickInterval > 0 && m.Current() != nil && m.roles().rank >= watchersPerCell && m.longPoll.isAnswering(now)
 }
 
@@ -228,18 +228,18 @@
 	switch {
 	case r.reader == nil:
 	case r.hub == nil:
-		m.listSource.next = max(m.listSource.next, at+hubReadDelay)
+		m.listKeyState.next = max(m.listKeyState.next, at+hubReadDelay)
 	default:
-		m.listSource.next = max(m.listSource.next, at+m.ownReadInterval())
+		m.listKeyState.next = max(m.listKeyState.next, at+m.ownReadInterval())
 	}
 }
 
 const (
 	// longListRows is the list size from which a process that others don't poll leaves
-	// reading the list to them: thousands of upstreams take some dozen calls and over a
-	// megabyte, which takes seconds on the link of a small VM. Where a third of the
-	// processes die, each of the others would read the list at once, and be
-	// rate-limited.
+	// reading the list to the watchers of its cell: thousands of upstreams take some
+	// dozen calls and over a megabyte, which takes seconds on the link of a small VM.
+	// Where a third of the processes die, each of the others would read the list at
+	// once, and be rate-limited.
 	longListRows = 500
 	// longListReadInterval is the interval of such a process's own reads while it
 	// receives no reports.
@@ -249,16 +249,16 @@
 	longListExchangeInterval = 300 * mgclock.Millis(1)
 )
 
-// leavesListToOthers reports whether this process leaves reading a long list to its hub
+// delegatesListReads reports whether this process leaves reading a long list to its hub
 // and the watchers of its cell.
-func (m *Machine) leavesListToOthers() bool {
+func (m *Machine) delegatesListReads() bool {
 	return m.spec.QuickInterval > 0 && len(m.members.View().All()) > longListRows && m.roles().rank >= watchersPerCell
 }
 
 // ownReadInterval returns the interval of reads of the list by a process that doesn't
 // read it for others.
 func (m *Machine) ownReadInterval() mgclock.Millis {
-	if m.leavesListToOthers() {
+	if m.delegatesListReads() {
 		return longListReadInterval
 	}
 	return slowWatchInterval
@@ -266,7 +266,7 @@
 
 // currentExchangeInterval returns the mean interval of exchanges.
 func (m *Machine) currentExchangeInterval(now mgclock.Millis) mgclock.Millis {
-	if m.leavesListToOthers() && !m.longPoll.isFresh(now) {
+	if m.delegatesListReads() && !m.longPoll.deliversUpdates(now) {
 		return longListExchangeInterval
 	}
 	return exchangeInterval
--- a/internal/version/mgconfig/longpoll_fleet_test.go
+++ b/internal/version/mgconfig/longpoll_fleet_test.go
@@ -9,14 +9,14 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// newListening returns a fleet of one region on a platform that lists upstreams only.
+// newLongPollFleet returns a fleet of one region on a platform that lists upstreams only.
 // Members get the list from one another.
-func newListening(seed uint64, count int) *fleet {
+func newLongPollFleet(seed uint64, count int) *fleet {
 	f := newFleet(seed, count, 0)
 	f.quick = 60
 	f.heartbeat = 10
 	f.dead = map[string]bool{}
-	f.list(0)
+	f.putList(0)
 	f.publish(1, 1)
 	return f
 }
@@ -29,9 +29,9 @@
 	return []string{f.nodes[0].name, f.nodes[1].name, f.nodes[2].name}
 }
 
-// list writes a list of upstreams to the platform, in which the one selected by change
+// putList writes a list of upstreams to the platform, in which the one selected by change
 // is leaving, and returns its version.
-func (f *fleet) list(change int) uint64 {
+func (f *fleet) putList(change int) uint64 {
 	upstreams := 48
 	if f.listedUpstreams > 0 {
 		upstreams = f.listedUpstreams
@@ -73,14 +73,14 @@
 
 // longPoll sends a long poll to a member, which replies once it has a newer list or the
 // wait is over.
-func (f *fleet) longPoll(n *node, a Action, finish func(ResultSpec)) {
+func (f *fleet) longPoll(n *node, a Action, finish func(ActionResult)) {
 	to := f.byName[a.Addr()]
 	incarnation := to.incarnation
 	f.net.Send(n.name, to.name, callBytes/2, func() {
 		if f.dead[to.name] {
 			return
 		}
-		to.machine.HandleLongPoll(f.net.Now())
+		to.machine.RecordLongPoll(f.net.Now())
 		f.tickNow(to, incarnation)
 		end := f.net.Now() + a.Wait()
 		var check func()
@@ -98,7 +98,7 @@
 				list = to.machine.List()
 			}
 			f.net.Send(to.name, n.name, len(list)+callBytes/2, func() {
-				finish(ResultSpec{
+				finish(ActionResult{
 					List:   list,
 					Report: report,
 				})
@@ -109,7 +109,7 @@
 }
 
 // gossip sends a member's records to another one and returns the reply.
-func (f *fleet) gossip(n *node, a Action, finish func(ResultSpec)) {
+func (f *fleet) gossip(n *node, a Action, finish func(ActionResult)) {
 	to := f.byName[a.Addr()]
 	f.net.Send(n.name, to.name, callBytes/2, func() {
 		if f.dead[to.name] {
@@ -117,7 +117,7 @@
 		}
 		reply := to.machine.HandleGossip(f.net.Now(), a.Gossip())
 		f.net.Send(to.name, n.name, callBytes/2, func() {
-			finish(ResultSpec{
+			finish(ActionResult{
 				Gossip: reply,
 			})
 		})
@@ -217,7 +217,7 @@
 // it.
 func (f *fleet) timeUntilKnown(change int, share float64) mgclock.Millis {
 	began := f.net.Now()
-	version := f.list(change)
+	version := f.putList(change)
 	for f.net.Now() < began+10*mgclock.Second {
 		f.net.Run(f.net.Now() + 5)
 		if float64(f.countOutdated(version)) <= (1-share)*float64(len(f.nodes)) {
--- a/internal/version/mgconfig/longpoll_test.go
+++ b/internal/version/mgconfig/longpoll_test.go
@@ -9,9 +9,10 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// The platform bills a hundred entries 4,000 reads in 48 s. Dozens of engines come and
-// go; each entry that learns of a newer list requests it from a peer and reads it as
-// well, because its own watch ends with the next heartbeat of any engine.
+// Guards against reads of the platform that grow with the number of entries: it bills a
+// hundred entries 4,000 reads in 48 s. Dozens of engines come and go; each entry that
+// learns of a newer list requests it from a peer and reads it as well, because its own
+// watch ends with the next heartbeat of any engine.
 func TestPlatformReadsGrowWithEntries(t *testing.T) {
 	Convey("While the list changes three times a second", t, func() {
 		const (
@@ -24,7 +25,7 @@
 		)
 		reads := map[int]int{}
 		for _, count := range []int{25, 100} {
-			f := newListening(uint64(count), count)
+			f := newLongPollFleet(uint64(count), count)
 			f.startAll()
 			f.net.Run(warmUp)
 			var delays []mgclock.Millis
@@ -33,14 +34,15 @@
 				delays = append(delays, f.timeUntilKnown(change, 1))
 				f.net.Run(max(f.net.Now(), began+300))
 			}
-			reads[count] = f.readsFrom(warmUp)
+			reads[count] = f.readsSince(warmUp)
 			slices.Sort(delays)
 			t.Logf("%d entries: %d reads, %d changes known everywhere after %d ms (median) and %d ms (maximum)",
 				count, reads[count], len(delays), delays[len(delays)/2], delays[len(delays)-1])
 			So(delays[len(delays)-1], ShouldBeLessThanOrEqualTo, maxDelay)
 			So(reads[count], ShouldBeLessThanOrEqualTo, maxReads)
 		}
-		// Three processes in each of the four cells watch for versions of the table.
+		// Three processes (watchersPerCell) in each of the four cells watch for versions
+		// of the table.
 		So(reads[100], ShouldBeLessThanOrEqualTo, reads[25]*3/2)
 	})
 }
@@ -59,9 +61,9 @@
 // two seconds at that moment, and its answers are cut off unless the others learn of it
 // on another path.
 func TestListDelayedWhenReaderOrHubFails(t *testing.T) {
-	const freeze = 4 * sec
+	const pauseDuration = 4 * sec
 	die := func(f *fleet, name string) { f.kill(name) }
-	pause := func(f *fleet, name string) { f.net.Pause(name, freeze) }
+	pause := func(f *fleet, name string) { f.net.Pause(name, pauseDuration) }
 	for _, c := range []struct {
 		name   string
 		victim func(*fleet) string
@@ -94,7 +96,7 @@
 		},
 	} {
 		Convey("When "+c.name, t, func() {
-			f := newListening(7, 100)
+			f := newLongPollFleet(7, 100)
 			f.startAll()
 			f.net.Run(15 * sec)
 			victim := c.victim(f)
@@ -105,7 +107,7 @@
 			So(delay, ShouldBeLessThanOrEqualTo, 1500)
 			// Later, even after a stalled one resumes, changes are known as fast as
 			// before.
-			f.net.Run(f.net.Now() + freeze + sec)
+			f.net.Run(f.net.Now() + pauseDuration + sec)
 			So(f.timeUntilKnown(2, 1), ShouldBeLessThanOrEqualTo, 750)
 		})
 	}
@@ -115,7 +117,7 @@
 // platform. That half misses a departure.
 func TestListDelayedWhenReaderUnreachable(t *testing.T) {
 	Convey("A change is known although half of the entries can't reach the reader", t, func() {
-		f := newListening(9, 100)
+		f := newLongPollFleet(9, 100)
 		f.startAll()
 		f.net.Run(15 * sec)
 		reader := f.reader()
@@ -136,13 +138,13 @@
 func TestRetryStormWhilePlatformDown(t *testing.T) {
 	Convey("While the platform refuses all calls", t, func() {
 		const outage = 8 * sec
-		f := newListening(11, 100)
+		f := newLongPollFleet(11, 100)
 		f.startAll()
 		f.net.Run(15 * sec)
-		before := f.readsFrom(0)
+		before := f.readsSince(0)
 		f.platform.down = true
 		f.net.Run(15*sec + outage)
-		reads := f.readsFrom(0) - before
+		reads := f.readsSince(0) - before
 		t.Logf("100 entries made %d reads in %d ms", reads, outage)
 		So(reads, ShouldBeLessThanOrEqualTo, 1000)
 		f.platform.down = false
@@ -152,18 +154,18 @@
 	})
 }
 
-// The platform refuses the calls of the region's reader. The others take its old report
-// for the platform's answer.
+// Guards against processes that take an old report for the platform's answer, while the
+// platform refuses the calls of the region's reader.
 func TestOldReportTakenAsFresh(t *testing.T) {
 	Convey("A list without the platform's confirmation is not reported as fresh", t, func() {
 		m, _ := machineWithoutPeers()
 		m.spec.QuickInterval = 60
-		m.listSource.confirmedAt = 1000
-		m.listSource.failures = 1
+		m.listKeyState.confirmedAt = 1000
+		m.listKeyState.failures = 1
 		So(m.Report(1200).Age, ShouldBeLessThan, 0)
 		Convey("unless another process's report confirms it", func() {
 			m.peerConfirmedAt = 1100
-			m.listSource.confirmedAt = 1100
+			m.listKeyState.confirmedAt = 1100
 			So(m.Report(1200).Age, ShouldEqual, 100)
 			So(m.Report(1100+maxReportAge).Age, ShouldBeLessThan, 0)
 		})
--- a/internal/version/mgconfig/loop.go
+++ b/internal/version/mgconfig/loop.go
@@ -49,8 +49,8 @@
 	Gossip func(ctx context.Context, addr string, all []mgmember.Gossip) ([]mgmember.Gossip, error)
 
 	// OnAdopt is called with each snapshot put in force, in order. It may be nil. It
-	// must not call the loop and must return soon, such as after emitting a control
-	// event.
+	// must not call the loop and must return soon, such as after publishing a control
+	// event (package mgevent).
 	OnAdopt func(*Snapshot)
 }
 
@@ -59,17 +59,17 @@
 	spec    LoopSpec
 	machine *Machine
 
-	mu                sync.Mutex
-	reported          *Snapshot     // the last snapshot passed to OnAdopt
-	reportedRejection error         // the last rejection that was logged
-	reportedCordons   []string      // the cordoned availability zones that were logged last
-	tableChanged      chan struct{} // closed and replaced at each adoption
-	listChanged       chan struct{} // closed and replaced at each newer list of VMs
-	compressed        ListReply     // the list that was compressed last, and its version
-	wakeRun           chan struct{} // wakes Run after the machine's next tick may have moved
-	ctx               context.Context
-	stopped           bool
-	actionsRunning    sync.WaitGroup
+	mu              sync.Mutex
+	published       *Snapshot     // the last snapshot passed to OnAdopt
+	loggedRejection error         // the last rejection that was logged
+	loggedCordons   []string      // the cordoned availability zones that were logged last
+	tableChanged    chan struct{} // closed and replaced at each adoption
+	listChanged     chan struct{} // closed and replaced at each newer list of VMs
+	cachedList      ListReply     // the list that was compressed last; of its report only the list's version is set
+	wakeRun         chan struct{} // wakes Run after the machine's next tick may have moved
+	ctx             context.Context
+	stopped         bool
+	actionsRunning  sync.WaitGroup
 }
 
 // NewLoop returns a loop. It does nothing until Run is called.
@@ -158,7 +158,7 @@
 }
 
 // Await returns once a version, or a later one, is in force. A request that carries a
-// newer version than this process has waits here before it is decided.
+// newer version than this process has waits here before it is handled.
 func (l *Loop) Await(ctx context.Context, version uint64) error {
 	for {
 		l.mu.Lock()
@@ -227,28 +227,28 @@
 	if view := l.machine.members.View(); view.Version() != before {
 		close(l.listChanged)
 		l.listChanged = make(chan struct{})
-		l.reportCordons(view)
+		l.logCordons(view)
 	}
-	l.reportTable()
+	l.publishTable()
 	for _, action := range actions {
 		l.actionsRunning.Add(1)
 		go l.perform(action)
 	}
 }
 
-// reportTable logs what the machine adopted or rejected, and publishes an adopted
+// publishTable logs what the machine adopted or rejected, and publishes an adopted
 // snapshot.
-func (l *Loop) reportTable() {
-	if version, err := l.machine.LastRejection(); err != nil && err != l.reportedRejection {
-		l.reportedRejection = err
+func (l *Loop) publishTable() {
+	if version, err := l.machine.LastRejection(); err != nil && err != l.loggedRejection {
+		l.loggedRejection = err
 		l.spec.Log.Error(err, "a version of the table was refused, the last good one stays",
 			"version", version, "inforce", l.Current().Version())
 	}
 	current := l.Current()
-	if current == l.reported {
+	if current == l.published {
 		return
 	}
-	l.reported = current
+	l.published = current
 	l.spec.Log.Info("a version of the table is in force",
 		"version", current.Version(), "accounts", current.Table().AccountCount(), "digest", current.Digest())
 	if l.spec.OnAdopt != nil {
@@ -258,13 +258,13 @@
 	l.tableChanged = make(chan struct{})
 }
 
-// reportCordons logs each change of the cordoned availability zones.
-func (l *Loop) reportCordons(view *mgmember.View) {
+// logCordons logs each change of the cordoned availability zones.
+func (l *Loop) logCordons(view *mgmember.View) {
 	cordons := slices.Sorted(maps.Keys(view.Cordoned()))
-	if slices.Equal(cordons, l.reportedCordons) {
+	if slices.Equal(cordons, l.loggedCordons) {
 		return
 	}
-	l.reportedCordons = cordons
+	l.loggedCordons = cordons
 	l.spec.Log.Info("the availability zones that get no new work have changed",
 		"cordoned", cordons, "list", view.Version())
 }
@@ -282,8 +282,8 @@
 	})
 }
 
-func (l *Loop) call(action Action) ResultSpec {
-	result := ResultSpec{
+func (l *Loop) call(action Action) ActionResult {
+	result := ActionResult{
 		Action: action,
 	}
 	ctx, cancel := context.WithTimeout(l.ctx, actionTimeout(action).Duration())
--- a/internal/version/mgconfig/loop_serve.go
+++ b/internal/version/mgconfig/loop_serve.go
@@ -40,11 +40,11 @@
 	if version == 0 {
 		return nil
 	}
-	if l.compressed.Report.List != version {
-		l.compressed.Report.List = version
-		l.compressed.Compressed = compress(l.machine.List())
+	if l.cachedList.Report.List != version {
+		l.cachedList.Report.List = version
+		l.cachedList.Compressed = compress(l.machine.List())
 	}
-	return l.compressed.Compressed
+	return l.cachedList.Compressed
 }
 
 // Report returns the report of versions that this process sends to its peers.
@@ -85,7 +85,7 @@
 func (l *Loop) listReply(after uint64) (ListReply, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.machine.HandleLongPoll(l.spec.Clock.Now()) {
+	if l.machine.RecordLongPoll(l.spec.Clock.Now()) {
 		l.signalRun()
 	}
 	reply := ListReply{
--- a/internal/version/mgconfig/machine.go
+++ b/internal/version/mgconfig/machine.go
@@ -20,7 +20,7 @@
 	Incarnation string
 	Addr        string // address at which peers reach this process
 	Power       int    // see mgplatform.VM
-	Seed        uint64 // seed of the jitter and the choice of peers
+	RandomSeed  uint64 // seed of the jitter and the choice of peers
 
 	// Seeds are peer addresses that are used while no list of VMs is known, such as
 	// when the platform is down at the start.
@@ -36,8 +36,9 @@
 	// the others watch once a second. With 0 all watch alike.
 	QuickInterval mgclock.Millis
 
-	// ListConfirmsTable is set where an answer of the platform about the list also confirms that
-	// there is no table newer than the one that the platform's client has.
+	// ListConfirmsTable is set where an answer of the platform about the list also
+	// confirms that there is no table newer than the last one that the platform's
+	// client has read.
 	ListConfirmsTable bool
 
 	// WatchWait is the maximum wait of one watch, AnswerTimeout the timeout of the platform's
@@ -68,17 +69,17 @@
 	leaving          bool
 	departed         map[mgmember.Departure]mgclock.Millis // time when a departure was learned
 	nextExchange     mgclock.Millis
-	nextTick         mgclock.Millis // next tick of members
-	manifestSource   source
+	nextMembersTick  mgclock.Millis // next tick of members
+	manifestKeyState keyState
 	tableReadPending bool           // the platform has a newer table that is being read
 	tableConfirmed   bool           // the table in force has been confirmed as the newest at least once
 	tableConfirmedAt mgclock.Millis // time of the last such confirmation
 	era              uint64         // of the list in use; see mgplatform.VMList
-	restored         bool           // the platform was restored from a copy
+	restored         bool           // the platform was restored from a backup
 	restoredAt       mgclock.Millis // time when the restore was noticed
 	peerConfirmedAt  mgclock.Millis // time of the last confirmation of the list that another process reported
-	listSource       source
-	budget           budget
+	listKeyState     keyState
+	pageReadLimiter  pageReadLimiter
 	pull             *pull
 	pullCount        int // number of pulls started
 	listFetch        listFetchState
@@ -105,18 +106,18 @@
 	m := &Machine{
 		spec:       spec,
 		members:    members,
-		rng:        rand.New(rand.NewPCG(spec.Seed, 0)),
+		rng:        rand.New(rand.NewPCG(spec.RandomSeed, 0)),
 		exchanging: make(map[string]bool),
 	}
 	m.peerConfirmedAt = now - maxReportAge
 	m.lastPolledAt = now - pollersTTL
-	m.manifestSource.key = mgplatform.ManifestKey
-	m.listSource.key = mgplatform.ListKey
+	m.manifestKeyState.key = mgplatform.ManifestKey
+	m.listKeyState.key = mgplatform.ListKey
 	m.nextExchange = now + m.jitter(exchangeInterval)
 	m.gossipState.next = now + m.jitter(gossipStartInterval)
-	m.nextTick = now + tickInterval
-	m.listSource.next = now + m.jitter(spec.StartWindow)
-	m.manifestSource.next = m.listSource.next
+	m.nextMembersTick = now + tickInterval
+	m.listKeyState.next = now + m.jitter(spec.StartWindow)
+	m.manifestKeyState.next = m.listKeyState.next
 	m.join.begin(now)
 	return m
 }
@@ -143,8 +144,8 @@
 func (m *Machine) Tick(now mgclock.Millis) []Action {
 	m.now = now
 	var actions []Action
-	if now >= m.nextTick {
-		m.nextTick = now + tickInterval
+	if now >= m.nextMembersTick {
+		m.nextMembersTick = now + tickInterval
 		m.members.Tick(now)
 	}
 	actions = append(actions, m.readPlatform(now)...)
@@ -162,11 +163,11 @@
 
 // NextTick returns the time when Tick is due next.
 func (m *Machine) NextTick() mgclock.Millis {
-	next := min(m.nextTick, m.nextExchange, m.join.nextDue(), m.gossipState.nextDue())
+	next := min(m.nextMembersTick, m.nextExchange, m.join.nextDue(), m.gossipState.nextDue())
 	if m.lacksFirstList() {
 		next = min(next, m.join.next)
 	}
-	next = min(next, m.manifestSource.nextDue(), m.listSource.nextDue())
+	next = min(next, m.manifestKeyState.nextDue(), m.listKeyState.nextDue())
 	if m.spec.QuickInterval > 0 {
 		next = min(next, m.longPoll.nextDue())
 	}
@@ -177,7 +178,7 @@
 }
 
 // HandleResult handles the result of an action.
-func (m *Machine) HandleResult(now mgclock.Millis, result ResultSpec) []Action {
+func (m *Machine) HandleResult(now mgclock.Millis, result ActionResult) []Action {
 	m.now = now
 	switch result.Action.kind {
 	case Exchange:
@@ -185,7 +186,7 @@
 	case Fetch:
 		return m.handleFetchResult(now, result)
 	case LongPoll:
-		return m.handleListReply(now, result)
+		return m.handleLongPollResult(now, result)
 	case Gossip:
 		return m.handleGossipResult(now, result)
 	default:
--- a/internal/version/mgconfig/machine_test.go
+++ b/internal/version/mgconfig/machine_test.go
@@ -43,7 +43,7 @@
 			// An operator lowers a cap, and an hour later one entry still allows the
 			// old rate: the platform lost a replica and shows an older version, and the
 			// entry's VM has just been replaced.
-			f.platform.freeze(true)
+			f.platform.setStale(true)
 			f.platform.frozen[mgplatform.ManifestKey] = f.platform.values[mgplatform.ManifestKey]
 			f.publish(2, 1)
 			f.platform.stale = false
@@ -156,7 +156,7 @@
 		f := startedFleet(2, count)
 		f.platform.down = true
 		f.net.Run(3600 * sec)
-		retries := f.readsFrom(3000 * sec)
+		retries := f.readsSince(3000 * sec)
 		f.publish(2, 1)
 		f.platform.down = false
 		f.net.Run(3640 * sec)
@@ -175,7 +175,7 @@
 func TestSchedules(t *testing.T) {
 	reverted, diverged := 0, 0
 	for seed := range *schedules {
-		f := schedule(uint64(seed))
+		f := runSchedule(uint64(seed))
 		if f.regression != "" {
 			reverted++
 			t.Errorf("seed %d: %s", seed, f.regression)
@@ -192,9 +192,9 @@
 	t.Logf("%d schedules: %d with a member that went back, %d without agreement after the faults ended", *schedules, reverted, diverged)
 }
 
-// schedule runs a minute of faults and then 90 s without faults. Every fourth version is
-// faulty, but not the last.
-func schedule(seed uint64) *fleet {
+// runSchedule runs a minute of faults and then 90 s without faults. Every fourth
+// version is faulty, but not the last.
+func runSchedule(seed uint64) *fleet {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	f := newFleet(seed, 8, sec)
 	f.publish(1, 0)
@@ -216,7 +216,7 @@
 			f.startNode(rng.IntN(8))
 		case 6:
 			f.platform.down = rng.IntN(2) == 0
-			f.platform.freeze(rng.IntN(2) == 0)
+			f.platform.setStale(rng.IntN(2) == 0)
 		case 7:
 			version++
 			if version%4 == 0 {
--- a/internal/version/mgconfig/platform.go
+++ b/internal/version/mgconfig/platform.go
@@ -18,29 +18,29 @@
 	// With three, a zone keeps a watcher while one is being replaced and one has died.
 	watchersPerZone = 3
 	// watchWait is the default wait of a watch. The platform counts a watch as one
-	// read, and a stale answer can't stay hidden for longer.
+	// read. A stale answer can't stay hidden for longer than this.
 	watchWait = 20 * mgclock.Second
 	// watchInterval is the minimum interval between two watches of a key, against a
 	// platform that keeps answering at once.
 	watchInterval = 500 * mgclock.Millis(1)
 	// slowWatchInterval is the interval between watches of the list by processes for
-	// which another one watches. If that one dies, its peers still see a change within
-	// this interval, and the rest of the two seconds that a change may take remains for
-	// them.
+	// which another one watches. If that one dies, the others still see a change within
+	// this interval, and have the rest of the two seconds that a change may take left.
 	slowWatchInterval = mgclock.Second
 	// quickWatchWait and quickWatchTimeout limit the wait and the reply time of a watch
 	// of a list whose changes must be known soon. Upstreams' heartbeats end each watch
-	// within 100 ms or so; a watch whose answer was lost must not hide a notice of
-	// 1.5 s. A store that is sixty times slower answers in 240 ms.
+	// within 100 ms or so; a watch whose answer was lost must not hide an upstream's
+	// notice of 1.5 s. A platform that is sixty times slower than usual answers in 240
+	// ms.
 	quickWatchWait    = 600 * mgclock.Millis(1)
 	quickWatchTimeout = 400 * mgclock.Millis(1)
 	// readEvery replaces every tenth watch by a plain read. A platform that was set up
-	// anew counts its versions from 1, and a watch for more than the old version would
-	// never see a change.
+	// anew counts its versions from 1, and a watch for versions above the old one would
+	// see no change.
 	readEvery = 10
 	// quickReadEvery is the same for a list whose changes must be known soon: one read
-	// per at least 18 s of watches that end with the next heartbeat. A read of some
-	// thousand upstreams takes a dozen calls or more.
+	// in 18 s at least, as watches end with the next heartbeat and start 60 ms apart. A
+	// read of some thousand upstreams takes a dozen calls or more.
 	quickReadEvery = 300
 	// maxWatchIdle is the time without a watch after which a read replaces it:
 	// upstreams write about every 1.2 s.
@@ -69,7 +69,8 @@
 // Rate limits of reads of pages from the platform. Twenty-one watchers (three in each
 // of seven zones) with 25 reads a second each make 525 of the platform's 2,000, in
 // addition to the 630 first reads a second of 1,260 processes that restart over four
-// seconds. The other members read at most one page in ten seconds, 126 a second in all.
+// seconds and each read list and manifest. The other members read at most one page in
+// ten seconds, 126 a second in all.
 const (
 	watcherRate  = 25
 	watcherBurst = 10
@@ -77,13 +78,13 @@
 	memberBurst  = 2
 )
 
-// budget limits the rate of reads of pages.
-type budget struct {
+// pageReadLimiter limits the rate of reads of pages.
+type pageReadLimiter struct {
 	watcher *rate.Limiter
 	member  *rate.Limiter
 }
 
-func (b *budget) allow(now mgclock.Millis, isWatcher bool) bool {
+func (b *pageReadLimiter) allow(now mgclock.Millis, isWatcher bool) bool {
 	if b.watcher == nil {
 		b.watcher = rate.NewLimiter(watcherRate, watcherBurst)
 		b.member = rate.NewLimiter(memberRate, memberBurst)
@@ -95,8 +96,8 @@
 	return b.member.AllowN(at, 1)
 }
 
-// source is the state of a key of the platform that is kept up to date.
-type source struct {
+// keyState is the state of a key of the platform that is kept up to date.
+type keyState struct {
 	key             string
 	busy            bool           // a read is in progress
 	next            mgclock.Millis // time of the next read
@@ -112,7 +113,7 @@
 // never is a time that is never reached.
 const never = mgclock.Millis(math.MaxInt64)
 
-func (s *source) nextDue() mgclock.Millis {
+func (s *keyState) nextDue() mgclock.Millis {
 	if s.busy {
 		return never
 	}
@@ -122,10 +123,10 @@
 // readPlatform starts the reads that are due.
 func (m *Machine) readPlatform(now mgclock.Millis) []Action {
 	var actions []Action
-	if m.join.isListLong && m.listSource.version == 0 && m.listSource.failures == 0 && now < m.lastPolledAt+pollersTTL && m.readsForOthers(now) {
-		m.listSource.next = min(m.listSource.next, now) // processes that poll this one wait for the list
+	if m.join.isListLong && m.listKeyState.version == 0 && m.listKeyState.failures == 0 && now < m.lastPolledAt+pollersTTL && m.readsForOthers(now) {
+		m.listKeyState.next = min(m.listKeyState.next, now) // processes that poll this one wait for the list
 	}
-	for _, s := range []*source{&m.listSource, &m.manifestSource} {
+	for _, s := range []*keyState{&m.listKeyState, &m.manifestKeyState} {
 		if s.busy || now < s.next {
 			continue
 		}
@@ -139,18 +140,18 @@
 func (m *Machine) ReadTableNow(now mgclock.Millis) []Action {
 	m.now = now
 	m.tableReadPending = true
-	m.manifestSource.next = min(m.manifestSource.next, now)
+	m.manifestKeyState.next = min(m.manifestKeyState.next, now)
 	return m.readPlatform(now)
 }
 
 // nextRead returns a watch for a watcher that has a value, and else a read.
-func (m *Machine) nextRead(s *source) Action {
+func (m *Machine) nextRead(s *keyState) Action {
 	s.readCount++
 	every := readEvery
 	if m.isQuick(s) {
 		every = quickReadEvery
 	}
-	if s.version == 0 || !m.isWatcher() || s.readCount%every == 0 || m.isWatchOverdue(s) {
+	if s.version == 0 || !m.isWatcher() || s.readCount%every == 0 || m.isReadCheaper(s) {
 		m.counts.countRead(m.readCounter(s))
 		action := Action{
 			kind:          Read,
@@ -178,15 +179,15 @@
 	return action
 }
 
-// isWatchOverdue reports whether a watch would return more than a read: it returns all
+// isReadCheaper reports whether a watch would return more than a read: it returns all
 // heartbeats since the last one, and every upstream has sent one meanwhile. After 20 s,
 // that is a megabyte for 144 upstreams, and 0.4 s on a link of 20 Mbit/s.
-func (m *Machine) isWatchOverdue(s *source) bool {
+func (m *Machine) isReadCheaper(s *keyState) bool {
 	return m.isQuick(s) && m.now >= s.readAt+maxWatchIdle
 }
 
 // readCounter returns the counter for a plain read.
-func (m *Machine) readCounter(s *source) *int {
+func (m *Machine) readCounter(s *keyState) *int {
 	if s.version == 0 || !m.isWatcher() {
 		return &m.counts.FirstReads
 	}
@@ -194,9 +195,9 @@
 }
 
 // watchCounter returns the counter for a watch.
-func (m *Machine) watchCounter(s *source) *int {
+func (m *Machine) watchCounter(s *keyState) *int {
 	switch {
-	case s == &m.manifestSource:
+	case s == &m.manifestKeyState:
 		return &m.counts.TableWatches
 	case m.isQuick(s) && m.readsForOthers(m.now):
 		return &m.counts.QuickWatches
@@ -205,12 +206,12 @@
 	}
 }
 
-// isQuick reports whether a source's changes must be known within tens of ms.
-func (m *Machine) isQuick(s *source) bool { return s == &m.listSource && m.spec.QuickInterval > 0 }
+// isQuick reports whether a key's changes must be known within tens of ms.
+func (m *Machine) isQuick(s *keyState) bool { return s == &m.listKeyState && m.spec.QuickInterval > 0 }
 
 // isWatcher reports whether this process watches the platform for its zone. Suspects
-// are skipped, so that the next member in the ranking takes over from a watcher that
-// died before the list shows it.
+// are skipped, so that, when a watcher has died, the next member in the ranking takes
+// over even before the list shows the death.
 func (m *Machine) isWatcher() bool {
 	if _, listed := m.members.View().Member(m.spec.Name); !listed {
 		// No list names another process that could watch for this one.
@@ -235,7 +236,7 @@
 }
 
 // handlePlatformResult handles the answer to a read or a watch.
-func (m *Machine) handlePlatformResult(now mgclock.Millis, result ResultSpec) []Action {
+func (m *Machine) handlePlatformResult(now mgclock.Millis, result ActionResult) []Action {
 	switch result.Action.key {
 	case mgplatform.ListKey:
 		return m.handleListResult(now, result)
@@ -246,35 +247,36 @@
 	}
 }
 
-func (m *Machine) handleListResult(now mgclock.Millis, result ResultSpec) []Action {
+func (m *Machine) handleListResult(now mgclock.Millis, result ActionResult) []Action {
 	if errors.Is(result.Err, mgplatform.ErrManyCalls) {
-		m.listSource.busy = false
-		m.deferFirstListRead(now)
+		m.listKeyState.busy = false
+		m.requestFirstListFromPeers(now)
 		return m.askPeersForJoin(now)
 	}
-	fresh := m.listSource.finishRead(now, result, m)
-	if m.spec.ListConfirmsTable && m.listSource.failures == 0 {
+	hasValue := m.listKeyState.finishRead(now, result, m)
+	if m.spec.ListConfirmsTable && m.listKeyState.failures == 0 {
 		m.confirmTable(now)
 	}
 	before := m.members.View()
-	if !fresh || !m.adoptList(now, result.Value.Bytes()) {
+	if !hasValue || !m.adoptList(now, result.Value.Bytes()) {
 		return nil
 	}
 	var actions []Action
 	if !maps.Equal(before.Cordoned(), m.members.View().Cordoned()) {
-		actions = m.notifyHubs()
+		actions = m.notifyHubAndReader()
 	}
 	// The list determines the watchers: a new watcher starts at once, the others wait
 	// for their poll.
-	m.manifestSource.next = min(m.manifestSource.next, m.nextReadAt(now, &m.manifestSource))
-	actions = append(actions, m.pushList(now)...)
+	m.manifestKeyState.next = min(m.manifestKeyState.next, m.nextReadAt(now, &m.manifestKeyState))
+	actions = append(actions, m.pushListVersion(now)...)
 	return append(actions, m.askPeersForJoin(now)...)
 }
 
-// notifyHubs exchanges with the hub of the own cell and the region's reader after this
-// process has read new cordons itself. If one of them is cut off from the platform, the
-// processes that poll it would otherwise wait until its report is too old.
-func (m *Machine) notifyHubs() []Action {
+// notifyHubAndReader exchanges with the hub of the own cell and the region's reader
+// after this process has read new cordons itself. If one of them is cut off from the
+// platform, the processes that poll it would otherwise wait until its report is too
+// old.
+func (m *Machine) notifyHubAndReader() []Action {
 	var actions []Action
 	r := m.roles()
 	for _, to := range []*mgmember.Member{r.hub, r.reader} {
@@ -285,24 +287,25 @@
 	return actions
 }
 
-func (m *Machine) handleManifestResult(now mgclock.Millis, result ResultSpec) []Action {
-	if m.manifestSource.finishRead(now, result, m) {
+func (m *Machine) handleManifestResult(now mgclock.Millis, result ActionResult) []Action {
+	if m.manifestKeyState.finishRead(now, result, m) {
 		m.applyManifest(now, result.Value.Bytes())
 	}
-	if m.manifestSource.failures == 0 {
+	if m.manifestKeyState.failures == 0 {
 		m.tableReadPending = false
 		m.confirmTable(now)
 	}
 	if errors.Is(result.Err, mgplatform.ErrCordonsChanged) {
-		// Each hub and two more processes of its cell learn of a cordon here, even
-		// where the region's reader has just died or is cut off.
-		m.listSource.next = min(m.listSource.next, now)
+		// The watchersPerCell processes that always watch the table, which are each hub
+		// and two more of its cell, learn of a cordon here, even where the region's
+		// reader has just died or is cut off.
+		m.listKeyState.next = min(m.listKeyState.next, now)
 		return append(m.stepPull(now), m.readPlatform(now)...)
 	}
 	return m.stepPull(now)
 }
 
-func (m *Machine) handlePageResult(now mgclock.Millis, result ResultSpec) []Action {
+func (m *Machine) handlePageResult(now mgclock.Millis, result ActionResult) []Action {
 	if m.pull == nil || m.pull.id != result.Action.pullID {
 		return nil
 	}
@@ -315,30 +318,31 @@
 	return nil
 }
 
-// staleTimeout is the time without a confirmation of the list after which other
-// evidence is requested: longer than a watch takes to return the next heartbeat.
+// staleTimeout is the time without a confirmation of the list after which relays ask
+// upstreams directly whether they are leaving: longer than a watch takes to return the
+// next heartbeat.
 const staleTimeout = 1500 * mgclock.Millis(1)
 
 // quickStaleTimeout is the same where one process watches the list quickly: heartbeats
 // of a dozen upstreams end its watches every 100 ms or so, and it reports to the others
-// every 200 ms. A platform that stops answering without an error hides a notice of
-// 1.7 s, of which enough must remain to move running work; with a shorter timeout,
-// upstreams would be queried all the time.
+// every 200 ms. A platform that stops answering without an error hides an upstream's
+// notice of 1.7 s, of which enough must remain to move running work; with a shorter
+// timeout, upstreams would be asked directly all the time.
 const quickStaleTimeout = 800 * mgclock.Millis(1)
 
 // IsListStale reports whether the list is unconfirmed by the platform.
 func (m *Machine) IsListStale(now mgclock.Millis) bool {
-	failed := m.listSource.failures > 0 && now >= m.peerConfirmedAt+maxReportAge
+	failed := m.listKeyState.failures > 0 && now >= m.peerConfirmedAt+maxReportAge
 	timeout := staleTimeout
-	if m.isQuick(&m.listSource) {
+	if m.isQuick(&m.listKeyState) {
 		timeout = quickStaleTimeout
 	}
-	return failed || now >= m.listSource.confirmedAt+timeout
+	return failed || now >= m.listKeyState.confirmedAt+timeout
 }
 
 // finishRead records the end of a read and schedules the next one. It reports whether
 // the read returned a value.
-func (s *source) finishRead(now mgclock.Millis, result ResultSpec, m *Machine) bool {
+func (s *keyState) finishRead(now mgclock.Millis, result ActionResult, m *Machine) bool {
 	s.busy = false
 	unchanged := errors.Is(result.Err, mgplatform.ErrUnchanged) || errors.Is(result.Err, mgplatform.ErrCordonsChanged)
 	if result.Err != nil && !unchanged {
@@ -348,11 +352,11 @@
 			s.next = now + missingRetryInterval/2 + m.jitter(missingRetryInterval)
 			return false
 		}
-		if m.hubAnswers(now) {
+		if m.isServedByHub(now) {
 			s.next = now + platformDownInterval/2 + m.jitter(platformDownInterval)
 			return false
 		}
-		if m.leavesListToOthers() && m.isQuick(s) {
+		if m.delegatesListReads() && m.isQuick(s) {
 			s.next = now + longListReadInterval/2 + m.jitter(longListReadInterval)
 			return false
 		}
@@ -380,8 +384,8 @@
 	return true
 }
 
-// nextReadAt returns the time of the next read of a source.
-func (m *Machine) nextReadAt(now mgclock.Millis, s *source) mgclock.Millis {
+// nextReadAt returns the time of the next read of a key.
+func (m *Machine) nextReadAt(now mgclock.Millis, s *keyState) mgclock.Millis {
 	switch {
 	case !m.isWatcher():
 	case m.isQuick(s) && m.readsForOthers(now):
--- a/internal/version/mgconfig/platform_fleet_test.go
+++ b/internal/version/mgconfig/platform_fleet_test.go
@@ -35,15 +35,15 @@
 func (p *platform) put(key string, data []byte) {
 	p.values[key] = mgplatform.NewValue(p.values[key].Version()+1, data)
 	kept := p.watches[:0]
-	for _, answered := range p.watches {
-		if !answered() {
-			kept = append(kept, answered)
+	for _, tryAnswer := range p.watches {
+		if !tryAnswer() {
+			kept = append(kept, tryAnswer)
 		}
 	}
 	p.watches = kept
 }
 
-func (p *platform) freeze(stale bool) {
+func (p *platform) setStale(stale bool) {
 	p.stale = stale
 	p.frozen = make(map[string]mgplatform.Value)
 	for key, v := range p.values {
@@ -62,14 +62,14 @@
 	return peak
 }
 
-func (f *fleet) read(n *node, a Action, finish func(ResultSpec)) {
+func (f *fleet) read(n *node, a Action, finish func(ActionResult)) {
 	p := f.platform
 	if f.heartbeat > 0 && a.Key() == mgplatform.ListKey {
 		a.wait = min(a.wait, f.heartbeat)
 	}
 	answer := func(v mgplatform.Value, err error) {
 		f.net.Send("platform", n.name, len(v.Bytes())+callBytes/2, func() {
-			finish(ResultSpec{
+			finish(ActionResult{
 				Value: v,
 				Err:   err,
 			})
--- a/internal/version/mgconfig/pull.go
+++ b/internal/version/mgconfig/pull.go
@@ -17,8 +17,8 @@
 	// routes takes 1.1 ms of a core to compress and decompress, and some ms more to
 	// parse.
 	ownWatchDelay = 250 * mgclock.Millis(1)
-	// budgetDelay is the delay of a watcher whose read budget is used up.
-	budgetDelay = mgclock.Second / watcherRate
+	// pageReadDelay is the delay of a watcher whose rate limit for page reads is reached.
+	pageReadDelay = mgclock.Second / watcherRate
 	// maxPeerRounds is the number of rounds over peers, about eight seconds, before a
 	// member that is no watcher reads from the platform. In a mass restart the watchers
 	// need that long to read all pages, and values that a peer has don't cost a read.
@@ -40,15 +40,15 @@
 	next         mgclock.Millis // time of the next fetch
 }
 
-// learnVersion records that a version exists, and that the peer from has it, unless
-// from is empty.
+// learnVersion records that a version exists, and that the peer given as from has it,
+// unless that is empty.
 func (m *Machine) learnVersion(now mgclock.Millis, key versionKey, from peer) {
 	if key.version == 0 || !key.isAfter(m.Current().key()) || m.rejections.has(key.digest) {
 		return
 	}
 	if m.pull == nil || key.isAfter(m.pull.key) {
 		m.beginPull(now, key)
-		if from.addr != "" && m.isWatcher() && m.join.ready && m.manifestSource.failures == 0 {
+		if from.addr != "" && m.isWatcher() && m.join.ready && m.manifestKeyState.failures == 0 {
 			// The own watch will return it as well.
 			m.pull.next = now + ownWatchDelay
 		}
@@ -129,7 +129,7 @@
 	if p.sourceIndex < len(p.sources) {
 		return m.fetchFrom(p.sources[p.sourceIndex], missing)
 	}
-	return m.continueWithoutSource(now, missing[0])
+	return m.continueAfterRound(now, missing[0])
 }
 
 // missingDigests returns the digests of the values still to fetch.
@@ -177,18 +177,19 @@
 	}}
 }
 
-// continueWithoutSource is called after a round over all sources. A watcher, and a
-// member that has tried its peers often enough, reads one value from the platform. The
-// others look for a peer that has the version and start another round after a delay.
-func (m *Machine) continueWithoutSource(now mgclock.Millis, digest string) []Action {
+// continueAfterRound is called after a round over all sources, or without any. A
+// watcher, and a member that has tried its peers often enough, reads one value from the
+// platform. The others look for a peer that has the version and start another round
+// after a delay.
+func (m *Machine) continueAfterRound(now mgclock.Millis, digest string) []Action {
 	p := m.pull
 	isWatcher := m.isWatcher()
 	if p.manifestText != nil && (isWatcher || p.rounds >= maxPeerRounds) {
-		if m.budget.allow(now, isWatcher) {
+		if m.pageReadLimiter.allow(now, isWatcher) {
 			return m.readPage(digest)
 		}
 		if isWatcher {
-			p.next = now + budgetDelay
+			p.next = now + pageReadDelay
 			return nil
 		}
 	}
@@ -226,7 +227,7 @@
 }
 
 // handleFetchResult handles the answer to a fetch.
-func (m *Machine) handleFetchResult(now mgclock.Millis, result ResultSpec) []Action {
+func (m *Machine) handleFetchResult(now mgclock.Millis, result ActionResult) []Action {
 	switch {
 	case result.Action.peer == "":
 	case result.Err != nil:
@@ -239,7 +240,7 @@
 		m.listFetch.next = now + m.listFetchInterval()
 		if result.Err == nil && m.adoptList(now, result.List) {
 			m.postponeFirstListRead(now)
-			return m.pushList(now)
+			return m.pushListVersion(now)
 		}
 		return nil
 	}
@@ -265,7 +266,8 @@
 }
 
 // applyValue handles a fetched manifest or page. The digest alone identifies the value,
-// so it doesn't matter who sent it. applyValue reports whether the value was missing.
+// so it doesn't matter who sent it. applyValue reports whether the pull needed the
+// value.
 func (m *Machine) applyValue(now mgclock.Millis, value []byte) bool {
 	p := m.pull
 	if p == nil {
--- a/internal/version/mgconfig/rejections.go
+++ b/internal/version/mgconfig/rejections.go
@@ -6,11 +6,12 @@
 // force.
 var errVersionReused = errors.New("mgconfig: another table was published under the version in force: raise the table's version and publish it again")
 
-// rejections holds the digests of faulty values, so that they are not fetched again.
+// rejections holds the digests of faulty values, so that they are not fetched again, and
+// the version and reason of the last rejection.
 type rejections struct {
-	version uint64
-	err     error
-	digests []string
+	lastVersion uint64
+	lastErr     error
+	digests     []string
 }
 
 // maxRejections is the maximum number of digests kept. Only the newest are still
@@ -18,8 +19,8 @@
 const maxRejections = 32
 
 func (r *rejections) add(version uint64, digest string, err error) {
-	r.version = version
-	r.err = err
+	r.lastVersion = version
+	r.lastErr = err
 	if r.has(digest) {
 		return
 	}
--- a/internal/version/mgconfig/roles.go
+++ b/internal/version/mgconfig/roles.go
@@ -47,9 +47,9 @@
 	return watchersPerCell
 }
 
-// topRanked returns the top-ranked process for the hub's work among the given peers and
-// this process, or nil where that is this one. A process that is leaving is skipped
-// here and by its peers.
+// topRanked returns the process that ranks first as hub, or as reader, among the given
+// peers and this process, or nil where that is this one. A process that is leaving is
+// skipped here and by its peers.
 func (m *Machine) topRanked(peers []*mgmember.Member) *mgmember.Member {
 	self := mgmember.Self(m.spec.Name, m.spec.Zone, m.spec.Power)
 	if !m.leaving || len(peers) == 0 {
--- a/internal/version/mgconfig/start_test.go
+++ b/internal/version/mgconfig/start_test.go
@@ -11,13 +11,13 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// All entries restart at once, before ten engines each, and callers are refused for
-// seconds: each entry reads the list itself, in sixty pages for 3,000 engines, the
+// All entries restart at once, with ten engines for each entry, and callers are refused
+// for seconds: each entry reads the list itself, in sixty pages for 3,000 engines, the
 // platform rate-limits most of the reads, and the entries start over.
 func TestMassRestartOverloadsPlatform(t *testing.T) {
 	const (
-		maxDelay = 1500 * mgclock.Millis(1) // of the two seconds until callers are served again
-		perEntry = 10
+		maxDelay        = 1500 * mgclock.Millis(1) // of the two seconds until callers are served again
+		enginesPerEntry = 10
 	)
 	for _, c := range []struct {
 		count int
@@ -42,9 +42,9 @@
 		t.Run(fmt.Sprintf("%d entries, configured peers answer: %v", c.count, c.seeds), func(t *testing.T) {
 			t.Parallel()
 			Convey("All processes that start at once have a list soon", t, func() {
-				f := newListening(uint64(c.count), c.count)
-				f.upstreams = perEntry * c.count
-				f.list(0)
+				f := newLongPollFleet(uint64(c.count), c.count)
+				f.upstreams = enginesPerEntry * c.count
+				f.putList(0)
 				if !c.seeds {
 					for _, name := range f.seeds() {
 						f.dead[name] = true
@@ -80,7 +80,7 @@
 				}
 				slices.Sort(all)
 				t.Logf("a list after %d ms (median) and %d ms (maximum); %d reads of the platform",
-					all[len(all)/2], all[len(all)-1], f.readsFrom(0))
+					all[len(all)/2], all[len(all)-1], f.readsSince(0))
 				if !c.seeds {
 					So(all[len(all)-1], ShouldBeLessThanOrEqualTo, exchangeTimeout+maxDelay) // until a dead peer times out
 					return
@@ -100,10 +100,10 @@
 	t.Parallel()
 	Convey("After a third of the entries has died, the others", t, func() {
 		const count = 200
-		f := newListening(2, count)
+		f := newLongPollFleet(2, count)
 		f.upstreams = 3000
 		f.listedUpstreams = longListRows // only the number of pages matters
-		f.list(0)
+		f.putList(0)
 		f.startAll()
 		f.net.Run(15 * sec)
 		f.kill(f.reader())
@@ -113,17 +113,17 @@
 			}
 		}
 		from := f.net.Now() + sec
-		before := f.readsFrom(0)
+		before := f.readsSince(0)
 		f.net.Run(f.net.Now() + 500)
 		delay := f.timeUntilKnown(1, 1)
 		f.net.Run(f.net.Now() + 4*sec)
-		t.Logf("the next change was known everywhere after %d ms; %d reads of the platform", delay, f.readsFrom(0)-before)
+		t.Logf("the next change was known everywhere after %d ms; %d reads of the platform", delay, f.readsSince(0)-before)
 		Convey("learn of the next change soon", func() {
 			So(delay, ShouldBeLessThanOrEqualTo, 2000)
 		})
 		Convey("leave the list to the watchers of their cells, which may read it twice", func() {
 			So(f.platform.peak(from), ShouldBeLessThan, pageRate)
-			So(f.readsFrom(0)-before, ShouldBeLessThan, 2*watchersPerCell*mgmember.CellCount(count)*f.upstreams/pageRows)
+			So(f.readsSince(0)-before, ShouldBeLessThan, 2*watchersPerCell*mgmember.CellCount(count)*f.upstreams/pageRows)
 		})
 	})
 }
--- a/internal/version/mgconfig/status.go
+++ b/internal/version/mgconfig/status.go
@@ -37,7 +37,7 @@
 	Watcher         bool   `json:"watcher"`
 	List            uint64 `json:"list"`
 	Members         int    `json:"members"`
-	JoinPeers       int    `json:"heard"`             // peers that answered before it was ready
+	AnsweredPeers   int    `json:"heard"`             // peers that answered before it was ready
 	PullVersion     uint64 `json:"pulling,omitempty"` // version that is being fetched
 	RejectedVersion uint64 `json:"refused,omitempty"` // last rejected version
 	RejectionReason string `json:"faults,omitempty"`  // reasons of the rejection, one per line
@@ -54,9 +54,9 @@
 		Watcher:         m.isWatcher(),
 		List:            m.members.View().Version(),
 		Members:         len(m.members.View().All()),
-		JoinPeers:       len(m.join.peers),
-		RejectedVersion: m.rejections.version,
-		Failures:        m.manifestSource.failures,
+		AnsweredPeers:   len(m.join.answeredPeers),
+		RejectedVersion: m.rejections.lastVersion,
+		Failures:        m.manifestKeyState.failures,
 		Counts:          m.counts,
 	}
 	if current := m.Current(); current != nil {
@@ -65,12 +65,14 @@
 	if m.pull != nil {
 		s.PullVersion = m.pull.key.version
 	}
-	if m.rejections.err != nil {
-		s.RejectionReason = m.rejections.err.Error()
+	if m.rejections.lastErr != nil {
+		s.RejectionReason = m.rejections.lastErr.Error()
 	}
 	return s
 }
 
 // LastRejection returns the version that was rejected last and the reason, or nil.
 // Version 0 stands for a value that couldn't be parsed at all.
-func (m *Machine) LastRejection() (uint64, error) { return m.rejections.version, m.rejections.err }
+func (m *Machine) LastRejection() (uint64, error) {
+	return m.rejections.lastVersion, m.rejections.lastErr
+}
--- a/internal/version/mgconfig/table_age.go
+++ b/internal/version/mgconfig/table_age.go
@@ -5,8 +5,8 @@
 // A process that doesn't know the newest table may serve what its table allows, but
 // must not answer that a route or a key doesn't exist: callers take that answer as
 // final. Where one watch of the platform covers both list and table
-// (MachineSpec.ListConfirmsTable), each answer about the list also confirms that there is no newer
-// table, and reports of the list's age carry the age of that confirmation.
+// (MachineSpec.ListConfirmsTable), each answer about the list also confirms that there
+// is no newer table, and reports of the list's age carry the age of that confirmation.
 
 // tableMaxAge is the maximum age of the confirmation. An edit must be in force
 // everywhere two seconds after it was accepted.
@@ -18,13 +18,13 @@
 	if !m.spec.ListConfirmsTable {
 		return true // the age of the table is unknown
 	}
-	age := m.tableAge(now)
+	age := m.tableConfirmationAge(now)
 	return age >= 0 && age <= tableMaxAge
 }
 
-// tableAge returns the time since the platform last confirmed that it has no newer
-// table, or -1 where that is unknown.
-func (m *Machine) tableAge(now mgclock.Millis) mgclock.Millis {
+// tableConfirmationAge returns the age of the table's confirmation: the time since the
+// platform last confirmed that it has no newer table, or -1 where that is unknown.
+func (m *Machine) tableConfirmationAge(now mgclock.Millis) mgclock.Millis {
 	if m.restored && now < m.restoredAt+restoreWindow {
 		return -1
 	}
@@ -44,21 +44,21 @@
 	m.tableConfirmed = true
 }
 
-// confirmTableFrom records the confirmation in another process's report of the table in
-// force here.
+// confirmTableFrom records that the platform confirmed the table in force here, where
+// another process's report of the same table says so.
 func (m *Machine) confirmTableFrom(now mgclock.Millis, report VersionReport) {
 	if report.TableAge >= 0 && report.Table == m.Current().Version() {
 		m.confirmTable(now - report.TableAge)
 	}
 }
 
-// restoreWindow is how long after the platform was restored from an older copy its
-// newest table may lack the newest accepted edit: what the copy lacks is written again
-// meanwhile.
+// restoreWindow is how long after the platform was restored from an older backup its
+// newest table may lack the newest accepted edit: what the backup lacks is written
+// again meanwhile.
 const restoreWindow = 3200 * mgclock.Millis(1)
 
 // setEra records the era of an adopted list. A greater era means that the platform was
-// restored from a copy.
+// restored from a backup.
 func (m *Machine) setEra(now mgclock.Millis, era uint64) {
 	if m.list != nil && era > m.era {
 		m.restored = true
--- a/internal/version/mgconfig/table_age_test.go
+++ b/internal/version/mgconfig/table_age_test.go
@@ -17,7 +17,7 @@
 		m, _ := machineOfSix()
 		m.spec.ListConfirmsTable = true
 		m.current.Store(newSnapshot(7, 0))
-		m.handleManifestResult(1000, ResultSpec{
+		m.handleManifestResult(1000, ActionResult{
 			Err: mgplatform.ErrUnchanged,
 		})
 		report := VersionReport{
@@ -26,8 +26,8 @@
 			Table:    7,
 			TableAge: 100,
 		}
-		listen := func(at mgclock.Millis, report VersionReport) {
-			m.handleListReply(at, ResultSpec{
+		deliverReport := func(at mgclock.Millis, report VersionReport) {
+			m.handleLongPollResult(at, ActionResult{
 				Action: Action{
 					kind: LongPoll,
 					peer: "entry-2",
@@ -41,7 +41,7 @@
 			So(m.TableConfirmed(1000+tableMaxAge+1), ShouldBeFalse)
 		})
 		Convey("and after its answer about the list", func() {
-			m.handleListResult(4000, ResultSpec{
+			m.handleListResult(4000, ActionResult{
 				Err: mgplatform.ErrUnchanged,
 			})
 			So(m.TableConfirmed(4000+tableMaxAge), ShouldBeTrue)
@@ -56,27 +56,27 @@
 				So(err, ShouldBeNil)
 				return data
 			}
-			answers := func(at mgclock.Millis) bool {
-				m.handleManifestResult(at, ResultSpec{
+			confirmedByAnswer := func(at mgclock.Millis) bool {
+				m.handleManifestResult(at, ActionResult{
 					Err: mgplatform.ErrUnchanged,
 				})
 				return m.TableConfirmed(at)
 			}
 			So(m.adoptList(2000, list(1)), ShouldBeTrue)
 			So(m.adoptList(3000, list(2)), ShouldBeTrue)
-			So(answers(3000), ShouldBeFalse)
+			So(confirmedByAnswer(3000), ShouldBeFalse)
 			So(m.Report(3000).TableAge, ShouldEqual, -1)
-			So(answers(3000+restoreWindow-1), ShouldBeFalse)
-			So(answers(3000+restoreWindow), ShouldBeTrue)
+			So(confirmedByAnswer(3000+restoreWindow-1), ShouldBeFalse)
+			So(confirmedByAnswer(3000+restoreWindow), ShouldBeTrue)
 		})
 		Convey("not after a failed read of the list", func() {
-			m.handleListResult(4000, ResultSpec{
+			m.handleListResult(4000, ActionResult{
 				Err: mgplatform.ErrUnavailable,
 			})
 			So(m.TableConfirmed(4000), ShouldBeFalse)
 		})
 		Convey("after another process's report of the same table, counted from its age", func() {
-			listen(4000, report)
+			deliverReport(4000, report)
 			So(m.TableConfirmed(3900+tableMaxAge), ShouldBeTrue)
 			So(m.TableConfirmed(3900+tableMaxAge+1), ShouldBeFalse)
 			So(m.Report(4050).TableAge, ShouldEqual, 150)
@@ -96,7 +96,7 @@
 					TableAge: -1,
 				},
 			} {
-				listen(4000, report)
+				deliverReport(4000, report)
 				So(m.TableConfirmed(4000), ShouldBeFalse)
 			}
 		})
@@ -114,7 +114,7 @@
 		Convey("not while a newer table of the platform is being read", func() {
 			m.ReadTableNow(1100)
 			So(m.TableConfirmed(1100), ShouldBeFalse)
-			m.handleManifestResult(1200, ResultSpec{
+			m.handleManifestResult(1200, ActionResult{
 				Err: mgplatform.ErrUnchanged,
 			})
 			So(m.TableConfirmed(1200), ShouldBeTrue)
--- a/internal/version/mgconfig/version_report.go
+++ b/internal/version/mgconfig/version_report.go
@@ -8,9 +8,9 @@
 // region, so that they need not read it: which versions it has, and how long ago the
 // platform confirmed the list.
 type VersionReport struct {
-	List  uint64
-	Age   mgclock.Millis // negative without a confirmation by the platform
-	Table uint64
+	List  uint64         // version of the list of VMs
+	Age   mgclock.Millis // time since the platform confirmed the list, negative without a confirmation
+	Table uint64         // version of the table in force
 	// TableAge is the time since the platform confirmed that it has no newer table,
 	// negative where that is unknown.
 	TableAge mgclock.Millis
@@ -18,7 +18,7 @@
 
 const (
 	// maxReportAge is the age up to which a reported confirmation of the list counts as
-	// the platform's own: the quick watcher gets one every 60 to 100 ms.
+	// the platform's own: the reader gets one from the platform every 60 to 100 ms.
 	maxReportAge = 500 * mgclock.Millis(1)
 	// watchersPerCell is how many processes of a cell watch for versions of the table
 	// regardless of reports: a watch whose answer was lost hides a version for seconds.
@@ -31,10 +31,10 @@
 		List:     m.members.View().Version(),
 		Age:      -1,
 		Table:    m.Current().Version(),
-		TableAge: m.tableAge(now),
+		TableAge: m.tableConfirmationAge(now),
 	}
-	if (m.listSource.hasAnswered || m.listSource.confirmedByPeer) && (m.listSource.failures == 0 || now < m.peerConfirmedAt+maxReportAge) {
-		report.Age = now - m.listSource.confirmedAt
+	if (m.listKeyState.hasAnswered || m.listKeyState.confirmedByPeer) && (m.listKeyState.failures == 0 || now < m.peerConfirmedAt+maxReportAge) {
+		report.Age = now - m.listKeyState.confirmedAt
 	}
 	return report
 }
@@ -44,13 +44,13 @@
 
 // ApplyReport applies another process's report. A newer list is requested at once,
 // unless long polls deliver it. Where the report is fresh, the own watches are
-// postponed by the interval between two of them. Of 1,875 calls to the platform that 24
-// processes made in 47 s, these watches were more than half. Processes without such a
-// report watch within a second.
+// postponed by one watch interval. Of 1,875 calls to the platform that 24 processes
+// made in 47 s, these watches were more than half. Processes without such a report
+// watch within a second.
 func (m *Machine) ApplyReport(now mgclock.Millis, report VersionReport, from string) []Action {
 	m.now = now
 	behind := report.List > m.members.View().Version()
-	if behind && !m.longPoll.isFresh(now) {
+	if behind && !m.longPoll.deliversUpdates(now) {
 		return m.exchangeWith(m.peerNamed(from))
 	}
 	if !report.isFresh() {
@@ -61,7 +61,7 @@
 	}
 	m.confirmList(now, report)
 	if report.Table == m.Current().Version() && m.roles().rank >= watchersPerCell {
-		m.manifestSource.next = max(m.manifestSource.next, now+slowWatchInterval)
+		m.manifestKeyState.next = max(m.manifestKeyState.next, now+slowWatchInterval)
 	}
 	return nil
 }
