--- a/internal/process/mgentry/relay.go
+++ b/internal/process/mgentry/relay.go
@@ -125,7 +125,7 @@
 			Addr:             member.Addr(),
 			Zone:             member.Zone(),
 			Region:           member.Region(),
-			Suspect:          member.Suspect(),
+			FailedRecently:   member.Suspect(),
 			Cold:             member.Cold(now, coldWindow),
 			IncarnationStart: member.IncarnationStart(),
 			Granters:         fleet.assignerCount[service],
--- a/internal/process/mgrelay/attempt.go
+++ b/internal/process/mgrelay/attempt.go
@@ -52,7 +52,7 @@
 	}
 	defer response.Body.Close()
 	y.spec.ReportAnswered(host.Name)
-	y.recordLeaving(x, host, response)
+	y.recordLeavingHeader(x, host, response)
 	y.recordRetryAfter(x, host, response)
 	y.recordLimit(x, host, response)
 	x.attempts++
@@ -68,8 +68,8 @@
 		return failed
 	}
 	if impliesNotRun(response.StatusCode) {
-		// If passed on, the status would say "not run", which the upstream didn't
-		// state.
+		// Callers understand the status as "not run" (see impliesNotRun), but the
+		// upstream didn't state that with Headers.Refused.
 		x.problem = mgproblem.New(mgproblem.Unconfirmed, mgproblem.Unknown,
 			"the upstream failed with a status that promises what it didn't say", "send the request again if it may run twice")
 		return failed
@@ -81,7 +81,7 @@
 	}
 	if response.StatusCode >= http.StatusInternalServerError {
 		x.failure = bufferAnswer(response)
-		y.recordAnswered(x)
+		y.recordQuarantineAnswer(x)
 		return failed
 	}
 	y.spec.Budgets.Of(x.service).Earn(mgretry.Ratio)
@@ -179,8 +179,8 @@
 	return response.StatusCode >= http.StatusBadRequest && response.Header.Get(y.spec.Headers.Refused) != ""
 }
 
-// recordLeaving reports an upstream as leaving if its answer says so.
-func (y *Relay) recordLeaving(x *exchange, host Host, response *http.Response) {
+// recordLeavingHeader reports an upstream as leaving if its answer says so.
+func (y *Relay) recordLeavingHeader(x *exchange, host Host, response *http.Response) {
 	name := y.spec.Headers.Leaving
 	if name == "" || response.Header.Get(name) == "" || y.spec.IsLeaving == nil || y.spec.IsLeaving(host.Name) {
 		return
@@ -192,9 +192,10 @@
 }
 
 // recordMisdirected reports a host as gone if another upstream answers at its
-// address and the list doesn't show this yet. Otherwise the address, which runs none
-// of our requests, would appear least loaded and attract every further request. An
-// upstream that refuses under its own name isn't reported.
+// address and the list doesn't show this yet. Otherwise the host, at whose address
+// none of our requests run, would appear least loaded, and every further request
+// would be sent there. An upstream whose Instance header has its own name isn't
+// reported.
 func (y *Relay) recordMisdirected(host Host, response *http.Response) {
 	instance := response.Header.Get(y.spec.Headers.Instance)
 	if response.StatusCode != http.StatusMisdirectedRequest || instance == "" || instance == host.Name {
@@ -265,7 +266,7 @@
 	}
 	y.spec.Load.RecordPace(y.spec.Clock.Now(), x.lastUpstream, float64(y.spec.Clock.Now()-x.sentAt))
 	y.spec.Load.RecordAnswer(y.spec.Clock.Now(), x.lastUpstream)
-	y.recordAnswered(x)
+	y.recordQuarantineAnswer(x)
 	header := w.Header()
 	copyHeader(header, response.Header)
 	if len(body) < maxBufferedAnswer && x.method != http.MethodHead {
@@ -280,7 +281,7 @@
 		y.abort(x, err)
 	}
 	x.clearWriteDeadline()
-	y.recordAnswer(x, response.StatusCode)
+	y.countAnswer(x, response.StatusCode)
 	return delivered
 }
 
--- a/internal/process/mgrelay/backoff.go
+++ b/internal/process/mgrelay/backoff.go
@@ -38,11 +38,11 @@
 const maxRetryAfterSeconds = 1e6
 
 // beginAttempt reports whether an upstream may be sent a request now, and if so
-// registers the attempt.
+// registers the attempt with the backoffs until endAttempt.
 func (y *Relay) beginAttempt(x *exchange, host Host) bool {
-	ended, ok := y.backoffs.Acquire(y.spec.Clock.Now(), host.Name)
+	release, ok := y.backoffs.Acquire(y.spec.Clock.Now(), host.Name)
 	if ok {
-		x.releaseAttempt = ended
+		x.releaseAttempt = release
 	}
 	return ok
 }
@@ -55,23 +55,24 @@
 	}
 }
 
-// backoffLeft returns the time until the first of the upstreams at which a request
-// may run ends its backoff, or false if one is in no backoff.
-func (y *Relay) backoffLeft(x *exchange) (shortest mgclock.Millis, all bool) {
+// backoffLeft considers the upstreams at which a request may run. If all of them are
+// in a backoff, it returns the time until the first backoff ends, otherwise 0 and
+// false.
+func (y *Relay) backoffLeft(x *exchange) (shortest mgclock.Millis, allDelayed bool) {
 	return y.shortestDelay(x, func(now mgclock.Millis, host Host) mgclock.Millis { return y.backoffs.Remaining(now, host.Name) })
 }
 
-// unavailableFor is backoffLeft for upstreams that are in a backoff or have no
-// permit left.
-func (y *Relay) unavailableFor(x *exchange) (shortest mgclock.Millis, all bool) {
+// unavailableFor is like backoffLeft, but also counts an upstream as unavailable
+// while no permit can be had for it.
+func (y *Relay) unavailableFor(x *exchange) (shortest mgclock.Millis, allDelayed bool) {
 	return y.shortestDelay(x, func(now mgclock.Millis, host Host) mgclock.Millis {
 		return max(y.backoffs.Remaining(now, host.Name), y.permitDelay(now, host))
 	})
 }
 
 // shortestDelay returns the shortest delay of the upstreams at which a request may
-// run, or false if one has no delay.
-func (y *Relay) shortestDelay(x *exchange, delayAt func(now mgclock.Millis, host Host) mgclock.Millis) (shortest mgclock.Millis, all bool) {
+// run. It returns 0 and false if one of them has no delay, or if there are none.
+func (y *Relay) shortestDelay(x *exchange, delayAt func(now mgclock.Millis, host Host) mgclock.Millis) (shortest mgclock.Millis, allDelayed bool) {
 	now := y.spec.Clock.Now()
 	for _, host := range y.spec.Upstreams(x.service) {
 		if !x.homes.allows(host.Region) {
@@ -81,10 +82,10 @@
 		if delay == 0 {
 			return 0, false
 		}
-		if !all || delay < shortest {
+		if !allDelayed || delay < shortest {
 			shortest = delay
 		}
-		all = true
+		allDelayed = true
 	}
-	return shortest, all
+	return shortest, allDelayed
 }
--- a/internal/process/mgrelay/backoff_test.go
+++ b/internal/process/mgrelay/backoff_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// An upstream receives requests during the time for which it sent Retry-After, or
-// callers wait because of it.
+// Guards against requests that are sent to an upstream during the time for which it
+// sent Retry-After, and against callers that wait because of it.
 func TestRetryAfterIgnored(t *testing.T) {
 	ask := func(g *harness, path string) callerReply {
 		return g.send(context.Background(), http.MethodPost, path, "x", http.Header{"Tokens": {"30,9"}})
@@ -40,8 +40,8 @@
 			So(len(g.requests()), ShouldEqual, 16)
 		})
 		Convey("so do those with a placement there", func() {
-			g.useMemory(tableText)
-			g.restart(func(spec *mgrelay.Spec) {
+			g.configureModel(tableText)
+			g.startRelay(func(spec *mgrelay.Spec) {
 				spec.AwaitPlacement = func(context.Context, string, mgwaitlist.Request) (mgwaitlist.Grant, bool) {
 					return mgwaitlist.Grant{Place: "a"}, true
 				}
@@ -67,9 +67,9 @@
 			So(len(g.requests()), ShouldEqual, 2)
 		})
 		Convey("requests don't wait for a placement", func() {
-			g.useMemory(tableText)
+			g.configureModel(tableText)
 			asked := 0
-			g.restart(func(spec *mgrelay.Spec) {
+			g.startRelay(func(spec *mgrelay.Spec) {
 				spec.AwaitPlacement = func(context.Context, string, mgwaitlist.Request) (mgwaitlist.Grant, bool) {
 					asked++
 					return mgwaitlist.Grant{}, false
--- a/internal/process/mgrelay/cold_test.go
+++ b/internal/process/mgrelay/cold_test.go
@@ -12,15 +12,16 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// The only upstream of a plain service has just started. Since no placements are
-// assigned at it, each entry sends it all its requests.
+// Guards against overload of a cold upstream of a service without a model (kind
+// "plain"). If it is the only upstream, each entry would send it all its requests,
+// since no placements are assigned at it.
 func TestColdUpstreamOverloadedWithoutPlacement(t *testing.T) {
 	Convey("Without placements a cold upstream receives almost no requests", t, func() {
 		g := newHarness(t, answerWith("x"), answerWith("x"))
 		table, err := mgtable.Parse([]byte(strings.Replace(tableText, `kind = "plain"`, "kind = \"plain\"\ncold = 1000\nramp = 4", 1)))
 		So(err, ShouldBeNil)
 		g.table = table
-		g.restart(func(spec *mgrelay.Spec) {
+		g.startRelay(func(spec *mgrelay.Spec) {
 			spec.Name = "entry-1"
 			spec.Processes = func() int { return 1 }
 		})
--- a/internal/process/mgrelay/cordon_test.go
+++ b/internal/process/mgrelay/cordon_test.go
@@ -13,12 +13,13 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// Operators have cordoned all availability zones. A caller waits for its whole
-// deadline for an engine that it can't get, and its answer has no Retry-After.
+// Guards against a caller that waits for its whole deadline for an engine that it
+// can't get, and whose answer has no Retry-After, because operators have cordoned all
+// availability zones.
 func TestRequestWaitsThoughAllCordoned(t *testing.T) {
 	Convey("If all upstreams of a service are cordoned a request is refused at once", t, func() {
 		g := newHarness(t, answerWith("x"))
-		g.restart(func(spec *mgrelay.Spec) {
+		g.startRelay(func(spec *mgrelay.Spec) {
 			spec.Upstreams = func(string) []mgrelay.Host { return nil }
 			spec.AllCordoned = func(string) bool { return true }
 		})
@@ -30,9 +31,10 @@
 	})
 }
 
-// An engine gives notice while its availability zone is being emptied, or the
-// destination's zone is cordoned in the middle of a move. The generation continues
-// in the cordoned zone and is cut with it seconds later.
+// Guards against a generation that continues in a cordoned availability zone, and
+// breaks off seconds later with the engines there. This can come about if an engine
+// announces that it is leaving while its zone is being drained, or if the
+// destination's zone is cordoned in the middle of a move.
 func TestGenerationMovesIntoCordonedZone(t *testing.T) {
 	Convey("A generation that is moved", t, func() {
 		var cordoned atomic.Value // name of the cordoned upstream
@@ -40,7 +42,7 @@
 		var age atomic.Int64
 		moveWithCordon := func(move func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply, handlers ...upstreamHandler) (*moveScenario, callerReply) {
 			s := newMoveScenario(t, move, handlers...)
-			s.harness.restart(func(spec *mgrelay.Spec) {
+			s.harness.startRelay(func(spec *mgrelay.Spec) {
 				s.configure(spec)
 				spec.CordonAge = func(upstream string) (mgclock.Millis, bool) {
 					return mgclock.Millis(age.Load()), upstream == cordoned.Load()
--- a/internal/process/mgrelay/crash.go
+++ b/internal/process/mgrelay/crash.go
@@ -59,14 +59,15 @@
 	x.attemptBroken = true
 	now := y.spec.Clock.Now()
 	leaving := y.spec.IsLeaving != nil && y.spec.IsLeaving(host.Name)
-	keys := append(y.logBasis(),
+	keys := append(y.dataVersionKeys(),
 		mglog.Request, x.id, mglog.Route, x.call.Route.Name(), mglog.Service, x.service,
 		mglog.Upstream, host.Name, "digest", x.digest().String(), "attempts", x.attempts,
 		"begun", partial.headerReceived, "events", partial.eventCount, "ms", int64(now-x.sentAt), "leaving", leaving)
 	if x.call.Account != nil {
 		keys = append(keys, mglog.Account, x.call.Account.Name())
 	}
-	// An answer that is not a stream begins only when it is complete.
+	// Only a stream shows whether the upstream had begun to work on the request. Any
+	// other answer begins only when it is complete, so Begun is assumed.
 	crash := mgquarantine.Crash{
 		Digest:   x.digest(),
 		Request:  x.id,
@@ -85,8 +86,8 @@
 		y.spec.Log.Info("an upstream broke off an attempt", append(keys, "ended", ended, "evidence", evidence)...)
 		if evidence {
 			y.spec.Metrics.Counter("relay.crashed").Inc(1)
-			// The report of the end may have been delayed on the network for as
-			// long as the refused connection took.
+			// The news that the connection broke off may have been delayed on the
+			// network for as long as the check for the refused connection took.
 			crash.Delay = y.spec.Clock.Now() - now
 			y.spec.Quarantine.RecordCrash(now, crash)
 		}
@@ -137,8 +138,9 @@
 	return y.spec.Quarantine.HasSuspects() && !y.spec.Quarantine.Retryable(x.digest())
 }
 
-// recordAnswered reports to the quarantine that an upstream answered a request.
-func (y *Relay) recordAnswered(x *exchange) {
+// recordQuarantineAnswer reports to the quarantine that an upstream answered a
+// request.
+func (y *Relay) recordQuarantineAnswer(x *exchange) {
 	if y.spec.Quarantine.HasSuspects() {
 		y.spec.Quarantine.RecordAnswer(y.spec.Clock.Now(), x.digest())
 	}
@@ -194,8 +196,8 @@
 	}
 }
 
-// endIfHeld ends a request that is held, and reports whether it is. A generation
-// that continues from a copy started before and is not ended.
+// endIfHeld ends a request that is held, and reports whether it did. A generation
+// that continues from a copy is not ended: it started before the request was held.
 func (y *Relay) endIfHeld(w http.ResponseWriter, x *exchange) bool {
 	problem := y.heldProblem(x)
 	switch {
@@ -204,7 +206,7 @@
 	case x.headerSent:
 		y.abort(x, problem)
 	default:
-		y.refuse(w, x, problem)
+		y.answerProblem(w, x, problem)
 	}
 	return true
 }
--- a/internal/process/mgrelay/crash_test.go
+++ b/internal/process/mgrelay/crash_test.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// A reset, an announced stop or a lost link is counted as a crash under a request.
+// Guards against counting a crash against a request without evidence: after a reset,
+// an announced stop or a lost link.
 func TestCrashCountedWithoutEvidence(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -117,7 +118,7 @@
 			Convey(c.name, func() {
 				g := newHarness(t, c.handler)
 				q := mgquarantine.New("life", nil)
-				g.restart(func(spec *mgrelay.Spec) {
+				g.startRelay(func(spec *mgrelay.Spec) {
 					spec.RefusesConnections = c.refuses
 					spec.Quarantine = q
 					spec.IsLeaving = func(string) bool { return c.leaving }
@@ -127,25 +128,25 @@
 			})
 		}
 		Convey("its caller disconnected", func() {
-			began, release := make(chan struct{}), make(chan struct{})
+			began, cancelled := make(chan struct{}), make(chan struct{})
 			g := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
 				sendHeader(w)
 				close(began)
 				<-r.Context().Done()
-				close(release)
+				close(cancelled)
 			})
 			q := mgquarantine.New("life", nil)
-			g.restart(func(spec *mgrelay.Spec) {
+			g.startRelay(func(spec *mgrelay.Spec) {
 				spec.RefusesConnections = connectionsRefused
 				spec.Quarantine = q
 			})
-			ctx, leave := context.WithCancel(context.Background())
+			ctx, disconnect := context.WithCancel(context.Background())
 			go func() {
 				<-began
-				leave()
+				disconnect()
 			}()
 			g.send(ctx, http.MethodPost, "/write/1", "x", nil)
-			<-release
+			<-cancelled
 			So(q.HasSuspects(), ShouldBeFalse)
 		})
 	})
@@ -156,12 +157,13 @@
 	_ = http.NewResponseController(w).Flush()
 }
 
-// A request under which two upstreams have ended is tried on a third at once.
+// Guards against a request that is tried on a third upstream at once after two
+// upstreams have crashed while they ran it.
 func TestCrashingRequestRetriedTooOften(t *testing.T) {
 	Convey("A request under which an upstream ends", t, func() {
 		g := newHarness(t, headerThenHangUp, headerThenHangUp, answerWith("id: 1\n\n"))
 		q := mgquarantine.New("life", nil)
-		g.restart(func(spec *mgrelay.Spec) {
+		g.startRelay(func(spec *mgrelay.Spec) {
 			spec.RefusesConnections = connectionsRefused
 			spec.Quarantine = q
 		})
@@ -191,15 +193,15 @@
 	})
 }
 
-// A held request reaches an upstream, or its caller gets "not run" although it may
-// have run.
+// Guards against a held request that reaches an upstream, and against a caller that
+// gets "not run" although its request may have run.
 func TestHeldRequestReachesUpstream(t *testing.T) {
 	Convey("A request that is held", t, func() {
 		q := mgquarantine.New("life", nil)
 		Convey("is refused at once, as not run, with Retry-After", func() {
 			for _, path := range []string{"/note/1", "/book/1", "/write/1", "/look/1"} {
 				g := newHarness(t, answerWith("id: 1\n\n"))
-				g.restart(func(spec *mgrelay.Spec) { spec.Quarantine = q })
+				g.startRelay(func(spec *mgrelay.Spec) { spec.Quarantine = q })
 				holdRequest(q, path, "x")
 				got := g.send(context.Background(), http.MethodPost, path, "x", nil)
 				So(got.status, ShouldEqual, http.StatusServiceUnavailable)
@@ -213,7 +215,7 @@
 		Convey("is given up while it waits for a placement", func() {
 			g := newHarness(t, answerWith("id: 1\n\n"))
 			waiting := make(chan struct{})
-			g.restart(func(spec *mgrelay.Spec) {
+			g.startRelay(func(spec *mgrelay.Spec) {
 				spec.Quarantine = q
 				spec.AwaitPlacement = func(ctx context.Context, _ string, _ mgwaitlist.Request) (mgwaitlist.Grant, bool) {
 					close(waiting)
@@ -221,7 +223,7 @@
 					return mgwaitlist.Grant{}, false
 				}
 			})
-			g.useMemory(tableText)
+			g.configureModel(tableText)
 			go func() {
 				<-waiting
 				holdRequest(q, "/note/1", "x")
@@ -233,15 +235,15 @@
 		})
 		Convey("is cancelled at an upstream that hasn't begun it, and is not reported as not run", func() {
 			for _, path := range []string{"/note/1", "/book/1"} {
-				left := make(chan struct{})
+				cancelled := make(chan struct{})
 				g := newHarness(t, func(_ http.ResponseWriter, r *http.Request) {
 					holdRequest(q, path, "x")
 					<-r.Context().Done()
-					close(left)
+					close(cancelled)
 				})
-				g.restart(func(spec *mgrelay.Spec) { spec.Quarantine = q })
+				g.startRelay(func(spec *mgrelay.Spec) { spec.Quarantine = q })
 				got := g.send(context.Background(), http.MethodPost, path, "x", nil)
-				<-left
+				<-cancelled
 				So(got.status, ShouldEqual, http.StatusBadGateway)
 				So(got.body, ShouldContainSubstring, `"unknown"`)
 			}
@@ -259,7 +261,7 @@
 					<-held
 					sendEvent(w, "2")
 				})
-				g.restart(func(spec *mgrelay.Spec) { spec.Quarantine = q })
+				g.startRelay(func(spec *mgrelay.Spec) { spec.Quarantine = q })
 				body, err := g.readStream("/note/1", "x", firstByte)
 				So(err, ShouldBeNil)
 				So(body, ShouldEqual, "id: 1\n\nid: 2\n\n")
@@ -270,7 +272,7 @@
 					<-held
 					panic(http.ErrAbortHandler)
 				}, answerWith("id: 2\n\n"))
-				g.restart(func(spec *mgrelay.Spec) {
+				g.startRelay(func(spec *mgrelay.Spec) {
 					spec.Quarantine = q
 					spec.RefusesConnections = connectionsRefused
 				})
--- a/internal/process/mgrelay/doc.go
+++ b/internal/process/mgrelay/doc.go
@@ -1,5 +1,7 @@
 // Package mgrelay is the reverse proxy of an entry: it forwards callers' requests to
-// upstreams unchanged, and the answers back, along the routes of the table.
+// upstreams unchanged, and the answers back, along the routes of the table (see
+// mgtable): the operators' configuration of accounts, services, models, upstreams and
+// routes.
 //
 // Method, path, query and body are forwarded byte for byte. HeaderNames names the headers
 // in which a deployment carries what the proxy reads and sets: the request's id, its
@@ -10,7 +12,8 @@
 //
 //   - A request that must not be repeated is sent to a second upstream only if the
 //     first stated that it did not run, or if no connection was made.
-//   - The caller gets "not run" only in these two cases, too.
+//   - The caller gets "not run" for a request that was sent only in these two cases,
+//     too. It also gets it for a request that was sent to no upstream.
 //   - An answer that breaks off upstream breaks off at the caller. It never
 //     appears complete.
 //   - An answer that names another request is discarded: its connection is
@@ -28,9 +31,18 @@
 //     platform can't be reached.
 //   - attempt: one send of a request to one upstream.
 //   - refused: the upstream stated that an attempt did not run.
-//   - garbled: an answer without the upstream's signature, or for another
-//     request.
+//   - garbled: an answer that can't be attributed to the upstream and the request:
+//     one without the upstream's signature, with an encoding that nobody asked for,
+//     or for another request. Its bytes needn't be corrupted.
+//   - engine: an upstream that produces generations.
+//   - notice: an engine's announcement that it is leaving, one to two seconds before
+//     it is reclaimed.
+//   - cut: broken off before the end.
+//   - step: one iteration of an engine, which produces the next token of each of its
+//     generations.
 //   - generation: a streamed answer that an upstream is producing for a caller.
+//   - memory of a generation: what its engine stores per token of prompt and output
+//     (the KV cache). It is counted in tokens.
 //   - copy: the memory of a generation, copied from the upstream that runs it to
 //     another one, so that the generation can continue there.
 //   - placement: memory that is reserved at an upstream for a generation. The
@@ -39,11 +51,17 @@
 //     that leaves.
 //   - backoff: the time during which an upstream that sent Retry-After gets no
 //     requests from this process.
-//   - cold: an upstream that started a short time ago and handles few requests yet.
+//   - cold: an upstream that started a short time ago and can handle only few
+//     requests yet (see mgwarm).
+//   - turn: the time slot in which a process may send one request without a placement
+//     to a cold upstream (see mgwarm).
+//   - pace: how slow an upstream is: ms per token of a stream, ms per request
+//     otherwise.
 //   - home: a region in which a request may run.
 //   - permit: the permission to send one request to an upstream that has announced
 //     a rate limit. All entries together give at most as many as it allows.
 //   - cordon: operators keep new work away from an availability zone.
-//   - quarantine: requests under which upstreams crashed are held, that is refused
-//     for a time.
+//   - quarantine: requests under which upstreams crashed, that is while they were
+//     about to begin the request or had just begun it, are refused for a time. Such
+//     requests are called held; they don't wait.
 package mgrelay
--- a/internal/process/mgrelay/exchange.go
+++ b/internal/process/mgrelay/exchange.go
@@ -42,7 +42,7 @@
 	failure          *answer     // the last upstream's answer that it failed
 	mayHaveRun       bool        // at an upstream
 	attemptBroken    bool        // an upstream closed the connection of an attempt
-	admitted         bool        // by the quarantine
+	admitted         bool        // by the quarantine; later checks only ask whether it is held
 	headerSent       bool        // of a stream, to the caller
 	streaming        atomic.Bool // headerSent for other goroutines
 	digestOnce       sync.Once
@@ -50,7 +50,7 @@
 	sequence         eventSequence       // of the events that the caller has
 	lastEventAt      mgclock.Millis      // when the caller was last sent events
 	firstAfterResume bool                // the next events are the first ones of another upstream
-	resumed          bool                // the generation continues after the events in sequence
+	resumed          bool                // the generation continues at another upstream, after the last event in sequence
 	releaseAttempt   func(answered bool) // unregisters the attempt from backoffs; nil if none is registered
 	resumeFrom       resumePoint         // what the next attempt continues from, or zero
 	resumePoints     []resumePoint       // where else the generation can continue
@@ -71,13 +71,13 @@
 	body   []byte
 }
 
-// writeSlack is how much longer than its timeout a request's answer may take to be
-// written before a caller that doesn't read is disconnected.
+// writeSlack is added to a request's timeout to get the time limit for writing its
+// answer. A caller that hasn't read the answer by then is disconnected.
 const writeSlack = mgclock.Second
 
 // newExchange reads a request. It reads the whole body first: the body can then be
-// sent to a second upstream, and an upstream that answers before it has read the
-// whole body never receives bytes of another body in its place.
+// sent to a second upstream, and if an upstream answers before it has read the whole
+// body, it can't take bytes of another body for the rest.
 func (y *Relay) newExchange(w http.ResponseWriter, r *http.Request, call Call, startedAt mgclock.Millis) (*exchange, *mgproblem.Problem) {
 	x := &exchange{
 		call:      call,
@@ -101,7 +101,7 @@
 		}
 		x.timeout = min(x.timeout, mgclock.Millis(deadline))
 	}
-	_ = x.control.SetReadDeadline(mgclock.DeadlineAfter(x.timeout)) // a recorder has no deadlines
+	_ = x.control.SetReadDeadline(mgclock.DeadlineAfter(x.timeout)) // an httptest.ResponseRecorder has no deadlines
 	body, err := io.ReadAll(r.Body)
 	_ = x.control.SetReadDeadline(time.Time{})
 	if err != nil {
--- a/internal/process/mgrelay/generation.go
+++ b/internal/process/mgrelay/generation.go
@@ -19,7 +19,7 @@
 	eventCount   atomic.Int64   // events delivered
 	lastEventAt  mgclock.Millis // when events were last delivered
 
-	claimed      bool          // it is or was being moved; guarded by generations.mu
+	claimed      bool          // a move has been started, or none may start any more; guarded by generations.mu
 	moveDone     chan struct{} // closed when its move is done
 	resumePoints []resumePoint // where it can continue after the move; read after moveDone is closed
 	registry     *generations
@@ -34,9 +34,9 @@
 	added      chan struct{}   // closed when a generation is added
 }
 
-// nextAdded returns a channel that is closed when the next generation is added. One
-// may start at an upstream that was found to be leaving while the request was on its
-// way there.
+// nextAdded returns a channel that is closed when the next generation is added. A
+// generation may still start at a leaving upstream, if the upstream was found to be
+// leaving while the request was on its way there.
 func (s *generations) nextAdded() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +130,7 @@
 	return best
 }
 
-// isClaimed reports whether a generation was claimed for a move, which makes the
+// isClaimed reports whether a generation was claimed for a move. The move makes the
 // upstream end the generation's stream.
 func (s *generations) isClaimed(r *generation) bool {
 	s.mu.Lock()
--- a/internal/process/mgrelay/harness_test.go
+++ b/internal/process/mgrelay/harness_test.go
@@ -114,7 +114,7 @@
 	for i, answer := range handlers {
 		g.addUpstream(t, string(rune('a'+i)), answer)
 	}
-	g.restart(func(*mgrelay.Spec) {})
+	g.startRelay(func(*mgrelay.Spec) {})
 	return g
 }
 
@@ -127,9 +127,9 @@
 	return mgload.Report{Rows: rows}
 }
 
-// useMemory gives the upstreams of a table's service a memory, so that generations
-// wait for placements.
-func (g *harness) useMemory(text string) {
+// configureModel uses a table whose service has a model, and so upstreams of known
+// memory, so that generations wait for placements.
+func (g *harness) configureModel(text string) {
 	text = strings.Replace(text, `kind = "plain"`, "model = \"m\"", 1)
 	text += "\n[[model]]\nname = \"m\"\ncontext = 9000\nmax = 9000\n"
 	table, err := mgtable.Parse([]byte(text))
@@ -139,8 +139,9 @@
 	g.table = table
 }
 
-// restart opens the relay again with some of its spec changed.
-func (g *harness) restart(change func(*mgrelay.Spec)) {
+// startRelay starts the relay with some of its spec changed, in place of an earlier
+// one, which runs on until the test ends.
+func (g *harness) startRelay(change func(*mgrelay.Spec)) {
 	spec := mgrelay.Spec{
 		Headers:        mgrelay.DefaultHeaderNames(),
 		Log:            logr.Discard(),
--- a/internal/process/mgrelay/headernames.go
+++ b/internal/process/mgrelay/headernames.go
@@ -51,8 +51,8 @@
 	output int // expected
 }
 
-// outputMemoryFraction is the part of an expected output that counts as used memory:
-// what a generation holds of it on average while it runs.
+// outputMemoryFraction is the part of an expected output that counts as used memory.
+// A generation's output grows while it runs: this is its average length.
 const outputMemoryFraction = 0.5
 
 // memory returns the tokens of memory that are counted for a generation.
@@ -63,7 +63,9 @@
 const defaultOutputFraction = 0.5
 
 // sizeOf reads a generation's size. A value that can't be parsed counts as unknown:
-// the size affects only the order and the choice of the upstream.
+// the size affects only estimates, that is the expected duration and the load that
+// the request adds to an upstream, and so the order of placements and the choice of
+// the upstream. A request whose prompt is unknown gets no placement.
 func (f *HeaderNames) sizeOf(header http.Header) generationSize {
 	prompt, maxText, _ := strings.Cut(header.Get(f.Tokens), ",")
 	var s generationSize
@@ -95,8 +97,9 @@
 }
 
 // forwardedHeaders returns the headers of a caller's request that are forwarded. The
-// key never is, and headers that the relay sets are dropped: otherwise a caller
-// could act as another account or use memory that the system reserved.
+// caller's key (Authorization) is never forwarded, and headers that the relay sets
+// are dropped: otherwise a caller could act as another account or use memory that
+// the system reserved.
 func (f *HeaderNames) forwardedHeaders(from http.Header) http.Header {
 	to := endToEndHeaders(from)
 	to.Del("Authorization")
--- a/internal/process/mgrelay/home.go
+++ b/internal/process/mgrelay/home.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// homes are the regions in which a request may run. It must run in a region of the
-// route's list and in one of the account's list. An empty list allows all.
+// homes are the regions in which a request may run. Its region must be in both the
+// route's list and the account's list. An empty list allows all.
 type homes struct {
 	route   []string
 	account []string
--- a/internal/process/mgrelay/home_test.go
+++ b/internal/process/mgrelay/home_test.go
@@ -13,8 +13,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// A customer's documents may not leave their country. The nearest engine with free
-// memory, or the one that is left after another failed, is in another country.
+// Guards against a customer's documents leaving the country that they may not leave:
+// the nearest engine with free memory, or the one that is left after another failed,
+// may be in another country.
 func TestRequestRunsOutsideHomes(t *testing.T) {
 	Convey("A request runs in its homes only", t, func() {
 		for name, c := range map[string]struct {
@@ -82,11 +83,11 @@
 		} {
 			Convey(homes, func() {
 				g := newHarness(t, answerWith("x"), answerWith("x"))
-				g.useMemory(strings.Replace(tableText, `prefix = "/write/"`, "prefix = \"/write/\"\n"+homes, 1))
+				g.configureModel(strings.Replace(tableText, `prefix = "/write/"`, "prefix = \"/write/\"\n"+homes, 1))
 				g.hosts[0].Region = "north"
 				g.hosts[1].Region = "south"
 				asked := 0
-				g.restart(func(spec *mgrelay.Spec) {
+				g.startRelay(func(spec *mgrelay.Spec) {
 					spec.AwaitPlacement = func(context.Context, string, mgwaitlist.Request) (mgwaitlist.Grant, bool) {
 						asked++
 						return mgwaitlist.Grant{Place: "a"}, true
--- a/internal/process/mgrelay/host.go
+++ b/internal/process/mgrelay/host.go
@@ -16,21 +16,21 @@
 	Addr             string // IP and port
 	Zone             string
 	Region           string
-	Suspect          bool  // it failed recently
+	FailedRecently   bool  // it failed recently
 	Cold             bool  // it may have started a short time ago
-	IncarnationStart int64 // start of its current incarnation by the list, 0 if the list gives none
-	Granters         int   // processes that assign placements at it, at least 1
+	IncarnationStart int64 // when its incarnation started, as stated by the list; 0 if not stated
+	Granters         int   // processes that assign placements or give permits for it, at least 1
 }
 
 // candidate is an upstream and the cost of a request there.
 type candidate struct {
 	host          Host
 	cost          float64 // ms
-	tokenDelay    float64 // part of cost, ms per token
+	tokenDelay    float64 // ms per token, included in cost
 	freeTokens    int     // unused memory in tokens, if known
 	pendingTokens int     // prompt tokens that are yet to be read
 	avoid         bool    // it failed recently, and others are healthy
-	cold          bool    // it handles few requests now; see mgwarm
+	cold          bool    // it may be able to handle only few requests now; see mgwarm
 }
 
 // avoidPenalty is added to the cost of upstreams that failed recently, to rank them
@@ -49,7 +49,8 @@
 	})
 	if query.Copy {
 		// A moved generation reads and uses memory at its destination like any other
-		// request.
+		// request, but is sent without waiting for a permit (see takeForcedPermit). So
+		// destinations without a rate limit go first.
 		for i := range list {
 			if _, limited := y.spec.Limits.Rate(list[i].host.Name, list[i].host.IncarnationStart); limited {
 				list[i].cost += avoidPenalty
@@ -124,7 +125,7 @@
 			tokenDelay:    state.TokenCost,
 			freeTokens:    query.Capacity - state.Row.Memory,
 			pendingTokens: state.Row.Pending,
-			avoid:         host.Suspect || isFaulty(faultWeights[i]),
+			avoid:         host.FailedRecently || isFaulty(faultWeights[i]),
 			// Other entries may have seen it fail and start again when this process
 			// didn't.
 			cold: host.Cold || faultWeights[i] > 0,
@@ -137,9 +138,9 @@
 	return list
 }
 
-// PlacementCandidates returns the upstreams of a service, given what the other entries have sent,
-// for the assignment of placements. It returns nil if the service has no upstreams
-// that accept new work.
+// PlacementCandidates returns the upstreams of a service, given what the other entries
+// have sent, for the assignment of placements. It returns nil if the service has no
+// upstreams that accept new work.
 func (y *Relay) PlacementCandidates(table *mgtable.Table, service string, others mgload.Report) []mgwaitlist.Place {
 	query := mgload.Query{
 		Zone:     y.spec.Zone,
@@ -149,9 +150,9 @@
 	if len(list) == 0 {
 		return nil
 	}
-	ramp := 0.0
+	maxColdRate := 0.0
 	if found := table.Service(service); found != nil {
-		ramp = found.MaxColdRate()
+		maxColdRate = found.MaxColdRate()
 	}
 	places := make([]mgwaitlist.Place, 0, len(list))
 	for _, c := range list {
@@ -165,8 +166,8 @@
 			Free:      c.freeTokens,
 			Pending:   c.pendingTokens,
 		}
-		if c.cold && ramp > 0 {
-			place.Ramp = mgwarm.PlacementLimit(ramp, c.host.Granters)
+		if c.cold && maxColdRate > 0 {
+			place.Ramp = mgwarm.PlacementLimit(maxColdRate, c.host.Granters)
 		}
 		place.Rate, place.Limited = y.spec.Limits.Rate(c.host.Name, c.host.IncarnationStart)
 		place.Granters = c.host.Granters
--- a/internal/process/mgrelay/limit.go
+++ b/internal/process/mgrelay/limit.go
@@ -52,8 +52,9 @@
 	return ok
 }
 
-// takeForcedPermit counts a request that is sent to a rate-limited upstream with or
-// without a permit.
+// takeForcedPermit reports a request that is sent to a rate-limited upstream even if
+// there is no permit, so that it counts against the limit. It doesn't wait for the
+// reply.
 func (y *Relay) takeForcedPermit(ctx context.Context, x *exchange, host Host) {
 	if _, limited := y.spec.Limits.Rate(host.Name, host.IncarnationStart); !limited {
 		return
@@ -74,8 +75,9 @@
 	}
 }
 
-// PermitRequest asks for permission to send one request to an upstream that has announced a
-// rate limit.
+// PermitRequest asks for a permit to send one request to an upstream that has
+// announced a rate limit. Ask names the upstream and the request; the other fields
+// say which limit applies and how many processes share it.
 type PermitRequest struct {
 	Ask              mglimit.PermitRequest
 	IncarnationStart int64 // the upstream's incarnation
--- a/internal/process/mgrelay/limit_test.go
+++ b/internal/process/mgrelay/limit_test.go
@@ -33,8 +33,8 @@
 	return &limit
 }
 
-// An upstream that announced a rate limit receives more requests than that, or
-// callers wait because of it.
+// Guards against sending an upstream more requests than the rate limit that it
+// announced, and against callers that wait because of the limit.
 func TestUpstreamLimitExceeded(t *testing.T) {
 	ask := func(g *harness, path string) callerReply {
 		return g.send(context.Background(), http.MethodPost, path, "x", http.Header{
@@ -66,8 +66,8 @@
 			So(requestsAt(g, "a"), ShouldBeLessThanOrEqualTo, maxRequests(2, began))
 		})
 		Convey("so do those with a placement there", func() {
-			g.useMemory(tableText)
-			g.restart(func(spec *mgrelay.Spec) {
+			g.configureModel(tableText)
+			g.startRelay(func(spec *mgrelay.Spec) {
 				spec.AwaitPlacement = func(context.Context, string, mgwaitlist.Request) (mgwaitlist.Grant, bool) {
 					return mgwaitlist.Grant{Place: "a"}, true
 				}
@@ -96,7 +96,7 @@
 		}
 		Convey("requests are refused at once, with different Retry-After", func() {
 			times := map[string]bool{}
-			g.restart(func(spec *mgrelay.Spec) { spec.Headers.RetryAfterFractions = true })
+			g.startRelay(func(spec *mgrelay.Spec) { spec.Headers.RetryAfterFractions = true })
 			for n := range 2 {
 				ask(g, "/once/again"+strconv.Itoa(n))
 			}
@@ -121,7 +121,7 @@
 		}
 	})
 	Convey("A moved generation goes to an upstream without a limit, else it is counted as forced", t, func() {
-		for limitedHost, forcedSends := range map[string]int64{"b": 0, "both": 1} {
+		for limitedHosts, forcedSends := range map[string]int64{"b": 0, "both": 1} {
 			var forced atomic.Int64
 			limits := &mglimit.Limits{}
 			s := newMoveScenario(t, func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
@@ -134,10 +134,10 @@
 				}
 			}, resumeFromCopy, resumeFromCopy)
 			limits.RecordRate(0, "b", 0, 1)
-			if limitedHost == "both" {
+			if limitedHosts == "both" {
 				limits.RecordRate(0, "c", 0, 1)
 			}
-			s.harness.restart(func(spec *mgrelay.Spec) {
+			s.harness.startRelay(func(spec *mgrelay.Spec) {
 				s.configure(spec)
 				spec.Limits = limits
 				spec.TakePermit = func(_ context.Context, permit mgrelay.PermitRequest) (mgclock.Millis, bool) {
@@ -150,7 +150,7 @@
 			got := s.harness.send(context.Background(), http.MethodPost, "/write/1", "x", nil)
 			So(got.body, ShouldEqual, wholeStream())
 			requests := s.harness.requests()
-			if limitedHost == "b" {
+			if limitedHosts == "b" {
 				So(requests[len(requests)-1].upstream, ShouldEqual, "c")
 			}
 			So(forced.Load(), ShouldEqual, forcedSends)
--- a/internal/process/mgrelay/move.go
+++ b/internal/process/mgrelay/move.go
@@ -20,10 +20,10 @@
 	for ctx.Err() == nil {
 		changed := y.spec.LeavingChanged()
 		added := y.generations.nextAdded()
-		stays := func(upstream string) bool { return !y.spec.IsLeaving(upstream) }
-		y.backoffs.Forget(stays)
-		y.permitWaits.Forget(stays)
-		y.localPermits.Forget(stays)
+		isStaying := func(upstream string) bool { return !y.spec.IsLeaving(upstream) }
+		y.backoffs.Forget(isStaying)
+		y.permitWaits.Forget(isStaying)
+		y.localPermits.Forget(isStaying)
 		for _, host := range y.generations.hostsNotEvacuating() {
 			if y.spec.IsLeaving(host.Name) {
 				y.generations.setEvacuating(host.Name, true)
@@ -48,7 +48,7 @@
 func (y *Relay) evacuate(ctx context.Context, host Host) {
 	name := host.Name
 	defer y.generations.setEvacuating(name, false)
-	if y.awaitReturn(ctx, host) {
+	if y.awaitRelisting(ctx, host) {
 		return
 	}
 	until := y.spec.Clock.Now() + lateStartWindow
@@ -90,7 +90,7 @@
 	move           mgmigration.Move
 	destination    Host
 	hasDestination bool
-	tried          map[string]bool // since the last pause
+	tried          map[string]bool // destinations not to try; cleared after each wait of mgmigration.RetryDelay
 	refusedCount   int             // destinations without memory
 	lastReply      mgmigration.Reply
 	slotWait       mgclock.Millis // time until a migration slot and destination were found
@@ -163,7 +163,7 @@
 	if len(r.resumePoints) == 0 {
 		what = "a generation was not moved"
 	}
-	y.spec.Log.Info(what, append(y.logBasis(),
+	y.spec.Log.Info(what, append(y.dataVersionKeys(),
 		mglog.Request, r.exchange.id, mglog.Upstream, r.host.Name, "to", m.destination.Name, "found", m.hasDestination,
 		"outcome", m.lastReply.Outcome.String(), "tried", m.refusedCount, "stopped", m.move.Stopped(),
 		"places", len(r.resumePoints), "ms", int64(m.duration), "waited", int64(m.slotWait))...)
@@ -191,7 +191,7 @@
 // upstream itself confirms that.
 func (y *Relay) findDestination(r *generation, tried map[string]bool) (Host, bool) {
 	for {
-		host, found := y.chooseDestination(r, tried)
+		host, found := y.acquireDestination(r, tried)
 		if !found || y.canTakeOver(r.ctx, host) {
 			return host, found
 		}
@@ -202,9 +202,10 @@
 	}
 }
 
-// chooseDestination waits for a migration slot and returns the best destination by
-// the list.
-func (y *Relay) chooseDestination(r *generation, tried map[string]bool) (Host, bool) {
+// acquireDestination waits for a migration slot and returns the best destination by
+// the list. The slot belongs to the generation, not to the destination:
+// moveGeneration releases it once, after the move.
+func (y *Relay) acquireDestination(r *generation, tried map[string]bool) (Host, bool) {
 	request := mgmigration.SlotRequest{
 		Source:  r.host.Name,
 		Run:     r.exchange.id,
--- a/internal/process/mgrelay/move_test.go
+++ b/internal/process/mgrelay/move_test.go
@@ -75,9 +75,9 @@
 	return s
 }
 
-// A resumable stream breaks off with its engine, without a notice, and isn't resumed
-// at another upstream. The caller's own client would start the request again from
-// the beginning.
+// Guards against a resumable stream that breaks off with its engine, without a
+// notice, and isn't resumed at another upstream. The caller's own client would start
+// the request again from the beginning.
 func TestInterruptedStreamNotResumed(t *testing.T) {
 	Convey("A resumable stream continues at another upstream", t, func() {
 		fromEvent := func(w http.ResponseWriter, r *http.Request) {
@@ -139,9 +139,10 @@
 	return all.String()
 }
 
-// A report is produced a second time from its beginning and mixed with the first:
-// the engine with the copy was gone when the relay connected to it, nothing had been
-// sent to it, and the relay mistook this for a request that had never run.
+// Guards against a generation that is produced a second time from its beginning and
+// mixed with the first. It came about when the engine with the copy was gone as the
+// relay connected to it: nothing had been sent to it, and the relay mistook this for
+// a request that had never run.
 func TestGenerationRestartsAfterCopyLost(t *testing.T) {
 	Convey("A generation whose copy can't be reached breaks off visibly", t, func() {
 		s := newMoveScenario(t, func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
@@ -159,7 +160,7 @@
 			}
 		})
 		s.harness.hosts[1].Addr = "127.0.0.1:1"
-		s.harness.restart(s.configure)
+		s.harness.startRelay(s.configure)
 		got := s.harness.send(context.Background(), http.MethodPost, "/write/1", "x", nil)
 		So(got.cut, ShouldBeTrue)
 		So(strings.HasPrefix(wholeStream(), got.body), ShouldBeTrue)
@@ -169,10 +170,11 @@
 	})
 }
 
-// An engine is reclaimed two seconds after its notice, and a report of seven seconds
-// is cut in the middle; or one step of its move fails, and it continues elsewhere
-// with events missing or repeated.
-func TestMovedGenerationCutOrGarbled(t *testing.T) {
+// Guards against a generation of seven seconds that breaks off in the middle because
+// its engine is reclaimed two seconds after its notice, and against one that
+// continues elsewhere with events missing or repeated because a step of its move
+// failed.
+func TestMovedGenerationCutOrIncorrect(t *testing.T) {
 	copied := func(handle string) mgmigration.Reply {
 		return mgmigration.Reply{
 			Outcome: mgmigration.Copied,
@@ -284,7 +286,7 @@
 		for _, c := range cases {
 			Convey(c.name, func() {
 				s := newMoveScenario(t, c.reply, c.others...)
-				s.harness.restart(s.configure)
+				s.harness.startRelay(s.configure)
 				got := s.harness.send(context.Background(), http.MethodPost, "/write/1", "x", nil)
 				So(got.status, ShouldEqual, http.StatusOK)
 				So(got.header.Get("Signature"), ShouldEqual, "signed by a")
--- a/internal/process/mgrelay/placement.go
+++ b/internal/process/mgrelay/placement.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	// maxWaitGoals times its goal is how long a generation waits for a placement at
-	// most: its caller leaves after four times the goal, and one that is refused
-	// before that can retry.
-	maxWaitGoals = 3
+	// maxWaitGoalFactor bounds the time from a generation's arrival to its
+	// placement, as a multiple of the route's latency goal. Callers disconnect after
+	// four times the goal; one that is refused before that can retry.
+	maxWaitGoalFactor = 3
 	// firstEventSlack is the time from the grant of a placement to the first event,
-	// apart from reading the prompt: network round trips, a step, and prompts that
-	// are read before.
+	// without the time to read the generation's own prompt (prefill). It covers
+	// network round trips, a step, and prompts of others that are read before.
 	firstEventSlack = 100 * mgclock.Millis(1)
 )
 
 // awaitPlacement requests the placement of a generation's first attempt, and waits
-// until an upstream has memory for it or the request is given up. It returns false
-// for other requests, and if no process could be asked.
+// until an upstream has memory for it or the request is given up. If decided is
+// true, the request is sent to host, or answered with x.problem if that is set. It is
+// false for other requests, if no process could be asked, and if the upstream that
+// was assigned can't be used now.
 func (y *Relay) awaitPlacement(ctx context.Context, x *exchange) (host Host, decided bool) {
 	if y.spec.AwaitPlacement == nil || x.attempts+x.failedDials > 0 || x.call.Route.Kind() != mgtable.Stream || x.size.prompt == 0 {
 		return Host{}, false
@@ -34,7 +36,7 @@
 		// choose an upstream that the request may not use.
 		return Host{}, false
 	}
-	if _, all := y.backoffLeft(x); all {
+	if _, allDelayed := y.backoffLeft(x); allDelayed {
 		x.problem = y.noCapacityProblem(x)
 		return Host{}, true
 	}
@@ -46,8 +48,8 @@
 	}
 	for _, host := range y.spec.Upstreams(x.service) { // may have changed during the wait
 		if host.Name == grant.Place {
-			// The process that assigns placements doesn't know about backoffs that
-			// upstreams requested from other processes.
+			// Upstreams send Retry-After to this process, and the process that
+			// assigns placements doesn't know about the backoffs of other processes.
 			if !y.beginAttempt(x, host) {
 				return Host{}, false
 			}
@@ -69,7 +71,7 @@
 // waitingRequest describes the request for the waiting list.
 func (x *exchange) waitingRequest(now mgclock.Millis) mgwaitlist.Request {
 	promptTime := mgclock.Millis(float64(x.size.prompt)/mgload.ReadRate) + firstEventSlack
-	end := x.startedAt + maxWaitGoals*x.call.Route.LatencyGoal()
+	end := x.startedAt + maxWaitGoalFactor*x.call.Route.LatencyGoal()
 	if x.call.Route.LatencyGoal() == 0 {
 		end = x.startedAt + x.timeout
 	}
--- a/internal/process/mgrelay/probe.go
+++ b/internal/process/mgrelay/probe.go
@@ -9,8 +9,9 @@
 
 const (
 	// probeInterval is the interval at which upstreams are asked whether they are
-	// leaving while the list may be stale. A notice is one to two seconds long, and
-	// a move takes at least 200 ms.
+	// leaving while the list may be stale. An engine announces that it is leaving
+	// one to two seconds before its end (its notice), and a move takes at least
+	// 200 ms.
 	probeInterval = 250 * mgclock.Millis(1)
 	// probeTimeout bounds one answer.
 	probeTimeout = 150 * mgclock.Millis(1)
@@ -21,13 +22,14 @@
 	// outageStaleChecks is the number of consecutive checks, probeInterval apart,
 	// that must find the list stale before the platform counts as unavailable: list
 	// entries expire after three heartbeats, 3.6 s. A watch that is late by a second
-	// is no outage; an upstream that is missing from the list is then leaving,
-	// though some never report it.
+	// is no outage. Without an outage, an upstream that is missing from the list
+	// counts as leaving, since some leave without ever reporting it.
 	outageStaleChecks = 8
-	// lapseWindow is how long after an outage a missing upstream may merely have
-	// expired from the list: the platform states that live upstreams are listed
-	// again within two seconds of its return, which is noticed 0.25 s late.
-	lapseWindow = 2500 * mgclock.Millis(1)
+	// listExpiryWindow is the time after an outage during which an upstream may be
+	// missing from the list only because its list entry expired. The platform states
+	// that live upstreams are listed again within two seconds of its return, and its
+	// return is noticed 0.25 s late.
+	listExpiryWindow = 2500 * mgclock.Millis(1)
 )
 
 // probeWhileStale asks the upstreams that run generations whether they are leaving,
@@ -60,20 +62,20 @@
 		// A lost answer is no evidence; the next probe follows after probeInterval.
 		return
 	}
-	y.recordDeparted(host)
+	y.reportLeaving(host)
 }
 
-// awaitReturn waits while an upstream that is missing from the list may merely have
+// awaitRelisting waits while an upstream that is missing from the list may merely have
 // expired there, and reports whether the list has it again. List entries expire
 // while the platform is unavailable. If the generations of live engines were moved
 // at once, they would all go to the few upstreams that the list still has, and pause
 // while one copy waits for another. An upstream that answers that it is leaving, or
 // doesn't answer, isn't waited for.
-func (y *Relay) awaitReturn(ctx context.Context, host Host) bool {
+func (y *Relay) awaitRelisting(ctx context.Context, host Host) bool {
 	if y.spec.IsMissing == nil || y.spec.AskLeaving == nil || y.lastOutageAt.Load() == 0 {
 		return false
 	}
-	for y.spec.Clock.Now() < mgclock.Millis(y.lastOutageAt.Load())+lapseWindow && y.spec.IsMissing(host.Name) {
+	for y.spec.Clock.Now() < mgclock.Millis(y.lastOutageAt.Load())+listExpiryWindow && y.spec.IsMissing(host.Name) {
 		if !y.confirmsStaying(ctx, host) || !y.spec.Clock.Sleep(ctx, probeInterval) {
 			return false
 		}
@@ -89,8 +91,8 @@
 
 // canTakeOver reports whether an upstream can take over a generation. While the list
 // may be stale, the upstream is asked: one that is gone appears emptiest of all, and
-// the source tries to reach it for 1.2 s, which is most of a notice, before the
-// other generations that wait for the source's link.
+// the source would try to reach it for 1.2 s. That is most of a notice, and the
+// other generations at the source would wait for its link meanwhile.
 func (y *Relay) canTakeOver(ctx context.Context, host Host) bool {
 	if y.spec.AskLeaving == nil || !y.spec.IsListStale() {
 		return true
@@ -106,7 +108,7 @@
 		y.spec.Load.RecordFault(y.spec.Clock.Now(), host.Name)
 		return false
 	case leaving:
-		y.recordDeparted(host)
+		y.reportLeaving(host)
 		return false
 	}
 	return true
@@ -120,8 +122,8 @@
 	return y.spec.AskLeaving(ctx, host)
 }
 
-// recordDeparted logs and reports an upstream that says that it is leaving.
-func (y *Relay) recordDeparted(host Host) {
+// reportLeaving logs and reports an upstream that answered a probe that it is leaving.
+func (y *Relay) reportLeaving(host Host) {
 	y.spec.Log.Info("an upstream reports that it is leaving, which the list doesn't show", mglog.Upstream, host.Name)
 	y.spec.ReportDeparted(host.Name)
 }
--- a/internal/process/mgrelay/relay.go
+++ b/internal/process/mgrelay/relay.go
@@ -28,7 +28,7 @@
 	Clock   mgclock.Clock
 	Log     logr.Logger
 	Metrics *mgmetric.Set
-	Budgets *mgretry.Budgets
+	Budgets *mgretry.Budgets // bound the retries of each service
 	// Client sends requests to upstreams; see mgdial.NewClientWith.
 	Client *http.Client
 	// Upstreams returns all upstreams that run a service and aren't leaving, in any
@@ -62,9 +62,10 @@
 	// them are cordoned. Nil reports none.
 	AllCordoned func(service string) bool
 	// AcquireSlot acquires a migration slot for a generation of a service, and ReleaseSlot
-	// releases it; see mgmigration.Slots. It returns false if no process could be
-	// asked. If AcquireSlot is nil, moves need no slot.
-	AcquireSlot func(ctx context.Context, service string, request mgmigration.SlotRequest) (place string, ok bool)
+	// releases it; see mgmigration.Slots. AcquireSlot returns the name of the destination
+	// to move the generation to, or false if no process could be asked. If AcquireSlot is
+	// nil, moves need no slot.
+	AcquireSlot func(ctx context.Context, service string, request mgmigration.SlotRequest) (destination string, ok bool)
 	ReleaseSlot func(service, source, run string)
 	// AwaitPlacement asks the process that assigns placements for an upstream. It returns as
 	// soon as one has memory for the generation, or when the request is given up,
@@ -87,8 +88,8 @@
 	// is nil.
 	Quarantine *mgquarantine.Quarantine
 	// Limits are the rate limits that upstreams announce in their answers. TakePermit
-	// takes a permit to send to one of them, or returns the time until there may be
-	// one. New creates both for this process alone if they are nil.
+	// takes a permit to send to an upstream that has one, or returns the time until
+	// there may be a permit. New creates both for this process alone if they are nil.
 	Limits     *mglimit.Limits
 	TakePermit func(ctx context.Context, request PermitRequest) (wait mgclock.Millis, ok bool)
 	// RefusesConnections reports whether an upstream's address refuses connections, as it does
@@ -112,9 +113,9 @@
 	exchanges    exchanges
 	generations  generations
 	coldTurns    mgwarm.Turns
-	backoffs     mgrest.Rests
-	permitWaits  mglimit.Backoffs
-	localPermits mglimit.Permits // if Spec.TakePermit is nil
+	backoffs     mgrest.Rests     // of upstreams that sent Retry-After
+	permitWaits  mglimit.Backoffs // of upstreams for which a permit was denied
+	localPermits mglimit.Permits  // if Spec.TakePermit is nil
 	rejections   rejections
 	answerCount  atomic.Uint64 // successful answers to the first attempt
 	// lastOutageAt is when the platform was last unavailable, in ms of the clock; 0
@@ -139,7 +140,7 @@
 	return y
 }
 
-// Call is a request that the table allows.
+// Call is the route and the account that the table has for an allowed request.
 type Call struct {
 	Table   *mgtable.Table
 	Route   *mgtable.Route
@@ -147,10 +148,10 @@
 }
 
 // maxDials bounds the upstreams that a request tries to connect to, and
-// 1/dialTimeDivisor is the part of its time that it may spend on this. Nothing was
-// sent to an upstream that could not be reached, so it doesn't count as an attempt.
-// Half of the upstreams in the list of an entry that was cut off for twelve seconds
-// may be gone.
+// 1/dialTimeDivisor is the part of its time that it may spend on this. The number of
+// attempts doesn't bound them, since nothing was sent to an upstream that could not
+// be reached. Many may be needed: after an entry was cut off from the platform for
+// twelve seconds, half of the upstreams in its list may be gone.
 const (
 	maxDials        = 8
 	dialTimeDivisor = 4
@@ -161,12 +162,12 @@
 	startedAt := y.spec.Clock.Now()
 	x, problem := y.newExchange(w, r, call, startedAt)
 	if problem != nil {
-		y.refuse(w, x, problem)
+		y.answerProblem(w, x, problem)
 		return
 	}
 	if y.spec.TimeLeft != nil {
 		if left, stopping := y.spec.TimeLeft(); stopping && x.expectedDuration() > left {
-			y.refuse(w, x, mgproblem.New(mgproblem.Leaving, mgproblem.NotRun,
+			y.answerProblem(w, x, mgproblem.New(mgproblem.Leaving, mgproblem.NotRun,
 				"this entry ends before the answer would", "send the request again on a new connection").WithRetryAfter(retryDelay))
 			return
 		}
@@ -233,12 +234,12 @@
 		if !y.beginAttempt(x, c.host) {
 			continue
 		}
-		warm := !c.host.Cold || y.takeColdTurn(x, c.host)
-		if warm && y.takePermit(ctx, x, c.host) {
+		withinColdRate := !c.host.Cold || y.takeColdTurn(x, c.host)
+		if withinColdRate && y.takePermit(ctx, x, c.host) {
 			return c.host, true
 		}
 		x.endAttempt(false)
-		x.skippedCold = x.skippedCold || !warm
+		x.skippedCold = x.skippedCold || !withinColdRate
 	}
 	return Host{}, false
 }
@@ -290,11 +291,11 @@
 			"all availability zones with upstreams of the service are cordoned",
 			"send it again after the time given").WithRetryAfter(retryDelayCordoned)
 	}
-	if left, all := y.backoffLeft(x); all {
+	if left, allDelayed := y.backoffLeft(x); allDelayed {
 		return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
 			"all upstreams of the service asked for a rest", "send it again after the time given").WithRetryAfter(left)
 	}
-	if left, all := y.unavailableFor(x); all {
+	if left, allDelayed := y.unavailableFor(x); allDelayed {
 		return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
 			"all upstreams of the service have as many requests as they take", "send it again after the time given").
 			WithRetryAfter(y.spreadRetryDelay(x, left))
@@ -328,9 +329,9 @@
 const retryDelayNoUpstream = mgclock.Second
 
 // retryDelayCordoned is the Retry-After while all upstreams are cordoned. Operators
-// do this for minutes and may end it at any moment: callers shorten the delay to a
-// part of the time that they have. It is also used if no upstream is in a region
-// where the request may run.
+// do this for minutes and may end it at any moment. Callers need not wait this long:
+// they shorten the delay to a part of the time that they have. It is also used if no
+// upstream is in a region where the request may run.
 const retryDelayCordoned = 5 * mgclock.Second
 
 // retryDelay is the Retry-After in all other cases: long enough for another entry to
--- a/internal/process/mgrelay/relay_test.go
+++ b/internal/process/mgrelay/relay_test.go
@@ -13,8 +13,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A call whose path, query or body is changed while it is forwarded is a different
-// call: the service books something that nobody requested.
+// Guards against a path, query or body that is changed while it is forwarded. It
+// would be a different call: the service would book something that nobody requested.
 func TestRequestAlteredInTransit(t *testing.T) {
 	targets := []string{
 		"/book/2f",
@@ -56,9 +56,9 @@
 	})
 }
 
-// An engine works for seconds on an answer that nobody waits for any more: it
-// received the caller's whole deadline again, or its connection stayed open after
-// the caller had disconnected.
+// Guards against an engine that works for seconds on an answer that nobody waits for
+// any more, because it received the caller's whole deadline again, or because its
+// connection stayed open after the caller had disconnected.
 func TestUpstreamWorksPastDeadline(t *testing.T) {
 	Convey("An upstream receives the remaining time of the deadline", t, func() {
 		g := newHarness(t, answerWith("a"))
@@ -108,7 +108,7 @@
 	})
 }
 
-// A deadline that can't be parsed is treated as no deadline.
+// Guards against treating a deadline that can't be parsed as no deadline.
 func TestUnreadableDeadlineIgnored(t *testing.T) {
 	Convey("A request with an invalid deadline does not run", t, func() {
 		g := newHarness(t, answerWith("a"))
@@ -121,8 +121,9 @@
 	})
 }
 
-// An entry that stops within eight seconds accepts a report of nine, and cuts it; or
-// it refuses a lookup that it could have answered a hundred times over.
+// Guards against an entry that stops within eight seconds and yet accepts a
+// generation of nine, which then breaks off, or that refuses a lookup that it has
+// ample time for, a hundred times what it takes.
 func TestStoppingEntryTakesLongRequest(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -162,7 +163,7 @@
 		for _, c := range cases {
 			Convey(c.name, func() {
 				g := newHarness(t, answerWith("id: 1\n\n"))
-				g.restart(func(spec *mgrelay.Spec) {
+				g.startRelay(func(spec *mgrelay.Spec) {
 					spec.TimeLeft = func() (mgclock.Millis, bool) { return c.left, true }
 				})
 				got := g.send(context.Background(), http.MethodPost, c.path, "x", http.Header{
--- a/internal/process/mgrelay/resend_test.go
+++ b/internal/process/mgrelay/resend_test.go
@@ -10,18 +10,18 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mgrelay"
 )
 
-// A write is booked, its answer is lost, and the relay sends it to the next host of
-// the service: it is booked twice. Or the caller gets "not run" although it ran, and
-// repeats it.
+// Guards against a write that is booked twice: its answer is lost and the relay sends
+// it to the next host of the service, or the caller gets "not run" although it ran,
+// and repeats it.
 func TestRequestRunsTwice(t *testing.T) {
 	cases := []struct {
-		name     string
-		path     string
-		handlers []upstreamHandler
-		requests int
-		status   int
-		cut      bool
-		retry    bool
+		name          string
+		path          string
+		handlers      []upstreamHandler
+		requests      int
+		status        int
+		cut           bool
+		hasRetryAfter bool
 	}{
 		{
 			name:     "a write whose answer is lost is not repeated",
@@ -52,12 +52,12 @@
 			status:   http.StatusOK,
 		},
 		{
-			name:     "a write that may go to one host only is refused with Retry-After",
-			path:     "/once/1",
-			handlers: []upstreamHandler{refuseWith(http.StatusServiceUnavailable), answerWith("b")},
-			requests: 1,
-			status:   http.StatusServiceUnavailable,
-			retry:    true,
+			name:          "a write that may go to one host only is refused with Retry-After",
+			path:          "/once/1",
+			handlers:      []upstreamHandler{refuseWith(http.StatusServiceUnavailable), answerWith("b")},
+			requests:      1,
+			status:        http.StatusServiceUnavailable,
+			hasRetryAfter: true,
 		},
 		{
 			name:     "a host's own 503 without the refusal header doesn't mean not run",
@@ -102,14 +102,15 @@
 				got := g.send(context.Background(), http.MethodPost, c.path, "x", nil)
 				So(len(g.requests()), ShouldEqual, c.requests)
 				So(got.status, ShouldEqual, c.status)
-				So(got.header.Get("Retry-After") != "", ShouldEqual, c.retry)
+				So(got.header.Get("Retry-After") != "", ShouldEqual, c.hasRetryAfter)
 			})
 		}
 	})
 }
 
-// A host has crashed and its address refuses connections. Nothing was sent, so even
-// a write may go to the next host.
+// Guards against counting a failed connection as an attempt. If a host has crashed
+// and its address refuses connections, nothing was sent, so even a write may go to
+// the next host.
 func TestFailedDialCountsAsAttempt(t *testing.T) {
 	Convey("A host that can't be reached counts as no attempt", t, func() {
 		g := newHarness(t, answerWith("a"))
@@ -131,14 +132,14 @@
 		// With a Retry-After of a tenth of a second callers retry once, too early:
 		// expired list entries are listed again within two seconds.
 		g := newHarness(t)
-		g.restart(func(spec *mgrelay.Spec) { spec.Headers.RetryAfterFractions = true })
+		g.startRelay(func(spec *mgrelay.Spec) { spec.Headers.RetryAfterFractions = true })
 		got := g.send(context.Background(), http.MethodPost, "/once/1", "x", nil)
 		So(got.status, ShouldEqual, http.StatusServiceUnavailable)
 		So(got.header.Get("Retry-After"), ShouldEqual, "1.000")
 	})
 }
 
-// A caller reads half an answer, or another caller's, and takes it for its own
+// Guards against a caller that takes half an answer, or another caller's, for its own
 // complete one: an upstream broke off, or its bytes were not an answer to this
 // request, and the relay forwarded them anyway.
 func TestForeignOrPartialAnswerDelivered(t *testing.T) {
@@ -147,7 +148,7 @@
 		name     string
 		path     string
 		handlers []upstreamHandler
-		got      string // what a caller may receive if it isn't complete
+		got      string // the body that the caller may receive, whole or until it breaks off
 		whole    bool
 	}{
 		{
@@ -224,9 +225,10 @@
 	})
 }
 
-// Engines crash while the platform is unavailable, and their addresses are reused by
-// another service. It answers each request at once as misdirected, runs none of our
-// requests, appears least loaded, and attracts them all.
+// Guards against an address that attracts all requests: engines crash while the
+// platform is unavailable, and their addresses are reused by another service, which
+// answers each request at once as misdirected, runs none of our requests and so
+// appears least loaded.
 func TestReusedAddressAttractsRequests(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -256,7 +258,7 @@
 					w.WriteHeader(http.StatusMisdirectedRequest)
 				}, answerWith("b"))
 				var departed []string
-				g.restart(func(spec *mgrelay.Spec) {
+				g.startRelay(func(spec *mgrelay.Spec) {
 					spec.ReportDeparted = func(name string) { departed = append(departed, name) }
 				})
 				got := g.send(context.Background(), http.MethodPost, "/book/1", "x", nil)
--- a/internal/process/mgrelay/respond.go
+++ b/internal/process/mgrelay/respond.go
@@ -22,14 +22,14 @@
 	case x.failure != nil:
 		y.passOn(w, x, x.failure)
 	case x.mayHaveRun:
-		y.refuse(w, x, mgproblem.New(mgproblem.Interrupted, mgproblem.Unknown,
+		y.answerProblem(w, x, mgproblem.New(mgproblem.Interrupted, mgproblem.Unknown,
 			"no upstream brought an answer", "send the request again if it may run twice").WithCause(x.cause()))
 	case x.refusal != nil:
 		y.passOn(w, x, x.refusal)
 	case x.problem != nil && x.problem.RetryAfter() > 0:
-		y.refuse(w, x, x.problem)
+		y.answerProblem(w, x, x.problem)
 	default:
-		y.refuse(w, x, y.noCapacityProblem(x).WithCause(x.cause()))
+		y.answerProblem(w, x, y.noCapacityProblem(x).WithCause(x.cause()))
 	}
 }
 
@@ -46,15 +46,16 @@
 	case x.headerSent:
 		y.abort(x, x.cause())
 	case x.mayHaveRun:
-		y.refuse(w, x, mgproblem.New(mgproblem.DeadlineExceeded, mgproblem.Unknown,
+		y.answerProblem(w, x, mgproblem.New(mgproblem.DeadlineExceeded, mgproblem.Unknown,
 			"the time for the request is over", "ask for more time").WithCause(x.cause()))
 	default:
-		y.refuse(w, x, y.noCapacityProblem(x).WithCause(x.cause()))
+		y.answerProblem(w, x, y.noCapacityProblem(x).WithCause(x.cause()))
 	}
 }
 
-// passOn forwards an upstream's own refusal or failure, and adds Retry-After if a
-// refusal gives none.
+// passOn forwards an upstream's own refusal or failure. It sets Retry-After on every
+// 503, also in place of the upstream's, and on other statuses that imply "not run" if
+// the upstream gives none.
 func (y *Relay) passOn(w http.ResponseWriter, x *exchange, upstreamAnswer *answer) {
 	copyHeader(w.Header(), upstreamAnswer.header)
 	if upstreamAnswer.status == http.StatusServiceUnavailable || impliesNotRun(upstreamAnswer.status) && w.Header().Get("Retry-After") == "" {
@@ -80,12 +81,12 @@
 	return false
 }
 
-// refuse answers with a problem of the relay's own.
-func (y *Relay) refuse(w http.ResponseWriter, x *exchange, problem *mgproblem.Problem) {
+// answerProblem answers with a problem of the relay's own.
+func (y *Relay) answerProblem(w http.ResponseWriter, x *exchange, problem *mgproblem.Problem) {
 	y.WriteProblem(w, problem)
 	x.clearWriteDeadline()
 	y.spec.Metrics.Counter("relay.failed." + string(problem.Kind())).Inc(1)
-	keys := y.logBasis()
+	keys := y.dataVersionKeys()
 	if problem.Kind() == mgproblem.Quarantined {
 		keys = append(keys, "digest", x.digest().String())
 	}
@@ -120,16 +121,16 @@
 // can't appear complete.
 func (y *Relay) abort(x *exchange, cause error) {
 	y.spec.Metrics.Counter("relay.cut").Inc(1)
-	y.spec.Log.Info("an answer was cut", append(y.logBasis(),
+	y.spec.Log.Info("an answer was cut", append(y.dataVersionKeys(),
 		mglog.Request, x.id, mglog.Route, x.call.Route.Name(), mglog.Service, x.service,
 		mglog.Version, x.call.Table.Version(), mglog.Upstream, x.lastUpstream,
 		"attempts", x.attempts, "ms", int64(y.elapsed(x)), "why", cause.Error())...)
 	panic(http.ErrAbortHandler)
 }
 
-// recordAnswer counts an answer that was delivered, and logs it if it was unusual or
+// countAnswer counts an answer that was delivered, and logs it if it was unusual or
 // sampled.
-func (y *Relay) recordAnswer(x *exchange, status int) {
+func (y *Relay) countAnswer(x *exchange, status int) {
 	y.spec.Metrics.Counter("relay.answers").Inc(1)
 	y.spec.Metrics.Histogram("relay.ms").Update(int64(y.elapsed(x)))
 	if status >= http.StatusBadRequest {
@@ -149,9 +150,9 @@
 // answers are all logged.
 const logSampleInterval = 20
 
-// logBasis returns log keys for the data on which current decisions are based: the
+// dataVersionKeys returns log keys for the data on which current decisions are based: the
 // version of the list of upstreams and the age of the other entries' load reports.
-func (y *Relay) logBasis() []any {
+func (y *Relay) dataVersionKeys() []any {
 	if y.spec.ListVersion == nil {
 		return nil
 	}
@@ -160,7 +161,7 @@
 }
 
 func (y *Relay) log(x *exchange, what string, status int) {
-	y.spec.Log.Info(what, append(y.logBasis(),
+	y.spec.Log.Info(what, append(y.dataVersionKeys(),
 		mglog.Request, x.id, mglog.Route, x.call.Route.Name(), mglog.Service, x.service,
 		mglog.Version, x.call.Table.Version(), mglog.Upstream, x.lastUpstream,
 		"status", status, "attempts", x.attempts, "dials", x.failedDials, "ms", int64(y.elapsed(x)))...)
--- a/internal/process/mgrelay/resume.go
+++ b/internal/process/mgrelay/resume.go
@@ -7,9 +7,10 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// cordonGrace is how long after its availability zone is known to be cordoned an
-// upstream still accepts a generation whose copy was on its way there: otherwise the
-// caller would lose the answer. A cordon must be in force within seconds.
+// cordonGrace is the time for which the relay still continues generations at an
+// upstream after it has learnt that the upstream's availability zone is cordoned. A
+// generation's copy may have been on its way there; otherwise the caller would lose
+// the answer. A cordon must be in force within seconds.
 const cordonGrace = 2 * mgclock.Second
 
 // isBarred reports whether generations must not continue at an upstream because its
--- a/internal/process/mgrelay/sequence.go
+++ b/internal/process/mgrelay/sequence.go
@@ -11,9 +11,9 @@
 // that it was sent, or too late, if its copy was taken at another moment. The caller
 // must see neither.
 type eventSequence struct {
-	lastID    string // id of the last event that was delivered
-	nextID    int64  // the expected id, if ids are consecutive whole numbers
-	unordered bool   // ids are not consecutive whole numbers
+	lastID         string // id of the last event that was delivered
+	nextID         int64  // the expected id, if ids are consecutive whole numbers
+	nonConsecutive bool   // ids are not consecutive whole numbers
 }
 
 // record records complete events of the first upstream.
@@ -28,20 +28,20 @@
 		o.lastID = id
 		n, err := strconv.ParseInt(id, 10, 64)
 		if err != nil || o.nextID != 0 && n != o.nextID {
-			o.unordered = true
+			o.nonConsecutive = true
 		}
 		o.nextID = n + 1
 	}
 }
 
-// undelivered returns the events of a later upstream that the caller doesn't have
-// yet.
-func (o *eventSequence) undelivered(events []byte) ([]byte, error) {
-	if o.unordered || o.nextID == 0 {
+// takeUndelivered returns the events of a later upstream that the caller doesn't have
+// yet, and records them as delivered.
+func (o *eventSequence) takeUndelivered(events []byte) ([]byte, error) {
+	if o.nonConsecutive || o.nextID == 0 {
 		o.record(events)
 		return events, nil
 	}
-	var missing []byte
+	var undelivered []byte
 	for rest := events; len(rest) > 0; {
 		event, after := cutEvent(rest)
 		rest = after
@@ -56,9 +56,9 @@
 			o.lastID = id
 			o.nextID++
 		}
-		missing = append(missing, event...)
+		undelivered = append(undelivered, event...)
 	}
-	return missing, nil
+	return undelivered, nil
 }
 
 // cutEvent returns the first event with its separator, and the remaining events.
--- a/internal/process/mgrelay/sequence_test.go
+++ b/internal/process/mgrelay/sequence_test.go
@@ -6,8 +6,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A report continues at another engine with an event repeated or missing, and nobody
-// notices.
+// Guards against a generation that continues at another engine with an event repeated
+// or missing, which nobody would notice.
 func TestResumedStreamRepeatsOrSkipsEvents(t *testing.T) {
 	const first = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
 	cases := []struct {
@@ -58,7 +58,7 @@
 			Convey(c.name, func() {
 				var o eventSequence
 				o.record([]byte(c.before))
-				got, err := o.undelivered([]byte(c.after))
+				got, err := o.takeUndelivered([]byte(c.after))
 				So(err != nil, ShouldEqual, c.faulty)
 				So(string(got), ShouldEqual, c.got)
 			})
--- a/internal/process/mgrelay/stale_test.go
+++ b/internal/process/mgrelay/stale_test.go
@@ -14,9 +14,10 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/request/mgmigration"
 )
 
-// The platform is unavailable, and the engine that appears emptiest has just gone. A
-// report's engine gives notice; for more than a second its memory is sent to the one
-// that is gone, and the report is cut with its engine.
+// Guards against a generation that breaks off with its engine because its move was
+// tried to a destination that is gone. While the platform is unavailable, the engine
+// that appears emptiest may have just gone; a source that gives notice would try for
+// more than a second to send the generation's memory there.
 func TestMoveToGoneDestination(t *testing.T) {
 	moveWithProbe := func(probe func(host mgrelay.Host) (bool, error)) (*moveScenario, callerReply) {
 		s := newMoveScenario(t, func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
@@ -32,7 +33,7 @@
 				Handle:  "h",
 			}
 		}, hangUp, resumeFromCopy)
-		s.harness.restart(func(spec *mgrelay.Spec) {
+		s.harness.startRelay(func(spec *mgrelay.Spec) {
 			s.configure(spec)
 			spec.IsListStale = func() bool { return true }
 			spec.ReportDeparted = func(string) {}
@@ -63,13 +64,14 @@
 	})
 }
 
-// The platform returns without the list entries of live engines, which expired meanwhile.
-// All reports are moved to the three engines still listed and pause for half a second while
-// copies wait for one another; two seconds later all entries are listed again.
-func TestMoveFromLapsedUpstream(t *testing.T) {
+// Guards against moving the generations of live engines whose list entries expired
+// during an outage of the platform. All of them would be moved to the three engines
+// still listed and pause for half a second while copies wait for one another; two
+// seconds later all entries are listed again.
+func TestMoveFromExpiredUpstream(t *testing.T) {
 	Convey("After an outage of the platform an upstream that is missing from its list", t, func() {
 		for name, c := range map[string]struct {
-			staleChecks int64 // for which the list is stale, a quarter of a second apart
+			staleChecks int64 // number of checks that find the list stale; they are a quarter of a second apart
 			leaves      bool
 			moved       bool
 		}{
@@ -87,7 +89,7 @@
 			},
 		} {
 			Convey(name, func() {
-				var staleChecks atomic.Int64 // number of checks so far
+				var checks atomic.Int64 // number of checks so far
 				copied := func(s *moveScenario, order mgrelay.MoveOrder) mgmigration.Reply {
 					if order.Stop {
 						close(s.breakOff)
@@ -118,12 +120,12 @@
 					}
 				}
 				s.harness = newHarness(t, source, resumeFromCopy)
-				s.harness.restart(func(spec *mgrelay.Spec) {
+				s.harness.startRelay(func(spec *mgrelay.Spec) {
 					s.configure(spec)
 					spec.IsMissing = spec.IsLeaving
 					spec.ReportDeparted = func(string) {}
 					spec.IsListStale = func() bool {
-						check := staleChecks.Add(1)
+						check := checks.Add(1)
 						if check == c.staleChecks+1 {
 							close(back)
 						}
--- a/internal/process/mgrelay/stream.go
+++ b/internal/process/mgrelay/stream.go
@@ -63,9 +63,9 @@
 		}
 	}
 	x.clearWriteDeadline()
-	y.recordAnswered(x)
+	y.recordQuarantineAnswer(x)
 	y.recordTokenTime(gen)
-	y.recordAnswer(x, response.StatusCode)
+	y.countAnswer(x, response.StatusCode)
 	return delivered
 }
 
@@ -96,7 +96,7 @@
 // callers expect, and whether the generation had just been resumed at this upstream.
 func (y *Relay) recordPause(x *exchange, host Host, now mgclock.Millis) {
 	pause := now - x.lastEventAt
-	moved := x.firstAfterResume
+	afterResume := x.firstAfterResume
 	x.lastEventAt = now
 	x.firstAfterResume = false
 	gap := x.call.Route.MaxEventInterval()
@@ -105,9 +105,9 @@
 	}
 	y.spec.Metrics.Counter("relay.stalls").Inc(1)
 	y.spec.Metrics.Histogram("relay.stall.ms").Update(int64(pause))
-	y.spec.Log.Info("a stream paused", append(y.logBasis(),
+	y.spec.Log.Info("a stream paused", append(y.dataVersionKeys(),
 		mglog.Request, x.id, mglog.Route, x.call.Route.Name(), mglog.Upstream, host.Name,
-		"ms", int64(pause), "moved", moved, "attempts", x.attempts)...)
+		"ms", int64(pause), "moved", afterResume, "attempts", x.attempts)...)
 }
 
 // streamInterrupted records a stream that broke off, and where the generation can
@@ -129,11 +129,11 @@
 // deliverEvents writes events to the caller.
 func (y *Relay) deliverEvents(w http.ResponseWriter, x *exchange, events []byte) error {
 	if x.resumed {
-		missing, err := x.sequence.undelivered(events)
+		undelivered, err := x.sequence.takeUndelivered(events)
 		if err != nil {
 			return err
 		}
-		events = missing
+		events = undelivered
 	} else {
 		x.sequence.record(events)
 	}
