--- a/internal/process/mgnode/agent.go
+++ b/internal/process/mgnode/agent.go
@@ -30,14 +30,14 @@
 		Clock:          n.clock,
 		Log:            n.log,
 		Metrics:        n.metrics,
-		Signer:         n.seal,
+		Signer:         n.signer,
 		Engine:         mgengine.NewHTTP(settings.UpstreamURL, nil),
 		Service:        mgservice.NewHTTP(settings.UpstreamURL, nil),
 		Table:          n.Table,
 		ObserveVersion: n.ObserveVersion,
-		AwaitVersion:   n.loop.Await,
+		AwaitVersion:   n.configLoop.Await,
 		Plan:           (&planner{node: n}).plan,
-		IsCurrent:      func() (mgclock.Millis, bool) { return n.isOwnAgentOf(settings.Upstream) },
+		IsCurrent:      func() (mgclock.Millis, bool) { return n.isAgentOf(settings.Upstream) },
 		OtherAgents:    n.otherAgents,
 		StartedUnix:    mgclock.UnixMillis(),
 	})
@@ -58,7 +58,7 @@
 // are not leaving.
 func (n *Node) otherAgents(model string) []mgagent.OtherAgent {
 	var others []mgagent.OtherAgent
-	for _, member := range n.members.View().Upstreams(model) {
+	for _, member := range n.members.View().Upstreams(model) { // the upstreams' agents
 		if member.Name() == n.settings.Name || member.Region() != n.settings.Region || member.Leaving() {
 			continue
 		}
@@ -72,8 +72,8 @@
 }
 
 // planner computes which engine holds which model, and caches the plan until the
-// table or the members change. It is used by one goroutine only, the one that runs
-// the agent's orders.
+// table or the members change. It is used by one goroutine only, the one in
+// which the agent orders its engine to load models.
 type planner struct {
 	node   *Node
 	table  *mgtable.Table
@@ -92,14 +92,15 @@
 }
 
 // peerEvidenceMaxAge is how recently a peer must have been seen for this process's
-// list of VMs to count as current: two exchange rounds and a delay.
+// list of VMs to count as current: two exchanges of versions with peers, which
+// mgconfig makes every 2 s on average, and a delay.
 const peerEvidenceMaxAge = 5 * mgclock.Second
 
-// isOwnAgentOf reports whether this process is the agent of an upstream, and when
+// isAgentOf reports whether this process is the agent of an upstream, and when
 // that was checked: the list of VMs names it, and some peer was seen recently or
 // the list names no other process. A process that sees no peer may be one that has
 // been replaced.
-func (n *Node) isOwnAgentOf(upstream string) (mgclock.Millis, bool) {
+func (n *Node) isAgentOf(upstream string) (mgclock.Millis, bool) {
 	view := n.members.View()
 	now := n.clock.Now()
 	own, found := view.Agent(upstream)
--- a/internal/process/mgnode/connections.go
+++ b/internal/process/mgnode/connections.go
@@ -70,16 +70,16 @@
 func (c *connTracker) wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		tracked, _ := r.Context().Value(connKey{}).(*trackedConn)
-		if c.recordHandled(tracked) {
+		if c.markHandledAndCheckClosing(tracked) {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// recordHandled reports whether the listener is closing. It counts the connection's request as
-// handled if stateChanged has counted it as read.
-func (c *connTracker) recordHandled(tracked *trackedConn) bool {
+// markHandledAndCheckClosing reports whether the listener is closing. It counts the connection's
+// request as handled if stateChanged has counted it as read.
+func (c *connTracker) markHandledAndCheckClosing(tracked *trackedConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if tracked != nil && tracked.pending {
@@ -130,8 +130,8 @@
 	aborted    int // requests interrupted by the close
 }
 
-// closeStats returns the counts as they are if the connections still open are closed now.
-func (c *connTracker) closeStats() closeStats {
+// statsAtClose returns the counts for a listener whose open connections are all closed now.
+func (c *connTracker) statsAtClose() closeStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	stats := closeStats{
--- a/internal/process/mgnode/doc.go
+++ b/internal/process/mgnode/doc.go
@@ -20,15 +20,23 @@
 //   - cell: the part of a region's processes that share a hub.
 //   - hub: the process of a cell that sums the loads which the cell's entries
 //     report, and assigns placements and permits for all of them.
+//   - platform: the service from which processes read and watch the table and the list
+//     of VMs; see mgplatform.
+//   - table: the operators' configuration in force; see mgtable.
+//   - generation: the work of an upstream for one streamed response. Messages and logs
+//     call it a run.
 //   - placement: memory reserved at an upstream for one generation.
-//   - permit: the right to send one request to an upstream that has named a rate
-//     limit. The process that grants permits is the granter; it is the hub.
+//   - permit: the right to send one request to an upstream whose responses announce a
+//     rate limit; the code says that they name it. The process that grants permits
+//     is the granter; it is the hub.
 //   - migration slot: the right to copy one generation away from its engine. Only
 //     one copy at a time uses an engine's link.
 //   - coordinator: the process of a cell that grants a service's migration slots.
-//   - home: the entry that leases an account's caps to the others. A witness is an
-//     entry that supports one home at a time; a home leases out only the part of
-//     the caps that the support of its witnesses covers.
+//   - caps: an account's maximum rate in tokens per second and maximum number of
+//     concurrent streams.
+//   - home: the entry that leases parts of an account's caps to the others. A witness
+//     is an entry that votes for one home at a time. A home that has the votes of f of
+//     its k witnesses leases out at most f/k of the caps; see mgshare.
 //   - quarantine: a request that has crashed several upstreams is held back.
 //   - cordoned zone: an availability zone that gets no new work.
 //   - incarnation: one run of a process under its VM's name.
--- a/internal/process/mgnode/drain.go
+++ b/internal/process/mgnode/drain.go
@@ -8,8 +8,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// drainPollInterval is the interval at which a drain checks whether work is in progress.
-const drainPollInterval = 50 * mgclock.Millis(1)
+// statePollInterval is the interval at which a drain checks whether work is in progress,
+// and a start whether a configuration is in force.
+const statePollInterval = 50 * mgclock.Millis(1)
 
 // A Drain describes the planned stop of a process.
 type Drain struct {
@@ -27,8 +28,10 @@
 	CountBusy func() int
 }
 
-// Run drains the process. It ends early when abort ends, and returns the time by which
-// the process should have responded to the requests that reached it meanwhile.
+// Run drains the process. It ends early when abort ends. It returns the time by which
+// the process should have responded to the requests that reached it during the drain:
+// the end of MaxDuration, also if the work has ended earlier, or the time at which
+// abort ended while work was in progress.
 func (d Drain) Run(abort context.Context) mgclock.Millis {
 	deadline := d.Clock.Now() + d.MaxDuration
 	d.WithdrawReadiness()
@@ -36,7 +39,7 @@
 	d.Clock.Sleep(abort, min(d.NoticeDelay, d.MaxDuration))
 	d.RefuseNewWork()
 	for d.CountBusy() > 0 && d.Clock.Now() < deadline {
-		if !d.Clock.Sleep(abort, drainPollInterval) {
+		if !d.Clock.Sleep(abort, statePollInterval) {
 			deadline = d.Clock.Now()
 		}
 	}
--- a/internal/process/mgnode/entry.go
+++ b/internal/process/mgnode/entry.go
@@ -29,20 +29,20 @@
 	if err != nil {
 		return Drain{}, err
 	}
-	shares := mgshare.NewLoop(n.sharesSpec(settings.Fresh))
-	n.shares.Store(shares)
-	n.pause.OnPause(func(mgclock.Millis) { shares.Drop() })
-	n.background.Go(func() { shares.Run(ctx) })
-	entry := mgentry.New(n.entrySpec(settings, shares), n.incarnation)
-	readUpstreams := entry.PlacementCandidates
-	n.readUpstreams.Store(&readUpstreams)
+	capShares := mgshare.NewLoop(n.capSharesSpec(settings.Fresh))
+	n.capShares.Store(capShares)
+	n.pause.OnPause(func(mgclock.Millis) { capShares.Drop() })
+	n.background.Go(func() { capShares.Run(ctx) })
+	entry := mgentry.New(n.entrySpec(settings, capShares), n.incarnation)
+	placementCandidates := entry.PlacementCandidates
+	n.placementCandidates.Store(&placementCandidates)
 	n.admin.AddSection("entry", func() any { return entry.State() })
-	n.admin.AddSection("shares", func() any { return shares.Status() })
+	n.admin.AddSection("shares", func() any { return capShares.Status() })
 	n.background.Go(func() { entry.Run(ctx) })
 	n.background.Go(func() { n.exchanger.runBroadcast(ctx) })
 	n.background.Go(func() { n.exchanger.runAntiEntropy(ctx) })
 	n.background.Go(func() { n.watchHeld(ctx) })
-	if n.relayForm != nil {
+	if n.relayHeaders != nil {
 		n.background.Go(func() { n.reportLoads(ctx, entry.Load()) })
 	}
 	if settings.MaxRetries > 0 {
@@ -65,36 +65,36 @@
 	return drain, nil
 }
 
-func (n *Node) entrySpec(settings mgsettings.Entry, shares *mgshare.Loop) mgentry.Spec {
+func (n *Node) entrySpec(settings mgsettings.Entry, capShares *mgshare.Loop) mgentry.Spec {
 	return mgentry.Spec{
 		Settings:           settings,
 		Clock:              n.clock,
 		Log:                n.log,
 		Metrics:            n.metrics,
-		Signer:             n.seal,
+		Signer:             n.signer,
 		Quarantine:         n.quarantine,
 		Table:              n.Table,
-		TableConfirmed:     n.loop.TableConfirmed,
+		TableConfirmed:     n.configLoop.TableConfirmed,
 		ObserveVersion:     n.ObserveVersion,
 		View:               n.members.View,
 		ReportFailed:       n.peerFailed,
-		ReportAnnouncement: n.peerSeen,
-		Acquire:            shares.Acquire,
-		ReportRunning:      shares.SetRunning,
+		ReportAnnouncement: n.recordPeerAnnouncement,
+		Acquire:            capShares.Acquire,    // a share of an account's caps
+		ReportRunning:      capShares.SetRunning, // how many streams of an account run here
 		Calls: &mglink.RetryTransport{
 			Pooled:   n.calls,
-			Second:   n.guard.Transport(true),
+			Second:   n.guard.Transport(true), // a new connection for each call
 			Clock:    n.clock,
 			Interval: mgclock.Millis(settings.HeartbeatInterval),
 		},
-		Frames:         n.guard.Transport(true),
+		Frames:         n.guard.Transport(true), // a new connection for each stream
 		BaseURL:        n.guard.BaseURL,
 		Relay:          n.relaySpec(),
 		ReportAnswered: n.peerAnswered,
-		Changed:        n.members.Changed,
+		Changed:        n.members.Changed, // closed when the view changes
 		OtherLoads:     n.OtherLoads,
-		OthersStay:     n.mostOthersStay,
-		IsListStale:    n.loop.IsListStale,
+		OthersStay:     n.halfOfOthersStay,
+		IsListStale:    n.configLoop.IsListStale,
 		ReportDeparted: n.upstreamDeparted,
 	}
 }
@@ -102,22 +102,25 @@
 // upstreamSilenceTimeout is how long an upstream's kernel may leave keep-alive
 // probes unanswered before the connection is closed. Callers give a stream up
 // after seven seconds without an event, and a partition that heals before then
-// should only pause it. The kernel counts whole seconds: three intervals of three
-// seconds.
+// should only pause it, so the timeout must be above seven seconds. It consists of
+// three intervals, which the kernel counts in whole seconds: three of three seconds.
 const upstreamSilenceTimeout = 9 * time.Second
 
-// limitRetries sets this entry's share of total, the number of retries allowed to
-// all entries, once a second by how many entries are known, until ctx ends.
+// limitRetries sets this entry's limit of retries once a second until ctx ends. The
+// limit is its share of total, the number of retries allowed to all entries together,
+// and follows from the number of known entries.
 func (n *Node) limitRetries(ctx context.Context, total int, setLimit func(limit int)) {
 	for ok := true; ok; ok = n.clock.Sleep(ctx, mgclock.Second) {
 		setLimit(mgretry.Share(total, 1+len(n.otherEntries())))
 	}
 }
 
-// mostOthersStay reports whether at least half of the other entries are not
-// leaving. A caller that retries reaches any entry. Where most of them are leaving,
-// a response that may be cut off is worth more to it than a second refusal.
-func (n *Node) mostOthersStay() bool {
+// halfOfOthersStay reports whether at least half of the other entries are not
+// leaving. Only then does a stopping entry refuse requests that can't end before its
+// stop (see mgentry.Entry.AnnounceStop). A caller that retries reaches any entry, and
+// where most of them are leaving, a response that may be cut off is worth more to it
+// than a second refusal.
+func (n *Node) halfOfOthersStay() bool {
 	entries, staying := n.otherEntries(), 0
 	for _, entry := range entries {
 		if !entry.Leaving() {
@@ -130,12 +133,12 @@
 // relaySpec returns the specification of the relay that passes requests through to
 // upstreams, or nil without one.
 func (n *Node) relaySpec() *mgrelay.Spec {
-	if n.relayForm == nil {
+	if n.relayHeaders == nil {
 		return nil
 	}
 	return &mgrelay.Spec{
-		Headers:            *n.relayForm,
-		ListVersion:        n.loadBasis,
+		Headers:            *n.relayHeaders,
+		ListVersion:        n.loadReportVersion,
 		Move:               n.move,
 		AskLeaving:         n.probe,
 		AwaitPlacement:     n.acquirePlacement,
--- a/internal/process/mgnode/events.go
+++ b/internal/process/mgnode/events.go
@@ -27,7 +27,7 @@
 		n.log.Info("the process was paused; leases and pooled connections are dropped", "ms", e.Detail)
 	})
 	n.bus.Handle(mgevent.Leaving, func(e mgevent.Event) {
-		n.loop.Leave()
+		n.configLoop.Leave()
 	})
 	n.pause.OnPause(func(gap mgclock.Millis) {
 		n.publish(mgevent.Paused, n.settings.Name, strconv.FormatInt(int64(gap), 10))
--- a/internal/process/mgnode/exchange.go
+++ b/internal/process/mgnode/exchange.go
@@ -67,7 +67,9 @@
 	call         func(ctx context.Context, to *mgmember.Member, message updateMessage) (updateMessage, error)
 }
 
-// handle merges a peer's message, and returns what the peer lacks or knows less precisely.
+// handle merges a peer's message, and returns the records that the peer lacks, or those of its
+// records that are known here to be older than it reports, so that it can improve its bounds of
+// the time of a crash.
 func (e *exchanger) handle(message updateMessage) updateMessage {
 	e.merge(message)
 	reply := updateMessage{
@@ -94,9 +96,9 @@
 	}
 }
 
-// broadcast sends a message to count random peers in the background, and merges their
+// sendToRandomPeers sends a message to count random peers in the background, and merges their
 // responses. A peer that can't be reached receives the update from other processes.
-func (e *exchanger) broadcast(ctx context.Context, count int, message updateMessage) {
+func (e *exchanger) sendToRandomPeers(ctx context.Context, count int, message updateMessage) {
 	peers := e.peers()
 	for _, i := range rand.Perm(len(peers))[:min(count, len(peers))] {
 		go func() {
@@ -142,7 +144,7 @@
 			if hasRepeatedCrash(updates.Records) {
 				fanout = urgentFanout
 			}
-			e.broadcast(ctx, fanout, updates)
+			e.sendToRandomPeers(ctx, fanout, updates)
 			if !e.clock.Sleep(ctx, minBroadcastInterval) {
 				return
 			}
@@ -184,7 +186,7 @@
 	}
 	for ctx.Err() == nil {
 		e.quarantine.Tick(e.clock.Now())
-		e.broadcast(ctx, 1, updateMessage{
+		e.sendToRandomPeers(ctx, 1, updateMessage{
 			Sums:    e.quarantine.Checksums(),
 			Compare: true,
 			Limits:  e.limits.Records(e.clock.Now()),
--- a/internal/process/mgnode/exchange_test.go
+++ b/internal/process/mgnode/exchange_test.go
@@ -70,7 +70,7 @@
 
 // call delivers a message and its response, each with a random latency of one ms to maxLatency.
 func (m *mesh) call(ctx context.Context, from int, to *mgmember.Member, message updateMessage) (updateMessage, error) {
-	at, _ := strconv.Atoi(to.Name())
+	receiver, _ := strconv.Atoi(to.Name())
 	m.calls.Add(1)
 	m.bytes.Add(compressedSize(message))
 	maxLatency := m.spec.maxLatency
@@ -80,14 +80,14 @@
 	latency := func() time.Duration {
 		return time.Millisecond + time.Duration(rand.Int64N(int64(maxLatency-time.Millisecond)))
 	}
-	lost := at >= m.spec.count-m.spec.deadCount || rand.Float64() < m.spec.lossRate
+	lost := receiver >= m.spec.count-m.spec.deadCount || rand.Float64() < m.spec.lossRate
 	cut := m.isolated.Load()
-	if lost || int64(at) == cut || int64(from) == cut {
+	if lost || int64(receiver) == cut || int64(from) == cut {
 		<-ctx.Done()
 		return updateMessage{}, errLost
 	}
 	time.Sleep(latency())
-	reply := m.nodes[at].handle(message)
+	reply := m.nodes[receiver].handle(message)
 	m.bytes.Add(compressedSize(reply))
 	time.Sleep(latency())
 	return reply, nil
@@ -149,7 +149,8 @@
 	return m.clock.Now() - start
 }
 
-// An entry that doesn't know of the crashes sends the request to further upstreams.
+// Guards against entries that don't know of the crashes: such an entry sends the request to further
+// upstreams.
 func TestCrashUnknownToSomeProcesses(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -204,8 +205,9 @@
 	})
 }
 
-// Each process must count crashes 400 ms apart as separate ones. Slow links blur the order of
-// their records.
+// Guards against processes that don't learn of the crashes over slow links. Each process must
+// count crashes 400 ms apart as separate ones, though slow links deliver their records in a
+// different order.
 func TestCrashUnknownOverSlowLinks(t *testing.T) {
 	Convey("Three crashes 400 ms apart are known to all within two seconds with latencies of up to 400 ms", t, func() {
 		for _, count := range []int{5, 30, 100, 300} {
@@ -230,8 +232,8 @@
 	})
 }
 
-// Many upstreams are lost at one moment, as with an availability zone. A harmless request that
-// was running on several of them must not be held for that.
+// Guards against holding a harmless request that was running on several of the upstreams that
+// are lost at one moment, as with an availability zone.
 func TestMassCrashHoldsRequest(t *testing.T) {
 	Convey("If five upstreams are lost at one moment, and five more five seconds later, no request is held", t, func() {
 		for _, maxLatency := range []time.Duration{3 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond} {
@@ -261,8 +263,8 @@
 	})
 }
 
-// An entry that was cut off while the request crashed upstreams doesn't know of the crashes, and
-// sends the request on once it is reachable again.
+// Guards against an entry that doesn't learn of the crashes after it was cut off while the
+// request crashed upstreams: it sends the request on once it is reachable again.
 func TestCrashUnknownAfterPartition(t *testing.T) {
 	Convey("A process that was cut off knows of the crashes within 3.5 s after the cut", t, func() {
 		m := newMesh(meshSpec{
@@ -307,7 +309,8 @@
 	})
 }
 
-// Records of many different requests that crash upstreams must not saturate the links.
+// Guards against links that are saturated by records of many different requests that crash
+// upstreams.
 func TestManyCrashesSaturateLinks(t *testing.T) {
 	Convey("60 processes exchange few bytes", t, func() {
 		var quiet, busy float64 // bytes a second of a process
--- a/internal/process/mgnode/gossip.go
+++ b/internal/process/mgnode/gossip.go
@@ -24,7 +24,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	body, err := compressJSON(n.loop.HandleGossip(rows))
+	body, err := compressJSON(n.configLoop.HandleGossip(rows))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/internal/process/mgnode/gossip_test.go
+++ b/internal/process/mgnode/gossip_test.go
@@ -25,7 +25,7 @@
 	return rows
 }
 
-// A pooled gzip.Writer that isn't reset would mix messages.
+// Guards against a pooled gzip.Writer that isn't reset, which would mix messages.
 func TestPooledWriterCorruptsGossip(t *testing.T) {
 	Convey("Gossip is decoded as it was encoded, also after the gzip.Writer has been used before", t, func() {
 		for _, count := range []int{3, 400, 0, 40} {
--- a/internal/process/mgnode/list.go
+++ b/internal/process/mgnode/list.go
@@ -20,7 +20,8 @@
 	// afterParam is the version that the caller has, waitParam its maximum wait in ms.
 	afterParam = "after"
 	waitParam  = "wait"
-	// listVersionHeader and tableVersionHeader are versions. listAgeHeader is the time in
+	// listVersionHeader and tableVersionHeader are the headers that hold the versions of the list
+	// of VMs and of the table in the sender's mgconfig.VersionReport. listAgeHeader is the time in
 	// ms since the platform confirmed the list, negative if it has not.
 	listVersionHeader  = "List"
 	listAgeHeader      = "List-Age"
@@ -33,7 +34,7 @@
 const (
 	// maxLongPoll limits how long a request is held, whatever wait its caller asks for.
 	maxLongPoll = 5 * mgclock.Second
-	// maxListBytes limits the size of an encoded list, as the platform limits a value.
+	// maxListBytes limits the size of an encoded list, as mgplatform limits a value.
 	maxListBytes = 1 << 20
 )
 
@@ -50,7 +51,7 @@
 		http.Error(w, "wait is no time: give whole ms", http.StatusBadRequest)
 		return
 	}
-	reply := n.loop.HandleLongPoll(r.Context(), after, min(mgclock.Millis(wait), maxLongPoll))
+	reply := n.configLoop.HandleLongPoll(r.Context(), after, min(mgclock.Millis(wait), maxLongPoll))
 	header := w.Header()
 	header.Set(listVersionHeader, strconv.FormatUint(reply.Report.List, 10))
 	header.Set(listAgeHeader, strconv.FormatInt(int64(reply.Report.Age), 10))
--- a/internal/process/mgnode/list_test.go
+++ b/internal/process/mgnode/list_test.go
@@ -43,7 +43,7 @@
 	})
 	So(err, ShouldBeNil)
 	ctx, cancel := context.WithCancel(context.Background())
-	n.background.Go(func() { n.loop.Run(ctx) })
+	n.background.Go(func() { n.configLoop.Run(ctx) })
 	server := httptest.NewServer(n.peerRoutes())
 	t.Cleanup(func() {
 		cancel()
@@ -53,9 +53,9 @@
 	return n, strings.TrimPrefix(server.URL, "http://")
 }
 
-// A process asks the one that reads the platform for a newer list. If the response were not
-// held until there is one, the process would have to poll often, or would learn late of an
-// engine's notice.
+// Guards against a long poll that misses a new list. A process asks the one that reads the platform
+// for a newer list. If the response were not held until there is one, the process would have to
+// poll often, or would learn late that an engine will be reclaimed.
 func TestLongPollMissesNewList(t *testing.T) {
 	Convey("A process that polls another for its list of VMs", t, func() {
 		var version atomic.Uint64
@@ -93,8 +93,8 @@
 	})
 }
 
-// A process learns of others from the hub, which collects gossip. It must not read a malformed
-// message as "no processes are known".
+// Guards against malformed gossip that is accepted. A process learns of others from the hub, which
+// collects gossip. It must not read a malformed message as "no processes are known".
 func TestMalformedGossipAccepted(t *testing.T) {
 	Convey("A process that exchanges gossip with another", t, func() {
 		var version atomic.Uint64
--- a/internal/process/mgnode/load.go
+++ b/internal/process/mgnode/load.go
@@ -11,7 +11,8 @@
 
 const (
 	// loadReportInterval is the interval at which an entry reports its load to the
-	// hub. A dozen entries send a few generations in it.
+	// hub. During it a dozen entries together send a few generations, which the hub's
+	// sums don't include yet.
 	loadReportInterval = 200 * mgclock.Millis(1)
 	// loadReportTimeout limits the wait for the hub's response.
 	loadReportTimeout = 150 * mgclock.Millis(1)
@@ -35,9 +36,9 @@
 	return latest.report
 }
 
-// loadBasis returns the version of the list of VMs and the age of the hub's last
+// loadReportVersion returns the version of the list of VMs and the age of the hub's last
 // report, or -1 if there has been none.
-func (n *Node) loadBasis() (list uint64, age mgclock.Millis) {
+func (n *Node) loadReportVersion() (list uint64, age mgclock.Millis) {
 	list = n.members.View().Version()
 	latest := n.otherLoads.Load()
 	if latest == nil {
@@ -48,18 +49,18 @@
 
 // reportLoads reports this entry's load to the hub until ctx ends, and stores what
 // the hub returns of the others.
-func (n *Node) reportLoads(ctx context.Context, count *mgload.Tracker) {
+func (n *Node) reportLoads(ctx context.Context, tracker *mgload.Tracker) {
 	for n.clock.Sleep(ctx, loadReportInterval) {
 		hub := n.hubPeer()
 		now := n.clock.Now()
 		local := mgload.Report{
-			Rows:   count.Rows(),
-			Paces:  count.Paces(now),
-			Faults: count.Faults(now),
+			Rows:   tracker.Rows(),
+			Paces:  tracker.Paces(now),
+			Faults: tracker.Faults(now),
 		}
 		if hub == nil {
 			n.otherLoads.Store(&otherLoads{
-				report:     n.hub.Exchange(now, n.settings.Name, local),
+				report:     n.entryLoads.Exchange(now, n.settings.Name, local),
 				receivedAt: now,
 			})
 			continue
@@ -76,8 +77,8 @@
 			continue
 		}
 		n.peerAnswered(hub.Name())
-		n.loop.ObserveVersion(reply.GetTable(), hub.Name())
-		n.loop.ApplyReport(announcementOf(reply), hub.Name())
+		n.configLoop.ObserveVersion(reply.GetTable(), hub.Name())
+		n.configLoop.ApplyReport(versionReportOf(reply), hub.Name())
 		n.otherLoads.Store(&otherLoads{
 			report:     decodeLoads(reply),
 			receivedAt: now,
@@ -100,14 +101,14 @@
 		})
 	}
 	// Upstreams that have no requests from here can still have a pace or faults.
-	idle := map[string]bool{}
+	withoutRow := map[string]bool{}
 	for upstream := range report.Paces {
-		idle[upstream] = true
+		withoutRow[upstream] = true
 	}
 	for upstream := range report.Faults {
-		idle[upstream] = true
+		withoutRow[upstream] = true
 	}
-	for upstream := range idle {
+	for upstream := range withoutRow {
 		if _, hasRow := report.Rows[upstream]; hasRow {
 			continue
 		}
@@ -145,8 +146,8 @@
 	return report
 }
 
-// announcementOf returns the versions that the hub has read from the platform.
-func announcementOf(reply *mgrpc.LoadRows) mgconfig.VersionReport {
+// versionReportOf returns the versions that the hub has read from the platform.
+func versionReportOf(reply *mgrpc.LoadRows) mgconfig.VersionReport {
 	return mgconfig.VersionReport{
 		List:  reply.GetList(),
 		Age:   mgclock.Millis(reply.GetAge()),
@@ -159,11 +160,11 @@
 // Loads records the load of an entry that regards this process as the hub, and returns
 // the load of the others.
 func (p peerServer) Loads(_ context.Context, r *mgrpc.LoadRows) (*mgrpc.LoadRows, error) {
-	others := p.node.hub.Exchange(p.node.clock.Now(), r.GetEntry(), decodeLoads(r))
+	others := p.node.entryLoads.Exchange(p.node.clock.Now(), r.GetEntry(), decodeLoads(r))
 	reply := encodeLoads(p.node.settings.Name, others)
-	announcement := p.node.loop.Report()
-	reply.List = announcement.List
-	reply.Age = int64(announcement.Age)
-	reply.Table = announcement.Table
+	versions := p.node.configLoop.Report()
+	reply.List = versions.List
+	reply.Age = int64(versions.Age)
+	reply.Table = versions.Table
 	return reply, nil
 }
--- a/internal/process/mgnode/migration_slot.go
+++ b/internal/process/mgnode/migration_slot.go
@@ -74,29 +74,30 @@
 	return reply.GetPlace(), nil
 }
 
-// releaseMigrationSlot releases a slot. If the message is lost, the next run waits until
-// the slot expires.
-func (n *Node) releaseMigrationSlot(service, source, run string) {
+// releaseMigrationSlot releases a slot. If the message is lost, the next generation
+// waits until the slot expires.
+func (n *Node) releaseMigrationSlot(service, source, generation string) {
 	coordinator := n.migrationCoordinator(service)
 	if coordinator == nil {
-		n.migrationSlots.Release(source, run)
+		n.migrationSlots.Release(source, generation)
 		return
 	}
 	ctx, cancel := context.WithTimeout(n.killed, slotTimeout.Duration())
 	defer cancel()
 	_, err := n.peerClient(coordinator.PeerAddr()).Turn(ctx, &mgrpc.TurnRequest{
 		Source: source,
-		Run:    run,
+		Run:    generation,
 		End:    true,
 	})
 	if err != nil {
-		n.log.Info("a migration slot could not be released and expires by itself", "home", coordinator.Name(), "run", run, "why", err.Error())
+		n.log.Info("a migration slot could not be released and expires by itself", "home", coordinator.Name(), "run", generation, "why", err.Error())
 	}
 }
 
 // migrationCoordinator returns the process that grants the migration slots of a
 // service, or nil if it is this one. Entries that know different peers may choose
-// different coordinators. Their copies then share a link, which only costs time.
+// different coordinators. Copies that these allow at the same time share the source's
+// link and take longer; see eligibleProcesses.
 func (n *Node) migrationCoordinator(service string) *mgmember.Member {
 	return n.rendezvousFirst("turns " + service)
 }
@@ -116,9 +117,9 @@
 
 // eligibleProcesses returns the processes of this cell that may be its hub or a
 // coordinator: the known peers that are neither suspected nor leaving, and this
-// process. This process is not eligible while it is leaving, unless it is alone. Its
-// peers no longer choose it; if it still chose itself, two processes would grant
-// slots for one source, and the copies that share the source's link would all end
+// process. This process is not eligible while it is leaving, unless it is alone: its
+// peers no longer choose it. If it still chose itself, two processes would grant slots
+// for one source. The copies would share the source's link, and all of them would end
 // after the source is reclaimed.
 func (n *Node) eligibleProcesses() (eligible []*mgmember.Member, self *mgmember.Member) {
 	cell := n.members.View().Cell(n.settings.Name, n.settings.Region)
--- a/internal/process/mgnode/migration_slot_test.go
+++ b/internal/process/mgnode/migration_slot_test.go
@@ -27,7 +27,8 @@
 	return n
 }
 
-// Five generations were cut off though their engine gave two seconds' notice. The coordinator was
+// Guards against a stopping entry that grants migration slots. In the fault seen, five
+// generations were cut off though their engine gave two seconds' notice. The coordinator was
 // stopping: its peers chose another, while it still granted slots to its own requests. Four copies
 // shared the engine's link, and none was complete when the engine went.
 func TestStoppingEntryGrantsMigrationSlots(t *testing.T) {
--- a/internal/process/mgnode/node.go
+++ b/internal/process/mgnode/node.go
@@ -37,46 +37,46 @@
 
 // A Node is one process of the system, without its role: RunEntry and RunAgent add that.
 type Node struct {
-	settings        mgsettings.Process
-	incarnation     string
-	clock           mgclock.Clock
-	log             logr.Logger
-	metrics         *mgmetric.Set
-	admin           *mgadmin.Admin
-	guard           *mgpeer.Guard
-	calls           http.RoundTripper // between processes, over pooled connections
-	seal            *mgseal.Signer
-	members         *mgmember.Members
-	platform        mgplatform.Client
-	relayForm       *mgrelay.HeaderNames // nil if no requests are passed through
-	probe           func(context.Context, mgrelay.Host) (bool, error)
-	cachedPage      func(digest string) *mgtable.Page
-	listCoversTable bool
-	migrationSlots  mgmigration.Slots
-	placementQueues placementQueues
-	readUpstreams   atomic.Pointer[func(service string, others mgload.Report) []mgwaitlist.Place]
-	hub             mgload.Hub
-	otherLoads      atomic.Pointer[otherLoads]
-	quarantine      *mgquarantine.Quarantine
-	limits          mglimit.Limits
-	permits         mglimit.Permits
-	permitRetryAt   atomic.Int64 // no permit is requested before, since the hub didn't respond
-	exchanger       *exchanger
-	move            func(context.Context, mgrelay.Host, mgrelay.MoveOrder) mgmigration.Reply
-	loop            *mgconfig.Loop
-	pause           *mgmember.PauseDetector
-	bus             *mgevent.Bus
-	peerClients     sync.Map                     // base URL to mgrpc.Peer
-	roleHandler     atomic.Pointer[http.Handler] // of the role, on the peers' listener
-	shares          atomic.Pointer[mgshare.Loop] // of an entry, else nil
-	serving         atomic.Bool                  // the listeners for work are open
-	leaving         atomic.Bool
-	closeDeadline   atomic.Int64 // when a drained process closes the callers' listener at the latest
-	loggedReads     readsLog     // used by tick only
-	background      sync.WaitGroup
-	extraServers    []ServerSpec // served in addition to the node's own
-	killed          context.Context
-	kill            context.CancelFunc
+	settings            mgsettings.Process
+	incarnation         string
+	clock               mgclock.Clock
+	log                 logr.Logger
+	metrics             *mgmetric.Set
+	admin               *mgadmin.Admin
+	guard               *mgpeer.Guard     // authenticates and secures calls between processes
+	calls               http.RoundTripper // between processes, over pooled connections
+	signer              *mgseal.Signer
+	members             *mgmember.Members
+	platform            mgplatform.Client
+	relayHeaders        *mgrelay.HeaderNames // nil if no requests are passed through
+	probe               func(context.Context, mgrelay.Host) (bool, error)
+	parsedPage          func(digest string) *mgtable.Page // see Spec
+	listConfirmsTable   bool                              // see Spec
+	migrationSlots      mgmigration.Slots
+	placementQueues     placementQueues
+	placementCandidates atomic.Pointer[func(service string, others mgload.Report) []mgwaitlist.Place]
+	entryLoads          mgload.Hub // loads that the cell's entries report, while this process is the hub
+	otherLoads          atomic.Pointer[otherLoads]
+	quarantine          *mgquarantine.Quarantine
+	limits              mglimit.Limits
+	permits             mglimit.Permits
+	permitRetryAt       atomic.Int64 // no permit is requested before, since the hub didn't respond
+	exchanger           *exchanger
+	move                func(context.Context, mgrelay.Host, mgrelay.MoveOrder) mgmigration.Reply
+	configLoop          *mgconfig.Loop // reads and exchanges the table, the list and gossip
+	pause               *mgmember.PauseDetector
+	bus                 *mgevent.Bus
+	peerClients         sync.Map                     // base URL to mgrpc.Peer
+	roleHandler         atomic.Pointer[http.Handler] // of the role, on the peers' listener
+	capShares           atomic.Pointer[mgshare.Loop] // of an entry, else nil
+	serving             atomic.Bool                  // the listeners for work are open
+	leaving             atomic.Bool
+	closeDeadline       atomic.Int64 // when a drained process closes the callers' listener at the latest
+	loggedReads         readsLog     // used by tick only
+	background          sync.WaitGroup
+	extraServers        []ServerSpec // served in addition to the node's own
+	killed              context.Context
+	kill                context.CancelFunc
 }
 
 // Open makes a node that logs to w.
@@ -90,27 +90,27 @@
 // New makes a node.
 func New(spec Spec) (*Node, error) {
 	settings := spec.Settings
-	guard, seal, err := newKeys(spec)
+	guard, signer, err := newKeys(spec)
 	if err != nil {
 		return nil, err
 	}
 	incarnation := incarnation()
 	log := mglog.New(spec.Log, settings.LogLevel).WithValues(mglog.Process, settings.Name, mglog.Zone, settings.Zone)
 	n := &Node{
-		settings:        settings,
-		incarnation:     incarnation,
-		log:             log,
-		metrics:         mgmetric.New(),
-		admin:           &mgadmin.Admin{},
-		guard:           guard,
-		seal:            seal,
-		members:         mgmember.New(settings.Name),
-		platform:        spec.platform(),
-		relayForm:       spec.Relay,
-		move:            spec.Move,
-		cachedPage:      spec.ParsedPage,
-		listCoversTable: spec.ListConfirmsTable,
-		probe:           spec.Probe,
+		settings:          settings,
+		incarnation:       incarnation,
+		log:               log,
+		metrics:           mgmetric.New(),
+		admin:             &mgadmin.Admin{},
+		guard:             guard,
+		signer:            signer,
+		members:           mgmember.New(settings.Name),
+		platform:          spec.platform(),
+		relayHeaders:      spec.Relay,
+		move:              spec.Move,
+		parsedPage:        spec.ParsedPage,
+		listConfirmsTable: spec.ListConfirmsTable,
+		probe:             spec.Probe,
 	}
 	n.quarantine = mgquarantine.New(incarnation, n.isFirstToRetry)
 	n.exchanger = n.newExchanger()
@@ -121,8 +121,8 @@
 	n.quarantine.SetPauseCheck(func() { n.pause.Check() })
 	n.bus = mgevent.NewBus(n.clock)
 	n.handleEvents()
-	n.loop = mgconfig.NewLoop(n.loopSpec())
-	n.admin.AddSection("table", func() any { return n.loop.Status() })
+	n.configLoop = mgconfig.NewLoop(n.loopSpec())
+	n.admin.AddSection("table", func() any { return n.configLoop.Status() })
 	n.admin.AddSection("members", n.memberState)
 	n.admin.AddSection("quarantine", n.quarantineState)
 	n.admin.AddSection("limits", func() any { return n.limits.Records(n.clock.Now()) })
@@ -149,9 +149,9 @@
 		return false, "no configuration is in force"
 	case n.members.View().Version() == 0:
 		return false, "no list of VMs"
-	case n.relayForm != nil && !n.members.View().HasUpstream():
+	case n.relayHeaders != nil && !n.members.View().HasUpstream():
 		return false, "no upstream is known"
-	case !n.loop.Ready():
+	case !n.configLoop.Ready():
 		return false, "asking the peers and the platform for the newest configuration"
 	case !n.serving.Load():
 		return false, "not listening yet"
@@ -162,7 +162,7 @@
 
 // Table returns the table in force, or nil.
 func (n *Node) Table() *mgtable.Table {
-	if snapshot := n.loop.Current(); snapshot != nil {
+	if snapshot := n.configLoop.Current(); snapshot != nil {
 		return snapshot.Table()
 	}
 	return nil
@@ -186,17 +186,19 @@
 // Guard returns the guard that secures connections to other processes.
 func (n *Node) Guard() *mgpeer.Guard { return n.guard }
 
-// Seal returns the signer that seals names.
-func (n *Node) Seal() *mgseal.Signer { return n.seal }
+// Signer returns the signer that seals the names of responses; see mgseal.
+func (n *Node) Signer() *mgseal.Signer { return n.signer }
 
 // ObserveVersion records that another process uses a version of the table.
-func (n *Node) ObserveVersion(version uint64, from string) { n.loop.ObserveVersion(version, from) }
+func (n *Node) ObserveVersion(version uint64, from string) {
+	n.configLoop.ObserveVersion(version, from)
+}
 
 // ReadTableNow reads the table from the platform at once.
-func (n *Node) ReadTableNow() { n.loop.ReadTableNow() }
+func (n *Node) ReadTableNow() { n.configLoop.ReadTableNow() }
 
 // SetSeeds replaces the addresses of the peers to ask while no other process is known.
-func (n *Node) SetSeeds(seeds []string) { n.loop.SetSeeds(seeds) }
+func (n *Node) SetSeeds(seeds []string) { n.configLoop.SetSeeds(seeds) }
 
 // peerFailed records that a call to another process brought no response.
 func (n *Node) peerFailed(name string) { n.members.RecordFailure(n.clock.Now(), name) }
@@ -205,10 +207,10 @@
 func (n *Node) peerAnswered(name string) { n.members.RecordAnswer(n.clock.Now(), name) }
 
 // upstreamDeparted records an upstream's own announcement that it leaves.
-func (n *Node) upstreamDeparted(name string) { n.loop.HandleDeparture(name) }
+func (n *Node) upstreamDeparted(name string) { n.configLoop.HandleDeparture(name) }
 
-// peerSeen records what another process reports of itself.
-func (n *Node) peerSeen(name, incarnation string, leaving bool) {
+// recordPeerAnnouncement records what another process reports of itself.
+func (n *Node) recordPeerAnnouncement(name, incarnation string, leaving bool) {
 	n.members.RecordMessage(n.clock.Now(), name, incarnation, leaving)
 }
 
@@ -260,11 +262,11 @@
 		Handler:  n.guard.RequireKey(n.peerRoutes()),
 	})
 	n.background.Go(func() { n.runEvents(ctx) })
-	n.background.Go(func() { n.loop.Run(ctx) })
+	n.background.Go(func() { n.configLoop.Run(ctx) })
 	n.background.Go(func() { n.pause.Run(ctx) })
 	n.background.Go(func() { n.tick(ctx) })
-	for n.Table() == nil || !n.loop.Ready() {
-		if !n.clock.Sleep(stop, drainPollInterval) {
+	for n.Table() == nil || !n.configLoop.Ready() {
+		if !n.clock.Sleep(stop, statePollInterval) {
 			return fmt.Errorf("start: stopped before a configuration was in force: %w", stop.Err())
 		}
 	}
@@ -277,7 +279,7 @@
 	for n.clock.Sleep(ctx, mgclock.Second) {
 		n.members.Tick(n.clock.Now())
 		n.forgetGoneUpstreams()
-		n.reportReads(n.loop.Status())
+		n.reportReads(n.configLoop.Status())
 	}
 }
 
--- a/internal/process/mgnode/peer.go
+++ b/internal/process/mgnode/peer.go
@@ -29,8 +29,8 @@
 			Seed:              jitterSeed(n.incarnation),
 			Seeds:             n.settings.Seeds,
 			StartWindow:       mgclock.Millis(n.settings.StartupSpread),
-			ParsedPage:        n.cachedPage,
-			ListConfirmsTable: n.listCoversTable,
+			ParsedPage:        n.parsedPage,
+			ListConfirmsTable: n.listConfirmsTable,
 			QuickInterval:     mgclock.Millis(n.settings.MinWatchInterval),
 			WatchWait:         mgclock.Millis(n.settings.WatchTimeout),
 			AnswerTimeout:     mgclock.Millis(n.settings.AnswerTimeout),
@@ -96,12 +96,12 @@
 
 // Exchange compares versions with a peer.
 func (p peerServer) Exchange(ctx context.Context, s *mgrpc.Summary) (*mgrpc.Summary, error) {
-	return p.node.loop.Exchange(ctx, s)
+	return p.node.configLoop.Exchange(ctx, s)
 }
 
 // Fetch returns pages of the table and the list of VMs.
 func (p peerServer) Fetch(ctx context.Context, r *mgrpc.FetchRequest) (*mgrpc.FetchReply, error) {
-	return p.node.loop.Fetch(ctx, r)
+	return p.node.configLoop.Fetch(ctx, r)
 }
 
 // errNotEntry is the error of calls that only an entry serves.
@@ -109,24 +109,24 @@
 
 // Lease serves an entry that regards this process as the home of accounts.
 func (p peerServer) Lease(ctx context.Context, r *mgrpc.LeaseRequest) (*mgrpc.LeaseReply, error) {
-	shares := p.node.shares.Load()
+	shares := p.node.capShares.Load()
 	if shares == nil {
 		return nil, errNotEntry
 	}
 	return shares.Lease(ctx, r)
 }
 
-// Support serves a home that asks this process to be its witness.
+// Support serves a home that requests the vote of this process, its witness.
 func (p peerServer) Support(ctx context.Context, r *mgrpc.SupportRequest) (*mgrpc.SupportReply, error) {
-	shares := p.node.shares.Load()
+	shares := p.node.capShares.Load()
 	if shares == nil {
 		return nil, errNotEntry
 	}
 	return shares.Support(ctx, r)
 }
 
-// sharesSpec returns the specification of the loop that divides accounts' caps.
-func (n *Node) sharesSpec(fresh bool) mgshare.LoopSpec {
+// capSharesSpec returns the specification of the loop that divides accounts' caps.
+func (n *Node) capSharesSpec(fresh bool) mgshare.LoopSpec {
 	return mgshare.LoopSpec{
 		Shares: mgshare.SharesSpec{
 			Name:        n.settings.Name,
--- a/internal/process/mgnode/permit.go
+++ b/internal/process/mgnode/permit.go
@@ -36,8 +36,8 @@
 	Entry        string         `json:"entry"`
 	Limit        mglimit.Record `json:"word"`
 	Request      string         `json:"request"`
-	Forced       bool           `json:"forced,omitempty"`
-	GranterCount int            `json:"givers"`
+	Forced       bool           `json:"forced,omitempty"` // see mglimit.PermitRequest
+	GranterCount int            `json:"givers"`           // see mgrelay.Host.Granters
 }
 
 // permitReply grants the permit, or returns the time in ms until there may be one.
@@ -49,21 +49,21 @@
 
 // acquirePermit acquires the permit to send a request to a rate-limited upstream. If it is
 // not granted, it returns the time after which to try again.
-func (n *Node) acquirePermit(ctx context.Context, permit mgrelay.PermitRequest) (mgclock.Millis, bool) {
+func (n *Node) acquirePermit(ctx context.Context, request mgrelay.PermitRequest) (mgclock.Millis, bool) {
 	hub := n.hubPeer()
 	if hub == nil {
-		return n.grantPermit(n.settings.Name, permit)
+		return n.grantPermit(n.settings.Name, request)
 	}
 	if n.clock.Now() < mgclock.Millis(n.permitRetryAt.Load()) {
 		return permitRetryDelay, false
 	}
-	limit, _ := n.limits.Record(n.clock.Now(), permit.Ask.Upstream)
+	limit, _ := n.limits.Record(n.clock.Now(), request.Ask.Upstream)
 	reply, err := n.requestPermit(ctx, hub, permitRequest{
 		Entry:        n.settings.Name,
 		Limit:        limit,
-		Request:      permit.Ask.Request,
-		Forced:       permit.Ask.Forced,
-		GranterCount: permit.Granters,
+		Request:      request.Ask.Request,
+		Forced:       request.Ask.Forced,
+		GranterCount: request.Granters,
 	})
 	if err != nil {
 		if ctx.Err() == nil {
@@ -73,7 +73,7 @@
 			n.peerFailed(hub.Name())
 			n.metrics.Counter("permits.unanswered").Inc(1)
 			n.log.Info("a request for a permit failed, another upstream is tried", "hub", hub.Name(),
-				mglog.Request, permit.Ask.Request, mglog.Upstream, permit.Ask.Upstream, "why", err.Error())
+				mglog.Request, request.Ask.Request, mglog.Upstream, request.Ask.Upstream, "why", err.Error())
 		}
 		return permitRetryDelay, false
 	}
@@ -142,14 +142,14 @@
 
 // grantPermit grants a permit out of this process's share of the upstream's limit, if one is
 // left.
-func (n *Node) grantPermit(entry string, permit mgrelay.PermitRequest) (mgclock.Millis, bool) {
-	rate, limited := n.limits.Rate(permit.Ask.Upstream, permit.IncarnationStart)
+func (n *Node) grantPermit(entry string, request mgrelay.PermitRequest) (mgclock.Millis, bool) {
+	rate, limited := n.limits.Rate(request.Ask.Upstream, request.IncarnationStart)
 	if !limited {
 		return 0, true
 	}
 	now := n.clock.Now()
-	n.hub.MarkSeen(now, entry)
-	wait, granted := n.permits.Take(now, permit.Ask, n.limitShare(now, rate, permit.Granters))
+	n.entryLoads.MarkSeen(now, entry)
+	wait, granted := n.permits.Take(now, request.Ask, n.limitShare(now, rate, request.Granters))
 	if granted {
 		n.metrics.Counter("permits.given").Inc(1)
 	} else {
@@ -158,42 +158,42 @@
 	return wait, granted
 }
 
-// limitShare returns this process's share of an upstream's limit: the number of entries that
-// request permits here, out of all entries that may send to the upstream.
+// limitShare returns this process's share of an upstream's limit: the limit times the number of
+// entries that request permits here, divided by that of all entries that may send to the upstream.
 func (n *Node) limitShare(now mgclock.Millis, rate float64, granterCount int) mglimit.Share {
 	view := n.members.View()
 	entryCount := 1 + view.OtherEntryCount()
 	if cells := view.Cell(n.settings.Name, n.settings.Region).Count; granterCount == 1 && cells > 1 {
 		entryCount = (entryCount + cells - 1) / cells // only the entries of one cell send to the upstream
 	}
-	return mglimit.ShareOf(rate, n.hub.Entries(now), entryCount)
+	return mglimit.ShareOf(rate, n.entryLoads.Entries(now), entryCount)
 }
 
 // applyLimits sets how many requests each rate-limited upstream accepts now, and returns this
 // process's shares of their limits.
 func (n *Node) applyLimits(now mgclock.Millis, upstreams []mgwaitlist.Place) map[string]mglimit.Share {
-	var shares map[string]mglimit.Share
+	var limitShares map[string]mglimit.Share
 	for i := range upstreams {
 		p := &upstreams[i]
 		if !p.Limited {
 			continue
 		}
-		if shares == nil {
-			shares = map[string]mglimit.Share{}
+		if limitShares == nil {
+			limitShares = map[string]mglimit.Share{}
 		}
 		share := n.limitShare(now, p.Rate, p.Granters)
-		shares[p.Name] = share
+		limitShares[p.Name] = share
 		p.Rate = share.Rate()
 		p.Permits = n.permits.Available(now, p.Name, share)
 	}
-	return shares
+	return limitShares
 }
 
-// reservePermits reserves permits for the requests that have been granted placements at
-// rate-limited upstreams, since they will request one.
-func (n *Node) reservePermits(now mgclock.Millis, grants []mgwaitlist.Grant, shares map[string]mglimit.Share) {
+// reservePermits reserves a permit for each request that has been granted a placement at a
+// rate-limited upstream, since the request's entry will request that permit.
+func (n *Node) reservePermits(now mgclock.Millis, grants []mgwaitlist.Grant, limitShares map[string]mglimit.Share) {
 	for _, grant := range grants {
-		if share, limited := shares[grant.Place]; limited {
+		if share, limited := limitShares[grant.Place]; limited {
 			n.permits.Reserve(now, grant.Place, grant.Name, share)
 		}
 	}
--- a/internal/process/mgnode/permit_test.go
+++ b/internal/process/mgnode/permit_test.go
@@ -39,8 +39,8 @@
 const limitedUpstream = "engine"
 
 func newPermitCluster(t *testing.T, count int, seed uint64) *permitCluster {
-	// The synctest bubble's time begins before the start of the process, from which suspicions
-	// count.
+	// In a synctest bubble the clock begins before the start of the process. Suspicions are timed
+	// from that start, so the clock must be past it.
 	time.Sleep(max(time.Second-mgclock.Clock{}.Now().Duration(), 0))
 	c := &permitCluster{
 		rng:       rand.New(rand.NewPCG(seed, 0)),
@@ -116,8 +116,8 @@
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// run has the entries send demand requests a second in total, for a duration.
-func (c *permitCluster) run(t *testing.T, demand float64, duration mgclock.Millis, scenario func(c *permitCluster, sleep func(mgclock.Millis))) {
+// run has the entries send totalRate requests a second in total, for a duration.
+func (c *permitCluster) run(t *testing.T, totalRate float64, duration mgclock.Millis, scenario func(c *permitCluster, sleep func(mgclock.Millis))) {
 	ctx, cancel := context.WithCancel(context.Background())
 	for i, n := range c.nodes {
 		go n.reportLoads(ctx, &mgload.Tracker{})
@@ -125,7 +125,7 @@
 		if len(c.nodes) < 10 { // with more, compression takes most of the test's time
 			go n.exchanger.runAntiEntropy(ctx)
 		}
-		go c.runSender(ctx, i, demand/float64(len(c.nodes)))
+		go c.runSender(ctx, i, totalRate/float64(len(c.nodes)))
 	}
 	go func() {
 		for c.clock.Sleep(ctx, mgclock.Second) {
@@ -141,12 +141,12 @@
 }
 
 // runSender sends one entry's requests, which arrive at random times.
-func (c *permitCluster) runSender(ctx context.Context, i int, demand float64) {
+func (c *permitCluster) runSender(ctx context.Context, i int, rate float64) {
 	n := c.nodes[i]
 	var backoffs mglimit.Backoffs
 	for seq := 0; ; seq++ {
 		c.mu.Lock()
-		pause := mgclock.Millis(c.rng.ExpFloat64() / demand * 1000)
+		pause := mgclock.Millis(c.rng.ExpFloat64() / rate * 1000)
 		c.mu.Unlock()
 		if !c.clock.Sleep(ctx, pause) {
 			return
@@ -222,8 +222,8 @@
 // rate limit may get.
 func maxSendsInWindow(rate float64) int { return int(1.5*4*rate + 5) }
 
-// The entries together must keep an upstream's rate limit. If the granter dies or is cut off, two
-// granters could each grant the whole limit, or none grants any of it.
+// Guards against entries that together exceed an upstream's rate limit. If the granter dies or is
+// cut off, two granters could each grant the whole limit, or none grants any of it.
 func TestEntriesTogetherExceedLimit(t *testing.T) {
 	hubOf := func(c *permitCluster) int {
 		hub := 0
--- a/internal/process/mgnode/placement.go
+++ b/internal/process/mgnode/placement.go
@@ -70,9 +70,9 @@
 		Need:    int64(request.Need),
 		Made:    int64(request.Output),
 		Span:    int64(request.Duration),
-		Left:    int64(request.Due - now),
+		Left:    int64(request.Due - now), // until it needs a placement for its response to begin on time
 		Waited:  int64(now - request.Arrived),
-		Rest:    int64(request.End - now),
+		Rest:    int64(request.End - now), // until it is given up
 	})
 	if err != nil {
 		return mgwaitlist.Grant{}, err
@@ -102,8 +102,8 @@
 	}, nil
 }
 
-// placementQueues holds the requests that wait at this entry, by service. The zero
-// value is empty.
+// placementQueues holds the requests of the cell's entries that wait at this process, its hub, by
+// service. The zero value is empty.
 type placementQueues struct {
 	mu        sync.Mutex
 	byService map[string]*placementQueue
@@ -111,8 +111,8 @@
 
 // placementQueue holds the requests that wait for an upstream of one service.
 type placementQueue struct {
-	waiting         mgwaitlist.WaitingList
-	pending         map[string]*pendingRequest
+	waiting         mgwaitlist.WaitingList     // the requests without a grant
+	byName          map[string]*pendingRequest // the requests, also those granted and not fetched yet
 	assignedAt      mgclock.Millis
 	upstreams       []mgwaitlist.Place // with their free capacity at upstreamsReadAt
 	upstreamsReadAt mgclock.Millis
@@ -155,18 +155,18 @@
 	}
 	if l.byService[service] == nil {
 		l.byService[service] = &placementQueue{
-			pending:         map[string]*pendingRequest{},
+			byName:          map[string]*pendingRequest{},
 			assignedAt:      now - minAssignInterval,
 			upstreamsReadAt: now - capacityTTL,
 		}
 	}
 	queue := l.byService[service]
-	pending := queue.pending[request.Name]
+	pending := queue.byName[request.Name]
 	if pending == nil {
 		pending = &pendingRequest{
 			granted: make(chan struct{}),
 		}
-		queue.pending[request.Name] = pending
+		queue.byName[request.Name] = pending
 		queue.waiting.Add(request)
 	}
 	pending.expiresAt = now + placementHoldTimeout + pendingTTL
@@ -177,30 +177,30 @@
 func (l *placementQueues) dequeue(service, name string) mgwaitlist.Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	pending := l.byService[service].pending[name]
+	pending := l.byService[service].byName[name]
 	if pending == nil {
 		return mgwaitlist.Grant{}
 	}
-	delete(l.byService[service].pending, name)
+	delete(l.byService[service].byName, name)
 	l.byService[service].waiting.Remove(name)
-	pending.grant.Name = "" // the caller knows it
+	pending.grant.Name = "" // the caller knows the name of its request
 	return pending.grant
 }
 
 // assignPlacements assigns the free capacity of a service's upstreams to the waiting requests.
 func (n *Node) assignPlacements(service string) {
 	now := n.clock.Now()
-	readUpstreams := n.readUpstreams.Load()
+	placementCandidates := n.placementCandidates.Load()
 	n.placementQueues.mu.Lock()
 	defer n.placementQueues.mu.Unlock()
 	queue := n.placementQueues.byService[service]
-	if readUpstreams == nil || now < queue.assignedAt+minAssignInterval {
+	if placementCandidates == nil || now < queue.assignedAt+minAssignInterval {
 		return
 	}
 	queue.assignedAt = now
-	for name, pending := range queue.pending {
+	for name, pending := range queue.byName {
 		if now >= pending.expiresAt {
-			delete(queue.pending, name)
+			delete(queue.byName, name)
 			queue.waiting.Remove(name)
 		}
 	}
@@ -209,15 +209,15 @@
 	}
 	if now >= queue.upstreamsReadAt+capacityTTL {
 		queue.upstreamsReadAt = now
-		queue.upstreams = (*readUpstreams)(service, n.hub.Others(now, n.settings.Name))
+		queue.upstreams = (*placementCandidates)(service, n.entryLoads.Others(now, n.settings.Name))
 		n.reportQueue(now, service, queue)
 	}
 	upstreams := slices.Clone(queue.upstreams)
-	shares := n.applyLimits(now, upstreams)
+	limitShares := n.applyLimits(now, upstreams)
 	grants := queue.assign(now, upstreams)
-	n.reservePermits(now, grants, shares)
+	n.reservePermits(now, grants, limitShares)
 	for _, grant := range grants {
-		if pending := queue.pending[grant.Name]; pending != nil {
+		if pending := queue.byName[grant.Name]; pending != nil {
 			pending.grant = grant
 			close(pending.granted)
 		}
@@ -225,7 +225,7 @@
 }
 
 // assign returns the grants that are possible now. Without upstreams that may be given work,
-// it gives all waiting requests up.
+// it gives all waiting requests up: their grants have no Place.
 func (l *placementQueue) assign(now mgclock.Millis, upstreams []mgwaitlist.Place) []mgwaitlist.Grant {
 	if upstreams == nil {
 		return l.waiting.GiveUpAll()
--- a/internal/process/mgnode/placement_queue.go
+++ b/internal/process/mgnode/placement_queue.go
@@ -9,15 +9,15 @@
 // same queue.
 const queueLogInterval = mgclock.Second
 
-// reportQueue reports the state of a placement queue and of its upstreams, by which
-// placements are assigned: in gauges, and in the log once a second while at least two
-// requests wait. The gauges keep the state of the last time that requests waited.
+// reportQueue reports the state of a placement queue and the capacity of its upstreams,
+// from which placements are assigned: in gauges, and in the log once a second while at
+// least two requests wait. The gauges keep the state of the last time that requests waited.
 func (n *Node) reportQueue(now mgclock.Millis, service string, queue *placementQueue) {
 	state := queue.waiting.State(now)
-	free, unread := 0, 0
+	free, pendingTokens := 0, 0
 	for _, place := range queue.upstreams {
 		free += place.Free
-		unread += place.Pending
+		pendingTokens += place.Pending
 	}
 	for name, value := range map[string]int{
 		"room.waiting.": state.Waiting,
@@ -25,7 +25,7 @@
 		"room.age.":     int(state.Age),
 		"room.places.":  len(queue.upstreams),
 		"room.free.":    free,
-		"room.unread.":  unread,
+		"room.unread.":  pendingTokens,
 	} {
 		n.metrics.Gauge(name + service).Update(int64(value))
 	}
@@ -34,5 +34,5 @@
 	}
 	queue.loggedAt = now
 	n.log.Info("requests wait for placements", mglog.Service, service, "waiting", state.Waiting, "late", state.Late,
-		"age", int64(state.Age), "places", len(queue.upstreams), "free", free, "unread", unread)
+		"age", int64(state.Age), "places", len(queue.upstreams), "free", free, "unread", pendingTokens)
 }
--- a/internal/process/mgnode/placement_test.go
+++ b/internal/process/mgnode/placement_test.go
@@ -16,8 +16,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// newGranter returns an entry that assigns placements at one upstream with some free memory.
-func newGranter(free func() int) *Node {
+// newHubWithUpstream returns an entry that assigns placements at one upstream with some free
+// memory.
+func newHubWithUpstream(free func() int) *Node {
 	n := &Node{
 		metrics: mgmetric.New(),
 		log:     logr.Discard(),
@@ -28,11 +29,11 @@
 			Free: free(),
 		}}
 	}
-	n.readUpstreams.Store(&places)
+	n.placementCandidates.Store(&places)
 	return n
 }
 
-func reportRequest(name string) mgwaitlist.Request {
+func newRequest(name string) mgwaitlist.Request {
 	return mgwaitlist.Request{
 		Name: name,
 		Need: 3000,
@@ -40,7 +41,8 @@
 	}
 }
 
-// Two entries ask at the same moment, and the engine has memory for one request. If both were
+// Guards against memory that is placed twice, or for a request whose caller has left. Two
+// entries ask at the same moment, and the engine has memory for one request. If both were
 // sent there, the second would wait behind the first. A repeated call must not enqueue its
 // request twice, and a request whose caller has left must not take memory from another.
 func TestMemoryPlacedTwiceOrForAbandonedRequest(t *testing.T) {
@@ -48,22 +50,22 @@
 	cases := []struct {
 		name     string
 		scenario scenarioFunc
-		got      []string
+		want     []string
 	}{
 		{
 			name: "one of two gets the memory, and the other one gets it when it is free again",
 			scenario: func(ctx context.Context, n *Node, free *atomic.Int64) []string {
 				free.Store(3000)
-				first := n.awaitPlacement(ctx, "llm", reportRequest("one")).Place
+				first := n.awaitPlacement(ctx, "llm", newRequest("one")).Place
 				free.Store(0)
-				none := n.awaitPlacement(ctx, "llm", reportRequest("two")).Place
+				none := n.awaitPlacement(ctx, "llm", newRequest("two")).Place
 				go func() {
 					n.clock.Sleep(ctx, 100)
 					free.Store(3000)
 				}()
-				return []string{first, none, n.awaitPlacement(ctx, "llm", reportRequest("two")).Place}
+				return []string{first, none, n.awaitPlacement(ctx, "llm", newRequest("two")).Place}
 			},
-			got: []string{"engine", "", "engine"},
+			want: []string{"engine", "", "engine"},
 		},
 		{
 			name: "one whose caller has left gets no placement",
@@ -73,31 +75,31 @@
 					n.clock.Sleep(ctx, 50)
 					cancel()
 				}()
-				none := n.awaitPlacement(left, "llm", reportRequest("left")).Place
+				none := n.awaitPlacement(left, "llm", newRequest("left")).Place
 				free.Store(3000)
-				return []string{none, n.awaitPlacement(ctx, "llm", reportRequest("next")).Place}
+				return []string{none, n.awaitPlacement(ctx, "llm", newRequest("next")).Place}
 			},
-			got: []string{"", "engine"},
+			want: []string{"", "engine"},
 		},
 		{
 			name: "one whose entry has stopped asking gets no placement",
 			scenario: func(ctx context.Context, n *Node, free *atomic.Int64) []string {
-				none := n.awaitPlacement(ctx, "llm", reportRequest("dead")).Place
+				none := n.awaitPlacement(ctx, "llm", newRequest("dead")).Place
 				n.clock.Sleep(ctx, placementHoldTimeout+pendingTTL)
 				free.Store(3000)
-				return []string{none, n.awaitPlacement(ctx, "llm", reportRequest("next")).Place}
+				return []string{none, n.awaitPlacement(ctx, "llm", newRequest("next")).Place}
 			},
-			got: []string{"", "engine"},
+			want: []string{"", "engine"},
 		},
 		{
 			name: "one that has waited for too long gets a retry delay",
 			scenario: func(ctx context.Context, n *Node, _ *atomic.Int64) []string {
-				w := reportRequest("late")
+				w := newRequest("late")
 				w.End = n.clock.Now() + 50
 				grant := n.awaitPlacement(ctx, "llm", w)
 				return []string{grant.Place, fmt.Sprint(grant.Retry >= mgclock.Second)}
 			},
-			got: []string{"", "true"},
+			want: []string{"", "true"},
 		},
 	}
 	Convey("Of the requests that wait for a placement", t, func() {
@@ -107,11 +109,11 @@
 				var n *Node
 				synctest.Test(t, func(*testing.T) {
 					var free atomic.Int64
-					n = newGranter(func() int { return int(free.Load()) })
+					n = newHubWithUpstream(func() int { return int(free.Load()) })
 					got = c.scenario(context.Background(), n, &free)
 				})
-				So(got, ShouldResemble, c.got)
-				So(n.placementQueues.byService["llm"].pending, ShouldBeEmpty)
+				So(got, ShouldResemble, c.want)
+				So(n.placementQueues.byService["llm"].byName, ShouldBeEmpty)
 				So(n.placementQueues.byService["llm"].waiting.Len(), ShouldEqual, 0)
 			})
 		}
--- a/internal/process/mgnode/platform_reads.go
+++ b/internal/process/mgnode/platform_reads.go
@@ -15,7 +15,8 @@
 	loggedAt mgclock.Millis
 }
 
-// reportReads reports how often the process has read the platform, and for which reason: in
+// reportReads reports how often the process has read the platform, and for which reason (see
+// mgconfig.Counts): in
 // gauges, and in the log at most every ten seconds if there were new reads. The platform
 // counts the reads of all processes together, so only the processes can attribute them.
 func (n *Node) reportReads(status mgconfig.Status) {
--- a/internal/process/mgnode/quarantine.go
+++ b/internal/process/mgnode/quarantine.go
@@ -9,8 +9,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// otherEntries returns the other known entries, without suspected ones unless no other process
-// is left.
+// otherEntries returns the other known entries. View.Peers leaves out suspected ones unless no
+// other process is left.
 func (n *Node) otherEntries() []*mgmember.Member {
 	var entries []*mgmember.Member
 	for _, peer := range n.members.View().Peers() {
--- a/internal/process/mgnode/serve.go
+++ b/internal/process/mgnode/serve.go
@@ -16,8 +16,8 @@
 	// minLinger is the minimum time for which a listener that accepts no more connections
 	// waits for its last responses.
 	minLinger = 250 * mgclock.Millis(1)
-	// maxLinger is the maximum time for which the callers' listener waits for connections
-	// that have sent no request yet.
+	// maxLinger is the maximum time for which the callers' listener waits for its last
+	// responses, also on connections that have sent no request yet.
 	maxLinger = 2 * mgclock.Second
 	// handshakeTimeout is how long a listener that closes waits for handshakes in progress.
 	handshakeTimeout = 50 * mgclock.Millis(1)
@@ -71,7 +71,7 @@
 	}
 	defer context.AfterFunc(killed, func() { _ = server.Close() })()
 	listenerFinished := make(chan struct{})
-	cancelFinish := context.AfterFunc(ctx, func() {
+	cancelShutdown := context.AfterFunc(ctx, func() {
 		defer close(listenerFinished)
 		conns.beginClose()
 		if err := spec.Listener.Shutdown(handshakeTimeout); err != nil {
@@ -80,7 +80,8 @@
 	})
 	log.Info("listening", "address", spec.Listener.Addr().String())
 	err := server.Serve(spec.Listener)
-	if cancelFinish() || killed.Err() != nil {
+	// cancelShutdown returns true if ctx has not ended, so that Serve failed.
+	if cancelShutdown() || killed.Err() != nil {
 		if !errors.Is(err, http.ErrServerClosed) {
 			log.Error(err, "a listener failed")
 		}
@@ -94,7 +95,7 @@
 	// http.Server.Shutdown isn't used because it closes a connection whose request is read
 	// after Shutdown has begun, without a response.
 	conns.drain(killed, linger)
-	stats := conns.closeStats()
+	stats := conns.statsAtClose()
 	log.Info("listener closed", "read", stats.read, "unanswered", stats.unanswered, "unused", stats.unused, "cut", stats.aborted)
 	_ = server.Close()
 }
--- a/internal/process/mgnode/serve_test.go
+++ b/internal/process/mgnode/serve_test.go
@@ -58,8 +58,8 @@
 	return s
 }
 
-// The first request of a connection that was accepted before a stop may arrive after the stop
-// has begun. It must get a response.
+// Guards against a late request that is dropped: the first request of a connection that was
+// accepted before a stop may arrive after the stop has begun. It must get a response.
 func TestStopDropsLateRequest(t *testing.T) {
 	Convey("A listener that stops", t, func() {
 		s := startServer(t)
@@ -77,19 +77,19 @@
 			So(err, ShouldBeNil)
 			return response.StatusCode, !response.Close
 		}
-		fresh, freshReader := open()
-		defer fresh.Close()
-		kept, keptReader := open()
-		defer kept.Close()
-		code, again := ask(kept, keptReader)
+		unused, unusedReader := open()
+		defer unused.Close()
+		keepAlive, keepAliveReader := open()
+		defer keepAlive.Close()
+		code, again := ask(keepAlive, keepAliveReader)
 		So(code, ShouldEqual, http.StatusNoContent)
 		So(again, ShouldBeTrue)
 
 		s.stop()
-		_, err := keptReader.Peek(1)
+		_, err := keepAliveReader.Peek(1)
 		Convey("ends the connections that are idle", func() { So(err, ShouldEqual, io.EOF) })
 		Convey("responds to a first request that arrives now, and ends its connection", func() {
-			code, again := ask(fresh, freshReader)
+			code, again := ask(unused, unusedReader)
 			So(code, ShouldEqual, http.StatusNoContent)
 			So(again, ShouldBeFalse)
 			<-s.done
@@ -98,8 +98,9 @@
 	})
 }
 
-// A request that was read before the listener began to close is handled while it closes. If it
-// were counted, it would hide a later request that got no response.
+// Guards against an early request that hides an unanswered one. A request that was read before the
+// listener began to close is handled while it closes. If it were counted, it would hide a later
+// request that got no response.
 func TestEarlyRequestHidesUnansweredOne(t *testing.T) {
 	Convey("Of two connections, one read before the listener closes and one after", t, func() {
 		var conns connTracker
@@ -117,17 +118,18 @@
 		conns.beginClose()
 		conns.stateChanged(late, http.StateActive)
 		answer(early)
-		So(conns.closeStats(), ShouldResemble, closeStats{
+		So(conns.statsAtClose(), ShouldResemble, closeStats{
 			read:       1,
 			unanswered: 1,
 			aborted:    2,
 		})
 		answer(late)
-		So(conns.closeStats().unanswered, ShouldEqual, 0)
+		So(conns.statsAtClose().unanswered, ShouldEqual, 0)
 	})
 }
 
-// Requests that arrive without pause while an entry stops must get a response, or have their
+// Guards against requests that a stop drops: those that arrive without pause while an entry
+// stops must get a response, or have their
 // connection refused.
 func TestStopDropsRequests(t *testing.T) {
 	Convey("Callers with kept and with new connections while a listener stops", t, func() {
--- a/internal/process/mgnode/spec.go
+++ b/internal/process/mgnode/spec.go
@@ -20,19 +20,20 @@
 	Settings mgsettings.Process
 	Log      io.Writer
 	// Platform reads the table and the list of VMs. Nil uses the service at
-	// Settings.Platform.
+	// Settings.PlatformURL.
 	Platform *mgplatform.Client
 	// ListConfirmsTable is true if the platform's response about the list of VMs also shows that
 	// there is no newer table; see mgconfig.MachineSpec.
 	ListConfirmsTable bool
-	// ParsedPage returns the page of the table with a digest if the process has already
-	// read it, else nil; see mgconfig.MachineSpec.
+	// ParsedPage returns the page of the table that has the digest if the process has
+	// parsed it already, else nil; see mgconfig.MachineSpec.
 	ParsedPage func(digest string) *mgtable.Page
 	// Unkeyed is true if the network lets only the system's own processes reach
-	// Settings.Peer, so that they need no shared key. Names of answers are then
-	// sealed with a key that only this process has.
+	// Settings.PeerAddr, so that they need no shared key. The names of responses, by
+	// which callers resume them, are then sealed (see mgseal) with a key that only this
+	// process has.
 	Unkeyed bool
-	// Relay is the form of the requests that the table's routes pass through to
+	// Relay names the headers of the requests that the table's routes pass through to
 	// upstreams. Nil passes none.
 	Relay *mgrelay.HeaderNames
 	// Probe asks an upstream whether it is leaving. Nil asks none.
@@ -48,8 +49,8 @@
 	if spec.Unkeyed {
 		key := make([]byte, ownKeyBytes)
 		_, _ = rand.Read(key) // never fails, by its documentation
-		seal, err := mgseal.New(mgseal.Spec{Current: key})
-		return mgpeer.NewWithoutKey(), seal, err
+		signer, err := mgseal.New(mgseal.Spec{Current: key})
+		return mgpeer.NewWithoutKey(), signer, err
 	}
 	guard, err := mgpeer.New(mgpeer.Spec{
 		Secret:   settings.Secret,
@@ -59,11 +60,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	seal, err := mgseal.New(mgseal.Spec{
+	signer, err := mgseal.New(mgseal.Spec{
 		Current:  []byte(settings.Secret),
 		Previous: []byte(settings.PreviousSecret),
 	})
-	return guard, seal, err
+	return guard, signer, err
 }
 
 // certFiles returns the file names of a certificate.
--- a/internal/standin/mgdemo/report.go
+++ b/internal/standin/mgdemo/report.go
@@ -225,7 +225,7 @@
 // check compares an answer with the tokens that the engine generated. All of them must
 // be there once and in order, with none of another generation.
 func (p *playRun) check(g receivedAnswer) string {
-	seal := p.deployment.Node("entry-2").Seal()
+	seal := p.deployment.Node("entry-2").Signer()
 	name, err := mganswer.NewSigner(seal).Open(g.account, g.answer.Name())
 	if err != nil {
 		return "an answer's name can't be opened: " + err.Error()
