--- a/internal/process/mgrelay/crash.go
+++ b/internal/process/mgrelay/crash.go
@@ -100,7 +100,7 @@
 
 // errNoCrashCheck means that there is no means to check whether upstreams have
 // ended.
-var errNoCrashCheck = errors.New("mgrelay: can't check whether the upstream has ended: set Spec.Refuses")
+var errNoCrashCheck = errors.New("mgrelay: can't check whether the upstream has ended: set Spec.RefusesConnections")
 
 // hasEnded reports whether an upstream has ended. An error means that this is
 // unknown.
