--- a/internal/process/mgrelay/attempt.go
+++ b/internal/process/mgrelay/attempt.go
@@ -22,10 +22,10 @@
 type attemptOutcome int
 
 const (
-	delivered    attemptOutcome = iota // the caller has its answer, or its connection was closed
+	delivered    attemptOutcome = iota // the caller has its complete answer
 	notConnected                       // no connection, so nothing was sent
 	refused                            // the upstream stated that the request did not run
-	failed                             // the request may have run, and there is no answer to deliver
+	failed                             // the request may have run, and there is no successful answer to deliver
 	interrupted                        // a stream broke off
 )
 
@@ -35,7 +35,7 @@
 
 // attempt sends a request to one upstream and delivers its answer.
 func (y *Relay) attempt(ctx context.Context, w http.ResponseWriter, x *exchange, host Host) (outcome attemptOutcome) {
-	outcome = failed // also if the caller's connection is broken
+	outcome = failed // what the deferred call sees if abort panics, as when the caller's connection breaks
 	defer func() { x.endAttempt(outcome == delivered) }()
 	x.tried[host.Name] = true
 	x.lastUpstream = host.Name
@@ -137,7 +137,7 @@
 			Host:   host.Addr,
 			Opaque: x.target,
 		},
-		Host:          x.host,
+		Host:          x.hostHeader,
 		Header:        header,
 		ContentLength: int64(len(x.body)),
 	}
@@ -192,7 +192,7 @@
 }
 
 // recordMisdirected reports a host as gone if another upstream answers at its
-// address and the list doesn't show this yet. Otherwise the host, at whose address
+// address, whatever the list shows. Otherwise the host, at whose address
 // none of our requests run, would appear least loaded, and every further request
 // would be sent there. An upstream whose Instance header has its own name isn't
 // reported.
@@ -214,7 +214,8 @@
 	return refused
 }
 
-// bufferAnswer reads a failure's answer completely, or returns nil if it breaks off.
+// bufferAnswer reads the answer of a failed or refusing upstream, or returns nil if it
+// breaks off. A body longer than maxBufferedAnswer is truncated without a sign.
 func bufferAnswer(response *http.Response) *answer {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedAnswer))
 	if err != nil {
--- a/internal/process/mgrelay/backoff.go
+++ b/internal/process/mgrelay/backoff.go
@@ -38,7 +38,9 @@
 const maxRetryAfterSeconds = 1e6
 
 // beginAttempt reports whether an upstream may be sent a request now, and if so
-// registers the attempt with the backoffs until endAttempt.
+// registers the attempt with the backoffs until endAttempt. After the time of a
+// Retry-After they bound how many attempts of this process are in flight at the
+// upstream, at first to one (see mgrest).
 func (y *Relay) beginAttempt(x *exchange, host Host) bool {
 	release, ok := y.backoffs.Acquire(y.spec.Clock.Now(), host.Name)
 	if ok {
--- a/internal/process/mgrelay/crash.go
+++ b/internal/process/mgrelay/crash.go
@@ -23,9 +23,9 @@
 	crashCheckTimeout = 50 * mgclock.Millis(1)
 )
 
-// errHeld is the cause for which the attempts of a request are cancelled when it
-// becomes held.
-var errHeld = errors.New("mgrelay: the request crashes upstreams: send another")
+// errQuarantined is the cause for which the attempts of a request are cancelled when
+// it becomes held, that is when the quarantine begins to refuse it.
+var errQuarantined = errors.New("mgrelay: the request crashes upstreams: send another")
 
 // partialAnswer is what an attempt had received when its upstream broke it off.
 type partialAnswer struct {
@@ -47,7 +47,7 @@
 		if x.call.Account != nil {
 			account = x.call.Account.Name()
 		}
-		x.digestValue = mgquarantine.DigestOf(account, x.host, x.target, x.body)
+		x.digestValue = mgquarantine.DigestOf(account, x.hostHeader, x.target, x.body)
 	})
 	return x.digestValue
 }
@@ -86,8 +86,9 @@
 		y.spec.Log.Info("an upstream broke off an attempt", append(keys, "ended", ended, "evidence", evidence)...)
 		if evidence {
 			y.spec.Metrics.Counter("relay.crashed").Inc(1)
-			// The news that the connection broke off may have been delayed on the
-			// network for as long as the check for the refused connection took.
+			// Delay is how long before now, when the attempt broke off here, the
+			// upstream may have ended: the news may have been delayed on the network
+			// for as long as the check for the refused connection took.
 			crash.Delay = y.spec.Clock.Now() - now
 			y.spec.Quarantine.RecordCrash(now, crash)
 		}
@@ -111,8 +112,11 @@
 	return y.spec.RefusesConnections(context.Background(), host.Addr)
 }
 
-// heldProblem returns the problem to answer with if a request is held, or nil.
-func (y *Relay) heldProblem(x *exchange) *mgproblem.Problem {
+// quarantineProblem returns the problem to answer with if a request is held, that is
+// refused by the quarantine, or nil. Until the quarantine has admitted the request,
+// each call asks for admission and sets x.admitted; later calls only ask whether the
+// request is held.
+func (y *Relay) quarantineProblem(x *exchange) *mgproblem.Problem {
 	if !y.spec.Quarantine.HasSuspects() {
 		x.admitted = true
 		return nil
@@ -178,7 +182,7 @@
 	defer y.exchanges.mu.Unlock()
 	for x, cancel := range y.exchanges.cancels {
 		if _, held := y.spec.Quarantine.Held(now, x.digest()); held && !x.streaming.Load() {
-			cancel(errHeld)
+			cancel(errQuarantined)
 		}
 	}
 }
@@ -199,7 +203,7 @@
 // endIfHeld ends a request that is held, and reports whether it did. A generation
 // that continues from a copy is not ended: it started before the request was held.
 func (y *Relay) endIfHeld(w http.ResponseWriter, x *exchange) bool {
-	problem := y.heldProblem(x)
+	problem := y.quarantineProblem(x)
 	switch {
 	case problem == nil || x.headerSent && x.resumeFrom.copyRef != "":
 		return false
--- a/internal/process/mgrelay/doc.go
+++ b/internal/process/mgrelay/doc.go
@@ -12,8 +12,9 @@
 //
 //   - A request that must not be repeated is sent to a second upstream only if the
 //     first stated that it did not run, or if no connection was made.
-//   - The caller gets "not run" for a request that was sent only in these two cases,
-//     too. It also gets it for a request that was sent to no upstream.
+//   - The caller gets "not run" only if the request was sent to no upstream, or if
+//     each attempt ended in one of these two ways: the upstream stated that the
+//     request did not run, or no connection was made.
 //   - An answer that breaks off upstream breaks off at the caller. It never
 //     appears complete.
 //   - An answer that names another request is discarded: its connection is
@@ -27,17 +28,18 @@
 //
 // # Terms
 //
+//   - upstream: a server to which requests are forwarded. The code also calls it host.
 //   - list: the upstreams, as last reported by the platform. It is stale while the
 //     platform can't be reached.
 //   - attempt: one send of a request to one upstream.
 //   - refused: the upstream stated that an attempt did not run.
-//   - garbled: an answer that can't be attributed to the upstream and the request:
-//     one without the upstream's signature, with an encoding that nobody asked for,
-//     or for another request. Its bytes needn't be corrupted.
+//   - garbled: a mismatched answer, one that can't be attributed to the upstream and
+//     the request: without the upstream's signature, with an encoding that nobody
+//     asked for, or for another request. Its bytes needn't be corrupted.
 //   - engine: an upstream that produces generations.
 //   - notice: an engine's announcement that it is leaving, one to two seconds before
 //     it is reclaimed.
-//   - cut: broken off before the end.
+//   - cut: broken off (interrupted) before the end.
 //   - step: one iteration of an engine, which produces the next token of each of its
 //     generations.
 //   - generation: a streamed answer that an upstream is producing for a caller.
@@ -56,12 +58,13 @@
 //   - turn: the time slot in which a process may send one request without a placement
 //     to a cold upstream (see mgwarm).
 //   - pace: how slow an upstream is: ms per token of a stream, ms per request
-//     otherwise.
-//   - home: a region in which a request may run.
+//     otherwise. A higher pace means a slower upstream.
+//   - home: a region in which a request may run (data residency). A request may have
+//     several.
 //   - permit: the permission to send one request to an upstream that has announced
 //     a rate limit. All entries together give at most as many as it allows.
 //   - cordon: operators keep new work away from an availability zone.
-//   - quarantine: requests under which upstreams crashed, that is while they were
-//     about to begin the request or had just begun it, are refused for a time. Such
-//     requests are called held; they don't wait.
+//   - quarantine: the refusal, for a time, of requests under which upstreams crashed,
+//     that is while the upstream was about to begin the request or had just begun it.
+//     Such requests are called held: they are refused at once and don't wait.
 package mgrelay
--- a/internal/process/mgrelay/duration.go
+++ b/internal/process/mgrelay/duration.go
@@ -21,8 +21,8 @@
 	nonStreamGoalFactor = 3
 )
 
-// expectedDuration returns how long a request is expected to take. An entry that
-// stops accepts only requests that are expected to end before it does. With two
+// expectedDuration returns how long a request is expected to take. While an entry is
+// stopping, it accepts only requests that are expected to end before it does. With two
 // seconds left, a generation of eight seconds would break off, while a lookup of
 // 20 ms need not be sent elsewhere.
 func (x *exchange) expectedDuration() mgclock.Millis {
--- a/internal/process/mgrelay/exchange.go
+++ b/internal/process/mgrelay/exchange.go
@@ -17,19 +17,19 @@
 
 // exchange is a caller's request and the state of its processing.
 type exchange struct {
-	call      Call
-	id        string
-	service   string
-	homes     homes
-	method    string
-	target    string // path and query as the caller sent them
-	host      string
-	header    http.Header
-	size      generationSize
-	body      []byte
-	startedAt mgclock.Millis
-	timeout   mgclock.Millis // from startedAt, the shorter of deadline and timeout of the route
-	control   *http.ResponseController
+	call       Call
+	id         string
+	service    string
+	homes      homes
+	method     string
+	target     string // path and query as the caller sent them
+	hostHeader string
+	header     http.Header
+	size       generationSize
+	body       []byte
+	startedAt  mgclock.Millis
+	timeout    mgclock.Millis // from startedAt, the shorter of deadline and timeout of the route
+	control    *http.ResponseController
 
 	sentAt           mgclock.Millis // when the last attempt was sent
 	pendingTokens    int            // prompt tokens that are counted as not yet read
@@ -42,7 +42,7 @@
 	failure          *answer     // the last upstream's answer that it failed
 	mayHaveRun       bool        // at an upstream
 	attemptBroken    bool        // an upstream closed the connection of an attempt
-	admitted         bool        // by the quarantine; later checks only ask whether it is held
+	admitted         bool        // by the quarantine; see quarantineProblem
 	headerSent       bool        // of a stream, to the caller
 	streaming        atomic.Bool // headerSent for other goroutines
 	digestOnce       sync.Once
@@ -61,7 +61,7 @@
 // which it does.
 type resumePoint struct {
 	host    Host
-	copyRef string // address/name
+	copyRef string // address of the move's source, "/", handle of the copy
 }
 
 // answer is an upstream's answer that was read completely.
@@ -77,18 +77,18 @@
 
 // newExchange reads a request. It reads the whole body first: the body can then be
 // sent to a second upstream, and if an upstream answers before it has read the whole
-// body, it can't take bytes of another body for the rest.
+// body, that upstream can't take bytes of another body for the unread part of this one.
 func (y *Relay) newExchange(w http.ResponseWriter, r *http.Request, call Call, startedAt mgclock.Millis) (*exchange, *mgproblem.Problem) {
 	x := &exchange{
-		call:      call,
-		id:        r.Header.Get(y.spec.Headers.ID),
-		method:    r.Method,
-		target:    requestTarget(r),
-		host:      r.Host,
-		startedAt: startedAt,
-		timeout:   call.Route.Timeout(),
-		tried:     map[string]bool{},
-		control:   http.NewResponseController(w),
+		call:       call,
+		id:         r.Header.Get(y.spec.Headers.ID),
+		method:     r.Method,
+		target:     requestTarget(r),
+		hostHeader: r.Host,
+		startedAt:  startedAt,
+		timeout:    call.Route.Timeout(),
+		tried:      map[string]bool{},
+		control:    http.NewResponseController(w),
 	}
 	x.service = serviceOf(call.Route, x.id)
 	x.homes = homesOf(call)
--- a/internal/process/mgrelay/generation.go
+++ b/internal/process/mgrelay/generation.go
@@ -130,8 +130,8 @@
 	return best
 }
 
-// isClaimed reports whether a generation was claimed for a move. The move makes the
-// upstream end the generation's stream.
+// isClaimed reports whether a move of a generation was started, or none may start any
+// more. A move makes the upstream end the generation's stream.
 func (s *generations) isClaimed(r *generation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/process/mgrelay/harness_test.go
+++ b/internal/process/mgrelay/harness_test.go
@@ -127,8 +127,8 @@
 	return mgload.Report{Loads: rows}
 }
 
-// configureModel uses a table whose service has a model, and so upstreams of known
-// memory, so that generations wait for placements.
+// configureModel uses a table whose service has a model. The memory of its upstreams
+// is then known, so generations wait for placements.
 func (g *harness) configureModel(text string) {
 	text = strings.Replace(text, `kind = "plain"`, "model = \"m\"", 1)
 	text += "\n[[model]]\nname = \"m\"\ncontext = 9000\nmax = 9000\n"
--- a/internal/process/mgrelay/headernames.go
+++ b/internal/process/mgrelay/headernames.go
@@ -20,7 +20,7 @@
 	Tokens       string   // "prompt,max": number of tokens of the prompt, and maximum for the output
 	OutputHint   string   // the caller's estimate of the number of output tokens
 	LastEventID  string   // id of the last event that a caller, or the relay, has received
-	Copy         string   // the copy from which a generation continues, address/name
+	Copy         string   // the copy from which a generation continues: address of the source, "/", handle of the copy
 	NotForwarded []string // further headers that are never forwarded to upstreams
 	// RetryAfterFractions reports whether callers accept fractions of a second in Retry-After.
 	RetryAfterFractions bool
@@ -98,8 +98,8 @@
 
 // forwardedHeaders returns the headers of a caller's request that are forwarded. The
 // caller's key (Authorization) is never forwarded, and headers that the relay sets
-// are dropped: otherwise a caller could act as another account or use memory that
-// the system reserved.
+// are dropped: otherwise a caller could act as another account (Account) or use memory
+// that the system reserved, such as another generation's copy (Copy).
 func (f *HeaderNames) forwardedHeaders(from http.Header) http.Header {
 	to := endToEndHeaders(from)
 	to.Del("Authorization")
@@ -111,7 +111,7 @@
 		to.Del(name)
 	}
 	if _, ok := to["User-Agent"]; !ok {
-		// Without this entry the library adds its own name.
+		// Without this key net/http adds its own User-Agent.
 		to["User-Agent"] = nil
 	}
 	return to
--- a/internal/process/mgrelay/home.go
+++ b/internal/process/mgrelay/home.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// homes are the regions in which a request may run. Its region must be in both the
-// route's list and the account's list. An empty list allows all.
+// homes are the regions in which a request may run. The region of an upstream that
+// gets the request must be allowed by the route's list and by the account's list. An
+// empty list allows all regions.
 type homes struct {
 	route   []string
 	account []string
--- a/internal/process/mgrelay/host.go
+++ b/internal/process/mgrelay/host.go
@@ -10,7 +10,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgtable"
 )
 
-// Host is an upstream to which a request may be sent.
+// Host is an upstream to which a request may be sent, with what this process knows of
+// it; see the package comment.
 type Host struct {
 	Name             string // the upstream's name, which it checks in requests
 	Addr             string // IP and port
@@ -19,22 +20,22 @@
 	FailedRecently   bool  // it failed recently
 	Cold             bool  // it may have started a short time ago
 	IncarnationStart int64 // when its incarnation started, as stated by the list; 0 if not stated
-	Granters         int   // processes that assign placements or give permits for it, at least 1
+	Granters         int   // number of processes that assign its placements or give permits for it, at least 1
 }
 
 // candidate is an upstream and the cost of a request there.
 type candidate struct {
 	host          Host
 	cost          float64 // ms
-	tokenDelay    float64 // ms per token, included in cost
+	tokenCost     float64 // ms per token, included in cost
 	freeTokens    int     // unused memory in tokens, if known
 	pendingTokens int     // prompt tokens that are yet to be read
 	avoid         bool    // it failed recently, and others are healthy
-	cold          bool    // it may be able to handle only few requests now; see mgwarm
+	cold          bool    // it may be able to handle only few requests now, as host.Cold or recent faults show; see mgwarm
 }
 
-// avoidPenalty is added to the cost of upstreams that failed recently, to rank them
-// after all others, in ms.
+// avoidPenalty is added to the cost of upstreams that failed recently, and for moves
+// also of those with a rate limit, to rank them after all others, in ms.
 const avoidPenalty = 1e6
 
 // candidates returns the upstreams that may take a request by ascending cost, those
@@ -78,8 +79,8 @@
 	return y.spec.OtherLoads()
 }
 
-// upstreamCapacity returns the memory of each upstream of a service in tokens, or 0
-// if it isn't known.
+// upstreamCapacity returns the memory of each upstream of a service in tokens, which
+// is the maximum context of the service's model, or 0 if it isn't known.
 func upstreamCapacity(table *mgtable.Table, name string) int {
 	service := table.Service(name)
 	if service == nil {
@@ -104,7 +105,7 @@
 			knownPaces = append(knownPaces, pace)
 		}
 	}
-	slowdown := mgload.SlowPenalty(knownPaces)
+	tokenCostOf := mgload.SlowPenalty(knownPaces)
 	faultWeights := make([]float64, len(hosts))
 	for i, host := range hosts {
 		faultWeights[i] = faults[host.Name] + others.Faults[host.Name]
@@ -116,13 +117,13 @@
 		state := mgload.State{
 			Load:      y.spec.Load.Load(host.Name).Add(others.Loads[host.Name]),
 			Zone:      host.Zone,
-			TokenCost: slowdown(pace),
+			TokenCost: tokenCostOf(pace),
 			Faults:    faultWeights[i],
 		}
 		c := candidate{
 			host:          host,
 			cost:          mgload.Cost(state, query),
-			tokenDelay:    state.TokenCost,
+			tokenCost:     state.TokenCost,
 			freeTokens:    query.Capacity - state.Load.Memory,
 			pendingTokens: state.Load.Pending,
 			avoid:         host.FailedRecently || isFaulty(faultWeights[i]),
@@ -162,7 +163,7 @@
 		place := mgwaitlist.Place{
 			Name:      c.host.Name,
 			Cost:      c.cost,
-			TokenCost: c.tokenDelay,
+			TokenCost: c.tokenCost,
 			Free:      c.freeTokens,
 			Pending:   c.pendingTokens,
 		}
--- a/internal/process/mgrelay/limit.go
+++ b/internal/process/mgrelay/limit.go
@@ -76,15 +76,17 @@
 }
 
 // PermitRequest asks for a permit to send one request to an upstream that has
-// announced a rate limit. Ask names the upstream and the request; the other fields
-// say which limit applies and how many processes share it.
+// announced a rate limit. Ask is what the process that gives the permits is asked: it
+// names the upstream and the request. The other fields say which limit applies and how
+// many processes share it.
 type PermitRequest struct {
 	Ask              mglimit.PermitRequest
 	IncarnationStart int64 // the upstream's incarnation
 	Granters         int   // see Host
 }
 
-// takeLocalPermit gives permits if no other process gives any.
+// takeLocalPermit is the default of Spec.TakePermit. It gives permits for this process
+// alone.
 func (y *Relay) takeLocalPermit(_ context.Context, permit PermitRequest) (mgclock.Millis, bool) {
 	rate, limited := y.spec.Limits.Rate(permit.Ask.Upstream, permit.IncarnationStart)
 	if !limited {
--- a/internal/process/mgrelay/move.go
+++ b/internal/process/mgrelay/move.go
@@ -21,6 +21,7 @@
 		changed := y.spec.LeavingChanged()
 		added := y.generations.nextAdded()
 		isStaying := func(upstream string) bool { return !y.spec.IsLeaving(upstream) }
+		// Forget drops all upstreams except those that stay.
 		y.backoffs.Forget(isStaying)
 		y.permitWaits.Forget(isStaying)
 		y.localPermits.Forget(isStaying)
@@ -79,13 +80,15 @@
 	y.executeMove(r, &m)
 	r.resumePoints = resumePointsOf(&m.move, r.host, m.destination)
 	m.duration = y.spec.Clock.Now() - startedAt
-	// The stream continues first: releasing the slot may wait for a dead entry.
+	// The stream continues first: releasing the slot may have to wait for an entry
+	// process that is dead.
 	close(r.moveDone)
 	y.releaseSlot(r)
 	y.recordMove(r, &m)
 }
 
-// migration is a move in progress.
+// migration is a move in progress: the steps of the move, its destination, and what is
+// recorded of it.
 type migration struct {
 	move           mgmigration.Move
 	destination    Host
--- a/internal/process/mgrelay/placement.go
+++ b/internal/process/mgrelay/placement.go
@@ -23,9 +23,10 @@
 
 // awaitPlacement requests the placement of a generation's first attempt, and waits
 // until an upstream has memory for it or the request is given up. If decided is
-// true, the request is sent to host, or answered with x.problem if that is set. It is
-// false for other requests, if no process could be asked, and if the upstream that
-// was assigned can't be used now.
+// true, the caller of awaitPlacement sends the request to host, or answers it with
+// x.problem if that is set. If decided is false, the entry chooses an upstream itself:
+// the request isn't a generation's first attempt or gets no placements, no process
+// could be asked, or the upstream that was assigned can't be used now.
 func (y *Relay) awaitPlacement(ctx context.Context, x *exchange) (host Host, decided bool) {
 	if y.spec.AwaitPlacement == nil || x.attempts+x.failedDials > 0 || x.call.Route.Kind() != mgtable.Stream || x.size.prompt == 0 {
 		return Host{}, false
--- a/internal/process/mgrelay/probe.go
+++ b/internal/process/mgrelay/probe.go
@@ -21,9 +21,9 @@
 	destinationProbeTimeout = 60 * mgclock.Millis(1)
 	// outageStaleChecks is the number of consecutive checks, probeInterval apart,
 	// that must find the list stale before the platform counts as unavailable: list
-	// entries expire after three heartbeats, 3.6 s. A watch that is late by a second
-	// is no outage. Without an outage, an upstream that is missing from the list
-	// counts as leaving, since some leave without ever reporting it.
+	// entries expire after three heartbeats, 3.6 s. A watch of the list that lags by a
+	// second is no outage. Without an outage, an upstream that is missing from the
+	// list counts as leaving, since some leave without ever reporting it.
 	outageStaleChecks = 8
 	// listExpiryWindow is the time after an outage during which an upstream may be
 	// missing from the list only because its list entry expired. The platform states
@@ -91,8 +91,9 @@
 
 // canTakeOver reports whether an upstream can take over a generation. While the list
 // may be stale, the upstream is asked: one that is gone appears emptiest of all, and
-// the source would try to reach it for 1.2 s. That is most of a notice, and the
-// other generations at the source would wait for its link meanwhile.
+// the source would try to reach it for 1.2 s. That is most of the time between a notice
+// and the reclaim, and the other generations at the source would wait for its link
+// meanwhile.
 func (y *Relay) canTakeOver(ctx context.Context, host Host) bool {
 	if y.spec.AskLeaving == nil || !y.spec.IsListStale() {
 		return true
--- a/internal/process/mgrelay/relay.go
+++ b/internal/process/mgrelay/relay.go
@@ -64,7 +64,7 @@
 	// AcquireSlot acquires a migration slot for a generation of a service, and ReleaseSlot
 	// releases it; see mgmigration.Slots. AcquireSlot returns the name of the destination
 	// to move the generation to, or false if no process could be asked. If AcquireSlot is
-	// nil, moves need no slot.
+	// nil, moves need no slot. The run of ReleaseSlot is the request's id.
 	AcquireSlot func(ctx context.Context, service string, request mgmigration.SlotRequest) (destination string, ok bool)
 	ReleaseSlot func(service, source, run string)
 	// AwaitPlacement asks the process that assigns placements for an upstream. It returns as
@@ -78,8 +78,8 @@
 	IsListStale    func() bool
 	AskLeaving     func(ctx context.Context, upstream Host) (leaving bool, err error)
 	ReportDeparted func(upstream string)
-	// ListVersion returns the version of the list of upstreams and the age of the result
-	// of OtherLoads, for logs. If it is nil, neither is logged.
+	// ListVersion returns the version of the list of upstreams, and also the age of the
+	// load reports that OtherLoads returns, for logs. If it is nil, neither is logged.
 	ListVersion func() (list uint64, age mgclock.Millis)
 	// TimeLeft returns how long this process continues to run, or false if it isn't
 	// stopping.
@@ -140,7 +140,8 @@
 	return y
 }
 
-// Call is the route and the account that the table has for an allowed request.
+// Call is what the table has for an allowed request, stream or not: its route and its
+// account.
 type Call struct {
 	Table   *mgtable.Table
 	Route   *mgtable.Route
@@ -329,8 +330,8 @@
 const retryDelayNoUpstream = mgclock.Second
 
 // retryDelayCordoned is the Retry-After while all upstreams are cordoned. Operators
-// do this for minutes and may end it at any moment. Callers need not wait this long:
-// they shorten the delay to a part of the time that they have. It is also used if no
+// do this for minutes and may end it at any moment. Callers shorten the delay to a part
+// of the time that they have left, so they may retry earlier. It is also used if no
 // upstream is in a region where the request may run.
 const retryDelayCordoned = 5 * mgclock.Second
 
--- a/internal/process/mgrelay/relay_test.go
+++ b/internal/process/mgrelay/relay_test.go
@@ -122,8 +122,8 @@
 }
 
 // Guards against an entry that stops within eight seconds and yet accepts a
-// generation of nine, which then breaks off, or that refuses a lookup that it has
-// ample time for, a hundred times what it takes.
+// generation of nine, which then breaks off, or that refuses a lookup although the
+// time left is ample, a hundred times what the lookup takes.
 func TestStoppingEntryTakesLongRequest(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/internal/process/mgrelay/resend_test.go
+++ b/internal/process/mgrelay/resend_test.go
@@ -10,9 +10,9 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/process/mgrelay"
 )
 
-// Guards against a write that is booked twice: its answer is lost and the relay sends
-// it to the next host of the service, or the caller gets "not run" although it ran,
-// and repeats it.
+// Guards against a booking (the route /book/) that runs twice: its answer is lost and
+// the relay sends it to the next host of the service, or the caller gets "not run"
+// although it ran, and repeats it.
 func TestRequestRunsTwice(t *testing.T) {
 	cases := []struct {
 		name          string
--- a/internal/process/mgrelay/respond.go
+++ b/internal/process/mgrelay/respond.go
@@ -37,7 +37,7 @@
 // has disconnected.
 func (y *Relay) expire(ctx context.Context, w http.ResponseWriter, x *exchange) {
 	switch {
-	case errors.Is(context.Cause(ctx), errHeld):
+	case errors.Is(context.Cause(ctx), errQuarantined):
 		y.giveUp(w, x)
 	case errors.Is(ctx.Err(), context.Canceled):
 		y.spec.Metrics.Counter("relay.left").Inc(1)
@@ -117,8 +117,8 @@
 	w.Header().Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
 }
 
-// abort closes the caller's connection, so that the part of the answer that it has
-// can't appear complete.
+// abort closes the caller's connection, so that the part of the answer that the caller
+// has can't appear complete. It never returns: it panics with http.ErrAbortHandler.
 func (y *Relay) abort(x *exchange, cause error) {
 	y.spec.Metrics.Counter("relay.cut").Inc(1)
 	y.spec.Log.Info("an answer was cut", append(y.dataVersionKeys(),
--- a/internal/process/mgrelay/resume.go
+++ b/internal/process/mgrelay/resume.go
@@ -9,8 +9,9 @@
 
 // cordonGrace is the time for which the relay still continues generations at an
 // upstream after it has learnt that the upstream's availability zone is cordoned. A
-// generation's copy may have been on its way there; otherwise the caller would lose
-// the answer. A cordon must be in force within seconds.
+// generation's copy may have been on its way there when the cordon began, and without
+// this time its caller would lose the answer. It is short because a cordon must be in
+// force within seconds.
 const cordonGrace = 2 * mgclock.Second
 
 // isBarred reports whether generations must not continue at an upstream because its
@@ -24,7 +25,8 @@
 }
 
 // addResumeHeaders sets the headers with which an upstream continues a generation
-// from a copy, after the last event that the caller has.
+// after the last event that the caller has, from a copy if there is one. It clears
+// x.resumeFrom if it names a copy, and sets x.resumed if the caller has events.
 func (y *Relay) addResumeHeaders(x *exchange, request *http.Request) {
 	names := &y.spec.Headers
 	if x.resumeFrom.copyRef != "" {
--- a/internal/process/mgrelay/sequence.go
+++ b/internal/process/mgrelay/sequence.go
@@ -19,7 +19,7 @@
 // record records complete events of the first upstream.
 func (o *eventSequence) record(events []byte) {
 	for rest := events; len(rest) > 0; {
-		event, after := cutEvent(rest)
+		event, after := splitEvent(rest)
 		rest = after
 		id := eventID(event)
 		if id == "" {
@@ -43,7 +43,7 @@
 	}
 	var undelivered []byte
 	for rest := events; len(rest) > 0; {
-		event, after := cutEvent(rest)
+		event, after := splitEvent(rest)
 		rest = after
 		if id := eventID(event); id != "" {
 			n, err := strconv.ParseInt(id, 10, 64)
@@ -61,8 +61,8 @@
 	return undelivered, nil
 }
 
-// cutEvent returns the first event with its separator, and the remaining events.
-func cutEvent(events []byte) (event, rest []byte) {
+// splitEvent returns the first event with its separator, and the remaining events.
+func splitEvent(events []byte) (event, rest []byte) {
 	end := bytes.Index(events, eventSeparator)
 	if end < 0 {
 		return events, nil
