--- a/internal/process/mgnode/agent.go
+++ b/internal/process/mgnode/agent.go
@@ -92,13 +92,14 @@
 }
 
 // peerEvidenceMaxAge is how recently a peer must have been seen for this process's
-// list of VMs to count as current: two exchanges of versions with peers, which
-// mgconfig makes every 2 s on average, and a delay.
+// list of VMs to count as current. It is the time of two exchanges of versions with
+// peers, which mgconfig makes every 2 s on average, and 1 s of delay.
 const peerEvidenceMaxAge = 5 * mgclock.Second
 
 // isAgentOf reports whether this process is the agent of an upstream, and when
-// that was checked: the list of VMs names it, and some peer was seen recently or
-// the list names no other process. A process that sees no peer may be one that has
+// that was checked: the list of VMs names it (a member that isn't Listed is known
+// from gossip only), and some peer was seen recently or the list names no other
+// process. A process that sees no peer may be one that has
 // been replaced.
 func (n *Node) isAgentOf(upstream string) (mgclock.Millis, bool) {
 	view := n.members.View()
--- a/internal/process/mgnode/connections.go
+++ b/internal/process/mgnode/connections.go
@@ -90,18 +90,19 @@
 }
 
 // drain ends idle connections, and waits until the other connections have had their last
-// responses. It returns after timeout, or when killed ends.
+// responses. It returns after timeout, or when killed is canceled; see Serve.
 func (c *connTracker) drain(killed context.Context, timeout mgclock.Millis) {
 	var clock mgclock.Clock
-	for end := clock.Now() + timeout; c.expireIdle() > 0 && clock.Now() < end; {
+	for end := clock.Now() + timeout; c.endIdleAndCountOpen() > 0 && clock.Now() < end; {
 		if !clock.Sleep(killed, idlePollInterval) {
 			return
 		}
 	}
 }
 
-// expireIdle ends the idle connections, and returns how many connections are open.
-func (c *connTracker) expireIdle() int {
+// endIdleAndCountOpen ends the idle connections, and returns how many connections are open
+// in any state.
+func (c *connTracker) endIdleAndCountOpen() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn, tracked := range c.open {
@@ -123,11 +124,12 @@
 }
 
 // closeStats counts a listener's requests and connections as it closes.
+// A request can be both unanswered and aborted.
 type closeStats struct {
 	read       int // requests read while it was closing
-	unanswered int // of these, those whose connection was closed without a response
+	unanswered int // of these, those that reached no handler, so that their connection was closed without a response
 	unused     int // connections closed before their first request
-	aborted    int // requests interrupted by the close
+	aborted    int // requests interrupted by the close, one for each active connection
 }
 
 // statsAtClose returns the counts for a listener whose open connections are all closed now.
--- a/internal/process/mgnode/doc.go
+++ b/internal/process/mgnode/doc.go
@@ -27,17 +27,24 @@
 //     call it a run.
 //   - placement: memory reserved at an upstream for one generation.
 //   - permit: the right to send one request to an upstream whose responses announce a
-//     rate limit; the code says that they name it. The process that grants permits
-//     is the granter; it is the hub.
+//     rate limit; the code calls that naming the limit. A granter is a process that
+//     grants permits: the hub of a cell. An upstream has several granters if several
+//     cells send to it.
 //   - migration slot: the right to copy one generation away from its engine. Only
 //     one copy at a time uses an engine's link.
 //   - coordinator: the process of a cell that grants a service's migration slots.
 //   - caps: an account's maximum rate in tokens per second and maximum number of
 //     concurrent streams.
-//   - home: the entry that leases parts of an account's caps to the others. A witness
-//     is an entry that votes for one home at a time. A home that has the votes of f of
-//     its k witnesses leases out at most f/k of the caps; see mgshare.
-//   - quarantine: a request that has crashed several upstreams is held back.
+//   - home: the entry that leases parts of an account's caps to the others. It
+//     follows from the list of VMs, and differs between accounts. A witness is an entry
+//     that votes for one home at a time. A home that has the votes of f of its k
+//     witnesses leases out at most f/k of the caps; see mgshare.
+//   - quarantine: a request that has crashed several upstreams is held back. Such a
+//     request is called held, also a suspect. A long poll is held in the other sense:
+//     its response is delayed.
+//   - pause: the process didn't run for a while, so that its leases may have expired;
+//     see mgmember.PauseDetector.
+//   - name of a response: the identifier by which a caller resumes it; see mgseal.
 //   - cordoned zone: an availability zone that gets no new work.
 //   - incarnation: one run of a process under its VM's name.
 package mgnode
--- a/internal/process/mgnode/drain.go
+++ b/internal/process/mgnode/drain.go
@@ -9,7 +9,7 @@
 )
 
 // statePollInterval is the interval at which a drain checks whether work is in progress,
-// and a start whether a configuration is in force.
+// and at which a start checks whether a configuration is in force.
 const statePollInterval = 50 * mgclock.Millis(1)
 
 // A Drain describes the planned stop of a process.
@@ -28,10 +28,10 @@
 	CountBusy func() int
 }
 
-// Run drains the process. It ends early when abort ends. It returns the time by which
-// the process should have responded to the requests that reached it during the drain:
-// the end of MaxDuration, also if the work has ended earlier, or the time at which
-// abort ended while work was in progress.
+// Run drains the process. It ends early when abort ends. It returns the deadline
+// of the responses to the requests that reached the process during the drain. That is the
+// end of MaxDuration, also if the work has ended earlier. If abort ended while work was in
+// progress, it is the time of that end.
 func (d Drain) Run(abort context.Context) mgclock.Millis {
 	deadline := d.Clock.Now() + d.MaxDuration
 	d.WithdrawReadiness()
--- a/internal/process/mgnode/entry.go
+++ b/internal/process/mgnode/entry.go
@@ -83,7 +83,7 @@
 		ReportRunning:      capShares.SetRunning, // how many streams of an account run here
 		Calls: &mglink.RetryTransport{
 			Pooled:   n.calls,
-			Second:   n.guard.Transport(true), // a new connection for each call
+			Second:   n.guard.Transport(true), // for a call's second attempt: a new connection each
 			Clock:    n.clock,
 			Interval: mgclock.Millis(settings.HeartbeatInterval),
 		},
@@ -95,7 +95,7 @@
 		OtherLoads:     n.OtherLoads,
 		OthersStay:     n.halfOfOthersStay,
 		IsListStale:    n.configLoop.IsListStale,
-		ReportDeparted: n.upstreamDeparted,
+		ReportDeparted: n.recordUpstreamLeaving,
 	}
 }
 
@@ -103,7 +103,7 @@
 // probes unanswered before the connection is closed. Callers give a stream up
 // after seven seconds without an event, and a partition that heals before then
 // should only pause it, so the timeout must be above seven seconds. It consists of
-// three intervals, which the kernel counts in whole seconds: three of three seconds.
+// three intervals of three seconds each; the kernel counts them in whole seconds.
 const upstreamSilenceTimeout = 9 * time.Second
 
 // limitRetries sets this entry's limit of retries once a second until ctx ends. The
@@ -138,7 +138,7 @@
 	}
 	return &mgrelay.Spec{
 		Headers:            *n.relayHeaders,
-		ListVersion:        n.loadReportVersion,
+		ListVersion:        n.listVersionAndReportAge,
 		Move:               n.move,
 		AskLeaving:         n.probe,
 		AwaitPlacement:     n.acquirePlacement,
--- a/internal/process/mgnode/exchange.go
+++ b/internal/process/mgnode/exchange.go
@@ -21,8 +21,8 @@
 // compares its state with that of one peer, for processes that were cut off or have just
 // started (anti-entropy).
 
-// quarantinePath is where a process receives an updateMessage and responds with one that
-// holds what the sender lacks, as JSON, compressed by gzip.
+// quarantinePath is where a process receives an updateMessage, of records of crashes and of
+// rate limits, and responds with one that holds what the sender lacks, as JSON, compressed by gzip.
 const quarantinePath = "/quarantine"
 
 const (
@@ -55,7 +55,7 @@
 }
 
 // exchanger exchanges records of crashes and reports of limits with other processes.
-type exchanger struct {
+type updateExchanger struct {
 	clock        mgclock.Clock
 	log          logr.Logger
 	onCallFailed func()          // called when a peer couldn't be reached
@@ -67,10 +67,10 @@
 	call         func(ctx context.Context, to *mgmember.Member, message updateMessage) (updateMessage, error)
 }
 
-// handle merges a peer's message, and returns the records that the peer lacks, or those of its
-// records that are known here to be older than it reports, so that it can improve its bounds of
-// the time of a crash.
-func (e *exchanger) handle(message updateMessage) updateMessage {
+// handle merges a peer's message and returns a reply. In an anti-entropy round that holds the
+// records that the peer lacks. Otherwise it holds those of the peer's records whose age is known
+// here to be higher than the peer reports, so that it can improve its bounds of the time of a crash.
+func (e *updateExchanger) handle(message updateMessage) updateMessage {
 	e.merge(message)
 	reply := updateMessage{
 		Records: e.quarantine.OlderRecords(e.clock.Now(), message.Records),
@@ -83,7 +83,7 @@
 	return reply
 }
 
-func (e *exchanger) merge(message updateMessage) {
+func (e *updateExchanger) merge(message updateMessage) {
 	if len(message.Limits) > 0 {
 		e.mergeLimits(message.Limits)
 	}
@@ -98,7 +98,7 @@
 
 // sendToRandomPeers sends a message to count random peers in the background, and merges their
 // responses. A peer that can't be reached receives the update from other processes.
-func (e *exchanger) sendToRandomPeers(ctx context.Context, count int, message updateMessage) {
+func (e *updateExchanger) sendToRandomPeers(ctx context.Context, count int, message updateMessage) {
 	peers := e.peers()
 	for _, i := range rand.Perm(len(peers))[:min(count, len(peers))] {
 		go func() {
@@ -118,7 +118,7 @@
 }
 
 // sendMissing sends a peer the records that it lacks according to its checksums.
-func (e *exchanger) sendMissing(ctx context.Context, to *mgmember.Member, peerSums mgquarantine.Checksums) {
+func (e *updateExchanger) sendMissing(ctx context.Context, to *mgmember.Member, peerSums mgquarantine.Checksums) {
 	records := e.quarantine.MissingRecords(e.clock.Now(), peerSums)
 	if len(records) == 0 {
 		return
@@ -131,7 +131,7 @@
 }
 
 // runBroadcast broadcasts updates until ctx ends.
-func (e *exchanger) runBroadcast(ctx context.Context) {
+func (e *updateExchanger) runBroadcast(ctx context.Context) {
 	for ctx.Err() == nil {
 		recordsChanged, limitsChanged := e.quarantine.Changed(), e.limits.Changed()
 		var nextRound <-chan struct{} // nil if there are no updates
@@ -178,7 +178,7 @@
 // runAntiEntropy compares this process's records and limits with those of a random peer at
 // random intervals, until ctx ends. A process that has just started does so as soon as it
 // knows a peer.
-func (e *exchanger) runAntiEntropy(ctx context.Context) {
+func (e *updateExchanger) runAntiEntropy(ctx context.Context) {
 	for len(e.peers()) == 0 {
 		if !e.clock.Sleep(ctx, broadcastInterval) {
 			return
@@ -196,8 +196,8 @@
 }
 
 // newExchanger returns the exchanger of this node.
-func (n *Node) newExchanger() *exchanger {
-	return &exchanger{
+func (n *Node) newExchanger() *updateExchanger {
+	return &updateExchanger{
 		clock:        n.clock,
 		log:          n.log,
 		onCallFailed: func() { n.metrics.Counter("quarantine.untold").Inc(1) },
--- a/internal/process/mgnode/exchange_test.go
+++ b/internal/process/mgnode/exchange_test.go
@@ -34,7 +34,7 @@
 type mesh struct {
 	spec     meshSpec
 	clock    mgclock.Clock
-	nodes    []*exchanger
+	nodes    []*updateExchanger
 	isolated atomic.Int64 // index of the process that is cut off, or -1
 	calls    atomic.Int64
 	bytes    atomic.Int64
@@ -52,7 +52,7 @@
 		members = append(members, mgmember.Self(strconv.Itoa(i), "a", 0))
 	}
 	for i := range spec.count {
-		m.nodes = append(m.nodes, &exchanger{
+		m.nodes = append(m.nodes, &updateExchanger{
 			log:          logr.Discard(),
 			onCallFailed: func() {},
 			onRejected:   func(int) {},
@@ -117,7 +117,8 @@
 
 var poisonDigest = mgquarantine.DigestOf("account", "host", "/path", []byte("body"))
 
-// crash has a process observe that an upstream crashes while it runs the poisonous request.
+// crash has a process observe that an upstream crashes while it runs the poisonous request,
+// which the upstream had begun.
 func (m *mesh) crash(node int, upstream string) {
 	now := m.clock.Now()
 	m.nodes[node].quarantine.RecordCrash(now, mgquarantine.Crash{
--- a/internal/process/mgnode/list.go
+++ b/internal/process/mgnode/list.go
@@ -38,7 +38,8 @@
 	maxListBytes = 1 << 20
 )
 
-// serveList answers a peer's long poll for the list of VMs.
+// serveList answers a peer's long poll for the list of VMs. The reported ages are the times since
+// the platform confirmed the list, and that there is no newer table.
 func (n *Node) serveList(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, err := strconv.ParseUint(query.Get(afterParam), 10, 64)
--- a/internal/process/mgnode/load.go
+++ b/internal/process/mgnode/load.go
@@ -11,8 +11,8 @@
 
 const (
 	// loadReportInterval is the interval at which an entry reports its load to the
-	// hub. During it a dozen entries together send a few generations, which the hub's
-	// sums don't include yet.
+	// hub. During an interval a dozen entries together send upstreams a few requests for
+	// generations, which the hub's sums don't include yet.
 	loadReportInterval = 200 * mgclock.Millis(1)
 	// loadReportTimeout limits the wait for the hub's response.
 	loadReportTimeout = 150 * mgclock.Millis(1)
@@ -36,9 +36,9 @@
 	return latest.report
 }
 
-// loadReportVersion returns the version of the list of VMs and the age of the hub's last
+// listVersionAndReportAge returns the version of the list of VMs and the age of the hub's last
 // report, or -1 if there has been none.
-func (n *Node) loadReportVersion() (list uint64, age mgclock.Millis) {
+func (n *Node) listVersionAndReportAge() (list uint64, age mgclock.Millis) {
 	list = n.members.View().Version()
 	latest := n.otherLoads.Load()
 	if latest == nil {
@@ -48,7 +48,8 @@
 }
 
 // reportLoads reports this entry's load to the hub until ctx ends, and stores what
-// the hub returns of the others.
+// the hub returns of the others. See mgload.Report for the units: paces are in ms, faults
+// are weights.
 func (n *Node) reportLoads(ctx context.Context, tracker *mgload.Tracker) {
 	for n.clock.Sleep(ctx, loadReportInterval) {
 		hub := n.hubPeer()
@@ -86,6 +87,8 @@
 	}
 }
 
+// encodeLoads encodes an entry's report. Pending counts prompt tokens of requests without a
+// first event.
 func encodeLoads(entry string, report mgload.Report) *mgrpc.LoadRows {
 	message := &mgrpc.LoadRows{
 		Entry: entry,
@@ -101,14 +104,14 @@
 		})
 	}
 	// Upstreams that have no requests from here can still have a pace or faults.
-	withoutRow := map[string]bool{}
+	upstreamsWithState := map[string]bool{}
 	for upstream := range report.Paces {
-		withoutRow[upstream] = true
+		upstreamsWithState[upstream] = true
 	}
 	for upstream := range report.Faults {
-		withoutRow[upstream] = true
+		upstreamsWithState[upstream] = true
 	}
-	for upstream := range withoutRow {
+	for upstream := range upstreamsWithState {
 		if _, hasRow := report.Loads[upstream]; hasRow {
 			continue
 		}
--- a/internal/process/mgnode/migration_slot.go
+++ b/internal/process/mgnode/migration_slot.go
@@ -117,10 +117,11 @@
 
 // eligibleProcesses returns the processes of this cell that may be its hub or a
 // coordinator: the known peers that are neither suspected nor leaving, and this
-// process. This process is not eligible while it is leaving, unless it is alone: its
-// peers no longer choose it. If it still chose itself, two processes would grant slots
-// for one source. The copies would share the source's link, and all of them would end
-// after the source is reclaimed.
+// process. While this process is leaving it is not eligible, because its peers no
+// longer choose it; it stays eligible if it is alone. If it still chose itself, two
+// processes would grant slots for one source. The copies would share the source's
+// link, and all of them would end after the source is reclaimed. Power is the relative
+// capacity of this process's VM.
 func (n *Node) eligibleProcesses() (eligible []*mgmember.Member, self *mgmember.Member) {
 	cell := n.members.View().Cell(n.settings.Name, n.settings.Region)
 	self = mgmember.Self(n.settings.Name, n.settings.Zone, int(n.settings.Power))
@@ -153,7 +154,7 @@
 	}
 }
 
-// Turn grants an entry a migration slot, or releases it.
+// Turn grants an entry a migration slot, or releases it. A run is a generation.
 func (p peerServer) Turn(ctx context.Context, r *mgrpc.TurnRequest) (*mgrpc.TurnReply, error) {
 	if r.GetEnd() {
 		p.node.migrationSlots.Release(r.GetSource(), r.GetRun())
--- a/internal/process/mgnode/migration_slot_test.go
+++ b/internal/process/mgnode/migration_slot_test.go
@@ -27,7 +27,7 @@
 	return n
 }
 
-// Guards against a stopping entry that grants migration slots. In the fault seen, five
+// Guards against a stopping entry that grants migration slots. When this fault occurred, five
 // generations were cut off though their engine gave two seconds' notice. The coordinator was
 // stopping: its peers chose another, while it still granted slots to its own requests. Four copies
 // shared the engine's link, and none was complete when the engine went.
--- a/internal/process/mgnode/node.go
+++ b/internal/process/mgnode/node.go
@@ -60,8 +60,8 @@
 	quarantine          *mgquarantine.Quarantine
 	limits              mglimit.Limits
 	permits             mglimit.Permits
-	permitRetryAt       atomic.Int64 // no permit is requested before, since the hub didn't respond
-	exchanger           *exchanger
+	permitRetryAt       atomic.Int64 // after the hub didn't respond, no permit is requested before this time
+	exchanger           *updateExchanger
 	move                func(context.Context, mgrelay.Host, mgrelay.MoveOrder) mgmigration.Reply
 	configLoop          *mgconfig.Loop // reads and exchanges the table, the list and gossip
 	pause               *mgmember.PauseDetector
@@ -186,7 +186,8 @@
 // Guard returns the guard that secures connections to other processes.
 func (n *Node) Guard() *mgpeer.Guard { return n.guard }
 
-// Signer returns the signer that seals the names of responses; see mgseal.
+// Signer returns the signer that seals the names of responses, by which callers resume them;
+// see mgseal.
 func (n *Node) Signer() *mgseal.Signer { return n.signer }
 
 // ObserveVersion records that another process uses a version of the table.
@@ -206,8 +207,8 @@
 // peerAnswered records that a call to another process brought a response.
 func (n *Node) peerAnswered(name string) { n.members.RecordAnswer(n.clock.Now(), name) }
 
-// upstreamDeparted records an upstream's own announcement that it leaves.
-func (n *Node) upstreamDeparted(name string) { n.configLoop.HandleDeparture(name) }
+// recordUpstreamLeaving records an upstream's own announcement that it will leave.
+func (n *Node) recordUpstreamLeaving(name string) { n.configLoop.HandleDeparture(name) }
 
 // recordPeerAnnouncement records what another process reports of itself.
 func (n *Node) recordPeerAnnouncement(name, incarnation string, leaving bool) {
--- a/internal/process/mgnode/peer.go
+++ b/internal/process/mgnode/peer.go
@@ -16,7 +16,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// loopSpec returns the specification of the configuration loop.
+// loopSpec returns the specification of the configuration loop. StartWindow is the time over which
+// first reads are spread, QuickInterval the minimum interval between watches of the list by the process
+// that watches it for its region.
 func (n *Node) loopSpec() mgconfig.LoopSpec {
 	return mgconfig.LoopSpec{
 		Machine: mgconfig.MachineSpec{
@@ -116,7 +118,8 @@
 	return shares.Lease(ctx, r)
 }
 
-// Support serves a home that requests the vote of this process, its witness.
+// Support serves a home of accounts that requests the vote of this process. This process is one
+// of the home's witnesses.
 func (p peerServer) Support(ctx context.Context, r *mgrpc.SupportRequest) (*mgrpc.SupportReply, error) {
 	shares := p.node.capShares.Load()
 	if shares == nil {
@@ -125,7 +128,8 @@
 	return shares.Support(ctx, r)
 }
 
-// capSharesSpec returns the specification of the loop that divides accounts' caps.
+// capSharesSpec returns the specification of the loop that divides accounts' caps. Fresh is true
+// if no process ran under this name recently.
 func (n *Node) capSharesSpec(fresh bool) mgshare.LoopSpec {
 	return mgshare.LoopSpec{
 		Shares: mgshare.SharesSpec{
--- a/internal/process/mgnode/permit.go
+++ b/internal/process/mgnode/permit.go
@@ -112,7 +112,8 @@
 	return reply, nil
 }
 
-// servePermit serves a process that regards this one as its granter.
+// servePermit serves a process that regards this one as its granter. IncarnationStart is that of the
+// upstream.
 func (n *Node) servePermit(w http.ResponseWriter, r *http.Request) {
 	var request permitRequest
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxPermitBytes)).Decode(&request); err != nil {
@@ -158,8 +159,10 @@
 	return wait, granted
 }
 
-// limitShare returns this process's share of an upstream's limit: the limit times the number of
-// entries that request permits here, divided by that of all entries that may send to the upstream.
+// limitShare returns this process's share of an upstream's limit. It is the limit times the number
+// of entries that request permits here, divided by the number of all entries that may send to the
+// upstream. With one granter these are the entries of one cell, for which the mean of the cells
+// is taken, rounded up.
 func (n *Node) limitShare(now mgclock.Millis, rate float64, granterCount int) mglimit.Share {
 	view := n.members.View()
 	entryCount := 1 + view.OtherEntryCount()
@@ -199,7 +202,8 @@
 	}
 }
 
-// mergeLimits merges the upstreams' limits that another process reports.
+// mergeLimits merges the upstreams' limits that another process reports. The logged age is the time
+// since an upstream last named its limit.
 func (n *Node) mergeLimits(limits []mglimit.Record) {
 	updates, unusable := n.limits.Merge(n.clock.Now(), limits)
 	for _, limit := range updates {
--- a/internal/process/mgnode/permit_test.go
+++ b/internal/process/mgnode/permit_test.go
@@ -39,8 +39,8 @@
 const limitedUpstream = "engine"
 
 func newPermitCluster(t *testing.T, count int, seed uint64) *permitCluster {
-	// In a synctest bubble the clock begins before the start of the process. Suspicions are timed
-	// from that start, so the clock must be past it.
+	// In a synctest bubble the clock begins at a time before the start of the test's process.
+	// Suspicions are timed from the start of the process, so the clock must be past it.
 	time.Sleep(max(time.Second-mgclock.Clock{}.Now().Duration(), 0))
 	c := &permitCluster{
 		rng:       rand.New(rand.NewPCG(seed, 0)),
@@ -260,7 +260,7 @@
 			}
 		},
 	}
-	const settled = 5 * mgclock.Second // three seconds after the limit was named
+	const settled = 5 * mgclock.Second // three seconds after the limit was named, 2 s into the run
 	Convey("An upstream that names a limit", t, func() {
 		for _, count := range []int{1, 5, 31, 300} {
 			for name, scenario := range scenarios {
--- a/internal/process/mgnode/placement.go
+++ b/internal/process/mgnode/placement.go
@@ -32,8 +32,8 @@
 )
 
 // acquirePlacement waits until an upstream of a service has memory for a request,
-// or the request is given up. It returns false if the hub didn't respond or ctx has
-// ended.
+// or the hub gives the request up. A request given up returns true and a grant with an
+// empty Place. It returns false if the hub didn't respond or ctx has ended.
 func (n *Node) acquirePlacement(ctx context.Context, service string, request mgwaitlist.Request) (mgwaitlist.Grant, bool) {
 	for ctx.Err() == nil {
 		hub := n.hubPeer()
@@ -70,7 +70,7 @@
 		Need:    int64(request.Need),
 		Made:    int64(request.Output),
 		Span:    int64(request.Duration),
-		Left:    int64(request.Due - now), // until it needs a placement for its response to begin on time
+		Left:    int64(request.Due - now), // time left in which a placement lets its response begin on time
 		Waited:  int64(now - request.Arrived),
 		Rest:    int64(request.GiveUpAt - now), // until it is given up
 	})
@@ -83,7 +83,8 @@
 	}, nil
 }
 
-// Place enqueues a request of an entry until it has a placement.
+// Place enqueues a request of an entry until it has a placement. Its need is in tokens of memory.
+// For a request given up, retry is the time after which there may be a place for it.
 func (p peerServer) Place(ctx context.Context, r *mgrpc.PlaceRequest) (*mgrpc.PlaceReply, error) {
 	now := p.node.clock.Now()
 	grant := p.node.awaitPlacement(ctx, r.GetService(), mgwaitlist.Request{
@@ -102,8 +103,8 @@
 	}, nil
 }
 
-// placementQueues holds the requests of the cell's entries that wait at this process, its hub, by
-// service. The zero value is empty.
+// placementQueues holds the requests of the cell's entries that wait at this process while it is the
+// cell's hub, by service. The zero value is empty.
 type placementQueues struct {
 	mu        sync.Mutex
 	byService map[string]*placementQueue
--- a/internal/process/mgnode/platform_reads.go
+++ b/internal/process/mgnode/platform_reads.go
@@ -16,9 +16,10 @@
 }
 
 // reportReads reports how often the process has read the platform, and for which reason (see
-// mgconfig.Counts): in
-// gauges, and in the log at most every ten seconds if there were new reads. The platform
-// counts the reads of all processes together, so only the processes can attribute them.
+// mgconfig.Counts): in gauges, and in the log at most every ten seconds if there were new
+// reads. The platform counts the reads of all processes together, so only the processes can attribute them.
+// Quick watches are those of the list on behalf of other processes, slow ones those for this
+// process alone; plain reads are made in place of watches.
 func (n *Node) reportReads(status mgconfig.Status) {
 	counts := status.Counts
 	for name, value := range map[string]int{
--- a/internal/process/mgnode/quarantine.go
+++ b/internal/process/mgnode/quarantine.go
@@ -21,8 +21,8 @@
 	return entries
 }
 
-// isFirstToRetry reports whether this process ranks first among the known entries to retry a
-// request that is no longer held.
+// isFirstToRetry reports whether this process ranks first among the known entries for a
+// digest. The first may retry a request that is no longer held before the others; see mgquarantine.New.
 func (n *Node) isFirstToRetry(digest mgquarantine.Digest) bool {
 	self := mgmember.Self(n.settings.Name, n.settings.Zone, 0)
 	return mgmember.Rank(digest.String(), append(n.otherEntries(), self), 1)[0] == self
@@ -46,16 +46,16 @@
 // returns those that are held now.
 func (n *Node) reportHeld(previous map[mgquarantine.Digest]bool) map[mgquarantine.Digest]bool {
 	held := map[mgquarantine.Digest]bool{}
-	for _, verdict := range n.quarantine.Suspects(n.clock.Now()) {
-		if verdict.Remaining() == 0 {
+	for _, suspect := range n.quarantine.Suspects(n.clock.Now()) {
+		if suspect.Remaining() == 0 {
 			continue
 		}
-		held[verdict.Digest()] = true
-		if previous[verdict.Digest()] {
+		held[suspect.Digest()] = true
+		if previous[suspect.Digest()] {
 			continue
 		}
-		keys := []any{"digest", verdict.Digest().String(), "occurrences", verdict.Occurrences(), "ms", int64(verdict.Remaining())}
-		n.log.Info("a request crashes upstreams and is held back", append(keys, evidenceLogValues(verdict.Evidence())...)...)
+		keys := []any{"digest", suspect.Digest().String(), "occurrences", suspect.Occurrences(), "ms", int64(suspect.Remaining())}
+		n.log.Info("a request crashes upstreams and is held back", append(keys, evidenceLogValues(suspect.Evidence())...)...)
 	}
 	for digest := range previous {
 		if !held[digest] {
@@ -89,14 +89,14 @@
 
 // quarantineState returns the dump of the requests that crash upstreams.
 func (n *Node) quarantineState() any {
-	verdicts := n.quarantine.Suspects(n.clock.Now())
-	rows := make([]quarantineRow, 0, len(verdicts))
-	for _, verdict := range verdicts {
+	suspects := n.quarantine.Suspects(n.clock.Now())
+	rows := make([]quarantineRow, 0, len(suspects))
+	for _, suspect := range suspects {
 		rows = append(rows, quarantineRow{
-			Digest:      verdict.Digest().String(),
-			Occurrences: verdict.Occurrences(),
-			Held:        verdict.Remaining(),
-			Evidence:    verdict.Evidence(),
+			Digest:      suspect.Digest().String(),
+			Occurrences: suspect.Occurrences(),
+			Held:        suspect.Remaining(),
+			Evidence:    suspect.Evidence(),
 		})
 	}
 	return rows
--- a/internal/process/mgnode/serve.go
+++ b/internal/process/mgnode/serve.go
@@ -49,8 +49,8 @@
 )
 
 // Serve serves a listener until ctx ends. Then it responds to the requests that have reached
-// it, including those on connections not accepted yet, and closes. When killed ends, it
-// breaks every connection at once, as a crash of the process would.
+// it, including those on connections not accepted yet, and closes. When killed is canceled,
+// it breaks every connection at once, as a crash of the process would.
 func Serve(ctx, killed context.Context, log logr.Logger, spec ServerSpec) {
 	if spec.MaxHeaderBytes == 0 {
 		spec.MaxHeaderBytes = defaultMaxHeaderBytes
@@ -80,7 +80,8 @@
 	})
 	log.Info("listening", "address", spec.Listener.Addr().String())
 	err := server.Serve(spec.Listener)
-	// cancelShutdown returns true if ctx has not ended, so that Serve failed.
+	// cancelShutdown returns true if ctx has not ended. Then server.Serve returned because of a
+	// failure.
 	if cancelShutdown() || killed.Err() != nil {
 		if !errors.Is(err, http.ErrServerClosed) {
 			log.Error(err, "a listener failed")
--- a/internal/process/mgnode/serve_test.go
+++ b/internal/process/mgnode/serve_test.go
@@ -81,26 +81,26 @@
 		defer unused.Close()
 		keepAlive, keepAliveReader := open()
 		defer keepAlive.Close()
-		code, again := ask(keepAlive, keepAliveReader)
+		code, reusable := ask(keepAlive, keepAliveReader)
 		So(code, ShouldEqual, http.StatusNoContent)
-		So(again, ShouldBeTrue)
+		So(reusable, ShouldBeTrue)
 
 		s.stop()
 		_, err := keepAliveReader.Peek(1)
 		Convey("ends the connections that are idle", func() { So(err, ShouldEqual, io.EOF) })
 		Convey("responds to a first request that arrives now, and ends its connection", func() {
-			code, again := ask(unused, unusedReader)
+			code, reusable := ask(unused, unusedReader)
 			So(code, ShouldEqual, http.StatusNoContent)
-			So(again, ShouldBeFalse)
+			So(reusable, ShouldBeFalse)
 			<-s.done
 			So(*s.lastLogLine.Load(), ShouldContainSubstring, `"read"=1 "unanswered"=0 "unused"=0 "cut"=0`)
 		})
 	})
 }
 
-// Guards against an early request that hides an unanswered one. A request that was read before the
-// listener began to close is handled while it closes. If it were counted, it would hide a later
-// request that got no response.
+// Guards against a count of unanswered requests that an early request makes too low. A request that
+// was read before the listener began to close is handled while it closes. If it were counted, it
+// would offset a later request that got no response.
 func TestEarlyRequestHidesUnansweredOne(t *testing.T) {
 	Convey("Of two connections, one read before the listener closes and one after", t, func() {
 		var conns connTracker
--- a/internal/process/mgnode/spec.go
+++ b/internal/process/mgnode/spec.go
@@ -33,8 +33,8 @@
 	// which callers resume them, are then sealed (see mgseal) with a key that only this
 	// process has.
 	Unkeyed bool
-	// Relay names the headers of the requests that the table's routes pass through to
-	// upstreams. Nil passes none.
+	// Relay switches on the relay, by which the table's routes pass requests through to
+	// upstreams, and names the headers of these requests. Nil passes no requests through.
 	Relay *mgrelay.HeaderNames
 	// Probe asks an upstream whether it is leaving. Nil asks none.
 	Probe func(ctx context.Context, upstream mgrelay.Host) (leaving bool, err error)
