--- a/internal/version/mgconfig/action.go
+++ b/internal/version/mgconfig/action.go
@@ -17,7 +17,7 @@
 	Read                     // read a value from the platform
 	Watch                    // watch a value of the platform (long poll)
 	LongPoll                 // long-poll a peer for a newer list of VMs
-	Gossip                   // exchange records of processes that the platform doesn't list with a peer
+	Gossip                   // exchange with a peer the records of processes that the platform doesn't list
 )
 
 // An Action is an I/O request of a Machine. Every action gets exactly one ActionResult.
--- a/internal/version/mgconfig/cordon_test.go
+++ b/internal/version/mgconfig/cordon_test.go
@@ -19,7 +19,7 @@
 func (f *fleet) setCordons(zones ...string) []mgclock.Millis {
 	began := f.net.Now()
 	f.cordoned = zones
-	f.platform.cordons++
+	f.platform.cordonChanges++
 	f.putList(0)
 	delays := map[string]mgclock.Millis{}
 	alive := 0
@@ -47,7 +47,7 @@
 
 // Operators cordon a zone and expect it to be empty after a second. Guards against an
 // entry that learns of the cordon late, because the region's reader has just died, and
-// sends requests there that are cut off with the power.
+// sends requests to that zone, which are cut off when its power is switched off.
 func TestCordonLearnedLate(t *testing.T) {
 	all := []int{31, 100, 300}
 	for _, c := range []struct {
--- a/internal/version/mgconfig/departure_test.go
+++ b/internal/version/mgconfig/departure_test.go
@@ -45,8 +45,8 @@
 
 // Guards against a request that is cut off because an entry sends it to an engine two
 // seconds after the engine announced that it leaves. The entry's watch hangs on a
-// partitioned connection; its peers know, but the entry doesn't fetch their list, because
-// it last did so less than five seconds before.
+// partitioned connection; its peers know, but a minimum
+// interval of five seconds since its last fetch keeps the entry from fetching their list.
 func TestDepartureMissedWhileWatchHangs(t *testing.T) {
 	Convey("A newer list is fetched from peers while the own watch hangs", t, func() {
 		m, members := machineWithoutPeers()
@@ -75,7 +75,8 @@
 }
 
 // No entry is ready for half a minute after a start: the platform lists upstreams only,
-// each entry treats another process as the watcher, and waits for its poll.
+// each entry treats another process as the watcher, and reads the platform only at its
+// own rare poll (pollIntervalMin).
 func TestUnlistedProcessWaitsForPoll(t *testing.T) {
 	Convey("A process that the list doesn't name", t, func() {
 		m, members := machineWithoutPeers()
@@ -166,9 +167,9 @@
 	})
 }
 
-// The store loses a third of its answers and keeps the connections open. Every entry's
-// watch hangs for six seconds, and engines that were given notice are reclaimed with
-// all running work.
+// The platform loses a third of its answers and keeps the connections open. Every
+// entry's watch hangs for six seconds, and engines that announced that they leave end
+// with all running work.
 func TestLostAnswerHidesChange(t *testing.T) {
 	Convey("A list whose changes must be known soon", t, func() {
 		m, _ := machineWithoutPeers()
@@ -254,8 +255,9 @@
 	})
 }
 
-// All entries restart while the store is down for two more seconds. When it answers
-// again, they still wait out the long backoff of a process that serves.
+// All entries restart while the platform is down for two more seconds. When it answers
+// again, they still wait, because they back off for as long as a process that has a
+// table and serves callers.
 func TestFirstReadBacksOffTooLong(t *testing.T) {
 	Convey("A process without a table retries soon, with increasing delays", t, func() {
 		m := NewMachine(0, MachineSpec{
--- a/internal/version/mgconfig/doc.go
+++ b/internal/version/mgconfig/doc.go
@@ -9,7 +9,7 @@
 // # How a version spreads
 //
 // In each availability zone the first three members of a rendezvous ranking watch the
-// platform. A member that adopts a version pushes it to a few peers, and every member
+// platform. A member that adopts a version starts exchanges with a few peers (push), and every member
 // exchanges version numbers with one peer at a time every two seconds (anti-entropy).
 // Version numbers are attached to all other calls too. A member that learns of a newer
 // version fetches the manifest and the pages it lacks by digest, from peers that have
@@ -59,7 +59,9 @@
 //   - exchange: compare versions with a peer, in both directions.
 //   - push: start exchanges with a few random peers after the own state has changed.
 //   - pull: the fetching of a newer table, from peers or the platform.
-//   - watcher: a member that watches the platform for its zone.
+//   - watcher: a member that watches the platform for its zone (watchersPerZone).
+//     The watchers of a cell are its first watchersPerCell processes: fresh reports
+//     postpone the watches of the table of all processes but these.
 //   - cell: a part of a region's processes that share a hub.
 //   - reader: the process that reads the list for a region.
 //   - hub: the process of a cell that long-polls the reader, and which the
@@ -68,9 +70,10 @@
 //     its list, either to that process itself or to another one whose report it passes
 //     on.
 //   - poll, as opposed to long poll: the rare read of a member that is no watcher, in
-//     case its zone's watchers are all dead or cut off.
-//   - notice: an upstream's announcement that it leaves, and the time from there to its
-//     end.
+//     case its zone's watchers are all dead or cut off. In longpoll.go, to poll is to
+//     long-poll.
+//   - notice: an upstream's announcement that it leaves; with a duration (a notice of 1.5 s),
+//     the time from there to its end.
 //   - cordon: an operator's order that an availability zone gets no new work.
 //
 // # References
--- a/internal/version/mgconfig/exchange.go
+++ b/internal/version/mgconfig/exchange.go
@@ -32,7 +32,8 @@
 	}
 	otherZone := m.rng.IntN(otherZoneDivisor) == 0
 	var chosen *mgmember.Member
-	// A few draws suffice to find a peer on the wanted side, where there is one.
+	// A few draws suffice to find a peer of the own zone, or of another one, as wanted,
+	// where there is one.
 	for range 2 * otherZoneDivisor {
 		chosen = peers[m.rng.IntN(len(peers))]
 		if (chosen.Zone() != m.spec.Zone) == otherZone {
@@ -94,7 +95,7 @@
 }
 
 // pushListVersion announces the version of a newer list to a few peers, unless long
-// polls distribute the list, which this process's own one shows.
+// polls distribute the list, which is assumed while this process's own long poll works.
 func (m *Machine) pushListVersion(now mgclock.Millis) []Action {
 	if m.longPoll.deliversUpdates(now) {
 		return nil
@@ -291,10 +292,10 @@
 // within the two seconds of notice that it may have.
 const listFetchDelayPerRow = 4 * mgclock.Millis(1)
 
-// maxListFetchInterval limits that interval where MachineSpec.QuickInterval is set. A
-// member that lacks the newest list watches the platform itself there: the heartbeats
-// of some thousand upstreams load its link many times as much as a list of as many
-// rows.
+// maxListFetchInterval limits that interval where MachineSpec.QuickInterval is set. Until
+// a member has the newest list, it watches the platform itself there, and the heartbeats
+// of some thousand upstreams that a watch returns load its link many times as much as
+// the fetch of a list of as many rows.
 const maxListFetchInterval = 1500 * mgclock.Millis(1)
 
 // listFetchInterval returns the minimum interval between fetches of the list.
--- a/internal/version/mgconfig/fleet_test.go
+++ b/internal/version/mgconfig/fleet_test.go
@@ -28,7 +28,7 @@
 	members          *mgmember.Members
 	hasAskedPlatform bool // it has asked the platform for its first list
 	incarnation      int  // number of starts, so that timers of an earlier incarnation do nothing
-	highest          versionKey
+	lastVersion      versionKey
 	inForceAt        map[uint64]mgclock.Millis // when each version came into force
 	readyAt          mgclock.Millis
 }
@@ -42,23 +42,23 @@
 	startWindow mgclock.Millis
 	regression  string // description of a member that went back to an older version, or ""
 
-	// Where quick is set, the platform lists only upstreams, whose heartbeats end each
+	// Where quickInterval is set, the platform lists only upstreams, whose heartbeats end each
 	// watch of the list within the time in the field heartbeat, and the members of one
 	// region get the list from one another.
-	quick     mgclock.Millis
-	heartbeat mgclock.Millis
-	dead      map[string]bool
-	cordoned  []string // availability zones on the platform's list
+	quickInterval mgclock.Millis
+	heartbeat     mgclock.Millis
+	dead          map[string]bool
+	cordoned      []string // availability zones on the platform's list
 
 	// Where upstreams is set, the platform returns the list in as many pages as a list
-	// of this many rows takes, and allows pageRate reads a second of all members
+	// of this many rows takes, and allows listPageRate reads a second of all members
 	// together. The encoded list itself has only listedUpstreams rows, because only its
 	// number of pages matters.
 	upstreams       int
 	listedUpstreams int // upstreams in the encoded list, 48 where it is 0
 }
 
-func newFleet(seed uint64, count int, spread mgclock.Millis) *fleet {
+func newFleet(seed uint64, count int, startWindow mgclock.Millis) *fleet {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	net := mgnet.New(seed, func(string, string) mgclock.Millis { return 1 + mgclock.Millis(rng.IntN(3)) })
 	f := &fleet{
@@ -69,7 +69,7 @@
 			reads:  make(map[mgclock.Millis]int),
 		},
 		byName:      make(map[string]*node),
-		startWindow: spread,
+		startWindow: startWindow,
 	}
 	var list mgplatform.VMList
 	list.Version = 1
@@ -100,7 +100,7 @@
 	n := f.nodes[i]
 	n.incarnation++
 	n.members = mgmember.New(n.name)
-	n.highest = versionKey{}
+	n.lastVersion = versionKey{}
 	n.readyAt = never
 	n.inForceAt = make(map[uint64]mgclock.Millis)
 	n.machine = NewMachine(f.net.Now(), MachineSpec{
@@ -110,11 +110,11 @@
 		Addr:          n.name,
 		RandomSeed:    uint64(i*1000 + n.incarnation),
 		StartWindow:   f.startWindow,
-		QuickInterval: f.quick,
+		QuickInterval: f.quickInterval,
 		Seeds:         f.seeds(),
 	}, n.members)
 	f.scheduleTick(n, n.incarnation)
-	if f.quick > 0 {
+	if f.quickInterval > 0 {
 		f.scheduleLoadReports(n, n.incarnation)
 	}
 }
@@ -139,13 +139,13 @@
 func (f *fleet) perform(n *node, actions []Action) {
 	now := f.net.Now()
 	current := n.machine.Current().key()
-	if n.highest.isAfter(current) {
-		f.regression = fmt.Sprintf("%s went from %v back to %v at %d", n.name, n.highest, current, now)
+	if n.lastVersion.isAfter(current) {
+		f.regression = fmt.Sprintf("%s went from %v back to %v at %d", n.name, n.lastVersion, current, now)
 	}
-	if current.isAfter(n.highest) {
+	if current.isAfter(n.lastVersion) {
 		n.inForceAt[current.version] = now
 	}
-	n.highest = current
+	n.lastVersion = current
 	if n.readyAt == never && n.machine.Ready(now) {
 		n.readyAt = now
 		if n.machine.join.highest.isAfter(current) {
@@ -167,8 +167,8 @@
 		finished = true
 		result.Action = a
 		f.perform(n, n.machine.HandleResult(f.net.Now(), result))
-		if f.quick > 0 {
-			f.tickNow(n, incarnation)
+		if f.quickInterval > 0 {
+			f.rescheduleTick(n, incarnation)
 		}
 	}
 	f.net.Schedule(f.net.Now()+actionTimeout(a), n.name, func() {
@@ -225,13 +225,13 @@
 }
 
 const (
-	// pageRows and pageRate are the settings of a platform of some hundred entries.
-	pageRows = 50
-	pageRate = 6000
-	// firstPages is the number of pages that a process reads before it asks peers.
-	firstPages = 4
-	// pageDelay is the time between two pages, ms.
-	pageDelay = 4
+	// listPageRows and listPageRate are the settings of a platform of some hundred entries.
+	listPageRows = 50
+	listPageRate = 6000
+	// firstListPages is the number of pages of the list that a process reads before it asks peers.
+	firstListPages = 4
+	// listPageDelay is the time between two pages of the list, ms.
+	listPageDelay = 4
 )
 
 // tableText returns a table of some accounts whose weights depend on edit.
--- a/internal/version/mgconfig/join.go
+++ b/internal/version/mgconfig/join.go
@@ -85,8 +85,8 @@
 	return actions
 }
 
-// requestFirstListFromPeers handles the answer that reading the list of VMs takes many
-// calls: the process asks peers for the list first, and the platform only later. Where
+// requestFirstListFromPeers handles mgplatform.ErrManyCalls: reading the list of VMs
+// takes many calls: the process asks peers for the list first, and the platform only later. Where
 // each of 300 processes that start together in front of 3,000 upstreams reads it, they
 // make 18,000 calls of fifty rows each and are rate-limited again and again. None would
 // have a list for seconds, and callers would be refused.
@@ -100,8 +100,8 @@
 func (m *Machine) lacksFirstList() bool { return m.join.isListLong && m.members.View().Version() == 0 }
 
 // postponeFirstListRead postpones the process's own first read of a long list after a
-// peer has sent one. Just after a start, before the reader of the region is known, that
-// peer's next lists can replace the read.
+// peer has sent one. Just after a start, before the reader of the region is known,
+// newer lists from that peer can make the own read unnecessary.
 func (m *Machine) postponeFirstListRead(now mgclock.Millis) {
 	if m.join.isListLong && now < m.join.startedAt+discoveryWindow && m.listKeyState.version == 0 {
 		m.listKeyState.next = max(m.listKeyState.next, now+firstListMinDelay+m.jitter(firstListJitter))
--- a/internal/version/mgconfig/longpoll.go
+++ b/internal/version/mgconfig/longpoll.go
@@ -21,16 +21,16 @@
 	// new. It is the delay that the path over the hub adds to the age of the reader's
 	// report.
 	hubPollWait = 150 * mgclock.Millis(1)
-	// hubReadDelay is the age of the reader's report at which a hub reads for its cell.
+	// maxReaderReportAge is the age of the reader's report at which a hub reads for its cell.
 	// The reader's watch ends with the next heartbeat. Engines that started together
 	// send heartbeats together, so a watch may take up to quickWatchWait: with a
-	// shorter delay each hub would read in parallel with the reader.
-	hubReadDelay = quickWatchWait + 200
+	// lower age each hub would read in parallel with the reader.
+	maxReaderReportAge = quickWatchWait + 200
 	// cellPollWait is how long a hub holds the long polls of its cell, whose processes
 	// also see from the replies to their load reports that the hub is alive.
 	cellPollWait = 500 * mgclock.Millis(1)
 	// longPollTimeout is the timeout of the reply after the wait: the reply time of a
-	// busy VM with a seventh of a core.
+	// busy VM that has a seventh of a CPU core.
 	longPollTimeout = 300 * mgclock.Millis(1)
 	// longPollTTL is how long a reply proves that the long poll works.
 	longPollTTL = cellPollWait + longPollTimeout
@@ -75,7 +75,7 @@
 	if now < m.join.startedAt+discoveryWindow && now >= m.lastPolledAt+pollersTTL && len(r.view.HealthyPeers(m.spec.Region)) > 0 {
 		return false
 	}
-	return r.reader == nil || r.hub == nil && now >= m.peerConfirmedAt+hubReadDelay
+	return r.reader == nil || r.hub == nil && now >= m.peerConfirmedAt+maxReaderReportAge
 }
 
 // RecordLongPoll records that another process polls this one, and reports whether that
@@ -110,7 +110,7 @@
 	next           mgclock.Millis
 	failures       int            // in a row
 	answeredAt     mgclock.Millis // time of the last reply
-	targetAnswered bool           // a reply has arrived since there was last no member to poll
+	targetAnswered bool           // a reply has arrived since longPollTarget last returned nil
 	isReportFresh  bool           // its last report was as good as the platform's own answer
 }
 
@@ -200,8 +200,8 @@
 	return min(mgclock.Millis(longPollDelayPerRow*rows), maxLongPollDelay)
 }
 
-// confirmList records that the platform confirmed the list, where a report that is fresh
-// is about the own list or an older one, and postpones the own watch.
+// confirmList records that the platform confirmed the list, and postpones the own watch.
+// It ignores a report that isn't fresh or is about a newer list than the own one.
 func (m *Machine) confirmList(now mgclock.Millis, report VersionReport) {
 	if !report.isFresh() || report.List > m.members.View().Version() {
 		return
@@ -228,15 +228,15 @@
 	switch {
 	case r.reader == nil:
 	case r.hub == nil:
-		m.listKeyState.next = max(m.listKeyState.next, at+hubReadDelay)
+		m.listKeyState.next = max(m.listKeyState.next, at+maxReaderReportAge)
 	default:
 		m.listKeyState.next = max(m.listKeyState.next, at+m.ownReadInterval())
 	}
 }
 
 const (
-	// longListRows is the list size from which a process that others don't poll leaves
-	// reading the list to the watchers of its cell: thousands of upstreams take some
+	// longListRows is the list size from which a process that isn't among the first
+	// watchersPerCell of its cell leaves reading the list to those: thousands of upstreams take some
 	// dozen calls and over a megabyte, which takes seconds on the link of a small VM.
 	// Where a third of the processes die, each of the others would read the list at
 	// once, and be rate-limited.
--- a/internal/version/mgconfig/longpoll_fleet_test.go
+++ b/internal/version/mgconfig/longpoll_fleet_test.go
@@ -13,7 +13,7 @@
 // Members get the list from one another.
 func newLongPollFleet(seed uint64, count int) *fleet {
 	f := newFleet(seed, count, 0)
-	f.quick = 60
+	f.quickInterval = 60
 	f.heartbeat = 10
 	f.dead = map[string]bool{}
 	f.putList(0)
@@ -23,7 +23,7 @@
 
 // seeds returns the configured peers of a new member.
 func (f *fleet) seeds() []string {
-	if f.quick == 0 {
+	if f.quickInterval == 0 {
 		return nil
 	}
 	return []string{f.nodes[0].name, f.nodes[1].name, f.nodes[2].name}
@@ -31,7 +31,7 @@
 
 // putList writes a list of upstreams to the platform, in which the one selected by change
 // is leaving, and returns its version.
-func (f *fleet) putList(change int) uint64 {
+func (f *fleet) putList(leavingIndex int) uint64 {
 	upstreams := 48
 	if f.listedUpstreams > 0 {
 		upstreams = f.listedUpstreams
@@ -49,7 +49,7 @@
 			Services: []string{"reports"},
 			State:    mgplatform.Live,
 		}
-		if i == change%upstreams {
+		if i == leavingIndex%upstreams {
 			vm.State = mgplatform.Leaving
 		}
 		list.VMs = append(list.VMs, vm)
@@ -59,8 +59,8 @@
 	return list.Version
 }
 
-// tickNow schedules a tick of a member whose next tick may have moved, as a Loop does.
-func (f *fleet) tickNow(n *node, incarnation int) {
+// rescheduleTick schedules a tick of a member whose next tick may have moved, as a Loop does.
+func (f *fleet) rescheduleTick(n *node, incarnation int) {
 	f.net.Schedule(max(f.net.Now(), n.machine.NextTick()), n.name, func() {
 		if n.incarnation == incarnation {
 			f.perform(n, n.machine.Tick(f.net.Now()))
@@ -81,7 +81,7 @@
 			return
 		}
 		to.machine.RecordLongPoll(f.net.Now())
-		f.tickNow(to, incarnation)
+		f.rescheduleTick(to, incarnation)
 		end := f.net.Now() + a.Wait()
 		var check func()
 		check = func() {
@@ -177,7 +177,7 @@
 // reader returns the member that most members compute as the region's reader.
 func (f *fleet) reader() string {
 	votes := map[string]int{}
-	first := ""
+	mostVoted := ""
 	for _, n := range f.nodes {
 		if f.dead[n.name] {
 			continue
@@ -187,11 +187,11 @@
 			name = r.Name()
 		}
 		votes[name]++
-		if first == "" || votes[name] > votes[first] {
-			first = name
+		if mostVoted == "" || votes[name] > votes[mostVoted] {
+			mostVoted = name
 		}
 	}
-	return first
+	return mostVoted
 }
 
 // hubOf returns the hub of a member's cell by its own view.
--- a/internal/version/mgconfig/loop.go
+++ b/internal/version/mgconfig/loop.go
@@ -65,7 +65,7 @@
 	loggedCordons   []string      // the cordoned availability zones that were logged last
 	tableChanged    chan struct{} // closed and replaced at each adoption
 	listChanged     chan struct{} // closed and replaced at each newer list of VMs
-	cachedList      ListReply     // the list that was compressed last; of its report only the list's version is set
+	cachedList      ListReply     // the reply with the list that was compressed last; in its VersionReport only List is set
 	wakeRun         chan struct{} // wakes Run after the machine's next tick may have moved
 	ctx             context.Context
 	stopped         bool
@@ -108,7 +108,7 @@
 	return l.machine.TableConfirmed(l.spec.Clock.Now())
 }
 
-// Status returns the state for the dump.
+// Status returns the state for the debug dump.
 func (l *Loop) Status() Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/version/mgconfig/machine.go
+++ b/internal/version/mgconfig/machine.go
@@ -19,7 +19,7 @@
 	Region      string
 	Incarnation string
 	Addr        string // address at which peers reach this process
-	Power       int    // see mgplatform.VM
+	Power       int    // relative capacity of the VM's processor and network, 0 if unknown; see mgplatform.VM
 	RandomSeed  uint64 // seed of the jitter and the choice of peers
 
 	// Seeds are peer addresses that are used while no list of VMs is known, such as
@@ -33,12 +33,13 @@
 
 	// QuickInterval is the minimum interval between two watches of the list by the one process
 	// that watches it for its region, where changes must be known within tens of ms;
-	// the others watch once a second. With 0 all watch alike.
+	// the others watch once a second. With 0 all watch alike. A value above 0 thus also
+	// turns on long polls and the shorter delays of retries.
 	QuickInterval mgclock.Millis
 
 	// ListConfirmsTable is set where an answer of the platform about the list also
 	// confirms that there is no table newer than the last one that the platform's
-	// client has read.
+	// client (mgplatform.Client) has read.
 	ListConfirmsTable bool
 
 	// WatchWait is the maximum wait of one watch, AnswerTimeout the timeout of the platform's
@@ -74,7 +75,7 @@
 	tableReadPending bool           // the platform has a newer table that is being read
 	tableConfirmed   bool           // the table in force has been confirmed as the newest at least once
 	tableConfirmedAt mgclock.Millis // time of the last such confirmation
-	era              uint64         // of the list in use; see mgplatform.VMList
+	era              uint64         // of the list in use; increases with each restore of the platform, see mgplatform.VMList
 	restored         bool           // the platform was restored from a backup
 	restoredAt       mgclock.Millis // time when the restore was noticed
 	peerConfirmedAt  mgclock.Millis // time of the last confirmation of the list that another process reported
--- a/internal/version/mgconfig/machine_test.go
+++ b/internal/version/mgconfig/machine_test.go
@@ -234,7 +234,8 @@
 	return f
 }
 
-// half returns the side of a partition on which a member, or the platform, is.
+// half returns the side of a partition on which a member, or the platform, is. In the
+// bit mask side, bit i is the side of vm-i, and bit 63 that of the platform.
 func half(side uint64, name string) bool {
 	bit := 63
 	_, _ = fmt.Sscanf(name, "vm-%d", &bit)
--- a/internal/version/mgconfig/platform.go
+++ b/internal/version/mgconfig/platform.go
@@ -18,14 +18,14 @@
 	// With three, a zone keeps a watcher while one is being replaced and one has died.
 	watchersPerZone = 3
 	// watchWait is the default wait of a watch. The platform counts a watch as one
-	// read. A stale answer can't stay hidden for longer than this.
+	// read. A stale answer can't hide a change for longer than this.
 	watchWait = 20 * mgclock.Second
 	// watchInterval is the minimum interval between two watches of a key, against a
 	// platform that keeps answering at once.
 	watchInterval = 500 * mgclock.Millis(1)
 	// slowWatchInterval is the interval between watches of the list by processes for
 	// which another one watches. If that one dies, the others still see a change within
-	// this interval, and have the rest of the two seconds that a change may take left.
+	// this interval, and the rest of the two seconds that a change may take remains to them.
 	slowWatchInterval = mgclock.Second
 	// quickWatchWait and quickWatchTimeout limit the wait and the reply time of a watch
 	// of a list whose changes must be known soon. Upstreams' heartbeats end each watch
@@ -42,8 +42,9 @@
 	// in 18 s at least, as watches end with the next heartbeat and start 60 ms apart. A
 	// read of some thousand upstreams takes a dozen calls or more.
 	quickReadEvery = 300
-	// maxWatchIdle is the time without a watch after which a read replaces it:
-	// upstreams write about every 1.2 s.
+	// maxWatchIdle is the time without a watch after which a read replaces it: by
+	// then every upstream, which writes about every 1.2 s, has sent a heartbeat that a
+	// watch would return; see isReadCheaper.
 	maxWatchIdle = 2 * mgclock.Second
 	// pollIntervalPerMember makes the poll interval grow with the fleet, so that all
 	// polls together make two reads a second at any size.
@@ -53,7 +54,7 @@
 	// yet, on a platform that was just set up: all processes start before the first
 	// table is published, and the first that reads it forwards it to the others.
 	missingRetryInterval = mgclock.Second
-	// backoffMin and backoffMax are the default bounds of the delay after a failed
+	// backoffMin and backoffMax (below) are the default bounds of the delay after a failed
 	// read. Half a minute is the longest that a change waits once the platform is back.
 	backoffMin = mgclock.Second
 	// firstRetryDelay is the first delay after a failed read of a process that has no
@@ -72,28 +73,28 @@
 // seconds and each read list and manifest. The other members read at most one page in
 // ten seconds, 126 a second in all.
 const (
-	watcherRate  = 25
-	watcherBurst = 10
-	memberRate   = 0.1
-	memberBurst  = 2
+	watcherRate     = 25
+	watcherBurst    = 10
+	nonWatcherRate  = 0.1
+	nonWatcherBurst = 2
 )
 
 // pageReadLimiter limits the rate of reads of pages.
 type pageReadLimiter struct {
-	watcher *rate.Limiter
-	member  *rate.Limiter
+	watcher    *rate.Limiter
+	nonWatcher *rate.Limiter
 }
 
 func (b *pageReadLimiter) allow(now mgclock.Millis, isWatcher bool) bool {
 	if b.watcher == nil {
 		b.watcher = rate.NewLimiter(watcherRate, watcherBurst)
-		b.member = rate.NewLimiter(memberRate, memberBurst)
+		b.nonWatcher = rate.NewLimiter(nonWatcherRate, nonWatcherBurst)
 	}
 	at := time.UnixMilli(int64(now))
 	if isWatcher {
 		return b.watcher.AllowN(at, 1)
 	}
-	return b.member.AllowN(at, 1)
+	return b.nonWatcher.AllowN(at, 1)
 }
 
 // keyState is the state of a key of the platform that is kept up to date.
@@ -214,7 +215,7 @@
 // over even before the list shows the death.
 func (m *Machine) isWatcher() bool {
 	if _, listed := m.members.View().Member(m.spec.Name); !listed {
-		// No list names another process that could watch for this one.
+		// The list doesn't name this process, so it names none that could watch for it.
 		return true
 	}
 	var candidates []*mgmember.Member
@@ -296,8 +297,8 @@
 		m.confirmTable(now)
 	}
 	if errors.Is(result.Err, mgplatform.ErrCordonsChanged) {
-		// The watchersPerCell processes that always watch the table, which are each hub
-		// and two more of its cell, learn of a cordon here, even where the region's
+		// The first watchersPerCell processes of each cell, its hub and two more, always
+		// watch the table. They learn of a cordon here, even where the region's
 		// reader has just died or is cut off.
 		m.listKeyState.next = min(m.listKeyState.next, now)
 		return append(m.stepPull(now), m.readPlatform(now)...)
@@ -318,9 +319,9 @@
 	return nil
 }
 
-// staleTimeout is the time without a confirmation of the list after which relays ask
-// upstreams directly whether they are leaving: longer than a watch takes to return the
-// next heartbeat.
+// staleTimeout is the time without a confirmation of the list after which relays (the
+// reverse proxies of entries, see mgrelay) ask upstreams directly whether they are
+// leaving: longer than a watch takes to return the next heartbeat.
 const staleTimeout = 1500 * mgclock.Millis(1)
 
 // quickStaleTimeout is the same where one process watches the list quickly: heartbeats
--- a/internal/version/mgconfig/platform_fleet_test.go
+++ b/internal/version/mgconfig/platform_fleet_test.go
@@ -10,14 +10,14 @@
 
 // platform simulates the configuration service in virtual time.
 type platform struct {
-	net     *mgnet.Net
-	values  map[string]mgplatform.Value
-	frozen  map[string]mgplatform.Value // values returned while stale
-	stale   bool
-	down    bool
-	watches []func() bool // held watches; each returns true once answered
-	cordons int           // number of changes of the cordons
-	reads   map[mgclock.Millis]int
+	net           *mgnet.Net
+	values        map[string]mgplatform.Value
+	frozen        map[string]mgplatform.Value // values returned while stale
+	stale         bool
+	down          bool
+	watches       []func() bool // held watches; each returns true once answered
+	cordonChanges int           // number of changes of the cordons
+	reads         map[mgclock.Millis]int
 }
 
 func (p *platform) get(key string) (mgplatform.Value, error) {
@@ -76,10 +76,10 @@
 		})
 	}
 	if f.upstreams > 0 && a.Kind() == Read && a.Key() == mgplatform.ListKey {
-		pages := f.upstreams / pageRows
-		if pages > firstPages && !n.hasAskedPlatform && !slices.Contains(f.seeds(), n.name) {
+		pages := f.upstreams / listPageRows
+		if pages > firstListPages && !n.hasAskedPlatform && !slices.Contains(f.seeds(), n.name) {
 			n.hasAskedPlatform = true
-			f.readPages(n, firstPages, func(_ mgplatform.Value, err error) {
+			f.readPages(n, firstListPages, func(_ mgplatform.Value, err error) {
 				if err == nil {
 					err = mgplatform.ErrManyCalls
 				}
@@ -114,12 +114,12 @@
 		switch {
 		case p.down:
 			answer(mgplatform.Value{}, mgplatform.ErrUnavailable)
-		case p.reads[second] > pageRate:
+		case p.reads[second] > listPageRate:
 			answer(mgplatform.Value{}, mgplatform.ErrRateLimited)
 		case pages <= 1:
 			answer(p.get(mgplatform.ListKey))
 		default:
-			f.net.Schedule(f.net.Now()+pageDelay, "platform", func() {
+			f.net.Schedule(f.net.Now()+listPageDelay, "platform", func() {
 				f.net.Send("platform", n.name, callBytes/2, func() { f.readPages(n, pages-1, answer) })
 			})
 		}
@@ -129,13 +129,13 @@
 // holdWatch holds a watch until the value changes or the wait is over.
 func (f *fleet) holdWatch(a Action, answer func(mgplatform.Value, error)) {
 	answered := false
-	cordons := f.platform.cordons
+	cordons := f.platform.cordonChanges
 	f.platform.watches = append(f.platform.watches, func() bool {
 		v, err := f.platform.get(a.Key())
 		if answered {
 			return true
 		}
-		if a.Key() == mgplatform.ManifestKey && f.platform.cordons > cordons && !f.platform.down {
+		if a.Key() == mgplatform.ManifestKey && f.platform.cordonChanges > cordons && !f.platform.down {
 			answered = true
 			answer(mgplatform.Value{}, mgplatform.ErrCordonsChanged)
 			return true
--- a/internal/version/mgconfig/rejections.go
+++ b/internal/version/mgconfig/rejections.go
@@ -18,6 +18,7 @@
 // offered by peers.
 const maxRejections = 32
 
+// add records a rejection. Of a faulty list of VMs, digest is the list's key.
 func (r *rejections) add(version uint64, digest string, err error) {
 	r.lastVersion = version
 	r.lastErr = err
--- a/internal/version/mgconfig/roles.go
+++ b/internal/version/mgconfig/roles.go
@@ -10,7 +10,7 @@
 // one view.
 type roles struct {
 	view    *mgmember.View
-	leaving bool
+	leaving bool             // whether this process was leaving; like view, it is what the roles were computed from
 	reader  *mgmember.Member // nil where it is this process
 	hub     *mgmember.Member // of the own cell, nil where it is this process
 	rank    int              // rank of this process in its cell, at most watchersPerCell
--- a/internal/version/mgconfig/start_test.go
+++ b/internal/version/mgconfig/start_test.go
@@ -16,7 +16,7 @@
 // platform rate-limits most of the reads, and the entries start over.
 func TestMassRestartOverloadsPlatform(t *testing.T) {
 	const (
-		maxDelay        = 1500 * mgclock.Millis(1) // of the two seconds until callers are served again
+		maxDelay        = 1500 * mgclock.Millis(1) // of the two seconds within which callers must be served again
 		enginesPerEntry = 10
 	)
 	for _, c := range []struct {
@@ -86,7 +86,7 @@
 					return
 				}
 				So(all[len(all)-1], ShouldBeLessThanOrEqualTo, maxDelay)
-				So(f.platform.peak(0), ShouldBeLessThan, pageRate)
+				So(f.platform.peak(0), ShouldBeLessThan, listPageRate)
 			})
 		})
 	}
@@ -122,8 +122,8 @@
 			So(delay, ShouldBeLessThanOrEqualTo, 2000)
 		})
 		Convey("leave the list to the watchers of their cells, which may read it twice", func() {
-			So(f.platform.peak(from), ShouldBeLessThan, pageRate)
-			So(f.readsSince(0)-before, ShouldBeLessThan, 2*watchersPerCell*mgmember.CellCount(count)*f.upstreams/pageRows)
+			So(f.platform.peak(from), ShouldBeLessThan, listPageRate)
+			So(f.readsSince(0)-before, ShouldBeLessThan, 2*watchersPerCell*mgmember.CellCount(count)*f.upstreams/listPageRows)
 		})
 	})
 }
--- a/internal/version/mgconfig/table_age.go
+++ b/internal/version/mgconfig/table_age.go
@@ -8,18 +8,19 @@
 // (MachineSpec.ListConfirmsTable), each answer about the list also confirms that there
 // is no newer table, and reports of the list's age carry the age of that confirmation.
 
-// tableMaxAge is the maximum age of the confirmation. An edit must be in force
-// everywhere two seconds after it was accepted.
-const tableMaxAge = 1500 * mgclock.Millis(1)
+// maxTableConfirmationAge is the maximum age of the confirmation that the table is the
+// newest; the table itself may be older. An edit must be in force everywhere two seconds
+// after it was accepted.
+const maxTableConfirmationAge = 1500 * mgclock.Millis(1)
 
 // TableConfirmed reports whether the table in force was confirmed as the newest within
-// tableMaxAge. It is always true without MachineSpec.ListConfirmsTable.
+// maxTableConfirmationAge. It is always true without MachineSpec.ListConfirmsTable.
 func (m *Machine) TableConfirmed(now mgclock.Millis) bool {
 	if !m.spec.ListConfirmsTable {
 		return true // the age of the table is unknown
 	}
 	age := m.tableConfirmationAge(now)
-	return age >= 0 && age <= tableMaxAge
+	return age >= 0 && age <= maxTableConfirmationAge
 }
 
 // tableConfirmationAge returns the age of the table's confirmation: the time since the
--- a/internal/version/mgconfig/table_age_test.go
+++ b/internal/version/mgconfig/table_age_test.go
@@ -14,7 +14,7 @@
 // its old table as the newest.
 func TestRouteDeniedByOutdatedTable(t *testing.T) {
 	Convey("For a process where one watch covers list and table, the table is confirmed", t, func() {
-		m, _ := machineOfSix()
+		m, _ := machineWithFivePeers()
 		m.spec.ListConfirmsTable = true
 		m.current.Store(newSnapshot(7, 0))
 		m.handleManifestResult(1000, ActionResult{
@@ -37,15 +37,15 @@
 		}
 		Convey("for a limited time after the platform's answer about the table", func() {
 			So(m.TableConfirmed(1000), ShouldBeTrue)
-			So(m.TableConfirmed(1000+tableMaxAge), ShouldBeTrue)
-			So(m.TableConfirmed(1000+tableMaxAge+1), ShouldBeFalse)
+			So(m.TableConfirmed(1000+maxTableConfirmationAge), ShouldBeTrue)
+			So(m.TableConfirmed(1000+maxTableConfirmationAge+1), ShouldBeFalse)
 		})
 		Convey("and after its answer about the list", func() {
 			m.handleListResult(4000, ActionResult{
 				Err: mgplatform.ErrUnchanged,
 			})
-			So(m.TableConfirmed(4000+tableMaxAge), ShouldBeTrue)
-			So(m.TableConfirmed(4000+tableMaxAge+1), ShouldBeFalse)
+			So(m.TableConfirmed(4000+maxTableConfirmationAge), ShouldBeTrue)
+			So(m.TableConfirmed(4000+maxTableConfirmationAge+1), ShouldBeFalse)
 		})
 		Convey("not just after the platform was restored from a copy", func() {
 			list := func(era uint64) []byte {
@@ -77,8 +77,8 @@
 		})
 		Convey("after another process's report of the same table, counted from its age", func() {
 			deliverReport(4000, report)
-			So(m.TableConfirmed(3900+tableMaxAge), ShouldBeTrue)
-			So(m.TableConfirmed(3900+tableMaxAge+1), ShouldBeFalse)
+			So(m.TableConfirmed(3900+maxTableConfirmationAge), ShouldBeTrue)
+			So(m.TableConfirmed(3900+maxTableConfirmationAge+1), ShouldBeFalse)
 			So(m.Report(4050).TableAge, ShouldEqual, 150)
 		})
 		Convey("not by a report of another table, or one without an age", func() {
@@ -121,7 +121,7 @@
 		})
 	})
 	Convey("Where the table's age is unknown, it counts as the newest", t, func() {
-		m, _ := machineOfSix()
+		m, _ := machineWithFivePeers()
 		So(m.TableConfirmed(mgclock.Minute), ShouldBeTrue)
 	})
 }
--- a/internal/version/mgconfig/version_report_test.go
+++ b/internal/version/mgconfig/version_report_test.go
@@ -15,7 +15,7 @@
 // its notice.
 func TestWatchesNotShared(t *testing.T) {
 	Convey("A process of a region of six", t, func() {
-		m, behindWatchers := machineOfSix()
+		m, behindWatchers := machineWithFivePeers()
 		m.listKeyState.confirmedAt = 0
 		m.adoptList(0, upstreamList(5, mgplatform.Live))
 		m.listKeyState.next, m.manifestKeyState.next = 100, 100
@@ -53,7 +53,7 @@
 		})
 	})
 	Convey("A hub that has only the reader's report forwards its age", t, func() {
-		m, _ := machineOfSix()
+		m, _ := machineWithFivePeers()
 		m.adoptList(0, upstreamList(5, mgplatform.Live))
 		m.listKeyState.hasAnswered = false
 		So(m.Report(1000).Age, ShouldBeLessThan, 0)
@@ -72,9 +72,10 @@
 	})
 }
 
-// machineOfSix returns a process that knows five others of its region, and whether it
-// ranks behind those that watch for versions of the table.
-func machineOfSix() (m *Machine, behindWatchers bool) {
+// machineWithFivePeers returns a process that knows five others of its region, and
+// whether it ranks below the first watchersPerCell, which watch for versions of the
+// table.
+func machineWithFivePeers() (m *Machine, ranksBelowWatchers bool) {
 	names := []string{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5", "entry-6"}
 	members := mgmember.New(names[0])
 	m = NewMachine(0, MachineSpec{
