--- a/internal/request/mgquarantine/age_test.go
+++ b/internal/request/mgquarantine/age_test.go
@@ -12,7 +12,7 @@
 
 // A record that was forwarded with less delay than the one before it gives a smaller clock
 // offset of its origin, which also lowers the time bounds of the origin's earlier records.
-// It must be merged and forwarded at once all the same.
+// The record itself must be merged and forwarded at once although those bounds change too.
 func TestRecordOnFasterPathIsNotForwarded(t *testing.T) {
 	newRecord := func(number uint64, seen mgclock.Millis) Record {
 		return Record{
--- a/internal/request/mgquarantine/doc.go
+++ b/internal/request/mgquarantine/doc.go
@@ -38,21 +38,24 @@
 // lower bound, and the time of the occurrence that a process computes from it is an upper
 // bound. Of the bounds that several copies of a record give, a process keeps the smallest.
 // One occurrence is later than another when a single clock proves it. That is the clock of
-// the process that saw both crashes, or of the process that saw the later one. The latter
-// clock proves the order if the attempt of the later crash was sent after the upper bound
-// of the earlier crash, or if the upstream of the later crash ended at least a window
-// after that bound. The process that saw the later crash lists the earlier records in its
-// own record (Record.Earlier), and adds a follow-up record when a copy that came on a
-// faster path proves more. All processes count by these references and not by times of
-// their own. If a process or its clock pauses, its attempts that are in progress then
-// prove nothing about the order.
+// the process that saw both crashes, or of the process that saw the later one. If one
+// process saw only the later crash, its clock proves the order if the attempt of the later
+// crash was sent after the upper bound of the time of the earlier crash, or if the upstream
+// of the later crash ended at least a window after that upper bound. The process that saw
+// the later crash lists the earlier records in its own record (Record.Earlier), and adds a
+// follow-up record when a copy that came on a faster path proves more. All processes count
+// by these references and not by times of their own. If a process or its clock pauses, its
+// attempts that are in progress then prove nothing about the order.
 //
 // # Terms
 //
 //   - crash: the end of an upstream's process without notice.
 //   - occurrence: all crashes within one window, which count once.
-//   - sound: describes a request that an upstream has answered; used in the tests.
+//   - sound: the name of a request in the tests of the order of crashes (order_test.go),
+//     where no upstream answers it.
 //   - hold: the time for which a request is sent to no upstream.
+//   - trial: an attempt of a request in quarantine whose hold is over. A process admits one
+//     at a time, and for a short time after the hold only one process admits any.
 //   - quarantine: the state of a request from its first hold until an answer or expiry,
 //     also while no hold is in effect.
 //   - incarnation: one run of a process, from its start to its end.
--- a/internal/request/mgquarantine/evaluate.go
+++ b/internal/request/mgquarantine/evaluate.go
@@ -47,7 +47,8 @@
 	return slices.ContainsFunc(c.records, func(s storedRecord) bool { return s.digest == digest })
 }
 
-// suspicion is the evaluation of the records of one request.
+// suspicion is the evaluation of the records of one request: the occurrences that it is
+// suspected of, its hold, and how long its records are needed.
 type suspicion struct {
 	occurrences   int
 	isQuarantined bool           // also true after the hold has ended
@@ -81,7 +82,7 @@
 	crashes := groupCrashes(records)
 	suspicions := map[Digest]suspicion{}
 	for {
-		unexplained := occurrences(crashes)
+		unexplained := occurrenceChains(crashes)
 		worst, found := mostOccurrences(unexplained)
 		if !found || len(unexplained[worst]) < occurrenceThreshold {
 			for digest, chain := range unexplained {
@@ -92,17 +93,17 @@
 			}
 			return suspicions
 		}
-		suspicions[worst] = holdFor(unexplained[worst])
+		suspicions[worst] = evaluateHold(unexplained[worst])
 		for _, c := range crashes {
 			c.explained = c.explained || c.involves(worst)
 		}
 	}
 }
 
-// occurrences returns, for each request, its longest chain of crashes: a sequence in which
-// each crash is a later occurrence than the one before. Only crashes that the request is
-// suspected of, and that no other request explains, are considered.
-func occurrences(crashes []*crash) map[Digest][]*crash {
+// occurrenceChains returns, for each request, its longest chain of crashes: a sequence in
+// which each crash is a later occurrence than the one before. Only crashes that the request
+// is suspected of, and that no other request explains, are considered.
+func occurrenceChains(crashes []*crash) map[Digest][]*crash {
 	suspected := map[Digest][]*crash{}
 	for _, c := range crashes {
 		if c.explained {
@@ -133,7 +134,7 @@
 		if chains[i] != nil {
 			return chains[i]
 		}
-		chains[i] = crashes[i : i+1 : i+1] // ends the recursion where records contradict each other: their references form a cycle
+		chains[i] = crashes[i : i+1 : i+1] // provisional, ends the recursion where references of contradictory records form a cycle
 		var longest []*crash
 		for _, j := range earlier[i] {
 			if chain := chainTo(j); len(chain) > len(longest) {
@@ -208,9 +209,10 @@
 	return worst, found
 }
 
-// holdFor returns the hold of a request with enough occurrences. A crash during a hold
-// doesn't extend it, since its attempt was in progress when the hold began.
-func holdFor(chain []*crash) suspicion {
+// evaluateHold evaluates a request with enough occurrences: it returns a suspicion with its
+// hold. A crash during a hold doesn't extend it, since its attempt was in progress when the
+// hold began.
+func evaluateHold(chain []*crash) suspicion {
 	hold := initialHold
 	until := chain[occurrenceThreshold-1].at + hold
 	for _, c := range chain[occurrenceThreshold:] {
--- a/internal/request/mgquarantine/exchange.go
+++ b/internal/request/mgquarantine/exchange.go
@@ -33,9 +33,9 @@
 	return invalid
 }
 
-// mergeRecord stores another process's record, or the better time bound that a further
-// copy of it gives. It reports whether anything improved, and whether by enough to be
-// broadcast.
+// mergeRecord stores another process's record, or the better time bound that a further copy
+// of it gives. It reports whether anything improved, and, as isUpdate, whether the record
+// is new or improved by enough to be broadcast.
 func (q *Quarantine) mergeRecord(now mgclock.Millis, digest Digest, record Record) (improved, isUpdate bool) {
 	seenBound := q.boundSeenTime(now, record)
 	s, isKnown := q.records[record.id()]
@@ -57,7 +57,8 @@
 	return true, isUpdate
 }
 
-// RecentRecords returns the records that this process learned recently and therefore broadcasts.
+// RecentRecords returns the records that this process learned recently and therefore
+// broadcasts.
 func (q *Quarantine) RecentRecords(now mgclock.Millis) []Record {
 	return q.collect(now, func(s storedRecord) bool { return now < s.learnedAt+broadcastWindow })
 }
@@ -106,7 +107,7 @@
 	if len(q.records) == 0 {
 		return nil
 	}
-	checksums := make(Checksums, sumBuckets)
+	checksums := make(Checksums, checksumBuckets)
 	for id := range q.records {
 		checksums[id.bucket()] += id.hash()
 	}
--- a/internal/request/mgquarantine/order.go
+++ b/internal/request/mgquarantine/order.go
@@ -21,8 +21,9 @@
 	maxOffsetDrift = 500 * mgclock.Millis(1)
 )
 
-// SetPauseCheck sets the function that is called before each crash is recorded. It detects a pause
-// of the process and then calls RecordPause. Call SetPauseCheck before the quarantine is used.
+// SetPauseCheck sets the function that is called before each crash is recorded. It detects
+// a pause of the process and then calls RecordPause. Call SetPauseCheck before the
+// quarantine is used.
 func (q *Quarantine) SetPauseCheck(checkPause func()) { q.checkPause = checkPause }
 
 // RecordPause records that the process, or its clock, stood still until now. Attempts that
@@ -40,9 +41,11 @@
 
 // boundSeenTime returns an upper bound, by this process's clock, of when a record's crash
 // or answer was seen. It is only a bound because the record's age doesn't include its
-// network delay. Records of one origin keep their order and the time between them,
-// whichever processes forwarded them, since all use the smallest clock offset that any of
-// them gives.
+// network delay. A smaller offset of the origin's clock is stored, and lowers the bounds of
+// the origin's other records. Records of one origin keep their order and the time between
+// them, whichever processes forwarded them, since all use the smallest clock offset that
+// any of them gives. An offset that differs by more than maxOffsetDrift replaces the stored
+// one and leaves the bounds of earlier records as they are.
 func (q *Quarantine) boundSeenTime(now mgclock.Millis, record Record) mgclock.Millis {
 	newOffset := now - record.Age - record.Seen
 	offset, known := q.offsets[record.Origin]
--- a/internal/request/mgquarantine/quarantine.go
+++ b/internal/request/mgquarantine/quarantine.go
@@ -18,7 +18,7 @@
 	// recordTTL is how long a record may be needed.
 	recordTTL = maxHold + 2*evidenceTTL
 	// trialWindow is how long after a hold only one process admits the request, and how
-	// long a process waits for the outcome of its trial.
+	// long a process waits for the outcome of its trial (an attempt after the hold).
 	trialWindow = 5 * mgclock.Second
 	// broadcastWindow is how long a record is broadcast after it was learned.
 	broadcastWindow = 600 * mgclock.Millis(1)
@@ -38,7 +38,7 @@
 
 	mu             sync.Mutex
 	lastNumber     uint64
-	offsets        map[string]mgclock.Millis // upper bounds of the offset of this process's clock, by origin
+	offsets        map[string]mgclock.Millis // upper bounds of this process's clock minus the origin's clock, by origin
 	lastPause      mgclock.Millis            // end of the process's last pause, 0 for none
 	records        map[recordID]storedRecord
 	trialDeadlines map[Digest]mgclock.Millis // end of the wait for the outcome of a request's trial here
@@ -151,14 +151,16 @@
 	return 0, true
 }
 
-// retryCrashLimit is the number of occurrences from which a request is no longer retried
+// retryOccurrenceLimit is the number of occurrences from which a request is no longer retried
 // on another upstream after a crash. It then runs again only when its caller sends it
 // again.
-const retryCrashLimit = 2
+const retryOccurrenceLimit = 2
 
 // Retryable reports whether a request whose upstream has just crashed may be retried on
 // another one.
-func (q *Quarantine) Retryable(digest Digest) bool { return q.Occurrences(digest) < retryCrashLimit }
+func (q *Quarantine) Retryable(digest Digest) bool {
+	return q.Occurrences(digest) < retryOccurrenceLimit
+}
 
 // Occurrences returns the number of occurrences that a request is suspected of, without
 // those that another request explains.
--- a/internal/request/mgquarantine/record.go
+++ b/internal/request/mgquarantine/record.go
@@ -8,7 +8,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// A Record is the record of what one process has seen of a request, as it is exchanged.
+// A Record describes the end of one attempt of a request, as the process that sent it saw
+// it and as processes exchange it: a crash of the upstream, or an answer.
 type Record struct {
 	Origin   string         `json:"origin"` // the incarnation of the process that made the record
 	Number   uint64         `json:"number"` // counts the origin's records from 1
@@ -51,15 +52,15 @@
 const hashMultiplier = 0x9e3779b97f4a7c15
 
 // bucket returns the index in Checksums that covers the record.
-func (id recordID) bucket() int { return int(id.hash() >> (64 - sumBits)) }
+func (id recordID) bucket() int { return int(id.hash() >> (64 - checksumBits)) }
 
 const (
-	sumBits    = 5
-	sumBuckets = 1 << sumBits
+	checksumBits    = 5
+	checksumBuckets = 1 << checksumBits
 )
 
-// Checksums are checksums of the records, one for each bucket of them. By these, two processes
-// find the buckets in which their records differ. Nil stands for no records.
+// Checksums are checksums of the records, one for each bucket of them. By these, two
+// processes find the buckets in which their records differ. Nil stands for no records.
 type Checksums []uint64
 
 // at returns the checksum of a bucket.
