--- a/internal/request/mgwaitlist/close_test.go
+++ b/internal/request/mgwaitlist/close_test.go
@@ -7,8 +7,8 @@
 )
 
 // Guards against this failure: when the last availability zone is cordoned, requests keep
-// waiting for a place that can't be granted: their callers wait for three times the time
-// within which they want an answer to begin, and are refused only then.
+// waiting for a place that can't be granted: their callers are refused only after three
+// times as long as an answer may take to begin.
 func TestCloseLeavesRequestsWaiting(t *testing.T) {
 	Convey("Where no upstream may be given work, all waiting requests are given up at once", t, func() {
 		var r WaitingList
--- a/internal/request/mgwaitlist/doc.go
+++ b/internal/request/mgwaitlist/doc.go
@@ -25,7 +25,7 @@
 //
 //   - first those that can still be on time, the smallest product of memory and duration
 //     first. The requests of an account that has recently had more than twice an equal
-//     share of the memory count with four times that product;
+//     share of the memory are sorted as if that product were four times as large;
 //   - then those that are late, first come first served.
 //
 // Up to four requests that can't be placed may be overtaken by later ones, since otherwise
@@ -37,9 +37,11 @@
 // # Terms
 //
 //   - place, placement: memory at an upstream that is reserved for a generation. The type
-//     Place is the reported state of an upstream that has such memory.
-//   - grant: the decision that gives a request its place, or gives the request up: the
-//     caller is refused, with the time after which to retry.
+//     Place isn't such a reservation: it is the reported state of an upstream that has
+//     such memory.
+//   - grant: the decision on a request that ends its wait. It gives the request its place,
+//     or gives the request up: then the caller is refused, with the time after which to
+//     retry.
 //   - cold: describes an upstream that has just started and takes few requests a second.
 //   - permit: a token that allows sending one request to an upstream with a rate limit.
 package mgwaitlist
--- a/internal/request/mgwaitlist/rate.go
+++ b/internal/request/mgwaitlist/rate.go
@@ -10,8 +10,8 @@
 // memory of several requests becomes free.
 const rateDecay = 3 * mgclock.Second
 
-// grantRate is the memory that is granted per ms, as a sum with exponentially decaying
-// weights.
+// grantRate measures the memory that is granted per ms. It holds the granted tokens as a sum
+// with exponentially decaying weights; the rate is this sum divided by rateDecay.
 type grantRate struct {
 	sum       float64 // tokens, weighted
 	updatedAt mgclock.Millis
--- a/internal/request/mgwaitlist/read_test.go
+++ b/internal/request/mgwaitlist/read_test.go
@@ -19,8 +19,8 @@
 	remaining map[string]int // tokens to be read, by request
 }
 
-// read prefills for one step and returns the requests whose prompts are complete.
-func (e *prefillEngine) read(step mgclock.Millis) (done []string) {
+// prefill prefills for one step and returns the requests whose prompts are complete.
+func (e *prefillEngine) prefill(step mgclock.Millis) (done []string) {
 	budget := int(float64(step) * mgload.ReadRate)
 	for len(e.queue) > 0 && budget > 0 {
 		name := e.queue[0]
@@ -54,7 +54,7 @@
 	const engines, prompt, span, step = 10, 2800, 60 * mgclock.Second, 20 * mgclock.Millis(1)
 	const goal = 1500 * mgclock.Millis(1)
 	capacity := engines * mgload.ReadRate / prompt // requests per ms
-	read := mgclock.Millis(math.Ceil(prompt / mgload.ReadRate))
+	prefillTime := mgclock.Millis(math.Ceil(prompt / mgload.ReadRate))
 	r := rand.New(rand.NewPCG(3, 4))
 	var waitingList WaitingList
 	list := make([]prefillEngine, engines)
@@ -72,9 +72,9 @@
 			waitingList.Add(Request{
 				Name:     name,
 				Need:     prompt,
-				Duration: read,
+				Duration: prefillTime,
 				Arrived:  now,
-				Due:      now + goal - read,
+				Due:      now + goal - prefillTime,
 				GiveUpAt: now + 3*goal,
 			})
 		}
@@ -103,7 +103,7 @@
 			list[index].remaining[g.Name] = prompt
 		}
 		for i := range list {
-			for _, name := range list[i].read(step) {
+			for _, name := range list[i].prefill(step) {
 				if now <= arrivedAt[name]+goal {
 					onTime++
 				}
--- a/internal/request/mgwaitlist/return_test.go
+++ b/internal/request/mgwaitlist/return_test.go
@@ -27,7 +27,7 @@
 	const engines, prompt, span, step = 10, 2800, 60 * mgclock.Second, 20 * mgclock.Millis(1)
 	const goal = 1500 * mgclock.Millis(1)
 	capacity := engines * mgload.ReadRate / prompt // requests per ms
-	read := mgclock.Millis(math.Ceil(prompt / mgload.ReadRate))
+	prefillTime := mgclock.Millis(math.Ceil(prompt / mgload.ReadRate))
 	r := rand.New(rand.NewPCG(5, 6))
 	var waitingList WaitingList
 	list := make([]prefillEngine, engines)
@@ -38,9 +38,9 @@
 		waitingList.Add(Request{
 			Name:     fmt.Sprint(index),
 			Need:     prompt,
-			Duration: read,
+			Duration: prefillTime,
 			Arrived:  now,
-			Due:      now + goal - read,
+			Due:      now + goal - prefillTime,
 			GiveUpAt: now + 3*goal,
 		})
 	}
@@ -91,7 +91,7 @@
 			}
 		}
 		for i := range list {
-			list[i].read(step)
+			list[i].prefill(step)
 		}
 	}
 	count := 0.0
--- a/internal/request/mgwaitlist/share.go
+++ b/internal/request/mgwaitlist/share.go
@@ -8,10 +8,11 @@
 	// factor of 1 that would apply to every other request, and accounts that ask for
 	// little leave their share to others.
 	overShareFactor = 2.0
-	// overShareWeight is how many times as large the requests of such an account count. A
-	// short request of the account still goes before the long ones of others: if it went
-	// behind all of these, that would leave them little more memory, and the short request
-	// would be given up.
+	// overShareWeight is the factor by which the product of memory and duration of such an
+	// account's requests is multiplied where the waiting list is sorted. A short request of
+	// the account still goes before the long ones of others: if it went behind all of
+	// these, that would leave them little more memory, and the short request would be given
+	// up.
 	overShareWeight = 4
 	// minActiveTokens is the minimum decayed sum of an account that counts as active,
 	// tokens.
@@ -36,8 +37,8 @@
 	p.add(now, tokens)
 }
 
-// overShareAccounts returns the accounts that have had more than their share, where the memory is
-// shared among those with recent grants and those that wait.
+// overShareAccounts returns the accounts that have had more than their share, where the
+// memory is shared among those with recent grants and those that wait.
 func (s *shares) overShareAccounts(now mgclock.Millis, requests []Request) map[string]bool {
 	active := map[string]bool{}
 	for _, r := range requests {
--- a/internal/request/mgwaitlist/share_test.go
+++ b/internal/request/mgwaitlist/share_test.go
@@ -10,10 +10,10 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-// simulateFlood simulates ten accounts that together ask for all capacity, one of them for
-// eight times as much as each of the other nine. It returns the fraction of requests that
-// get a place in time, for the other accounts and for the flooding one. Unless hasAccounts
-// is set, all requests have the same account.
+// simulateFlood simulates ten accounts that together ask for more than all capacity, one of
+// them for eight times as much as each of the other nine. It returns the fraction of
+// requests that get a place in time, for the other accounts and for the flooding one.
+// Unless hasAccounts is set, all requests have the same account.
 func simulateFlood(hasAccounts bool) (others, heavy float64) {
 	const accounts, span, step = 10, 60 * mgclock.Second, 20 * mgclock.Millis(1)
 	r := rand.New(rand.NewPCG(1, 2))
--- a/internal/request/mgwaitlist/waitinglist.go
+++ b/internal/request/mgwaitlist/waitinglist.go
@@ -23,10 +23,11 @@
 	minRetry = mgclock.Second
 	maxRetry = 5 * mgclock.Second
 	// maxReadWaitMs is the maximum time that an upstream may need to prefill the prompts
-	// before a request's own for the request to be sent there: that of one prompt. At an
-	// upstream requests keep their order whoever comes later; on the waiting list, those
-	// that can still be on time go first. The limit isn't lower because reports of an
-	// upstream are 200 ms old, and the upstream must not run idle.
+	// before a request's own for the request to be sent there: that of one prompt. Once
+	// sent to an upstream, requests keep their order, whoever comes later; on the waiting
+	// list, those that can still be on time go first, also where they came later. The limit
+	// isn't lower because reports of an upstream are 200 ms old, and the upstream must not
+	// run idle.
 	maxReadWaitMs = 400.0
 )
 
@@ -82,10 +83,11 @@
 type Grant struct {
 	Name  string
 	Place string         // empty where the request is given up
-	Retry mgclock.Millis // then the time after which there may be a place for it
+	Retry mgclock.Millis // where the request is given up: the time after which there may be a place for it
 }
 
-// assignment is a grant that the reports of its upstream may not show yet.
+// assignment is the memory of a recent grant that the reports of its upstream may not show
+// yet.
 type assignment struct {
 	tokens int
 	at     mgclock.Millis
@@ -144,8 +146,8 @@
 		return nil
 	}
 	r.reserveRecentGrants(now, places)
-	over := r.shares.overShareAccounts(now, r.waiting)
-	slices.SortStableFunc(r.waiting, func(a, b Request) int { return compareRequests(now, over, a, b) })
+	overShare := r.shares.overShareAccounts(now, r.waiting)
+	slices.SortStableFunc(r.waiting, func(a, b Request) int { return compareRequests(now, overShare, a, b) })
 	rate, isLimited := limitedRate(places)
 	var grants []Grant
 	stillWaiting := r.waiting[:0]
@@ -222,7 +224,7 @@
 // compareRequests orders requests: those that can be on time before those that can't, the
 // former by size, which counts more for an account that has had more than its share, the
 // latter by arrival.
-func compareRequests(now mgclock.Millis, over map[string]bool, a, b Request) int {
+func compareRequests(now mgclock.Millis, overShare map[string]bool, a, b Request) int {
 	lateA, lateB := now > a.Due, now > b.Due
 	switch {
 	case lateA && lateB:
@@ -232,13 +234,13 @@
 	case lateB:
 		return -1
 	default:
-		return cmp.Compare(weightedWork(over, a), weightedWork(over, b))
+		return cmp.Compare(weightedWork(overShare, a), weightedWork(overShare, b))
 	}
 }
 
 // weightedWork returns a request's size with the weight of its account.
-func weightedWork(over map[string]bool, r Request) int64 {
-	if over[r.Account] {
+func weightedWork(overShare map[string]bool, r Request) int64 {
+	if overShare[r.Account] {
 		return overShareWeight * r.work()
 	}
 	return r.work()
