--- a/internal/request/mgload/doc.go
+++ b/internal/request/mgload/doc.go
@@ -11,8 +11,8 @@
 // small preempts the newest run, and an engine that is reclaimed can hand over six or
 // seven runs within the notice that it is given before its end, but not ten.
 //
-// The engines' own reports are half a second old, so that the prompts sent since then
-// decide how long a new request waits.
+// The engines' own reports are half a second old, so that they lack the prompts sent
+// since then, which decide how long a new request waits.
 //
 // # Decision
 //
@@ -31,9 +31,9 @@
 //   - hub: the entry that collects the reports of a region, or of a part of it.
 //   - load: the counts of one upstream.
 //   - pace: the time that an upstream takes for each output token, or for a call; a larger
-//     pace is slower.
+//     pace is slower (a latency, not a throughput).
 //   - fault: a request that ended at an upstream without an answer that the upstream
 //     itself made.
 //   - copy: the memory (KV cache) of a generation, copied to another upstream so that the
-//     generation can continue there.
+//     generation can continue there (migration); also the request for that.
 package mgload
--- a/internal/request/mgload/fault.go
+++ b/internal/request/mgload/fault.go
@@ -15,8 +15,9 @@
 	// after an answer.
 	weightAfterAnswer = 0.2
 	// faultCost is the cost of each fault, in ms: about that of a run. With a far higher
-	// cost, where there are few plain upstreams and each loses an answer now and then, all
-	// requests would go to the one whose last loss is the oldest.
+	// cost, where there are few plain upstreams (without a process of this system) and each
+	// loses an answer now and then, all requests would go to the one whose last loss is the
+	// oldest.
 	faultCost = 100.0
 	// faultThreshold is the weight from which an upstream gets nothing new while others are
 	// healthy: two faults within seconds, or of two entries. An upstream that fails at once
--- a/internal/request/mgload/load.go
+++ b/internal/request/mgload/load.go
@@ -23,9 +23,10 @@
 }
 
 const (
-	// ReadRate is the number of prompt tokens that an engine reads in a ms; it gives the
-	// time that a request waits for the prompts before its own. Engines publish 14, but
-	// they alternate between prefill of prompts (reading) and decode steps of the runs.
+	// ReadRate is the prefill rate: the number of prompt tokens that an engine reads
+	// (prefills) in a ms; it gives the time that a request waits for the prompts before its
+	// own. Engines publish 14, but they alternate between prefill of prompts (reading) and
+	// decode steps of the runs.
 	ReadRate = 7.4
 	// RunCost is the cost of each run, in ms: it makes each step 0.12 ms longer, which is
 	// 110 ms for a generation of 900 tokens.
@@ -33,13 +34,13 @@
 	// missingTokenCost is the cost of each missing token of memory, in ms. A run without
 	// memory is preempted and read again, and delays all that run there.
 	missingTokenCost = 2.0 / ReadRate
-	// fullCopyCost is the cost of a copy to an upstream without memory for it, in ms. Such
+	// copyToFullCost is the cost of a copy to an upstream without memory for it, in ms. Such
 	// a copy is refused, which outweighs any network delay between availability zones.
-	fullCopyCost = 1500.0
-	// crossZoneCost is the cost of another availability zone in ms: a round trip. For a
-	// copy of 3,500 tokens the transfer takes as much time again as within the zone.
+	copyToFullCost = 1500.0
+	// crossZoneCost is the cost of another availability zone in ms: a round trip.
 	crossZoneCost = 1.0
-	// crossZoneCopyCost is the cost of another availability zone for a copy, in ms.
+	// crossZoneCopyCost is the cost of another availability zone for a copy, in ms. For a
+	// copy of 3,500 tokens the transfer takes twice as much time as within the zone.
 	crossZoneCopyCost = 190.0
 )
 
@@ -67,7 +68,7 @@
 	if lack := r.Memory + q.Memory - q.Capacity; q.Capacity > 0 && lack > 0 {
 		cost += missingTokenCost * float64(lack)
 		if q.Copy {
-			cost += fullCopyCost
+			cost += copyToFullCost
 		}
 	}
 	switch {
@@ -80,8 +81,8 @@
 	return cost
 }
 
-// A Tracker counts what one entry has sent. The zero Tracker is empty and ready for use by several
-// goroutines.
+// A Tracker counts what one entry has sent. The zero Tracker is empty and ready for use by
+// several goroutines.
 type Tracker struct {
 	mu     sync.Mutex
 	loads  map[string]Load
@@ -231,8 +232,9 @@
 	return others
 }
 
-// Pace returns the mean of an upstream's own measured pace and the others', or the only one
-// of them, or false when there is none.
+// Pace returns the mean of the pace of an upstream that this entry measured itself (own)
+// and the one that the other entries measured (others), or the only one of them, or false
+// when there is none.
 func Pace(own, others map[string]float64, upstream string) (float64, bool) {
 	ownPace, hasOwn := own[upstream]
 	othersPace, hasOthers := others[upstream]
--- a/internal/request/mgload/load_test.go
+++ b/internal/request/mgload/load_test.go
@@ -65,20 +65,20 @@
 func TestHubSumIsWrong(t *testing.T) {
 	Convey("A hub returns to an entry the sum of the others", t, func() {
 		var h Hub
-		rows := func(n int) Report {
+		newReport := func(n int) Report {
 			return Report{
 				Loads: map[string]Load{"engine": {Runs: n}},
 				Paces: map[string]float64{"engine": float64(n)},
 			}
 		}
-		So(h.Exchange(0, "one", rows(1)).Loads, ShouldBeEmpty)
-		So(h.Exchange(10, "two", rows(2)).Loads["engine"].Runs, ShouldEqual, 1)
-		So(h.Exchange(20, "three", rows(4)).Loads["engine"].Runs, ShouldEqual, 3)
-		reply := h.Exchange(30, "one", rows(8))
+		So(h.Exchange(0, "one", newReport(1)).Loads, ShouldBeEmpty)
+		So(h.Exchange(10, "two", newReport(2)).Loads["engine"].Runs, ShouldEqual, 1)
+		So(h.Exchange(20, "three", newReport(4)).Loads["engine"].Runs, ShouldEqual, 3)
+		reply := h.Exchange(30, "one", newReport(8))
 		So(reply.Loads["engine"].Runs, ShouldEqual, 6)
 		So(reply.Paces["engine"], ShouldEqual, 3)
 		Convey("and drops one that is silent", func() {
-			So(h.Exchange(reportTTL+25, "one", rows(8)).Loads, ShouldBeEmpty)
+			So(h.Exchange(reportTTL+25, "one", newReport(8)).Loads, ShouldBeEmpty)
 		})
 		Convey("whose paces are averaged with the entry's own", func() {
 			pace, ok := Pace(map[string]float64{"engine": 5}, reply.Paces, "engine")
--- a/internal/request/mgload/pace.go
+++ b/internal/request/mgload/pace.go
@@ -9,8 +9,8 @@
 const (
 	// paceSmoothing is the weight of the newest sample in the moving average of an
 	// upstream's pace. A prompt that is prefilled (read) beside a run doubles the run's
-	// time per token for some events; after ten of them, about half a second, a slow
-	// engine can be told from that.
+	// time per token for some events; after ten events, about half a second, a slow
+	// engine can be told from one that prefills a prompt beside its runs.
 	paceSmoothing = 0.2
 	// paceTTL is how long a pace counts after its last measurement. A slow engine gets
 	// nothing new, and is tried again after that time.
@@ -30,8 +30,8 @@
 	at    mgclock.Millis
 }
 
-// RecordPace records the time that an upstream took for each of some tokens of a stream, or for
-// a call.
+// RecordPace records the time that an upstream took for each of some tokens of a stream, or
+// for a call.
 func (c *Tracker) RecordPace(now mgclock.Millis, upstream string, perToken float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,8 +62,8 @@
 	return known
 }
 
-// SlowPenalty returns a function from an upstream's pace to the ms for each token, or call, by
-// which it is slower than the median of the given paces. It returns 0 for upstreams that
+// SlowPenalty returns a function from an upstream's pace to the ms for each token, or call,
+// by which it is slower than the median of the given paces. It returns 0 for upstreams that
 // aren't slow, and for all where too few paces are known.
 func SlowPenalty(paces []float64) func(pace float64) float64 {
 	if len(paces) < minKnownPaces {
