--- a/internal/request/mglimit/doc.go
+++ b/internal/request/mglimit/doc.go
@@ -19,9 +19,9 @@
 //
 // Each request to such an upstream takes a permit, from the process that grants placements
 // for the cell (Permits, a token bucket for each upstream). Where several processes grant
-// permits, each grants a part of the rate: the fraction that the processes that use it are
-// of all processes (ShareOf). The parts sum to the rate also while a granter is dead,
-// replaced or cut off, or while two processes both act as the granter.
+// permits, each grants a part of the rate: the number of processes that use this granter,
+// divided by the number of all processes (ShareOf). The parts sum to the rate also while a
+// granter is dead, replaced or cut off, or while two processes both act as the granter.
 //
 // # Terms
 //
--- a/internal/request/mglimit/limits.go
+++ b/internal/request/mglimit/limits.go
@@ -64,16 +64,16 @@
 // answer that named one.
 func (l *limit) isActive() bool { return !l.ended || l.lastUnnamed <= l.lastNamed }
 
-// RecordRate records that an answer of an incarnation of an upstream named a rate, and reports
-// whether that changed the limit.
+// RecordRate records that an answer of an incarnation of an upstream named a rate, and
+// reports whether that changed the limit.
 func (s *Limits) RecordRate(now mgclock.Millis, upstream string, incarnationStart int64, rate float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.update(now, upstream, incarnationStart, func(l *limit) { l.setNamed(now, rate) })
 }
 
-// RecordNoRate records that the answer to a request, sent at a time, named no rate, and reports
-// whether that changed the limit.
+// RecordNoRate records that the answer to a request, sent at a time, named no rate, and
+// reports whether that changed the limit.
 func (s *Limits) RecordNoRate(now, sent mgclock.Millis, upstream string, incarnationStart int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +99,7 @@
 			continue
 		}
 		if s.limits[r.Upstream] == nil && r.Named >= unlistedTTL {
-			continue // dropped here, or about to be
+			continue // the limit was dropped here, or would be dropped soon
 		}
 		isUpdate := s.update(now, r.Upstream, r.IncarnationStart, func(l *limit) {
 			l.setNamed(now-r.Named, r.Rate)
--- a/internal/request/mglimit/permits.go
+++ b/internal/request/mglimit/permits.go
@@ -14,10 +14,10 @@
 	minRate = 0.2
 	// accumulationWindow is the time for which unused permits accumulate.
 	accumulationWindow = 500 * mgclock.Millis(1)
-	// maxNonExpiringGranters is the maximum number of granters up to which each keeps an
+	// maxGrantersWithoutExpiry is the maximum number of granters up to which each keeps an
 	// unused permit without expiry. With more granters, the permits that they keep could
 	// be used all at once.
-	maxNonExpiringGranters = 4
+	maxGrantersWithoutExpiry = 4
 	// wholePermit is the least amount that counts as a permit: sums of fractions are
 	// rounded.
 	wholePermit = 1 - 1e-9
@@ -138,11 +138,11 @@
 	switch {
 	case kept >= 1:
 		b.permits = min(b.permits, kept)
-	case share.granters <= maxNonExpiringGranters:
+	case share.granters <= maxGrantersWithoutExpiry:
 		b.permits = min(b.permits, 1)
 	case b.permits >= 1+kept:
-		// The whole permits have expired, except one that became whole within
-		// accumulationWindow.
+		// All but the fractional part of the permits has expired, except one permit that
+		// became whole within accumulationWindow.
 		_, b.permits = math.Modf(b.permits)
 		if b.permits < kept {
 			b.permits++
