--- a/internal/request/mgqueue/account.go
+++ b/internal/request/mgqueue/account.go
@@ -11,10 +11,10 @@
 	serial          uint64  // breaks ties between tags in the order of service; 0 means that it doesn't wait
 	requests        heap[entry]
 	countByPriority [Levels]int
-	heapIndex       int // in waiting or aheadOfTime: an account is in one of them at most
+	heapIndex       int // in waiting or idleAhead: an account is in one of them at most
 }
 
-// entry is a waiting request.
+// entry is a waiting request. It isn't an entry in the sense of a process.
 type entry struct {
 	item         Item
 	account      *account
@@ -105,8 +105,8 @@
 	return item
 }
 
-// charge dequeues a request and charges its account. Only the request that was next
-// advances the virtual time.
+// charge dequeues a request and charges its account the expected cost, which Charge
+// corrects later. Only the request that was next advances the virtual time.
 func (q *Queue) charge(e *entry) Item {
 	a := e.account
 	if a == q.waiting.top() {
@@ -118,14 +118,14 @@
 	used := min(a.refund, item.Cost/2)
 	a.refund -= used
 	q.advanceTag(a, item.Cost-used)
-	q.dropSettled()
+	q.dropReached()
 	return item
 }
 
 // activate moves an account to those that wait. Its tag is never behind the current
 // virtual time: an account gains nothing by being idle.
 func (q *Queue) activate(a *account) {
-	q.aheadOfTime.remove(a)
+	q.idleAhead.remove(a)
 	a.tag = max(a.tag, q.virtualTime)
 	a.serial = q.serial
 	q.waiting.push(a)
@@ -155,22 +155,22 @@
 	case a.tag <= q.virtualTime:
 		q.drop(a)
 	case a.heapIndex == 0:
-		q.aheadOfTime.push(a)
+		q.idleAhead.push(a)
 	default:
-		q.aheadOfTime.fix(a)
+		q.idleAhead.fix(a)
 	}
 }
 
-// dropSettled drops the accounts whose tags the virtual time has reached.
-func (q *Queue) dropSettled() {
-	for a := q.aheadOfTime.top(); a != nil && a.tag <= q.virtualTime; a = q.aheadOfTime.top() {
+// dropReached drops the accounts whose tags the virtual time has reached.
+func (q *Queue) dropReached() {
+	for a := q.idleAhead.top(); a != nil && a.tag <= q.virtualTime; a = q.idleAhead.top() {
 		q.drop(a)
 	}
 }
 
 // drop removes an account that has no waiting request.
 func (q *Queue) drop(a *account) {
-	q.aheadOfTime.remove(a)
+	q.idleAhead.remove(a)
 	delete(q.accounts, a.name)
 	requests := a.requests
 	*a = account{
@@ -189,8 +189,8 @@
 	a.weight = weight
 }
 
-// costBefore returns the cost of those of the account's requests that don't rank after a
-// rank (a time). It considers the subtree of their heap at index i. It visits at most
+// costBefore returns the cost of those of the account's requests whose rank (a time) is at
+// most a given rank. It considers the subtree of their heap at index i. It visits at most
 // maxVisits requests.
 func (a *account) costBefore(i int, rank mgclock.Millis, visits *int) float64 {
 	if i >= len(a.requests.items) || a.requests.items[i].rank > rank || *visits == maxVisits {
@@ -225,12 +225,12 @@
 // key returns the tag of an account that waits, less the lead of its next request's
 // priority.
 func (q *Queue) key(a *account) float64 {
-	return a.tag - q.priorityLead(a.requests.items[0].item.Priority, a.weight)
+	return a.tag - q.priorityLoan(a.requests.items[0].item.Priority, a.weight)
 }
 
-// priorityLead returns the virtual time by which a request of a priority may start before
-// its account's turn.
-func (q *Queue) priorityLead(priority int, weight float64) float64 {
+// priorityLoan returns the loan of a priority: the virtual time by which a request of a
+// priority may start before its account's turn.
+func (q *Queue) priorityLoan(priority int, weight float64) float64 {
 	return float64(priority) * q.loan() / weight
 }
 
--- a/internal/request/mgqueue/doc.go
+++ b/internal/request/mgqueue/doc.go
@@ -18,15 +18,15 @@
 //
 // Within an account the order is by the time at which a request is due (earliest deadline
 // first, Liu and Layland 1973), less Boost for each level of priority. That key is fixed
-// when a request comes, so that it is overtaken only by requests that come soon after it,
-// and no level starves.
+// when a request comes, so that the request is overtaken only by requests that come soon
+// after it, and no level starves.
 //
 // Between accounts a request starts earlier than its account's tag by Loan tokens of
 // virtual time for each level of its priority. A lookup (a short request of a high
-// priority) of an account that has had its turn goes before the reports (long requests of
-// a low one) of others, and the account's own reports wait until the virtual time has
-// caught up with this loan. The loan is bounded, so that an account is ahead of its share
-// by that much at most.
+// priority) of an account that has had its turn goes before the reports (long requests of a
+// low one) of others, and the account's own reports wait until the virtual time has reached
+// the account's tag, which the lookup's cost has moved ahead. The loan is bounded, so that
+// an account is ahead of its share by that much at most.
 //
 // Where the next request doesn't fit its upstream yet, some that do may overtake it by
 // means of Alternatives and Take. They are charged as if it had been their turn.
--- a/internal/request/mgqueue/queue.go
+++ b/internal/request/mgqueue/queue.go
@@ -9,11 +9,11 @@
 // Levels is the number of priority levels.
 const Levels = 4
 
-// The defaults of a Spec. DefaultCapacity is some ten batches of a large engine, whose
-// work takes longer than any deadline lets a request wait. DefaultBoost is the wait after
-// which an operator assumes that a lookup is lost, so that a report gives way to lookups
-// of the same deadline for that long and no longer; most of the order comes from the due
-// times.
+// The defaults of a Spec. DefaultCapacity is some ten batches of a large engine. To work
+// through that many takes longer than any deadline lets a request wait. DefaultBoost is the
+// wait after which an operator assumes that a lookup is lost, so that a report gives way to
+// lookups of the same deadline for that long and no longer; most of the order comes from
+// the due times.
 //
 // DefaultLoan is what an account may be ahead of its share, in tokens. Without a loan,
 // lookups beyond saturation wait for their account's turn; with a much larger one, heavy
@@ -50,14 +50,14 @@
 // of a Spec and is ready for use.
 type Queue struct {
 	spec         Spec
-	virtualTime  float64 // largest key, see key, of the requests that left as the next one
+	virtualTime  float64 // largest key (see key) that an account first in the order had when its request left
 	serial       uint64
 	backlog      float64 // expected cost of all waiting requests
 	totalWeight  float64 // of the accounts that wait
 	accounts     map[string]*account
 	entries      map[string]*entry
 	waiting      heap[account] // accounts that wait, by key
-	aheadOfTime  heap[account] // accounts that don't wait and have a tag ahead of virtualTime
+	idleAhead    heap[account] // accounts that don't wait and have a tag ahead of virtualTime
 	expiring     heap[entry]   // requests with an expiry
 	freeEntries  []*entry
 	freeAccounts []*account
@@ -150,10 +150,11 @@
 	return q.charge(e), true
 }
 
-// Charge corrects an account's virtual time by tokens, which are negative when an answer
-// was shorter than expected. A refund to an account that waits makes its next requests
-// cheaper, down to half. If its tag were set back at once, it would fall behind those of
-// all accounts that came in the meantime, and these would wait until it had caught up.
+// Charge corrects an account's virtual time by tokens: positive for a further charge,
+// negative for a refund when an answer was shorter than expected. A refund to an account
+// that waits is kept, and makes its next requests cheaper, down to half, until it is used
+// up. If its tag were set back at once, it would fall behind those of all accounts that
+// came in the meantime, and these would wait until it had caught up.
 func (q *Queue) Charge(name string, weight, tokens float64) {
 	q.init()
 	a := q.accounts[name]
@@ -216,7 +217,7 @@
 	if a != nil {
 		visits := 0
 		virtualDelay = a.tag - q.virtualTime + a.costBefore(0, q.rank(now, item), &visits)/item.Weight
-		virtualDelay = max(0, virtualDelay-q.priorityLead(item.Priority, item.Weight))
+		virtualDelay = max(0, virtualDelay-q.priorityLoan(item.Priority, item.Weight))
 	}
 	return min(q.backlog, virtualDelay*total)
 }
@@ -227,9 +228,9 @@
 	if len(q.entries) > 0 || len(q.accounts) == 0 {
 		return
 	}
-	for len(q.aheadOfTime.items) > 0 {
-		q.virtualTime = max(q.virtualTime, q.aheadOfTime.top().tag)
-		q.drop(q.aheadOfTime.top())
+	for len(q.idleAhead.items) > 0 {
+		q.virtualTime = max(q.virtualTime, q.idleAhead.top().tag)
+		q.drop(q.idleAhead.top())
 	}
 }
 
@@ -244,7 +245,7 @@
 		less:  q.accountLess,
 		index: index,
 	}
-	q.aheadOfTime = heap[account]{
+	q.idleAhead = heap[account]{
 		less:  func(a, b *account) bool { return a.tag < b.tag },
 		index: index,
 	}
