--- a/internal/request/mgscheduler/decide.go
+++ b/internal/request/mgscheduler/decide.go
@@ -24,13 +24,13 @@
 	wait := s.forecast.Correct(r.Priority, predicted)
 	slack := expiry - now
 	if slack < 0 || wait > slack {
-		return problemDeadline(mgadmission.RetryAfter(wait, slack))
+		return problemUnmeetableDeadline(mgadmission.RetryAfter(wait, slack))
 	}
 	return nil
 }
 
 // retryWhenFull returns the retry time of a request for which the queue is full: by then
-// half of the work ahead of it is done.
+// half of the work ahead of it is done. RetryAfter adds an eighth of the wait.
 func (s *Scheduler) retryWhenFull(r *Request, predicted mgclock.Millis) mgclock.Millis {
 	wait := s.forecast.Correct(r.Priority, predicted)
 	return mgadmission.RetryAfter(wait, wait/2)
@@ -38,7 +38,7 @@
 
 // predict returns the time until a request would start, by the work ahead of it. Where
 // nothing is ahead and it still doesn't fit, something must end first. That is estimated
-// as the time for the request's own cost, about the work of one answer.
+// as the time for the request's own cost, as that is about the work of one answer.
 func (s *Scheduler) predict(now mgclock.Millis, r *Request, output float64) mgclock.Millis {
 	item := s.item(r, output)
 	ahead := s.queue.WorkAhead(now, item)
@@ -111,7 +111,7 @@
 	s.dropJob(j)
 	return Decision{
 		ID:     item.ID,
-		GiveUp: problemLate(retry),
+		GiveUp: problemGivenUp(retry),
 	}
 }
 
--- a/internal/request/mgscheduler/job.go
+++ b/internal/request/mgscheduler/job.go
@@ -70,8 +70,8 @@
 	return cost + mgadmission.Cost(j.request.uncached(), 0)
 }
 
-// charge raises or lowers the total that the job's account has been charged for it to
-// cost.
+// charge corrects the total that the job's account has been charged for the job, up or
+// down, so that it equals cost.
 func (s *Scheduler) charge(j *job, cost float64) {
 	s.queue.Charge(j.request.Account, j.request.Weight, cost-j.chargedCost)
 	j.chargedCost = cost
--- a/internal/request/mgscheduler/problem.go
+++ b/internal/request/mgscheduler/problem.go
@@ -27,12 +27,14 @@
 		"the account's part of the queue is full", "come back after the time given, with fewer requests at a time").WithRetryAfter(retry)
 }
 
-func problemDeadline(retry mgclock.Millis) *mgproblem.Problem {
+// problemUnmeetableDeadline is for a request that is refused when it comes, without waiting.
+func problemUnmeetableDeadline(retry mgclock.Millis) *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Overloaded, mgproblem.NotRun,
 		"the upstream can't answer before the deadline", "come back after the time given, or allow more time").WithRetryAfter(retry)
 }
 
-func problemLate(retry mgclock.Millis) *mgproblem.Problem {
+// problemGivenUp is for a request that has waited in the queue and is given up.
+func problemGivenUp(retry mgclock.Millis) *mgproblem.Problem {
 	return mgproblem.New(mgproblem.DeadlineExceeded, mgproblem.NotRun,
 		"the request waited and can't be answered in time any more", "come back after the time given, or allow more time").WithRetryAfter(retry)
 }
--- a/internal/request/mgscheduler/scheduler.go
+++ b/internal/request/mgscheduler/scheduler.go
@@ -14,8 +14,8 @@
 const chargeStep = 64
 
 // DefaultOvertaking limits the cost of the requests that may overtake one that waits for
-// memory, as a multiple of that one's cost. The memory that they take becomes free again
-// before much of the memory that the waiting request needs does, and the limit on their
+// memory, as a multiple of that one's cost. They give back the memory that they take before
+// much of the memory that the waiting request needs has become free, and the limit on their
 // cost bounds its wait. Without overtaking, lookups wait among very long reports; with a
 // higher limit, heavy accounts get more than their share.
 const DefaultOvertaking = 0.5
