--- a/internal/request/mgadmission/doc.go
+++ b/internal/request/mgadmission/doc.go
@@ -19,8 +19,8 @@
 //     and what it has produced until then; the probabilities come from its curve (package
 //     mglength). Sums of many small independent parts are nearly normally distributed.
 //     Therefore, if mean + z·deviation is within memory at that time, so is the batch,
-//     with the probability that a normal distribution is below z deviations above its
-//     mean. A request is admitted when that holds at every time. z depends on the
+//     with the probability that a normally distributed value is at most z deviations
+//     above its mean. A request is admitted when that holds at every time. z depends on the
 //     request's preference and size; see DefaultSteady.
 //   - Watermark admits requests while a fixed share of the memory stays free.
 //   - Reserve counts each answer with its maximum length.
--- a/internal/request/mgadmission/forecast.go
+++ b/internal/request/mgadmission/forecast.go
@@ -35,7 +35,7 @@
 	isBusy       bool
 	doneCost     float64 // cost of the work done, see RecordWork, decayed
 	busyMs       float64 // milliseconds with work, decayed
-	promptTokens float64 // uncached prompt tokens that reached a first token, decayed
+	promptTokens float64 // uncached prompt tokens of answers that reached their first token, each plus overheadTokens, decayed
 	delayMs      float64 // milliseconds from the starts of these prompts to their first tokens, decayed
 	gapTokens    float64 // tokens that followed another one, decayed
 	gapMs        float64 // milliseconds between them, decayed
@@ -140,8 +140,9 @@
 	return &f.biases[min(max(level, 0), priorityLevels-1)]
 }
 
-// RetryAfter returns the time after which a request can be retried with as much time as it
-// has now, where wait is how long it would have to wait now, and slack how long it may.
+// RetryAfter returns the time after which a request can be retried, if it then has as much
+// time to its deadline as now. The parameter wait is how long it would have to wait now, and
+// slack is how long it may wait.
 // That is when the work ahead has shrunk far enough, plus an eighth of the wait for the
 // error of the measured rate. A caller that comes back earlier is refused again; so is one
 // that comes back while the overload goes on, since requests that came in between are
--- a/internal/request/mgadmission/spec.go
+++ b/internal/request/mgadmission/spec.go
@@ -14,7 +14,7 @@
 )
 
 // Spec holds the settings of a Gate. The zero Spec has unlimited memory and takes the
-// defaults.
+// defaults. A whole answer is one whose Candidate sets Whole; any other is a steady answer.
 type Spec struct {
 	Memory int64   // tokens, 0 for unlimited
 	Batch  int     // maximum number of running answers, 0 for DefaultBatch
