--- a/internal/request/mgmigration/doc.go
+++ b/internal/request/mgmigration/doc.go
@@ -22,8 +22,8 @@
 //   - the last copy of a stopped run failed: the run resumes at its source,
 //     from the memory that the source keeps;
 //   - the reply to the stop is lost, so that the run may have stopped or not:
-//     it resumes from the pre-copy only once its stream has ended, so that it
-//     never runs twice;
+//     the run resumes from the pre-copy only once its stream has ended, so that
+//     it never runs twice;
 //   - the run has ended by itself: nothing is left to do.
 //
 // Runs of one source are moved one after another, each holding the source's
--- a/internal/request/mgmigration/model_test.go
+++ b/internal/request/mgmigration/model_test.go
@@ -8,12 +8,12 @@
 	"github.com/marjoramgauge/marjoramgauge/internal/standin/mgexplore"
 )
 
-// fault is a broken variant of the code that carries out a move. The model must
-// catch each.
+// fault is a broken variant of the code that carries out a move, or noFault. The
+// model must catch each broken one.
 type fault string
 
 const (
-	sound           fault = "sound"
+	noFault         fault = "sound"
 	resumesEarly    fault = "resumes elsewhere before the stream has ended"
 	reusesCopy      fault = "uses a copy a second time"
 	resumesAfterEnd fault = "resumes after the run has ended by itself"
@@ -66,7 +66,7 @@
 			sourceCopies:      map[string]bool{},
 		}
 		for step := range maxSteps {
-			if c.Seen(step, w.name) {
+			if c.Seen(step, w.state) {
 				return nil
 			}
 			w.injectEvent()
@@ -82,7 +82,7 @@
 	}
 }
 
-func (w *world) name() string {
+func (w *world) state() string {
 	return fmt.Sprint(w.move, w.source, w.destinationGone, w.destinationCopies, w.sourceCopies, w.resumed)
 }
 
@@ -97,7 +97,7 @@
 	case 2:
 		w.source = dead
 	case 3:
-		w.destinationGone = !w.destinationGone // the next destination may be another one
+		w.destinationGone = !w.destinationGone // the next destination tried may be another engine, gone or alive
 	}
 }
 
@@ -230,7 +230,7 @@
 // or none. Every order of a few faults and lost replies is tried.
 func TestModelRunsTwiceOrNowhere(t *testing.T) {
 	const bound = 200_000
-	report := mgexplore.Exhaust(bound, model(sound))
+	report := mgexplore.Exhaust(bound, model(noFault))
 	if report.Violation() != nil || !report.Whole() {
 		t.Fatalf("sound: %v", report)
 	}
--- a/internal/request/mgmigration/move.go
+++ b/internal/request/mgmigration/move.go
@@ -40,7 +40,7 @@
 // Reply is the source's reply to a call.
 type Reply struct {
 	Outcome Outcome
-	Handle  string // of the copy; set with NoCapacity too if the run was stopped
+	Handle  string // of the copy; with NoCapacity it is set only if the run was stopped
 }
 
 // Step is the next call or wait of a move.
@@ -52,7 +52,7 @@
 	Copy Step = iota + 1
 	// Stop asks the source to stop the run and copy the rest.
 	Stop
-	// Wait asks for a pause of RetryDelay and then a call of EndWait.
+	// Wait asks for a wait of RetryDelay and then a call of EndWait.
 	Wait
 	// Done: the move is over; see Places.
 	Done
@@ -69,10 +69,10 @@
 	// maxLost bounds the copies whose reply is lost. A copy takes 100 to 400 ms,
 	// and the notice is one to two seconds.
 	maxLost = 3
-	// triesBeforePause is how many destinations without capacity are tried in a row
-	// before a pause. They refuse within milliseconds, and where memory is nearly
-	// full some becomes free ten times a second.
-	triesBeforePause = 3
+	// triesBeforeWait is how many destinations without capacity are tried in a row
+	// before a wait of RetryDelay. Destinations refuse within milliseconds, and
+	// where memory is nearly full a part of it becomes free ten times a second.
+	triesBeforeWait = 3
 )
 
 // A Move is the state of one run's migration. The zero Move is ready to start.
@@ -128,8 +128,8 @@
 	case NoCapacity:
 		m.noCapacityCount++
 		m.step = Copy
-		if m.noCapacityCount%triesBeforePause == 0 {
-			m.pause()
+		if m.noCapacityCount%triesBeforeWait == 0 {
+			m.wait()
 		}
 	case Lost:
 		m.lostCount++
@@ -138,12 +138,13 @@
 			m.step = Done
 		}
 	default:
-		m.pause()
+		m.wait()
 	}
 }
 
-// pause schedules a delay before the next try, or gives up after maxWaits.
-func (m *Move) pause() {
+// wait schedules a wait of RetryDelay before the next try, or gives up after
+// maxWaits.
+func (m *Move) wait() {
 	m.waitCount++
 	m.step = Wait
 	if m.waitCount > maxWaits {
--- a/internal/request/mgmigration/move_test.go
+++ b/internal/request/mgmigration/move_test.go
@@ -113,7 +113,7 @@
 			for _, outcome := range []Outcome{Absent, Busy, NoCapacity} {
 				var m Move
 				for n := 0; m.Step() != Done; n++ {
-					So(n, ShouldBeLessThan, (triesBeforePause+1)*maxWaits)
+					So(n, ShouldBeLessThan, (triesBeforeWait+1)*maxWaits)
 					m.HandleReply(failedReply(outcome))
 					m.EndWait()
 				}
--- a/internal/request/mgmigration/order.go
+++ b/internal/request/mgmigration/order.go
@@ -16,9 +16,10 @@
 // moving it gains nothing.
 const minRemainingTime = 600 * mgclock.Millis(1)
 
-// minRemainingRatio is the minimum of expected remaining tokens per token
-// generated so far, for a run that exceeds its expected length. Output lengths
-// have long-tailed distributions: the longer a run is, the more is left.
+// minRemainingRatio is the minimum ratio of expected remaining tokens to tokens
+// generated so far. It applies to a run that exceeds its expected length.
+// Output lengths have long-tailed distributions: the longer a run is, the more
+// is left.
 const minRemainingRatio = 0.25
 
 // RemainingTokens returns the expected number of remaining output tokens.
@@ -57,7 +58,7 @@
 }
 
 // nearEndDivisor sorts a run that ends soon behind all others that can't resume
-// without their copy: where few tokens remain, the benefit is at most about
-// outputWeight, so the quotient is about a half, and the others have more than
-// 1.
+// without their copy. Where few tokens remain, the quotient in Benefit is at
+// most about outputWeight, so dividing it by nearEndDivisor gives at most about
+// a half. The others have more than 1, because Benefit adds 1 for them.
 const nearEndDivisor = 2 * outputWeight
--- a/internal/request/mgmigration/order_test.go
+++ b/internal/request/mgmigration/order_test.go
@@ -8,7 +8,8 @@
 )
 
 // Guards against a wrong order: a run that would have ended by itself is moved
-// first, and one of seven seconds behind it is cut when the engine leaves.
+// first, and a run of seven seconds that waits behind it is cut when the engine
+// leaves.
 func TestRunThatEndsSoonMovesFirst(t *testing.T) {
 	Convey("Runs are moved in the order of the work that they would lose", t, func() {
 		runs := map[string]Run{
--- a/internal/request/mgmigration/simulation_test.go
+++ b/internal/request/mgmigration/simulation_test.go
@@ -279,7 +279,7 @@
 // Measures how many of a hundred are cut, and how many pause for more than 180
 // ms.
 func TestReclaimCutsOrPausesRuns(t *testing.T) {
-	cut, late := map[strategy]float64{}, map[strategy]float64{}
+	cut, longPauses := map[strategy]float64{}, map[strategy]float64{}
 	for _, s := range []strategy{noMove, stopAndCopy, uncoordinated, oneSlot, oneSlotLongNotice} {
 		for seed := range uint64(5) {
 			p := simulation{
@@ -288,9 +288,9 @@
 			}
 			p.run()
 			cut[s] += 100 * float64(p.cut) / float64(p.done+p.cut) / 5
-			late[s] += 100 * float64(p.longPauseCount) / float64(p.done+p.cut) / 5
+			longPauses[s] += 100 * float64(p.longPauseCount) / float64(p.done+p.cut) / 5
 		}
-		t.Logf("%-36s cut %5.2f late %5.2f of 100", s, cut[s], late[s])
+		t.Logf("%-36s cut %5.2f late %5.2f of 100", s, cut[s], longPauses[s])
 	}
 	Convey("With one slot per source", t, func() {
 		Convey("hardly any run is cut", func() {
@@ -298,9 +298,9 @@
 			So(cut[oneSlot], ShouldBeLessThan, 1)
 		})
 		Convey("and few pause, where the other strategies pause many", func() {
-			So(late[oneSlot], ShouldBeLessThan, 1)
-			So(late[stopAndCopy], ShouldBeGreaterThan, 10*late[oneSlot])
-			So(late[uncoordinated], ShouldBeGreaterThan, 5*late[oneSlot])
+			So(longPauses[oneSlot], ShouldBeLessThan, 1)
+			So(longPauses[stopAndCopy], ShouldBeGreaterThan, 10*longPauses[oneSlot])
+			So(longPauses[uncoordinated], ShouldBeGreaterThan, 5*longPauses[oneSlot])
 		})
 		Convey("as with one more second of notice", func() {
 			So(cut[oneSlot]-cut[oneSlotLongNotice], ShouldBeLessThan, 1)
--- a/internal/request/mgmigration/slots.go
+++ b/internal/request/mgmigration/slots.go
@@ -68,8 +68,10 @@
 	expires mgclock.Millis
 }
 
-// Acquire returns the run's destination if the run gets or holds the slot now, else
-// false.
+// Acquire returns the run's destination if the run gets the slot now or keeps
+// it, else false. The slot must be free, expired or held by this run, no
+// waiting run may have a greater benefit, and there must be a destination. So a
+// holder that asks again is refused while a run of greater benefit waits.
 func (t *Slots) Acquire(now mgclock.Millis, request SlotRequest) (destination string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -148,7 +150,8 @@
 const (
 	// busyDestinationCost is the cost of a destination that receives a copy from
 	// another source now. The last copy would queue behind it while the run is
-	// stopped, and its caller would see a pause. It outweighs a dozen runs.
+	// stopped, and its caller would see a pause. The cost exceeds the RunCost
+	// (mgload) of a dozen runs at a destination.
 	busyDestinationCost = 1500.0
 	// copyTimeCost is the cost of each ms of the run's own copy: the source may be
 	// reclaimed before the copy ends. Without it the last run of a source was sent
--- a/internal/request/mgmigration/slots_test.go
+++ b/internal/request/mgmigration/slots_test.go
@@ -9,10 +9,10 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgclock"
 )
 
-func newSlotRequest(source, run string, benefit float64, places ...string) SlotRequest {
+func newSlotRequest(source, run string, benefit float64, destinationNames ...string) SlotRequest {
 	var destinations []Destination
-	for _, place := range places {
-		destinations = append(destinations, Destination{Name: place})
+	for _, name := range destinationNames {
+		destinations = append(destinations, Destination{Name: name})
 	}
 	return SlotRequest{
 		Source:       source,
