--- a/internal/request/mgoperation/doc.go
+++ b/internal/request/mgoperation/doc.go
@@ -1,4 +1,4 @@
-// Package mgoperation keeps the record with which an agent guarantees "at most
+// Package mgoperation keeps the Ledger with which an agent guarantees "at most
 // once" and attests "not run". It holds no I/O: calls go in with the time, and
 // verdicts come out.
 //
@@ -8,9 +8,9 @@
 // windows; the process that callers connect to is called an entry too, here
 // "entry process". An offer is an agent's reply to the entry process's query
 // before a start. A stamp is the time on the agent's own clock at which it made
-// the offer or minted the operation. It is returned with each message about the
-// entry, so that the agent computes the message's age from its own clock alone.
-// A tombstone is an entry that never ran and never will.
+// the offer or minted (issued) the operation's ID. It is returned with each
+// message about the entry, so that the agent computes the message's age from
+// its own clock alone. A tombstone is an entry that never ran and never will.
 //
 // One rule makes forgetting safe: an entry is forgotten only once its stamp is
 // older than the window, and a message for an entry that isn't in the ledger
--- a/internal/request/mgoperation/ledger.go
+++ b/internal/request/mgoperation/ledger.go
@@ -89,7 +89,7 @@
 func (l *Ledger) Begin(start StartSpec, now mgclock.Millis) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now = l.observe(now)
+	now = l.advance(now)
 	if r := l.records[start.ID]; r != nil {
 		return r.verdictForRepeat(start)
 	}
@@ -156,7 +156,7 @@
 func (l *Ledger) MarkSent(id string, now mgclock.Millis) *mgproblem.Problem {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now = l.observe(now)
+	now = l.advance(now)
 	r := l.records[id]
 	switch {
 	case r == nil:
@@ -177,7 +177,7 @@
 func (l *Ledger) Finish(id string, result Result, now mgclock.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now = l.observe(now)
+	now = l.advance(now)
 	r := l.records[id]
 	if r == nil || r.state != Sent {
 		return
@@ -198,7 +198,7 @@
 func (l *Ledger) Cancel(id string, stamp, now mgclock.Millis) mgproblem.Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now = l.observe(now)
+	now = l.advance(now)
 	r := l.records[id]
 	if r == nil {
 		return l.cancelAbsent(id, stamp, now)
@@ -242,13 +242,14 @@
 	return len(l.records)
 }
 
-// observe forgets expired entries and returns the ledger's time.
+// advance moves the ledger's time to now, forgets expired entries and returns
+// the ledger's time.
 //
 // A goroutine that read the clock and was then paused passes an old time.
 // Measured by that old time, an entry that another goroutine has since
 // forgotten may seem within its window, and would run again. So the ledger's
 // time never goes back.
-func (l *Ledger) observe(now mgclock.Millis) mgclock.Millis {
+func (l *Ledger) advance(now mgclock.Millis) mgclock.Millis {
 	if l.records == nil {
 		l.records = make(map[string]*record)
 		l.spec = l.spec.withDefaults()
--- a/internal/request/mgoperation/ledger_test.go
+++ b/internal/request/mgoperation/ledger_test.go
@@ -197,7 +197,8 @@
 // Guards against a promise that can't be kept: a client sends its own UUID as
 // Idempotency-Key through two entry processes with different lists of VMs. Each
 // would send it to another agent, and the write would run twice. So the key
-// must be refused before anything runs.
+// must be refused before anything runs. In the cases, never means that calls may
+// not be repeated and safe that they may; opaque is a key that the caller made.
 func TestOpaqueKeyPromised(t *testing.T) {
 	var seal mgseal.Signer
 	id := mgoperation.NewMinter(&seal, "app-1", "i1").Mint("tankline", "ticket", 1)
--- a/internal/request/mgoperation/model_test.go
+++ b/internal/request/mgoperation/model_test.go
@@ -24,19 +24,19 @@
 	eventKinds                     = 9
 )
 
-// fault is a broken variant of the ledger or its agent. The model must catch
-// each.
+// fault is a broken variant of the ledger or its agent, or noFault. The model
+// must catch each broken one.
 type fault string
 
 const (
-	sound            fault = "sound"
+	noFault          fault = "sound"
 	noTombstone      fault = "no tombstone"
 	shortTombstone   fault = "tombstone forgotten before a start can no longer come"
 	earlyForget      fault = "result forgotten within the window"
 	noExpiry         fault = "old starts run"
 	timeGoesBack     fault = "time in the ledger goes back after a pause"
 	noMinStamp       fault = "no minimum stamp when the ledger is full"
-	ignoredSubmit    fault = "what was queued is sent though it was cancelled"
+	ignoredRefusal   fault = "what was queued is sent though it was cancelled"
 	answersForOld    fault = "a replaced agent answers for its predecessor"
 	refusalForgotten fault = "a refused start leaves no tombstone"
 )
@@ -126,9 +126,9 @@
 // playEvent plays one event.
 func (w *world) playEvent(event int, choose func(int) int) {
 	switch event {
-	case 0: // an entry gets a stamp and sends a start
+	case 0: // an entry process gets a stamp and sends a start
 		w.mint(false)
-	case 1: // an entry sends a start and at once its cancel
+	case 1: // an entry process sends a start and at once its cancel
 		w.mint(true)
 	case 2: // a message is delivered and stays in flight
 		if len(w.inFlight) > 0 {
@@ -139,7 +139,7 @@
 			w.deliver(w.inFlight[choose(len(w.inFlight))], w.pausedAt, choose)
 		}
 	case 4:
-		w.submit()
+		w.markSent()
 	case 5:
 		w.finish()
 	case 6:
@@ -201,16 +201,16 @@
 	}
 }
 
-// submit sends the entry that was queued first. The process may have been
-// paused before.
-func (w *world) submit() {
+// markSent marks the entry that was queued first as sent, and runs it unless
+// the ledger refuses. The process may have been paused since it was queued.
+func (w *world) markSent() {
 	if len(w.queued) == 0 {
 		return
 	}
 	id := w.queued[0]
 	w.queued = slices.Clone(w.queued[1:])
 	problem := w.ledger.MarkSent(id, w.now)
-	if problem != nil && w.variant != ignoredSubmit {
+	if problem != nil && w.variant != ignoredRefusal {
 		w.attest(id, problem.Outcome())
 		return
 	}
@@ -243,10 +243,10 @@
 func (w *world) tamperBefore(id string, now mgclock.Millis) {
 	switch w.variant {
 	case timeGoesBack:
-		w.ledger.observe(w.now)
+		w.ledger.advance(w.now)
 		w.ledger.lastTime = now
 	case noExpiry:
-		w.ledger.observe(w.now)
+		w.ledger.advance(w.now)
 		w.ledger.spec.Window = window
 		if w.ledger.records[id] == nil {
 			w.ledger.spec.Window = 1000
@@ -311,7 +311,7 @@
 // replacement agent; the ledger was full or had forgotten it; or a paused
 // process used an old time.
 func TestRunsTwiceOrAfterNotRun(t *testing.T) {
-	report := mgexplore.Exhaust(5_000_000, exhaustive(sound))
+	report := mgexplore.Exhaust(5_000_000, exhaustive(noFault))
 	t.Logf("operation, %d steps: %v", exhaustiveSteps, report)
 	if report.Violation() != nil || !report.Whole() {
 		t.Fail()
@@ -319,7 +319,7 @@
 }
 
 func TestRunsTwiceOrAfterNotRunSeeded(t *testing.T) {
-	report := mgexplore.Seeds(5, max(2000, *extraSchedules), randomSchedule(sound))
+	report := mgexplore.Seeds(5, max(2000, *extraSchedules), randomSchedule(noFault))
 	t.Logf("operation, seeded: %v", report)
 	if report.Violation() != nil {
 		t.Fail()
@@ -329,7 +329,7 @@
 // Guards against a model that misses faults. Each variant lacks one guard, and
 // the model must detect that.
 func TestModelMissesBrokenLedger(t *testing.T) {
-	for _, variant := range []fault{noTombstone, shortTombstone, earlyForget, noExpiry, timeGoesBack, noMinStamp, ignoredSubmit, answersForOld, refusalForgotten} {
+	for _, variant := range []fault{noTombstone, shortTombstone, earlyForget, noExpiry, timeGoesBack, noMinStamp, ignoredRefusal, answersForOld, refusalForgotten} {
 		report := mgexplore.Seeds(7, 20_000, randomSchedule(variant))
 		t.Logf("%v", report)
 		if report.Violation() == nil {
--- a/internal/request/mgoperation/problem.go
+++ b/internal/request/mgoperation/problem.go
@@ -16,8 +16,8 @@
 		"mint an operation id for each write")
 }
 
-// problemForeign refuses a stamp that is later than this process's clock, which
-// therefore can't be its own.
+// problemForeign refuses a stamp that is later than this process's clock. This
+// process therefore can't have made the stamp.
 func problemForeign() *mgproblem.Problem {
 	return mgproblem.New(mgproblem.Incarnation, mgproblem.Unknown,
 		"the id was not made by this process",
--- a/internal/request/mgoperation/spec.go
+++ b/internal/request/mgoperation/spec.go
@@ -7,9 +7,9 @@
 
 // The defaults of a Spec.
 const (
-	// AttemptWindow is longer than an entry process uses an offer (its query and
-	// retries end within a second or two) and short compared with an agent's
-	// lifetime.
+	// AttemptWindow is longer than the time for which an entry process uses an
+	// offer, as its query and retries end within a second or two. It is short
+	// compared with an agent's lifetime.
 	AttemptWindow = 30 * mgclock.Second
 	// OperationWindow gives a caller time to mint, lose its connection and retry by
 	// hand.
@@ -27,8 +27,8 @@
 type Spec struct {
 	// Window is how long after its stamp an entry may begin.
 	Window mgclock.Millis
-	// Linger is the minimum time for which a result is kept, so that one that
-	// arrives after the window can still be read.
+	// Linger is the retention, the minimum time for which a result is kept, so that
+	// one that arrives after the window can still be read.
 	Linger mgclock.Millis
 	// MaxRecords bounds the number of entries, tombstones included.
 	MaxRecords int
@@ -63,8 +63,8 @@
 	Deadline mgclock.Millis
 	// Digest distinguishes bodies sent under one ID; 0 if that doesn't matter.
 	Digest uint64
-	// Generation is the upstream's name of the generation that an attempt starts
-	// now.
+	// Generation is the ID by which the upstream knows the generation that this
+	// attempt starts.
 	Generation string
 }
 
@@ -75,6 +75,6 @@
 	Status  int
 	Mime    string
 	Body    []byte
-	// Trimmed is set when the body was dropped to bound memory.
+	// Trimmed is set when the whole body was dropped to bound memory.
 	Trimmed bool
 }
