--- a/internal/request/mgdelivery/decision.go
+++ b/internal/request/mgdelivery/decision.go
@@ -14,8 +14,8 @@
 	// Finish: send the decision's tokens and the end to the caller. The answer is
 	// complete.
 	Finish
-	// Reopen: read the same generation again from the token after Last, on a new
-	// connection.
+	// Reopen: read the same generation again from the token after Receiver.Last, on
+	// a new connection.
 	Reopen
 	// StartOver: start a new generation; the caller has received nothing.
 	StartOver
@@ -40,7 +40,7 @@
 func (d Decision) First() uint64 { return d.first }
 
 // Last returns the sequence number of the last of Tokens, which the SSE event's
-// ID contains.
+// ID contains. It means nothing without Tokens.
 func (d Decision) Last() uint64 { return d.first + uint64(len(d.tokens)) - 1 }
 
 // Tokens returns the tokens to deliver, in order.
@@ -49,7 +49,8 @@
 // End returns the reason why the generation ended, with Finish.
 func (d Decision) End() string { return d.end }
 
-// Cancel returns the generation to cancel because nobody will read it, or "".
+// Cancel returns the generation that the caller of the Receiver must cancel,
+// because nobody will read it, or "". It cancels nothing itself.
 func (d Decision) Cancel() string { return d.cancel }
 
 // Problem returns the problem to report to the caller, with Fail.
--- a/internal/request/mgdelivery/doc.go
+++ b/internal/request/mgdelivery/doc.go
@@ -6,8 +6,8 @@
 // connection to, a generation (in mgoperation only the start); a frame carries
 // a generation's tokens from a sequence number on. A streaming caller gets
 // tokens as they arrive and is therefore bound to the generation of its first
-// token. With whole (buffered, not streamed) delivery the caller gets all
-// tokens at the end, and until then the answer may start over elsewhere.
+// token. With buffered delivery (Spec.Whole) the caller gets all tokens at the
+// end, and until then the answer may start over elsewhere.
 //
 // References: Saltzer, Reed, Clark (1984), End-to-End Arguments in System
 // Design; Stenning (1976), A Data Transfer Protocol.
--- a/internal/request/mgdelivery/model_test.go
+++ b/internal/request/mgdelivery/model_test.go
@@ -20,11 +20,12 @@
 	eventKinds      = 9
 )
 
-// fault is a broken variant of the receiver. The model must catch each.
+// fault is a broken variant of the receiver, or noFault. The model must catch
+// each broken one.
 type fault string
 
 const (
-	sound              fault = "sound"
+	noFault            fault = "sound"
 	noGenerationCheck  fault = "no generation check"
 	acceptsGap         fault = "gap accepted"
 	deliversTwice      fault = "duplicates delivered"
@@ -44,15 +45,15 @@
 // world models a caller, its receiver, the network and the engines' generations
 // "A", "B" and so on, whose tokens are "A1", "A2" and so on.
 type world struct {
-	variant   fault
-	whole     bool
-	receiver  *Receiver
-	attempt   int
-	engine    int // the generation that is running, from 0
-	emitted   uint64
-	inFlight  []frame
-	delivered []string
-	outcome   string
+	variant    fault
+	whole      bool
+	receiver   *Receiver
+	attempt    int
+	generation int // the generation that is running, from 0
+	emitted    uint64
+	inFlight   []frame
+	delivered  []string
+	outcome    string
 }
 
 func name(generation int) string { return string(rune('A' + generation)) }
@@ -156,7 +157,7 @@
 		w.receive(frame{
 			attempt: w.attempt,
 			Frame: &Frame{
-				Generation: name(w.engine),
+				Generation: name(w.generation),
 				Fault:      "interrupted",
 			},
 		})
@@ -179,9 +180,9 @@
 	}
 	w.emitted++
 	f := &Frame{
-		Generation: name(w.engine),
+		Generation: name(w.generation),
 		Seq:        w.emitted,
-		Tokens:     []string{token(w.engine, w.emitted)},
+		Tokens:     []string{token(w.generation, w.emitted)},
 	}
 	if w.emitted == tokens {
 		f.End = "stop"
@@ -199,7 +200,7 @@
 	return frame{
 		attempt: w.attempt,
 		Frame: &Frame{
-			Generation: name(w.engine),
+			Generation: name(w.generation),
 			End:        "stop",
 			Total:      tokens,
 		},
@@ -260,7 +261,7 @@
 	case StartOver:
 		w.start()
 	case Fail:
-		if w.variant == splicesGenerations && w.engine == 0 {
+		if w.variant == splicesGenerations && w.generation == 0 {
 			w.receiver = New(Spec{
 				From: w.receiver.Last(),
 			})
@@ -273,9 +274,9 @@
 }
 
 func (w *world) start() {
-	w.engine++
+	w.generation++
 	w.emitted = 0
-	w.attempt = w.receiver.Begin(name(w.engine))
+	w.attempt = w.receiver.Begin(name(w.generation))
 }
 
 // resumeElsewhere plays a streaming caller that lost its entry and resumes
@@ -293,14 +294,14 @@
 		Pinned: true,
 	})
 	w.inFlight = nil // they were sent to the other entry
-	w.attempt = w.receiver.Begin(name(w.engine))
+	w.attempt = w.receiver.Begin(name(w.generation))
 	w.emitted = from
 }
 
 // checkInvariants compares what the caller received with the guarantees.
 func (w *world) checkInvariants() error {
 	for i, text := range w.delivered {
-		if want := token(w.engine, uint64(i+1)); text != want {
+		if want := token(w.generation, uint64(i+1)); text != want {
 			return fmt.Errorf("%s: caller got %v: token %d is not %s", w.variant, w.delivered, i+1, want)
 		}
 	}
@@ -319,7 +320,7 @@
 func (w *world) state() string {
 	var b strings.Builder
 	r := w.receiver
-	fmt.Fprint(&b, w.engine, w.emitted, w.attempt, w.delivered, w.outcome, r.currentAttempt, r.attemptCount, r.generationCount, r.generation, r.last, r.refusals, r.finished, r.spec)
+	fmt.Fprint(&b, w.generation, w.emitted, w.attempt, w.delivered, w.outcome, r.currentAttempt, r.attemptCount, r.generationCount, r.generation, r.last, r.refusals, r.finished, r.spec)
 	for _, f := range w.inFlight {
 		fmt.Fprint(&b, "|", f.attempt, f.Generation, f.Seq, f.Tokens, f.End)
 	}
@@ -332,7 +333,7 @@
 // through another entry, in any order.
 func TestCallerGetsWrongTokens(t *testing.T) {
 	for _, whole := range []bool{false, true} {
-		report := mgexplore.Exhaust(2_000_000, exhaustive(sound, whole))
+		report := mgexplore.Exhaust(2_000_000, exhaustive(noFault, whole))
 		t.Logf("delivery, whole %t, %d steps: %v", whole, exhaustiveSteps, report)
 		if report.Violation() != nil || !report.Whole() {
 			t.Fail()
@@ -342,7 +343,7 @@
 
 func TestCallerGetsWrongTokensSeeded(t *testing.T) {
 	for _, whole := range []bool{false, true} {
-		report := mgexplore.Seeds(5, max(1000, *extraSchedules), randomSchedule(sound, whole))
+		report := mgexplore.Seeds(5, max(1000, *extraSchedules), randomSchedule(noFault, whole))
 		t.Logf("delivery, whole %t, seeded: %v", whole, report)
 		if report.Violation() != nil {
 			t.Fail()
--- a/internal/request/mgdelivery/receiver.go
+++ b/internal/request/mgdelivery/receiver.go
@@ -9,8 +9,8 @@
 
 const (
 	// DefaultGenerations bounds the generations started for one answer. Each may
-	// have occupied an engine's memory; the entry's retry budget bounds their
-	// total.
+	// have occupied an engine's memory; the entry's retry budget bounds the number
+	// of generations started for all answers together.
 	DefaultGenerations = 3
 	// maxRefusals bounds the frames refused in a row. A single gap or foreign frame
 	// is repaired by reading again; a stream that continues with them is given up.
@@ -28,8 +28,8 @@
 	Whole bool
 	// From is the number of the last token that a resuming caller has.
 	From uint64
-	// Pinned is set for a resuming caller: the answer's name contains its
-	// generation, so it can't start over elsewhere.
+	// Pinned is set for a resuming caller and binds it to one generation: the
+	// answer's name contains its generation, so it can't start over elsewhere.
 	Pinned bool
 	// Generations bounds the generations started, by default
 	// DefaultGenerations.
@@ -124,8 +124,8 @@
 }
 
 // hasGap reports whether tokens are missing before f or before the end that it
-// reports. If f were accepted, the text would lack them, and with the end
-// nobody would notice.
+// reports. If f were accepted, the answer would lack these tokens, and if f
+// reports the end, nobody would notice.
 func (r *Receiver) hasGap(f *Frame, fresh []string) bool {
 	if len(f.Tokens) > 0 && f.Seq > r.last+1 {
 		return true
@@ -164,15 +164,15 @@
 // fresh returns the tokens of f that were not accepted before. A reopened
 // stream repeats some, and one frame may contain both.
 func (r *Receiver) fresh(f *Frame) []string {
-	text := f.Tokens
-	if len(text) == 0 || f.Seq == 0 {
+	tokens := f.Tokens
+	if len(tokens) == 0 || f.Seq == 0 {
 		return nil
 	}
 	known := r.last + 1 - f.Seq
-	if known >= uint64(len(text)) {
+	if known >= uint64(len(tokens)) {
 		return nil
 	}
-	return slices.Clone(text[known:])
+	return slices.Clone(tokens[known:])
 }
 
 // end delivers the remaining tokens and the end.
--- a/internal/request/mgdelivery/receiver_test.go
+++ b/internal/request/mgdelivery/receiver_test.go
@@ -10,7 +10,8 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// specs maps the names that the cases use to the specs of their receivers.
+// specs maps the names that the cases use to the specs of their receivers: once
+// allows one generation, back is a caller that resumes.
 var specs = map[string]mgdelivery.Spec{
 	"stream": {},
 	"whole": {
@@ -25,7 +26,8 @@
 	},
 }
 
-// actionNames maps actions to the names that the cases use.
+// actionNames maps actions to the names that the cases use; elsewhere is
+// StartOver.
 var actionNames = map[mgdelivery.Action]string{
 	mgdelivery.Wait:      "wait",
 	mgdelivery.Deliver:   "deliver",
