--- a/internal/request/mgrouting/fleet.go
+++ b/internal/request/mgrouting/fleet.go
@@ -11,20 +11,21 @@
 )
 
 // DefaultCandidates is the number of upstreams queried per request. The step
-// from one to two brings most of the gain (Mitzenmacher 2001); the third is
-// added for the prefix, and is the first of Candidates.
+// from one to two brings most of the gain (Mitzenmacher 2001); one more, the
+// third, is added for the prefix; Candidates returns it first.
 const DefaultCandidates = 3
 
 // MaxLoadFactor is how many times the average of requests in flight an upstream
 // may have and still be the first candidate. Mirrokni et al. bound the moves by
-// the inverse square of (MaxLoadFactor - 1): at 1.25 a new upstream moves few
-// prefixes, and none carries more than a quarter above its share.
+// the inverse square of (MaxLoadFactor - 1), which is 16 at 1.25: a new
+// upstream moves few prefixes, and none carries more than a quarter above its
+// share.
 const MaxLoadFactor = 1.25
 
 // minBoundedInFlight is the number of requests in flight from which
 // MaxLoadFactor applies. Below it one entry's average is mostly chance, and the
 // sum over the fleet isn't worth computing.
-const minBoundedInFlight = 4
+const minInFlightForLoadFactor = 4
 
 // A Fleet is the list of upstreams, prepared for queries. The zero Fleet is
 // empty.
@@ -167,10 +168,10 @@
 		i := from.indices[best]
 		s := f.upstreams[i].state
 		inFlight := s.inFlight.Load()
-		if inFlight >= minBoundedInFlight && bound == 0 {
+		if inFlight >= minInFlightForLoadFactor && bound == 0 {
 			bound = f.maxInFlight(from)
 		}
-		if !s.leaving.Load() && (inFlight < minBoundedInFlight || inFlight < bound) {
+		if !s.leaving.Load() && (inFlight < minInFlightForLoadFactor || inFlight < bound) {
 			return append(dst, i)
 		}
 		hashCeiling = top
@@ -178,8 +179,8 @@
 	return dst
 }
 
-// maxInFlight returns the number of requests in flight below which an upstream
-// is sent another one for its prefix.
+// maxInFlight returns the bound on an upstream's requests in flight: only below
+// it is the upstream sent another one for its prefix.
 func (f *Fleet) maxInFlight(from upstreamSet) int32 {
 	total := int32(1)
 	for _, i := range from.indices {
@@ -243,7 +244,7 @@
 // mix spreads the bits of x by folding a 128-bit product, the cheapest step
 // that does so: a prefix lookup computes one per upstream.
 func mix(x uint64) uint64 {
-	const odd = 0x9e3779b97f4a7c15 // the golden ratio in 64 bits
-	hi, lo := bits.Mul64(x^x>>32, odd)
+	const multiplier = 0x9e3779b97f4a7c15 // the golden ratio in 64 bits
+	hi, lo := bits.Mul64(x^x>>32, multiplier)
 	return hi ^ lo
 }
