--- a/internal/request/mgretry/budget.go
+++ b/internal/request/mgretry/budget.go
@@ -3,9 +3,10 @@
 import "sync/atomic"
 
 // Ratio is the fraction of a retry that each success earns. If a fraction f of
-// the tries fails, the successes pay for Ratio·(1-f)/f of the retries: for nine
-// tenths of them while one upstream in ten fails, for none while all do.
-// Retries multiply the load by 1 + Ratio at most.
+// the tries fails, f retries are wanted and Ratio·(1-f) earned per try, so the
+// successes pay for Ratio·(1-f)/f of the retries: for nine tenths of them while
+// one upstream in ten fails (f = 0.1), for none while all do. Retries multiply
+// the load by 1 + Ratio at most.
 const Ratio = 0.1
 
 // HedgeRatio is the fraction of a hedge that each success earns: the fraction
--- a/internal/request/mgretry/doc.go
+++ b/internal/request/mgretry/doc.go
@@ -17,7 +17,7 @@
 //
 // The backoff before a retry is at least the delay that the problem asks for,
 // plus a random one whose maximum doubles with each try up to MaxBackoff (full
-// jitter: Brooker 2015). A caller that keeps retrying at the maximum sends at a
+// jitter: Brooker 2015). A caller that keeps retrying at MaxBackoff sends at a
 // bounded rate until an outage of any length is over, and callers that failed
 // together don't retry together.
 //
@@ -31,5 +31,5 @@
 // the load; when an upstream becomes slow and every lookup exceeds it, the
 // budget stops the hedges.
 //
-// All types are safe for concurrent use by atomics.
+// All types are safe for concurrent use.
 package mgretry
--- a/internal/request/mgretry/hedge.go
+++ b/internal/request/mgretry/hedge.go
@@ -28,7 +28,7 @@
 }
 
 // Observe records the delay of an answered lookup. Ratio is the fraction of a
-// second copy that it earns, from 0 to 1.
+// hedge that the lookup earns, from 0 to 1.
 func (h *Hedge) Observe(delay mgclock.Millis, ratio float64) {
 	h.budget.Earn(ratio)
 	h.counts[bucketOf(delay)].Add(1)
--- a/internal/request/mgretry/retry.go
+++ b/internal/request/mgretry/retry.go
@@ -32,33 +32,33 @@
 // retry spends from the service's budget, unless an upstream returned the
 // request because it is leaving: such retries are bounded by what was queued
 // there, and the request has cost the upstream nothing.
-func (b *Budget) Next(now mgclock.Millis, a FailedTry, r *rand.Rand) (mgclock.Millis, bool) {
-	if a.Tries >= MaxTries || !Allowed(a) {
+func (b *Budget) Next(now mgclock.Millis, failed FailedTry, r *rand.Rand) (mgclock.Millis, bool) {
+	if failed.Tries >= MaxTries || !Allowed(failed) {
 		return 0, false
 	}
 	wait := mgclock.Millis(0)
-	if a.Problem.Kind() != mgproblem.Leaving {
-		wait = Backoff(a.Tries, a.Problem.RetryAfter(), r)
+	if failed.Problem.Kind() != mgproblem.Leaving {
+		wait = Backoff(failed.Tries, failed.Problem.RetryAfter(), r)
 	}
-	if a.Deadline > 0 && now+wait >= a.Deadline {
+	if failed.Deadline > 0 && now+wait >= failed.Deadline {
 		return 0, false
 	}
-	if a.Problem.Kind() != mgproblem.Leaving && !b.Spend() {
+	if failed.Problem.Kind() != mgproblem.Leaving && !b.Spend() {
 		return 0, false
 	}
 	return wait, true
 }
 
 // Allowed reports whether a failed try may be repeated at all.
-func Allowed(a FailedTry) bool {
-	if a.Delivered || !isTransient(a.Problem.Kind()) {
+func Allowed(failed FailedTry) bool {
+	if failed.Delivered || !isTransient(failed.Problem.Kind()) {
 		return false
 	}
-	switch a.Problem.Outcome() {
+	switch failed.Problem.Outcome() {
 	case mgproblem.NotRun:
 		return true
 	case mgproblem.Unknown:
-		return a.Idempotent
+		return failed.Idempotent
 	default:
 		return false
 	}
