--- a/internal/request/mglength/curve.go
+++ b/internal/request/mglength/curve.go
@@ -30,8 +30,9 @@
 	return b
 }
 
-// histogram counts the answers of one level. Its weightUnit grows with each
-// answer, instead of a decay of all earlier counts.
+// histogram counts the answers of one level. Instead of a decay of all earlier
+// counts with each answer, weightUnit, the weight of a new answer, grows, so
+// that earlier answers weigh less in comparison.
 type histogram struct {
 	atRisk     [Buckets]float32 // answers that passed the bucket or ended in it
 	ended      [Buckets]float32
@@ -63,6 +64,7 @@
 	}
 }
 
+// weight returns weightUnit, which is 1 for the first answer.
 func (c *histogram) weight() float32 {
 	if c.weightUnit == 0 {
 		c.weightUnit = 1
@@ -123,7 +125,8 @@
 	}
 }
 
-// Beyond returns the probability of a length beyond x: the survival function.
+// Beyond returns the probability of a length beyond x: the unconditional
+// survival function.
 func (c *Curve) Beyond(x int) float64 {
 	b := bucket(x)
 	fraction := min((float64(x)-edges[b])/(edges[b+1]-edges[b]), 1)
@@ -139,8 +142,8 @@
 	return c.area[b+1] + remaining*(survivalAtX+c.survival[b+1])/2
 }
 
-// Survival returns the conditional probability that an answer which has
-// produced tokens so far still runs after ahead more.
+// Survival returns the conditional survival function: the probability that an
+// answer which has produced tokens so far still runs after ahead more.
 func (c *Curve) Survival(produced, ahead int) float64 {
 	reached := c.Beyond(produced)
 	if reached <= 0 {
--- a/internal/request/mglength/estimator.go
+++ b/internal/request/mglength/estimator.go
@@ -59,7 +59,8 @@
 // Classes returns the number of classes kept.
 func (e *Estimator) Classes() int { return len(e.classes) }
 
-// Levels returns the number of services and models kept.
+// Levels returns the number of services and models kept, the levels above the
+// classes.
 func (e *Estimator) Levels() int { return len(e.services) + len(e.models) }
 
 // Begin starts following an answer.
