--- a/internal/request/mgcap/cap.go
+++ b/internal/request/mgcap/cap.go
@@ -7,9 +7,9 @@
 	"github.com/marjoramgauge/marjoramgauge/pkg/mgproblem"
 )
 
-// BurstWindow is the time at a cap's rate that fills its bucket. An account
-// that sends a page's worth of lookups at once isn't capped for it, and its
-// burst is limited to one lease's worth.
+// BurstWindow is the time at a cap's rate that fills its bucket, so it limits a
+// burst to what the rate earns in this time, one lease's worth. An account that
+// sends all lookups of a page at once isn't capped for it.
 const BurstWindow = 2 * mgclock.Second
 
 // busyRetryDelay is the retry delay when all streams are in use: about the
--- a/internal/request/mgcap/cap_test.go
+++ b/internal/request/mgcap/cap_test.go
@@ -20,7 +20,8 @@
 }
 
 // Guards against a caller that exceeds its cap: a batch job sends ten times its
-// cap and gets it, because its answers are short but longer than expected.
+// cap and gets it, because its answers, though short, are longer than the
+// expected cost that is taken when they start.
 func TestCallerExceedsCap(t *testing.T) {
 	Convey("A caller that sends all the time gets its cap", t, func() {
 		var c mgcap.Cap
