--- a/internal/request/mgwarm/doc.go
+++ b/internal/request/mgwarm/doc.go
@@ -14,12 +14,13 @@
 //
 // Processes that grant placements count those that they granted and limit them
 // per second. A process that sends without a placement, because no process
-// grants it one or its service has none, gets a turn at each cold upstream now
-// and then. Turns recur at a fixed interval with a pseudorandom phase for each
-// process and upstream, and last a second, so that waiting processes don't send
-// in a burst; together they amount to a fraction of the rate, whatever number
-// of processes each of them knows: at least minProcesses are assumed. With more
-// processes than that, it holds only if each of them knows their number.
+// grants it one or its service has no placements, gets a turn at each cold
+// upstream now and then. Turns recur at a fixed interval with a pseudorandom
+// phase for each process and upstream, and last a second, so that waiting
+// processes don't send in a burst; together they amount to a fraction of the
+// rate. Up to minProcesses processes this holds whatever number of processes
+// each of them knows, because at least minProcesses are assumed. With more
+// processes it holds only if each of them knows their number.
 //
 // # Terms
 //
--- a/internal/request/mgwarm/warm.go
+++ b/internal/request/mgwarm/warm.go
@@ -23,9 +23,9 @@
 )
 
 // PlacementLimit returns how many placements per second one process may grant at a cold
-// upstream, if granters processes grant placements there.
-func PlacementLimit(rate float64, granters int) int {
-	return max(int(rate*placedFraction)/max(granters, 1), 1)
+// upstream, if grantingProcesses processes grant them there.
+func PlacementLimit(rate float64, grantingProcesses int) int {
+	return max(int(rate*placedFraction)/max(grantingProcesses, 1), 1)
 }
 
 // Turns holds one process's turns at cold upstreams. The zero Turns has used
