--- a/internal/request/mgrest/doc.go
+++ b/internal/request/mgrest/doc.go
@@ -12,8 +12,8 @@
 //
 // A process sends nothing to an upstream during the rest that the upstream
 // asked of this process. Afterwards the requests in flight there are limited by
-// a window, which starts at one and doubles with each answer (slow start) until
-// the limit is lifted.
+// a window, which starts at one and doubles with each answer (as slow start
+// doubles it with each round trip) until the limit is lifted.
 //
 // # Terms
 //
--- a/internal/request/mgrest/rest.go
+++ b/internal/request/mgrest/rest.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// Forget removes the upstreams for which keep returns false.
+// Forget removes all upstreams except those for which keep returns true.
 func (r *Rests) Forget(keep func(upstream string) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
