--- a/internal/request/mganswer/answer.go
+++ b/internal/request/mganswer/answer.go
@@ -79,7 +79,7 @@
 }
 
 // ParseEventID splits an SSE ID into the answer's name, which still has to be
-// opened, and the number of the last token that the caller has.
+// verified, and the number of the last token that the caller has.
 func ParseEventID(id string) (answer string, seq uint64, err error) {
 	answer, digits, found := strings.Cut(id, ".")
 	if !found || answer == "" || len(answer) > mgseal.MaxText {
