--- a/internal/request/mgprefix/prefix.go
+++ b/internal/request/mgprefix/prefix.go
@@ -13,8 +13,8 @@
 	// used for estimates only; the engine counts tokens itself.
 	TokenBytes = 4
 	// BlockTokens is the length of a block in tokens, long enough that a prompt of
-	// 8,000 tokens has 125 hashes and short enough to distinguish system prompts of
-	// a few hundred tokens.
+	// 8,000 tokens has only 125 blocks (of which MaxBlocks are hashed) and short
+	// enough to distinguish system prompts of a few hundred tokens.
 	BlockTokens = 64
 	// MaxBlocks bounds the hashes of a prompt: the longest shared prefixes
 	// (instructions and one document) are shorter.
@@ -56,8 +56,8 @@
 	elements map[uint64]*list.Element
 }
 
-// Add records that the engine has the blocks, and drops the least recently used
-// ones beyond MaxRecordBlocks.
+// Add puts the blocks that the engine has into the record, and drops the least
+// recently used ones beyond MaxRecordBlocks.
 func (r *Record) Add(blocks []uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,7 +76,7 @@
 	}
 }
 
-// Remove records that the engine evicted a block.
+// Remove takes a block that the engine evicted out of the record.
 func (r *Record) Remove(block uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
