--- a/internal/request/mgseal/seal.go
+++ b/internal/request/mgseal/seal.go
@@ -69,7 +69,8 @@
 	return encoding.EncodeToString(append(payload, tag(s.keyRing()[0], kind, owner, payload)...))
 }
 
-// Open returns the fields of a name signed for owner, or ErrForeign.
+// Open verifies and decodes a name signed for owner and returns its fields, or
+// ErrForeign.
 func (s *Signer) Open(kind, owner, text string) ([]string, error) {
 	if len(text) > MaxText {
 		return nil, ErrForeign
@@ -78,11 +79,11 @@
 	if err != nil || len(raw) < tagSize {
 		return nil, ErrForeign
 	}
-	payload, sum := raw[:len(raw)-tagSize], raw[len(raw)-tagSize:]
+	payload, gotTag := raw[:len(raw)-tagSize], raw[len(raw)-tagSize:]
 	for _, key := range s.keyRing() {
 		// If tags were compared byte by byte, the response time would reveal one byte
 		// after another; Equal takes the same time for every tag.
-		if hmac.Equal(sum, tag(key, kind, owner, payload)) {
+		if hmac.Equal(gotTag, tag(key, kind, owner, payload)) {
 			return decodeFields(payload)
 		}
 	}
