--- a/internal/request/mgrouting/fleet.go
+++ b/internal/request/mgrouting/fleet.go
@@ -22,7 +22,7 @@
 // share.
 const MaxLoadFactor = 1.25
 
-// minBoundedInFlight is the number of requests in flight from which
+// minInFlightForLoadFactor is the number of requests in flight from which
 // MaxLoadFactor applies. Below it one entry's average is mostly chance, and the
 // sum over the fleet isn't worth computing.
 const minInFlightForLoadFactor = 4
