--- a/internal/process/mgrelay/doc.go
+++ b/internal/process/mgrelay/doc.go
@@ -59,7 +59,7 @@
 //     to a cold upstream (see mgwarm).
 //   - pace: how slow an upstream is: ms per token of a stream, ms per request
 //     otherwise. A higher pace means a slower upstream.
-//   - home: a region in which a request may run (data residency). A request may have
+//   - home: a region in which a request may run. A request may have
 //     several.
 //   - permit: the permission to send one request to an upstream that has announced
 //     a rate limit. All entries together give at most as many as it allows.
